--- a/src/main/java/org/springmill/cli/CheckCommand.java
+++ b/src/main/java/org/springmill/cli/CheckCommand.java
@@ -7,18 +7,25 @@
 import picocli.CommandLine.Mixin;
 
 /** Checks settings without starting anything. */
-@Command(name = "check", mixinStandardHelpOptions = true, description = "Checks settings and exits.")
+@Command(
+        name = "check",
+        mixinStandardHelpOptions = true,
+        description = "Checks settings and exits.")
 final class CheckCommand implements Callable<Integer> {
 
-    @Mixin
-    private SettingsOptions options;
+    @Mixin private SettingsOptions options;
 
     @Override
     public Integer call() {
         try {
             Settings settings = options.read();
-            System.out.printf("%s: fine: node %s in %s, %d other controllers, %d teams%n", options.config(), settings.node(),
-                    settings.zone(), settings.peers().size(), settings.teams().size());
+            System.out.printf(
+                    "%s: fine: node %s in %s, %d other controllers, %d teams%n",
+                    options.config(),
+                    settings.node(),
+                    settings.zone(),
+                    settings.peers().size(),
+                    settings.teams().size());
             return 0;
         } catch (SettingsException e) {
             System.err.println("springmill: " + e.getMessage());
--- a/src/main/java/org/springmill/cli/Main.java
+++ b/src/main/java/org/springmill/cli/Main.java
@@ -8,13 +8,15 @@
 import picocli.CommandLine.Command;
 
 /** The command line. */
-@Command(name = "springmill", mixinStandardHelpOptions = true, versionProvider = Main.Version.class,
+@Command(
+        name = "springmill",
+        mixinStandardHelpOptions = true,
+        versionProvider = Main.Version.class,
         description = "Schedules jobs of model services and batches on a fleet of rented machines.",
         subcommands = {RunCommand.class, CheckCommand.class, RehearseCommand.class})
 public final class Main implements Runnable {
 
-    @CommandLine.Spec
-    private CommandLine.Model.CommandSpec spec;
+    @CommandLine.Spec private CommandLine.Model.CommandSpec spec;
 
     public static void main(String[] args) {
         setLogLevel(System.getenv("LOG_LEVEL"));
--- a/src/main/java/org/springmill/cli/RehearseCommand.java
+++ b/src/main/java/org/springmill/cli/RehearseCommand.java
@@ -18,13 +18,15 @@
 import picocli.CommandLine.Command;
 
 /**
- * Plays a few seconds of a controller's life on loopback, for the build to record which classes it needs. A process that
- * is started again has little processor time and leases that run out: what is not recorded it would have to read from
- * the jar and verify at the very moment at which it takes over.
+ * Plays a few seconds of a controller's life on loopback, for the build to record which classes it
+ * needs. A process that is started again has little processor time and leases that run out: what is
+ * not recorded it would have to read from the jar and verify at the very moment at which it takes
+ * over.
  */
 @Command(name = "rehearse", hidden = true)
 final class RehearseCommand implements Callable<Integer> {
-    private static final String SETTINGS = """
+    private static final String SETTINGS =
+            """
             node = "rehearsal"
             site = "here"
             api_addr = "127.0.0.1:%d"
@@ -107,15 +109,30 @@
 
     /** One user and one worker, taking turns. */
     private void visit(Transport around, String api, int step) {
-        List<Request> visits = List.of(
-                post(api, WorkerMessages.REPORT, world.report()),
-                post(api, UserMessages.SUBMISSIONS, RehearsalMessages.submission("run-000001", true)),
-                new Request(api, "GET", UserMessages.READY, new byte[0], 1),
-                new Request(api, "GET", UserMessages.SUBMISSIONS + "/run-000001", new byte[0], 1),
-                post(api, UserMessages.SUBMISSIONS, RehearsalMessages.submission("run-000002", false)),
-                post(api, UserMessages.SUBMISSIONS + "/run-000001" + UserMessages.WITHDRAW, new byte[0]));
-        around.client().send(visits.get(step / 3 % visits.size()), reply -> { });
-        around.client().send(visits.get(0), reply -> { });
+        List<Request> visits =
+                List.of(
+                        post(api, WorkerMessages.REPORT, world.report()),
+                        post(
+                                api,
+                                UserMessages.SUBMISSIONS,
+                                RehearsalMessages.submission("run-000001", true)),
+                        new Request(api, "GET", UserMessages.READY, new byte[0], 1),
+                        new Request(
+                                api,
+                                "GET",
+                                UserMessages.SUBMISSIONS + "/run-000001",
+                                new byte[0],
+                                1),
+                        post(
+                                api,
+                                UserMessages.SUBMISSIONS,
+                                RehearsalMessages.submission("run-000002", false)),
+                        post(
+                                api,
+                                UserMessages.SUBMISSIONS + "/run-000001" + UserMessages.WITHDRAW,
+                                new byte[0]));
+        around.client().send(visits.get(step / 3 % visits.size()), reply -> {});
+        around.client().send(visits.get(0), reply -> {});
         if (step < STEPS) {
             around.loop().after(STEP_S, () -> visit(around, api, step + 1));
         }
--- a/src/main/java/org/springmill/cli/RunCommand.java
+++ b/src/main/java/org/springmill/cli/RunCommand.java
@@ -14,15 +14,18 @@
 import picocli.CommandLine.Mixin;
 
 /** Runs one controller until it is killed. */
-@Command(name = "run", mixinStandardHelpOptions = true, description = "Runs one controller until it is killed.")
+@Command(
+        name = "run",
+        mixinStandardHelpOptions = true,
+        description = "Runs one controller until it is killed.")
 final class RunCommand implements Callable<Integer> {
     /** Not an exit code: the threads of the transport keep the process going. */
     static final int KEEPS_RUNNING = -1;
+
     static final int BAD_SETTINGS = 2;
     private static final int CANNOT_START = 1;
 
-    @Mixin
-    private SettingsOptions options;
+    @Mixin private SettingsOptions options;
 
     @Override
     public Integer call() {
@@ -39,20 +42,29 @@
     }
 
     static void start(Settings settings) throws IOException {
-        // Both may stand at one address, as they do in the rehearsal: it failed unseen on a set of two, and processes
+        // Both may stand at one address, as they do in the rehearsal: it failed unseen on a set of
+        // two, and processes
         // started without an archive of their classes.
-        Transport transport = new Transport(settings.limits().maxSockets(),
-                Set.copyOf(List.of(settings.stateAddress(), settings.cloudAddress())));
+        Transport transport =
+                new Transport(
+                        settings.limits().maxSockets(),
+                        Set.copyOf(List.of(settings.stateAddress(), settings.cloudAddress())));
         PeerLink link = transport.peers(settings.peerListen(), settings.peers());
-        Controller controller = new Controller(settings, transport.loop(), transport.client(), link,
-                new SplittableRandom(seed(settings)));
+        Controller controller =
+                new Controller(
+                        settings,
+                        transport.loop(),
+                        transport.client(),
+                        link,
+                        new SplittableRandom(seed(settings)));
         transport.loop().after(0, controller::start);
         transport.serve(settings.listen(), controller);
     }
 
     /**
-     * Differs between the processes of a node, which is all that an incarnation needs. The process's id is not used:
-     * asking for it makes the JVM read files of the system in native code, which has ended processes at their start.
+     * Differs between the processes of a node, which is all that an incarnation needs. The
+     * process's id is not used: asking for it makes the JVM read files of the system in native
+     * code, which has ended processes at their start.
      */
     private static long seed(Settings settings) {
         return System.currentTimeMillis() << 20 ^ System.nanoTime() ^ settings.node().hashCode();
--- a/src/main/java/org/springmill/cli/SettingsOptions.java
+++ b/src/main/java/org/springmill/cli/SettingsOptions.java
@@ -8,10 +8,17 @@
 
 /** The files that settings come from. */
 final class SettingsOptions {
-    @Option(names = "--config", required = true, paramLabel = "FILE", description = "The platform's settings (TOML).")
+    @Option(
+            names = "--config",
+            required = true,
+            paramLabel = "FILE",
+            description = "The platform's settings (TOML).")
     private Path config;
 
-    @Option(names = "--operator", paramLabel = "FILE", description = "Operators' own settings (HCL, optional).")
+    @Option(
+            names = "--operator",
+            paramLabel = "FILE",
+            description = "Operators' own settings (HCL, optional).")
     private Path operator;
 
     Path config() {
--- a/src/main/java/org/springmill/control/coordination/Attempt.java
+++ b/src/main/java/org/springmill/control/coordination/Attempt.java
@@ -5,7 +5,9 @@
 import org.springmill.control.storage.Claim;
 import org.springmill.protocol.WorkerMessages.Cause;
 
-/** One decision to run a task on a machine, from the claim to the committed proof that it is gone. */
+/**
+ * One decision to run a task on a machine, from the claim to the committed proof that it is gone.
+ */
 final class Attempt {
     private static final Logger LOG = LoggerFactory.getLogger(Attempt.class);
 
@@ -32,10 +34,16 @@
                 case CLAIMING -> false;
                 case CLAIMED -> this == CLAIMING;
                 case SENT -> this == CLAIMED;
-                // A report may show more than one step at once, and a rebuilt claim starts out as unknown.
+                // A report may show more than one step at once, and a rebuilt claim starts out as
+                // unknown.
                 case FETCHING -> this == SENT || this == UNKNOWN;
                 case RUNNING -> this == SENT || this == UNKNOWN || this == FETCHING;
-                case STOPPING -> this == CLAIMED || this == SENT || this == FETCHING || this == RUNNING || this == UNKNOWN;
+                case STOPPING ->
+                        this == CLAIMED
+                                || this == SENT
+                                || this == FETCHING
+                                || this == RUNNING
+                                || this == UNKNOWN;
                 case UNKNOWN -> this == CLAIMING || this == SENT;
                 case ENDED -> this != CLAIMING && this != GONE && this != ENDED;
                 case GONE -> this == ENDED;
@@ -102,11 +110,22 @@
     boolean transition(State next, double now) {
         if (!state.mayBecome(next)) {
             if (state != next) {
-                LOG.error("{} attempt {} cannot go from {} to {}", claim.task(), claim.round(), state, next);
+                LOG.error(
+                        "{} attempt {} cannot go from {} to {}",
+                        claim.task(),
+                        claim.round(),
+                        state,
+                        next);
             }
             return false;
         }
-        LOG.debug("{} attempt {} on {}: {} -> {}", claim.task(), claim.round(), claim.machine(), state, next);
+        LOG.debug(
+                "{} attempt {} on {}: {} -> {}",
+                claim.task(),
+                claim.round(),
+                claim.machine(),
+                state,
+                next);
         state = next;
         since = now;
         if (next == State.RUNNING) {
@@ -123,7 +142,10 @@
         return true;
     }
 
-    /** The highest token that a command to start it may have carried; it cannot start under a higher one. */
+    /**
+     * The highest token that a command to start it may have carried; it cannot start under a higher
+     * one.
+     */
     long exposedToken() {
         return exposedToken;
     }
--- a/src/main/java/org/springmill/control/coordination/CancellationWriter.java
+++ b/src/main/java/org/springmill/control/coordination/CancellationWriter.java
@@ -9,9 +9,9 @@
 import org.springmill.transport.Loop;
 
 /**
- * Writes down which jobs were cancelled with one that they need. Nothing depends on it, since every controller derives
- * the same from the record of the first one; so it has the lowest standing among all that is written, and a wave of
- * cancellations costs no round its turn.
+ * Writes down which jobs were cancelled with one that they need. Nothing depends on it, since every
+ * controller derives the same from the record of the first one; so it has the lowest standing among
+ * all that is written, and a wave of cancellations costs no round its turn.
  */
 final class CancellationWriter {
     /** Of all that the state service takes. */
@@ -52,14 +52,20 @@
             conditions.add(new Condition(job.key(), job.version()));
             writes.add(Write.put(job.key(), job.encode(store.limits().valueBytes())));
         }
-        store.commit(conditions, writes, result -> {
-            switch (result.outcome()) {
-                case COMMITTED -> due.forEach(job -> directory.learn(job.committed(result.revision())));
-                // Somebody else has written one of them, or it does not fit: not tried again without end.
-                case REFUSED -> directory.chains().leaveUnwritten(due);
-                case TOO_LARGE, NOT_NOW, UNKNOWN -> { }
-            }
-            loop.after(restS, this::run);
-        });
+        store.commit(
+                conditions,
+                writes,
+                result -> {
+                    switch (result.outcome()) {
+                        case COMMITTED ->
+                                due.forEach(
+                                        job -> directory.learn(job.committed(result.revision())));
+                        // Somebody else has written one of them, or it does not fit: not tried
+                        // again without end.
+                        case REFUSED -> directory.chains().leaveUnwritten(due);
+                        case TOO_LARGE, NOT_NOW, UNKNOWN -> {}
+                    }
+                    loop.after(restS, this::run);
+                });
     }
 }
--- a/src/main/java/org/springmill/control/coordination/Cancellations.java
+++ b/src/main/java/org/springmill/control/coordination/Cancellations.java
@@ -8,15 +8,20 @@
 import org.springmill.protocol.PeerMessages.News;
 
 /**
- * Every cancellation that this process knows of, in the order in which it learned of them, so that others can be told
- * what they lack. It may know of some whose job records it has not read: it was told of them by another controller.
+ * Every cancellation that this process knows of, in the order in which it learned of them, so that
+ * others can be told what they lack. It may know of some whose job records it has not read: it was
+ * told of them by another controller.
  */
 final class Cancellations {
     private static final int INDEX_BITS = 32;
 
     private final List<Cancellation> learned = new ArrayList<>();
     private final Map<String, Cancellation> byJob = new HashMap<>();
-    /** Tells this process's bookmarks from those of an earlier one, whose order meant something else. */
+
+    /**
+     * Tells this process's bookmarks from those of an earlier one, whose order meant something
+     * else.
+     */
     private final long tag;
 
     Cancellations(int tag) {
@@ -44,7 +49,8 @@
      */
     News lackedBy(News known, boolean informed) {
         if (known.revision() < 0) {
-            // A controller of the version before this: it would be told everything again in every answer.
+            // A controller of the version before this: it would be told everything again in every
+            // answer.
             return News.NONE;
         }
         boolean mine = (known.bookmark() & -(1L << INDEX_BITS)) == tag;
--- a/src/main/java/org/springmill/control/coordination/Catalog.java
+++ b/src/main/java/org/springmill/control/coordination/Catalog.java
@@ -31,7 +31,13 @@
     /** Asks until there is an answer, and now and then after that, for prices move. */
     void start() {
         double againS = settings.workers().leaseS();
-        http.send(new HttpClient.Request(settings.cloudAddress(), "GET", CloudMessages.TYPES, new byte[0], againS / 5),
+        http.send(
+                new HttpClient.Request(
+                        settings.cloudAddress(),
+                        "GET",
+                        CloudMessages.TYPES,
+                        new byte[0],
+                        againS / 5),
                 reply -> {
                     if (reply.ok()) {
                         take(reply.body());
--- a/src/main/java/org/springmill/control/coordination/ChainOrder.java
+++ b/src/main/java/org/springmill/control/coordination/ChainOrder.java
@@ -8,14 +8,15 @@
 import org.springmill.protocol.Priority;
 
 /**
- * Priority and deadline flow from jobs to those that they need: whoever sets them does so on the last job of a chain. A
- * job has the highest priority of its own and all that need it, and has to start by the time that leaves the rest of its
- * chain its estimated run before the chain's deadline. Both are derived, never stored, and are no more than an order:
- * owners' estimates are often wrong, and no rule hangs on them.
+ * Priority and deadline flow from jobs to those that they need: whoever sets them does so on the
+ * last job of a chain. A job has the highest priority of its own and all that need it, and has to
+ * start by the time that leaves the rest of its chain its estimated run before the chain's
+ * deadline. Both are derived, never stored, and are no more than an order: owners' estimates are
+ * often wrong, and no rule hangs on them.
  *
- * <p>Kept up as jobs come and end. A job is looked at again when one that needs it has changed; the latest accepted
- * comes first, and since a job can only need earlier ones each is looked at once for a change. The work of one call is
- * bounded; what is left over waits for the next.
+ * <p>Kept up as jobs come and end. A job is looked at again when one that needs it has changed; the
+ * latest accepted comes first, and since a job can only need earlier ones each is looked at once
+ * for a change. The work of one call is bounded; what is left over waits for the next.
  */
 final class ChainOrder {
     /** Jobs looked at in one call, those that need them included. */
@@ -23,7 +24,8 @@
 
     private final JobDirectory directory;
     private final Ledger ledger;
-    private final PriorityQueue<Job> stale = new PriorityQueue<>(Comparator.comparingLong(Job::accepted).reversed());
+    private final PriorityQueue<Job> stale =
+            new PriorityQueue<>(Comparator.comparingLong(Job::accepted).reversed());
     private final Set<String> queued = new HashSet<>();
 
     ChainOrder(JobDirectory directory, Ledger ledger) {
@@ -71,8 +73,10 @@
     private boolean derive(Job job) {
         JobRecord record = directory.get(job.id());
         Priority priority = job.spec().priority();
-        double due = job.spec().deadlineS() == null || record.acceptedAt() == 0 ? Double.POSITIVE_INFINITY
-                : record.acceptedAt() + job.spec().deadlineS();
+        double due =
+                job.spec().deadlineS() == null || record.acceptedAt() == 0
+                        ? Double.POSITIVE_INFINITY
+                        : record.acceptedAt() + job.spec().deadlineS();
         for (String id : directory.chains().followers(job.id())) {
             Job follower = ledger.job(id);
             if (follower != null && follower.active()) {
--- a/src/main/java/org/springmill/control/coordination/Chains.java
+++ b/src/main/java/org/springmill/control/coordination/Chains.java
@@ -14,32 +14,40 @@
 import org.springmill.protocol.UserMessages.Phase;
 
 /**
- * Which job needs which, and what follows from it. A job is cancelled if its record says so or if any job that it needs
- * is: a pure function of committed records, so every controller tells the same from the moment at which it knows the
- * one write that cancelled the first of them, after any crash and in whatever order the records come.
+ * Which job needs which, and what follows from it. A job is cancelled if its record says so or if
+ * any job that it needs is: a pure function of committed records, so every controller tells the
+ * same from the moment at which it knows the one write that cancelled the first of them, after any
+ * crash and in whatever order the records come.
  *
- * <p>A job of which a dependency is cancelled can never have started. It starts only after the record of every
- * dependency says done; done and cancelled are both written on condition of the version of a record that says neither,
- * so they exclude each other; and what never started is never done, so the same holds for those that need it. Hence a
- * job's own end need not be conditional on any other record, and a late write to a follower can change nothing.
+ * <p>A job of which a dependency is cancelled can never have started. It starts only after the
+ * record of every dependency says done; done and cancelled are both written on condition of the
+ * version of a record that says neither, so they exclude each other; and what never started is
+ * never done, so the same holds for those that need it. Hence a job's own end need not be
+ * conditional on any other record, and a late write to a follower can change nothing.
  *
- * <p>The graph has no cycles, since only accepted jobs can be named. It is walked without recursion, for chains are as
- * deep as users like.
+ * <p>The graph has no cycles, since only accepted jobs can be named. It is walked without
+ * recursion, for chains are as deep as users like.
  */
 final class Chains {
     private static final Logger LOG = LoggerFactory.getLogger(Chains.class);
 
     private final Map<String, JobRecord> jobs;
     private final Map<String, List<String>> followers = new HashMap<>();
+
     /** Cancelled by derivation only; their own records still say otherwise. */
     private final Set<String> unwritten = new LinkedHashSet<>();
 
-    /** @param jobs the directory's records as they are in effect; kept up here */
+    /**
+     * @param jobs the directory's records as they are in effect; kept up here
+     */
     Chains(Map<String, JobRecord> jobs) {
         this.jobs = jobs;
     }
 
-    /** Takes in a record as it is stored and returns all that change by it, as they now are in effect, itself first. */
+    /**
+     * Takes in a record as it is stored and returns all that change by it, as they now are in
+     * effect, itself first.
+     */
     List<JobRecord> learn(JobRecord stored) {
         if (!jobs.containsKey(stored.id())) {
             for (String needed : stored.submission().dependencies()) {
@@ -50,7 +58,8 @@
         List<JobRecord> changed = new ArrayList<>();
         JobRecord cause = stored.cancelled() ? null : cancelledDependency(stored.submission());
         put(cause == null ? stored : cancelledWith(stored, cause), changed);
-        // The list is what is still to be looked at, too: those that need what has just been found cancelled.
+        // The list is what is still to be looked at, too: those that need what has just been found
+        // cancelled.
         for (int next = 0; next < changed.size(); next++) {
             JobRecord job = changed.get(next);
             if (job.cancelled()) {
@@ -104,8 +113,8 @@
     }
 
     /**
-     * Whether the records of all that a job needs say done. Only records count: no peer's word and no number of finished
-     * tasks. Done is final, so a later leader finds the same.
+     * Whether the records of all that a job needs say done. Only records count: no peer's word and
+     * no number of finished tasks. Done is final, so a later leader finds the same.
      */
     boolean ready(Submission submission) {
         for (String id : submission.dependencies()) {
--- a/src/main/java/org/springmill/control/coordination/Controller.java
+++ b/src/main/java/org/springmill/control/coordination/Controller.java
@@ -1,7 +1,6 @@
 package org.springmill.control.coordination;
 
 import java.util.HashMap;
-import java.util.List;
 import java.util.Map;
 import java.util.SplittableRandom;
 import org.slf4j.Logger;
@@ -46,7 +45,8 @@
     private double progressAt;
     private Leader leader;
 
-    public Controller(Settings settings, Loop loop, HttpClient http, PeerLink link, SplittableRandom random) {
+    public Controller(
+            Settings settings, Loop loop, HttpClient http, PeerLink link, SplittableRandom random) {
         this.settings = settings;
         this.loop = loop;
         this.http = http;
@@ -58,22 +58,50 @@
         peers = new Peers(link, loop, settings, timing, directory, this::status);
         horizon = new Horizon(directory, peers, loop, timing);
         String incarnation = Long.toHexString(random.nextLong());
-        leadership = new Leadership(store, loop, settings, timing, peers, incarnation, new Leadership.Listener() {
-            @Override
-            public void gained(long term) {
-                leader = new Leader(store, http, loop, settings, timing, leadership, directory, peers, catalog, metrics);
-                leader.start();
-            }
+        leadership =
+                new Leadership(
+                        store,
+                        loop,
+                        settings,
+                        timing,
+                        peers,
+                        incarnation,
+                        new Leadership.Listener() {
+                            @Override
+                            public void gained(long term) {
+                                leader =
+                                        new Leader(
+                                                store,
+                                                http,
+                                                loop,
+                                                settings,
+                                                timing,
+                                                leadership,
+                                                directory,
+                                                peers,
+                                                catalog,
+                                                metrics);
+                                leader.start();
+                            }
 
-            @Override
-            public void lost() {
-                leader.close();
-                leader = null;
-            }
-        });
+                            @Override
+                            public void lost() {
+                                leader.close();
+                                leader = null;
+                            }
+                        });
         standIn = new StandIn(store, peers, leadership, horizon, loop, timing);
-        users = new UserApi(directory, store, catalog, loop, timing, this::progressOf, peers::tell, metrics,
-                settings.operator().pendingSubmissions());
+        users =
+                new UserApi(
+                        directory,
+                        store,
+                        catalog,
+                        loop,
+                        timing,
+                        this::progressOf,
+                        peers::tell,
+                        metrics,
+                        settings.operator().pendingSubmissions());
         directory.onChange(this::jobChanged);
         peers.onProgress(this::progressReceived);
         peers.onSilentRefusal(leadership::leaderRefuses);
@@ -117,7 +145,8 @@
             } else {
                 call.reply(405, EMPTY, 0);
             }
-        } else if (path.equals(UserMessages.SUBMISSIONS) || path.startsWith(UserMessages.SUBMISSIONS + "/")) {
+        } else if (path.equals(UserMessages.SUBMISSIONS)
+                || path.startsWith(UserMessages.SUBMISSIONS + "/")) {
             users.handle(call);
         } else if (path.equals(METRICS) && call.method().equals("GET")) {
             byte[] read = metrics.read();
@@ -128,25 +157,38 @@
     }
 
     /**
-     * Whether users should be sent here. In an outage that every controller sees they may as well stay: going away
-     * would only add the balancer's pause to the outage.
+     * Whether users should be sent here. In an outage that every controller sees they may as well
+     * stay: going away would only add the balancer's pause to the outage.
      */
     private boolean ready() {
         if (!directory.loaded() || !catalog.known()) {
             return false;
         }
-        boolean cutOff = !store.reachable() && loop.now() - store.lastServed() > timing.leaderTtlS() / 2;
-        // One that has heard of nobody for a whole lease is itself what is cut off. Users whose connections stayed open
+        boolean cutOff =
+                !store.reachable() && loop.now() - store.lastServed() > timing.leaderTtlS() / 2;
+        // One that has heard of nobody for a whole lease is itself what is cut off. Users whose
+        // connections stayed open
         // there went without an answer for as long as it was, while all others were served.
-        boolean alone = loop.now() - Math.max(store.lastServed(), peers.lastHeard()) > timing.leaseS();
+        boolean alone =
+                loop.now() - Math.max(store.lastServed(), peers.lastHeard()) > timing.leaseS();
         return !(cutOff && (peers.someReachState() || alone));
     }
 
     private Status status() {
         double since = loop.now() - 2 * timing.quietS();
         strayWorkers.values().removeIf(at -> at < since);
-        return new Status(settings.node(), 0, 0, store.reachable(), leadership.mayAnswer(), leadership.informed(),
-                strayWorkers.size(), false, 0, leadership.knownTerm(), News.NONE);
+        return new Status(
+                settings.node(),
+                0,
+                0,
+                store.reachable(),
+                leadership.mayAnswer(),
+                leadership.informed(),
+                strayWorkers.size(),
+                false,
+                0,
+                leadership.knownTerm(),
+                News.NONE);
     }
 
     private void report(Call call) {
@@ -162,11 +204,16 @@
             return;
         }
         if (standIn.keeps(report, leader != null)) {
-            // Ordering nothing but an end that is final: whoever renews a lease may not leave cancelled tasks alone.
-            call.reply(200, WorkerMessages.reportAnswer(report.token(), directory.stopsFor(report)), 0);
+            // Ordering nothing but an end that is final: whoever renews a lease may not leave
+            // cancelled tasks alone.
+            call.reply(
+                    200,
+                    WorkerMessages.reportAnswer(report.token(), directory.stopsFor(report)),
+                    0);
             return;
         }
-        // Not those kept just now: after a cut they would seem to be lost to a leader that merely could not be reached.
+        // Not those kept just now: after a cut they would seem to be lost to a leader that merely
+        // could not be reached.
         strayWorkers.put(report.machine(), loop.now());
         String leads = leadership.leader();
         if (leads != null && !leads.equals(settings.node())) {
--- a/src/main/java/org/springmill/control/coordination/Demand.java
+++ b/src/main/java/org/springmill/control/coordination/Demand.java
@@ -12,11 +12,18 @@
 import org.springmill.protocol.Settings;
 import org.springmill.protocol.Submission;
 
-/** Measures how fast tasks of each class arrive, to know how much room has to stand ready for them. */
+/**
+ * Measures how fast tasks of each class arrive, to know how much room has to stand ready for them.
+ */
 final class Demand {
-    /** Arrivals are counted over this many boots: long enough to be steady, short enough to follow a burst. */
+    /**
+     * Arrivals are counted over this many boots: long enough to be steady, short enough to follow a
+     * burst.
+     */
     private static final double WINDOW_BOOTS = 3;
+
     private static final double TIGHT_BOOTS = 4;
+
     /** Machines fetch at their type's rate, give or take a third. */
     private static final double SLOW_FETCH = 4 / 3.0;
 
@@ -29,8 +36,7 @@
     private final Map<String, Deque<Arrival>> arrivals = new HashMap<>();
     private final Map<String, Submission> latest = new HashMap<>();
 
-    private record Arrival(double at, int tasks) {
-    }
+    private record Arrival(double at, int tasks) {}
 
     Demand(Settings settings, double bootS, double now) {
         this.settings = settings;
@@ -38,10 +44,13 @@
         this.startedAt = now;
     }
 
-    /** @param counted whether the job arrived just now, rather than being read back from storage */
+    /**
+     * @param counted whether the job arrived just now, rather than being read back from storage
+     */
     void arrived(Submission job, double now, boolean counted) {
         latest.put(job.jobClass(), job);
-        // What comes in the first moments of a term has mostly been waiting for it and says nothing of the rate: at the
+        // What comes in the first moments of a term has mostly been waiting for it and says nothing
+        // of the rate: at the
         // start of a fleet it had machines rented for as much again, which then never stood empty.
         if (counted && now - startedAt > settings.workers().leaseS() / 2) {
             arrivals.computeIfAbsent(job.jobClass(), c -> new ArrayDeque<>())
@@ -50,14 +59,16 @@
     }
 
     /**
-     * Classes that have to start sooner than a machine boots, or to be finished within so few boots that none of them
-     * may go by in waiting; each with a job to stand for it.
+     * Classes that have to start sooner than a machine boots, or to be finished within so few boots
+     * that none of them may go by in waiting; each with a job to stand for it.
      */
     List<Submission> urgent(double bootS) {
         Set<String> classes = new HashSet<>();
         for (Settings.Objective objective : settings.objectives()) {
-            boolean tight = objective.kind().equals("wait") && objective.withinS() < bootS
-                    || objective.kind().equals("finished") && objective.withinS() < TIGHT_BOOTS * bootS;
+            boolean tight =
+                    objective.kind().equals("wait") && objective.withinS() < bootS
+                            || objective.kind().equals("finished")
+                                    && objective.withinS() < TIGHT_BOOTS * bootS;
             if (tight && objective.jobClass() != null) {
                 classes.add(objective.jobClass());
             }
@@ -73,13 +84,17 @@
     }
 
     /**
-     * Whether some class that runs on a type of machine has to start in less than a fetch may take. There the images
-     * that a machine holds are worth more than the machine costs, and the few that hold one are not given up.
+     * Whether some class that runs on a type of machine has to start in less than a fetch may take.
+     * There the images that a machine holds are worth more than the machine costs, and the few that
+     * hold one are not given up.
      */
     boolean boundToImages(MachineType type) {
         for (Settings.Objective objective : settings.objectives()) {
-            Submission job = objective.kind().equals("wait") ? latest.get(objective.jobClass()) : null;
-            if (job != null && type.fits(job) && job.imageGb() * SLOW_FETCH > objective.withinS() * type.fetchGbPerS()) {
+            Submission job =
+                    objective.kind().equals("wait") ? latest.get(objective.jobClass()) : null;
+            if (job != null
+                    && type.fits(job)
+                    && job.imageGb() * SLOW_FETCH > objective.withinS() * type.fetchGbPerS()) {
                 return true;
             }
         }
@@ -87,8 +102,9 @@
     }
 
     /**
-     * How many tasks of a class to expect while a machine boots, with what chance adds on top: jobs come at random, but
-     * each brings all of its tasks at once, so chance is as large as the jobs are.
+     * How many tasks of a class to expect while a machine boots, with what chance adds on top: jobs
+     * come at random, but each brings all of its tasks at once, so chance is as large as the jobs
+     * are.
      */
     int expected(String jobClass, double bootS, double now) {
         Deque<Arrival> jobs = arrivals.get(jobClass);
@@ -98,9 +114,15 @@
         while (!jobs.isEmpty() && jobs.peek().at() < now - windowS) {
             jobs.poll();
         }
-        double over = Math.max(bootS, Math.min(windowS, now - startedAt - settings.workers().leaseS() / 2));
+        double over =
+                Math.max(
+                        bootS,
+                        Math.min(windowS, now - startedAt - settings.workers().leaseS() / 2));
         double mean = jobs.stream().mapToDouble(Arrival::tasks).sum() / over * bootS;
-        double variance = jobs.stream().mapToDouble(job -> (double) job.tasks() * job.tasks()).sum() / over * bootS;
+        double variance =
+                jobs.stream().mapToDouble(job -> (double) job.tasks() * job.tasks()).sum()
+                        / over
+                        * bootS;
         return (int) Math.ceil((mean + Math.sqrt(variance)) * settings.operator().reserve());
     }
 }
--- a/src/main/java/org/springmill/control/coordination/Fleet.java
+++ b/src/main/java/org/springmill/control/coordination/Fleet.java
@@ -45,17 +45,20 @@
     }
 
     Machine machine(String name) {
-        return machines.computeIfAbsent(name, n -> {
-            Machine machine = new Machine(n, term, loop.now());
-            noted.of(n).forEach(machine.images()::adopt);
-            return machine;
-        });
+        return machines.computeIfAbsent(
+                name,
+                n -> {
+                    Machine machine = new Machine(n, term, loop.now());
+                    noted.of(n).forEach(machine.images()::adopt);
+                    return machine;
+                });
     }
 
     Machine machine(Report report) {
         Machine machine = machine(report.machine());
         if (machine.type() == null || machine.address().isEmpty()) {
-            machine.describe(report.address(), catalog.get(report.type()), report.zone(), report.spot());
+            machine.describe(
+                    report.address(), catalog.get(report.type()), report.zone(), report.spot());
         }
         return machine;
     }
@@ -77,14 +80,17 @@
     /** Takes over what an earlier leader noted of the machines' images. */
     void adopt(ImageNotes notes) {
         noted = notes;
-        machines.values().forEach(machine -> notes.of(machine.name()).forEach(machine.images()::adopt));
+        machines.values()
+                .forEach(machine -> notes.of(machine.name()).forEach(machine.images()::adopt));
     }
 
     ImageNotes imageNotes() {
         ImageNotes notes = new ImageNotes();
         for (Machine machine : machines.values()) {
             if (machine.state() == Machine.State.UP) {
-                machine.images().all().forEach((image, held) -> notes.add(machine.name(), image, held.gb()));
+                machine.images()
+                        .all()
+                        .forEach((image, held) -> notes.add(machine.name(), image, held.gb()));
             }
         }
         return notes;
@@ -114,7 +120,8 @@
         ledger.noteLeaving(attempt);
         ledger.noteEnded(attempt);
         if (attempt.job().spec().gang() && cause != Cause.DONE) {
-            // A gang without one of its members gets nowhere: the others stop too, and all are claimed anew together.
+            // A gang without one of its members gets nowhere: the others stop too, and all are
+            // claimed anew together.
             attempt.job().attempts().forEach(other -> stop(other, other.job().spec().saveS() * 2));
         }
     }
@@ -140,7 +147,7 @@
                 }
             }
             // While its round is being committed it can only be dropped afterwards; see Rounds.
-            case CLAIMING, ENDED, GONE -> { }
+            case CLAIMING, ENDED, GONE -> {}
         }
     }
 }
--- a/src/main/java/org/springmill/control/coordination/ImageCache.java
+++ b/src/main/java/org/springmill/control/coordination/ImageCache.java
@@ -6,15 +6,20 @@
 /** What a machine's image cache should hold, as far as one can tell from what was started on it. */
 final class ImageCache {
     /** An image with its size, its last use, and when it should be there. */
-    record Image(double gb, double usedAt, double readyAt) {
-    }
+    record Image(double gb, double usedAt, double readyAt) {}
 
     private final Map<String, Image> images = new HashMap<>();
 
-    /** Notes that a task needs an image. One that is missing is fetched after those that are being fetched already. */
+    /**
+     * Notes that a task needs an image. One that is missing is fetched after those that are being
+     * fetched already.
+     */
     void need(String image, double gb, double capacityGb, double gbPerS, double now) {
         Image held = images.get(image);
-        put(image, new Image(gb, now, held == null ? freeAt(now) + gb / gbPerS : held.readyAt()), capacityGb);
+        put(
+                image,
+                new Image(gb, now, held == null ? freeAt(now) + gb / gbPerS : held.readyAt()),
+                capacityGb);
     }
 
     /** Notes that a task runs, so that its image is there. */
@@ -33,21 +38,26 @@
     }
 
     /**
-     * How long a task that needs an image should have to wait for it. Images share the rate at which a machine fetches:
-     * one that fetched several large ones kept small services, sent there since it had room, waiting for half a minute.
+     * How long a task that needs an image should have to wait for it. Images share the rate at
+     * which a machine fetches: one that fetched several large ones kept small services, sent there
+     * since it had room, waiting for half a minute.
      */
     double waitS(String image, double gb, double gbPerS, double now) {
         Image held = images.get(image);
         return held == null ? freeAt(now) - now + gb / gbPerS : Math.max(0, held.readyAt() - now);
     }
 
-    /** The least recently used images fall out when the cache is full; the one in use never does. */
+    /**
+     * The least recently used images fall out when the cache is full; the one in use never does.
+     */
     private void put(String image, Image entry, double capacityGb) {
         images.put(image, entry);
         while (images.size() > 1 && totalGb() > capacityGb) {
             String oldest = image;
             for (Map.Entry<String, Image> e : images.entrySet()) {
-                if (!e.getKey().equals(image) && (oldest.equals(image) || e.getValue().usedAt() < images.get(oldest).usedAt())) {
+                if (!e.getKey().equals(image)
+                        && (oldest.equals(image)
+                                || e.getValue().usedAt() < images.get(oldest).usedAt())) {
                     oldest = e.getKey();
                 }
             }
@@ -57,7 +67,8 @@
 
     /** Takes over what an earlier leader noted, as used longest ago. */
     void adopt(String image, double gb) {
-        images.putIfAbsent(image, new Image(gb, Double.NEGATIVE_INFINITY, Double.NEGATIVE_INFINITY));
+        images.putIfAbsent(
+                image, new Image(gb, Double.NEGATIVE_INFINITY, Double.NEGATIVE_INFINITY));
     }
 
     private double totalGb() {
--- a/src/main/java/org/springmill/control/coordination/Job.java
+++ b/src/main/java/org/springmill/control/coordination/Job.java
@@ -36,7 +36,10 @@
 
     /** How far a job is on its way. Its tasks have states of their own. */
     enum State {
-        /** Some job that it needs is not done: it takes nothing, asks for nothing and no task of it is placed. */
+        /**
+         * Some job that it needs is not done: it takes nothing, asks for nothing and no task of it
+         * is placed.
+         */
         WAITING,
         /** Its tasks may be placed. */
         ELIGIBLE,
@@ -65,7 +68,10 @@
         return spec.id();
     }
 
-    /** Revision at which the job was accepted, or became eligible if it waited: jobs are served in this order. */
+    /**
+     * Revision at which the job was accepted, or became eligible if it waited: jobs are served in
+     * this order.
+     */
     long arrival() {
         return arrival;
     }
@@ -80,7 +86,10 @@
         return priority;
     }
 
-    /** Time of day by which it has to start for its chain to keep the deadline; infinite if there is none. */
+    /**
+     * Time of day by which it has to start for its chain to keep the deadline; infinite if there is
+     * none.
+     */
     double latestStart() {
         return latestStart;
     }
@@ -173,7 +182,10 @@
         done.set(task);
     }
 
-    /** The next task that is neither done nor claimed, or -1. Tasks come in order, those given back first. */
+    /**
+     * The next task that is neither done nor claimed, or -1. Tasks come in order, those given back
+     * first.
+     */
     int nextTask() {
         while (!returned.isEmpty()) {
             int task = returned.peek();
@@ -218,8 +230,8 @@
     }
 
     /**
-     * Whether one more task may go to a zone, counting every task not proven gone. Where a task's machine is not yet
-     * known to this leader, the task counts in every zone.
+     * Whether one more task may go to a zone, counting every task not proven gone. Where a task's
+     * machine is not yet known to this leader, the task counts in every zone.
      */
     boolean zoneAllows(String zone) {
         if (spec.zone() != null && !spec.zone().equals(zone)) {
@@ -255,7 +267,10 @@
         return notBefore;
     }
 
-    /** A job that fails on one machine after the other is at fault itself and waits longer each time. */
+    /**
+     * A job that fails on one machine after the other is at fault itself and waits longer each
+     * time.
+     */
     void failedOn(String machine, double now, double stepS) {
         failedOn.add(machine);
         if (failedOn.size() > 1) {
--- a/src/main/java/org/springmill/control/coordination/JobDirectory.java
+++ b/src/main/java/org/springmill/control/coordination/JobDirectory.java
@@ -17,16 +17,17 @@
 import org.springmill.protocol.StateMessages.Entry;
 import org.springmill.protocol.UserMessages.Phase;
 import org.springmill.protocol.WorkerMessages.Command;
-import org.springmill.protocol.WorkerMessages.Stop;
 import org.springmill.protocol.WorkerMessages.Report;
+import org.springmill.protocol.WorkerMessages.Stop;
 import org.springmill.protocol.WorkerMessages.TaskState;
 import org.springmill.transport.Loop;
 
 /**
  * Every controller's copy of the job records, kept up by a watch.
  *
- * <p>The copy may lag, so an answer that could be outdated (a job unknown, or not ended) waits for a barrier: the
- * changes up to a revision that was current after the question came in. One read serves all questions that wait.
+ * <p>The copy may lag, so an answer that could be outdated (a job unknown, or not ended) waits for
+ * a barrier: the changes up to a revision that was current after the question came in. One read
+ * serves all questions that wait.
  */
 final class JobDirectory {
     private static final Logger LOG = LoggerFactory.getLogger(JobDirectory.class);
@@ -38,14 +39,16 @@
     private final Map<String, JobRecord> jobs = new HashMap<>();
     private final Chains chains = new Chains(jobs);
     private List<Consumer<Boolean>> waiting = new ArrayList<>();
-    private Consumer<JobRecord> listener = job -> { };
+    private Consumer<JobRecord> listener = job -> {};
     private boolean reading;
     private boolean loaded;
     private long cursor;
     private final Cancellations cancellations;
     private double currentAt = Double.NEGATIVE_INFINITY;
 
-    /** @param tag tells this process from earlier ones of the same controller */
+    /**
+     * @param tag tells this process from earlier ones of the same controller
+     */
     JobDirectory(StateStore store, Loop loop, Timing timing, int tag) {
         cancellations = new Cancellations(tag);
         this.store = store;
@@ -56,22 +59,24 @@
 
     void start() {
         double asked = loop.now();
-        store.list(JobRecord.PREFIX, page -> {
-            if (page == null) {
-                loop.after(timing.renewS(), this::start);
-                return;
-            }
-            for (Entry entry : page.entries()) {
-                apply(new Change(entry.key(), entry.value(), entry.version()));
-            }
-            cursor = Math.max(cursor, page.revision());
-            currentAt = Math.max(currentAt, asked);
-            if (!loaded) {
-                loaded = true;
-                LOG.info("{} jobs known", jobs.size());
-            }
-            watch();
-        });
+        store.list(
+                JobRecord.PREFIX,
+                page -> {
+                    if (page == null) {
+                        loop.after(timing.renewS(), this::start);
+                        return;
+                    }
+                    for (Entry entry : page.entries()) {
+                        apply(new Change(entry.key(), entry.value(), entry.version()));
+                    }
+                    cursor = Math.max(cursor, page.revision());
+                    currentAt = Math.max(currentAt, asked);
+                    if (!loaded) {
+                        loaded = true;
+                        LOG.info("{} jobs known", jobs.size());
+                    }
+                    watch();
+                });
     }
 
     boolean loaded() {
@@ -86,7 +91,10 @@
         return chains;
     }
 
-    /** The record in effect: a job cancelled with one that it needs counts as cancelled, whatever its own record says. */
+    /**
+     * The record in effect: a job cancelled with one that it needs counts as cancelled, whatever
+     * its own record says.
+     */
     JobRecord get(String id) {
         return jobs.get(id);
     }
@@ -111,8 +119,8 @@
     }
 
     /**
-     * Takes another controller's word for a cancellation, also of a job not yet known here. It moves no cursor: what
-     * was committed before it may still be unknown.
+     * Takes another controller's word for a cancellation, also of a job not yet known here. It
+     * moves no cursor: what was committed before it may still be unknown.
      */
     void learn(Cancellation told) {
         JobRecord known = jobs.get(told.job());
@@ -132,11 +140,15 @@
 
     /** Stops what a worker still has of cancelled jobs. */
     List<Command> stopsFor(Report report) {
-        return report.tasks().stream().filter(t -> t.state() != TaskState.EXITED && cancelled(t.task().job()))
-                .<Command>map(t -> new Stop(t.task(), t.attempt(), 0)).toList();
+        return report.tasks().stream()
+                .filter(t -> t.state() != TaskState.EXITED && cancelled(t.task().job()))
+                .<Command>map(t -> new Stop(t.task(), t.attempt(), 0))
+                .toList();
     }
 
-    /** What this controller tells of itself when it asks another one, which handed out the bookmark. */
+    /**
+     * What this controller tells of itself when it asks another one, which handed out the bookmark.
+     */
     News known(long bookmark) {
         return new News(cursor, bookmark, false, loaded, List.of());
     }
@@ -151,7 +163,10 @@
         return currentAt;
     }
 
-    /** Calls back with true once every change made before this call is in the copy; false if that cannot be had. */
+    /**
+     * Calls back with true once every change made before this call is in the copy; false if that
+     * cannot be had.
+     */
     void barrier(Consumer<Boolean> done) {
         if (!loaded) {
             done.accept(false);
@@ -168,32 +183,42 @@
         List<Consumer<Boolean>> served = waiting;
         waiting = new ArrayList<>();
         double asked = loop.now();
-        store.changes(JobRecord.PREFIX, cursor, 0, result -> {
-            if (result.changes() != null) {
-                currentAt = Math.max(currentAt, asked);
-                applyAll(result.changes().changes(), result.changes().revision());
-            }
-            served.forEach(w -> w.accept(result.changes() != null));
-            loop.after(spacingS, () -> {
-                reading = false;
-                if (!waiting.isEmpty()) {
-                    readNow();
-                }
-            });
-        });
+        store.changes(
+                JobRecord.PREFIX,
+                cursor,
+                0,
+                result -> {
+                    if (result.changes() != null) {
+                        currentAt = Math.max(currentAt, asked);
+                        applyAll(result.changes().changes(), result.changes().revision());
+                    }
+                    served.forEach(w -> w.accept(result.changes() != null));
+                    loop.after(
+                            spacingS,
+                            () -> {
+                                reading = false;
+                                if (!waiting.isEmpty()) {
+                                    readNow();
+                                }
+                            });
+                });
     }
 
     private void watch() {
-        store.changes(JobRecord.PREFIX, cursor, timing.leaseS(), result -> {
-            if (result.changes() != null) {
-                applyAll(result.changes().changes(), result.changes().revision());
-                watch();
-            } else if (result.tooOld()) {
-                start();
-            } else {
-                loop.after(timing.renewS(), this::watch);
-            }
-        });
+        store.changes(
+                JobRecord.PREFIX,
+                cursor,
+                timing.leaseS(),
+                result -> {
+                    if (result.changes() != null) {
+                        applyAll(result.changes().changes(), result.changes().revision());
+                        watch();
+                    } else if (result.tooOld()) {
+                        start();
+                    } else {
+                        loop.after(timing.renewS(), this::watch);
+                    }
+                });
     }
 
     private void applyAll(List<Change> changes, long revision) {
--- a/src/main/java/org/springmill/control/coordination/Leader.java
+++ b/src/main/java/org/springmill/control/coordination/Leader.java
@@ -2,8 +2,8 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 import java.util.ArrayList;
-import java.util.List;
 import java.util.BitSet;
+import java.util.List;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 import org.springmill.control.storage.Claim;
@@ -25,7 +25,10 @@
 import org.springmill.transport.HttpHandler.Call;
 import org.springmill.transport.Loop;
 
-/** One term of leadership: everything a leader knows, rebuilt at its start and thrown away at its end. */
+/**
+ * One term of leadership: everything a leader knows, rebuilt at its start and thrown away at its
+ * end.
+ */
 final class Leader {
     private static final Logger LOG = LoggerFactory.getLogger(Leader.class);
 
@@ -52,8 +55,17 @@
     private boolean rebuilt;
     private boolean closed;
 
-    Leader(StateStore store, HttpClient http, Loop loop, Settings settings, Timing timing, Leadership leadership,
-            JobDirectory directory, Peers peers, Catalog catalog, Metrics metrics) {
+    Leader(
+            StateStore store,
+            HttpClient http,
+            Loop loop,
+            Settings settings,
+            Timing timing,
+            Leadership leadership,
+            JobDirectory directory,
+            Peers peers,
+            Catalog catalog,
+            Metrics metrics) {
         this.store = store;
         this.loop = loop;
         this.settings = settings;
@@ -64,27 +76,42 @@
         this.catalog = catalog;
         ledger = new Ledger(settings);
         fleet = new Fleet(ledger, catalog, loop, timing, leadership.term());
-        log = new RoundLog(store, loop, leadership.condition(), id -> ledger.job(id) != null && ledger.job(id).active());
+        log =
+                new RoundLog(
+                        store,
+                        loop,
+                        leadership.condition(),
+                        id -> ledger.job(id) != null && ledger.job(id).active());
         settling = new Settling(fleet, timing, peers, metrics, this::wake, leadership::deposed);
         orders = new Orders(fleet, http, timing, settling::accept);
         Placement placement = new Placement(fleet, timing);
-        rounds = new Rounds(fleet, placement, log, leadership, loop, 4 / settings.state().writesPerS(),
-                new Rounds.Listener() {
-                    @Override
-                    public void committed(List<Attempt> claimed, List<Attempt> ended, double since) {
-                        metrics.roundCommitted(since, claimed.size(), ended.size());
-                        roundCommitted(claimed, ended);
-                    }
+        rounds =
+                new Rounds(
+                        fleet,
+                        placement,
+                        log,
+                        leadership,
+                        loop,
+                        4 / settings.state().writesPerS(),
+                        new Rounds.Listener() {
+                            @Override
+                            public void committed(
+                                    List<Attempt> claimed, List<Attempt> ended, double since) {
+                                metrics.roundCommitted(since, claimed.size(), ended.size());
+                                roundCommitted(claimed, ended);
+                            }
 
-                    @Override
-                    public void lost() {
-                        leadership.deposed("a round was refused");
-                    }
-                });
+                            @Override
+                            public void lost() {
+                                leadership.deposed("a round was refused");
+                            }
+                        });
         demand = new Demand(settings, timing.leaseS() * 3, loop.now());
         order = new ChainOrder(directory, ledger);
         cancellations = new CancellationWriter(store, directory, leadership, loop);
-        rentals = new Rentals(fleet, placement, demand, peers, http, loop, settings, timing, this::wake);
+        rentals =
+                new Rentals(
+                        fleet, placement, demand, peers, http, loop, settings, timing, this::wake);
     }
 
     void close() {
@@ -96,27 +123,32 @@
         cancellations.close();
     }
 
-    /** Rebuilds what earlier leaders committed. Reports are answered from the first moment, to keep leases alive. */
+    /**
+     * Rebuilds what earlier leaders committed. Reports are answered from the first moment, to keep
+     * leases alive.
+     */
     void start() {
-        directory.barrier(current -> {
-            if (closed) {
-                return;
-            }
-            if (!current || !catalog.known()) {
-                loop.after(timing.pingS(), this::start);
-                return;
-            }
-            log.load(found -> {
-                if (closed) {
-                    return;
-                }
-                if (found == null) {
-                    loop.after(timing.pingS(), this::start);
-                    return;
-                }
-                rebuild(found);
-            });
-        });
+        directory.barrier(
+                current -> {
+                    if (closed) {
+                        return;
+                    }
+                    if (!current || !catalog.known()) {
+                        loop.after(timing.pingS(), this::start);
+                        return;
+                    }
+                    log.load(
+                            found -> {
+                                if (closed) {
+                                    return;
+                                }
+                                if (found == null) {
+                                    loop.after(timing.pingS(), this::start);
+                                    return;
+                                }
+                                rebuild(found);
+                            });
+                });
     }
 
     private void rebuild(RoundLog.Rebuilt found) {
@@ -149,7 +181,11 @@
             }
         }
         rebuilt = true;
-        LOG.info("term {}: {} active jobs, {} claims in {} rounds", fleet.term(), active.size(), found.live().size(),
+        LOG.info(
+                "term {}: {} active jobs, {} claims in {} rounds",
+                fleet.term(),
+                active.size(),
+                found.live().size(),
                 log.kept());
         rentals.start(log.kept() == 0);
         for (Machine machine : fleet.machinesNow()) {
@@ -164,12 +200,14 @@
         tick();
         broadcast();
         cancellations.run();
-        store.get(ImageNotes.KEY, read -> {
-            if (read.entry() != null) {
-                fleet.adopt(ImageNotes.decode(read.entry().value()));
-            }
-            loop.after(timing.leaseS(), this::noteImages);
-        });
+        store.get(
+                ImageNotes.KEY,
+                read -> {
+                    if (read.entry() != null) {
+                        fleet.adopt(ImageNotes.decode(read.entry().value()));
+                    }
+                    loop.after(timing.leaseS(), this::noteImages);
+                });
     }
 
     private void noteImages() {
@@ -180,11 +218,17 @@
         JsonNode notes = fleet.imageNotes().encode(store.limits().valueBytes());
         if (leadership.mayPlace() && !notes.equals(lastNotes) && store.backlog() == 0) {
             lastNotes = notes;
-            store.commit(List.of(leadership.condition()), List.of(Write.put(ImageNotes.KEY, notes)), result -> { });
+            store.commit(
+                    List.of(leadership.condition()),
+                    List.of(Write.put(ImageNotes.KEY, notes)),
+                    result -> {});
         }
     }
 
-    /** A job that ended while tasks of it may still be on machines: they count until they are proven gone. */
+    /**
+     * A job that ended while tasks of it may still be on machines: they count until they are proven
+     * gone.
+     */
     private Job endedJob(String id) {
         JobRecord record = directory.get(id);
         Job job = new Job(record.submission(), record.version());
@@ -193,10 +237,15 @@
         return job;
     }
 
-    /** Since when a job is to be counted as ended, by this clock; its end may have become known here only later. */
+    /**
+     * Since when a job is to be counted as ended, by this clock; its end may have become known here
+     * only later.
+     */
     private double endedSince(JobRecord record) {
-        // A machine that can be reached answers within a report or so. Others are left alone for as long as the time
-        // allows: counting from the takeover, each new leader gave up a cut zone's machines with all that ran on them.
+        // A machine that can be reached answers within a report or so. Others are left alone for as
+        // long as the time
+        // allows: counting from the takeover, each new leader gave up a cut zone's machines with
+        // all that ran on them.
         double ago = loop.timeOfDay() - record.endedAt() + 2 * settings.skewS();
         return loop.now() - Math.max(0, Math.min(ago, timing.cancelDeleteS() - timing.reportS()));
     }
@@ -207,7 +256,8 @@
         }
         double now = loop.now();
         if (now - tickedAt > timing.reportS() / 2) {
-            // This controller stood still, or had no processor time: what it did not read meanwhile was no silence.
+            // This controller stood still, or had no processor time: what it did not read meanwhile
+            // was no silence.
             LOG.info("nothing was done for {} s", Math.round(now - tickedAt));
             rentals.stoodStill();
         }
@@ -217,7 +267,8 @@
         if (closed) {
             return;
         }
-        // Whoever holds the term, sure of it or not, may be the only one who knows where cancelled tasks are.
+        // Whoever holds the term, sure of it or not, may be the only one who knows where cancelled
+        // tasks are.
         cancelOverdue();
         if (!leadership.mayAnswer()) {
             return;
@@ -229,7 +280,8 @@
         settling.tick();
         order.settle();
         for (Machine machine : fleet.machinesNow()) {
-            if (machine.state() == Machine.State.UP && loop.now() - machine.lastHeard() > timing.probeS()) {
+            if (machine.state() == Machine.State.UP
+                    && loop.now() - machine.lastHeard() > timing.probeS()) {
                 machine.askAgain = true;
             }
             orders.poke(machine);
@@ -244,10 +296,11 @@
     }
 
     /**
-     * A leader that no longer hears many of its workers, while another controller does, is the one that is cut off:
-     * their leases would run out under it although the state service sees nothing wrong with it. Machines that never
-     * heard it are none that it has lost: while some were deaf, wandering from one controller to the next, each new
-     * leader gave way in its turn, and none was in office for long enough to replace them.
+     * A leader that no longer hears many of its workers, while another controller does, is the one
+     * that is cut off: their leases would run out under it although the state service sees nothing
+     * wrong with it. Machines that never heard it are none that it has lost: while some were deaf,
+     * wandering from one controller to the next, each new leader gave way in its turn, and none was
+     * in office for long enough to replace them.
      */
     private void resignIfCutOff() {
         double now = loop.now();
@@ -267,10 +320,13 @@
     /** A cancelled task that cannot be stopped in time goes with its machine. */
     private void cancelOverdue() {
         for (Job job : ledger.jobs().values()) {
-            if (!job.active() && job.liveCount() > 0 && loop.now() - job.endedAt() > timing.cancelDeleteS()) {
+            if (!job.active()
+                    && job.liveCount() > 0
+                    && loop.now() - job.endedAt() > timing.cancelDeleteS()) {
                 for (Attempt attempt : job.attempts()) {
                     if (attempt.state() == Attempt.State.STOPPING) {
-                        rentals.giveBack(attempt.machine(), "a cancelled task on it cannot be stopped");
+                        rentals.giveBack(
+                                attempt.machine(), "a cancelled task on it cannot be stopped");
                     }
                 }
             }
@@ -310,7 +366,9 @@
         }
     }
 
-    /** @param counted whether the job came just now, rather than being read back from storage */
+    /**
+     * @param counted whether the job came just now, rather than being read back from storage
+     */
     private void admit(Job job, boolean counted) {
         ledger.add(job);
         order.changed(job);
@@ -323,11 +381,16 @@
         }
     }
 
-    /** The jobs of which this was the last one needed are placed in the next round, not found by some later tick. */
+    /**
+     * The jobs of which this was the last one needed are placed in the next round, not found by
+     * some later tick.
+     */
     private void releaseFollowers(JobRecord done) {
         for (String id : directory.chains().followers(done.id())) {
             Job follower = ledger.job(id);
-            if (follower != null && follower.waitsForOthers() && directory.chains().ready(follower.spec())) {
+            if (follower != null
+                    && follower.waitsForOthers()
+                    && directory.chains().ready(follower.spec())) {
                 follower.becomeEligible(done.version());
                 demand.arrived(follower.spec(), loop.now(), true);
                 rounds.request();
@@ -364,8 +427,10 @@
             return;
         }
         JobRecord done = directory.get(job.id()).ended(Phase.DONE, loop.timeOfDay());
-        store.commit(List.of(leadership.condition(), new Condition(done.key(), job.version())),
-                List.of(Write.put(done.key(), done.encode(store.limits().valueBytes()))), result -> {
+        store.commit(
+                List.of(leadership.condition(), new Condition(done.key(), job.version())),
+                List.of(Write.put(done.key(), done.encode(store.limits().valueBytes()))),
+                result -> {
                     if (closed) {
                         return;
                     }
@@ -373,14 +438,18 @@
                         directory.learn(done.committed(result.revision()));
                     } else if (result.outcome() == Outcome.REFUSED && result.failed().isEmpty()) {
                         // The same again would be refused for ever. A later leader tries once more.
-                        LOG.error("{} is done, but its record is refused by the state service", job.id());
+                        LOG.error(
+                                "{} is done, but its record is refused by the state service",
+                                job.id());
                     } else if (result.outcome() == Outcome.REFUSED) {
-                        // Cancelled meanwhile, or an earlier copy of this write was applied: the record tells.
-                        directory.barrier(ok -> {
-                            if (job.active()) {
-                                loop.after(timing.renewS(), () -> writeDone(job));
-                            }
-                        });
+                        // Cancelled meanwhile, or an earlier copy of this write was applied: the
+                        // record tells.
+                        directory.barrier(
+                                ok -> {
+                                    if (job.active()) {
+                                        loop.after(timing.renewS(), () -> writeDone(job));
+                                    }
+                                });
                     } else {
                         loop.after(timing.pingS(), () -> writeDone(job));
                     }
@@ -390,13 +459,15 @@
     /** Answers a worker's report. */
     void report(Call call, Report report) {
         if (fleet.wasDeleted(report.machine())) {
-            // A late copy. The machine that it seemed to bring back was given work, which waited until it was missed.
+            // A late copy. The machine that it seemed to bring back was given work, which waited
+            // until it was missed.
             call.reply(503, WorkerMessages.redirect(null), 0);
             return;
         }
         Machine machine = fleet.machine(report);
         if (!machine.isLatestReport(report)) {
-            // A late copy: whoever sent it waits no longer, and its answer must not count as a renewal.
+            // A late copy: whoever sent it waits no longer, and its answer must not count as a
+            // renewal.
             call.reply(503, WorkerMessages.redirect(null), 0);
             return;
         }
@@ -410,7 +481,10 @@
         machine.tookReport(report);
         machine.answered(loop.now(), timing.leaseS());
         List<Command> commands = rebuilt ? List.of() : directory.stopsFor(report);
-        if (rebuilt && machine.ordersFailing() && !machine.ordersInFlight && report.session() == machine.session()) {
+        if (rebuilt
+                && machine.ordersFailing()
+                && !machine.ordersInFlight
+                && report.session() == machine.session()) {
             commands = orders.due(machine);
         }
         call.reply(200, WorkerMessages.reportAnswer(machine.token(), commands), 0);
@@ -462,8 +536,11 @@
             }
         }
         for (int from = 0; from < jobs.size(); from += Progress.MOST) {
-            peers.broadcast(new Progress(settings.node(), fleet.term(),
-                    jobs.subList(from, Math.min(jobs.size(), from + Progress.MOST))));
+            peers.broadcast(
+                    new Progress(
+                            settings.node(),
+                            fleet.term(),
+                            jobs.subList(from, Math.min(jobs.size(), from + Progress.MOST))));
         }
         loop.after(timing.reportS(), this::broadcast);
     }
--- a/src/main/java/org/springmill/control/coordination/Leadership.java
+++ b/src/main/java/org/springmill/control/coordination/Leadership.java
@@ -17,8 +17,8 @@
 import org.springmill.transport.Loop;
 
 /**
- * Who leads: whoever's record stands under {@code leader}, attached to a lease of the state service. The revision at
- * which the record was written is the term.
+ * Who leads: whoever's record stands under {@code leader}, attached to a lease of the state
+ * service. The revision at which the record was written is the term.
  */
 final class Leadership {
     private static final Logger LOG = LoggerFactory.getLogger(Leadership.class);
@@ -53,15 +53,26 @@
     private long term;
     private long knownTerm;
     private String knownLeader;
-    /** Revision at which the record was last found missing: every term up to it is over. 0 if it is there. */
+
+    /**
+     * Revision at which the record was last found missing: every term up to it is over. 0 if it is
+     * there.
+     */
     private long vacantAt;
+
     private long watchFrom;
     private boolean renewing;
     private boolean informed;
     private long deposedTerm;
     private double notBefore;
 
-    Leadership(StateStore store, Loop loop, Settings settings, Timing timing, Peers peers, String incarnation,
+    Leadership(
+            StateStore store,
+            Loop loop,
+            Settings settings,
+            Timing timing,
+            Peers peers,
+            String incarnation,
             Listener listener) {
         this.store = store;
         this.loop = loop;
@@ -102,9 +113,10 @@
     }
 
     /**
-     * Whether the last that was heard of the leader's record is that there is none. Until whoever wins has asked this
-     * controller, and so told it of the new term, workers may be kept by anyone: after a crash of all controllers, the
-     * moments in which they elect and rebuild are those in which leases run out.
+     * Whether the last that was heard of the leader's record is that there is none. Until whoever
+     * wins has asked this controller, and so told it of the new term, workers may be kept by
+     * anyone: after a crash of all controllers, the moments in which they elect and rebuild are
+     * those in which leases run out.
      */
     boolean vacant() {
         return vacantAt > 0 && !holdsTerm() && Math.max(knownTerm, peers.highestTerm()) <= vacantAt;
@@ -124,13 +136,15 @@
     }
 
     /**
-     * Whether reports may be answered: while the lease holds, for the grace after it, and beyond that only on the
-     * word of most or all controllers that they cannot reach the state service.
+     * Whether reports may be answered: while the lease holds, for the grace after it, and beyond
+     * that only on the word of most or all controllers that they cannot reach the state service.
      */
     boolean mayAnswer() {
         check();
-        return holdsTerm() && (loop.now() < validUntil + timing.graceS() || peers.mostConfirmOutage(term)
-                || peers.allConfirmOutage(term));
+        return holdsTerm()
+                && (loop.now() < validUntil + timing.graceS()
+                        || peers.mostConfirmOutage(term)
+                        || peers.allConfirmOutage(term));
     }
 
     /** A message showed a token of a later term: someone else leads. */
@@ -147,41 +161,48 @@
         notBefore = loop.now() + 2 * timing.leaderTtlS();
         deposed(why);
         if (given != 0) {
-            store.revoke(given, () -> { });
+            store.revoke(given, () -> {});
         }
     }
 
     /**
-     * A follower that finds the leader's process gone ends its lease for it, rather than wait. That is no proof of the
-     * leader's end and need not be one: taking a lease away early is safe, since a new leader allows its predecessor a
-     * whole lease and the grace from its own beginning on.
+     * A follower that finds the leader's process gone ends its lease for it, rather than wait. That
+     * is no proof of the leader's end and need not be one: taking a lease away early is safe, since
+     * a new leader allows its predecessor a whole lease and the grace from its own beginning on.
      */
     void leaderRefuses(Status lastSaid) {
         String node = lastSaid.from();
-        if (state != State.FOLLOWING || !node.equals(knownLeader) || lastSaid.term() < knownTerm
+        if (state != State.FOLLOWING
+                || !node.equals(knownLeader)
+                || lastSaid.term() < knownTerm
                 || deposedTerm == knownTerm) {
             return;
         }
-        store.get(KEY, read -> {
-            if (state == State.FOLLOWING && read.entry() != null && read.entry().version() > deposedTerm
-                    && read.entry().value().path("node").asText().equals(node)) {
-                deposedTerm = read.entry().version();
-                LOG.info("{} refuses connections: ending its term {}", node, deposedTerm);
-                store.revoke(read.entry().lease(), () -> store.get(KEY, this::seen));
-            }
-        });
+        store.get(
+                KEY,
+                read -> {
+                    if (state == State.FOLLOWING
+                            && read.entry() != null
+                            && read.entry().version() > deposedTerm
+                            && read.entry().value().path("node").asText().equals(node)) {
+                        deposedTerm = read.entry().version();
+                        LOG.info("{} refuses connections: ending its term {}", node, deposedTerm);
+                        store.revoke(read.entry().lease(), () -> store.get(KEY, this::seen));
+                    }
+                });
     }
 
     private void transition(State next) {
         if (state == next) {
             return;
         }
-        boolean legal = switch (next) {
-            case FOLLOWING -> true;
-            case CAMPAIGNING -> state == State.FOLLOWING;
-            case LEADING -> true;
-            case DOUBTING -> state == State.LEADING;
-        };
+        boolean legal =
+                switch (next) {
+                    case FOLLOWING -> true;
+                    case CAMPAIGNING -> state == State.FOLLOWING;
+                    case LEADING -> true;
+                    case DOUBTING -> state == State.LEADING;
+                };
         if (!legal) {
             LOG.error("leadership cannot go from {} to {}", state, next);
             return;
@@ -225,22 +246,24 @@
         renewing = true;
         double sent = loop.now();
         long renewed = lease;
-        store.renew(renewed, result -> {
-            renewing = false;
-            if (!holdsTerm() || lease != renewed) {
-                return;
-            }
-            switch (result) {
-                case RENEWED -> {
-                    validUntil = Math.max(validUntil, sent + timing.leaderTtlS());
-                    if (state == State.DOUBTING && loop.now() < validUntil) {
-                        transition(State.LEADING);
+        store.renew(
+                renewed,
+                result -> {
+                    renewing = false;
+                    if (!holdsTerm() || lease != renewed) {
+                        return;
                     }
-                }
-                case ENDED -> deposed("its lease has ended");
-                case UNKNOWN -> LOG.debug("renewal without answer");
-            }
-        });
+                    switch (result) {
+                        case RENEWED -> {
+                            validUntil = Math.max(validUntil, sent + timing.leaderTtlS());
+                            if (state == State.DOUBTING && loop.now() < validUntil) {
+                                transition(State.LEADING);
+                            }
+                        }
+                        case ENDED -> deposed("its lease has ended");
+                        case UNKNOWN -> LOG.debug("renewal without answer");
+                    }
+                });
     }
 
     private void seen(ReadResult read) {
@@ -251,7 +274,8 @@
         if (read.entry() == null) {
             knownLeader = null;
             vacantAt = read.revision();
-            // Having just given the leadership up, this controller stands again only if nobody else does.
+            // Having just given the leadership up, this controller stands again only if nobody else
+            // does.
             if (loop.now() >= notBefore) {
                 campaign();
             }
@@ -270,7 +294,8 @@
             return;
         }
         if (!value.path("incarnation").asText().equals(incarnation)) {
-            // This node's earlier process is gone, since this one has its address: no need to wait for its lease.
+            // This node's earlier process is gone, since this one has its address: no need to wait
+            // for its lease.
             knownLeader = null;
             LOG.info("ending the lease of an earlier process of this node");
             store.revoke(entry.lease(), () -> store.get(KEY, this::seen));
@@ -283,28 +308,39 @@
     private void campaign() {
         transition(State.CAMPAIGNING);
         double asked = loop.now();
-        store.grant(timing.leaderTtlS(), granted -> {
-            if (granted == 0) {
-                transition(State.FOLLOWING);
-                return;
-            }
-            lease = granted;
-            validUntil = asked + timing.leaderTtlS();
-            JsonNode value = Json.newObject().put("v", 1).put("node", settings.node()).put("incarnation", incarnation)
-                    .put("api", settings.listen()).put("peer", settings.peerListen());
-            store.commit(List.of(new Condition(KEY, 0)), List.of(new Write(KEY, value, granted)), result -> {
-                if (state != State.CAMPAIGNING) {
-                    return;
-                }
-                if (result.outcome() == Outcome.COMMITTED) {
-                    won(result.revision());
-                } else {
-                    transition(State.FOLLOWING);
-                    // Whoever won is found out at once; so is an own win whose answer was lost.
-                    store.get(KEY, this::seen);
-                }
-            });
-        });
+        store.grant(
+                timing.leaderTtlS(),
+                granted -> {
+                    if (granted == 0) {
+                        transition(State.FOLLOWING);
+                        return;
+                    }
+                    lease = granted;
+                    validUntil = asked + timing.leaderTtlS();
+                    JsonNode value =
+                            Json.newObject()
+                                    .put("v", 1)
+                                    .put("node", settings.node())
+                                    .put("incarnation", incarnation)
+                                    .put("api", settings.listen())
+                                    .put("peer", settings.peerListen());
+                    store.commit(
+                            List.of(new Condition(KEY, 0)),
+                            List.of(new Write(KEY, value, granted)),
+                            result -> {
+                                if (state != State.CAMPAIGNING) {
+                                    return;
+                                }
+                                if (result.outcome() == Outcome.COMMITTED) {
+                                    won(result.revision());
+                                } else {
+                                    transition(State.FOLLOWING);
+                                    // Whoever won is found out at once; so is an own win whose
+                                    // answer was lost.
+                                    store.get(KEY, this::seen);
+                                }
+                            });
+                });
     }
 
     private void won(long revision) {
@@ -321,28 +357,34 @@
 
     private void watch() {
         if (watchFrom == 0) {
-            store.list(KEY, page -> {
-                if (page == null) {
-                    loop.after(timing.renewS(), this::watch);
-                } else {
-                    watchFrom = Math.max(1, page.revision());
-                    watch();
-                }
-            });
+            store.list(
+                    KEY,
+                    page -> {
+                        if (page == null) {
+                            loop.after(timing.renewS(), this::watch);
+                        } else {
+                            watchFrom = Math.max(1, page.revision());
+                            watch();
+                        }
+                    });
             return;
         }
-        store.changes(KEY, watchFrom, timing.leaseS(), result -> {
-            if (result.changes() != null) {
-                watchFrom = Math.max(watchFrom, result.changes().revision());
-                for (Change change : result.changes().changes()) {
-                    changed(change);
-                }
-                watch();
-            } else {
-                watchFrom = result.tooOld() ? 0 : watchFrom;
-                loop.after(timing.renewS(), this::watch);
-            }
-        });
+        store.changes(
+                KEY,
+                watchFrom,
+                timing.leaseS(),
+                result -> {
+                    if (result.changes() != null) {
+                        watchFrom = Math.max(watchFrom, result.changes().revision());
+                        for (Change change : result.changes().changes()) {
+                            changed(change);
+                        }
+                        watch();
+                    } else {
+                        watchFrom = result.tooOld() ? 0 : watchFrom;
+                        loop.after(timing.renewS(), this::watch);
+                    }
+                });
     }
 
     private void changed(Change change) {
--- a/src/main/java/org/springmill/control/coordination/Ledger.java
+++ b/src/main/java/org/springmill/control/coordination/Ledger.java
@@ -12,7 +12,10 @@
 import org.springmill.protocol.Settings;
 import org.springmill.protocol.Submission;
 
-/** All jobs and attempts that count: everything not proven gone is held against team limits, zones and machines. */
+/**
+ * All jobs and attempts that count: everything not proven gone is held against team limits, zones
+ * and machines.
+ */
 final class Ledger {
     private final Settings settings;
     private final Map<String, Job> jobs = new LinkedHashMap<>();
@@ -39,8 +42,9 @@
         }
 
         /**
-         * Keeps part of the limit for replicas that wait for a machine. A later job of the team would otherwise take
-         * it for as long as it lives, and the earlier one would find a machine and no limit left.
+         * Keeps part of the limit for replicas that wait for a machine. A later job of the team
+         * would otherwise take it for as long as it lives, and the earlier one would find a machine
+         * and no limit left.
          */
         void hold(Submission spec, int tasks) {
             heldCpus += spec.cpus() * tasks;
@@ -56,12 +60,17 @@
             return team.withinGuarantee(cpus + spec.cpus(), gpus + spec.gpus());
         }
 
-        /** Whether the team runs above its guarantee, so that it may have to give something back. */
+        /**
+         * Whether the team runs above its guarantee, so that it may have to give something back.
+         */
         boolean aboveGuarantee() {
             return exceedsGuaranteeWithout(0, 0);
         }
 
-        /** Whether it would still have all of its guarantee if so much more of what it runs were stopped. */
+        /**
+         * Whether it would still have all of its guarantee if so much more of what it runs were
+         * stopped.
+         */
         boolean exceedsGuaranteeWithout(double lessCpus, double lessGpus) {
             return team.cpus() > 0 && cpus - leavingCpus - lessCpus > team.cpus() - 1e-6
                     || team.gpus() > 0 && gpus - leavingGpus - lessGpus > team.gpus() - 1e-6;
@@ -85,9 +94,20 @@
             return room(spec, team.cpus(), team.gpus(), cpus, gpus);
         }
 
-        private static int room(Submission spec, double cpuBound, double gpuBound, double usedCpus, double usedGpus) {
-            double byCpus = cpuBound == 0 || spec.cpus() == 0 ? 1e9 : (cpuBound - usedCpus + 1e-6) / spec.cpus();
-            double byGpus = gpuBound == 0 || spec.gpus() == 0 ? 1e9 : (gpuBound - usedGpus + 1e-6) / spec.gpus();
+        private static int room(
+                Submission spec,
+                double cpuBound,
+                double gpuBound,
+                double usedCpus,
+                double usedGpus) {
+            double byCpus =
+                    cpuBound == 0 || spec.cpus() == 0
+                            ? 1e9
+                            : (cpuBound - usedCpus + 1e-6) / spec.cpus();
+            double byGpus =
+                    gpuBound == 0 || spec.gpus() == 0
+                            ? 1e9
+                            : (gpuBound - usedGpus + 1e-6) / spec.gpus();
             return (int) Math.max(0, Math.floor(Math.min(byCpus, byGpus)));
         }
     }
@@ -120,9 +140,13 @@
         jobs.remove(job.id());
     }
 
-    /** A job of a team that has since left the settings may run nothing new, and what it runs is still counted. */
+    /**
+     * A job of a team that has since left the settings may run nothing new, and what it runs is
+     * still counted.
+     */
     Usage usage(String team) {
-        return teams.computeIfAbsent(team, name -> new Usage(new Settings.Team(name, 0, 1e-9, 0, 1e-9)));
+        return teams.computeIfAbsent(
+                team, name -> new Usage(new Settings.Team(name, 0, 1e-9, 0, 1e-9)));
     }
 
     void add(Attempt attempt) {
@@ -158,11 +182,13 @@
 
     /** Whether anything of a lower priority holds a place. */
     boolean runsBelow(Priority priority) {
-        return attempts.entrySet().stream().anyMatch(e -> e.getValue() > 0 && priority.above(e.getKey()));
+        return attempts.entrySet().stream()
+                .anyMatch(e -> e.getValue() > 0 && priority.above(e.getKey()));
     }
 
     boolean otherAboveGuarantee(String team) {
-        return teams.entrySet().stream().anyMatch(e -> !e.getKey().equals(team) && e.getValue().aboveGuarantee());
+        return teams.entrySet().stream()
+                .anyMatch(e -> !e.getKey().equals(team) && e.getValue().aboveGuarantee());
     }
 
     void releaseHeld() {
--- a/src/main/java/org/springmill/control/coordination/Machine.java
+++ b/src/main/java/org/springmill/control/coordination/Machine.java
@@ -94,13 +94,14 @@
 
     /** The one place where a machine's state changes. */
     void transition(State next) {
-        boolean legal = switch (next) {
-            case EXPECTED -> false;
-            case UP -> state == State.EXPECTED || state == State.LOST;
-            case LOST -> state == State.UP || state == State.EXPECTED;
-            case RETURNING -> state != State.GONE;
-            case GONE -> true;
-        };
+        boolean legal =
+                switch (next) {
+                    case EXPECTED -> false;
+                    case UP -> state == State.EXPECTED || state == State.LOST;
+                    case LOST -> state == State.UP || state == State.EXPECTED;
+                    case RETURNING -> state != State.GONE;
+                    case GONE -> true;
+                };
         if (state == next) {
             return;
         }
@@ -108,9 +109,17 @@
             LOG.error("machine {} cannot go from {} to {}", name, state, next);
             return;
         }
-        // After a takeover all machines come up at once, when there is least time to spare for telling of it.
-        LOG.atLevel(next == State.UP ? Level.DEBUG : Level.INFO).log("machine {} ({} {}{}): {} -> {}", name,
-                type == null ? "?" : type.name(), zone, spot ? " spot" : "", state, next);
+        // After a takeover all machines come up at once, when there is least time to spare for
+        // telling of it.
+        LOG.atLevel(next == State.UP ? Level.DEBUG : Level.INFO)
+                .log(
+                        "machine {} ({} {}{}): {} -> {}",
+                        name,
+                        type == null ? "?" : type.name(),
+                        zone,
+                        spot ? " spot" : "",
+                        state,
+                        next);
         state = next;
     }
 
@@ -157,7 +166,10 @@
         return token;
     }
 
-    /** From now on every command still held up by the network is void once the worker has seen the new token. */
+    /**
+     * From now on every command still held up by the network is void once the worker has seen the
+     * new token.
+     */
     void raiseToken() {
         token++;
     }
@@ -179,9 +191,13 @@
         return report.newerThan(session, seq);
     }
 
-    /** Whether the worker may be waiting for the answer: it never sends a report before it is done with the last. */
+    /**
+     * Whether the worker may be waiting for the answer: it never sends a report before it is done
+     * with the last.
+     */
     boolean isLatestReport(Report report) {
-        return report.session() > session || report.session() == session && report.seq() > lastReportSeq;
+        return report.session() > session
+                || report.session() == session && report.seq() > lastReportSeq;
     }
 
     void tookReport(Report report) {
@@ -211,7 +227,9 @@
         return reported;
     }
 
-    /** @param leaseS after a longer silence its worker begins anew with this leader */
+    /**
+     * @param leaseS after a longer silence its worker begins anew with this leader
+     */
     void answered(double now, double leaseS) {
         if (now - lastAnswered > 2 * leaseS) {
             answeredSince = now;
@@ -219,16 +237,24 @@
         lastAnswered = now;
     }
 
-    /** Whether it was answered again and again for so long and has shown no token of this term: it does not hear. */
+    /**
+     * Whether it was answered again and again for so long and has shown no token of this term: it
+     * does not hear.
+     */
     boolean isDeaf(double now, double forS) {
-        return !hearsThisTerm() && lastAnswered > Double.NEGATIVE_INFINITY && now - answeredSince > forS;
+        return !hearsThisTerm()
+                && lastAnswered > Double.NEGATIVE_INFINITY
+                && now - answeredSince > forS;
     }
 
     double lastAnswered() {
         return lastAnswered;
     }
 
-    /** When a message first showed a token of this term; up to then an earlier leader may have renewed its lease. */
+    /**
+     * When a message first showed a token of this term; up to then an earlier leader may have
+     * renewed its lease.
+     */
     double ownTokenSeen() {
         return ownTokenSeen;
     }
@@ -310,7 +336,8 @@
             charge(attempt.job().spec(), -1);
             String image = attempt.job().spec().image();
             if (attempt.runningSince() == 0
-                    && attempts.values().stream().noneMatch(a -> a.job().spec().image().equals(image))) {
+                    && attempts.values().stream()
+                            .noneMatch(a -> a.job().spec().image().equals(image))) {
                 images.abandon(image, now);
             }
             if (attempts.isEmpty()) {
@@ -341,20 +368,29 @@
     }
 
     boolean hasRoom(Submission spec) {
-        return spec.cpus() <= freeCpus() + 1e-6 && spec.gpus() <= freeGpus() + 1e-6
+        return spec.cpus() <= freeCpus() + 1e-6
+                && spec.gpus() <= freeGpus() + 1e-6
                 && spec.memoryGb() <= freeMemory() + 1e-6;
     }
 
     /** Whether this kind of machine is one that the job may run on. */
     boolean suits(Submission spec) {
-        return type != null && type.fits(spec) && (!spot || spec.spot())
+        return type != null
+                && type.fits(spec)
+                && (!spot || spec.spot())
                 && (spec.zone() == null || spec.zone().equals(zone));
     }
 
     /** Whether new work may be sent here at all. */
     boolean takesWork(double now, double quietS) {
-        return state == State.UP && !noticed() && !quarantined && !draining && !ordersFailing()
-                && now - lastHeard < quietS && now >= avoidUntil && hearsThisTerm();
+        return state == State.UP
+                && !noticed()
+                && !quarantined
+                && !draining
+                && !ordersFailing()
+                && now - lastHeard < quietS
+                && now >= avoidUntil
+                && hearsThisTerm();
     }
 
     /** Whether its worker has shown a token of this term. */
@@ -363,8 +399,9 @@
     }
 
     /**
-     * Keeps the room that is being made here for jobs that others gave way to. Tasks stop one by one: whatever found room
-     * between them, mostly the one just stopped, had to be stopped again, dozens of times a second.
+     * Keeps the room that is being made here for jobs that others gave way to. Tasks stop one by
+     * one: whatever found room between them, mostly the one just stopped, had to be stopped again,
+     * dozens of times a second.
      */
     void keepFor(Job job, double until) {
         keptFor.add(job);
@@ -383,17 +420,29 @@
 
     /** Notes that a task that is to start here needs its image. */
     void needsImage(Submission spec, double now) {
-        images.need(spec.image(), spec.imageGb(), type == null ? 0 : type.cacheGb(), fetchGbPerS(), now);
+        images.need(
+                spec.image(),
+                spec.imageGb(),
+                type == null ? 0 : type.cacheGb(),
+                fetchGbPerS(),
+                now);
     }
 
-    /** Notes that a task runs here, so that its image is there; the least recently used ones fall out of the cache. */
+    /**
+     * Notes that a task runs here, so that its image is there; the least recently used ones fall
+     * out of the cache.
+     */
     void usesImage(Submission spec, double now) {
         images.use(spec.image(), spec.imageGb(), type == null ? 0 : type.cacheGb(), now);
     }
 
-    /** How long a task would have to wait here for its image; what a start costs besides is within the second. */
+    /**
+     * How long a task would have to wait here for its image; what a start costs besides is within
+     * the second.
+     */
     double fetchS(Submission spec, double now) {
-        return (images.holds(spec.image()) ? 0 : 1) + images.waitS(spec.image(), spec.imageGb(), fetchGbPerS(), now);
+        return (images.holds(spec.image()) ? 0 : 1)
+                + images.waitS(spec.image(), spec.imageGb(), fetchGbPerS(), now);
     }
 
     private double fetchGbPerS() {
--- a/src/main/java/org/springmill/control/coordination/Metrics.java
+++ b/src/main/java/org/springmill/control/coordination/Metrics.java
@@ -17,11 +17,13 @@
 import org.springmill.transport.Loop;
 
 /**
- * What an operator can read of a controller. The number of series is fixed, and latencies are kept in histograms of
- * bounded size (HdrHistogram, inside Micrometer), so memory does not grow with load.
+ * What an operator can read of a controller. The number of series is fixed, and latencies are kept
+ * in histograms of bounded size (HdrHistogram, inside Micrometer), so memory does not grow with
+ * load.
  */
 final class Metrics {
     private static final double[] QUANTILES = {0.5, 0.9, 0.99};
+
     /** One reading a second is served; metrics must not compete with the work. */
     private static final double SPACING_S = 1;
 
@@ -38,17 +40,20 @@
 
     Metrics(Loop loop) {
         this.loop = loop;
-        registry = new SimpleMeterRegistry(SimpleConfig.DEFAULT, new Clock() {
-            @Override
-            public long wallTime() {
-                return (long) (loop.now() * 1e3);
-            }
-
-            @Override
-            public long monotonicTime() {
-                return (long) (loop.now() * 1e9);
-            }
-        });
+        registry =
+                new SimpleMeterRegistry(
+                        SimpleConfig.DEFAULT,
+                        new Clock() {
+                            @Override
+                            public long wallTime() {
+                                return (long) (loop.now() * 1e3);
+                            }
+
+                            @Override
+                            public long monotonicTime() {
+                                return (long) (loop.now() * 1e9);
+                            }
+                        });
         acceptance = timer("acceptance", "from a submission's arrival to its 201");
         round = timer("round", "from the start of a round to its commit");
         commit = timer("commit", "one transaction of the state service");
@@ -59,8 +64,11 @@
     }
 
     private Timer timer(String name, String description) {
-        return Timer.builder("springmill." + name).description(description).publishPercentiles(QUANTILES)
-                .percentilePrecision(2).register(registry);
+        return Timer.builder("springmill." + name)
+                .description(description)
+                .publishPercentiles(QUANTILES)
+                .percentilePrecision(2)
+                .register(registry);
     }
 
     <T> void gauge(String name, T of, ToDoubleFunction<T> value) {
@@ -101,20 +109,30 @@
         lastRead = loop.now();
         StringBuilder out = new StringBuilder(2048);
         List<Meter> meters = registry.getMeters();
-        meters.stream().sorted(Comparator.comparing(m -> m.getId().getName())).forEach(meter -> {
-            String name = meter.getId().getName().replace('.', '_');
-            if (meter instanceof Timer timer) {
-                for (ValueAtPercentile at : timer.takeSnapshot().percentileValues()) {
-                    line(out, name + "_seconds{quantile=\"" + at.percentile() + "\"}", at.value(TimeUnit.NANOSECONDS) / 1e9);
-                }
-                line(out, name + "_seconds_count", timer.count());
-                line(out, name + "_seconds_sum", timer.totalTime(TimeUnit.NANOSECONDS) / 1e9);
-            } else if (meter instanceof Counter counter) {
-                line(out, name + "_total", counter.count());
-            } else if (meter instanceof Gauge gauge) {
-                line(out, name, gauge.value());
-            }
-        });
+        meters.stream()
+                .sorted(Comparator.comparing(m -> m.getId().getName()))
+                .forEach(
+                        meter -> {
+                            String name = meter.getId().getName().replace('.', '_');
+                            if (meter instanceof Timer timer) {
+                                for (ValueAtPercentile at :
+                                        timer.takeSnapshot().percentileValues()) {
+                                    line(
+                                            out,
+                                            name + "_seconds{quantile=\"" + at.percentile() + "\"}",
+                                            at.value(TimeUnit.NANOSECONDS) / 1e9);
+                                }
+                                line(out, name + "_seconds_count", timer.count());
+                                line(
+                                        out,
+                                        name + "_seconds_sum",
+                                        timer.totalTime(TimeUnit.NANOSECONDS) / 1e9);
+                            } else if (meter instanceof Counter counter) {
+                                line(out, name + "_total", counter.count());
+                            } else if (meter instanceof Gauge gauge) {
+                                line(out, name, gauge.value());
+                            }
+                        });
         return out.toString().getBytes(StandardCharsets.UTF_8);
     }
 
--- a/src/main/java/org/springmill/control/coordination/Orders.java
+++ b/src/main/java/org/springmill/control/coordination/Orders.java
@@ -18,17 +18,18 @@
 import org.springmill.transport.HttpClient.Reply;
 
 /**
- * Brings workers to what the ledger says: commands are derived from the difference between the two each time, never
- * queued, and one request at a time goes to a worker.
+ * Brings workers to what the ledger says: commands are derived from the difference between the two
+ * each time, never queued, and one request at a time goes to a worker.
  */
 final class Orders {
     private static final Logger LOG = LoggerFactory.getLogger(Orders.class);
 
     /**
-     * So many requests that carry no command may be on the way at once to machines that have not been heard of yet. A
-     * new leader asks all machines; asking hundreds in one go kept it from answering the reports that they sent by
-     * themselves, until their leases ran out. Machines that have fallen silent are all asked: when a rack is gone each
-     * question takes its whole time, and asked in turns the last ones were known to be dead many seconds after the first.
+     * So many requests that carry no command may be on the way at once to machines that have not
+     * been heard of yet. A new leader asks all machines; asking hundreds in one go kept it from
+     * answering the reports that they sent by themselves, until their leases ran out. Machines that
+     * have fallen silent are all asked: when a rack is gone each question takes its whole time, and
+     * asked in turns the last ones were known to be dead many seconds after the first.
      */
     private static final int MAX_PROBES = 16;
 
@@ -62,8 +63,13 @@
     /** Sends what is due to a machine, if anything is. */
     void poke(Machine machine) {
         double now = fleet.now();
-        boolean reachable = machine.state() == Machine.State.UP || machine.state() == Machine.State.EXPECTED;
-        if (closed || !reachable || machine.ordersInFlight || now < machine.nextOrders || machine.address().isEmpty()) {
+        boolean reachable =
+                machine.state() == Machine.State.UP || machine.state() == Machine.State.EXPECTED;
+        if (closed
+                || !reachable
+                || machine.ordersInFlight
+                || now < machine.nextOrders
+                || machine.address().isEmpty()) {
             return;
         }
         List<Command> due = machine.session() == 0 ? List.of() : due(machine);
@@ -74,11 +80,18 @@
         machine.askAgain = false;
         machine.ordersInFlight = true;
         probes += probe ? 1 : 0;
-        // A worker that has not reported yet is most likely in its first session; if not, its refusal tells.
+        // A worker that has not reported yet is most likely in its first session; if not, its
+        // refusal tells.
         long session = Math.max(1, machine.session());
         byte[] body = WorkerMessages.orders(machine.token(), session, due);
         LOG.debug("{} <- {} token {}", machine.name(), due, machine.token());
-        http.send(new HttpClient.Request(machine.address(), "POST", WorkerMessages.ORDERS, body, timing.orderTimeoutS()),
+        http.send(
+                new HttpClient.Request(
+                        machine.address(),
+                        "POST",
+                        WorkerMessages.ORDERS,
+                        body,
+                        timing.orderTimeoutS()),
                 reply -> {
                     probes -= probe ? 1 : 0;
                     answered(machine, reply);
@@ -112,7 +125,10 @@
         }
     }
 
-    /** The commands that are due now, noting when each is due again. Raises the token where safety asks for it. */
+    /**
+     * The commands that are due now, noting when each is due again. Raises the token where safety
+     * asks for it.
+     */
     List<Command> due(Machine machine) {
         double now = fleet.now();
         List<Attempt> starts = new ArrayList<>();
@@ -136,8 +152,13 @@
                 }
                 case STOPPING -> {
                     attempt.sendAgainAt(now + againS());
-                    others.add(new Stop(attempt.claim().task(), attempt.claim().round(), attempt.graceS()));
-                    // Its start may still be on the way: only under a higher token does its absence prove anything.
+                    others.add(
+                            new Stop(
+                                    attempt.claim().task(),
+                                    attempt.claim().round(),
+                                    attempt.graceS()));
+                    // Its start may still be on the way: only under a higher token does its absence
+                    // prove anything.
                     raise |= attempt.exposedToken() >= machine.token();
                 }
                 case UNKNOWN -> {
@@ -145,7 +166,7 @@
                     machine.askAgain = true;
                     raise |= attempt.exposedToken() >= machine.token();
                 }
-                default -> { }
+                default -> {}
             }
         }
         if (now >= machine.nextStray) {
@@ -154,7 +175,8 @@
                     machine.nextStray = now + againS();
                     if (task.state() == TaskState.EXITED) {
                         others.add(new Forget(task.task(), task.attempt()));
-                        // Once forgotten, a start still held up by the network would run anew: void it first.
+                        // Once forgotten, a start still held up by the network would run anew: void
+                        // it first.
                         raise = true;
                     } else {
                         others.add(new Stop(task.task(), task.attempt(), 0));
@@ -165,7 +187,8 @@
         if (raise) {
             machine.raiseToken();
         }
-        // A machine fetches images in the order of the starts: a small one hardly delays a large one.
+        // A machine fetches images in the order of the starts: a small one hardly delays a large
+        // one.
         starts.sort(Comparator.comparingDouble(attempt -> attempt.job().spec().imageGb()));
         for (Attempt attempt : starts) {
             attempt.exposed(machine.token(), machine.session());
--- a/src/main/java/org/springmill/control/coordination/Placement.java
+++ b/src/main/java/org/springmill/control/coordination/Placement.java
@@ -21,7 +21,10 @@
 final class Placement {
     private static final Logger LOG = LoggerFactory.getLogger(Placement.class);
 
-    /** So much longer a fetch may take for work that can run on a spot machine to be kept off an ordinary one. */
+    /**
+     * So much longer a fetch may take for work that can run on a spot machine to be kept off an
+     * ordinary one.
+     */
     private static final double ORDINARY_S = 5;
 
     /** Worth of keeping room whole for one of the largest replicas; less than any fetch. */
@@ -29,32 +32,42 @@
 
     /** After so many leases without a place some room is kept for a job. */
     private static final double PATIENCE_LEASES = 4;
+
     /** So much of the fleet, one machine at least, is kept for such jobs at a time. */
     private static final double RESERVED = 1 / 8.0;
 
     private final Fleet fleet;
     private final Timing timing;
-    /** Since when each job has waited for its first place, or a service for room for all of its replicas. */
+
+    /**
+     * Since when each job has waited for its first place, or a service for room for all of its
+     * replicas.
+     */
     private final Map<Job, Double> waitsSince = new HashMap<>();
+
     /** Machines that run empty for a job that waited too long. */
     private final Map<Machine, Job> reserved = new LinkedHashMap<>();
+
     private Submission largest;
 
     /**
-     * Machines by what it costs to use them for one job. Using a machine changes the cost of that one, and can only
-     * raise that of others in its zone, so each task looks at the few machines on top rather than at all of them: with
-     * hundreds of machines, arrays of a hundred tasks took a controller seconds to place.
+     * Machines by what it costs to use them for one job. Using a machine changes the cost of that
+     * one, and can only raise that of others in its zone, so each task looks at the few machines on
+     * top rather than at all of them: with hundreds of machines, arrays of a hundred tasks took a
+     * controller seconds to place.
      */
     private static final class Ranking {
-        private record Option(Machine machine, double cost, int order) {
-        }
+        private record Option(Machine machine, double cost, int order) {}
 
-        private final PriorityQueue<Option> options = new PriorityQueue<>(
-                Comparator.comparingDouble(Option::cost).thenComparingInt(Option::order));
+        private final PriorityQueue<Option> options =
+                new PriorityQueue<>(
+                        Comparator.comparingDouble(Option::cost).thenComparingInt(Option::order));
         private final ToDoubleFunction<Machine> cost;
         private Option taken;
 
-        /** @param cost infinite where the machine cannot be used */
+        /**
+         * @param cost infinite where the machine cannot be used
+         */
         Ranking(Iterable<Machine> machines, ToDoubleFunction<Machine> cost) {
             this.cost = cost;
             int order = 0;
@@ -103,12 +116,14 @@
         }
         Map<Job, Boolean> guaranteed = new HashMap<>();
         waiting.forEach(job -> guaranteed.put(job, usage(job).guaranteedFor(job.spec())));
-        waiting.sort(Comparator.comparing(Job::priority)
-                .thenComparing(job -> !guaranteed.get(job))
-                .thenComparing(job -> !job.spec().service())
-                // Less slack first: all look at the same clock, so the time by which a job has to start tells.
-                .thenComparingDouble(Job::latestStart)
-                .thenComparingLong(Job::arrival));
+        waiting.sort(
+                Comparator.comparing(Job::priority)
+                        .thenComparing(job -> !guaranteed.get(job))
+                        .thenComparing(job -> !job.spec().service())
+                        // Less slack first: all look at the same clock, so the time by which a job
+                        // has to start tells.
+                        .thenComparingDouble(Job::latestStart)
+                        .thenComparingLong(Job::arrival));
         return waiting;
     }
 
@@ -159,24 +174,36 @@
         waits.removeIf(Placement::begun);
         waitsSince.keySet().retainAll(waits);
         waits.forEach(job -> waitsSince.putIfAbsent(job, now));
-        reserved.entrySet().removeIf(e -> !waits.contains(e.getValue()) || !isOfUse(e.getKey(), e.getValue(), now));
+        reserved.entrySet()
+                .removeIf(
+                        e ->
+                                !waits.contains(e.getValue())
+                                        || !isOfUse(e.getKey(), e.getValue(), now));
     }
 
     /**
-     * Keeps the machine that should have room soonest from work of no higher priority. Where there is more work than
-     * room, what is small takes each piece as it comes free; a task that needs most of a machine never began.
+     * Keeps the machine that should have room soonest from work of no higher priority. Where there
+     * is more work than room, what is small takes each piece as it comes free; a task that needs
+     * most of a machine never began.
      */
     private void reserve(Job job, List<Machine> open, double now) {
         // Nor for one that fails where it runs: it waits for itself.
-        boolean patient = begun(job) || job.machinesFailedOn() > 1
-                || now - waitsSince.get(job) < PATIENCE_LEASES * timing.leaseS();
-        if (patient || reserved.containsValue(job) || reserved.size() >= Math.max(1, open.size() * RESERVED)) {
+        boolean patient =
+                begun(job)
+                        || job.machinesFailedOn() > 1
+                        || now - waitsSince.get(job) < PATIENCE_LEASES * timing.leaseS();
+        if (patient
+                || reserved.containsValue(job)
+                || reserved.size() >= Math.max(1, open.size() * RESERVED)) {
             return;
         }
         Machine best = null;
         double soonest = Double.POSITIVE_INFINITY;
         for (Machine machine : open) {
-            double in = eligible(job, machine) && !reserved.containsKey(machine) ? roomIn(job, machine, now) : soonest;
+            double in =
+                    eligible(job, machine) && !reserved.containsKey(machine)
+                            ? roomIn(job, machine, now)
+                            : soonest;
             if (in < soonest) {
                 soonest = in;
                 best = machine;
@@ -188,7 +215,10 @@
         }
     }
 
-    /** When a machine should have room for a task if nothing else is placed there; never if replicas stand in the way. */
+    /**
+     * When a machine should have room for a task if nothing else is placed there; never if replicas
+     * stand in the way.
+     */
     private static double roomIn(Job job, Machine machine, double now) {
         double cpus = machine.freeCpus();
         double gpus = machine.freeGpus();
@@ -216,22 +246,33 @@
 
     private static double endsIn(Attempt attempt, double now) {
         double ran = attempt.state() == Attempt.State.RUNNING ? now - attempt.runningSince() : 0;
-        return attempt.state() == Attempt.State.STOPPING ? 0 : Math.max(0, attempt.job().spec().estimateS() - ran);
+        return attempt.state() == Attempt.State.STOPPING
+                ? 0
+                : Math.max(0, attempt.job().spec().estimateS() - ran);
     }
 
-    /** A machine kept for a job that may not be placed there, or not at all by now, would only stand idle. */
+    /**
+     * A machine kept for a job that may not be placed there, or not at all by now, would only stand
+     * idle.
+     */
     private boolean isOfUse(Machine machine, Job job, double now) {
-        return machine.takesWork(now, timing.quietS()) && eligible(job, machine) && now >= job.notBefore()
+        return machine.takesWork(now, timing.quietS())
+                && eligible(job, machine)
+                && now >= job.notBefore()
                 && usage(job).allows(job.spec());
     }
 
-    /** Whether a machine is kept for another job, but for work that comes before that one in any case. */
+    /**
+     * Whether a machine is kept for another job, but for work that comes before that one in any
+     * case.
+     */
     boolean reservedFrom(Job job, Machine machine) {
         Job other = reserved.get(machine);
         if (other == null || other == job || job.priority().above(other.priority())) {
             return false;
         }
-        return other.priority().above(job.priority()) || !usage(job).guaranteedFor(job.spec())
+        return other.priority().above(job.priority())
+                || !usage(job).guaranteedFor(job.spec())
                 || usage(other).guaranteedFor(other.spec());
     }
 
@@ -276,13 +317,20 @@
     }
 
     private static boolean eligible(Job job, Machine machine) {
-        return machine.suits(job.spec()) && !job.hasFailedOn(machine.name()) && job.zoneAllows(machine.zone());
+        return machine.suits(job.spec())
+                && !job.hasFailedOn(machine.name())
+                && job.zoneAllows(machine.zone());
     }
 
-    /** A holder of the image first, then the quickest fetch; among equals the one with most free room. */
+    /**
+     * A holder of the image first, then the quickest fetch; among equals the one with most free
+     * room.
+     */
     private double placingCost(Job job, Machine machine, double now) {
-        return machine.hasRoom(job.spec()) && eligible(job, machine) && !machine.keptFrom(job, now)
-                && !reservedFrom(job, machine)
+        return machine.hasRoom(job.spec())
+                        && eligible(job, machine)
+                        && !machine.keptFrom(job, now)
+                        && !reservedFrom(job, machine)
                 ? score(job, machine, now)
                 : Double.POSITIVE_INFINITY;
     }
@@ -302,18 +350,25 @@
             score += job.inZone(machine.zone()) * 0.5;
         }
         if (largest != null) {
-            score += SLOT_S * (slots(machine, 0, 0, 0) - slots(machine, spec.cpus(), spec.gpus(), spec.memoryGb()));
+            score +=
+                    SLOT_S
+                            * (slots(machine, 0, 0, 0)
+                                    - slots(machine, spec.cpus(), spec.gpus(), spec.memoryGb()));
         }
         return score - roomShare(machine) * 0.4;
     }
 
-    /** The replica that is hardest to place: room for it should not be broken up by smaller work. */
+    /**
+     * The replica that is hardest to place: room for it should not be broken up by smaller work.
+     */
     private Submission largestReplica() {
         Submission found = null;
         for (Job job : fleet.ledger().jobs().values()) {
             Submission spec = job.spec();
-            boolean larger = found == null || spec.gpus() > found.gpus()
-                    || spec.gpus() == found.gpus() && spec.cpus() > found.cpus();
+            boolean larger =
+                    found == null
+                            || spec.gpus() > found.gpus()
+                            || spec.gpus() == found.gpus() && spec.cpus() > found.cpus();
             if (job.eligible() && spec.service() && larger) {
                 found = spec;
             }
@@ -326,15 +381,22 @@
         if (!machine.suits(largest)) {
             return 0;
         }
-        double byCpus = largest.cpus() == 0 ? 1e6 : (machine.freeCpus() - cpus + 1e-6) / largest.cpus();
-        double byGpus = largest.gpus() == 0 ? 1e6 : (machine.freeGpus() - gpus + 1e-6) / largest.gpus();
-        double byMemory = largest.memoryGb() == 0 ? 1e6 : (machine.freeMemory() - memory + 1e-6) / largest.memoryGb();
+        double byCpus =
+                largest.cpus() == 0 ? 1e6 : (machine.freeCpus() - cpus + 1e-6) / largest.cpus();
+        double byGpus =
+                largest.gpus() == 0 ? 1e6 : (machine.freeGpus() - gpus + 1e-6) / largest.gpus();
+        double byMemory =
+                largest.memoryGb() == 0
+                        ? 1e6
+                        : (machine.freeMemory() - memory + 1e-6) / largest.memoryGb();
         return (int) Math.max(0, Math.floor(Math.min(byCpus, Math.min(byGpus, byMemory))));
     }
 
     private static double roomShare(Machine machine) {
         double cpus = machine.freeCpus() / Math.max(1e-6, machine.type().cpus());
-        return machine.type().gpus() == 0 ? cpus : Math.min(cpus, machine.freeGpus() / machine.type().gpus());
+        return machine.type().gpus() == 0
+                ? cpus
+                : Math.min(cpus, machine.freeGpus() / machine.type().gpus());
     }
 
     /** Stops work of lower right where a waiting job finds no place otherwise. */
@@ -349,7 +411,8 @@
         Map<Machine, double[]> promised = new HashMap<>();
         fleet.ledger().releaseHeld();
         for (Job job : waiting) {
-            // By the same measure as placement: tasks gave way, without end, to a job whose part of its team's limit was
+            // By the same measure as placement: tasks gave way, without end, to a job whose part of
+            // its team's limit was
             // held for an earlier one.
             int wanted = Math.min(job.waiting(), usage(job).roomBesideHeld(job.spec()));
             if (job.spec().service() && wanted > 0) {
@@ -360,9 +423,19 @@
             }
             int guaranteed = usage(job).guaranteedRoomFor(job.spec());
             int[] made = new int[1];
-            Ranking ranking = new Ranking(open, machine -> eligible(job, machine)
-                    ? victims(job, made[0] < guaranteed, machine, promised.get(machine), new ArrayList<>(), now)
-                    : Double.POSITIVE_INFINITY);
+            Ranking ranking =
+                    new Ranking(
+                            open,
+                            machine ->
+                                    eligible(job, machine)
+                                            ? victims(
+                                                    job,
+                                                    made[0] < guaranteed,
+                                                    machine,
+                                                    promised.get(machine),
+                                                    new ArrayList<>(),
+                                                    now)
+                                            : Double.POSITIVE_INFINITY);
             for (; made[0] < wanted; made[0]++) {
                 Machine machine = ranking.best();
                 if (machine == null) {
@@ -376,11 +449,17 @@
     /** Whether anything at all may be stopped for a job: most find at a glance that nothing may. */
     private boolean mayStopAny(Job job) {
         return fleet.ledger().runsBelow(job.priority())
-                || usage(job).guaranteedFor(job.spec()) && fleet.ledger().otherAboveGuarantee(job.spec().team());
+                || usage(job).guaranteedFor(job.spec())
+                        && fleet.ledger().otherAboveGuarantee(job.spec().team());
     }
 
     /** Frees room for one task, unless enough is being freed already. */
-    private void makeRoom(Job job, boolean guaranteed, Machine machine, Map<Machine, double[]> promised, double now) {
+    private void makeRoom(
+            Job job,
+            boolean guaranteed,
+            Machine machine,
+            Map<Machine, double[]> promised,
+            double now) {
         List<Attempt> victims = new ArrayList<>();
         victims(job, guaranteed, machine, promised.get(machine), victims, now);
         double[] taken = promised.computeIfAbsent(machine, m -> new double[3]);
@@ -391,15 +470,25 @@
         for (Attempt victim : victims) {
             Submission spec = victim.job().spec();
             savingS = Math.max(savingS, spec.saveS());
-            LOG.debug("{} of {} gives way to {} of {} on {}", victim.claim().task(), spec.team(), job.id(),
-                    job.spec().team(), machine.name());
+            LOG.debug(
+                    "{} of {} gives way to {} of {} on {}",
+                    victim.claim().task(),
+                    spec.team(),
+                    job.id(),
+                    job.spec().team(),
+                    machine.name());
             fleet.stopSaving(victim);
         }
         machine.keepFor(job, now + savingS + timing.reportS());
     }
 
     /** Cost of making room on one machine; infinite if it cannot be done. */
-    private double victims(Job job, boolean guaranteed, Machine machine, double[] promised, List<Attempt> victims,
+    private double victims(
+            Job job,
+            boolean guaranteed,
+            Machine machine,
+            double[] promised,
+            List<Attempt> victims,
             double now) {
         double cpus = machine.freeCpus() - (promised == null ? 0 : promised[0]);
         double gpus = machine.freeGpus() - (promised == null ? 0 : promised[1]);
@@ -407,7 +496,8 @@
         List<Attempt> candidates = new ArrayList<>();
         for (Attempt attempt : machine.attempts()) {
             Submission spec = attempt.job().spec();
-            if (attempt.state() == Attempt.State.STOPPING || attempt.state() == Attempt.State.ENDED) {
+            if (attempt.state() == Attempt.State.STOPPING
+                    || attempt.state() == Attempt.State.ENDED) {
                 cpus += spec.cpus();
                 gpus += spec.gpus();
                 memory += spec.memoryGb();
@@ -415,8 +505,10 @@
                 candidates.add(attempt);
             }
         }
-        candidates.sort(Comparator.comparing((Attempt a) -> a.job().priority()).reversed()
-                .thenComparingDouble(a -> lostWork(a, now)));
+        candidates.sort(
+                Comparator.comparing((Attempt a) -> a.job().priority())
+                        .reversed()
+                        .thenComparingDouble(a -> lostWork(a, now)));
         double cost = 0;
         for (Attempt victim : candidates) {
             if (fits(job.spec(), cpus, gpus, memory)) {
@@ -432,11 +524,15 @@
             victims.add(victim);
             cost += 10 + lostWork(victim, now);
         }
-        return fits(job.spec(), cpus, gpus, memory) ? cost + score(job, machine, now) : Double.POSITIVE_INFINITY;
+        return fits(job.spec(), cpus, gpus, memory)
+                ? cost + score(job, machine, now)
+                : Double.POSITIVE_INFINITY;
     }
 
     private static boolean fits(Submission spec, double cpus, double gpus, double memory) {
-        return spec.cpus() <= cpus + 1e-6 && spec.gpus() <= gpus + 1e-6 && spec.memoryGb() <= memory + 1e-6;
+        return spec.cpus() <= cpus + 1e-6
+                && spec.gpus() <= gpus + 1e-6
+                && spec.memoryGb() <= memory + 1e-6;
     }
 
     private static double lostWork(Attempt attempt, double now) {
@@ -446,10 +542,10 @@
     }
 
     /**
-     * The protocol's grounds for stopping one job's task for another's. For a guarantee only what a team runs in excess
-     * of its own is stopped, counting what is being stopped already, and nothing of a higher priority: else the team
-     * that gave way was itself owed its guarantee, or stood first in line again, and the two stopped each other's
-     * tasks several times a second.
+     * The protocol's grounds for stopping one job's task for another's. For a guarantee only what a
+     * team runs in excess of its own is stopped, counting what is being stopped already, and
+     * nothing of a higher priority: else the team that gave way was itself owed its guarantee, or
+     * stood first in line again, and the two stopped each other's tasks several times a second.
      */
     private boolean mayStop(Attempt victim, Job job, boolean guaranteed, List<Attempt> before) {
         Submission loser = victim.job().spec();
@@ -457,7 +553,9 @@
         if (right.above(victim.job().priority())) {
             return true;
         }
-        if (!guaranteed || loser.team().equals(job.spec().team()) || victim.job().priority().above(right)) {
+        if (!guaranteed
+                || loser.team().equals(job.spec().team())
+                || victim.job().priority().above(right)) {
             return false;
         }
         double cpus = loser.cpus();
--- a/src/main/java/org/springmill/control/coordination/Rounds.java
+++ b/src/main/java/org/springmill/control/coordination/Rounds.java
@@ -10,7 +10,10 @@
 import org.springmill.protocol.WorkerMessages.Cause;
 import org.springmill.transport.Loop;
 
-/** Runs rounds: placement and ends are committed together, one commit at a time, before anything is sent. */
+/**
+ * Runs rounds: placement and ends are committed together, one commit at a time, before anything is
+ * sent.
+ */
 final class Rounds {
     private static final Logger LOG = LoggerFactory.getLogger(Rounds.class);
 
@@ -34,7 +37,13 @@
     private boolean closed;
     private double lastRound = Double.NEGATIVE_INFINITY;
 
-    Rounds(Fleet fleet, Placement placement, RoundLog log, Leadership leadership, Loop loop, double gapS,
+    Rounds(
+            Fleet fleet,
+            Placement placement,
+            RoundLog log,
+            Leadership leadership,
+            Loop loop,
+            double gapS,
             Listener listener) {
         this.fleet = fleet;
         this.placement = placement;
@@ -49,7 +58,10 @@
         closed = true;
     }
 
-    /** Asks for a round soon: at once if none ran lately, else after the gap that the state service's limits allow. */
+    /**
+     * Asks for a round soon: at once if none ran lately, else after the gap that the state
+     * service's limits allow.
+     */
     void request() {
         wanted = true;
         if (!scheduled && !committing && !closed) {
@@ -78,11 +90,15 @@
         committing = true;
         long number = log.next();
         double since = loop.now();
-        log.append(claims, ends, () -> {
-            committing = false;
-            LOG.debug("round {}: {} claims, {} ends", number, claimed.size(), ended.size());
-            committed(claimed, ended, since);
-        }, listener::lost);
+        log.append(
+                claims,
+                ends,
+                () -> {
+                    committing = false;
+                    LOG.debug("round {}: {} claims, {} ends", number, claimed.size(), ended.size());
+                    committed(claimed, ended, since);
+                },
+                listener::lost);
     }
 
     private void committed(List<Attempt> claimed, List<Attempt> ended, double since) {
@@ -96,7 +112,8 @@
         }
         for (Attempt attempt : claimed) {
             attempt.transition(Attempt.State.CLAIMED, now);
-            boolean machineThere = attempt.machine().state() == Machine.State.UP && !attempt.machine().noticed();
+            boolean machineThere =
+                    attempt.machine().state() == Machine.State.UP && !attempt.machine().noticed();
             if (!attempt.job().active() || !machineThere) {
                 // Overtaken while the round was committed: nothing was sent, so it is over.
                 fleet.end(attempt, Cause.STOPPED);
--- a/src/main/java/org/springmill/control/coordination/Settling.java
+++ b/src/main/java/org/springmill/control/coordination/Settling.java
@@ -10,12 +10,17 @@
 import org.springmill.protocol.WorkerMessages.TaskReport;
 
 /**
- * Decides from workers' messages, and from their silence, which attempts stand and which are proven gone. A task may
- * be placed again only after one of the proofs here; docs/design.md has the argument.
+ * Decides from workers' messages, and from their silence, which attempts stand and which are proven
+ * gone. A task may be placed again only after one of the proofs here; docs/design.md has the
+ * argument.
  */
 final class Settling {
     private static final Logger LOG = LoggerFactory.getLogger(Settling.class);
-    /** Machines on which this many jobs failed in a row, with none succeeding, are taken to be faulty. */
+
+    /**
+     * Machines on which this many jobs failed in a row, with none succeeding, are taken to be
+     * faulty.
+     */
     private static final int FAULTY_AFTER = 2;
 
     private final Fleet fleet;
@@ -32,7 +37,13 @@
      * @param changed called when a round may have something to do
      * @param laterTerm called when a worker has seen a token of a later term
      */
-    Settling(Fleet fleet, Timing timing, Peers peers, Metrics metrics, Runnable changed, Consumer<String> laterTerm) {
+    Settling(
+            Fleet fleet,
+            Timing timing,
+            Peers peers,
+            Metrics metrics,
+            Runnable changed,
+            Consumer<String> laterTerm) {
         this.fleet = fleet;
         this.timing = timing;
         this.peers = peers;
@@ -42,7 +53,9 @@
         this.laterTerm = laterTerm;
     }
 
-    /** Takes in a worker's message, unless a newer one was seen before: late copies prove nothing. */
+    /**
+     * Takes in a worker's message, unless a newer one was seen before: late copies prove nothing.
+     */
     void accept(Machine machine, Report report) {
         if (Machine.termOf(report.token()) > fleet.term()) {
             laterTerm.accept(machine.name() + " has seen a later term");
@@ -74,7 +87,8 @@
         if (machine.noticed()) {
             vacate(machine);
         }
-        // Hundreds of workers report every few seconds, mostly that nothing has changed: no reason for a round.
+        // Hundreds of workers report every few seconds, mostly that nothing has changed: no reason
+        // for a round.
         if (fleet.ledger().hasEnded() || !open && machine.takesWork(now, timing.quietS())) {
             changed.run();
         }
@@ -83,13 +97,15 @@
     private void seen(Machine machine, Attempt attempt, TaskReport task, double now) {
         switch (task.state()) {
             case FETCHING -> {
-                if (attempt.state() == Attempt.State.SENT || attempt.state() == Attempt.State.UNKNOWN) {
+                if (attempt.state() == Attempt.State.SENT
+                        || attempt.state() == Attempt.State.UNKNOWN) {
                     attempt.transition(Attempt.State.FETCHING, now);
                     machine.needsImage(attempt.job().spec(), now);
                 }
             }
             case RUNNING -> {
-                if (attempt.state() == Attempt.State.SENT || attempt.state() == Attempt.State.UNKNOWN
+                if (attempt.state() == Attempt.State.SENT
+                        || attempt.state() == Attempt.State.UNKNOWN
                         || attempt.state() == Attempt.State.FETCHING) {
                     if (attempt.state() != Attempt.State.UNKNOWN) {
                         metrics.started(attempt.claimedAt());
@@ -133,29 +149,34 @@
                 LOG.info("{} refused on {}: {}", attempt.claim().task(), machine.name(), cause);
                 machine.avoidUntil(now + timing.reportS());
             }
-            default -> { }
+            default -> {}
         }
         fleet.end(attempt, cause);
     }
 
     /**
-     * Absence from a newer message proves that an attempt is gone if the worker had by then seen a token above every
-     * one its start was sent with, or has since begun a new session; otherwise a start may still be on the way.
+     * Absence from a newer message proves that an attempt is gone if the worker had by then seen a
+     * token above every one its start was sent with, or has since begun a new session; otherwise a
+     * start may still be on the way.
      */
     private boolean provenGone(Attempt attempt, Report report) {
         return switch (attempt.state()) {
             case CLAIMING, CLAIMED, ENDED, GONE -> false;
-            default -> report.token() > attempt.exposedToken()
-                    || attempt.session() != 0 && report.session() > attempt.session();
+            default ->
+                    report.token() > attempt.exposedToken()
+                            || attempt.session() != 0 && report.session() > attempt.session();
         };
     }
 
     /** When the last lease that anyone may have granted to a machine's worker has run out. */
     private double leaseGoneAt(Machine machine, double othersUntil) {
         double renewed = Math.max(machine.lastAnswered(), othersUntil);
-        // Until the worker has seen this term's token it may obey an earlier leader, whose last answer is not known
-        // here: a worker that showed the token and then fell silent has its full lease from then on.
-        // Without that, an earlier leader may go on as long as most controllers bear it out: until most know this term.
+        // Until the worker has seen this term's token it may obey an earlier leader, whose last
+        // answer is not known
+        // here: a worker that showed the token and then fell silent has its full lease from then
+        // on.
+        // Without that, an earlier leader may go on as long as most controllers bear it out: until
+        // most know this term.
         double earlier = Math.max(tookOver + timing.othersS(), acknowledged + timing.wordS());
         return Math.max(renewed, Math.min(machine.ownTokenSeen(), earlier)) + timing.leaseS();
     }
@@ -178,7 +199,8 @@
                         metrics.lost();
                         fleet.end(attempt, Cause.NONE);
                     }
-                } else if (attempt.state() == Attempt.State.SENT && now - attempt.since() > timing.claimWindowS()) {
+                } else if (attempt.state() == Attempt.State.SENT
+                        && now - attempt.since() > timing.claimWindowS()) {
                     attempt.transition(Attempt.State.UNKNOWN, now);
                     attempt.sendAgainAt(now);
                 }
@@ -192,7 +214,10 @@
         }
     }
 
-    /** Moves everything off a machine that is about to be taken: what ends in time is known to be gone. */
+    /**
+     * Moves everything off a machine that is about to be taken: what ends in time is known to be
+     * gone.
+     */
     private void vacate(Machine machine) {
         double left = machine.noticeAt() - fleet.now();
         for (Attempt attempt : machine.attemptsNow()) {
--- a/src/main/java/org/springmill/control/coordination/UserApi.java
+++ b/src/main/java/org/springmill/control/coordination/UserApi.java
@@ -20,11 +20,16 @@
 import org.springmill.transport.HttpHandler.Call;
 import org.springmill.transport.Loop;
 
-/** Submissions, polls and withdrawals, at any controller. Whatever cannot be taken is answered at once. */
+/**
+ * Submissions, polls and withdrawals, at any controller. Whatever cannot be taken is answered at
+ * once.
+ */
 final class UserApi {
     private static final Logger LOG = LoggerFactory.getLogger(UserApi.class);
+
     /** Users wait 5 s for an answer; by then they have to have one. */
     private static final double ANSWER_WITHIN_S = 3.5;
+
     private static final byte[] EMPTY = new byte[0];
 
     private final JobDirectory directory;
@@ -38,9 +43,19 @@
     private final int maxPending;
     private int pending;
 
-    /** @param announce told of each cancellation committed here, before its user is */
-    UserApi(JobDirectory directory, StateStore store, Catalog catalog, Loop loop, Timing timing,
-            Function<String, JobProgress> progress, Consumer<Cancellation> announce, Metrics metrics, int maxPending) {
+    /**
+     * @param announce told of each cancellation committed here, before its user is
+     */
+    UserApi(
+            JobDirectory directory,
+            StateStore store,
+            Catalog catalog,
+            Loop loop,
+            Timing timing,
+            Function<String, JobProgress> progress,
+            Consumer<Cancellation> announce,
+            Metrics metrics,
+            int maxPending) {
         this.announce = announce;
         this.directory = directory;
         this.store = store;
@@ -113,29 +128,34 @@
     }
 
     /**
-     * What it names, or the job itself in a repeated submission, may just have been accepted by another controller.
+     * What it names, or the job itself in a repeated submission, may just have been accepted by
+     * another controller.
      *
      * @param ground on which it is refused otherwise; null for what is found then
      */
     private void lookAgain(Call call, JobRecord job, double since, String ground) {
-        directory.barrier(ok -> {
-            String refusal = ground == null ? refusal(job) : ground;
-            if (directory.get(job.id()) != null) {
-                answerKnown(call, job.id());
-            } else if (!ok) {
-                later(call, "the state service does not answer");
-            } else if (refusal != null) {
-                call.reply(422, UserMessages.error(refusal), 0);
-            } else {
-                take(call, job, since);
-            }
-        });
+        directory.barrier(
+                ok -> {
+                    String refusal = ground == null ? refusal(job) : ground;
+                    if (directory.get(job.id()) != null) {
+                        answerKnown(call, job.id());
+                    } else if (!ok) {
+                        later(call, "the state service does not answer");
+                    } else if (refusal != null) {
+                        call.reply(422, UserMessages.error(refusal), 0);
+                    } else {
+                        take(call, job, since);
+                    }
+                });
     }
 
     private String refusal(JobRecord job) {
         int bytes = job.mostBytes(loop.timeOfDay());
         if (bytes > store.limits().valueBytes()) {
-            return "takes " + bytes + " bytes to store, more than " + store.limits().valueBytes()
+            return "takes "
+                    + bytes
+                    + " bytes to store, more than "
+                    + store.limits().valueBytes()
                     + ": names too many jobs or types";
         }
         return directory.chains().refusal(job.submission());
@@ -153,55 +173,73 @@
     private void create(Call call, JobRecord job, double since) {
         double until = since + ANSWER_WITHIN_S;
         Submission submission = job.submission();
-        store.commit(List.of(new Condition(job.key(), 0)), List.of(Write.put(job.key(), job.encode())), result -> {
-            switch (result.outcome()) {
-                case COMMITTED -> {
-                    pending--;
-                    directory.learn(job.committed(result.revision()));
-                    metrics.accepted(since);
-                    LOG.debug("{} accepted: {} of {} for {}", submission.id(), submission.tasks(), submission.jobClass(),
-                            submission.team());
-                    // Cancelled already if it names a cancelled one.
-                    call.reply(201, UserMessages.phase(job.id(), directory.get(job.id()).phase()), 0);
-                }
-                case REFUSED -> {
-                    pending--;
-                    if (result.failed().isEmpty()) {
-                        lookAgain(call, job, since, "the state service takes no such record");
-                    } else {
-                        answerKnown(call, submission.id());
-                    }
-                }
-                case TOO_LARGE -> {
-                    pending--;
-                    lookAgain(call, job, since, null);
-                }
-                // Not executed, or unknown: the same write again. It is applied once at most.
-                case NOT_NOW, UNKNOWN -> {
-                    boolean outage = result.outcome() == StateStore.Outcome.NOT_NOW && !store.reachable();
-                    if (loop.now() + timing.stateTimeoutS() < until && !outage) {
-                        loop.after(timing.pingS() / 4, () -> create(call, job, since));
-                    } else {
-                        pending--;
-                        later(call, "the state service does not answer");
+        store.commit(
+                List.of(new Condition(job.key(), 0)),
+                List.of(Write.put(job.key(), job.encode())),
+                result -> {
+                    switch (result.outcome()) {
+                        case COMMITTED -> {
+                            pending--;
+                            directory.learn(job.committed(result.revision()));
+                            metrics.accepted(since);
+                            LOG.debug(
+                                    "{} accepted: {} of {} for {}",
+                                    submission.id(),
+                                    submission.tasks(),
+                                    submission.jobClass(),
+                                    submission.team());
+                            // Cancelled already if it names a cancelled one.
+                            call.reply(
+                                    201,
+                                    UserMessages.phase(job.id(), directory.get(job.id()).phase()),
+                                    0);
+                        }
+                        case REFUSED -> {
+                            pending--;
+                            if (result.failed().isEmpty()) {
+                                lookAgain(
+                                        call, job, since, "the state service takes no such record");
+                            } else {
+                                answerKnown(call, submission.id());
+                            }
+                        }
+                        case TOO_LARGE -> {
+                            pending--;
+                            lookAgain(call, job, since, null);
+                        }
+                        // Not executed, or unknown: the same write again. It is applied once at
+                        // most.
+                        case NOT_NOW, UNKNOWN -> {
+                            boolean outage =
+                                    result.outcome() == StateStore.Outcome.NOT_NOW
+                                            && !store.reachable();
+                            if (loop.now() + timing.stateTimeoutS() < until && !outage) {
+                                loop.after(timing.pingS() / 4, () -> create(call, job, since));
+                            } else {
+                                pending--;
+                                later(call, "the state service does not answer");
+                            }
+                        }
                     }
-                }
-            }
-        });
+                });
     }
 
     /** Answers for a job that exists, with a state no older than the question. */
     private void answerKnown(Call call, String id) {
-        current(id, job -> {
-            if (job == null) {
-                later(call, "the state service does not answer");
-            } else {
-                call.reply(200, UserMessages.phase(id, phase(job)), 0);
-            }
-        });
+        current(
+                id,
+                job -> {
+                    if (job == null) {
+                        later(call, "the state service does not answer");
+                    } else {
+                        call.reply(200, UserMessages.phase(id, phase(job)), 0);
+                    }
+                });
     }
 
-    /** Passes a job as it stands after the question came in, or null if that cannot be known now. */
+    /**
+     * Passes a job as it stands after the question came in, or null if that cannot be known now.
+     */
     private void current(String id, Consumer<JobRecord> done) {
         JobRecord known = directory.get(id);
         if (known != null && known.phase().terminal()) {
@@ -221,16 +259,17 @@
             answerPoll(call, known);
             return;
         }
-        directory.barrier(ok -> {
-            JobRecord job = directory.get(id);
-            if (!ok) {
-                later(call, "the state service does not answer");
-            } else if (job == null) {
-                call.reply(404, UserMessages.error("no such job"), 0);
-            } else {
-                answerPoll(call, job);
-            }
-        });
+        directory.barrier(
+                ok -> {
+                    JobRecord job = directory.get(id);
+                    if (!ok) {
+                        later(call, "the state service does not answer");
+                    } else if (job == null) {
+                        call.reply(404, UserMessages.error("no such job"), 0);
+                    } else {
+                        answerPoll(call, job);
+                    }
+                });
     }
 
     private void answerPoll(Call call, JobRecord job) {
@@ -238,9 +277,16 @@
         int done = known == null ? 0 : known.done();
         int running = known == null ? 0 : known.running();
         switch (job.phase()) {
-            case DONE -> call.reply(200, UserMessages.progress(job.id(), Phase.DONE, job.submission().tasks(), 0), 0);
-            case CANCELLED -> call.reply(200, UserMessages.progress(job.id(), Phase.CANCELLED, done, 0), 0);
-            default -> call.reply(200, UserMessages.progress(job.id(), phase(job), done, running), 0);
+            case DONE ->
+                    call.reply(
+                            200,
+                            UserMessages.progress(
+                                    job.id(), Phase.DONE, job.submission().tasks(), 0),
+                            0);
+            case CANCELLED ->
+                    call.reply(200, UserMessages.progress(job.id(), Phase.CANCELLED, done, 0), 0);
+            default ->
+                    call.reply(200, UserMessages.progress(job.id(), phase(job), done, running), 0);
         }
     }
 
@@ -266,42 +312,54 @@
             cancel(call, known, until);
             return;
         }
-        directory.barrier(ok -> {
-            JobRecord job = directory.get(id);
-            if (job != null) {
-                cancel(call, job, until);
-            } else if (ok) {
-                call.reply(404, UserMessages.error("no such job"), 0);
-            } else {
-                later(call, "the state service does not answer");
-            }
-        });
+        directory.barrier(
+                ok -> {
+                    JobRecord job = directory.get(id);
+                    if (job != null) {
+                        cancel(call, job, until);
+                    } else if (ok) {
+                        call.reply(404, UserMessages.error("no such job"), 0);
+                    } else {
+                        later(call, "the state service does not answer");
+                    }
+                });
     }
 
-    /** The write is conditional on the record's version, so that of done and cancelled the first stays. */
+    /**
+     * The write is conditional on the record's version, so that of done and cancelled the first
+     * stays.
+     */
     private void cancel(Call call, JobRecord job, double until) {
         if (job.phase().terminal()) {
             if (job.cancelled()) {
-                // Perhaps by a write of this very request whose answer was lost: nobody has told the others then.
+                // Perhaps by a write of this very request whose answer was lost: nobody has told
+                // the others then.
                 announce.accept(new Cancellation(job.id(), job.version(), job.endedAt()));
             }
             call.reply(200, UserMessages.phase(job.id(), job.phase()), 0);
             return;
         }
         JobRecord cancelled = job.ended(Phase.CANCELLED, loop.timeOfDay());
-        store.commit(List.of(new Condition(job.key(), job.version())),
-                List.of(Write.put(job.key(), cancelled.encode(store.limits().valueBytes()))), result -> {
+        store.commit(
+                List.of(new Condition(job.key(), job.version())),
+                List.of(Write.put(job.key(), cancelled.encode(store.limits().valueBytes()))),
+                result -> {
                     if (result.outcome() == StateStore.Outcome.COMMITTED) {
                         directory.learn(cancelled.committed(result.revision()));
                         LOG.debug("{} cancelled", job.id());
-                        announce.accept(new Cancellation(job.id(), result.revision(), cancelled.endedAt()));
+                        announce.accept(
+                                new Cancellation(job.id(), result.revision(), cancelled.endedAt()));
                         call.reply(200, UserMessages.phase(job.id(), Phase.CANCELLED), 0);
                     } else if (loop.now() + timing.stateTimeoutS() > until
-                            || result.outcome() == StateStore.Outcome.NOT_NOW && !store.reachable()) {
+                            || result.outcome() == StateStore.Outcome.NOT_NOW
+                                    && !store.reachable()) {
                         later(call, "the state service does not answer");
                     } else {
-                        // Refused: the record has moved on. No answer: the barrier tells whether it was applied.
-                        loop.after(timing.pingS() / 4, () -> directory.barrier(ok -> withdraw(call, job.id(), until)));
+                        // Refused: the record has moved on. No answer: the barrier tells whether it
+                        // was applied.
+                        loop.after(
+                                timing.pingS() / 4,
+                                () -> directory.barrier(ok -> withdraw(call, job.id(), until)));
                     }
                 });
     }
--- a/src/main/java/org/springmill/control/storage/DoneMarks.java
+++ b/src/main/java/org/springmill/control/storage/DoneMarks.java
@@ -6,19 +6,21 @@
 import java.util.List;
 
 /**
- * Text forms of sets of finished task numbers, in pieces of a bounded size each. A piece is a list of
- * ranges ("0-17,19") or, where that is shorter, a bitmap ("@16384:base64").
+ * Text forms of sets of finished task numbers, in pieces of a bounded size each. A piece is a list
+ * of ranges ("0-17,19") or, where that is shorter, a bitmap ("@16384:base64").
  */
 final class DoneMarks {
     private static final int LARGEST_WINDOW = 1 << 14;
     private static final int SMALLEST_WINDOW = 1 << 8;
+
     /** A character of a bitmap holds so many tasks. */
     private static final int TASKS_PER_CHARACTER = 6;
 
-    private DoneMarks() {
-    }
+    private DoneMarks() {}
 
-    /** @param most characters of one piece; a value that shrank must still hold a whole one */
+    /**
+     * @param most characters of one piece; a value that shrank must still hold a whole one
+     */
     static List<String> encode(BitSet done, int most) {
         int window = LARGEST_WINDOW;
         while (window > SMALLEST_WINDOW && window / TASKS_PER_CHARACTER > most) {
@@ -29,8 +31,13 @@
             int base = from / window * window;
             BitSet part = done.get(base, base + window);
             String ranges = ranges(part, base);
-            String bitmap = '@' + Integer.toString(base) + ':'
-                    + Base64.getEncoder().withoutPadding().encodeToString(part.toByteArray());
+            String bitmap =
+                    '@'
+                            + Integer.toString(base)
+                            + ':'
+                            + Base64.getEncoder()
+                                    .withoutPadding()
+                                    .encodeToString(part.toByteArray());
             pieces.add(ranges.length() <= bitmap.length() ? ranges : bitmap);
             from = done.nextSetBit(base + window);
         }
@@ -50,7 +57,9 @@
             if (dash < 0) {
                 into.set(Integer.parseInt(range));
             } else {
-                into.set(Integer.parseInt(range, 0, dash, 10), Integer.parseInt(range, dash + 1, range.length(), 10) + 1);
+                into.set(
+                        Integer.parseInt(range, 0, dash, 10),
+                        Integer.parseInt(range, dash + 1, range.length(), 10) + 1);
             }
         }
     }
--- a/src/main/java/org/springmill/control/storage/ImageNotes.java
+++ b/src/main/java/org/springmill/control/storage/ImageNotes.java
@@ -11,8 +11,8 @@
 import org.springmill.protocol.Json;
 
 /**
- * Which machines hold which images, noted now and then for the next leader under {@code images}. Nothing but start
- * times depends on it, so it may be old, cut short or missing.
+ * Which machines hold which images, noted now and then for the next leader under {@code images}.
+ * Nothing but start times depends on it, so it may be old, cut short or missing.
  */
 public final class ImageNotes {
     public static final String KEY = "images";
@@ -28,7 +28,10 @@
         return byMachine.getOrDefault(machine, Map.of());
     }
 
-    /** Machines are listed once and then named by their place in the list; what does not fit a value is left out. */
+    /**
+     * Machines are listed once and then named by their place in the list; what does not fit a value
+     * is left out.
+     */
     public JsonNode encode(int valueBytes) {
         ObjectNode json = Json.newObject().put("v", 1);
         ArrayNode machines = json.putArray("machines");
@@ -46,13 +49,15 @@
             }
             machines.add(e.getKey());
             int at = index++;
-            e.getValue().forEach((image, gb) -> {
-                ArrayNode holders = images.withArray(image);
-                if (holders.isEmpty()) {
-                    holders.add(gb);
-                }
-                holders.add(at);
-            });
+            e.getValue()
+                    .forEach(
+                            (image, gb) -> {
+                                ArrayNode holders = images.withArray(image);
+                                if (holders.isEmpty()) {
+                                    holders.add(gb);
+                                }
+                                holders.add(at);
+                            });
         }
         return json;
     }
@@ -61,14 +66,20 @@
         ImageNotes notes = new ImageNotes();
         List<String> machines = new ArrayList<>();
         value.path("machines").forEach(m -> machines.add(m.asText()));
-        value.path("images").fields().forEachRemaining(e -> {
-            for (int i = 1; i < e.getValue().size(); i++) {
-                int at = e.getValue().get(i).asInt();
-                if (at < machines.size()) {
-                    notes.add(machines.get(at), e.getKey(), e.getValue().get(0).asDouble());
-                }
-            }
-        });
+        value.path("images")
+                .fields()
+                .forEachRemaining(
+                        e -> {
+                            for (int i = 1; i < e.getValue().size(); i++) {
+                                int at = e.getValue().get(i).asInt();
+                                if (at < machines.size()) {
+                                    notes.add(
+                                            machines.get(at),
+                                            e.getKey(),
+                                            e.getValue().get(0).asDouble());
+                                }
+                            }
+                        });
         return notes;
     }
 }
--- a/src/main/java/org/springmill/control/storage/JobRecord.java
+++ b/src/main/java/org/springmill/control/storage/JobRecord.java
@@ -8,17 +8,24 @@
 import org.springmill.protocol.UserMessages.Phase;
 
 /**
- * A job in the state service, under {@code job/<id>}: the submission as accepted, and how it ended once it has. The
- * submission stays, for a later leader has to count what an ended job's tasks still hold.
+ * A job in the state service, under {@code job/<id>}: the submission as accepted, and how it ended
+ * once it has. The submission stays, for a later leader has to count what an ended job's tasks
+ * still hold.
  *
- * <p>Two generations of records exist. That of a job with dependencies holds them, and when it was accepted; every
- * other record has the form that was there before dependencies, so that both versions read it during an upgrade.
+ * <p>Two generations of records exist. That of a job with dependencies holds them, and when it was
+ * accepted; every other record has the form that was there before dependencies, so that both
+ * versions read it during an upgrade.
  *
  * @param phase QUEUED while active: whether tasks run is not stored
  * @param endedAt time of day at which its end was asked for; 0 if active or not known
  * @param acceptedAt time of day at which it was accepted; 0 if not known
  */
-public record JobRecord(String id, Submission submission, Phase phase, long version, double endedAt,
+public record JobRecord(
+        String id,
+        Submission submission,
+        Phase phase,
+        long version,
+        double endedAt,
         double acceptedAt) {
     public static final String PREFIX = "job/";
 
@@ -28,7 +35,13 @@
 
     /** A job that is being accepted; it has no version before it is committed. */
     public static JobRecord accepted(Submission submission, double now) {
-        return new JobRecord(submission.id(), submission, Phase.QUEUED, 0, 0, submission.dependencies().isEmpty() ? 0 : now);
+        return new JobRecord(
+                submission.id(),
+                submission,
+                Phase.QUEUED,
+                0,
+                0,
+                submission.dependencies().isEmpty() ? 0 : now);
     }
 
     public JobRecord ended(Phase end, double at) {
@@ -51,7 +64,9 @@
         return phase == Phase.CANCELLED;
     }
 
-    /** What the record takes in the state service once it has ended, which is when it is largest. */
+    /**
+     * What the record takes in the state service once it has ended, which is when it is largest.
+     */
     public int mostBytes(double now) {
         return Json.bytes(ended(Phase.CANCELLED, now).encode()).length;
     }
@@ -70,24 +85,33 @@
     }
 
     /**
-     * The same within so many bytes. A job accepted when values could be larger must still be able to end: its types,
-     * the only list that can be long in a record of that time, are not needed after the end.
+     * The same within so many bytes. A job accepted when values could be larger must still be able
+     * to end: its types, the only list that can be long in a record of that time, are not needed
+     * after the end.
      */
     public JsonNode encode(int valueBytes) {
         JsonNode whole = encode();
         if (active() || submission.types() == null || Json.bytes(whole).length <= valueBytes) {
             return whole;
         }
-        return new JobRecord(id, submission.withoutTypes(), phase, version, endedAt, acceptedAt).encode();
+        return new JobRecord(id, submission.withoutTypes(), phase, version, endedAt, acceptedAt)
+                .encode();
     }
 
-    public static JobRecord decode(String key, JsonNode value, long version) throws BadMessageException {
-        Phase phase = switch (value.path("end").asText()) {
-            case "" -> Phase.QUEUED;
-            case "done" -> Phase.DONE;
-            default -> Phase.CANCELLED;
-        };
-        return new JobRecord(key.substring(PREFIX.length()), Submission.parse(value.path("job")), phase, version,
-                value.path("at").asDouble(), value.path("accepted").asDouble());
+    public static JobRecord decode(String key, JsonNode value, long version)
+            throws BadMessageException {
+        Phase phase =
+                switch (value.path("end").asText()) {
+                    case "" -> Phase.QUEUED;
+                    case "done" -> Phase.DONE;
+                    default -> Phase.CANCELLED;
+                };
+        return new JobRecord(
+                key.substring(PREFIX.length()),
+                Submission.parse(value.path("job")),
+                phase,
+                version,
+                value.path("at").asDouble(),
+                value.path("accepted").asDouble());
     }
 }
--- a/src/main/java/org/springmill/control/storage/RateLimit.java
+++ b/src/main/java/org/springmill/control/storage/RateLimit.java
@@ -18,14 +18,20 @@
         tokens = Math.min(tokens, rate);
     }
 
-    /** Seconds until this many may be taken; more than a bucket's worth only waits for a full bucket. */
+    /**
+     * Seconds until this many may be taken; more than a bucket's worth only waits for a full
+     * bucket.
+     */
     public double waitFor(double amount, double now) {
         refill(now);
         double missing = Math.min(amount, rate) - tokens;
         return missing <= 1e-9 ? 0 : missing / rate;
     }
 
-    /** Takes even what is not there: for requests that must not wait, whose cost the next ones then bear. */
+    /**
+     * Takes even what is not there: for requests that must not wait, whose cost the next ones then
+     * bear.
+     */
     public void take(double amount, double now) {
         refill(now);
         tokens -= amount;
--- a/src/main/java/org/springmill/control/storage/StateStore.java
+++ b/src/main/java/org/springmill/control/storage/StateStore.java
@@ -25,8 +25,8 @@
 /**
  * The state service, with this controller's share of its limits.
  *
- * <p>All controllers share the limits without knowing of each other's use, so shares are generous and a 429 is an
- * ordinary answer that callers wait out.
+ * <p>All controllers share the limits without knowing of each other's use, so shares are generous
+ * and a 429 is an ordinary answer that callers wait out.
  */
 public final class StateStore {
     private static final Logger LOG = LoggerFactory.getLogger(StateStore.class);
@@ -47,17 +47,22 @@
     private boolean reachable;
     private boolean refuses;
     private double lastServed = Double.NEGATIVE_INFINITY;
-    private DoubleConsumer onCommit = since -> { };
+    private DoubleConsumer onCommit = since -> {};
 
-    private record Waiting(Request request, int writes, Consumer<Reply> done) {
-    }
+    private record Waiting(Request request, int writes, Consumer<Reply> done) {}
 
     /** How a commit ended. */
     public enum Outcome {
         COMMITTED,
-        /** A condition did not hold, the lease named has ended, or the form is wrong; nothing was changed. */
+        /**
+         * A condition did not hold, the lease named has ended, or the form is wrong; nothing was
+         * changed.
+         */
         REFUSED,
-        /** Larger than the service takes; nothing was changed. From now on smaller limits are kept to. */
+        /**
+         * Larger than the service takes; nothing was changed. From now on smaller limits are kept
+         * to.
+         */
         TOO_LARGE,
         /** Nothing was changed, but the same may be tried again. */
         NOT_NOW,
@@ -65,16 +70,21 @@
         UNKNOWN
     }
 
-    /** @param revision of the commit, when it was applied; @param failed keys whose conditions did not hold */
-    public record CommitResult(Outcome outcome, long revision, List<String> failed) {
-    }
+    /**
+     * @param revision of the commit, when it was applied; @param failed keys whose conditions did
+     *     not hold
+     */
+    public record CommitResult(Outcome outcome, long revision, List<String> failed) {}
 
     /** How a renewal ended. */
-    public enum Renewal { RENEWED, ENDED, UNKNOWN }
+    public enum Renewal {
+        RENEWED,
+        ENDED,
+        UNKNOWN
+    }
 
     /** A read: served or not, and if served the entry, or its absence at a revision. */
-    public record ReadResult(boolean served, Entry entry, long revision) {
-    }
+    public record ReadResult(boolean served, Entry entry, long revision) {}
 
     public StateStore(HttpClient http, Loop loop, Settings settings, double timeoutS) {
         this.http = http;
@@ -98,7 +108,10 @@
         return reachable;
     }
 
-    /** Whether its last answer was that it serves nothing: it, or the way to it, was there to say so. */
+    /**
+     * Whether its last answer was that it serves nothing: it, or the way to it, was there to say
+     * so.
+     */
     public boolean refuses() {
         return refuses;
     }
@@ -122,15 +135,25 @@
     }
 
     public void get(String key, Consumer<ReadResult> done) {
-        now("GET", StateMessages.keyPath(key), EMPTY, timeoutS, reply -> {
-            if (reply.ok()) {
-                Entry entry = parse(reply, StateMessages::entry);
-                done.accept(new ReadResult(entry != null, entry, 0));
-            } else {
-                Long revision = reply.status() == 404 ? parse(reply, StateMessages::revision) : null;
-                done.accept(new ReadResult(revision != null, null, revision == null ? 0 : revision));
-            }
-        });
+        now(
+                "GET",
+                StateMessages.keyPath(key),
+                EMPTY,
+                timeoutS,
+                reply -> {
+                    if (reply.ok()) {
+                        Entry entry = parse(reply, StateMessages::entry);
+                        done.accept(new ReadResult(entry != null, entry, 0));
+                    } else {
+                        Long revision =
+                                reply.status() == 404
+                                        ? parse(reply, StateMessages::revision)
+                                        : null;
+                        done.accept(
+                                new ReadResult(
+                                        revision != null, null, revision == null ? 0 : revision));
+                    }
+                });
     }
 
     /** Reads all keys with a prefix; null if it could not be done. */
@@ -138,47 +161,80 @@
         list(prefix, null, new ArrayList<>(), -1, done);
     }
 
-    private void list(String prefix, String after, List<Entry> found, long firstRevision, Consumer<Page> done) {
-        now("GET", StateMessages.listPath(prefix, after), EMPTY, timeoutS * 4, reply -> {
-            Page page = reply.ok() ? parse(reply, StateMessages::page) : null;
-            if (page == null) {
-                done.accept(null);
-                return;
-            }
-            found.addAll(page.entries());
-            // Pages may be of different revisions: the first one's is what a watch has to go on from.
-            long revision = firstRevision < 0 ? page.revision() : firstRevision;
-            if (page.more() && !page.entries().isEmpty()) {
-                list(prefix, page.entries().get(page.entries().size() - 1).key(), found, revision, done);
-            } else {
-                done.accept(new Page(found, false, revision));
-            }
-        });
+    private void list(
+            String prefix,
+            String after,
+            List<Entry> found,
+            long firstRevision,
+            Consumer<Page> done) {
+        now(
+                "GET",
+                StateMessages.listPath(prefix, after),
+                EMPTY,
+                timeoutS * 4,
+                reply -> {
+                    Page page = reply.ok() ? parse(reply, StateMessages::page) : null;
+                    if (page == null) {
+                        done.accept(null);
+                        return;
+                    }
+                    found.addAll(page.entries());
+                    // Pages may be of different revisions: the first one's is what a watch has to
+                    // go on from.
+                    long revision = firstRevision < 0 ? page.revision() : firstRevision;
+                    if (page.more() && !page.entries().isEmpty()) {
+                        list(
+                                prefix,
+                                page.entries().get(page.entries().size() - 1).key(),
+                                found,
+                                revision,
+                                done);
+                    } else {
+                        done.accept(new Page(found, false, revision));
+                    }
+                });
     }
 
-    public void commit(List<Condition> conditions, List<Write> changes, Consumer<CommitResult> done) {
+    public void commit(
+            List<Condition> conditions, List<Write> changes, Consumer<CommitResult> done) {
         byte[] body = StateMessages.commit(conditions, changes);
         double since = loop.now();
         Settings.State under = limits;
-        enqueue(new Waiting(new Request(settings.stateAddress(), "POST", StateMessages.COMMIT, body, timeoutS),
-                changes.size(), reply -> {
-                    CommitResult result = commitResult(reply, changes, under);
-                    if (result.outcome() != Outcome.UNKNOWN) {
-                        onCommit.accept(since);
-                    }
-                    done.accept(result);
-                }));
+        enqueue(
+                new Waiting(
+                        new Request(
+                                settings.stateAddress(),
+                                "POST",
+                                StateMessages.COMMIT,
+                                body,
+                                timeoutS),
+                        changes.size(),
+                        reply -> {
+                            CommitResult result = commitResult(reply, changes, under);
+                            if (result.outcome() != Outcome.UNKNOWN) {
+                                onCommit.accept(since);
+                            }
+                            done.accept(result);
+                        }));
     }
 
     private CommitResult commitResult(Reply reply, List<Write> changes, Settings.State under) {
         try {
             return switch (reply.status()) {
-                case 200 -> new CommitResult(Outcome.COMMITTED, StateMessages.revision(reply.body()), List.of());
-                case 409 -> new CommitResult(Outcome.REFUSED, 0, StateMessages.failed(reply.body()));
+                case 200 ->
+                        new CommitResult(
+                                Outcome.COMMITTED, StateMessages.revision(reply.body()), List.of());
+                case 409 ->
+                        new CommitResult(Outcome.REFUSED, 0, StateMessages.failed(reply.body()));
                 case 400 -> {
-                    LOG.debug("commit refused: {}", new String(reply.body(), java.nio.charset.StandardCharsets.UTF_8));
-                    boolean size = !StateMessages.leaseEnded(reply.body()) && mayBeTooLarge(changes, under);
-                    yield new CommitResult(size ? Outcome.TOO_LARGE : Outcome.REFUSED, 0, List.of());
+                    LOG.debug(
+                            "commit refused: {}",
+                            new String(reply.body(), java.nio.charset.StandardCharsets.UTF_8));
+                    boolean size =
+                            !StateMessages.leaseEnded(reply.body())
+                                    && mayBeTooLarge(changes, under);
+                    yield new CommitResult(
+                            size ? Outcome.TOO_LARGE : Outcome.REFUSED, 0, List.of());
                 }
                 case 429, 503, -1 -> new CommitResult(Outcome.NOT_NOW, 0, List.of());
                 default -> new CommitResult(Outcome.UNKNOWN, 0, List.of());
@@ -190,13 +246,15 @@
     }
 
     /**
-     * Whether a refused transaction may have been too large for the service, rather than wrong: if it would be smaller
-     * under half the limits that it was made under. Those limits are halved then, so that this ends.
+     * Whether a refused transaction may have been too large for the service, rather than wrong: if
+     * it would be smaller under half the limits that it was made under. Those limits are halved
+     * then, so that this ends.
      */
     private boolean mayBeTooLarge(List<Write> changes, Settings.State under) {
         int largest = 0;
         for (Write write : changes) {
-            largest = Math.max(largest, write.value() == null ? 0 : Json.bytes(write.value()).length);
+            largest =
+                    Math.max(largest, write.value() == null ? 0 : Json.bytes(write.value()).length);
         }
         Settings.State half = under.halved();
         if (largest <= half.valueBytes() && changes.size() <= half.writesPerCommit()) {
@@ -204,23 +262,38 @@
         }
         if (limits == under) {
             limits = half;
-            LOG.warn("the state service takes less than the settings say: keeping to {} writes of {} bytes",
-                    half.writesPerCommit(), half.valueBytes());
+            LOG.warn(
+                    "the state service takes less than the settings say: keeping to {} writes of {} bytes",
+                    half.writesPerCommit(),
+                    half.valueBytes());
         }
         return true;
     }
 
     /** Takes a lease; 0 if none was given. */
     public void grant(double ttlS, LongConsumer done) {
-        now("POST", StateMessages.LEASES, StateMessages.grant(Math.round(ttlS * 1000)), timeoutS, reply -> {
-            Long lease = reply.ok() ? parse(reply, StateMessages::granted) : null;
-            done.accept(lease == null ? 0 : lease);
-        });
+        now(
+                "POST",
+                StateMessages.LEASES,
+                StateMessages.grant(Math.round(ttlS * 1000)),
+                timeoutS,
+                reply -> {
+                    Long lease = reply.ok() ? parse(reply, StateMessages::granted) : null;
+                    done.accept(lease == null ? 0 : lease);
+                });
     }
 
     public void renew(long lease, Consumer<Renewal> done) {
-        now("POST", StateMessages.renewPath(lease), EMPTY, timeoutS, reply -> done.accept(
-                reply.ok() ? Renewal.RENEWED : reply.status() == 404 ? Renewal.ENDED : Renewal.UNKNOWN));
+        now(
+                "POST",
+                StateMessages.renewPath(lease),
+                EMPTY,
+                timeoutS,
+                reply ->
+                        done.accept(
+                                reply.ok()
+                                        ? Renewal.RENEWED
+                                        : reply.status() == 404 ? Renewal.ENDED : Renewal.UNKNOWN));
     }
 
     public void revoke(long lease, Runnable done) {
@@ -229,15 +302,21 @@
 
     /** Changes since a revision. */
     public void changes(String prefix, long from, double waitS, Consumer<ChangesResult> done) {
-        now("GET", StateMessages.changesPath(prefix, from, Math.round(waitS * 1000)), EMPTY, timeoutS + waitS, reply -> {
-            Changes changes = reply.ok() ? parse(reply, StateMessages::changes) : null;
-            done.accept(new ChangesResult(changes, reply.status() == 410));
-        });
+        now(
+                "GET",
+                StateMessages.changesPath(prefix, from, Math.round(waitS * 1000)),
+                EMPTY,
+                timeoutS + waitS,
+                reply -> {
+                    Changes changes = reply.ok() ? parse(reply, StateMessages::changes) : null;
+                    done.accept(new ChangesResult(changes, reply.status() == 410));
+                });
     }
 
-    /** @param changes null if not served; @param tooOld the keys have to be read anew */
-    public record ChangesResult(Changes changes, boolean tooOld) {
-    }
+    /**
+     * @param changes null if not served; @param tooOld the keys have to be read anew
+     */
+    public record ChangesResult(Changes changes, boolean tooOld) {}
 
     /** Sends past the queue. Reads and renewals are few and others wait for them. */
     private void now(String method, String path, byte[] body, double limitS, Consumer<Reply> done) {
@@ -256,7 +335,10 @@
         pumping = false;
         while (!queue.isEmpty()) {
             Waiting next = queue.peek();
-            double wait = Math.max(requests.waitFor(1, loop.now()), writes.waitFor(next.writes(), loop.now()));
+            double wait =
+                    Math.max(
+                            requests.waitFor(1, loop.now()),
+                            writes.waitFor(next.writes(), loop.now()));
             if (wait > 0) {
                 pumping = true;
                 loop.after(wait, this::pump);
@@ -270,17 +352,19 @@
     }
 
     private void send(Request request, Consumer<Reply> done) {
-        http.send(request, reply -> {
-            if (reply.answered() && reply.status() != 503) {
-                reachable = true;
-                refuses = false;
-                lastServed = loop.now();
-            } else {
-                reachable = false;
-                refuses |= reply.answered();
-            }
-            done.accept(reply);
-        });
+        http.send(
+                request,
+                reply -> {
+                    if (reply.answered() && reply.status() != 503) {
+                        reachable = true;
+                        refuses = false;
+                        lastServed = loop.now();
+                    } else {
+                        reachable = false;
+                        refuses |= reply.answered();
+                    }
+                    done.accept(reply);
+                });
     }
 
     @FunctionalInterface
--- a/src/main/java/org/springmill/protocol/Json.java
+++ b/src/main/java/org/springmill/protocol/Json.java
@@ -14,12 +14,11 @@
 
 /** Reading and writing of JSON bodies. */
 public final class Json {
-    private static final ObjectMapper MAPPER = new ObjectMapper()
-            .enable(DeserializationFeature.FAIL_ON_TRAILING_TOKENS);
+    private static final ObjectMapper MAPPER =
+            new ObjectMapper().enable(DeserializationFeature.FAIL_ON_TRAILING_TOKENS);
     private static final JsonFactory FACTORY = MAPPER.getFactory();
 
-    private Json() {
-    }
+    private Json() {}
 
     /** Parses a body that has to be one object. */
     public static JsonNode object(byte[] body) throws BadMessageException {
--- a/src/main/java/org/springmill/protocol/PeerMessages.java
+++ b/src/main/java/org/springmill/protocol/PeerMessages.java
@@ -13,8 +13,7 @@
 public final class PeerMessages {
     private static final int VERSION = 1;
 
-    private PeerMessages() {
-    }
+    private PeerMessages() {}
 
     /** Any record. */
     public sealed interface PeerRecord {
@@ -22,52 +21,69 @@
     }
 
     /**
-     * What a controller knows at this moment. As an answer it confirms the question it echoes, so that whoever asked
-     * can date it by its own clock.
+     * What a controller knows at this moment. As an answer it confirms the question it echoes, so
+     * that whoever asked can date it by its own clock.
      *
      * @param question number of the sender's own question
      * @param echo number of the question that is answered; 0 for none
      * @param stateReachable whether the sender's last request to the state service was served
      * @param leading whether it answers workers as the leader
-     * @param informed whether it has read the leader's record since it was started, so that its term means something
+     * @param informed whether it has read the leader's record since it was started, so that its
+     *     term means something
      * @param workers how many workers lately came to it with reports although it does not lead
      * @param leaderSilent whether it has not heard from a leading controller for some time
-     * @param witnessAgoMs how long ago it last bore witness of an outage, or answered a worker although it does not
-     *     lead; negative while it may go on answering them for so long
+     * @param witnessAgoMs how long ago it last bore witness of an outage, or answered a worker
+     *     although it does not lead; negative while it may go on answering them for so long
      * @param term the highest leadership term it knows of
-     * @param news what it knows of cancelled jobs; {@link News#NONE} from a version that does not tell
+     * @param news what it knows of cancelled jobs; {@link News#NONE} from a version that does not
+     *     tell
      */
-    public record Status(String from, long question, long echo, boolean stateReachable, boolean leading,
-            boolean informed, int workers, boolean leaderSilent, int witnessAgoMs, long term, News news)
-            implements PeerRecord {
-    }
+    public record Status(
+            String from,
+            long question,
+            long echo,
+            boolean stateReachable,
+            boolean leading,
+            boolean informed,
+            int workers,
+            boolean leaderSilent,
+            int witnessAgoMs,
+            long term,
+            News news)
+            implements PeerRecord {}
 
     /** A committed cancellation. It is final, so anyone's word of it may be acted on. */
-    public record Cancellation(String job, long revision, double askedAt) {
-    }
+    public record Cancellation(String job, long revision, double askedAt) {}
 
     /**
-     * Anti-entropy of cancellations. A question says what the asker knows, an answer carries what it lacks.
+     * Anti-entropy of cancellations. A question says what the asker knows, an answer carries what
+     * it lacks.
      *
-     * @param revision in a question: the asker has read all job records up to it; negative if it takes no news
-     * @param bookmark how far the asker has been told; handed out by whoever answers, which alone can read it
+     * @param revision in a question: the asker has read all job records up to it; negative if it
+     *     takes no news
+     * @param bookmark how far the asker has been told; handed out by whoever answers, which alone
+     *     can read it
      * @param complete in an answer: nothing of what the sender knows remains to be told
-     * @param informed whether the sender has read the job records since it was started, and so has forgotten nothing
+     * @param informed whether the sender has read the job records since it was started, and so has
+     *     forgotten nothing
      */
-    public record News(long revision, long bookmark, boolean complete, boolean informed,
+    public record News(
+            long revision,
+            long bookmark,
+            boolean complete,
+            boolean informed,
             List<Cancellation> cancellations) {
         /** So many cancellations go into one record. */
         public static final int MOST = 100;
+
         public static final News NONE = new News(-1, 0, false, false, List.of());
     }
 
     /** Cancellations that the sender has just committed, told before its user is. */
-    public record Cancelled(String from, List<Cancellation> cancellations) implements PeerRecord {
-    }
+    public record Cancelled(String from, List<Cancellation> cancellations) implements PeerRecord {}
 
     /** How far one job is, for display. */
-    public record JobProgress(String job, int done, int running) {
-    }
+    public record JobProgress(String job, int done, int running) {}
 
     /** The leader's account of running jobs. */
     public record Progress(String from, long term, List<JobProgress> jobs) implements PeerRecord {
@@ -91,7 +107,8 @@
                 out.writeBoolean(s.leaderSilent);
                 out.writeInt(s.witnessAgoMs);
                 out.writeLong(s.term);
-                // Fields of later versions come after these: earlier ones leave unread what they do not know.
+                // Fields of later versions come after these: earlier ones leave unread what they do
+                // not know.
                 out.writeLong(s.news.revision);
                 out.writeLong(s.news.bookmark);
                 out.writeBoolean(s.news.complete);
@@ -127,10 +144,24 @@
             }
             int kind = in.readUnsignedByte();
             if (kind == 1) {
-                return new Status(in.readUTF(), in.readLong(), in.readLong(), in.readBoolean(), in.readBoolean(),
-                        in.readBoolean(), in.readInt(), in.readBoolean(), in.readInt(), in.readLong(),
-                        in.available() == 0 ? News.NONE
-                                : new News(in.readLong(), in.readLong(), in.readBoolean(), in.readBoolean(),
+                return new Status(
+                        in.readUTF(),
+                        in.readLong(),
+                        in.readLong(),
+                        in.readBoolean(),
+                        in.readBoolean(),
+                        in.readBoolean(),
+                        in.readInt(),
+                        in.readBoolean(),
+                        in.readInt(),
+                        in.readLong(),
+                        in.available() == 0
+                                ? News.NONE
+                                : new News(
+                                        in.readLong(),
+                                        in.readLong(),
+                                        in.readBoolean(),
+                                        in.readBoolean(),
                                         readCancellations(in)));
             }
             if (kind == 3) {
@@ -155,7 +186,8 @@
         }
     }
 
-    private static void write(DataOutputStream out, List<Cancellation> cancellations) throws IOException {
+    private static void write(DataOutputStream out, List<Cancellation> cancellations)
+            throws IOException {
         int count = Math.min(News.MOST, cancellations.size());
         out.writeShort(count);
         for (Cancellation cancellation : cancellations.subList(0, count)) {
@@ -165,7 +197,8 @@
         }
     }
 
-    private static List<Cancellation> readCancellations(DataInputStream in) throws IOException, BadMessageException {
+    private static List<Cancellation> readCancellations(DataInputStream in)
+            throws IOException, BadMessageException {
         int count = in.readUnsignedShort();
         if (count > News.MOST) {
             throw new BadMessageException("peer record of " + count + " cancellations");
--- a/src/main/java/org/springmill/protocol/Priority.java
+++ b/src/main/java/org/springmill/protocol/Priority.java
@@ -2,7 +2,10 @@
 
 /** Priorities of jobs, highest first. */
 public enum Priority {
-    PRODUCTION("prod"), HIGH("urgent"), NORMAL("normal"), LOW("best_effort");
+    PRODUCTION("prod"),
+    HIGH("urgent"),
+    NORMAL("normal"),
+    LOW("best_effort");
 
     private final String wire;
 
