--- a/src/main/java/org/springmill/protocol/RehearsalMessages.java
+++ b/src/main/java/org/springmill/protocol/RehearsalMessages.java
@@ -4,13 +4,13 @@
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.nio.charset.StandardCharsets;
-import java.util.List;
 import java.util.LinkedHashMap;
+import java.util.List;
 import java.util.Map;
 
 /**
- * What a state service, a cloud and one worker would say in the rehearsal of a build (see {@code cli}): just enough for
- * a controller to lead, to place a task and to stop it.
+ * What a state service, a cloud and one worker would say in the rehearsal of a build (see {@code
+ * cli}): just enough for a controller to lead, to place a task and to stop it.
  */
 public final class RehearsalMessages {
     private static final String MACHINE = "host-000001";
@@ -24,10 +24,11 @@
     private long seq;
 
     /** An answer with its status. */
-    public record Answer(int status, byte[] body) {
-    }
+    public record Answer(int status, byte[] body) {}
 
-    /** @param address where this worker takes commands */
+    /**
+     * @param address where this worker takes commands
+     */
     public RehearsalMessages(String address) {
         this.address = address;
     }
@@ -44,13 +45,19 @@
         } else if (path.equals(StateMessages.COMMIT)) {
             return ok("{\"ledgerRev\":" + ++revision + "}");
         } else if (path.equals(CloudMessages.TYPES)) {
-            return ok("{\"frames\":[{\"sku\":\"m\",\"vcpus\":4,\"cards\":1,\"memGb\":8,\"localGb\":9,\"pullGbPerS\":1.0,"
-                    + "\"price\":1.0,\"marketPrice\":0.5,\"bootS\":1,\"yards\":[\"here\"]}]}");
+            return ok(
+                    "{\"frames\":[{\"sku\":\"m\",\"vcpus\":4,\"cards\":1,\"memGb\":8,\"localGb\":9,\"pullGbPerS\":1.0,"
+                            + "\"price\":1.0,\"marketPrice\":0.5,\"bootS\":1,\"yards\":[\"here\"]}]}");
         } else if (path.equals(CloudMessages.RENT) && method.equals("POST")) {
             return ok("{\"stones\":[]}");
         } else if (path.equals(CloudMessages.RENT)) {
-            return ok("{\"stones\":[{\"nameId\":\"" + MACHINE + "\",\"addr\":\"" + address + "\",\"frame\":\"m\","
-                    + "\"yard\":\"here\",\"loaner\":false,\"phase\":\"running\",\"heldS\":1.5}],\"truncated\":false}");
+            return ok(
+                    "{\"stones\":[{\"nameId\":\""
+                            + MACHINE
+                            + "\",\"addr\":\""
+                            + address
+                            + "\",\"frame\":\"m\","
+                            + "\"yard\":\"here\",\"loaner\":false,\"phase\":\"running\",\"heldS\":1.5}],\"truncated\":false}");
         } else if (path.equals(WorkerMessages.ORDERS)) {
             obey(Json.object(body));
             return new Answer(200, report());
@@ -63,9 +70,17 @@
         for (JsonNode order : orders.path("orders")) {
             String task = order.path("sack").asText();
             switch (order.path("verb").asText()) {
-                case "start" -> tasks.put(task, Json.newObject().put("sack", task)
-                        .put("try", order.path("try").longValue()).put("phase", "running"));
-                case "halt" -> tasks.computeIfPresent(task, (t, state) -> state.put("phase", "ended").put("cause", "stopped"));
+                case "start" ->
+                        tasks.put(
+                                task,
+                                Json.newObject()
+                                        .put("sack", task)
+                                        .put("try", order.path("try").longValue())
+                                        .put("phase", "running"));
+                case "halt" ->
+                        tasks.computeIfPresent(
+                                task,
+                                (t, state) -> state.put("phase", "ended").put("cause", "stopped"));
                 default -> tasks.remove(task);
             }
         }
@@ -73,8 +88,16 @@
 
     /** The worker's report as it stands. */
     public byte[] report() {
-        ObjectNode report = Json.newObject().put("stone", MACHINE).put("addr", address).put("frame", TYPE)
-                .put("yard", ZONE).put("loaner", false).put("shift", 1).put("tally", ++seq).put("baton", token);
+        ObjectNode report =
+                Json.newObject()
+                        .put("stone", MACHINE)
+                        .put("addr", address)
+                        .put("frame", TYPE)
+                        .put("yard", ZONE)
+                        .put("loaner", false)
+                        .put("shift", 1)
+                        .put("tally", ++seq)
+                        .put("baton", token);
         ArrayNode listed = report.putArray("sacks");
         tasks.values().forEach(listed::add);
         return Json.bytes(report);
@@ -82,8 +105,30 @@
 
     /** A submission of two replicas, or of an array. */
     public static byte[] submission(String id, boolean service) {
-        return Json.bytes(new Submission(id, "c", "t", service ? Shape.SERVICE : Shape.ARRAY, Priority.PRODUCTION, 2, 1, 0, 1,
-                "image", 1, null, null, false, service, !service, 1, 1, 1, null, List.of()).toJson());
+        return Json.bytes(
+                new Submission(
+                                id,
+                                "c",
+                                "t",
+                                service ? Shape.SERVICE : Shape.ARRAY,
+                                Priority.PRODUCTION,
+                                2,
+                                1,
+                                0,
+                                1,
+                                "image",
+                                1,
+                                null,
+                                null,
+                                false,
+                                service,
+                                !service,
+                                1,
+                                1,
+                                1,
+                                null,
+                                List.of())
+                        .toJson());
     }
 
     private static Answer ok(String json) {
--- a/src/main/java/org/springmill/protocol/SettingsFile.java
+++ b/src/main/java/org/springmill/protocol/SettingsFile.java
@@ -21,9 +21,14 @@
         this.operator = operator;
     }
 
-    /** @param operatorFile the operators' own settings, or null for their defaults */
+    /**
+     * @param operatorFile the operators' own settings, or null for their defaults
+     */
     public static Settings read(Path file, Path operatorFile) throws SettingsException {
-        OperatorSettings operator = operatorFile == null ? OperatorSettings.DEFAULTS : OperatorSettings.read(operatorFile);
+        OperatorSettings operator =
+                operatorFile == null
+                        ? OperatorSettings.DEFAULTS
+                        : OperatorSettings.read(operatorFile);
         return new SettingsFile(file, operator).read();
     }
 
@@ -33,9 +38,11 @@
             root = new TomlMapper().readTree(Files.readString(file));
         } catch (JsonProcessingException e) {
             String where = e.getLocation() == null ? "" : " line " + e.getLocation().getLineNr();
-            throw new SettingsException(file + where + ": not valid TOML: " + e.getOriginalMessage());
+            throw new SettingsException(
+                    file + where + ": not valid TOML: " + e.getOriginalMessage());
         } catch (IOException e) {
-            throw new SettingsException(file + ": cannot be read; name an existing TOML file with --config");
+            throw new SettingsException(
+                    file + ": cannot be read; name an existing TOML file with --config");
         }
         String node = text(root, "node");
         Map<String, String> peers = new LinkedHashMap<>();
@@ -44,7 +51,9 @@
             String at = "seeds[" + i++ + "].";
             String name = text(seed, "node", at);
             if (name.equals(node) || peers.put(name, address(seed, "addr", at)) != null) {
-                throw bad(at + "node", "each controller must be listed once, without this one itself");
+                throw bad(
+                        at + "node",
+                        "each controller must be listed once, without this one itself");
             }
         }
         JsonNode cluster = root.path("cluster");
@@ -56,25 +65,48 @@
         for (JsonNode zone : list(cluster, "zones")) {
             zones.add(zone.asText());
         }
-        return new Settings(node, text(root, "site"), address(root, "api_addr", ""), address(root, "peer_bind", ""),
-                Map.copyOf(peers), address(root.path("services"), "cloud", "services."),
-                address(root.path("services"), "state", "services."), List.copyOf(zones),
-                positive(cluster, "skew_ms", "cluster.") / 1000, teams(cluster), objectives(cluster),
-                new Settings.Workers(positive(workers, "report_s", "cluster.workers."),
+        return new Settings(
+                node,
+                text(root, "site"),
+                address(root, "api_addr", ""),
+                address(root, "peer_bind", ""),
+                Map.copyOf(peers),
+                address(root.path("services"), "cloud", "services."),
+                address(root.path("services"), "state", "services."),
+                List.copyOf(zones),
+                positive(cluster, "skew_ms", "cluster.") / 1000,
+                teams(cluster),
+                objectives(cluster),
+                new Settings.Workers(
+                        positive(workers, "report_s", "cluster.workers."),
                         positive(workers, "lease_s", "cluster.workers."),
                         positive(workers, "cancel_s", "cluster.workers.")),
                 stateLimits(state),
-                new Settings.Cloud(positive(cloud, "rps", "cluster.cloud."),
+                new Settings.Cloud(
+                        positive(cloud, "rps", "cluster.cloud."),
                         number(cloud, "list_lag_s", "cluster.cloud.")),
-                new Settings.Limits(positive(limits, "cpu_share", "cluster.machine_limits."),
-                        atLeast(limits, "ram_mb", "cluster.machine_limits.", 100, "for the process with its heap"),
-                        (int) atLeast(limits, "max_sockets", "cluster.machine_limits.", 64,
-                                "for the state service, the cloud, the other controllers, users and workers")), operator);
+                new Settings.Limits(
+                        positive(limits, "cpu_share", "cluster.machine_limits."),
+                        atLeast(
+                                limits,
+                                "ram_mb",
+                                "cluster.machine_limits.",
+                                100,
+                                "for the process with its heap"),
+                        (int)
+                                atLeast(
+                                        limits,
+                                        "max_sockets",
+                                        "cluster.machine_limits.",
+                                        64,
+                                        "for the state service, the cloud, the other controllers, users and workers")),
+                operator);
     }
 
     /**
-     * The limits in force and, if there is a second set, those that will be from an unannounced moment on. What is
-     * written keeps to both from the start, so that the moment need not be known.
+     * The limits in force and, if there is a second set, those that will be from an unannounced
+     * moment on. What is written keeps to both from the start, so that the moment need not be
+     * known.
      */
     private Settings.State stateLimits(JsonNode state) throws SettingsException {
         Settings.State now = stateLimits(state, state, "cluster.state.");
@@ -88,12 +120,34 @@
         return now.within(stateLimits(next, state, "cluster.state.next."));
     }
 
-    /** @param otherwise where a limit stands that is not given */
-    private Settings.State stateLimits(JsonNode limits, JsonNode otherwise, String at) throws SettingsException {
-        return new Settings.State(positive(either(limits, otherwise, "rps"), "rps", at),
-                atLeast(either(limits, otherwise, "write_rps"), "write_rps", at, 5, "for rounds beside the leader's record"),
-                (int) (atLeast(either(limits, otherwise, "value_kb"), "value_kb", at, 2, "for the largest submission") * 1024),
-                (int) atLeast(either(limits, otherwise, "txn_ops"), "txn_ops", at, 4, "for a round that replaces older ones"));
+    /**
+     * @param otherwise where a limit stands that is not given
+     */
+    private Settings.State stateLimits(JsonNode limits, JsonNode otherwise, String at)
+            throws SettingsException {
+        return new Settings.State(
+                positive(either(limits, otherwise, "rps"), "rps", at),
+                atLeast(
+                        either(limits, otherwise, "write_rps"),
+                        "write_rps",
+                        at,
+                        5,
+                        "for rounds beside the leader's record"),
+                (int)
+                        (atLeast(
+                                        either(limits, otherwise, "value_kb"),
+                                        "value_kb",
+                                        at,
+                                        2,
+                                        "for the largest submission")
+                                * 1024),
+                (int)
+                        atLeast(
+                                either(limits, otherwise, "txn_ops"),
+                                "txn_ops",
+                                at,
+                                4,
+                                "for a round that replaces older ones"));
     }
 
     private static JsonNode either(JsonNode first, JsonNode second, String field) {
@@ -105,8 +159,13 @@
         int i = 0;
         for (JsonNode team : list(cluster, "teams")) {
             String at = "cluster.teams[" + i++ + "].";
-            teams.add(new Settings.Team(text(team, "name", at), optional(team, "cpus", at),
-                    optional(team, "cpus_max", at), optional(team, "gpus", at), optional(team, "gpus_max", at)));
+            teams.add(
+                    new Settings.Team(
+                            text(team, "name", at),
+                            optional(team, "cpus", at),
+                            optional(team, "cpus_max", at),
+                            optional(team, "gpus", at),
+                            optional(team, "gpus_max", at)));
         }
         return List.copyOf(teams);
     }
@@ -117,9 +176,12 @@
         for (JsonNode objective : list(cluster, "objectives")) {
             String at = "cluster.objectives[" + i++ + "].";
             JsonNode jobClass = objective.path("class");
-            objectives.add(new Settings.Objective(text(objective, "kind", at),
-                    jobClass.isTextual() ? jobClass.textValue() : null, optional(objective, "within_s", at),
-                    optional(objective, "share", at)));
+            objectives.add(
+                    new Settings.Objective(
+                            text(objective, "kind", at),
+                            jobClass.isTextual() ? jobClass.textValue() : null,
+                            optional(objective, "within_s", at),
+                            optional(objective, "share", at)));
         }
         return List.copyOf(objectives);
     }
@@ -173,7 +235,10 @@
         return node.doubleValue();
     }
 
-    /** A limit too small to serve at all stops the start, rather than let the service fail by and by. */
+    /**
+     * A limit too small to serve at all stops the start, rather than let the service fail by and
+     * by.
+     */
     private double atLeast(JsonNode parent, String field, String at, double least, String what)
             throws SettingsException {
         double value = number(parent, field, at);
--- a/src/main/java/org/springmill/protocol/StateMessages.java
+++ b/src/main/java/org/springmill/protocol/StateMessages.java
@@ -9,28 +9,26 @@
     public static final String COMMIT = "/commit";
     public static final String LEASES = "/grants";
 
-    private StateMessages() {
-    }
+    private StateMessages() {}
 
     /** A key with its value and the revision of its last change. */
-    public record Entry(String key, JsonNode value, long version, long lease) {
-    }
+    public record Entry(String key, JsonNode value, long version, long lease) {}
 
-    public record Page(List<Entry> entries, boolean more, long revision) {
-    }
+    public record Page(List<Entry> entries, boolean more, long revision) {}
 
-    /** @param value null for a deletion */
-    public record Change(String key, JsonNode value, long version) {
-    }
+    /**
+     * @param value null for a deletion
+     */
+    public record Change(String key, JsonNode value, long version) {}
 
-    public record Changes(List<Change> changes, long revision) {
-    }
+    public record Changes(List<Change> changes, long revision) {}
 
     /** Version that a key must have; 0 if it must not exist. */
-    public record Condition(String key, long version) {
-    }
+    public record Condition(String key, long version) {}
 
-    /** @param value null to delete; @param lease 0 for none */
+    /**
+     * @param value null to delete; @param lease 0 for none
+     */
     public record Write(String key, JsonNode value, long lease) {
         public static Write put(String key, JsonNode value) {
             return new Write(key, value, 0);
@@ -45,11 +43,18 @@
         return "/store/" + key;
     }
 
-    /** Small pages: reading one must not keep a controller that has just started from answering workers. */
+    /**
+     * Small pages: reading one must not keep a controller that has just started from answering
+     * workers.
+     */
     private static final int PAGE = 100;
 
     public static String listPath(String prefix, String after) {
-        return "/store?under=" + prefix + (after == null ? "" : "&from=" + after) + "&limit=" + PAGE;
+        return "/store?under="
+                + prefix
+                + (after == null ? "" : "&from=" + after)
+                + "&limit="
+                + PAGE;
     }
 
     public static String changesPath(String prefix, long from, long waitMs) {
@@ -73,39 +78,46 @@
     }
 
     public static byte[] commit(List<Condition> conditions, List<Write> writes) {
-        return Json.write(json -> {
-            json.writeArrayFieldStart("when");
-            for (Condition c : conditions) {
-                json.writeStartObject();
-                json.writeStringField("key", c.key());
-                json.writeNumberField("stamp", c.version());
-                json.writeEndObject();
-            }
-            json.writeEndArray();
-            json.writeArrayFieldStart("writes");
-            for (Write w : writes) {
-                json.writeStartObject();
-                if (w.value() == null) {
-                    json.writeStringField("delete", w.key());
-                } else {
-                    json.writeStringField("write", w.key());
-                    json.writeFieldName("value");
-                    json.writeRawValue(new String(Json.bytes(w.value()), java.nio.charset.StandardCharsets.UTF_8));
-                    if (w.lease() != 0) {
-                        json.writeNumberField("tenancy", w.lease());
+        return Json.write(
+                json -> {
+                    json.writeArrayFieldStart("when");
+                    for (Condition c : conditions) {
+                        json.writeStartObject();
+                        json.writeStringField("key", c.key());
+                        json.writeNumberField("stamp", c.version());
+                        json.writeEndObject();
+                    }
+                    json.writeEndArray();
+                    json.writeArrayFieldStart("writes");
+                    for (Write w : writes) {
+                        json.writeStartObject();
+                        if (w.value() == null) {
+                            json.writeStringField("delete", w.key());
+                        } else {
+                            json.writeStringField("write", w.key());
+                            json.writeFieldName("value");
+                            json.writeRawValue(
+                                    new String(
+                                            Json.bytes(w.value()),
+                                            java.nio.charset.StandardCharsets.UTF_8));
+                            if (w.lease() != 0) {
+                                json.writeNumberField("tenancy", w.lease());
+                            }
+                        }
+                        json.writeEndObject();
                     }
-                }
-                json.writeEndObject();
-            }
-            json.writeEndArray();
-        });
+                    json.writeEndArray();
+                });
     }
 
     public static long revision(byte[] body) throws BadMessageException {
         return Json.object(body).path("ledgerRev").longValue();
     }
 
-    /** Whether a transaction was refused for a lease that has ended, rather than for its form or size. */
+    /**
+     * Whether a transaction was refused for a lease that has ended, rather than for its form or
+     * size.
+     */
     public static boolean leaseEnded(byte[] body) throws BadMessageException {
         return Json.object(body).path("error").asText().equals("no such lease");
     }
@@ -127,7 +139,8 @@
         for (JsonNode e : json.path("pairs")) {
             entries.add(entry(e));
         }
-        return new Page(entries, json.path("truncated").asBoolean(), json.path("ledgerRev").longValue());
+        return new Page(
+                entries, json.path("truncated").asBoolean(), json.path("ledgerRev").longValue());
     }
 
     public static Changes changes(byte[] body) throws BadMessageException {
@@ -135,14 +148,20 @@
         List<Change> changes = new ArrayList<>();
         for (JsonNode c : json.path("news")) {
             boolean put = c.has("write");
-            changes.add(new Change(c.path(put ? "write" : "delete").asText(), put ? c.path("value") : null,
-                    c.path("stamp").longValue()));
+            changes.add(
+                    new Change(
+                            c.path(put ? "write" : "delete").asText(),
+                            put ? c.path("value") : null,
+                            c.path("stamp").longValue()));
         }
         return new Changes(changes, json.path("ledgerRev").longValue());
     }
 
     private static Entry entry(JsonNode json) {
-        return new Entry(json.path("key").asText(), json.path("value"), json.path("stamp").longValue(),
+        return new Entry(
+                json.path("key").asText(),
+                json.path("value"),
+                json.path("stamp").longValue(),
                 json.path("tenancy").longValue());
     }
 }
--- a/src/main/java/org/springmill/protocol/Submission.java
+++ b/src/main/java/org/springmill/protocol/Submission.java
@@ -15,12 +15,31 @@
  * @param types the allowed machine types; null for any
  * @param zone the only allowed zone; null for any
  * @param deadlineS from the submission on; null if the job has none
- * @param dependencies ids of the jobs that have to be done before any task of this one starts, each once; empty for none
+ * @param dependencies ids of the jobs that have to be done before any task of this one starts, each
+ *     once; empty for none
  */
-public record Submission(String id, String jobClass, String team, Shape shape, Priority priority, int tasks,
-        double cpus, double gpus, double memoryGb, String image, double imageGb, List<String> types, String zone,
-        boolean oneZone, boolean spread, boolean spot, double estimateS, double checkpointS, double saveS,
-        Double deadlineS, List<String> dependencies) {
+public record Submission(
+        String id,
+        String jobClass,
+        String team,
+        Shape shape,
+        Priority priority,
+        int tasks,
+        double cpus,
+        double gpus,
+        double memoryGb,
+        String image,
+        double imageGb,
+        List<String> types,
+        String zone,
+        boolean oneZone,
+        boolean spread,
+        boolean spot,
+        double estimateS,
+        double checkpointS,
+        double saveS,
+        Double deadlineS,
+        List<String> dependencies) {
 
     private static final Pattern ID = Pattern.compile("run-[0-9]{1,18}");
     private static final int MAX_TASKS = 100_000;
@@ -37,24 +56,55 @@
             throw new BadMessageException("nameId has not the form run-000412");
         }
         JsonNode count = json.path("sacks");
-        if (!count.isIntegralNumber() || !count.canConvertToInt() || count.intValue() < 1 || count.intValue() > MAX_TASKS) {
+        if (!count.isIntegralNumber()
+                || !count.canConvertToInt()
+                || count.intValue() < 1
+                || count.intValue() > MAX_TASKS) {
             throw new BadMessageException("sacks is not a whole number from 1 to " + MAX_TASKS);
         }
-        return new Submission(id, text(json, "grist"), text(json, "crew"),
-                Shape.of(text(json, "shape")), Priority.of(text(json, "urgency")), count.intValue(), amount(json, "vcpus"), amount(json, "cards"),
-                amount(json, "memGb"), text(json, "mould"), amount(json, "pullGb"), types(json.path("frames")),
-                isAbsent(json.path("yard")) ? null : text(json, "yard"), flag(json, "samePlace"), flag(json, "apart"),
-                flag(json, "loaner"), amount(json, "expectS"), amount(json, "stashEveryS"), amount(json, "stashS"),
-                isAbsent(json.path("dueS")) ? null : amount(json, "dueS"), dependencies(json.path(DEPENDENCIES), id));
+        return new Submission(
+                id,
+                text(json, "grist"),
+                text(json, "crew"),
+                Shape.of(text(json, "shape")),
+                Priority.of(text(json, "urgency")),
+                count.intValue(),
+                amount(json, "vcpus"),
+                amount(json, "cards"),
+                amount(json, "memGb"),
+                text(json, "mould"),
+                amount(json, "pullGb"),
+                types(json.path("frames")),
+                isAbsent(json.path("yard")) ? null : text(json, "yard"),
+                flag(json, "samePlace"),
+                flag(json, "apart"),
+                flag(json, "loaner"),
+                amount(json, "expectS"),
+                amount(json, "stashEveryS"),
+                amount(json, "stashS"),
+                isAbsent(json.path("dueS")) ? null : amount(json, "dueS"),
+                dependencies(json.path(DEPENDENCIES), id));
     }
 
     /** The same form that {@link #parse} takes; also how a job is kept in the state service. */
     public ObjectNode toJson() {
         ObjectNode json = Json.newObject();
-        json.put("nameId", id).put("grist", jobClass).put("crew", team).put("shape", shape.wire())
-                .put("urgency", priority.wire()).put("sacks", tasks).put("vcpus", cpus).put("cards", gpus)
-                .put("memGb", memoryGb).put("mould", image).put("pullGb", imageGb).put("samePlace", oneZone)
-                .put("apart", spread).put("loaner", spot).put("expectS", estimateS).put("stashEveryS", checkpointS)
+        json.put("nameId", id)
+                .put("grist", jobClass)
+                .put("crew", team)
+                .put("shape", shape.wire())
+                .put("urgency", priority.wire())
+                .put("sacks", tasks)
+                .put("vcpus", cpus)
+                .put("cards", gpus)
+                .put("memGb", memoryGb)
+                .put("mould", image)
+                .put("pullGb", imageGb)
+                .put("samePlace", oneZone)
+                .put("apart", spread)
+                .put("loaner", spot)
+                .put("expectS", estimateS)
+                .put("stashEveryS", checkpointS)
                 .put("stashS", saveS);
         if (types != null) {
             ArrayNode array = json.putArray("frames");
@@ -66,7 +116,8 @@
         if (deadlineS != null) {
             json.put("dueS", deadlineS);
         }
-        // Only where used, so that every other record keeps the form that the version before this field reads and writes.
+        // Only where used, so that every other record keeps the form that the version before this
+        // field reads and writes.
         if (!dependencies.isEmpty()) {
             ArrayNode array = json.putArray(DEPENDENCIES);
             dependencies.forEach(array::add);
@@ -86,14 +137,54 @@
 
     /** The same job as if it were allowed in one zone only. */
     public Submission inZone(String only) {
-        return new Submission(id, jobClass, team, shape, priority, tasks, cpus, gpus, memoryGb, image, imageGb, types,
-                only, oneZone, spread, spot, estimateS, checkpointS, saveS, deadlineS, dependencies);
+        return new Submission(
+                id,
+                jobClass,
+                team,
+                shape,
+                priority,
+                tasks,
+                cpus,
+                gpus,
+                memoryGb,
+                image,
+                imageGb,
+                types,
+                only,
+                oneZone,
+                spread,
+                spot,
+                estimateS,
+                checkpointS,
+                saveS,
+                deadlineS,
+                dependencies);
     }
 
     /** The same job without its list of types, which nobody asks for once the job has ended. */
     public Submission withoutTypes() {
-        return new Submission(id, jobClass, team, shape, priority, tasks, cpus, gpus, memoryGb, image, imageGb, null,
-                zone, oneZone, spread, spot, estimateS, checkpointS, saveS, deadlineS, dependencies);
+        return new Submission(
+                id,
+                jobClass,
+                team,
+                shape,
+                priority,
+                tasks,
+                cpus,
+                gpus,
+                memoryGb,
+                image,
+                imageGb,
+                null,
+                zone,
+                oneZone,
+                spread,
+                spot,
+                estimateS,
+                checkpointS,
+                saveS,
+                deadlineS,
+                dependencies);
     }
 
     /** How many tasks of the job one zone may hold. */
@@ -111,8 +202,11 @@
 
     private static String text(JsonNode json, String field) throws BadMessageException {
         JsonNode node = json.path(field);
-        if (!node.isTextual() || node.textValue().isEmpty() || node.textValue().length() > MAX_NAME) {
-            throw new BadMessageException(field + " is not a text of 1 to " + MAX_NAME + " characters");
+        if (!node.isTextual()
+                || node.textValue().isEmpty()
+                || node.textValue().length() > MAX_NAME) {
+            throw new BadMessageException(
+                    field + " is not a text of 1 to " + MAX_NAME + " characters");
         }
         return node.textValue();
     }
@@ -152,7 +246,8 @@
     }
 
     /** Each job counts once, however often it is named. */
-    private static List<String> dependencies(JsonNode node, String self) throws BadMessageException {
+    private static List<String> dependencies(JsonNode node, String self)
+            throws BadMessageException {
         if (isAbsent(node)) {
             return List.of();
         }
@@ -162,7 +257,8 @@
         Set<String> ids = new LinkedHashSet<>();
         for (JsonNode id : node) {
             if (!id.isTextual() || !validId(id.textValue())) {
-                throw new BadMessageException(DEPENDENCIES + " holds something that is no job's id");
+                throw new BadMessageException(
+                        DEPENDENCIES + " holds something that is no job's id");
             }
             if (id.textValue().equals(self)) {
                 throw new BadMessageException(DEPENDENCIES + " names the job itself");
--- a/src/main/java/org/springmill/protocol/UserMessages.java
+++ b/src/main/java/org/springmill/protocol/UserMessages.java
@@ -6,12 +6,14 @@
     public static final String WITHDRAW = "/withdraw";
     public static final String READY = "/ready";
 
-    private UserMessages() {
-    }
+    private UserMessages() {}
 
     /** What a user is told of a job. */
     public enum Phase {
-        QUEUED, RUNNING, DONE, CANCELLED;
+        QUEUED,
+        RUNNING,
+        DONE,
+        CANCELLED;
 
         public boolean terminal() {
             return this == DONE || this == CANCELLED;
@@ -23,19 +25,21 @@
     }
 
     public static byte[] phase(String id, Phase phase) {
-        return Json.write(json -> {
-            json.writeStringField("nameId", id);
-            json.writeStringField("phase", phase.wire());
-        });
+        return Json.write(
+                json -> {
+                    json.writeStringField("nameId", id);
+                    json.writeStringField("phase", phase.wire());
+                });
     }
 
     public static byte[] progress(String id, Phase phase, int done, int running) {
-        return Json.write(json -> {
-            json.writeStringField("nameId", id);
-            json.writeStringField("phase", phase.wire());
-            json.writeNumberField("done", done);
-            json.writeNumberField("running", running);
-        });
+        return Json.write(
+                json -> {
+                    json.writeStringField("nameId", id);
+                    json.writeStringField("phase", phase.wire());
+                    json.writeNumberField("done", done);
+                    json.writeNumberField("running", running);
+                });
     }
 
     public static byte[] error(String message) {
--- a/src/main/java/org/springmill/transport/Admission.java
+++ b/src/main/java/org/springmill/transport/Admission.java
@@ -9,13 +9,14 @@
 import org.xnio.StreamConnection;
 
 /**
- * Keeps a place free for whoever comes next: near the limit, each new connection costs the oldest one that never made
- * a whole request, or else the one unused for longest. So a flood of idle or half-sent requests pushes out itself
- * rather than workers and users, who speak every few seconds.
+ * Keeps a place free for whoever comes next: near the limit, each new connection costs the oldest
+ * one that never made a whole request, or else the one unused for longest. So a flood of idle or
+ * half-sent requests pushes out itself rather than workers and users, who speak every few seconds.
  *
- * <p>Where more workers report than there are places, well before that, those without a place get their answer and are
- * asked to come on a new connection the next time. Connections pushed out in turn would each look like a failure of this
- * controller to a worker, which goes to another one then.
+ * <p>Where more workers report than there are places, well before that, those without a place get
+ * their answer and are asked to come on a new connection the next time. Connections pushed out in
+ * turn would each look like a failure of this controller to a worker, which goes to another one
+ * then.
  */
 final class Admission {
     private final int limit;
@@ -33,7 +34,8 @@
             strangers.values().removeIf(c -> !c.isOpen());
         }
         if (strangers.size() + known.size() >= limit) {
-            Iterator<StreamConnection> oldest = (strangers.isEmpty() ? known : strangers).values().iterator();
+            Iterator<StreamConnection> oldest =
+                    (strangers.isEmpty() ? known : strangers).values().iterator();
             IoUtils.safeClose(oldest.next());
             oldest.remove();
         }
--- a/src/main/java/org/springmill/transport/HttpClient.java
+++ b/src/main/java/org/springmill/transport/HttpClient.java
@@ -7,15 +7,17 @@
 
     void send(Request request, Consumer<Reply> done);
 
-    /** @param body may be empty */
-    record Request(String address, String method, String path, byte[] body, double timeoutS) {
-    }
+    /**
+     * @param body may be empty
+     */
+    record Request(String address, String method, String path, byte[] body, double timeoutS) {}
 
     /**
      * What came of a request.
      *
-     * <p>The two ways of having no answer differ in what they prove: a request that was {@link #NOT_SENT} can never
-     * be executed, one that was {@link #LOST} may have been executed, or may yet be, minutes later.
+     * <p>The two ways of having no answer differ in what they prove: a request that was {@link
+     * #NOT_SENT} can never be executed, one that was {@link #LOST} may have been executed, or may
+     * yet be, minutes later.
      */
     record Reply(int status, byte[] body) {
         public static final Reply NOT_SENT = new Reply(-1, new byte[0]);
--- a/src/main/java/org/springmill/transport/HttpHandler.java
+++ b/src/main/java/org/springmill/transport/HttpHandler.java
@@ -14,7 +14,9 @@
         /** The body, or null if it was longer than the limit. */
         byte[] body();
 
-        /** @param retryAfterS sent as {@code Retry-After} when positive */
+        /**
+         * @param retryAfterS sent as {@code Retry-After} when positive
+         */
         void reply(int status, byte[] body, int retryAfterS);
     }
 }
--- a/src/main/java/org/springmill/transport/Loop.java
+++ b/src/main/java/org/springmill/transport/Loop.java
@@ -1,15 +1,17 @@
 package org.springmill.transport;
 
 /**
- * The event loop that owns all state of a controller: a steady clock and timers whose tasks run one at a time.
- * Timers may fire late and every user has to tolerate that.
+ * The event loop that owns all state of a controller: a steady clock and timers whose tasks run one
+ * at a time. Timers may fire late and every user has to tolerate that.
  */
 public interface Loop {
 
     /** Seconds on the steady clock, from an arbitrary start. */
     double now();
 
-    /** Seconds of the time of day, which other controllers share within the bound of the settings. */
+    /**
+     * Seconds of the time of day, which other controllers share within the bound of the settings.
+     */
     double timeOfDay();
 
     Timer after(double seconds, Runnable task);
--- a/src/main/java/org/springmill/transport/PeerLink.java
+++ b/src/main/java/org/springmill/transport/PeerLink.java
@@ -1,6 +1,9 @@
 package org.springmill.transport;
 
-/** Short records between controllers. Nothing is promised: a record may be lost, late, or go to a restarted peer. */
+/**
+ * Short records between controllers. Nothing is promised: a record may be lost, late, or go to a
+ * restarted peer.
+ */
 public interface PeerLink {
 
     void send(String node, byte[] record);
--- a/src/main/java/org/springmill/transport/Transport.java
+++ b/src/main/java/org/springmill/transport/Transport.java
@@ -14,8 +14,10 @@
 public final class Transport implements AutoCloseable {
     /** Requests and answers of this service mostly fit one buffer. */
     private static final int BUFFER_BYTES = 8 * 1024;
+
     /** Workers come with one connection each, users with a few. */
     private static final double SERVER_SHARE = 0.6;
+
     /** Commands to workers go over kept connections as far as these reach. */
     private static final double CLIENT_SHARE = 0.3;
 
@@ -27,20 +29,30 @@
     private final int serverSockets;
 
     /**
-     * @param maxSockets what the platform allows; what neither share takes is for the other controllers and preferred
+     * @param maxSockets what the platform allows; what neither share takes is for the other
+     *     controllers and preferred
      * @param preferred addresses whose connections are not bounded with those to workers
      */
     public Transport(int maxSockets, Set<String> preferred) throws IOException {
         serverSockets = Math.max(16, (int) (maxSockets * SERVER_SHARE));
-        worker = Xnio.getInstance(Transport.class.getClassLoader()).createWorker(OptionMap.builder()
-                .set(Options.WORKER_IO_THREADS, 1)
-                .set(Options.WORKER_TASK_CORE_THREADS, 1)
-                .set(Options.WORKER_TASK_MAX_THREADS, 1)
-                .set(Options.THREAD_DAEMON, false)
-                .getMap());
+        worker =
+                Xnio.getInstance(Transport.class.getClassLoader())
+                        .createWorker(
+                                OptionMap.builder()
+                                        .set(Options.WORKER_IO_THREADS, 1)
+                                        .set(Options.WORKER_TASK_CORE_THREADS, 1)
+                                        .set(Options.WORKER_TASK_MAX_THREADS, 1)
+                                        .set(Options.THREAD_DAEMON, false)
+                                        .getMap());
         thread = worker.getIoThread();
         loop = new XnioLoop(thread);
-        client = new UndertowClients(thread, buffers, loop, Math.max(8, (int) (maxSockets * CLIENT_SHARE)), preferred);
+        client =
+                new UndertowClients(
+                        thread,
+                        buffers,
+                        loop,
+                        Math.max(8, (int) (maxSockets * CLIENT_SHARE)),
+                        preferred);
     }
 
     public Loop loop() {
@@ -53,7 +65,8 @@
 
     /** Serves HTTP on an address ("ip:port") and returns the port that was bound. */
     public int serve(String address, HttpHandler handler) throws IOException {
-        return UndertowServer.start(worker, buffers, loop, Addresses.parse(address), serverSockets, handler);
+        return UndertowServer.start(
+                worker, buffers, loop, Addresses.parse(address), serverSockets, handler);
     }
 
     /** Opens the link to the other controllers. */
--- a/src/main/java/org/springmill/transport/UndertowClients.java
+++ b/src/main/java/org/springmill/transport/UndertowClients.java
@@ -32,20 +32,23 @@
 import org.xnio.channels.StreamSourceChannel;
 
 /**
- * Undertow's client with a small pool of kept connections for each address, one request at a time on each. All together
- * are bounded, for a fleet may have more machines than this process has sockets: past the bound the connection that was
- * unused for longest gives way to a new one.
+ * Undertow's client with a small pool of kept connections for each address, one request at a time
+ * on each. All together are bounded, for a fleet may have more machines than this process has
+ * sockets: past the bound the connection that was unused for longest gives way to a new one.
  */
 final class UndertowClients implements HttpClient {
     private static final Logger LOG = LoggerFactory.getLogger(UndertowClients.class);
 
     private static final int MAX_PER_ADDRESS = 8;
+
     /** While a connection attempt hangs, no other is begun to that address for this long. */
     private static final double CONNECT_AGAIN_S = 5.0;
-    private static final OptionMap OPTIONS = OptionMap.builder()
-            .set(Options.TCP_NODELAY, true)
-            .set(UndertowOptions.ENABLE_HTTP2, false)
-            .getMap();
+
+    private static final OptionMap OPTIONS =
+            OptionMap.builder()
+                    .set(Options.TCP_NODELAY, true)
+                    .set(UndertowOptions.ENABLE_HTTP2, false)
+                    .getMap();
 
     private final XnioIoThread thread;
     private final ByteBufferPool buffers;
@@ -53,17 +56,25 @@
     private final int limit;
     private final Set<String> preferred;
     private final Map<String, Pool> pools = new HashMap<>();
+
     /** Idle connections that may be given up, the one unused for longest first. */
     private final Set<ClientConnection> spare = new LinkedHashSet<>();
+
     /** Pools whose next connection waits for one of another pool to come free. */
     private final Set<Pool> crowdedOut = new LinkedHashSet<>();
+
     private int sockets;
 
     /**
      * @param limit connections that may be open at once, but for those to preferred addresses
      * @param preferred addresses that are few and always served
      */
-    UndertowClients(XnioIoThread thread, ByteBufferPool buffers, Loop loop, int limit, Set<String> preferred) {
+    UndertowClients(
+            XnioIoThread thread,
+            ByteBufferPool buffers,
+            Loop loop,
+            int limit,
+            Set<String> preferred) {
         this.limit = limit;
         this.preferred = preferred;
         this.thread = thread;
@@ -136,7 +147,9 @@
                 }
             }
             boolean stuck = connecting > 0 && loop.now() - lastConnect > CONNECT_AGAIN_S;
-            if (waiting.size() > connecting && open + connecting < MAX_PER_ADDRESS && (connecting < 2 || stuck)) {
+            if (waiting.size() > connecting
+                    && open + connecting < MAX_PER_ADDRESS
+                    && (connecting < 2 || stuck)) {
                 if (!counted || roomForOneMore()) {
                     connect();
                 } else {
@@ -163,26 +176,33 @@
             connecting++;
             count(1);
             lastConnect = loop.now();
-            UndertowClient.getInstance().connect(new ClientCallback<ClientConnection>() {
-                @Override
-                public void completed(ClientConnection connection) {
-                    connecting--;
-                    open++;
-                    connection.getCloseSetter().set(c -> closed(connection));
-                    release(connection);
-                }
+            UndertowClient.getInstance()
+                    .connect(
+                            new ClientCallback<ClientConnection>() {
+                                @Override
+                                public void completed(ClientConnection connection) {
+                                    connecting--;
+                                    open++;
+                                    connection.getCloseSetter().set(c -> closed(connection));
+                                    release(connection);
+                                }
 
-                @Override
-                public void failed(IOException e) {
-                    connecting--;
-                    count(-1);
-                    LOG.debug("connect to {}: {}", address, e.getMessage());
-                    // All that waited for this attempt fail together; each decides for itself what to do next.
-                    while (waiting.size() > connecting) {
-                        waiting.poll().finish(Reply.NOT_SENT);
-                    }
-                }
-            }, uri, thread, buffers, OPTIONS);
+                                @Override
+                                public void failed(IOException e) {
+                                    connecting--;
+                                    count(-1);
+                                    LOG.debug("connect to {}: {}", address, e.getMessage());
+                                    // All that waited for this attempt fail together; each decides
+                                    // for itself what to do next.
+                                    while (waiting.size() > connecting) {
+                                        waiting.poll().finish(Reply.NOT_SENT);
+                                    }
+                                }
+                            },
+                            uri,
+                            thread,
+                            buffers,
+                            OPTIONS);
         }
 
         void release(ClientConnection connection) {
@@ -248,7 +268,12 @@
         }
 
         private void broken(IOException e) {
-            LOG.debug("{} {}{}: {}", request.method(), request.address(), request.path(), e.getMessage());
+            LOG.debug(
+                    "{} {}{}: {}",
+                    request.method(),
+                    request.address(),
+                    request.path(),
+                    e.getMessage());
             finish(Reply.LOST);
             IoUtils.safeClose(connection);
         }
@@ -264,13 +289,26 @@
                 message.getRequestHeaders().put(Headers.CONTENT_LENGTH, body.length);
                 message.getRequestHeaders().put(Headers.CONTENT_TYPE, "application/json");
             }
-            to.sendRequest(message, new ClientCallback<ClientExchange>() {
-                @Override
-                public void completed(ClientExchange exchange) {
-                    exchange.setResponseListener(new ClientCallback<ClientExchange>() {
+            to.sendRequest(
+                    message,
+                    new ClientCallback<ClientExchange>() {
                         @Override
-                        public void completed(ClientExchange answer) {
-                            read(answer);
+                        public void completed(ClientExchange exchange) {
+                            exchange.setResponseListener(
+                                    new ClientCallback<ClientExchange>() {
+                                        @Override
+                                        public void completed(ClientExchange answer) {
+                                            read(answer);
+                                        }
+
+                                        @Override
+                                        public void failed(IOException e) {
+                                            broken(e);
+                                        }
+                                    });
+                            if (body.length > 0) {
+                                write(exchange, ByteBuffer.wrap(body));
+                            }
                         }
 
                         @Override
@@ -278,16 +316,6 @@
                             broken(e);
                         }
                     });
-                    if (body.length > 0) {
-                        write(exchange, ByteBuffer.wrap(body));
-                    }
-                }
-
-                @Override
-                public void failed(IOException e) {
-                    broken(e);
-                }
-            });
         }
 
         private void write(ClientExchange exchange, ByteBuffer body) {
@@ -304,7 +332,10 @@
                 if (channel.flush()) {
                     channel.suspendWrites();
                 } else {
-                    channel.getWriteSetter().set(ChannelListeners.flushingChannelListener(null, (c, e) -> broken(e)));
+                    channel.getWriteSetter()
+                            .set(
+                                    ChannelListeners.flushingChannelListener(
+                                            null, (c, e) -> broken(e)));
                     channel.resumeWrites();
                 }
             } catch (IOException e) {
@@ -317,7 +348,8 @@
             drain(answer, answer.getResponseChannel(), body);
         }
 
-        private void drain(ClientExchange answer, StreamSourceChannel channel, ByteArrayOutputStream body) {
+        private void drain(
+                ClientExchange answer, StreamSourceChannel channel, ByteArrayOutputStream body) {
             try (PooledByteBuffer pooled = buffers.allocate()) {
                 ByteBuffer buffer = pooled.getBuffer();
                 while (true) {
@@ -341,8 +373,14 @@
                 return;
             }
             int status = answer.getResponse().getResponseCode();
-            boolean close = "close".equalsIgnoreCase(answer.getResponse().getResponseHeaders().getFirst(Headers.CONNECTION));
-            // The connection goes back first, so that a follow-up sent from the answer's handler can use it.
+            boolean close =
+                    "close"
+                            .equalsIgnoreCase(
+                                    answer.getResponse()
+                                            .getResponseHeaders()
+                                            .getFirst(Headers.CONNECTION));
+            // The connection goes back first, so that a follow-up sent from the answer's handler
+            // can use it.
             if (close) {
                 IoUtils.safeClose(connection);
             } else if (!finished) {
--- a/src/main/java/org/springmill/transport/UndertowServer.java
+++ b/src/main/java/org/springmill/transport/UndertowServer.java
@@ -27,43 +27,67 @@
 
     static final int MAX_BODY_BYTES = 64 * 1024;
     private static final int MAX_HEADER_BYTES = 8 * 1024;
-    /** A request that was begun has to be complete within this time; a half-sent one must not hold a socket. */
+
+    /**
+     * A request that was begun has to be complete within this time; a half-sent one must not hold a
+     * socket.
+     */
     private static final int REQUEST_MS = 5_000;
+
     private static final int IDLE_MS = 30_000;
 
-    private UndertowServer() {
-    }
+    private UndertowServer() {}
 
-    static int start(XnioWorker worker, ByteBufferPool buffers, Loop loop, InetSocketAddress address, int most,
-            HttpHandler handler) throws IOException {
-        HttpOpenListener listener = new HttpOpenListener(buffers, OptionMap.builder()
-                .set(UndertowOptions.MAX_HEADER_SIZE, MAX_HEADER_BYTES)
-                .set(UndertowOptions.REQUEST_PARSE_TIMEOUT, REQUEST_MS)
-                .set(UndertowOptions.NO_REQUEST_TIMEOUT, IDLE_MS)
-                .set(UndertowOptions.ALWAYS_SET_DATE, false)
-                .set(UndertowOptions.ENABLE_HTTP2, false)
-                .getMap());
-        // Connections past the high mark wait in the backlog: a flood must not take the sockets that this
+    static int start(
+            XnioWorker worker,
+            ByteBufferPool buffers,
+            Loop loop,
+            InetSocketAddress address,
+            int most,
+            HttpHandler handler)
+            throws IOException {
+        HttpOpenListener listener =
+                new HttpOpenListener(
+                        buffers,
+                        OptionMap.builder()
+                                .set(UndertowOptions.MAX_HEADER_SIZE, MAX_HEADER_BYTES)
+                                .set(UndertowOptions.REQUEST_PARSE_TIMEOUT, REQUEST_MS)
+                                .set(UndertowOptions.NO_REQUEST_TIMEOUT, IDLE_MS)
+                                .set(UndertowOptions.ALWAYS_SET_DATE, false)
+                                .set(UndertowOptions.ENABLE_HTTP2, false)
+                                .getMap());
+        // Connections past the high mark wait in the backlog: a flood must not take the sockets
+        // that this
         // controller needs for the state service, the cloud and the workers' commands.
         Admission admission = new Admission(most - most / 8);
-        listener.setRootHandler(exchange -> receive(exchange, loop, call -> {
-            if (!admission.used(exchange.getConnection())) {
-                exchange.setPersistent(false);
-            }
-            handler.handle(call);
-        }));
-        ChannelListener<AcceptingChannel<StreamConnection>> acceptor = ChannelListeners.openListenerAdapter(connection -> {
-            admission.admit(connection);
-            listener.handleEvent(connection);
-        });
-        AcceptingChannel<StreamConnection> channel = worker.createStreamConnectionServer(address, acceptor,
-                OptionMap.builder()
-                        .set(Options.TCP_NODELAY, true)
-                        .set(Options.REUSE_ADDRESSES, true)
-                        .set(Options.BACKLOG, 256)
-                        .set(Options.CONNECTION_HIGH_WATER, most)
-                        .set(Options.CONNECTION_LOW_WATER, most - 4)
-                        .getMap());
+        listener.setRootHandler(
+                exchange ->
+                        receive(
+                                exchange,
+                                loop,
+                                call -> {
+                                    if (!admission.used(exchange.getConnection())) {
+                                        exchange.setPersistent(false);
+                                    }
+                                    handler.handle(call);
+                                }));
+        ChannelListener<AcceptingChannel<StreamConnection>> acceptor =
+                ChannelListeners.openListenerAdapter(
+                        connection -> {
+                            admission.admit(connection);
+                            listener.handleEvent(connection);
+                        });
+        AcceptingChannel<StreamConnection> channel =
+                worker.createStreamConnectionServer(
+                        address,
+                        acceptor,
+                        OptionMap.builder()
+                                .set(Options.TCP_NODELAY, true)
+                                .set(Options.REUSE_ADDRESSES, true)
+                                .set(Options.BACKLOG, 256)
+                                .set(Options.CONNECTION_HIGH_WATER, most)
+                                .set(Options.CONNECTION_LOW_WATER, most - 4)
+                                .getMap());
         channel.resumeAccepts();
         return channel.getLocalAddress(InetSocketAddress.class).getPort();
     }
@@ -78,33 +102,40 @@
             deliver(exchange, new byte[0], handler);
             return;
         }
-        Loop.Timer limit = loop.after(REQUEST_MS / 1000.0, () -> IoUtils.safeClose(exchange.getConnection()));
-        // The limit for bodies of undeclared length has to be set before the request's channel is taken.
+        Loop.Timer limit =
+                loop.after(REQUEST_MS / 1000.0, () -> IoUtils.safeClose(exchange.getConnection()));
+        // The limit for bodies of undeclared length has to be set before the request's channel is
+        // taken.
         exchange.setMaxEntitySize(MAX_BODY_BYTES);
-        exchange.getRequestReceiver().receiveFullBytes((e, body) -> {
-            limit.cancel();
-            deliver(e, body, handler);
-        }, (e, error) -> {
-            limit.cancel();
-            if (error instanceof Receiver.RequestToLargeException) {
-                e.setPersistent(false);
-                deliver(e, null, handler);
-            } else {
-                IoUtils.safeClose(e.getConnection());
-            }
-        });
+        exchange.getRequestReceiver()
+                .receiveFullBytes(
+                        (e, body) -> {
+                            limit.cancel();
+                            deliver(e, body, handler);
+                        },
+                        (e, error) -> {
+                            limit.cancel();
+                            if (error instanceof Receiver.RequestToLargeException) {
+                                e.setPersistent(false);
+                                deliver(e, null, handler);
+                            } else {
+                                IoUtils.safeClose(e.getConnection());
+                            }
+                        });
     }
 
     private static void deliver(HttpServerExchange exchange, byte[] body, HttpHandler handler) {
-        exchange.dispatch(SameThreadExecutor.INSTANCE, () -> {
-            UndertowCall call = new UndertowCall(exchange, body);
-            try {
-                handler.handle(call);
-            } catch (RuntimeException e) {
-                LOG.error("{} {} failed", call.method(), call.path(), e);
-                call.reply(500, new byte[0], 0);
-            }
-        });
+        exchange.dispatch(
+                SameThreadExecutor.INSTANCE,
+                () -> {
+                    UndertowCall call = new UndertowCall(exchange, body);
+                    try {
+                        handler.handle(call);
+                    } catch (RuntimeException e) {
+                        LOG.error("{} {} failed", call.method(), call.path(), e);
+                        call.reply(500, new byte[0], 0);
+                    }
+                });
     }
 
     private static final class UndertowCall implements HttpHandler.Call {
@@ -143,8 +174,12 @@
                 exchange.getResponseHeaders().put(Headers.RETRY_AFTER, retryAfterS);
             }
             if (answer.length > 0) {
-                exchange.getResponseHeaders().put(Headers.CONTENT_TYPE,
-                        answer[0] == '{' ? "application/json" : "text/plain; version=0.0.4");
+                exchange.getResponseHeaders()
+                        .put(
+                                Headers.CONTENT_TYPE,
+                                answer[0] == '{'
+                                        ? "application/json"
+                                        : "text/plain; version=0.0.4");
             }
             exchange.getResponseSender().send(ByteBuffer.wrap(answer));
         }
--- a/src/main/java/org/springmill/transport/XnioLoop.java
+++ b/src/main/java/org/springmill/transport/XnioLoop.java
@@ -31,9 +31,11 @@
         Runnable guarded = () -> runGuarded(task);
         if (seconds <= 0) {
             thread.execute(guarded);
-            return () -> { };
+            return () -> {};
         }
-        XnioExecutor.Key key = thread.executeAfter(guarded, Math.max(1, Math.round(seconds * 1000)), TimeUnit.MILLISECONDS);
+        XnioExecutor.Key key =
+                thread.executeAfter(
+                        guarded, Math.max(1, Math.round(seconds * 1000)), TimeUnit.MILLISECONDS);
         return key::remove;
     }
 
--- a/src/main/java/org/springmill/transport/XnioPeerLink.java
+++ b/src/main/java/org/springmill/transport/XnioPeerLink.java
@@ -21,8 +21,9 @@
 import org.xnio.conduits.ConduitStreamSourceChannel;
 
 /**
- * Records over TCP, each behind its length. Every controller sends on connections that it opened itself and only
- * reads from those it accepted, so that a half-dead connection of one direction never holds up the other.
+ * Records over TCP, each behind its length. Every controller sends on connections that it opened
+ * itself and only reads from those it accepted, so that a half-dead connection of one direction
+ * never holds up the other.
  */
 final class XnioPeerLink implements PeerLink {
     private static final Logger LOG = LoggerFactory.getLogger(XnioPeerLink.class);
@@ -35,33 +36,48 @@
     private final XnioIoThread thread;
     private final Loop loop;
     private final Map<String, Outgoing> outgoing = new HashMap<>();
-    private Listener listener = new Listener() {
-        @Override
-        public void received(byte[] record) {
-            LOG.debug("a record came before anyone takes them");
-        }
-
-        @Override
-        public void refused(String node) {
-            LOG.debug("{} refused before anyone listens", node);
-        }
-    };
+    private Listener listener =
+            new Listener() {
+                @Override
+                public void received(byte[] record) {
+                    LOG.debug("a record came before anyone takes them");
+                }
 
-    XnioPeerLink(XnioWorker worker, XnioIoThread thread, Loop loop, InetSocketAddress listen, Map<String, String> peers)
+                @Override
+                public void refused(String node) {
+                    LOG.debug("{} refused before anyone listens", node);
+                }
+            };
+
+    XnioPeerLink(
+            XnioWorker worker,
+            XnioIoThread thread,
+            Loop loop,
+            InetSocketAddress listen,
+            Map<String, String> peers)
             throws IOException {
         this.thread = thread;
         this.loop = loop;
-        peers.forEach((node, address) -> outgoing.put(node, new Outgoing(node, Addresses.parse(address))));
-        AcceptingChannel<StreamConnection> server = worker.createStreamConnectionServer(listen, channel -> {
-            try {
-                StreamConnection connection;
-                while ((connection = channel.accept()) != null) {
-                    read(connection);
-                }
-            } catch (IOException e) {
-                LOG.debug("accepting a peer: {}", e.getMessage());
-            }
-        }, OptionMap.builder().set(Options.TCP_NODELAY, true).set(Options.REUSE_ADDRESSES, true).getMap());
+        peers.forEach(
+                (node, address) ->
+                        outgoing.put(node, new Outgoing(node, Addresses.parse(address))));
+        AcceptingChannel<StreamConnection> server =
+                worker.createStreamConnectionServer(
+                        listen,
+                        channel -> {
+                            try {
+                                StreamConnection connection;
+                                while ((connection = channel.accept()) != null) {
+                                    read(connection);
+                                }
+                            } catch (IOException e) {
+                                LOG.debug("accepting a peer: {}", e.getMessage());
+                            }
+                        },
+                        OptionMap.builder()
+                                .set(Options.TCP_NODELAY, true)
+                                .set(Options.REUSE_ADDRESSES, true)
+                                .getMap());
         server.resumeAccepts();
     }
 
@@ -81,22 +97,23 @@
     private void read(StreamConnection connection) {
         ByteBuffer buffer = ByteBuffer.allocate(4 + MAX_RECORD_BYTES);
         ConduitStreamSourceChannel source = connection.getSourceChannel();
-        ChannelListener<ConduitStreamSourceChannel> reader = channel -> {
-            try {
-                int n;
-                while ((n = channel.read(buffer)) > 0) {
-                    if (!deliver(buffer)) {
+        ChannelListener<ConduitStreamSourceChannel> reader =
+                channel -> {
+                    try {
+                        int n;
+                        while ((n = channel.read(buffer)) > 0) {
+                            if (!deliver(buffer)) {
+                                IoUtils.safeClose(connection);
+                                return;
+                            }
+                        }
+                        if (n < 0) {
+                            IoUtils.safeClose(connection);
+                        }
+                    } catch (IOException e) {
                         IoUtils.safeClose(connection);
-                        return;
                     }
-                }
-                if (n < 0) {
-                    IoUtils.safeClose(connection);
-                }
-            } catch (IOException e) {
-                IoUtils.safeClose(connection);
-            }
-        };
+                };
         source.setReadListener(reader);
         source.resumeReads();
     }
@@ -139,7 +156,8 @@
                 queue.clear();
                 close();
             }
-            ByteBuffer framed = ByteBuffer.allocate(4 + record.length).putInt(record.length).put(record);
+            ByteBuffer framed =
+                    ByteBuffer.allocate(4 + record.length).putInt(record.length).put(record);
             framed.flip();
             queue.add(framed);
             if (connection != null && connection.isOpen()) {
@@ -150,40 +168,47 @@
         }
 
         private void connect() {
-            IoFuture<StreamConnection> started = thread.openStreamConnection(address, this::opened, OPTIONS);
+            IoFuture<StreamConnection> started =
+                    thread.openStreamConnection(address, this::opened, OPTIONS);
             attempt = started;
-            loop.after(CONNECT_TIMEOUT_S, () -> {
-                if (attempt == started) {
-                    attempt = null;
-                    started.cancel();
-                    queue.clear();
-                }
-            });
-            started.addNotifier((future, ignored) -> {
-                if (future.getStatus() == IoFuture.Status.FAILED && attempt == started) {
-                    attempt = null;
-                    queue.clear();
-                    XnioLoop.runGuarded(() -> listener.refused(node));
-                }
-            }, null);
+            loop.after(
+                    CONNECT_TIMEOUT_S,
+                    () -> {
+                        if (attempt == started) {
+                            attempt = null;
+                            started.cancel();
+                            queue.clear();
+                        }
+                    });
+            started.addNotifier(
+                    (future, ignored) -> {
+                        if (future.getStatus() == IoFuture.Status.FAILED && attempt == started) {
+                            attempt = null;
+                            queue.clear();
+                            XnioLoop.runGuarded(() -> listener.refused(node));
+                        }
+                    },
+                    null);
         }
 
         private void opened(StreamConnection opened) {
             attempt = null;
             connection = opened;
-            // Nothing is ever sent back on this connection; reading only tells when the peer has ended.
+            // Nothing is ever sent back on this connection; reading only tells when the peer has
+            // ended.
             ConduitStreamSourceChannel source = opened.getSourceChannel();
             ByteBuffer scrap = ByteBuffer.allocate(64);
-            source.setReadListener(channel -> {
-                try {
-                    scrap.clear();
-                    if (channel.read(scrap) < 0) {
-                        close();
-                    }
-                } catch (IOException e) {
-                    close();
-                }
-            });
+            source.setReadListener(
+                    channel -> {
+                        try {
+                            scrap.clear();
+                            if (channel.read(scrap) < 0) {
+                                close();
+                            }
+                        } catch (IOException e) {
+                            close();
+                        }
+                    });
             source.resumeReads();
             opened.getSinkChannel().setWriteListener(channel -> flush());
             flush();
--- a/src/test/java/org/springmill/cli/SettingsTest.java
+++ b/src/test/java/org/springmill/cli/SettingsTest.java
@@ -18,7 +18,8 @@
 import picocli.CommandLine;
 
 class SettingsTest {
-    private static final String GOOD = """
+    private static final String GOOD =
+            """
             node = "n-0"
             site = "east"
             api_addr = "10.0.0.1:8080"
@@ -56,11 +57,9 @@
             max_sockets = 800
             """;
 
-    @TempDir
-    private Path folder;
+    @TempDir private Path folder;
 
-    private record Ran(int code, String out, String err) {
-    }
+    private record Ran(int code, String out, String err) {}
 
     /** Runs the command line as a user would, catching what it prints. */
     private static Ran run(String... args) {
@@ -72,7 +71,10 @@
             System.setOut(new PrintStream(outBytes, true, StandardCharsets.UTF_8));
             System.setErr(new PrintStream(errBytes, true, StandardCharsets.UTF_8));
             int code = new CommandLine(new Main()).execute(args);
-            return new Ran(code, outBytes.toString(StandardCharsets.UTF_8), errBytes.toString(StandardCharsets.UTF_8));
+            return new Ran(
+                    code,
+                    outBytes.toString(StandardCharsets.UTF_8),
+                    errBytes.toString(StandardCharsets.UTF_8));
         } finally {
             System.setOut(out);
             System.setErr(err);
@@ -80,27 +82,31 @@
     }
 
     @ParameterizedTest
-    @CsvSource(delimiter = '|', quoteCharacter = '`', value = {
-        "node = \"n-0\"        | node = \"n-0\"           | 0 | fine",
-        "node = \"n-0\"        | ``                       | 2 | node is missing",
-        "node = \"n-0\"        | node = \"\"              | 2 | node must be a text",
-        "node = \"n-0\"        | node = \"n-1\"           | 2 | seeds[0].node",
-        "10.0.0.1:8080         | 10.0.0.1                 | 2 | api_addr",
-        "10.0.0.2:8081         | 10.0.0.2:port            | 2 | seeds[0].addr",
-        "state = \"10.2        | estate = \"10.2          | 2 | services.state",
-        "lease_s = 14.0        | lease_s = 0              | 2 | cluster.workers.lease_s",
-        "lease_s = 14.0        | lease_s = \"14\"         | 2 | cluster.workers.lease_s",
-        "rps = 150.0           | rps = -1                 | 2 | cluster.state.rps",
-        "cpus = 200.0          | cpus = true              | 2 | cluster.teams[0].cpus",
-        "txn_ops = 16          | txn_ops = nan            | 2 | cluster.state.txn_ops",
-        "max_sockets = 800     | max_sockets = 40         | 2 | cluster.machine_limits.max_sockets must be at least 64",
-        "ram_mb = 176.0        | ram_mb = 48              | 2 | cluster.machine_limits.ram_mb must be at least 100",
-        "write_rps = 60.0      | write_rps = 2            | 2 | cluster.state.write_rps must be at least 5",
-        "value_kb = 8.0        | value_kb = 0.5           | 2 | cluster.state.value_kb must be at least 2",
-        "txn_ops = 16          | txn_ops = 1              | 2 | cluster.state.txn_ops must be at least 4",
-        "[cluster.cloud]       | [cluster.cloud           | 2 | not valid TOML",
-    })
-    void settingsAreCheckedWithTheFieldNamed(String from, String to, int code, String says) throws IOException {
+    @CsvSource(
+            delimiter = '|',
+            quoteCharacter = '`',
+            value = {
+                "node = \"n-0\"        | node = \"n-0\"           | 0 | fine",
+                "node = \"n-0\"        | ``                       | 2 | node is missing",
+                "node = \"n-0\"        | node = \"\"              | 2 | node must be a text",
+                "node = \"n-0\"        | node = \"n-1\"           | 2 | seeds[0].node",
+                "10.0.0.1:8080         | 10.0.0.1                 | 2 | api_addr",
+                "10.0.0.2:8081         | 10.0.0.2:port            | 2 | seeds[0].addr",
+                "state = \"10.2        | estate = \"10.2          | 2 | services.state",
+                "lease_s = 14.0        | lease_s = 0              | 2 | cluster.workers.lease_s",
+                "lease_s = 14.0        | lease_s = \"14\"         | 2 | cluster.workers.lease_s",
+                "rps = 150.0           | rps = -1                 | 2 | cluster.state.rps",
+                "cpus = 200.0          | cpus = true              | 2 | cluster.teams[0].cpus",
+                "txn_ops = 16          | txn_ops = nan            | 2 | cluster.state.txn_ops",
+                "max_sockets = 800     | max_sockets = 40         | 2 | cluster.machine_limits.max_sockets must be at least 64",
+                "ram_mb = 176.0        | ram_mb = 48              | 2 | cluster.machine_limits.ram_mb must be at least 100",
+                "write_rps = 60.0      | write_rps = 2            | 2 | cluster.state.write_rps must be at least 5",
+                "value_kb = 8.0        | value_kb = 0.5           | 2 | cluster.state.value_kb must be at least 2",
+                "txn_ops = 16          | txn_ops = 1              | 2 | cluster.state.txn_ops must be at least 4",
+                "[cluster.cloud]       | [cluster.cloud           | 2 | not valid TOML",
+            })
+    void settingsAreCheckedWithTheFieldNamed(String from, String to, int code, String says)
+            throws IOException {
         assertTrue(GOOD.contains(from));
         Path file = Files.writeString(folder.resolve("service.toml"), GOOD.replace(from, to));
         Ran ran = run("check", "--config", file.toString());
@@ -111,17 +117,20 @@
     }
 
     @ParameterizedTest
-    @CsvSource(delimiter = '|', quoteCharacter = '`', value = {
-        "rentals { idle_boots = 2 }              | 0 | fine",
-        "``                                      | 0 | fine",
-        "rentals { idle_boots = \"long\" }        | 2 | rentals.idle_boots must be a number",
-        "rentals { reserve = -1 }                | 2 | rentals.reserve",
-        "rentals { idleboots = 2 }               | 2 | rentals.idleboots is not known; use one of boot_patience",
-        "users { pending_submissions = 0 }       | 2 | users.pending_submissions",
-        "machines { x = 1 }                      | 2 | machines is not known",
-        "rentals = 5                             | 2 | rentals must be a block",
-        "rentals { idle_boots =                  | 2 | operator.hcl",
-    })
+    @CsvSource(
+            delimiter = '|',
+            quoteCharacter = '`',
+            value = {
+                "rentals { idle_boots = 2 }              | 0 | fine",
+                "``                                      | 0 | fine",
+                "rentals { idle_boots = \"long\" }        | 2 | rentals.idle_boots must be a number",
+                "rentals { reserve = -1 }                | 2 | rentals.reserve",
+                "rentals { idleboots = 2 }               | 2 | rentals.idleboots is not known; use one of boot_patience",
+                "users { pending_submissions = 0 }       | 2 | users.pending_submissions",
+                "machines { x = 1 }                      | 2 | machines is not known",
+                "rentals = 5                             | 2 | rentals must be a block",
+                "rentals { idle_boots =                  | 2 | operator.hcl",
+            })
     void operatorsSettingsAreCheckedLikewise(String hcl, int code, String says) throws IOException {
         Path file = Files.writeString(folder.resolve("service.toml"), GOOD);
         Path operator = Files.writeString(folder.resolve("operator.hcl"), hcl);
@@ -132,34 +141,51 @@
         assertFalse(said.contains("Exception"), said);
     }
 
-    /** Whatever is written keeps to both sets, so both are checked, and the smaller of each pair counts. */
+    /**
+     * Whatever is written keeps to both sets, so both are checked, and the smaller of each pair
+     * counts.
+     */
     @ParameterizedTest
-    @CsvSource(delimiter = '|', value = {
-        "{}                                                 | 150, 60, 8192, 16 | fine",
-        "{ value_kb = 2.0, txn_ops = 4, write_rps = 42.0 }  | 150, 42, 2048, 4  | fine",
-        "{ value_kb = 16.0, rps = 100.0, unheard_of = 1 }   | 100, 60, 8192, 16 | fine",
-        "{ value_kb = 1.0 }                                 | | cluster.state.next.value_kb must be at least 2",
-        "{ txn_ops = 2 }                                    | | cluster.state.next.txn_ops must be at least 4",
-        "{ write_rps = -3 }                                 | | cluster.state.next.write_rps",
-        "{ rps = 0 }                                        | | cluster.state.next.rps must be above 0",
-        "5                                                  | | cluster.state.next must be a table",
-    })
+    @CsvSource(
+            delimiter = '|',
+            value = {
+                "{}                                                 | 150, 60, 8192, 16 | fine",
+                "{ value_kb = 2.0, txn_ops = 4, write_rps = 42.0 }  | 150, 42, 2048, 4  | fine",
+                "{ value_kb = 16.0, rps = 100.0, unheard_of = 1 }   | 100, 60, 8192, 16 | fine",
+                "{ value_kb = 1.0 }                                 | | cluster.state.next.value_kb must be at least 2",
+                "{ txn_ops = 2 }                                    | | cluster.state.next.txn_ops must be at least 4",
+                "{ write_rps = -3 }                                 | | cluster.state.next.write_rps",
+                "{ rps = 0 }                                        | | cluster.state.next.rps must be above 0",
+                "5                                                  | | cluster.state.next must be a table",
+            })
     void limitsToComeAreCheckedAndKeptTo(String next, String kept, String says) throws Exception {
-        Path file = Files.writeString(folder.resolve("service.toml"),
-                GOOD.replace("txn_ops = 16", "txn_ops = 16\nnext = " + next));
+        Path file =
+                Files.writeString(
+                        folder.resolve("service.toml"),
+                        GOOD.replace("txn_ops = 16", "txn_ops = 16\nnext = " + next));
         Ran ran = run("check", "--config", file.toString());
         assertEquals(kept == null ? 2 : 0, ran.code(), ran.err());
         assertTrue((ran.out() + ran.err()).contains(says), ran.out() + ran.err());
         if (kept != null) {
             String[] limits = kept.split(", ");
-            assertEquals(new Settings.State(Double.parseDouble(limits[0]), Double.parseDouble(limits[1]),
-                    Integer.parseInt(limits[2]), Integer.parseInt(limits[3])), SettingsFile.read(file, null).state());
+            assertEquals(
+                    new Settings.State(
+                            Double.parseDouble(limits[0]),
+                            Double.parseDouble(limits[1]),
+                            Integer.parseInt(limits[2]),
+                            Integer.parseInt(limits[3])),
+                    SettingsFile.read(file, null).state());
         }
     }
 
     @ParameterizedTest
-    @CsvSource({"--help, 0, check", "--version, 0, springmill", "run --config nowhere.toml, 2, cannot be read",
-        "run, 2, --config", "dance, 2, dance"})
+    @CsvSource({
+        "--help, 0, check",
+        "--version, 0, springmill",
+        "run --config nowhere.toml, 2, cannot be read",
+        "run, 2, --config",
+        "dance, 2, dance"
+    })
     void theCommandLineExplainsItself(String args, int code, String says) {
         Ran ran = run(args.split(" "));
         assertEquals(code, ran.code());
--- a/src/test/java/org/springmill/control/coordination/ChainOrderTest.java
+++ b/src/test/java/org/springmill/control/coordination/ChainOrderTest.java
@@ -10,7 +10,10 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.springmill.sim.World;
 
-/** What comes first where there is not room for all, seen from outside. Room is for eight tasks at a time. */
+/**
+ * What comes first where there is not room for all, seen from outside. Room is for eight tasks at a
+ * time.
+ */
 class ChainOrderTest {
     private static final String FIRST = "run-000001";
     private static final String RIVAL = "run-000002";
@@ -36,14 +39,19 @@
         world.machines("large", "a", 1).run(6);
         world.cloud().runOut();
         // Runs first, so that all that follows waits and is placed in order.
-        world.submit(0, World.job("run-000009", "blue", "sweep", 8, 1, 1).put("urgency", "prod"), 8);
+        world.submit(
+                0, World.job("run-000009", "blue", "sweep", 8, 1, 1).put("urgency", "prod"), 8);
         world.run(1);
     }
 
-    /** Of two jobs of one priority the earlier would come first; what needs it, or needed it, changes that. */
+    /**
+     * Of two jobs of one priority the earlier would come first; what needs it, or needed it,
+     * changes that.
+     */
     @ParameterizedTest
     @CsvSource({
-        // Its own, that of the last of its chain, when that is cancelled, a new leader before and after.
+        // Its own, that of the last of its chain, when that is cancelled, a new leader before and
+        // after.
         "normal, best_effort, none,      first",
         "normal, urgent,      none,      rival",
         "normal, urgent,      cancelled, first",
@@ -70,12 +78,20 @@
         assertEquals(winner, rival ? "rival" : "first");
     }
 
-    /** The last jobs' deadlines, and the estimate of the step between; the job accepted first has the later or none. */
+    /**
+     * The last jobs' deadlines, and the estimate of the step between; the job accepted first has
+     * the later or none.
+     */
     @ParameterizedTest
-    @CsvSource({"200, 100, 10, none, rival", "100, 200, 10, none, first", "100, 120, 40, none, rival",
-        "-1, 300, 10, none, rival", "200, 100, 10, takeover, rival"})
-    void insideAPriorityTheChainWithLeastSlackComesFirst(double firstDue, double rivalDue, double rivalEstimate,
-            String then, String winner) {
+    @CsvSource({
+        "200, 100, 10, none, rival",
+        "100, 200, 10, none, first",
+        "100, 120, 40, none, rival",
+        "-1, 300, 10, none, rival",
+        "200, 100, 10, takeover, rival"
+    })
+    void insideAPriorityTheChainWithLeastSlackComesFirst(
+            double firstDue, double rivalDue, double rivalEstimate, String then, String winner) {
         room();
         world.submit(0, job(FIRST, "normal"), 5);
         world.submit(1, job(RIVAL, "normal").put("expectS", rivalEstimate), 5);
--- a/src/test/java/org/springmill/control/coordination/ChainTest.java
+++ b/src/test/java/org/springmill/control/coordination/ChainTest.java
@@ -69,25 +69,33 @@
     }
 
     @ParameterizedTest
-    @CsvSource(delimiter = '|', quoteCharacter = '`', value = {
-        "null                             | 201 | queued",
-        "[]                               | 201 | queued",
-        "[~run-000001~]                   | 201 | queued",
-        "[~run-000001~,~run-000001~]      | 201 | queued",
-        "~run-000001~                     | 400 | waitsOn is not a list",
-        "{}                               | 400 | waitsOn is not a list",
-        "[1]                              | 400 | waitsOn holds something that is no job's id",
-        "[null]                           | 400 | waitsOn holds something that is no job's id",
-        "[~job-7~]                        | 400 | waitsOn holds something that is no job's id",
-        "[~run-000009~]                   | 400 | waitsOn names the job itself",
-        "[~run-000001~,~run-000007~]      | 422 | run-000007, which was never accepted",
-        "[~run-000002~]                   | 422 | run-000002, a service",
-    }, ignoreLeadingAndTrailingWhitespace = true)
+    @CsvSource(
+            delimiter = '|',
+            quoteCharacter = '`',
+            value = {
+                "null                             | 201 | queued",
+                "[]                               | 201 | queued",
+                "[~run-000001~]                   | 201 | queued",
+                "[~run-000001~,~run-000001~]      | 201 | queued",
+                "~run-000001~                     | 400 | waitsOn is not a list",
+                "{}                               | 400 | waitsOn is not a list",
+                "[1]                              | 400 | waitsOn holds something that is no job's id",
+                "[null]                           | 400 | waitsOn holds something that is no job's id",
+                "[~job-7~]                        | 400 | waitsOn holds something that is no job's id",
+                "[~run-000009~]                   | 400 | waitsOn names the job itself",
+                "[~run-000001~,~run-000007~]      | 422 | run-000007, which was never accepted",
+                "[~run-000002~]                   | 422 | run-000002, a service",
+            },
+            ignoreLeadingAndTrailingWhitespace = true)
     void whatASubmissionNamesIsChecked(String names, int status, String says) {
         submit(0, 1e9, job(1, 1));
         submit(0, 1e9, service(2, 1));
         String body = World.job(id(9), "red", "sweep", 1, 1, 1).toString();
-        body = body.substring(0, body.length() - 1) + ",\"waitsOn\":" + names.replace('~', '"') + "}";
+        body =
+                body.substring(0, body.length() - 1)
+                        + ",\"waitsOn\":"
+                        + names.replace('~', '"')
+                        + "}";
         Reply reply = world.ask(1, "POST", "/submissions", body);
         String said = new String(reply.body(), StandardCharsets.UTF_8);
         assertEquals(status, reply.status(), said);
@@ -106,17 +114,30 @@
         assertTrue(said.contains("bytes to store, more than"), said);
     }
 
-    /** Another controller accepted it a moment ago; without a read of the state service that cannot be told. */
+    /**
+     * Another controller accepted it a moment ago; without a read of the state service that cannot
+     * be told.
+     */
     @Test
     void aNameUnknownHereMayBeKnownElsewhere() {
-        world.network().judge((from, request) -> from.equals("n-1") && request.path().startsWith("/changes?under=job")
-                && !request.path().endsWith("waitMs=0") ? Fate.DROP : Fate.DELIVER);
+        world.network()
+                .judge(
+                        (from, request) ->
+                                from.equals("n-1")
+                                                && request.path().startsWith("/changes?under=job")
+                                                && !request.path().endsWith("waitMs=0")
+                                        ? Fate.DROP
+                                        : Fate.DELIVER);
         world.run(20);
         submit(0, 30, job(1, 1));
         submit(1, 1, job(2, 1, 1));
         submit(0, 30, job(3, 1));
-        world.network().judge((from, request) -> from.equals("n-1") && request.path().startsWith("/changes")
-                ? Fate.REFUSE : Fate.DELIVER);
+        world.network()
+                .judge(
+                        (from, request) ->
+                                from.equals("n-1") && request.path().startsWith("/changes")
+                                        ? Fate.REFUSE
+                                        : Fate.DELIVER);
         assertEquals(503, world.submit(1, job(4, 1, 3), 1));
         // Known there already, in whatever state the jobs are that it names.
         assertEquals(503, world.submit(1, job(3, 1), 1));
@@ -133,7 +154,8 @@
         submit(2, 9, job(3, 2, 1));
         submit(0, 4, job(4, 1, 2, 3, 1));
         allSay("queued", 4);
-        // The image takes a second and each step its time; a second each for reports, records and rounds.
+        // The image takes a second and each step its time; a second each for reports, records and
+        // rounds.
         world.run(2 + 4 + 1 + 9 + 1 + 4 + 4);
         allSay("done", 1, 2, 3, 4);
         assertEquals(200, world.submit(1, job(4, 1, 2, 3, 1), 4));
@@ -191,28 +213,45 @@
         allSay("done", 1, 3, 6);
         allSay("cancelled", 2, 4, 5, 7);
         assertEquals("cancelled", world.state().value("job/" + id(7)).path("end").asText());
-        assertEquals(id(5), world.state().value("job/" + id(7)).path("job").path("waitsOn").path(0).asText());
+        assertEquals(
+                id(5),
+                world.state().value("job/" + id(7)).path("job").path("waitsOn").path(0).asText());
         assertEquals("done", world.withdraw(1, id(1)));
         allSay("done", 3);
     }
 
-    /** Whoever dies, and whichever of its messages goes where, between the end of one step and the start of the next. */
+    /**
+     * Whoever dies, and whichever of its messages goes where, between the end of one step and the
+     * start of the next.
+     */
     @ParameterizedTest
-    @CsvSource({"DROP, end", "LOSE_ANSWER, end", "HOLD, end", "DROP, claim", "LOSE_ANSWER, claim", "HOLD, claim"})
+    @CsvSource({
+        "DROP, end",
+        "LOSE_ANSWER, end",
+        "HOLD, end",
+        "DROP, claim",
+        "LOSE_ANSWER, claim",
+        "HOLD, claim"
+    })
     void aLeaderDiesBetweenTwoSteps(Fate fate, String what) {
         submit(follower(), 3, job(1, 2));
         submit(follower(), 3, job(2, 2, 1));
         int leader = world.leader();
-        world.network().judge((from, request) -> {
-            String body = new String(request.body(), StandardCharsets.UTF_8);
-            boolean hit = from.equals("n-" + leader) && request.path().equals("/commit")
-                    && (what.equals("end") ? body.contains("\"end\":\"done\"")
-                            : body.contains("\"claims\":[[\"" + id(2)));
-            if (hit) {
-                world.clock().after(0.003, () -> world.kill(leader));
-            }
-            return hit ? fate : Fate.DELIVER;
-        });
+        world.network()
+                .judge(
+                        (from, request) -> {
+                            String body = new String(request.body(), StandardCharsets.UTF_8);
+                            boolean hit =
+                                    from.equals("n-" + leader)
+                                            && request.path().equals("/commit")
+                                            && (what.equals("end")
+                                                    ? body.contains("\"end\":\"done\"")
+                                                    : body.contains("\"claims\":[[\"" + id(2)));
+                            if (hit) {
+                                world.clock().after(0.003, () -> world.kill(leader));
+                            }
+                            return hit ? fate : Fate.DELIVER;
+                        });
         world.run(12);
         world.network().releaseHeld();
         world.run(30);
@@ -234,17 +273,23 @@
         allSay("cancelled", 2, 31, 59);
         long before = ended();
         world.run(10);
-        // A tenth of the 20 changes a second that the state service takes, in steps of half a transaction.
+        // A tenth of the 20 changes a second that the state service takes, in steps of half a
+        // transaction.
         assertTrue(ended() - before <= 0.1 * 20 * 10 + 6, ended() + " after " + before);
         world.run(30);
         assertEquals(59, ended());
     }
 
     private long ended() {
-        return world.state().keysUnder("job/").stream().filter(key -> world.state().value(key).has("end")).count();
+        return world.state().keysUnder("job/").stream()
+                .filter(key -> world.state().value(key).has("end"))
+                .count();
     }
 
-    /** A leader that only its workers and users still reach, while a step of a chain is cancelled elsewhere. */
+    /**
+     * A leader that only its workers and users still reach, while a step of a chain is cancelled
+     * elsewhere.
+     */
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
     void aStepIsCancelledWhileItsLeaderIsCutOff(boolean before) {
@@ -266,14 +311,21 @@
         allSay("cancelled", 2, 3);
     }
 
-    /** Pipelines come in a burst while controllers are restarted one after the other and the network holds things back. */
+    /**
+     * Pipelines come in a burst while controllers are restarted one after the other and the network
+     * holds things back.
+     */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
     void controllersRollUnderABurstOfPipelines(long seed) {
         world = new World(seed).machines("large", "a", 2).machines("large", "b", 2).run(6);
         SplittableRandom random = new SplittableRandom(seed);
-        world.network().judge((from, request) -> !from.startsWith("n-") || random.nextInt(100) > 5 ? Fate.DELIVER
-                : Fate.values()[random.nextInt(Fate.values().length)]);
+        world.network()
+                .judge(
+                        (from, request) ->
+                                !from.startsWith("n-") || random.nextInt(100) > 5
+                                        ? Fate.DELIVER
+                                        : Fate.values()[random.nextInt(Fate.values().length)]);
         world.polled();
         for (int i = 0; i < 8; i++) {
             int first = 10 * i + 1;
@@ -293,7 +345,9 @@
         for (int i = 0; i < 8; i++) {
             for (int step = 1; step <= 4; step++) {
                 String phase = world.phase(0, id(10 * i + step));
-                assertTrue(phase.equals("done") || phase.equals("cancelled"), id(10 * i + step) + " is " + phase);
+                assertTrue(
+                        phase.equals("done") || phase.equals("cancelled"),
+                        id(10 * i + step) + " is " + phase);
             }
         }
     }
@@ -308,27 +362,47 @@
         assertTrue(status == 201 || status == 200, job + ": " + status);
     }
 
-    /** Records as each version wrote them, with those of its rounds, and a leader of this version that takes over. */
+    /**
+     * Records as each version wrote them, with those of its rounds, and a leader of this version
+     * that takes over.
+     */
     @Test
     void aLeaderTakesOverRecordsOfBothGenerations() {
         for (int node = 0; node < 3; node++) {
             world.kill(node);
         }
         world.run(5);
-        String form = """
+        String form =
+                """
                 {"v":1%s,"job":{"nameId":"%s","grist":"c","crew":"red","shape":"sweep","urgency":"normal","sacks":2,\
                 "vcpus":1.0,"cards":1.0,"memGb":1.0,"mould":"img-1","pullGb":1.0,"samePlace":false,"apart":false,\
                 "loaner":false,"expectS":10.0,"stashEveryS":0.0,"stashS":0.0%s}}""";
         put("job/" + id(1), form.formatted(",\"end\":\"done\",\"at\":1000000900.0", id(1), ""));
         put("job/" + id(2), form.formatted("", id(2), ""));
-        put("job/" + id(3), form.formatted(",\"accepted\":1000000950.0", id(3), ",\"waitsOn\":[\"run-000001\"]"));
-        put("job/" + id(4), form.formatted(",\"accepted\":1000000950.0", id(4),
-                ",\"waitsOn\":[\"run-000001\",\"run-000002\"]"));
-        put("job/" + id(5), form.formatted(",\"end\":\"cancelled\",\"at\":1000000960.0", id(5), ""));
-        put("job/" + id(6), form.formatted(",\"accepted\":1000000950.0", id(6), ",\"waitsOn\":[\"run-000005\"]"));
-        put("round/000000000000007.00", "{\"v\":1,\"claims\":[[\"run-000001\",0,\"host-000001\",\"k1\"],"
-                + "[\"run-000002\",1,\"host-000009\",\"k2\"]],\"ended\":[],\"done\":[[\"run-000001\",\"0-1\"]]}");
-        put("round/000000000000008.00", "{\"v\":1,\"ended\":[\"k1\",\"k2\"],\"done\":[[\"run-000002\",\"1\"]]}");
+        put(
+                "job/" + id(3),
+                form.formatted(
+                        ",\"accepted\":1000000950.0", id(3), ",\"waitsOn\":[\"run-000001\"]"));
+        put(
+                "job/" + id(4),
+                form.formatted(
+                        ",\"accepted\":1000000950.0",
+                        id(4),
+                        ",\"waitsOn\":[\"run-000001\",\"run-000002\"]"));
+        put(
+                "job/" + id(5),
+                form.formatted(",\"end\":\"cancelled\",\"at\":1000000960.0", id(5), ""));
+        put(
+                "job/" + id(6),
+                form.formatted(
+                        ",\"accepted\":1000000950.0", id(6), ",\"waitsOn\":[\"run-000005\"]"));
+        put(
+                "round/000000000000007.00",
+                "{\"v\":1,\"claims\":[[\"run-000001\",0,\"host-000001\",\"k1\"],"
+                        + "[\"run-000002\",1,\"host-000009\",\"k2\"]],\"ended\":[],\"done\":[[\"run-000001\",\"0-1\"]]}");
+        put(
+                "round/000000000000008.00",
+                "{\"v\":1,\"ended\":[\"k1\",\"k2\"],\"done\":[[\"run-000002\",\"1\"]]}");
         world.assume(job(1, 2), 0, 1);
         world.assume(job(2, 2), 1);
         world.assume(job(3, 2, 1));
@@ -349,7 +423,18 @@
     }
 
     private void put(String key, String value) {
-        world.network().repeat(new Request("state:1", "POST", "/commit", ("{\"when\":[],\"writes\":[{\"write\":\"" + key
-                + "\",\"value\":" + value + "}]}").getBytes(StandardCharsets.UTF_8), 1));
+        world.network()
+                .repeat(
+                        new Request(
+                                "state:1",
+                                "POST",
+                                "/commit",
+                                ("{\"when\":[],\"writes\":[{\"write\":\""
+                                                + key
+                                                + "\",\"value\":"
+                                                + value
+                                                + "}]}")
+                                        .getBytes(StandardCharsets.UTF_8),
+                                1));
     }
 }
--- a/src/test/java/org/springmill/control/coordination/ChainsTest.java
+++ b/src/test/java/org/springmill/control/coordination/ChainsTest.java
@@ -28,38 +28,54 @@
     /** From a line such as "3<1,2": job 3 needs 1 and 2. */
     private static Submission job(String line) throws BadMessageException {
         String[] parts = line.split("<");
-        String body = """
+        String body =
+                """
                 {"nameId":"run-%s","grist":"c","crew":"t","shape":"sweep","urgency":"normal","sacks":1,"vcpus":1,
                  "cards":0,"memGb":1,"mould":"i","pullGb":1,"samePlace":false,"apart":false,"loaner":false,"expectS":1,
-                 "stashEveryS":0,"stashS":0,"waitsOn":[%s]}""".formatted(parts[0],
-                parts.length == 1 ? "" : "\"run-" + parts[1].replace(",", "\",\"run-") + '"');
+                 "stashEveryS":0,"stashS":0,"waitsOn":[%s]}"""
+                        .formatted(
+                                parts[0],
+                                parts.length == 1
+                                        ? ""
+                                        : "\"run-" + parts[1].replace(",", "\",\"run-") + '"');
         return Submission.parse(Json.object(body.getBytes(StandardCharsets.UTF_8)));
     }
 
-    private static JobRecord record(String line, Phase phase, long version) throws BadMessageException {
+    private static JobRecord record(String line, Phase phase, long version)
+            throws BadMessageException {
         return new JobRecord("run-" + line.split("<")[0], job(line), phase, version, 7, 0);
     }
 
     private String cancelled() {
         TreeSet<String> ids = new TreeSet<>();
-        jobs.values().stream().filter(JobRecord::cancelled).forEach(job -> ids.add(job.id().substring(4)));
+        jobs.values().stream()
+                .filter(JobRecord::cancelled)
+                .forEach(job -> ids.add(job.id().substring(4)));
         return String.join(" ", ids);
     }
 
-    /** The same follows from the records in whatever order they are read: pages come by key, changes by revision. */
+    /**
+     * The same follows from the records in whatever order they are read: pages come by key, changes
+     * by revision.
+     */
     @ParameterizedTest
-    @CsvSource(delimiter = '|', quoteCharacter = '`', value = {
-        "1 2<1 3<2                  | 1     | ``    | 1 2 3",
-        "1 2<1 3<2                  | 2     | 1     | 2 3",
-        "1 2<1 3<1 4<2,3            | 3     | 1     | 3 4",
-        "1 2<1 3<1 4<2,3 5 6<4,5    | 1     | 5     | 1 2 3 4 6",
-        "1 2 3<1 4<2 5<3,4          | 2     | 1 3   | 2 4 5",
-        "1 2 3<1                    | 2     | 1     | 2",
-        // A withdrawn follower, and one whose own record says something else: what it needs is cancelled, so it is.
-        "1 2<1 3<2                  | 1 2   | ``    | 1 2 3",
-        "1 2<1 3<2                  | 1     | 2     | 1 2 3",
-    })
-    void cancellationFollowsFromTheRecordsAlone(String graph, String cancelled, String done, String expected)
+    @CsvSource(
+            delimiter = '|',
+            quoteCharacter = '`',
+            value = {
+                "1 2<1 3<2                  | 1     | ``    | 1 2 3",
+                "1 2<1 3<2                  | 2     | 1     | 2 3",
+                "1 2<1 3<1 4<2,3            | 3     | 1     | 3 4",
+                "1 2<1 3<1 4<2,3 5 6<4,5    | 1     | 5     | 1 2 3 4 6",
+                "1 2 3<1 4<2 5<3,4          | 2     | 1 3   | 2 4 5",
+                "1 2 3<1                    | 2     | 1     | 2",
+                // A withdrawn follower, and one whose own record says something else: what it needs
+                // is cancelled, so it is.
+                "1 2<1 3<2                  | 1 2   | ``    | 1 2 3",
+                "1 2<1 3<2                  | 1     | 2     | 1 2 3",
+            })
+    void cancellationFollowsFromTheRecordsAlone(
+            String graph, String cancelled, String done, String expected)
             throws BadMessageException {
         List<JobRecord> records = new ArrayList<>();
         for (String line : graph.split(" ")) {
--- a/src/test/java/org/springmill/control/coordination/FailureTest.java
+++ b/src/test/java/org/springmill/control/coordination/FailureTest.java
@@ -42,7 +42,8 @@
     }
 
     private static boolean starts(Request request) {
-        return request.path().equals("/orders") && new String(request.body(), StandardCharsets.UTF_8).contains("\"start\"");
+        return request.path().equals("/orders")
+                && new String(request.body(), StandardCharsets.UTF_8).contains("\"start\"");
     }
 
     private static boolean toState(Request request) {
@@ -87,14 +88,17 @@
     @EnumSource(Moment.class)
     void aLeaderDiesAroundAStart(Moment moment) {
         int leader = world.leader();
-        world.network().judge((from, request) -> {
-            if (from.equals("n-" + leader) && starts(request)) {
-                world.clock().after(0.0001, () -> world.kill(leader));
-                return moment.fate;
-            }
-            return Fate.DELIVER;
-        });
-        world.submit(follower(), World.job(JOB, "red", "service", 1, 1, 1), Double.POSITIVE_INFINITY);
+        world.network()
+                .judge(
+                        (from, request) -> {
+                            if (from.equals("n-" + leader) && starts(request)) {
+                                world.clock().after(0.0001, () -> world.kill(leader));
+                                return moment.fate;
+                            }
+                            return Fate.DELIVER;
+                        });
+        world.submit(
+                follower(), World.job(JOB, "red", "service", 1, 1, 1), Double.POSITIVE_INFINITY);
         world.run(30);
         assertEquals(1, world.running(JOB));
         world.network().releaseHeld();
@@ -105,16 +109,20 @@
     }
 
     @ParameterizedTest
-    @EnumSource(value = Fate.class, names = {"LOSE_ANSWER", "HOLD", "DROP", "REFUSE"})
+    @EnumSource(
+            value = Fate.class,
+            names = {"LOSE_ANSWER", "HOLD", "DROP", "REFUSE"})
     void aStartIsUncertainWhileTheLeaderLives(Fate fate) {
         boolean[] once = new boolean[1];
-        world.network().judge((from, request) -> {
-            if (starts(request) && !once[0]) {
-                once[0] = true;
-                return fate;
-            }
-            return Fate.DELIVER;
-        });
+        world.network()
+                .judge(
+                        (from, request) -> {
+                            if (starts(request) && !once[0]) {
+                                once[0] = true;
+                                return fate;
+                            }
+                            return Fate.DELIVER;
+                        });
         world.submit(0, World.job(JOB, "red", "service", 1, 1, 1), Double.POSITIVE_INFINITY);
         world.run(40);
         assertEquals(1, world.running(JOB));
@@ -126,18 +134,23 @@
     @Test
     void aHeldStartArrivesAfterItsTaskWasClearedAndDoesNothing() {
         List<Request> seen = new ArrayList<>();
-        world.network().judge((from, request) -> {
-            if (starts(request)) {
-                seen.add(request);
-            }
-            return Fate.DELIVER;
-        });
+        world.network()
+                .judge(
+                        (from, request) -> {
+                            if (starts(request)) {
+                                seen.add(request);
+                            }
+                            return Fate.DELIVER;
+                        });
         world.submit(0, World.job(JOB, "red", "sweep", 1, 1, 1), 3);
         world.run(10);
         assertEquals("done", world.phase(0, JOB));
         seen.forEach(world.network()::repeat);
-        // Not even begun: a start that is refused, not one that is halted while its image is fetched.
-        assertTrue(world.cloud().machines().values().stream().noneMatch(machine -> machine.holds(TASK)));
+        // Not even begun: a start that is refused, not one that is halted while its image is
+        // fetched.
+        assertTrue(
+                world.cloud().machines().values().stream()
+                        .noneMatch(machine -> machine.holds(TASK)));
         world.run(10);
         assertEquals(1, world.starts(TASK));
     }
@@ -146,23 +159,35 @@
     void lateCopiesOfReportsRenewNothingAndProveNothing() {
         world.submit(0, World.job(JOB, "red", "service", 2, 1, 1), Double.POSITIVE_INFINITY);
         List<Request> copies = new ArrayList<>();
-        world.network().judge((from, request) -> {
-            if (request.path().equals("/v1/report")) {
-                copies.add(request);
-            }
-            return Fate.DELIVER;
-        });
+        world.network()
+                .judge(
+                        (from, request) -> {
+                            if (request.path().equals("/v1/report")) {
+                                copies.add(request);
+                            }
+                            return Fate.DELIVER;
+                        });
         world.run(10);
         SimWorker victim = world.holder(TASK);
         victim.hang(true);
-        // Copies of what it said before keep coming; its task still has to be found gone after one lease.
+        // Copies of what it said before keep coming; its task still has to be found gone after one
+        // lease.
         for (int i = 0; i < 40; i++) {
-            copies.stream().filter(r -> new String(r.body(), StandardCharsets.UTF_8).contains(victim.name()))
-                    .limit(3).forEach(world.network()::repeat);
+            copies.stream()
+                    .filter(
+                            r ->
+                                    new String(r.body(), StandardCharsets.UTF_8)
+                                            .contains(victim.name()))
+                    .limit(3)
+                    .forEach(world.network()::repeat);
             world.run(1);
         }
-        assertEquals(2, world.cloud().machines().values().stream().filter(m -> m != victim)
-                .mapToInt(SimWorker::running).sum());
+        assertEquals(
+                2,
+                world.cloud().machines().values().stream()
+                        .filter(m -> m != victim)
+                        .mapToInt(SimWorker::running)
+                        .sum());
     }
 
     /** A node that loses one thing or several, for so long. */
@@ -180,13 +205,22 @@
         int cut = world.leader();
         String name = "n-" + cut;
         world.cutPeers(cut, what.contains("peers"));
-        world.network().judge((from, request) -> {
-            boolean fromWorker = from.startsWith("host-") && request.address().equals("10.0.0." + cut + ":8080");
-            boolean lost = from.equals(name) && (what.contains("state") && toState(request)
-                    || what.contains("workers") && request.address().startsWith("10.1."))
-                    || what.contains("workers") && fromWorker || what.contains("users") && from.equals("user");
-            return lost ? Fate.DROP : Fate.DELIVER;
-        });
+        world.network()
+                .judge(
+                        (from, request) -> {
+                            boolean fromWorker =
+                                    from.startsWith("host-")
+                                            && request.address().equals("10.0.0." + cut + ":8080");
+                            boolean lost =
+                                    from.equals(name)
+                                                    && (what.contains("state") && toState(request)
+                                                            || what.contains("workers")
+                                                                    && request.address()
+                                                                            .startsWith("10.1."))
+                                            || what.contains("workers") && fromWorker
+                                            || what.contains("users") && from.equals("user");
+                            return lost ? Fate.DROP : Fate.DELIVER;
+                        });
         world.run(forS);
         world.network().judge((from, request) -> Fate.DELIVER);
         world.cutPeers(cut, false);
@@ -194,16 +228,21 @@
         assertEquals(4, world.running(JOB));
     }
 
-    /** A late copy must not bring a deleted machine back, to be given work that waits until it is missed again. */
+    /**
+     * A late copy must not bring a deleted machine back, to be given work that waits until it is
+     * missed again.
+     */
     @Test
     void lateCopiesDoNotBringDeletedMachinesBack() {
         List<Request> copies = new ArrayList<>();
-        world.network().judge((from, request) -> {
-            if (request.path().equals("/v1/report")) {
-                copies.add(request);
-            }
-            return Fate.DELIVER;
-        });
+        world.network()
+                .judge(
+                        (from, request) -> {
+                            if (request.path().equals("/v1/report")) {
+                                copies.add(request);
+                            }
+                            return Fate.DELIVER;
+                        });
         world.run(5);
         List<Request> old = List.copyOf(copies);
         world.cloud().runOut();
@@ -212,9 +251,15 @@
         }
         assertEquals(0, world.cloud().machines().size(), "idle machines go back");
         old.forEach(world.network()::repeat);
-        assertEquals(201, world.submit(0, World.job(JOB, "red", "service", 1, 1, 1), Double.POSITIVE_INFINITY));
+        assertEquals(
+                201,
+                world.submit(
+                        0, World.job(JOB, "red", "service", 1, 1, 1), Double.POSITIVE_INFINITY));
         world.run(3);
-        assertEquals(0, world.state().keysUnder("round/").size(), "nothing is placed where no machine is");
+        assertEquals(
+                0,
+                world.state().keysUnder("round/").size(),
+                "nothing is placed where no machine is");
     }
 
     /** What is out of reach for less than a lease keeps what it runs, be it the whole fleet. */
@@ -224,8 +269,12 @@
         world.submit(0, World.job(JOB, "blue", "service", 8, 1, 4), Double.POSITIVE_INFINITY);
         world.run(8);
         int before = world.cloud().machines().size();
-        world.network().judge((from, request) -> from.startsWith("host-") || request.path().equals("/orders")
-                ? Fate.DROP : Fate.DELIVER);
+        world.network()
+                .judge(
+                        (from, request) ->
+                                from.startsWith("host-") || request.path().equals("/orders")
+                                        ? Fate.DROP
+                                        : Fate.DELIVER);
         world.run(forS);
         world.network().judge((from, request) -> Fate.DELIVER);
         world.run(30);
@@ -280,8 +329,14 @@
         world.state().setDown(true);
         world.run(3);
         world.cutPeers(cut, true);
-        world.network().judge((from, request) -> from.equals("n-" + cut)
-                || request.address().equals("10.0.0." + cut + ":8080") ? Fate.DROP : Fate.DELIVER);
+        world.network()
+                .judge(
+                        (from, request) ->
+                                from.equals("n-" + cut)
+                                                || request.address()
+                                                        .equals("10.0.0." + cut + ":8080")
+                                        ? Fate.DROP
+                                        : Fate.DELIVER);
         world.run(cutForS);
         world.state().setDown(false);
         world.run(5);
@@ -299,8 +354,13 @@
         world.submit(0, World.job(JOB, "red", "service", 2, 1, 1), Double.POSITIVE_INFINITY);
         world.run(8);
         int refused = follower();
-        world.network().judge((from, request) -> from.equals("n-" + refused) && toState(request)
-                || request.path().equals("/rentals/delete") ? Fate.REFUSE : Fate.DELIVER);
+        world.network()
+                .judge(
+                        (from, request) ->
+                                from.equals("n-" + refused) && toState(request)
+                                                || request.path().equals("/rentals/delete")
+                                        ? Fate.REFUSE
+                                        : Fate.DELIVER);
         world.run(5);
         SimWorker hung = world.holder(TASK);
         hung.hang(true);
@@ -315,13 +375,20 @@
         world.run(8);
         int alone = world.leader();
         world.cutPeers(alone, true);
-        // The others see an outage and, for lack of a leader, keep the workers; the leader sees only silent workers.
-        world.network().judge((from, request) -> {
-            boolean othersState = !from.equals("n-" + alone) && toState(request);
-            boolean workers = from.startsWith("host-") && request.address().equals("10.0.0." + alone + ":8080")
-                    || from.equals("n-" + alone) && request.address().startsWith("10.1.");
-            return othersState ? Fate.REFUSE : workers ? Fate.DROP : Fate.DELIVER;
-        });
+        // The others see an outage and, for lack of a leader, keep the workers; the leader sees
+        // only silent workers.
+        world.network()
+                .judge(
+                        (from, request) -> {
+                            boolean othersState = !from.equals("n-" + alone) && toState(request);
+                            boolean workers =
+                                    from.startsWith("host-")
+                                                    && request.address()
+                                                            .equals("10.0.0." + alone + ":8080")
+                                            || from.equals("n-" + alone)
+                                                    && request.address().startsWith("10.1.");
+                            return othersState ? Fate.REFUSE : workers ? Fate.DROP : Fate.DELIVER;
+                        });
         world.run(60);
         world.cutPeers(alone, false);
         world.network().judge((from, request) -> Fate.DELIVER);
@@ -334,9 +401,16 @@
         world.submit(0, World.job(JOB, "red", "service", 4, 1, 1), Double.POSITIVE_INFINITY);
         world.run(8);
         int cut = world.leader();
-        world.network().judge((from, request) -> from.startsWith("host-")
-                && request.address().equals("10.0.0." + cut + ":8080") || from.equals("n-" + cut)
-                && request.address().startsWith("10.1.") ? Fate.DROP : Fate.DELIVER);
+        world.network()
+                .judge(
+                        (from, request) ->
+                                from.startsWith("host-")
+                                                        && request.address()
+                                                                .equals("10.0.0." + cut + ":8080")
+                                                || from.equals("n-" + cut)
+                                                        && request.address().startsWith("10.1.")
+                                        ? Fate.DROP
+                                        : Fate.DELIVER);
         world.run(40);
         assertNotEquals(cut, world.leader());
         for (int i = 0; i < 4; i++) {
@@ -356,7 +430,8 @@
             world.restart((leader + 2) % 3);
         }
         world.run(25);
-        // Where the restarted one cannot bear the leader out, the one that is alone keeps the workers.
+        // Where the restarted one cannot bear the leader out, the one that is alone keeps the
+        // workers.
         assertEquals(4, world.running(JOB));
         world.state().setDown(false);
         world.run(20);
@@ -371,12 +446,18 @@
         SimWorker follows = world.holder(TASK);
         world.cutPeers(cut, true);
         // One machine is alone with the old leader: nobody else reaches it, nor it them.
-        world.network().judge((from, request) -> {
-            boolean oldLeader = from.equals("n-" + cut) && toState(request);
-            boolean outwards = from.equals(follows.name()) && !request.address().equals("10.0.0." + cut + ":8080");
-            boolean inwards = !from.equals("n-" + cut) && request.address().equals(follows.address());
-            return oldLeader || outwards || inwards ? Fate.DROP : Fate.DELIVER;
-        });
+        world.network()
+                .judge(
+                        (from, request) -> {
+                            boolean oldLeader = from.equals("n-" + cut) && toState(request);
+                            boolean outwards =
+                                    from.equals(follows.name())
+                                            && !request.address().equals("10.0.0." + cut + ":8080");
+                            boolean inwards =
+                                    !from.equals("n-" + cut)
+                                            && request.address().equals(follows.address());
+                            return oldLeader || outwards || inwards ? Fate.DROP : Fate.DELIVER;
+                        });
         world.run(15);
         assertNotEquals(cut, world.leader());
         // Cancelled meanwhile: within the time allowed everything has to be gone there too.
@@ -410,20 +491,27 @@
     }
 
     /**
-     * A controller that hears nobody keeps its workers in an outage, but only until a cancellation that another one may
-     * have confirmed since has to have taken effect: to it, controllers that are dead and controllers behind a packet
-     * filter look the same, and an outage like being refused alone.
+     * A controller that hears nobody keeps its workers in an outage, but only until a cancellation
+     * that another one may have confirmed since has to have taken effect: to it, controllers that
+     * are dead and controllers behind a packet filter look the same, and an outage like being
+     * refused alone.
      */
     @ParameterizedTest
     @CsvSource({"false, 40, 1", "false, 60, 0", "true, 60, 0"})
-    void aLoneControllerInAnOutageKeepsItsWorkersAsLongAsNoCancellationCanBeDue(boolean cancelled, double forS, int left) {
+    void aLoneControllerInAnOutageKeepsItsWorkersAsLongAsNoCancellationCanBeDue(
+            boolean cancelled, double forS, int left) {
         world.submit(0, World.job(JOB, "red", "service", 1, 1, 1), Double.POSITIVE_INFINITY);
         world.run(8);
         SimWorker holder = world.holder(TASK);
         int alone = world.leader();
         if (cancelled) {
             world.filterPeers();
-            world.network().judge((from, request) -> from.equals("n-" + alone) && toState(request) ? Fate.REFUSE : Fate.DELIVER);
+            world.network()
+                    .judge(
+                            (from, request) ->
+                                    from.equals("n-" + alone) && toState(request)
+                                            ? Fate.REFUSE
+                                            : Fate.DELIVER);
             assertEquals("cancelled", world.withdraw((alone + 1) % 3, JOB));
         }
         for (int i = 0; i < 3; i++) {
@@ -450,18 +538,31 @@
         hosts.add("n-" + inside);
         hosts.add("10.0.0." + inside + ":8080");
         world.cutPeers(inside, true);
-        world.network().judge((from, request) -> hosts.contains(from) == hosts.contains(request.address())
-                ? Fate.DELIVER : Fate.DROP);
+        world.network()
+                .judge(
+                        (from, request) ->
+                                hosts.contains(from) == hosts.contains(request.address())
+                                        ? Fate.DELIVER
+                                        : Fate.DROP);
     }
 
-    /** A zone that is cut off goes on working, whoever led, and also when all controllers are restarted meanwhile. */
+    /**
+     * A zone that is cut off goes on working, whoever led, and also when all controllers are
+     * restarted meanwhile.
+     */
     @ParameterizedTest
-    @CsvSource({"true, false, false", "false, false, false", "false, true, false", "true, true, true"})
+    @CsvSource({
+        "true, false, false",
+        "false, false, false",
+        "false, true, false",
+        "true, true, true"
+    })
     void aZoneThatIsCutOffGoesOnWorking(boolean leaderInside, boolean restarts, boolean outage) {
         var spread = World.job(JOB, "red", "service", 4, 1, 4);
         spread.put("apart", true);
         world.submit(0, spread, Double.POSITIVE_INFINITY);
-        world.submit(0, World.job("run-000002", "blue", "service", 4, 1, 4), Double.POSITIVE_INFINITY);
+        world.submit(
+                0, World.job("run-000002", "blue", "service", 4, 1, 4), Double.POSITIVE_INFINITY);
         world.run(8);
         int before = world.cloud().machines().size();
         int inside = leaderInside ? world.leader() : follower();
@@ -488,8 +589,9 @@
     }
 
     /**
-     * When a zone's cut is over its machines are heard one after the other, at first with the token of the leader inside.
-     * Those heard late, and those that had no time to show the new token, were given back with all that ran on them.
+     * When a zone's cut is over its machines are heard one after the other, at first with the token
+     * of the leader inside. Those heard late, and those that had no time to show the new token,
+     * were given back with all that ran on them.
      */
     @Test
     void machinesOfAZoneAreGivenTimeToBeHeardOnceItsCutIsOver() {
@@ -500,11 +602,19 @@
         cutZone("b", inside);
         world.run(60);
         assertNotEquals(inside, world.leader());
-        List<SimWorker> there = world.cloud().machines().values().stream().filter(m -> m.zone().equals("b")).toList();
+        List<SimWorker> there =
+                world.cloud().machines().values().stream()
+                        .filter(m -> m.zone().equals("b"))
+                        .toList();
         Set<String> addresses = new HashSet<>();
         there.forEach(worker -> addresses.add(worker.address()));
-        world.network().judge((from, request) -> from.equals(there.get(0).name()) || addresses.contains(request.address())
-                ? Fate.DROP : Fate.DELIVER);
+        world.network()
+                .judge(
+                        (from, request) ->
+                                from.equals(there.get(0).name())
+                                                || addresses.contains(request.address())
+                                        ? Fate.DROP
+                                        : Fate.DELIVER);
         world.cutPeers(inside, false);
         world.run(4);
         world.network().judge((from, request) -> Fate.DELIVER);
@@ -515,26 +625,39 @@
         assertEquals(8, world.running(JOB));
     }
 
-    /** Tokens rise between two cuts; the second spell of loneliness must not be judged by those of the first. */
+    /**
+     * Tokens rise between two cuts; the second spell of loneliness must not be judged by those of
+     * the first.
+     */
     @Test
     void aZoneIsCutOffTwice() {
         world.submit(0, World.job(JOB, "blue", "service", 8, 1, 4), Double.POSITIVE_INFINITY);
         world.run(8);
         int inside = follower();
         for (int cut = 0; cut < 2; cut++) {
-            // Its workers first try the controllers that they cannot reach: by then the one inside knows that it is alone.
+            // Its workers first try the controllers that they cannot reach: by then the one inside
+            // knows that it is alone.
             world.cutPeers(inside, true);
-            world.network().judge((from, request) -> from.startsWith("host-") || from.equals("n-" + inside)
-                    ? Fate.DROP : Fate.DELIVER);
+            world.network()
+                    .judge(
+                            (from, request) ->
+                                    from.startsWith("host-") || from.equals("n-" + inside)
+                                            ? Fate.DROP
+                                            : Fate.DELIVER);
             world.run(4);
             cutZone("b", inside);
             world.run(26);
             world.network().judge((from, request) -> Fate.DELIVER);
             world.cutPeers(inside, false);
             world.run(10);
-            assertEquals(201, world.submit(0, World.job("run-00010" + cut, "blue", "sweep", 40, 1, 0), 1));
+            assertEquals(
+                    201,
+                    world.submit(0, World.job("run-00010" + cut, "blue", "sweep", 40, 1, 0), 1));
             world.run(20);
-            assertEquals("done", world.phase(0, "run-00010" + cut), "commands that raise every worker's token");
+            assertEquals(
+                    "done",
+                    world.phase(0, "run-00010" + cut),
+                    "commands that raise every worker's token");
         }
         for (int i = 0; i < 8; i++) {
             assertEquals(1, world.starts(JOB + "/" + i), "task " + i);
@@ -542,14 +665,17 @@
     }
 
     /**
-     * What is cancelled in a cut zone goes in time, with its machine and all else on it, but no sooner than it has to: the
-     * next leader knows from the record since when. The other job's replicas fill the zone's machines beside it.
+     * What is cancelled in a cut zone goes in time, with its machine and all else on it, but no
+     * sooner than it has to: the next leader knows from the record since when. The other job's
+     * replicas fill the zone's machines beside it.
      */
     @ParameterizedTest
     @CsvSource({"20, 40, false", "3, 40, false", "3, 13, true"})
-    void whatIsCancelledInAZoneThatIsCutOffGoesInTime(double restartAfterS, double cutForS, boolean othersStay) {
+    void whatIsCancelledInAZoneThatIsCutOffGoesInTime(
+            double restartAfterS, double cutForS, boolean othersStay) {
         world.submit(0, World.job(JOB, "blue", "service", 4, 1, 4), Double.POSITIVE_INFINITY);
-        world.submit(0, World.job("run-000002", "blue", "service", 4, 1, 4), Double.POSITIVE_INFINITY);
+        world.submit(
+                0, World.job("run-000002", "blue", "service", 4, 1, 4), Double.POSITIVE_INFINITY);
         world.run(8);
         int inside = follower();
         cutZone("b", inside);
@@ -580,7 +706,12 @@
         }
         world.run(9);
         boolean[] undecided = {true};
-        world.network().judge((from, request) -> undecided[0] && request.path().equals("/commit") ? Fate.REFUSE : Fate.DELIVER);
+        world.network()
+                .judge(
+                        (from, request) ->
+                                undecided[0] && request.path().equals("/commit")
+                                        ? Fate.REFUSE
+                                        : Fate.DELIVER);
         for (int i = 0; i < 3; i++) {
             world.restart(i);
         }
@@ -599,8 +730,12 @@
         world.run(8);
         int alone = world.leader();
         world.cutPeers(alone, true);
-        world.network().judge((from, request) -> from.equals("n-" + alone) && !request.address().startsWith("10.1.")
-                ? Fate.DROP : Fate.DELIVER);
+        world.network()
+                .judge(
+                        (from, request) ->
+                                from.equals("n-" + alone) && !request.address().startsWith("10.1.")
+                                        ? Fate.DROP
+                                        : Fate.DELIVER);
         world.run(30);
         assertNotEquals(alone, world.leader());
         assertEquals("cancelled", world.withdraw(world.leader(), JOB));
@@ -614,11 +749,13 @@
         world.submit(0, World.job(JOB, "red", "service", 3, 1, 1), Double.POSITIVE_INFINITY);
         world.run(afterS);
         int[] dropped = new int[1];
-        world.network().judge((from, request) -> {
-            boolean orders = request.path().equals("/orders");
-            dropped[0] += orders ? 1 : 0;
-            return orders ? Fate.HOLD : Fate.DELIVER;
-        });
+        world.network()
+                .judge(
+                        (from, request) -> {
+                            boolean orders = request.path().equals("/orders");
+                            dropped[0] += orders ? 1 : 0;
+                            return orders ? Fate.HOLD : Fate.DELIVER;
+                        });
         assertEquals("cancelled", world.withdraw(1, JOB));
         assertEquals("cancelled", world.withdraw(2, JOB));
         world.run(50);
@@ -648,9 +785,20 @@
     void aWriteOfAnEarlierLeaderThatIsAppliedLateChangesNothing() {
         int old = world.leader();
         boolean[] hold = {true};
-        world.network().judge((from, request) -> hold[0] && from.equals("n-" + old) && request.path().equals("/commit")
-                && new String(request.body(), StandardCharsets.UTF_8).contains("round/") ? Fate.HOLD : Fate.DELIVER);
-        world.submit(follower(), World.job(JOB, "red", "service", 2, 1, 1), Double.POSITIVE_INFINITY);
+        world.network()
+                .judge(
+                        (from, request) ->
+                                hold[0]
+                                                && from.equals("n-" + old)
+                                                && request.path().equals("/commit")
+                                                && new String(
+                                                                request.body(),
+                                                                StandardCharsets.UTF_8)
+                                                        .contains("round/")
+                                        ? Fate.HOLD
+                                        : Fate.DELIVER);
+        world.submit(
+                follower(), World.job(JOB, "red", "service", 2, 1, 1), Double.POSITIVE_INFINITY);
         world.run(1);
         assertEquals(0, world.running(JOB));
         world.kill(old);
@@ -670,12 +818,18 @@
     @Test
     void aCommitWithoutAnswerIsNeitherLostNorDoubled() {
         int[] lost = new int[1];
-        world.network().judge((from, request) -> request.path().equals("/commit") && ++lost[0] % 2 == 1
-                ? Fate.LOSE_ANSWER : Fate.DELIVER);
+        world.network()
+                .judge(
+                        (from, request) ->
+                                request.path().equals("/commit") && ++lost[0] % 2 == 1
+                                        ? Fate.LOSE_ANSWER
+                                        : Fate.DELIVER);
         for (int i = 0; i < 6; i++) {
             int status = 503;
             for (int tries = 0; tries < 5 && status == 503; tries++) {
-                status = world.submit(i % 3, World.job("run-00020" + i, "blue", "sweep", 2, 1, 0), 2);
+                status =
+                        world.submit(
+                                i % 3, World.job("run-00020" + i, "blue", "sweep", 2, 1, 0), 2);
             }
             assertTrue(status == 201 || status == 200, "status " + status);
         }
@@ -693,10 +847,12 @@
         world.submit(0, spread, Double.POSITIVE_INFINITY);
         world.run(8);
         assertEquals(6, world.running(JOB));
-        // Two machines fall silent with what they run; the limit of 16 leaves room for two more tasks, not for six.
+        // Two machines fall silent with what they run; the limit of 16 leaves room for two more
+        // tasks, not for six.
         List<SimWorker> silent = world.cloud().machines().values().stream().limit(2).toList();
         silent.forEach(w -> w.hang(true));
-        world.submit(1, World.job("run-000002", "red", "service", 5, 1, 2), Double.POSITIVE_INFINITY);
+        world.submit(
+                1, World.job("run-000002", "red", "service", 5, 1, 2), Double.POSITIVE_INFINITY);
         world.run(60);
         silent.forEach(w -> w.hang(false));
         world.run(40);
@@ -727,9 +883,17 @@
     @Test
     void ordersDoNotReachAMachineWhoseReportsArrive() {
         SimWorker deaf = world.cloud().machines().values().iterator().next();
-        world.network().judge((from, request) -> request.address().equals(deaf.address()) ? Fate.DROP : Fate.DELIVER);
+        world.network()
+                .judge(
+                        (from, request) ->
+                                request.address().equals(deaf.address())
+                                        ? Fate.DROP
+                                        : Fate.DELIVER);
         for (int i = 0; i < 8; i++) {
-            world.submit(0, World.job("run-00030" + i, "blue", "service", 1, 1, 2), Double.POSITIVE_INFINITY);
+            world.submit(
+                    0,
+                    World.job("run-00030" + i, "blue", "service", 1, 1, 2),
+                    Double.POSITIVE_INFINITY);
         }
         world.run(60);
         for (int i = 0; i < 8; i++) {
@@ -753,7 +917,8 @@
     @Test
     void aGangStartsOnlyWholeAndAnew() {
         world.cloud().runOut();
-        world.submit(0, World.job("run-000002", "blue", "service", 3, 1, 8), Double.POSITIVE_INFINITY);
+        world.submit(
+                0, World.job("run-000002", "blue", "service", 3, 1, 8), Double.POSITIVE_INFINITY);
         world.submit(0, World.job(JOB, "blue", "group", 4, 1, 4), 20);
         world.run(10);
         assertEquals(0, world.running(JOB), "there is room for two of four");
@@ -776,10 +941,14 @@
         world.submit(0, World.job(JOB, "blue", "service", 1, 1, 8), Double.POSITIVE_INFINITY);
         world.run(4);
         for (int i = 0; i < 6; i++) {
-            world.submit(0, World.job("run-00050" + i, "blue", "service", 1, 1, 1), Double.POSITIVE_INFINITY);
+            world.submit(
+                    0,
+                    World.job("run-00050" + i, "blue", "service", 1, 1, 1),
+                    Double.POSITIVE_INFINITY);
             world.run(1);
         }
-        world.submit(0, World.job("run-000002", "blue", "service", 2, 1, 8), Double.POSITIVE_INFINITY);
+        world.submit(
+                0, World.job("run-000002", "blue", "service", 2, 1, 8), Double.POSITIVE_INFINITY);
         world.run(8);
         assertEquals(2, world.running("run-000002"));
     }
@@ -792,7 +961,8 @@
         // Not for work of a lower priority.
         "normal, best_effort, 0, 32",
     })
-    void aGuaranteeIsGivenOnceAndFromExcessOnly(String running, String claiming, int claimed, int left) {
+    void aGuaranteeIsGivenOnceAndFromExcessOnly(
+            String running, String claiming, int claimed, int left) {
         world.cloud().runOut();
         var first = World.job(JOB, "blue", "service", 32, 1, 1);
         world.submit(0, first.put("urgency", running), Double.POSITIVE_INFINITY);
@@ -807,7 +977,10 @@
         }
     }
 
-    /** Who cannot be placed, for its part of the limit is kept for an earlier job, has nobody stopped in its favour. */
+    /**
+     * Who cannot be placed, for its part of the limit is kept for an earlier job, has nobody
+     * stopped in its favour.
+     */
     @Test
     void nobodyGivesWayToAJobThatItsTeamsLimitHoldsBack() {
         World small = new World().machines("large", "a", 4).run(6);
@@ -816,7 +989,8 @@
         small.run(8);
         var elsewhere = World.job("run-000002", "red", "service", 16, 1, 1);
         small.submit(0, elsewhere.put("yard", "b"), Double.POSITIVE_INFINITY);
-        small.submit(0, World.job("run-000003", "red", "service", 4, 1, 1), Double.POSITIVE_INFINITY);
+        small.submit(
+                0, World.job("run-000003", "red", "service", 4, 1, 1), Double.POSITIVE_INFINITY);
         small.run(20);
         for (int i = 0; i < 32; i++) {
             assertEquals(1, small.starts(JOB + "/" + i), "task " + i);
@@ -847,7 +1021,8 @@
 
     @Test
     void aMachineThatIsMostlyFreeIsDrainedAndItsReplicasMoveOnce() {
-        // Four replicas of 3 GPUs fill up two machines of 8 in each zone, one each after the others have gone.
+        // Four replicas of 3 GPUs fill up two machines of 8 in each zone, one each after the others
+        // have gone.
         for (int i = 0; i < 8; i++) {
             var job = World.job("run-00060" + i, "blue", "service", 1, 1, 3);
             world.submit(0, job.put("yard", i < 4 ? "a" : "b"), Double.POSITIVE_INFINITY);
@@ -869,7 +1044,10 @@
             assertTrue(world.starts("run-00060" + i + "/0") <= 2, "moved at most once");
         }
         assertEquals(6, running);
-        assertEquals(4, world.cloud().machines().size(), "three replicas of 3 GPUs do not fit one machine of 8");
+        assertEquals(
+                4,
+                world.cloud().machines().size(),
+                "three replicas of 3 GPUs do not fit one machine of 8");
         for (int i = 0; i < 8; i += 4) {
             for (int j = i; j < i + 4; j++) {
                 if (world.running("run-00060" + j) == 1 && j % 4 != 0) {
@@ -880,14 +1058,21 @@
         }
         world.run(180);
         assertEquals(2, world.cloud().machines().size(), "two of them do");
-        assertEquals(4, java.util.stream.IntStream.range(0, 8).map(i -> world.running("run-00060" + i)).sum());
+        assertEquals(
+                4,
+                java.util.stream.IntStream.range(0, 8)
+                        .map(i -> world.running("run-00060" + i))
+                        .sum());
     }
 
     @Test
     void metricsTellOfTheWork() {
         world.submit(world.leader(), World.job(JOB, "red", "sweep", 3, 1, 1), 2);
         world.run(10);
-        String text = new String(world.ask(world.leader(), "GET", "/metrics", "").body(), StandardCharsets.UTF_8);
+        String text =
+                new String(
+                        world.ask(world.leader(), "GET", "/metrics", "").body(),
+                        StandardCharsets.UTF_8);
         assertTrue(text.contains("springmill_start_seconds_count 3"), text);
         assertTrue(text.contains("springmill_acceptance_seconds_count 1"), text);
         assertTrue(text.contains("springmill_leading 1"), text);
@@ -897,10 +1082,19 @@
     /** Requests that a controller cannot or will not serve, at any node and time. */
     @ParameterizedTest
     @CsvSource({
-        "GET, /submissions, 405", "POST, /submissions/run-000001, 405", "GET, /submissions/run-000001/withdraw, 405",
-        "GET, /submissions/run-000009, 404", "POST, /submissions/run-000009/withdraw, 404", "GET, /submissions/x/y, 404",
-        "GET, /submissions/, 404", "GET, /nowhere, 404", "PUT, /ready, 405", "GET, /v1/report, 405",
-        "POST, /v1/report, 400", "POST, /submissions, 400", "GET, /ready, 200",
+        "GET, /submissions, 405",
+        "POST, /submissions/run-000001, 405",
+        "GET, /submissions/run-000001/withdraw, 405",
+        "GET, /submissions/run-000009, 404",
+        "POST, /submissions/run-000009/withdraw, 404",
+        "GET, /submissions/x/y, 404",
+        "GET, /submissions/, 404",
+        "GET, /nowhere, 404",
+        "PUT, /ready, 405",
+        "GET, /v1/report, 405",
+        "POST, /v1/report, 400",
+        "POST, /submissions, 400",
+        "GET, /ready, 200",
     })
     void otherRequestsAreRefusedCleanly(String method, String path, int status) {
         for (int node = 0; node < 3; node++) {
@@ -909,9 +1103,16 @@
     }
 
     @ParameterizedTest
-    @CsvSource({"green, 1, 1, 1, 422", "red, 1, 1, 99, 422", "red, 3, 1, 8, 422", "red, 2, 1, 8, 201", "blue, 1, 99, 0, 422"})
+    @CsvSource({
+        "green, 1, 1, 1, 422",
+        "red, 1, 1, 99, 422",
+        "red, 3, 1, 8, 422",
+        "red, 2, 1, 8, 201",
+        "blue, 1, 99, 0, 422"
+    })
     void whatCanNeverRunIsSaidAtOnce(String team, int tasks, double cpus, double gpus, int status) {
-        assertEquals(status, world.submit(0, World.job(JOB, team, "service", tasks, cpus, gpus), 1));
+        assertEquals(
+                status, world.submit(0, World.job(JOB, team, "service", tasks, cpus, gpus), 1));
     }
 
     @Test
@@ -920,7 +1121,9 @@
         world.run(60);
         world.kill(world.leader());
         world.run(120);
-        assertTrue(world.state().keysUnder("round/").size() < 60, "rounds kept: " + world.state().keysUnder("round/").size());
+        assertTrue(
+                world.state().keysUnder("round/").size() < 60,
+                "rounds kept: " + world.state().keysUnder("round/").size());
         world.run(100);
         assertEquals("done", world.phase(follower(), JOB));
     }
--- a/src/test/java/org/springmill/control/coordination/GapTest.java
+++ b/src/test/java/org/springmill/control/coordination/GapTest.java
@@ -14,8 +14,8 @@
 import org.springmill.sim.World;
 
 /**
- * The state service refuses the leader alone, other controllers confirm cancellations, and then it is down for all for
- * longer than users have to wait for them, while workers go on reporting.
+ * The state service refuses the leader alone, other controllers confirm cancellations, and then it
+ * is down for all for longer than users have to wait for them, while workers go on reporting.
  */
 class GapTest {
     private static final String JOB = "run-000001";
@@ -27,8 +27,14 @@
     @BeforeEach
     void fourMachinesRunTwoJobs() {
         world = new World().machines("large", "a", 2).machines("large", "b", 2).run(6);
-        assertEquals(201, world.submit(0, World.job(JOB, "blue", "service", 4, 1, 4), Double.POSITIVE_INFINITY));
-        assertEquals(201, world.submit(1, World.job(OTHER, "blue", "service", 4, 1, 4), Double.POSITIVE_INFINITY));
+        assertEquals(
+                201,
+                world.submit(
+                        0, World.job(JOB, "blue", "service", 4, 1, 4), Double.POSITIVE_INFINITY));
+        assertEquals(
+                201,
+                world.submit(
+                        1, World.job(OTHER, "blue", "service", 4, 1, 4), Double.POSITIVE_INFINITY));
         world.run(8);
         assertEquals(8, world.running(JOB) + world.running(OTHER));
         leader = world.leader();
@@ -43,14 +49,21 @@
     /**
      * @param peersCutForS how long the leader loses the other controllers, too
      * @param crash who crashes 6 s into the outage
-     * @param kept whether the other job's replicas go through it all: not where a controller that has forgotten what it
-     *     confirmed, or one that cannot be heard, leaves it open for longer than users wait what else was cancelled
+     * @param kept whether the other job's replicas go through it all: not where a controller that
+     *     has forgotten what it confirmed, or one that cannot be heard, leaves it open for longer
+     *     than users wait what else was cancelled
      */
     @ParameterizedTest
     @CsvSource({
-        "0,  none,      true", "0,  confirmer, true", "0, leader, true", "0, all, false",
-        "20, none,      true", "20, confirmer, false",
-        "90, none,     false", "90, confirmer, false", "90, all, false",
+        "0,  none,      true",
+        "0,  confirmer, true",
+        "0, leader, true",
+        "0, all, false",
+        "20, none,      true",
+        "20, confirmer, false",
+        "90, none,     false",
+        "90, confirmer, false",
+        "90, all, false",
     })
     void whatOthersConfirmedIsGoneInTime(double peersCutForS, String crash, boolean kept) {
         world.state().refuse(leader, true);
@@ -61,7 +74,9 @@
         world.state().setDown(true);
         world.run(6);
         for (int i = 0; i < 3; i++) {
-            if (crash.equals("all") || crash.equals("confirmer") && i == confirmer || crash.equals("leader") && i == leader) {
+            if (crash.equals("all")
+                    || crash.equals("confirmer") && i == confirmer
+                    || crash.equals("leader") && i == leader) {
                 world.restart(i);
             }
         }
@@ -106,8 +121,9 @@
     }
 
     /**
-     * A leader that only its workers and users still reach, with one of them deaf: the cancelled task goes with the
-     * machine, for the leader knows where it is though it is not sure of its lease.
+     * A leader that only its workers and users still reach, with one of them deaf: the cancelled
+     * task goes with the machine, for the leader knows where it is though it is not sure of its
+     * lease.
      */
     @Test
     void aLeaderInDoubtRemovesWhatItCannotStop() {
@@ -118,7 +134,12 @@
         world.state().refuse(leader, true);
         assertEquals("cancelled", world.withdraw((leader + 1) % 3, JOB));
         world.state().setDown(true);
-        world.network().judge((from, request) -> request.address().equals(victim.address()) ? Fate.DROP : Fate.DELIVER);
+        world.network()
+                .judge(
+                        (from, request) ->
+                                request.address().equals(victim.address())
+                                        ? Fate.DROP
+                                        : Fate.DELIVER);
         world.run(43);
         assertEquals(0, world.running(JOB));
     }
--- a/src/test/java/org/springmill/control/coordination/GrowthTest.java
+++ b/src/test/java/org/springmill/control/coordination/GrowthTest.java
@@ -12,7 +12,10 @@
 import org.springmill.sim.SimWorker;
 import org.springmill.sim.World;
 
-/** The service at the size to which its deployments have grown: bounds on counted work, never on time. */
+/**
+ * The service at the size to which its deployments have grown: bounds on counted work, never on
+ * time.
+ */
 class GrowthTest {
     private static final int MACHINES = 200;
     private static final int JOBS = 120;
@@ -26,12 +29,18 @@
 
     @Test
     void workFollowsWhatChangesAndNotTheSizeOfTheFleet() {
-        World world = new World().machines("large", "a", MACHINES / 2).machines("large", "b", MACHINES / 2).run(6);
+        World world =
+                new World()
+                        .machines("large", "a", MACHINES / 2)
+                        .machines("large", "b", MACHINES / 2)
+                        .run(6);
         world.cloud().runOut();
-        world.network().judge((from, request) -> {
-            counted.merge(request.path(), 1, Integer::sum);
-            return Fate.DELIVER;
-        });
+        world.network()
+                .judge(
+                        (from, request) -> {
+                            counted.merge(request.path(), 1, Integer::sum);
+                            return Fate.DELIVER;
+                        });
         // Idle machines would go back: the first jobs take a place on every machine.
         for (int i = 0; i < JOBS; i++) {
             var job = World.job(String.format("run-%06d", i), "blue", "service", REPLICAS, 4, 0);
@@ -45,17 +54,24 @@
         // Nothing happens: no orders, and hardly a write.
         counted.clear();
         world.run(20);
-        assertTrue(count("/orders") <= MACHINES / 20, count("/orders") + " orders while nothing happens");
+        assertTrue(
+                count("/orders") <= MACHINES / 20,
+                count("/orders") + " orders while nothing happens");
         assertTrue(count("/commit") <= 4, count("/commit") + " commits while nothing happens");
-        assertTrue(count("/rentals/delete") <= 4, count("/rentals/delete") + " deletions, though machines go by the dozen");
+        assertTrue(
+                count("/rentals/delete") <= 4,
+                count("/rentals/delete") + " deletions, though machines go by the dozen");
 
-        // One array: commits by the round, one order for each machine that it touches, and its ends.
+        // One array: commits by the round, one order for each machine that it touches, and its
+        // ends.
         counted.clear();
         world.submit(0, World.job("run-900000", "blue", "sweep", 100, 1, 0), 5);
         world.run(20);
         assertEquals("done", world.phase(1, "run-900000"));
         assertTrue(count("/commit") <= 20, count("/commit") + " commits for one array");
-        assertTrue(count("/orders") <= 5 * 100, count("/orders") + " orders for one array of 100 tasks");
+        assertTrue(
+                count("/orders") <= 5 * 100,
+                count("/orders") + " orders for one array of 100 tasks");
 
         // A takeover asks every machine about once, and starts nothing again.
         counted.clear();
@@ -63,7 +79,9 @@
         world.run(20);
         assertEquals(JOBS * REPLICAS, running(world));
         int machines = world.cloud().machines().size();
-        assertTrue(count("/orders") <= 4 * machines, count("/orders") + " orders at a takeover of " + machines);
+        assertTrue(
+                count("/orders") <= 4 * machines,
+                count("/orders") + " orders at a takeover of " + machines);
         assertTrue(count("/commit") <= 10, count("/commit") + " commits at a takeover");
         for (int i = 0; i < JOBS; i++) {
             assertEquals(1, world.starts(String.format("run-%06d/0", i)));
@@ -71,18 +89,27 @@
         assertEquals(List.of(), world.broken());
     }
 
-    /** A fleet half as large again as any yet: what a lost rack and a takeover cost is bounded by what they touch. */
+    /**
+     * A fleet half as large again as any yet: what a lost rack and a takeover cost is bounded by
+     * what they touch.
+     */
     @Test
     void aRackOfALargeFleetIsReplacedAndItsLeaderToo() {
         int machines = 1600;
-        World world = new World().machines("large", "a", machines / 2).machines("large", "b", machines / 2).run(6);
+        World world =
+                new World()
+                        .machines("large", "a", machines / 2)
+                        .machines("large", "b", machines / 2)
+                        .run(6);
         world.cloud().runOut();
         int[] bytes = new int[1];
-        world.network().judge((from, request) -> {
-            counted.merge(request.path(), 1, Integer::sum);
-            bytes[0] = Math.max(bytes[0], request.body().length);
-            return Fate.DELIVER;
-        });
+        world.network()
+                .judge(
+                        (from, request) -> {
+                            counted.merge(request.path(), 1, Integer::sum);
+                            bytes[0] = Math.max(bytes[0], request.body().length);
+                            return Fate.DELIVER;
+                        });
         int jobs = machines / 4;
         for (int i = 0; i < jobs; i++) {
             var job = World.job(String.format("run-%06d", i), "blue", "service", REPLICAS, 4, 0);
@@ -93,16 +120,23 @@
 
         counted.clear();
         int up = world.cloud().machines().size();
-        List<SimWorker> rack = new ArrayList<>(world.cloud().machines().values()).subList(0, up / 5);
+        List<SimWorker> rack =
+                new ArrayList<>(world.cloud().machines().values()).subList(0, up / 5);
         int lost = rack.stream().mapToInt(SimWorker::running).sum();
         assertTrue(lost > 0, "the rack ran something");
         rack.forEach(worker -> worker.hang(true));
         world.run(9);
-        assertEquals(jobs * REPLICAS, running(world, jobs) - rack.stream().mapToInt(SimWorker::running).sum(),
+        assertEquals(
+                jobs * REPLICAS,
+                running(world, jobs) - rack.stream().mapToInt(SimWorker::running).sum(),
                 "all that the rack ran is up elsewhere within " + 9 + " s");
-        assertTrue(count("/rentals/delete") <= 12, count("/rentals/delete") + " deletions for a rack of " + rack.size());
+        assertTrue(
+                count("/rentals/delete") <= 12,
+                count("/rentals/delete") + " deletions for a rack of " + rack.size());
         assertTrue(count("/commit") <= 60, count("/commit") + " commits for " + lost + " replicas");
-        assertTrue(count("/orders") <= 3 * lost + 4 * rack.size(), count("/orders") + " orders for " + lost + " replicas");
+        assertTrue(
+                count("/orders") <= 3 * lost + 4 * rack.size(),
+                count("/orders") + " orders for " + lost + " replicas");
 
         counted.clear();
         world.kill(world.leader());
--- a/src/test/java/org/springmill/control/coordination/ImageCacheTest.java
+++ b/src/test/java/org/springmill/control/coordination/ImageCacheTest.java
@@ -8,7 +8,10 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** A machine of 100 GB that fetches 2 GB a second and was asked for a large and a small image at second 10. */
+/**
+ * A machine of 100 GB that fetches 2 GB a second and was asked for a large and a small image at
+ * second 10.
+ */
 class ImageCacheTest {
     private final ImageCache images = new ImageCache();
 
@@ -18,10 +21,20 @@
         images.need("small", 2, 100, 2, 10);
     }
 
-    /** What fetches already delays what comes next; it must not look like a machine whose link is free. */
+    /**
+     * What fetches already delays what comes next; it must not look like a machine whose link is
+     * free.
+     */
     @ParameterizedTest
-    @CsvSource({"large, 60, 10, 30", "small, 2, 10, 31", "other, 4, 10, 33", "small, 2, 40, 1", "other, 4, 40, 3",
-            "other, 4, 60, 2", "large, 60, 60, 0"})
+    @CsvSource({
+        "large, 60, 10, 30",
+        "small, 2, 10, 31",
+        "other, 4, 10, 33",
+        "small, 2, 40, 1",
+        "other, 4, 40, 3",
+        "other, 4, 60, 2",
+        "large, 60, 60, 0"
+    })
     void aFetchWaitsForThoseBeforeIt(String image, double gb, double now, double waits) {
         assertEquals(waits, images.waitS(image, gb, 2, now), 1e-9);
     }
--- a/src/test/java/org/springmill/control/coordination/LimitsTest.java
+++ b/src/test/java/org/springmill/control/coordination/LimitsTest.java
@@ -42,11 +42,16 @@
     }
 
     private long largest() {
-        return world.state().keysUnder("round/").stream().mapToLong(key -> world.state().value(key).toString().length())
-                .max().orElse(0);
+        return world.state().keysUnder("round/").stream()
+                .mapToLong(key -> world.state().value(key).toString().length())
+                .max()
+                .orElse(0);
     }
 
-    /** Rounds of larger values are read by a leader that keeps to smaller ones, and carried on by many transactions. */
+    /**
+     * Rounds of larger values are read by a leader that keeps to smaller ones, and carried on by
+     * many transactions.
+     */
     @Test
     void storedLargerRoundsAreSplitWhenCarriedOn() {
         machinesAndServices();
@@ -79,26 +84,41 @@
         }
     }
 
-    /** What becomes of the first round that is too large, and of its answer, before the limits change or after. */
+    /**
+     * What becomes of the first round that is too large, and of its answer, before the limits
+     * change or after.
+     */
     @ParameterizedTest
-    @CsvSource({"DELIVER, 0", "LOSE_ANSWER, 0", "DROP, 0", "HOLD, 0", "DELIVER, 1", "LOSE_ANSWER, 1", "HOLD, 1"})
+    @CsvSource({
+        "DELIVER, 0",
+        "LOSE_ANSWER, 0",
+        "DROP, 0",
+        "HOLD, 0",
+        "DELIVER, 1",
+        "LOSE_ANSWER, 1",
+        "HOLD, 1"
+    })
     void aRefusalForSizeEndsNoTermAndIsNotRepeated(Fate fate, int later) {
         world.machines("large", "a", 4).machines("large", "b", 4).run(6);
         int leader = world.leader();
         String term = world.state().value("leader").toString();
         int[] seen = new int[1];
-        world.network().judge((from, request) -> {
-            boolean round = request.path().equals("/commit")
-                    && new String(request.body(), StandardCharsets.UTF_8).contains("\"claims\":[[\"" + id(1));
-            if (round && seen[0]++ == later) {
-                world.clock().after(0.001, () -> world.state().limit(2048, 3));
-                return fate;
-            }
-            if (round && later == 1 && seen[0] == 1) {
-                world.state().limit(2048, 3);
-            }
-            return Fate.DELIVER;
-        });
+        world.network()
+                .judge(
+                        (from, request) -> {
+                            boolean round =
+                                    request.path().equals("/commit")
+                                            && new String(request.body(), StandardCharsets.UTF_8)
+                                                    .contains("\"claims\":[[\"" + id(1));
+                            if (round && seen[0]++ == later) {
+                                world.clock().after(0.001, () -> world.state().limit(2048, 3));
+                                return fate;
+                            }
+                            if (round && later == 1 && seen[0] == 1) {
+                                world.state().limit(2048, 3);
+                            }
+                            return Fate.DELIVER;
+                        });
         assertEquals(201, world.submit(leader, job(1, "service", 90), 1e9));
         world.run(10);
         world.network().releaseHeld();
--- a/src/test/java/org/springmill/control/coordination/MeetingTest.java
+++ b/src/test/java/org/springmill/control/coordination/MeetingTest.java
@@ -22,13 +22,14 @@
 import org.springmill.transport.HttpClient.Request;
 
 /**
- * Two troubles at once; docs/meetings.md lists them. All rules are watched throughout, and after each meeting work has
- * to go on: every job that is not over runs, and its user gets answers.
+ * Two troubles at once; docs/meetings.md lists them. All rules are watched throughout, and after
+ * each meeting work has to go on: every job that is not over runs, and its user gets answers.
  */
 class MeetingTest {
     private static final String JOB = "run-000001";
     private static final String OTHER = "run-000002";
     private static final double FOREVER = Double.POSITIVE_INFINITY;
+
     /** Longer than a job may wait beside room that fits. */
     private static final double AFTERWARDS_S = 110;
 
@@ -72,7 +73,11 @@
         for (int i = 0; i < forS / 2; i++) {
             String id = String.format("run-%06d", 1000 + random.nextInt(100_000));
             int node = random.nextInt(3);
-            if (world.submit(node, World.job(id, "blue", "sweep", 1 + random.nextInt(3), 1, 1), 1 + random.nextInt(20)) == 201
+            if (world.submit(
+                                    node,
+                                    World.job(id, "blue", "sweep", 1 + random.nextInt(3), 1, 1),
+                                    1 + random.nextInt(20))
+                            == 201
                     && random.nextInt(4) == 0) {
                 world.run(random.nextDouble() * 3);
                 world.withdraw((node + 1) % 3, id);
@@ -81,21 +86,28 @@
         }
     }
 
-    /** The first copy of a round's transaction arrives when the second has been applied and compacted away again. */
+    /**
+     * The first copy of a round's transaction arrives when the second has been applied and
+     * compacted away again.
+     */
     @Test
     void aTransactionAppliedAfterItsRoundWasCompactedRaisesNothingFromTheDead() {
         begin(1);
         int leader = world.leader();
         boolean[] once = new boolean[1];
         String[] key = new String[1];
-        world.network().judge((from, request) -> {
-            if (request.path().equals("/commit") && text(request).contains(JOB + "\",0") && !once[0]) {
-                once[0] = true;
-                key[0] = text(request).replaceAll("(?s).*?(round/[0-9.]+).*", "$1");
-                return Fate.HOLD;
-            }
-            return Fate.DELIVER;
-        });
+        world.network()
+                .judge(
+                        (from, request) -> {
+                            if (request.path().equals("/commit")
+                                    && text(request).contains(JOB + "\",0")
+                                    && !once[0]) {
+                                once[0] = true;
+                                key[0] = text(request).replaceAll("(?s).*?(round/[0-9.]+).*", "$1");
+                                return Fate.HOLD;
+                            }
+                            return Fate.DELIVER;
+                        });
         acceptService(JOB, "blue", 1, 1);
         world.run(5);
         assertEquals(1, world.running(JOB));
@@ -103,7 +115,11 @@
         first.notice(600);
         world.run(5);
         assertNotEquals(first, world.holder(JOB + "/0"));
-        for (int i = 0; i < 80 && world.state().value(key[0]) != null && !world.state().value(key[0]).path("claims").isEmpty(); i++) {
+        for (int i = 0;
+                i < 80
+                        && world.state().value(key[0]) != null
+                        && !world.state().value(key[0]).path("claims").isEmpty();
+                i++) {
             accept(World.job("run-0005" + (10 + i), "blue", "sweep", 4, 1, 1), 1);
             world.run(3);
         }
@@ -125,7 +141,10 @@
         churn(30, new SplittableRandom(seed + 100));
     }
 
-    /** What nobody renews any more may still be carried out within its lease, for a process that has gone on. */
+    /**
+     * What nobody renews any more may still be carried out within its lease, for a process that has
+     * gone on.
+     */
     @ParameterizedTest
     @ValueSource(doubles = {1.2, 1.6, 2, 2.4, 2.7, 4})
     void aCampaignsWriteIsCarriedOutLate(double afterS) {
@@ -133,8 +152,14 @@
         acceptService(JOB, "red", 4, 1);
         world.run(5);
         boolean[] hold = {true};
-        world.network().judge((from, request) -> hold[0] && request.path().equals("/commit")
-                && text(request).contains("incarnation") ? Fate.HOLD : Fate.DELIVER);
+        world.network()
+                .judge(
+                        (from, request) ->
+                                hold[0]
+                                                && request.path().equals("/commit")
+                                                && text(request).contains("incarnation")
+                                        ? Fate.HOLD
+                                        : Fate.DELIVER);
         int old = world.leader();
         world.kill(old);
         for (int i = 0; i < 200 && !world.network().holdsAny(); i++) {
@@ -153,7 +178,10 @@
         accept(World.job(OTHER, "red", "sweep", 2, 1, 1), 2);
     }
 
-    /** Old reports come after newer ones, also from an earlier session or attempt, to old and new leaders. */
+    /**
+     * Old reports come after newer ones, also from an earlier session or attempt, to old and new
+     * leaders.
+     */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
     void oldReportsArriveAfterNewerOnes(long seed) {
@@ -183,8 +211,15 @@
         SimWorker victim = world.holder(JOB + "/0");
         int next = (old + 1) % 3;
         world.kill((old + 2) % 3);
-        world.network().judge((from, request) -> from.equals(victim.name()) || request.address().equals(victim.address())
-                ? request.address().startsWith("10.0.0." + next) ? Fate.HOLD : Fate.DROP : Fate.DELIVER);
+        world.network()
+                .judge(
+                        (from, request) ->
+                                from.equals(victim.name())
+                                                || request.address().equals(victim.address())
+                                        ? request.address().startsWith("10.0.0." + next)
+                                                ? Fate.HOLD
+                                                : Fate.DROP
+                                        : Fate.DELIVER);
         world.run(1);
         world.kill(old);
         world.run(12);
@@ -230,7 +265,10 @@
         }
     }
 
-    /** More work than room, small and large, over slow links: the largest have to begin, too, within four minutes. */
+    /**
+     * More work than room, small and large, over slow links: the largest have to begin, too, within
+     * four minutes.
+     */
     @ParameterizedTest
     @CsvSource({"normal, sweep", "best_effort, sweep", "urgent, sweep", "normal, service"})
     void theLargestBeginThoughThereIsMoreWorkThanRoom(String urgency, String shape) {
@@ -239,11 +277,21 @@
         world.fetchesTake(6);
         int n = 0;
         for (; n < 20; n++) {
-            world.submit(n % 3, World.job("run-00" + (2000 + n), "blue", "sweep", 6, 1, 1).put("urgency", urgency), 15 + n % 7);
-        }
-        accept(World.job(JOB, "blue", shape, 1, 16, 8).put("urgency", urgency), shape.equals("sweep") ? 20 : FOREVER);
+            world.submit(
+                    n % 3,
+                    World.job("run-00" + (2000 + n), "blue", "sweep", 6, 1, 1)
+                            .put("urgency", urgency),
+                    15 + n % 7);
+        }
+        accept(
+                World.job(JOB, "blue", shape, 1, 16, 8).put("urgency", urgency),
+                shape.equals("sweep") ? 20 : FOREVER);
         for (int i = 0; i < 48 && world.starts(JOB + "/0") == 0; i++) {
-            world.submit(n % 3, World.job("run-00" + (2000 + n++), "blue", "sweep", 7, 1, 1).put("urgency", urgency), 15 + n % 7);
+            world.submit(
+                    n % 3,
+                    World.job("run-00" + (2000 + n++), "blue", "sweep", 7, 1, 1)
+                            .put("urgency", urgency),
+                    15 + n % 7);
             world.run(5);
         }
         assertEquals(1, world.starts(JOB + "/0"));
@@ -251,7 +299,10 @@
         world.run(150);
     }
 
-    /** A controller that only workers and users still reach, while jobs are cancelled through another one. */
+    /**
+     * A controller that only workers and users still reach, while jobs are cancelled through
+     * another one.
+     */
     @ParameterizedTest
     @CsvSource({"30, 0", "60, 0", "110, 0", "60, 12"})
     void aLeaderIsCutOffFromTheStateServiceAndFromTheOthers(double forS, double hangS) {
@@ -288,11 +339,21 @@
         SplittableRandom random = new SplittableRandom(seed);
         acceptService(JOB, "red", 4, 1);
         if (commands) {
-            world.network().delayRequests((from, request) -> request.path().equals("/orders") && random.nextInt(3) == 0
-                    ? random.nextDouble() * 9 : 0);
+            world.network()
+                    .delayRequests(
+                            (from, request) ->
+                                    request.path().equals("/orders") && random.nextInt(3) == 0
+                                            ? random.nextDouble() * 9
+                                            : 0);
         } else {
-            world.network().delayAnswers((from, request) -> request.path().equals("/orders") && random.nextInt(3) == 0
-                    || from.startsWith("host") && random.nextInt(5) == 0 ? random.nextDouble() * 9 : 0);
+            world.network()
+                    .delayAnswers(
+                            (from, request) ->
+                                    request.path().equals("/orders") && random.nextInt(3) == 0
+                                                    || from.startsWith("host")
+                                                            && random.nextInt(5) == 0
+                                            ? random.nextDouble() * 9
+                                            : 0);
         }
         churn(40, random);
         world.restart(Math.max(0, world.leader()));
@@ -301,9 +362,16 @@
 
     /** Waiting work is rented for in that very zone. */
     @ParameterizedTest
-    @CsvSource({"service, true, false, taken", "sweep, true, false, taken", "service, false, true, taken",
-        "sweep, false, true, taken", "service, true, false, hung", "service, false, true, hung"})
-    void jobsBoundToOneZoneLoseItsMachines(String shape, boolean zoneNamed, boolean samePlace, String how) {
+    @CsvSource({
+        "service, true, false, taken",
+        "sweep, true, false, taken",
+        "service, false, true, taken",
+        "sweep, false, true, taken",
+        "service, true, false, hung",
+        "service, false, true, hung"
+    })
+    void jobsBoundToOneZoneLoseItsMachines(
+            String shape, boolean zoneNamed, boolean samePlace, String how) {
         begin(1);
         ObjectNode job = World.job(JOB, "blue", shape, 4, 1, 8).put("samePlace", samePlace);
         if (zoneNamed) {
@@ -327,23 +395,48 @@
         assertEquals(List.of(), world.unserved());
     }
 
-    /** A machine on which the job failed is no room for it, though nobody else has complained of it yet. */
+    /**
+     * A machine on which the job failed is no room for it, though nobody else has complained of it
+     * yet.
+     */
     @Test
     void theOnlyRoomInAZoneIsOnAFaultyMachine() {
         begin(1);
         accept(World.job(OTHER, "blue", "service", 1, 1, 8).put("yard", "b"), FOREVER);
         world.run(5);
         SimWorker sound = world.holder(OTHER + "/0");
-        machines().stream().filter(m -> m != sound && m.zone().equals("b")).forEach(SimWorker::failEverything);
+        machines().stream()
+                .filter(m -> m != sound && m.zone().equals("b"))
+                .forEach(SimWorker::failEverything);
         accept(World.job(JOB, "blue", "sweep", 1, 1, 8).put("yard", "b"), 30);
         world.run(90);
         assertEquals("done", world.phase(0, JOB));
     }
 
-    private static final String[] FIELDS = {"nameId", "grist", "crew", "shape", "urgency", "sacks", "vcpus", "cards",
-        "memGb", "mould", "pullGb", "samePlace", "apart", "loaner", "expectS", "stashEveryS", "stashS"};
-
-    /** Bad input is answered at once and finally, at any controller and time; what can't run is never accepted. */
+    private static final String[] FIELDS = {
+        "nameId",
+        "grist",
+        "crew",
+        "shape",
+        "urgency",
+        "sacks",
+        "vcpus",
+        "cards",
+        "memGb",
+        "mould",
+        "pullGb",
+        "samePlace",
+        "apart",
+        "loaner",
+        "expectS",
+        "stashEveryS",
+        "stashS"
+    };
+
+    /**
+     * Bad input is answered at once and finally, at any controller and time; what can't run is
+     * never accepted.
+     */
     @Test
     void whatLacksAFieldOrCanNeverRunIsNeverAccepted() {
         begin(1);
@@ -368,8 +461,12 @@
                 assertEquals(422, world.submit(node, job, 1), job.toString());
             }
             assertEquals(404, world.ask(node, "GET", "/submissions/" + JOB, "").status());
-            assertEquals(404, world.ask(node, "POST", "/submissions/" + JOB + "/withdraw", "").status());
-            for (String body : new String[] {"", "[]", "{", "{} {}", "{\"a\":".repeat(5000), "\"run-000001\""}) {
+            assertEquals(
+                    404, world.ask(node, "POST", "/submissions/" + JOB + "/withdraw", "").status());
+            for (String body :
+                    new String[] {
+                        "", "[]", "{", "{} {}", "{\"a\":".repeat(5000), "\"run-000001\""
+                    }) {
                 assertEquals(400, world.ask(node, "POST", "/submissions", body).status());
             }
         }
@@ -381,19 +478,31 @@
         noType.putArray("frames");
         ObjectNode otherType = World.job(JOB, "red", "sweep", 1, 8, 0);
         otherType.putArray("frames").add("small").add("huge");
-        return List.of(noZone, noType, otherType, World.job(JOB, "green", "sweep", 1, 1, 1),
-                World.job(JOB, "red", "sweep", 1, 33, 0), World.job(JOB, "red", "sweep", 1, 1, 9),
-                World.job(JOB, "red", "sweep", 1, 1, 1).put("memGb", 257), World.job(JOB, "red", "service", 17, 1, 1),
+        return List.of(
+                noZone,
+                noType,
+                otherType,
+                World.job(JOB, "green", "sweep", 1, 1, 1),
+                World.job(JOB, "red", "sweep", 1, 33, 0),
+                World.job(JOB, "red", "sweep", 1, 1, 9),
+                World.job(JOB, "red", "sweep", 1, 1, 1).put("memGb", 257),
+                World.job(JOB, "red", "service", 17, 1, 1),
                 World.job(JOB, "blue", "service", 65, 1, 1));
     }
 
-    /** Right after a start, when the machine types are not known yet, nothing is accepted or refused too early. */
+    /**
+     * Right after a start, when the machine types are not known yet, nothing is accepted or refused
+     * too early.
+     */
     @Test
     void nothingIsAcceptedBeforeTheMachineTypesAreKnown() {
         begin(1);
         accept(World.job(OTHER, "red", "sweep", 1, 1, 1), 300);
         world.run(2);
-        world.network().judge((from, request) -> request.address().equals("cloud:1") ? Fate.REFUSE : Fate.DELIVER);
+        world.network()
+                .judge(
+                        (from, request) ->
+                                request.address().equals("cloud:1") ? Fate.REFUSE : Fate.DELIVER);
         for (int i = 0; i < 3; i++) {
             world.restart(i);
         }
@@ -401,7 +510,10 @@
         for (int node = 0; node < 3; node++) {
             assertEquals(503, world.ask(node, "GET", "/ready", "").status());
             assertEquals(503, world.submit(node, World.job(JOB, "red", "sweep", 1, 1, 1), 1));
-            assertEquals(200, world.submit(node, World.job(OTHER, "red", "sweep", 1, 1, 1), 300), "known already");
+            assertEquals(
+                    200,
+                    world.submit(node, World.job(OTHER, "red", "sweep", 1, 1, 1), 300),
+                    "known already");
             ObjectNode job = World.job(JOB, "red", "sweep", 1, 1, 1);
             job.remove("loaner");
             assertEquals(400, world.submit(node, job, 1));
@@ -417,7 +529,10 @@
         assertEquals(201, world.submit(1, World.job(JOB, "red", "sweep", 1, 1, 1), 1));
     }
 
-    /** Users repeat submissions, cancel what is done and ask for what they never sent, while leaders change. */
+    /**
+     * Users repeat submissions, cancel what is done and ask for what they never sent, while leaders
+     * change.
+     */
     @Test
     void oddRequestsMeetAChangeOfLeader() {
         begin(1);
@@ -446,7 +561,15 @@
 
     /** Controllers hand over and back, all end, and one returns, within a second or so. */
     @ParameterizedTest
-    @CsvSource({"0.05, false", "0.3, false", "0.9, false", "2.5, false", "0.05, true", "0.3, true", "0.9, true"})
+    @CsvSource({
+        "0.05, false",
+        "0.3, false",
+        "0.9, false",
+        "2.5, false",
+        "0.05, true",
+        "0.3, true",
+        "0.9, true"
+    })
     void controllersHandOverAndBack(double withinS, boolean wordsOnTheWay) {
         begin(4);
         acceptService(JOB, "red", 4, 1);
@@ -471,7 +594,10 @@
             }
             world.restart((leader + round) % 3);
             world.run(withinS * 2);
-            world.submit((leader + round) % 3, World.job("run-00090" + round, "blue", "sweep", 1, 1, 1), 2);
+            world.submit(
+                    (leader + round) % 3,
+                    World.job("run-00090" + round, "blue", "sweep", 1, 1, 1),
+                    2);
             for (int i = 0; i < 3; i++) {
                 if (i != (leader + round) % 3) {
                     world.restart(i);
@@ -486,7 +612,10 @@
         }
     }
 
-    /** One returns from its end in an outage, with words of its earlier life on the way that say nothing of now. */
+    /**
+     * One returns from its end in an outage, with words of its earlier life on the way that say
+     * nothing of now.
+     */
     @ParameterizedTest
     @ValueSource(doubles = {0.4, 1, 2, 5})
     void aControllerReturnsAmongWordsOfItsEarlierLife(double heldForS) {
@@ -534,11 +663,15 @@
         world.run(15);
         assertEquals(4, world.running(JOB));
         for (int i = 0; i < 4; i++) {
-            assertEquals(forS < 14 && !outageAfter ? 1 : 2, world.starts(JOB + "/" + i), "task " + i);
+            assertEquals(
+                    forS < 14 && !outageAfter ? 1 : 2, world.starts(JOB + "/" + i), "task " + i);
         }
     }
 
-    /** Just when a job's last task ends: of done and cancelled one stands and is told by every controller. */
+    /**
+     * Just when a job's last task ends: of done and cancelled one stands and is told by every
+     * controller.
+     */
     @ParameterizedTest
     @CsvSource({"calm", "late", "slow"})
     void aCancellationMeetsTheEndOfTheLastTask(String state) {
@@ -546,8 +679,12 @@
         world.state().lateWrites(state.equals("late") ? 0.2 : 0);
         SplittableRandom random = new SplittableRandom(1);
         if (state.equals("slow")) {
-            world.network().delayAnswers((from, request) -> request.address().equals("state:1")
-                    ? random.nextDouble() * 0.6 : 0);
+            world.network()
+                    .delayAnswers(
+                            (from, request) ->
+                                    request.address().equals("state:1")
+                                            ? random.nextDouble() * 0.6
+                                            : 0);
         }
         for (int i = 0; i < 24; i++) {
             String id = "run-0003" + (10 + i);
@@ -556,9 +693,10 @@
             world.run(2.6 + 0.05 * i);
             List<String> told = new ArrayList<>();
             for (int node = 0; node < 3; node++) {
-                String path = node == i % 3 ? "/submissions/" + id + "/withdraw" : "/submissions/" + id;
-                world.user(node, node == i % 3 ? "POST" : "GET", path, "", 5, reply -> { });
-                world.user(node, "POST", "/submissions", job.toString(), 5, reply -> { });
+                String path =
+                        node == i % 3 ? "/submissions/" + id + "/withdraw" : "/submissions/" + id;
+                world.user(node, node == i % 3 ? "POST" : "GET", path, "", 5, reply -> {});
+                world.user(node, "POST", "/submissions", job.toString(), 5, reply -> {});
             }
             world.run(12);
             for (int node = 0; node < 3; node++) {
@@ -568,13 +706,20 @@
         }
     }
 
-    /** A leader ends while machines with long tasks can't be reached, or don't hear the new leader's answer. */
+    /**
+     * A leader ends while machines with long tasks can't be reached, or don't hear the new leader's
+     * answer.
+     */
     @ParameterizedTest
     @CsvSource({
-        "deaf,        1, returns", "deaf,        3, returns", "deaf,        1, away", "deaf,        3, away",
-        "unreachable, 1, returns", "unreachable, 3, returns", "unreachable, 1, away", "unreachable, 3, away",
-        "mute,        1, returns", "mute,        3, returns", "mute,        3, away", "taken,       1, away",
-        "taken,       3, away",    "deaf,        1, stays",   "deaf,        3, stays", "unreachable, 3, stays",
+        "deaf,        1, returns", "deaf,        3, returns", "deaf,        1, away",
+                "deaf,        3, away",
+        "unreachable, 1, returns", "unreachable, 3, returns", "unreachable, 1, away",
+                "unreachable, 3, away",
+        "mute,        1, returns", "mute,        3, returns", "mute,        3, away",
+                "taken,       1, away",
+        "taken,       3, away", "deaf,        1, stays", "deaf,        3, stays",
+                "unreachable, 3, stays",
     })
     void aLeaderEndsWhileMachinesDoNotHear(String trouble, int count, String leaders) {
         begin(1);
@@ -583,18 +728,25 @@
         world.run(8);
         List<SimWorker> troubled = machines().subList(0, count);
         Set<String> names = new HashSet<>();
-        troubled.forEach(machine -> {
-            names.add(machine.name());
-            names.add(machine.address());
-            switch (trouble) {
-                case "deaf" -> world.network().deafen(machine);
-                case "mute" -> world.network().mute(machine);
-                case "taken" -> world.cloud().take(machine);
-                default -> { }
-            }
-        });
-        world.network().judge((from, request) -> trouble.equals("unreachable")
-                && (names.contains(from) || names.contains(request.address())) ? Fate.DROP : Fate.DELIVER);
+        troubled.forEach(
+                machine -> {
+                    names.add(machine.name());
+                    names.add(machine.address());
+                    switch (trouble) {
+                        case "deaf" -> world.network().deafen(machine);
+                        case "mute" -> world.network().mute(machine);
+                        case "taken" -> world.cloud().take(machine);
+                        default -> {}
+                    }
+                });
+        world.network()
+                .judge(
+                        (from, request) ->
+                                trouble.equals("unreachable")
+                                                && (names.contains(from)
+                                                        || names.contains(request.address()))
+                                        ? Fate.DROP
+                                        : Fate.DELIVER);
         int leader = world.leader();
         if (!leaders.equals("stays")) {
             world.kill(leader);
@@ -610,7 +762,10 @@
         world.restart(leader);
     }
 
-    /** Jobs of two or three tasks end far apart across changes of leader, with so much else that rounds are rewritten. */
+    /**
+     * Jobs of two or three tasks end far apart across changes of leader, with so much else that
+     * rounds are rewritten.
+     */
     @Test
     void tasksOfAJobEndFarApartAcrossChangesOfLeader() {
         begin(1);
@@ -632,7 +787,10 @@
         }
     }
 
-    /** Workers can't open connections to any controller: direct commands stop what is cancelled, nothing new goes there. */
+    /**
+     * Workers can't open connections to any controller: direct commands stop what is cancelled,
+     * nothing new goes there.
+     */
     @ParameterizedTest
     @ValueSource(ints = {1, 3})
     void machinesReachNoController(int count) {
@@ -662,7 +820,10 @@
         assertEquals(starts, later, "nothing is started where its lease must run out");
     }
 
-    /** A team at its limit, unknown claims on machines that can't be asked, and a cancellation in that spell. */
+    /**
+     * A team at its limit, unknown claims on machines that can't be asked, and a cancellation in
+     * that spell.
+     */
     @ParameterizedTest
     @CsvSource({"1, false", "2, false", "1, true", "2, true"})
     void aTeamIsAtItsLimitWhenTheLeaderChanges(int silent, boolean hang) {
@@ -672,13 +833,18 @@
         world.run(8);
         Set<String> names = new HashSet<>();
         List<SimWorker> machines = machines().subList(0, silent);
-        machines.forEach(machine -> {
-            names.add(machine.name());
-            names.add(machine.address());
-            machine.hang(hang);
-        });
-        world.network().judge((from, request) -> names.contains(from) || names.contains(request.address())
-                ? Fate.DROP : Fate.DELIVER);
+        machines.forEach(
+                machine -> {
+                    names.add(machine.name());
+                    names.add(machine.address());
+                    machine.hang(hang);
+                });
+        world.network()
+                .judge(
+                        (from, request) ->
+                                names.contains(from) || names.contains(request.address())
+                                        ? Fate.DROP
+                                        : Fate.DELIVER);
         int leader = world.leader();
         world.kill(leader);
         world.run(3);
@@ -694,8 +860,16 @@
 
     /** What is cancelled on machines that hang may not go on when they wake. */
     @ParameterizedTest
-    @CsvSource({"5, 1, false", "12, 1, false", "30, 1, false", "5, 4, false", "12, 4, false", "30, 4, false",
-        "12, 4, true", "30, 2, true"})
+    @CsvSource({
+        "5, 1, false",
+        "12, 1, false",
+        "30, 1, false",
+        "5, 4, false",
+        "12, 4, false",
+        "30, 4, false",
+        "12, 4, true",
+        "30, 2, true"
+    })
     void cancelledTasksAreOnMachinesThatHang(double hangS, int machines, boolean leaderEnds) {
         begin(1);
         acceptService(JOB, "blue", 8, 2);
@@ -722,8 +896,13 @@
         SplittableRandom random = new SplittableRandom(7);
         acceptService(JOB, "red", 4, 1);
         world.run(5);
-        world.network().delayAnswers((from, request) -> request.address().equals("state:1")
-                && !request.path().startsWith("/changes") ? random.nextDouble() * upToS : 0);
+        world.network()
+                .delayAnswers(
+                        (from, request) ->
+                                request.address().equals("state:1")
+                                                && !request.path().startsWith("/changes")
+                                        ? random.nextDouble() * upToS
+                                        : 0);
         churn(60, random);
         int leader = Math.max(0, world.leader());
         world.state().refuse(leader, true);
--- a/src/test/java/org/springmill/control/coordination/PeersTest.java
+++ b/src/test/java/org/springmill/control/coordination/PeersTest.java
@@ -27,28 +27,54 @@
     private PeerLink.Listener listener;
 
     private Peers peers(boolean leading, long term) throws Exception {
-        Settings settings = new Settings("n-0", "a", "x:1", "x:2", Map.of("n-1", "x:3"), "c:1", "s:1", List.of("a"), 1,
-                List.of(), List.of(), new Settings.Workers(2, LEASE_S, 44), new Settings.State(120, 20, 8192, 12),
-                new Settings.Cloud(4, 3), new Settings.Limits(0.2, 176, 700), OperatorSettings.DEFAULTS);
-        PeerLink link = new PeerLink() {
-            @Override
-            public void send(String node, byte[] record) {
-                try {
-                    sent.add((Status) PeerMessages.decode(record));
-                } catch (Exception e) {
-                    throw new AssertionError(e);
-                }
-            }
+        Settings settings =
+                new Settings(
+                        "n-0",
+                        "a",
+                        "x:1",
+                        "x:2",
+                        Map.of("n-1", "x:3"),
+                        "c:1",
+                        "s:1",
+                        List.of("a"),
+                        1,
+                        List.of(),
+                        List.of(),
+                        new Settings.Workers(2, LEASE_S, 44),
+                        new Settings.State(120, 20, 8192, 12),
+                        new Settings.Cloud(4, 3),
+                        new Settings.Limits(0.2, 176, 700),
+                        OperatorSettings.DEFAULTS);
+        PeerLink link =
+                new PeerLink() {
+                    @Override
+                    public void send(String node, byte[] record) {
+                        try {
+                            sent.add((Status) PeerMessages.decode(record));
+                        } catch (Exception e) {
+                            throw new AssertionError(e);
+                        }
+                    }
 
-            @Override
-            public void onRecord(Listener taker) {
-                listener = taker;
-            }
-        };
+                    @Override
+                    public void onRecord(Listener taker) {
+                        listener = taker;
+                    }
+                };
         Timing timing = Timing.of(settings);
-        StateStore store = new StateStore((request, done) -> { }, clock, settings, timing.stateTimeoutS());
-        Peers peers = new Peers(link, clock, settings, timing, new JobDirectory(store, clock, timing, 1),
-                () -> new Status("n-0", 0, 0, true, leading, true, 0, false, 0, term, News.NONE));
+        StateStore store =
+                new StateStore((request, done) -> {}, clock, settings, timing.stateTimeoutS());
+        Peers peers =
+                new Peers(
+                        link,
+                        clock,
+                        settings,
+                        timing,
+                        new JobDirectory(store, clock, timing, 1),
+                        () ->
+                                new Status(
+                                        "n-0", 0, 0, true, leading, true, 0, false, 0, term,
+                                        News.NONE));
         peers.start();
         return peers;
     }
@@ -57,10 +83,14 @@
         listener.received(PeerMessages.encode(status));
     }
 
-    /** A follower that helps says until when, and the leader counts on no silence before that and a word's life. */
+    /**
+     * A follower that helps says until when, and the leader counts on no silence before that and a
+     * word's life.
+     */
     @ParameterizedTest
     @CsvSource({"0.0, true", "1.0, true", "3.0, true", "4.0, false", "30.0, false"})
-    void aFollowerHelpsANewLeaderForAWhileAndTellsItUntilWhen(double afterS, boolean helps) throws Exception {
+    void aFollowerHelpsANewLeaderForAWhileAndTellsItUntilWhen(double afterS, boolean helps)
+            throws Exception {
         Peers follower = peers(false, 0);
         clock.run(60);
         hear(new Status("n-1", 1, 0, true, true, true, 0, false, 60_000, 7, News.NONE));
@@ -74,7 +104,19 @@
         Peers leader = peers(true, 7);
         clock.run(60);
         Status asked = sent.get(sent.size() - 1);
-        hear(new Status("n-1", 0, asked.question(), true, false, true, 0, false, told, 7, News.NONE));
+        hear(
+                new Status(
+                        "n-1",
+                        0,
+                        asked.question(),
+                        true,
+                        false,
+                        true,
+                        0,
+                        false,
+                        told,
+                        7,
+                        News.NONE));
         double until = leader.othersMayRenewUntil() - clock.now();
         assertTrue(until >= -told / 1000.0 + LEASE_S / 10, "counts on silence after " + until);
         clock.run(LEASE_S / 5);
@@ -93,7 +135,19 @@
         hear(new Status("n-1", 0, earlier, false, false, true, 0, false, 60_000, 7, News.NONE));
         assertFalse(returned.mostConfirmOutage(7));
         assertFalse(returned.allHeard());
-        hear(new Status("n-1", 0, sent.get(sent.size() - 1).question(), false, false, true, 0, false, 60_000, 7, News.NONE));
+        hear(
+                new Status(
+                        "n-1",
+                        0,
+                        sent.get(sent.size() - 1).question(),
+                        false,
+                        false,
+                        true,
+                        0,
+                        false,
+                        60_000,
+                        7,
+                        News.NONE));
         assertTrue(returned.mostConfirmOutage(7));
     }
 }
--- a/src/test/java/org/springmill/control/storage/DoneMarksTest.java
+++ b/src/test/java/org/springmill/control/storage/DoneMarksTest.java
@@ -11,7 +11,15 @@
 class DoneMarksTest {
     /** Sets given as first, step, end. */
     @ParameterizedTest
-    @CsvSource({"0, 1, 1", "5, 1, 6", "0, 1, 100000", "0, 2, 100000", "1, 3, 100000", "16383, 1, 16386", "99999, 1, 100000"})
+    @CsvSource({
+        "0, 1, 1",
+        "5, 1, 6",
+        "0, 1, 100000",
+        "0, 2, 100000",
+        "1, 3, 100000",
+        "16383, 1, 16386",
+        "99999, 1, 100000"
+    })
     void setsSurviveInPiecesThatFitAValue(int first, int step, int end) {
         BitSet set = new BitSet();
         for (int i = first; i < end; i += step) {
