--- a/src/test/java/org/springmill/control/storage/JobRecordTest.java
+++ b/src/test/java/org/springmill/control/storage/JobRecordTest.java
@@ -8,24 +8,30 @@
 import org.junit.jupiter.api.Test;
 import org.springmill.protocol.BadMessageException;
 import org.springmill.protocol.Json;
-import org.springmill.protocol.Submission;
 import org.springmill.protocol.UserMessages.Phase;
 
 /** Both generations of job records, from bytes as each version wrote them. */
 class JobRecordTest {
-    private static final String REST = """
+    private static final String REST =
+            """
             "nameId":"run-000412","grist":"train","crew":"vision","shape":"sweep","urgency":"urgent","sacks":16,\
             "vcpus":8.0,"cards":1.0,"memGb":64.0,"mould":"img-07","pullGb":6.2,"samePlace":true,"apart":false,\
             "loaner":true,"expectS":240.0,"stashEveryS":30.0,"stashS":4.0,"frames":["g8"],"dueS":900.0""";
     private static final String FIRST = "{\"v\":1,\"job\":{" + REST + "}}";
-    private static final String FIRST_ENDED = "{\"v\":1,\"end\":\"done\",\"at\":17.5,\"job\":{" + REST + "}}";
+    private static final String FIRST_ENDED =
+            "{\"v\":1,\"end\":\"done\",\"at\":17.5,\"job\":{" + REST + "}}";
     private static final String SECOND =
-            "{\"v\":1,\"accepted\":12.25,\"job\":{" + REST + ",\"waitsOn\":[\"run-000398\",\"run-000405\"]}}";
-    private static final String SECOND_ENDED = "{\"v\":1,\"end\":\"cancelled\",\"at\":17.5,\"accepted\":12.25,\"job\":{"
-            + REST + ",\"waitsOn\":[\"run-000398\",\"run-000405\"]}}";
+            "{\"v\":1,\"accepted\":12.25,\"job\":{"
+                    + REST
+                    + ",\"waitsOn\":[\"run-000398\",\"run-000405\"]}}";
+    private static final String SECOND_ENDED =
+            "{\"v\":1,\"end\":\"cancelled\",\"at\":17.5,\"accepted\":12.25,\"job\":{"
+                    + REST
+                    + ",\"waitsOn\":[\"run-000398\",\"run-000405\"]}}";
 
     private static JobRecord read(String bytes) throws BadMessageException {
-        return JobRecord.decode("job/run-000412", Json.object(bytes.getBytes(StandardCharsets.UTF_8)), 5);
+        return JobRecord.decode(
+                "job/run-000412", Json.object(bytes.getBytes(StandardCharsets.UTF_8)), 5);
     }
 
     private static String written(JobRecord job) {
@@ -45,7 +51,8 @@
     }
 
     @Test
-    void aRecordOfTheSecondGenerationKeepsItsDependenciesThroughEveryRewrite() throws BadMessageException {
+    void aRecordOfTheSecondGenerationKeepsItsDependenciesThroughEveryRewrite()
+            throws BadMessageException {
         JobRecord job = read(SECOND);
         assertEquals(List.of("run-000398", "run-000405"), job.submission().dependencies());
         assertEquals(12.25, job.acceptedAt());
@@ -64,7 +71,10 @@
         }
         JobRecord job = read(FIRST.replace("\"g8\"", types));
         assertTrue(job.mostBytes(17.5) > 2048);
-        String ended = new String(Json.bytes(job.ended(Phase.DONE, 17.5).encode(2048)), StandardCharsets.UTF_8);
+        String ended =
+                new String(
+                        Json.bytes(job.ended(Phase.DONE, 17.5).encode(2048)),
+                        StandardCharsets.UTF_8);
         assertEquals(FIRST_ENDED.replace(",\"frames\":[\"g8\"]", ""), ended);
     }
 }
--- a/src/test/java/org/springmill/protocol/PeerMessagesTest.java
+++ b/src/test/java/org/springmill/protocol/PeerMessagesTest.java
@@ -23,9 +23,36 @@
 
 class PeerMessagesTest {
     static Stream<PeerRecord> records() {
-        return Stream.of(new Status("n-1", 7, 0, true, false, true, 3, false, 250, 99, new News(41, 7, false, true, List.of())),
-                new Status("n-2", 0, 7, false, true, false, 0, true, 9, Long.MAX_VALUE,
-                        new News(0, Long.MAX_VALUE, true, false, List.of(new Cancellation("run-000001", 41, 1.7e9)))),
+        return Stream.of(
+                new Status(
+                        "n-1",
+                        7,
+                        0,
+                        true,
+                        false,
+                        true,
+                        3,
+                        false,
+                        250,
+                        99,
+                        new News(41, 7, false, true, List.of())),
+                new Status(
+                        "n-2",
+                        0,
+                        7,
+                        false,
+                        true,
+                        false,
+                        0,
+                        true,
+                        9,
+                        Long.MAX_VALUE,
+                        new News(
+                                0,
+                                Long.MAX_VALUE,
+                                true,
+                                false,
+                                List.of(new Cancellation("run-000001", 41, 1.7e9)))),
                 new Cancelled("n-1", List.of(new Cancellation("run-000001", 41, 1.7e9))),
                 new Progress("n-1", 5, List.of()),
                 new Progress("n-1", 5, List.of(new JobProgress("run-000001", 3, 9))));
@@ -36,7 +63,9 @@
     void recordsSurviveAndBrokenOnesAreRefused(PeerRecord message) throws BadMessageException {
         byte[] bytes = PeerMessages.encode(message);
         assertEquals(message, PeerMessages.decode(bytes));
-        assertThrows(BadMessageException.class, () -> PeerMessages.decode(Arrays.copyOf(bytes, bytes.length - 1)));
+        assertThrows(
+                BadMessageException.class,
+                () -> PeerMessages.decode(Arrays.copyOf(bytes, bytes.length - 1)));
         byte[] newer = bytes.clone();
         newer[0]++;
         assertThrows(BadMessageException.class, () -> PeerMessages.decode(newer));
@@ -45,11 +74,24 @@
         assertThrows(BadMessageException.class, () -> PeerMessages.decode(strange));
     }
 
-    /** During an upgrade both versions lead and follow beside each other: these bytes are what 0.1.0 wrote and read. */
+    /**
+     * During an upgrade both versions lead and follow beside each other: these bytes are what 0.1.0
+     * wrote and read.
+     */
     @Test
     void theFirstVersionsStatusIsUnderstoodAndUnderstandsThisOne() throws BadMessageException {
-        byte[] first = HexFormat.of().parseHex("0101" + "00036e2d31" + "0000000000000007" + "0000000000000000" + "010001"
-                + "00000003" + "00" + "000000fa" + "0000000000000063");
+        byte[] first =
+                HexFormat.of()
+                        .parseHex(
+                                "0101"
+                                        + "00036e2d31"
+                                        + "0000000000000007"
+                                        + "0000000000000000"
+                                        + "010001"
+                                        + "00000003"
+                                        + "00"
+                                        + "000000fa"
+                                        + "0000000000000063");
         Status status = new Status("n-1", 7, 0, true, false, true, 3, false, 250, 99, News.NONE);
         assertEquals(status, PeerMessages.decode(first));
         byte[] now = PeerMessages.encode(status);
@@ -58,7 +100,11 @@
 
     @Test
     void aRecordIsBounded() {
-        byte[] longer = PeerMessages.encode(new Cancelled("n-1", Collections.nCopies(500, new Cancellation("run-000001", 41, 0))));
+        byte[] longer =
+                PeerMessages.encode(
+                        new Cancelled(
+                                "n-1",
+                                Collections.nCopies(500, new Cancellation("run-000001", 41, 0))));
         assertTrue(longer.length < 4096);
     }
 }
--- a/src/test/java/org/springmill/protocol/SubmissionTest.java
+++ b/src/test/java/org/springmill/protocol/SubmissionTest.java
@@ -10,7 +10,8 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 class SubmissionTest {
-    private static final String GOOD = """
+    private static final String GOOD =
+            """
             {"nameId":"run-000412","grist":"train","crew":"vision","shape":"sweep","urgency":"urgent","sacks":16,
              "vcpus":8.0,"cards":1.0,"memGb":64.0,"mould":"img-07","pullGb":6.2,"frames":["g8"],"yard":null,
              "samePlace":true,"apart":false,"loaner":true,"expectS":240.0,"stashEveryS":30.0,"stashS":4.0,
@@ -29,35 +30,41 @@
     }
 
     @ParameterizedTest
-    @CsvSource(delimiter = '|', quoteCharacter = '`', value = {
-        "\"nameId\":\"run-000412\" | \"nameId\":\"job-1\"         | nameId",
-        "\"nameId\":\"run-000412\" | \"nameId\":7                 | nameId",
-        "\"grist\":\"train\",      | ``                           | grist",
-        "\"crew\":\"vision\"       | \"crew\":\"\"                | crew",
-        "\"shape\":\"sweep\"       | \"shape\":\"ring\"           | shape",
-        "\"urgency\":\"urgent\"    | \"urgency\":\"asap\"         | urgency",
-        "\"sacks\":16              | \"sacks\":0                  | sacks",
-        "\"sacks\":16              | \"sacks\":100001             | sacks",
-        "\"sacks\":16              | \"sacks\":1.5                | sacks",
-        "\"sacks\":16              | \"sacks\":99999999999999999999 | sacks",
-        "\"vcpus\":8.0             | \"vcpus\":-1                 | vcpus",
-        "\"cards\":1.0             | \"cards\":\"1\"              | cards",
-        "\"memGb\":64.0            | \"memGb\":1e999              | memGb",
-        "\"frames\":[\"g8\"]       | \"frames\":\"g8\"            | frames",
-        "\"frames\":[\"g8\"]       | \"frames\":[8]               | frames",
-        "\"yard\":null             | \"yard\":5                   | yard",
-        "\"samePlace\":true        | \"samePlace\":\"yes\"        | samePlace",
-        "\"loaner\":true,          | ``                           | loaner",
-        "\"dueS\":900.0            | \"dueS\":-3                  | dueS",
-    })
+    @CsvSource(
+            delimiter = '|',
+            quoteCharacter = '`',
+            value = {
+                "\"nameId\":\"run-000412\" | \"nameId\":\"job-1\"         | nameId",
+                "\"nameId\":\"run-000412\" | \"nameId\":7                 | nameId",
+                "\"grist\":\"train\",      | ``                           | grist",
+                "\"crew\":\"vision\"       | \"crew\":\"\"                | crew",
+                "\"shape\":\"sweep\"       | \"shape\":\"ring\"           | shape",
+                "\"urgency\":\"urgent\"    | \"urgency\":\"asap\"         | urgency",
+                "\"sacks\":16              | \"sacks\":0                  | sacks",
+                "\"sacks\":16              | \"sacks\":100001             | sacks",
+                "\"sacks\":16              | \"sacks\":1.5                | sacks",
+                "\"sacks\":16              | \"sacks\":99999999999999999999 | sacks",
+                "\"vcpus\":8.0             | \"vcpus\":-1                 | vcpus",
+                "\"cards\":1.0             | \"cards\":\"1\"              | cards",
+                "\"memGb\":64.0            | \"memGb\":1e999              | memGb",
+                "\"frames\":[\"g8\"]       | \"frames\":\"g8\"            | frames",
+                "\"frames\":[\"g8\"]       | \"frames\":[8]               | frames",
+                "\"yard\":null             | \"yard\":5                   | yard",
+                "\"samePlace\":true        | \"samePlace\":\"yes\"        | samePlace",
+                "\"loaner\":true,          | ``                           | loaner",
+                "\"dueS\":900.0            | \"dueS\":-3                  | dueS",
+            })
     void aWrongFieldIsNamed(String from, String to, String field) {
         assertTrue(GOOD.contains(from));
-        BadMessageException e = assertThrows(BadMessageException.class, () -> parse(GOOD.replace(from, to)));
+        BadMessageException e =
+                assertThrows(BadMessageException.class, () -> parse(GOOD.replace(from, to)));
         assertTrue(e.getMessage().startsWith(field), e.getMessage());
     }
 
     @ParameterizedTest
-    @CsvSource(delimiter = '|', value = {"[]", "17", "{", "''", "nonsense", "{} {}", "null"})
+    @CsvSource(
+            delimiter = '|',
+            value = {"[]", "17", "{", "''", "nonsense", "{} {}", "null"})
     void whatIsNoObjectIsRefused(String body) {
         assertThrows(BadMessageException.class, () -> parse(body));
     }
@@ -65,7 +72,11 @@
     @ParameterizedTest
     @CsvSource({"1, 1", "2, 1", "5, 3", "9, 5"})
     void halfOfASpreadJobRoundedUpMayShareAZone(int tasks, int perZone) throws BadMessageException {
-        assertEquals(perZone, parse(GOOD.replace("\"sacks\":16", "\"sacks\":" + tasks)
-                .replace("\"apart\":false", "\"apart\":true")).perZone());
+        assertEquals(
+                perZone,
+                parse(
+                                GOOD.replace("\"sacks\":16", "\"sacks\":" + tasks)
+                                        .replace("\"apart\":false", "\"apart\":true"))
+                        .perZone());
     }
 }
--- a/src/test/java/org/springmill/sim/Rules.java
+++ b/src/test/java/org/springmill/sim/Rules.java
@@ -16,19 +16,39 @@
 import org.springmill.transport.HttpClient.Request;
 
 /**
- * The protocol's rules, watched from outside: by what machines do and by what users are told. Whatever is broken is
- * noted once, under the rule's name.
+ * The protocol's rules, watched from outside: by what machines do and by what users are told.
+ * Whatever is broken is noted once, under the rule's name.
  */
 final class Rules {
     /** A job waits no longer beside room that fits, once all troubles are over. */
     private static final double WAITS_S = 90;
+
     /** Nobody goes without an answer for longer, once all troubles are over. */
     private static final double ANSWERED_S = 75;
+
     /** Nor for longer than this at any time while most others get theirs. */
     private static final double FORGOTTEN_S = 90;
+
     private static final double EVERY_S = 0.25;
-    private static final List<String> REQUIRED = List.of("nameId", "grist", "crew", "shape", "urgency", "sacks",
-            "vcpus", "cards", "memGb", "mould", "pullGb", "samePlace", "apart", "loaner", "expectS", "stashEveryS", "stashS");
+    private static final List<String> REQUIRED =
+            List.of(
+                    "nameId",
+                    "grist",
+                    "crew",
+                    "shape",
+                    "urgency",
+                    "sacks",
+                    "vcpus",
+                    "cards",
+                    "memGb",
+                    "mould",
+                    "pullGb",
+                    "samePlace",
+                    "apart",
+                    "loaner",
+                    "expectS",
+                    "stashEveryS",
+                    "stashS");
 
     private final VirtualClock clock;
     private final SimCloud cloud;
@@ -43,8 +63,10 @@
     /** What a job's user has asked for and was told, by any controller. */
     private static final class Told {
         private final JsonNode job;
+
         /** When its user was first told that it is accepted. */
         private double accepted = Double.POSITIVE_INFINITY;
+
         private double ended = Double.POSITIVE_INFINITY;
         private String end;
         private boolean cancelAsked;
@@ -62,7 +84,9 @@
 
         /** Its user was told by then that a job before it is cancelled. */
         boolean orphanedBy(double time, Map<String, Told> all) {
-            return needed().stream().map(all::get).anyMatch(n -> n.cancelledBy(time) || n.orphanedBy(time, all));
+            return needed().stream()
+                    .map(all::get)
+                    .anyMatch(n -> n.cancelledBy(time) || n.orphanedBy(time, all));
         }
 
         private List<String> needed() {
@@ -90,7 +114,10 @@
         return startsAfterCancel;
     }
 
-    /** From now on no trouble is in play: work has to go on, and every question is answered before long. */
+    /**
+     * From now on no trouble is in play: work has to go on, and every question is answered before
+     * long.
+     */
     void calm() {
         calmSince = clock.now();
     }
@@ -112,8 +139,10 @@
 
     /** Jobs that users may still ask about: accepted and, as far as they know, not over. */
     List<String> unfinished() {
-        return jobs.entrySet().stream().filter(e -> e.getValue().accepted <= clock.now() && e.getValue().end == null)
-                .map(Map.Entry::getKey).toList();
+        return jobs.entrySet().stream()
+                .filter(e -> e.getValue().accepted <= clock.now() && e.getValue().end == null)
+                .map(Map.Entry::getKey)
+                .toList();
     }
 
     private void breaks(String rule, String what) {
@@ -175,7 +204,11 @@
             return;
         }
         boolean accepted = told.accepted <= sentAt;
-        if (accepted && (status == 404 || submission && sent.equals(told.job) && (status == 400 || status == 422))) {
+        if (accepted
+                && (status == 404
+                        || submission
+                                && sent.equals(told.job)
+                                && (status == 400 || status == 422))) {
             breaks("forgotten", id + " answered " + status);
         }
         if (status != 200 && status != 201) {
@@ -207,7 +240,8 @@
             breaks("went_back", id + " cancelled by nobody");
         }
         boolean over = phase.equals("done") || phase.equals("cancelled");
-        // Answers may overtake each other, but no question asked after an end was told may be answered with less.
+        // Answers may overtake each other, but no question asked after an end was told may be
+        // answered with less.
         if (told.end != null && !phase.equals(told.end) && (over || sentAt >= told.ended)) {
             breaks("went_back", id + " from " + told.end + " to " + phase);
         }
@@ -232,11 +266,19 @@
             return "unknown team";
         }
         int together = job.path("shape").asText().equals("sweep") ? 1 : job.path("sacks").asInt();
-        if (!team.withinLimit(job.path("vcpus").asDouble() * together, job.path("cards").asDouble() * together)) {
+        if (!team.withinLimit(
+                job.path("vcpus").asDouble() * together, job.path("cards").asDouble() * together)) {
             return "above the team's limit";
         }
-        boolean fits = SimCloud.TYPES.values().stream().anyMatch(type -> allowed(job, type)
-                && (job.path("yard").isTextual() ? settings.zones().contains(job.path("yard").asText()) : true));
+        boolean fits =
+                SimCloud.TYPES.values().stream()
+                        .anyMatch(
+                                type ->
+                                        allowed(job, type)
+                                                && (job.path("yard").isTextual()
+                                                        ? settings.zones()
+                                                                .contains(job.path("yard").asText())
+                                                        : true));
         return fits ? null : "fits no machine";
     }
 
@@ -245,7 +287,9 @@
         for (JsonNode frame : job.path("frames")) {
             named |= frame.asText().equals(type.name());
         }
-        return named && job.path("vcpus").asDouble() <= type.cpus() && job.path("cards").asDouble() <= type.gpus()
+        return named
+                && job.path("vcpus").asDouble() <= type.cpus()
+                && job.path("cards").asDouble() <= type.gpus()
                 && job.path("memGb").asDouble() <= type.memoryGb();
     }
 
@@ -313,7 +357,8 @@
         if (job.path("samePlace").asBoolean() && elsewhere > 0) {
             return "apart from the others";
         }
-        boolean tooMany = job.path("apart").asBoolean() && here > (job.path("sacks").asInt() + 1) / 2;
+        boolean tooMany =
+                job.path("apart").asBoolean() && here > (job.path("sacks").asInt() + 1) / 2;
         return tooMany ? "too many in the zone" : null;
     }
 
@@ -332,7 +377,8 @@
                 if (!task.onMachine() || told == null) {
                     continue;
                 }
-                double[] team = used.computeIfAbsent(told.job.path("crew").asText(), t -> new double[2]);
+                double[] team =
+                        used.computeIfAbsent(told.job.path("crew").asText(), t -> new double[2]);
                 team[0] += told.job.path("vcpus").asDouble();
                 team[1] += told.job.path("cards").asDouble();
                 if (told.cancelledBy(now - World.CANCEL_S)) {
@@ -340,12 +386,13 @@
                 }
             }
         }
-        used.forEach((name, amounts) -> {
-            Settings.Team team = settings.team(name);
-            if (team == null || !team.withinLimit(amounts[0], amounts[1])) {
-                breaks("quota", name);
-            }
-        });
+        used.forEach(
+                (name, amounts) -> {
+                    Settings.Team team = settings.team(name);
+                    if (team == null || !team.withinLimit(amounts[0], amounts[1])) {
+                        breaks("quota", name);
+                    }
+                });
         answers(now);
         if (calmSince < now) {
             workGoesOn(now, used);
@@ -355,7 +402,8 @@
 
     private void answers(double now) {
         List<String> asking = polled ? unfinished() : List.of();
-        long answered = asking.stream().filter(id -> now - jobs.get(id).answered < FORGOTTEN_S / 9).count();
+        long answered =
+                asking.stream().filter(id -> now - jobs.get(id).answered < FORGOTTEN_S / 9).count();
         for (String id : asking) {
             Told told = jobs.get(id);
             boolean aloneInThis = now - told.answered > FORGOTTEN_S && 2 * answered > asking.size();
@@ -366,17 +414,21 @@
     }
 
     private void workGoesOn(double now, Map<String, double[]> used) {
-        jobs.forEach((id, told) -> {
-            if (told.accepted > now || told.end != null) {
-                return;
-            }
-            boolean held = unfinishedNeed(told) == null && waits(id, told.job)
-                    && roomFor(told.job, used.get(told.job.path("crew").asText()));
-            told.waitsSince = held ? Math.min(told.waitsSince, now) : Double.POSITIVE_INFINITY;
-            if (now - Math.max(told.waitsSince, calmSince) > WAITS_S) {
-                breaks("waits", id);
-            }
-        });
+        jobs.forEach(
+                (id, told) -> {
+                    if (told.accepted > now || told.end != null) {
+                        return;
+                    }
+                    boolean held =
+                            unfinishedNeed(told) == null
+                                    && waits(id, told.job)
+                                    && roomFor(told.job, used.get(told.job.path("crew").asText()));
+                    told.waitsSince =
+                            held ? Math.min(told.waitsSince, now) : Double.POSITIVE_INFINITY;
+                    if (now - Math.max(told.waitsSince, calmSince) > WAITS_S) {
+                        breaks("waits", id);
+                    }
+                });
     }
 
     private boolean waits(String id, JsonNode job) {
@@ -394,11 +446,16 @@
         Settings.Team team = settings.team(job.path("crew").asText());
         double cpus = used == null ? 0 : used[0];
         double gpus = used == null ? 0 : used[1];
-        if (!team.withinLimit(cpus + job.path("vcpus").asDouble(), gpus + job.path("cards").asDouble())) {
+        if (!team.withinLimit(
+                cpus + job.path("vcpus").asDouble(), gpus + job.path("cards").asDouble())) {
             return false;
         }
-        return cloud.machines().values().stream().anyMatch(machine -> machine.sound()
-                && wrongPlace(machine, job) == null && hasRoom(machine, job));
+        return cloud.machines().values().stream()
+                .anyMatch(
+                        machine ->
+                                machine.sound()
+                                        && wrongPlace(machine, job) == null
+                                        && hasRoom(machine, job));
     }
 
     private boolean hasRoom(SimWorker machine, JsonNode job) {
--- a/src/test/java/org/springmill/sim/SimCloud.java
+++ b/src/test/java/org/springmill/sim/SimCloud.java
@@ -19,11 +19,14 @@
     static final double BOOT_S = 20;
 
     /** A machine type as the cloud offers it. */
-    record Type(String name, double cpus, double gpus, double memoryGb, double price) {
-    }
+    record Type(String name, double cpus, double gpus, double memoryGb, double price) {}
 
-    static final Map<String, Type> TYPES = Map.of("small", new Type("small", 4, 0, 16, 0.2),
-            "large", new Type("large", 32, 8, 256, 10));
+    static final Map<String, Type> TYPES =
+            Map.of(
+                    "small",
+                    new Type("small", 4, 0, 16, 0.2),
+                    "large",
+                    new Type("large", 32, 8, 256, 10));
 
     private final World world;
     private final Map<String, SimWorker> machines = new LinkedHashMap<>();
@@ -57,7 +60,8 @@
 
     SimWorker add(String type, String zone, boolean spot, double bootS) {
         String name = String.format("host-%06d", ++named);
-        SimWorker worker = new SimWorker(world, name, "10.1.0." + named + ":9000", type, zone, spot);
+        SimWorker worker =
+                new SimWorker(world, name, "10.1.0." + named + ":9000", type, zone, spot);
         machines.put(name, worker);
         world.clock().after(bootS, worker::boot);
         return worker;
@@ -85,9 +89,16 @@
             return SimState.reply(200, out);
         }
         ArrayNode stones = out.putArray("stones");
-        machines.forEach((name, m) -> stones.addObject().put("nameId", name).put("addr", m.address())
-                .put("frame", m.type()).put("yard", m.zone()).put("loaner", m.spot())
-                .put("phase", m.up() ? "running" : "starting").put("heldS", 1.0));
+        machines.forEach(
+                (name, m) ->
+                        stones.addObject()
+                                .put("nameId", name)
+                                .put("addr", m.address())
+                                .put("frame", m.type())
+                                .put("yard", m.zone())
+                                .put("loaner", m.spot())
+                                .put("phase", m.up() ? "running" : "starting")
+                                .put("heldS", 1.0));
         return SimState.reply(200, out.put("truncated", false));
     }
 
@@ -99,8 +110,13 @@
             }
             ArrayNode rented = JSON.createArrayNode();
             for (int i = 0; i < body.path("count").asInt(); i++) {
-                rented.add(add(body.path("frame").asText(), body.path("yard").asText(), body.path("loaner").asBoolean(),
-                        BOOT_S).name());
+                rented.add(
+                        add(
+                                        body.path("frame").asText(),
+                                        body.path("yard").asText(),
+                                        body.path("loaner").asBoolean(),
+                                        BOOT_S)
+                                .name());
             }
             rentals.put(name, rented);
         }
@@ -110,8 +126,18 @@
     }
 
     private static void type(ArrayNode into, Type type) {
-        into.addObject().put("sku", type.name()).put("vcpus", type.cpus()).put("cards", type.gpus())
-                .put("memGb", type.memoryGb()).put("localGb", 100.0).put("pullGbPerS", 1.0).put("price", type.price())
-                .put("marketPrice", type.price() / 3).put("bootS", BOOT_S).putArray("yards").add("a").add("b");
+        into.addObject()
+                .put("sku", type.name())
+                .put("vcpus", type.cpus())
+                .put("cards", type.gpus())
+                .put("memGb", type.memoryGb())
+                .put("localGb", 100.0)
+                .put("pullGbPerS", 1.0)
+                .put("price", type.price())
+                .put("marketPrice", type.price() / 3)
+                .put("bootS", BOOT_S)
+                .putArray("yards")
+                .add("a")
+                .add("b");
     }
 }
--- a/src/test/java/org/springmill/sim/SimNetwork.java
+++ b/src/test/java/org/springmill/sim/SimNetwork.java
@@ -42,8 +42,7 @@
     private SplittableRandom random;
     private double lateReports;
 
-    private record Held(String from, Request request) {
-    }
+    private record Held(String from, Request request) {}
 
     /** How much longer a message is on its way, in seconds. */
     public interface Delays {
@@ -116,14 +115,14 @@
     /** Delivers everything that was held, to nobody's answer. */
     public void releaseHeld() {
         for (Held message : List.copyOf(held)) {
-            world.route(message.from(), message.request(), reply -> { });
+            world.route(message.from(), message.request(), reply -> {});
         }
         held.clear();
     }
 
     /** Delivers a copy of a request once more. */
     public void repeat(Request request) {
-        world.route("", request, reply -> { });
+        world.route("", request, reply -> {});
     }
 
     private Fate fate(String from, Request request) {
@@ -131,7 +130,8 @@
         if (report && mute.contains(from)) {
             return Fate.REFUSE;
         }
-        if (deaf.contains(request.address()) || stateless.contains(from) && request.address().equals("state:1")) {
+        if (deaf.contains(request.address())
+                || stateless.contains(from) && request.address().equals("state:1")) {
             return Fate.DROP;
         }
         Fate fate = judge.judge(from, request);
@@ -140,29 +140,52 @@
 
     void send(String from, Request request, Consumer<Reply> done) {
         boolean[] answered = new boolean[1];
-        Consumer<Reply> once = reply -> {
-            if (!answered[0]) {
-                answered[0] = true;
-                done.accept(reply);
-            }
-        };
+        Consumer<Reply> once =
+                reply -> {
+                    if (!answered[0]) {
+                        answered[0] = true;
+                        done.accept(reply);
+                    }
+                };
         Fate fate = fate(from, request);
         if (fate == Fate.REFUSE) {
             world.clock().after(DELAY_S, () -> once.accept(Reply.NOT_SENT));
             return;
         }
         world.clock().after(request.timeoutS(), () -> once.accept(Reply.LOST));
-        if (request.path().equals("/v1/report") && lateReports > 0 && random.nextDouble() < lateReports) {
-            world.clock().after(2 + random.nextDouble() * (3 * World.LEASE_S - 2),
-                    () -> world.route(from, request, reply -> { }));
+        if (request.path().equals("/v1/report")
+                && lateReports > 0
+                && random.nextDouble() < lateReports) {
+            world.clock()
+                    .after(
+                            2 + random.nextDouble() * (3 * World.LEASE_S - 2),
+                            () -> world.route(from, request, reply -> {}));
         }
         double delayS = DELAY_S + delays.delayS(from, request);
         switch (fate) {
-            case DROP -> { }
+            case DROP -> {}
             case HOLD -> held.add(new Held(from, request));
-            case LOSE_ANSWER -> world.clock().after(delayS, () -> world.route(from, request, reply -> { }));
-            default -> world.clock().after(delayS, () -> world.route(from, request, reply ->
-                    world.clock().after(DELAY_S + answerDelays.delayS(from, request), () -> once.accept(reply))));
+            case LOSE_ANSWER ->
+                    world.clock().after(delayS, () -> world.route(from, request, reply -> {}));
+            default ->
+                    world.clock()
+                            .after(
+                                    delayS,
+                                    () ->
+                                            world.route(
+                                                    from,
+                                                    request,
+                                                    reply ->
+                                                            world.clock()
+                                                                    .after(
+                                                                            DELAY_S
+                                                                                    + answerDelays
+                                                                                            .delayS(
+                                                                                                    from,
+                                                                                                    request),
+                                                                            () ->
+                                                                                    once.accept(
+                                                                                            reply))));
         }
     }
 }
--- a/src/test/java/org/springmill/sim/SimState.java
+++ b/src/test/java/org/springmill/sim/SimState.java
@@ -20,11 +20,9 @@
 public final class SimState {
     private static final ObjectMapper JSON = new ObjectMapper();
 
-    private record Value(JsonNode value, long version, long lease) {
-    }
+    private record Value(JsonNode value, long version, long lease) {}
 
-    private record Change(long revision, String key, JsonNode value) {
-    }
+    private record Change(long revision, String key, JsonNode value) {}
 
     /** An open watch of a node; overdue once its time ran out while the node was not served. */
     private static final class Watch {
@@ -90,7 +88,10 @@
         random = source;
     }
 
-    /** Answers one node 503 while the others are served; its leases run out, and its open watches wait. */
+    /**
+     * Answers one node 503 while the others are served; its leases run out, and its open watches
+     * wait.
+     */
     public void refuse(int node, boolean now) {
         if (now) {
             refused.add("n-" + node);
@@ -100,7 +101,10 @@
         }
     }
 
-    /** That share of the transactions gets no answer and is carried out 2 to 12 s later, after newer ones. */
+    /**
+     * That share of the transactions gets no answer and is carried out 2 to 12 s later, after newer
+     * ones.
+     */
     public void lateWrites(double share) {
         lateShare = share;
     }
@@ -149,14 +153,16 @@
     }
 
     private void late(Request request, double inS) {
-        clock.after(inS, () -> {
-            expire();
-            if (down) {
-                late(request, 1);
-            } else {
-                commit(parse(request.body()));
-            }
-        });
+        clock.after(
+                inS,
+                () -> {
+                    expire();
+                    if (down) {
+                        late(request, 1);
+                    } else {
+                        commit(parse(request.body()));
+                    }
+                });
     }
 
     private Reply answer(Request request, String path) {
@@ -209,7 +215,8 @@
         ArrayNode pairs = out.putArray("pairs");
         int limit = Integer.parseInt(query.getOrDefault("limit", "1000"));
         boolean more = false;
-        for (Map.Entry<String, Value> e : keys.tailMap(query.getOrDefault("from", ""), false).entrySet()) {
+        for (Map.Entry<String, Value> e :
+                keys.tailMap(query.getOrDefault("from", ""), false).entrySet()) {
             if (e.getKey().startsWith(query.get("under"))) {
                 if (pairs.size() == limit) {
                     more = true;
@@ -252,7 +259,10 @@
             revision++;
             for (JsonNode write : writes) {
                 if (write.has("write")) {
-                    put(write.path("write").asText(), new Value(write.path("value"), revision, write.path("tenancy").asLong()));
+                    put(
+                            write.path("write").asText(),
+                            new Value(
+                                    write.path("value"), revision, write.path("tenancy").asLong()));
                 } else {
                     remove(write.path("delete").asText());
                 }
@@ -276,8 +286,11 @@
     private void end(long lease) {
         leases.remove(lease);
         ttls.remove(lease);
-        List<String> attached = keys.entrySet().stream().filter(e -> e.getValue().lease() == lease)
-                .map(Map.Entry::getKey).toList();
+        List<String> attached =
+                keys.entrySet().stream()
+                        .filter(e -> e.getValue().lease() == lease)
+                        .map(Map.Entry::getKey)
+                        .toList();
         if (!attached.isEmpty()) {
             revision++;
             attached.forEach(this::remove);
@@ -306,12 +319,14 @@
         double wait = Long.parseLong(query.getOrDefault("waitMs", "0")) / 1000.0;
         if (!serve(watch, wait == 0)) {
             watches.add(watch);
-            clock.after(wait, () -> {
-                watch.overdue = true;
-                if (serve(watch, true)) {
-                    watches.remove(watch);
-                }
-            });
+            clock.after(
+                    wait,
+                    () -> {
+                        watch.overdue = true;
+                        if (serve(watch, true)) {
+                            watches.remove(watch);
+                        }
+                    });
         }
     }
 
--- a/src/test/java/org/springmill/sim/SimWorker.java
+++ b/src/test/java/org/springmill/sim/SimWorker.java
@@ -93,7 +93,9 @@
         return session;
     }
 
-    /** Past its lease nothing counts as on the machine, even if it hangs and so has not noticed yet. */
+    /**
+     * Past its lease nothing counts as on the machine, even if it hangs and so has not noticed yet.
+     */
     private boolean expired() {
         return world.clock().now() - renewedAt > World.LEASE_S;
     }
@@ -103,7 +105,8 @@
     }
 
     public boolean runs(String task) {
-        return !expired() && tasks.values().stream().anyMatch(t -> t.id.equals(task) && t.onMachine());
+        return !expired()
+                && tasks.values().stream().anyMatch(t -> t.id.equals(task) && t.onMachine());
     }
 
     /** Whether a task is here, be it still fetching. */
@@ -162,14 +165,26 @@
     }
 
     ObjectNode reportBody() {
-        ObjectNode body = JSON.createObjectNode().put("stone", name).put("addr", address).put("frame", type)
-                .put("yard", zone).put("loaner", spot).put("shift", session).put("tally", ++seq).put("baton", token);
+        ObjectNode body =
+                JSON.createObjectNode()
+                        .put("stone", name)
+                        .put("addr", address)
+                        .put("frame", type)
+                        .put("yard", zone)
+                        .put("loaner", spot)
+                        .put("shift", session)
+                        .put("tally", ++seq)
+                        .put("baton", token);
         if (noticeS != null) {
             body.put("warningS", noticeS);
         }
         ArrayNode sacks = body.putArray("sacks");
         for (Task task : tasks.values()) {
-            ObjectNode sack = sacks.addObject().put("sack", task.id).put("try", task.attempt).put("phase", task.phase);
+            ObjectNode sack =
+                    sacks.addObject()
+                            .put("sack", task.id)
+                            .put("try", task.attempt)
+                            .put("phase", task.phase);
             if (task.cause != null) {
                 sack.put("cause", task.cause);
             }
@@ -186,28 +201,41 @@
         long sentSession = session;
         byte[] body = reportBody().toString().getBytes(java.nio.charset.StandardCharsets.UTF_8);
         int to = node;
-        world.network().send(name, new Request(world.apiOf(to), "POST", "/v1/report", body, 4), reply -> {
-            reporting = false;
-            if (gone || hung) {
-                return;
-            }
-            checkLease();
-            if (reply.status() == 200) {
-                JsonNode answer = SimState.parse(reply.body());
-                boolean valid = answer.has("baton") && answer.path("baton").asLong() >= token && session == sentSession;
-                if (valid) {
-                    token = answer.path("baton").asLong();
-                    renewedAt = sent;
-                    execute(answer.path("orders"));
-                }
-            } else if (reply.status() == 421 && SimState.parse(reply.body()).has("foreman")) {
-                node = Integer.parseInt(SimState.parse(reply.body()).path("foreman").asText().substring(2));
-                world.clock().after(0.1, this::report);
-            } else {
-                node = (to + 1) % World.NODES;
-                world.clock().after(1, this::report);
-            }
-        });
+        world.network()
+                .send(
+                        name,
+                        new Request(world.apiOf(to), "POST", "/v1/report", body, 4),
+                        reply -> {
+                            reporting = false;
+                            if (gone || hung) {
+                                return;
+                            }
+                            checkLease();
+                            if (reply.status() == 200) {
+                                JsonNode answer = SimState.parse(reply.body());
+                                boolean valid =
+                                        answer.has("baton")
+                                                && answer.path("baton").asLong() >= token
+                                                && session == sentSession;
+                                if (valid) {
+                                    token = answer.path("baton").asLong();
+                                    renewedAt = sent;
+                                    execute(answer.path("orders"));
+                                }
+                            } else if (reply.status() == 421
+                                    && SimState.parse(reply.body()).has("foreman")) {
+                                node =
+                                        Integer.parseInt(
+                                                SimState.parse(reply.body())
+                                                        .path("foreman")
+                                                        .asText()
+                                                        .substring(2));
+                                world.clock().after(0.1, this::report);
+                            } else {
+                                node = (to + 1) % World.NODES;
+                                world.clock().after(1, this::report);
+                            }
+                        });
     }
 
     Reply orders(byte[] bytes) {
@@ -216,7 +244,8 @@
         if (!body.has("baton") || !body.has("shift")) {
             return new Reply(400, new byte[0]);
         }
-        boolean refused = body.path("baton").asLong() < token || body.path("shift").asLong() != session;
+        boolean refused =
+                body.path("baton").asLong() < token || body.path("shift").asLong() != session;
         if (!refused) {
             token = body.path("baton").asLong();
             execute(body.path("orders"));
@@ -255,36 +284,46 @@
     }
 
     private void start(String key, Task task) {
-        boolean busy = tasks.values().stream().anyMatch(t -> t.id.equals(task.id) && !t.phase.equals("ended"));
+        boolean busy =
+                tasks.values().stream()
+                        .anyMatch(t -> t.id.equals(task.id) && !t.phase.equals("ended"));
         tasks.put(key, task);
         if (busy) {
             end(task, "busy");
             return;
         }
-        whenAwake(world.fetchS(), () -> {
-            if (tasks.get(key) != task || !task.phase.equals("pulling")) {
-                return;
-            }
-            task.phase = "running";
-            world.started(this, task);
-            report();
-            double runS = failing ? 0.1 : world.runTime(task.id);
-            if (runS < Double.POSITIVE_INFINITY) {
-                whenAwake(runS, () -> finish(key, task));
-            }
-        });
+        whenAwake(
+                world.fetchS(),
+                () -> {
+                    if (tasks.get(key) != task || !task.phase.equals("pulling")) {
+                        return;
+                    }
+                    task.phase = "running";
+                    world.started(this, task);
+                    report();
+                    double runS = failing ? 0.1 : world.runTime(task.id);
+                    if (runS < Double.POSITIVE_INFINITY) {
+                        whenAwake(runS, () -> finish(key, task));
+                    }
+                });
     }
 
-    /** A machine that hangs does nothing, and goes on when it wakes; past its lease it finds nothing to go on with. */
+    /**
+     * A machine that hangs does nothing, and goes on when it wakes; past its lease it finds nothing
+     * to go on with.
+     */
     private void whenAwake(double seconds, Runnable then) {
-        world.clock().after(seconds, () -> {
-            checkLease();
-            if (hung) {
-                whenAwake(World.REPORT_S / 20, then);
-            } else if (!gone) {
-                then.run();
-            }
-        });
+        world.clock()
+                .after(
+                        seconds,
+                        () -> {
+                            checkLease();
+                            if (hung) {
+                                whenAwake(World.REPORT_S / 20, then);
+                            } else if (!gone) {
+                                then.run();
+                            }
+                        });
     }
 
     private void finish(String key, Task task) {
--- a/src/test/java/org/springmill/sim/VirtualClock.java
+++ b/src/test/java/org/springmill/sim/VirtualClock.java
@@ -4,13 +4,16 @@
 import java.util.PriorityQueue;
 import org.springmill.transport.Loop;
 
-/** Time that passes only when a test lets it; tasks due at the same instant run in the order they were set. */
+/**
+ * Time that passes only when a test lets it; tasks due at the same instant run in the order they
+ * were set.
+ */
 public final class VirtualClock implements Loop {
-    private record Task(double at, long order, Runnable run, boolean[] cancelled) {
-    }
+    private record Task(double at, long order, Runnable run, boolean[] cancelled) {}
 
     private final PriorityQueue<Task> tasks =
-            new PriorityQueue<>(Comparator.comparingDouble(Task::at).thenComparingLong(Task::order));
+            new PriorityQueue<>(
+                    Comparator.comparingDouble(Task::at).thenComparingLong(Task::order));
     private double now = 1000;
     private long order;
 
--- a/src/test/java/org/springmill/sim/World.java
+++ b/src/test/java/org/springmill/sim/World.java
@@ -21,7 +21,10 @@
 import org.springmill.transport.Loop;
 import org.springmill.transport.PeerLink;
 
-/** Controllers with everything around them under one virtual clock. Breaks of the rules are noted as they happen. */
+/**
+ * Controllers with everything around them under one virtual clock. Breaks of the rules are noted as
+ * they happen.
+ */
 public final class World {
     static final int NODES = 3;
     static final double REPORT_S = 2;
@@ -60,7 +63,13 @@
 
         Node(int index) {
             this.index = index;
-            controller = new Controller(settings(index, limits), this, this, this, new SplittableRandom(++incarnations));
+            controller =
+                    new Controller(
+                            settings(index, limits),
+                            this,
+                            this,
+                            this,
+                            new SplittableRandom(++incarnations));
             controller.start();
         }
 
@@ -77,20 +86,25 @@
 
         @Override
         public Timer after(double seconds, Runnable task) {
-            return clock.after(seconds, () -> {
-                if (!dead) {
-                    task.run();
-                }
-            });
+            return clock.after(
+                    seconds,
+                    () -> {
+                        if (!dead) {
+                            task.run();
+                        }
+                    });
         }
 
         @Override
         public void send(Request request, Consumer<Reply> done) {
-            network.send("n-" + index, request, reply -> {
-                if (!dead) {
-                    done.accept(reply);
-                }
-            });
+            network.send(
+                    "n-" + index,
+                    request,
+                    reply -> {
+                        if (!dead) {
+                            done.accept(reply);
+                        }
+                    });
         }
 
         @Override
@@ -102,14 +116,15 @@
             if (cutPeers.contains("n-" + index) || cutPeers.contains(node)) {
                 return;
             }
-            Runnable delivery = () -> {
-                Node to = nodes[Integer.parseInt(node.substring(2))];
-                if (to == null) {
-                    listener.refused(node);
-                } else if (to.listener != null) {
-                    to.listener.received(record);
-                }
-            };
+            Runnable delivery =
+                    () -> {
+                        Node to = nodes[Integer.parseInt(node.substring(2))];
+                        if (to == null) {
+                            listener.refused(node);
+                        } else if (to.listener != null) {
+                            to.listener.received(record);
+                        }
+                    };
             if (holdRecords) {
                 heldRecords.add(delivery);
             } else {
@@ -127,7 +142,9 @@
         this(1);
     }
 
-    /** @param seed of what is left to chance */
+    /**
+     * @param seed of what is left to chance
+     */
     public World(long seed) {
         random = new SplittableRandom(seed);
         network.random(random.split());
@@ -155,10 +172,24 @@
                 peers.put("n-" + i, "10.0.0." + i + ":8081");
             }
         }
-        return new Settings("n-" + index, "a", "10.0.0." + index + ":8080", "10.0.0." + index + ":8081", peers,
-                "cloud:1", "state:1", List.of("a", "b"), 1, List.of(new Settings.Team("red", 0, 0, 8, 16),
-                new Settings.Team("blue", 0, 0, 8, 64)), List.of(), new Settings.Workers(REPORT_S, LEASE_S, CANCEL_S),
-                limits, new Settings.Cloud(4, 3), new Settings.Limits(0.2, 176, 700),
+        return new Settings(
+                "n-" + index,
+                "a",
+                "10.0.0." + index + ":8080",
+                "10.0.0." + index + ":8081",
+                peers,
+                "cloud:1",
+                "state:1",
+                List.of("a", "b"),
+                1,
+                List.of(
+                        new Settings.Team("red", 0, 0, 8, 16),
+                        new Settings.Team("blue", 0, 0, 8, 64)),
+                List.of(),
+                new Settings.Workers(REPORT_S, LEASE_S, CANCEL_S),
+                limits,
+                new Settings.Cloud(4, 3),
+                new Settings.Limits(0.2, 176, 700),
                 OperatorSettings.DEFAULTS);
     }
 
@@ -226,7 +257,10 @@
         filtered = true;
     }
 
-    /** Keeps back what controllers say to each other, until it is delivered to whoever has the address then. */
+    /**
+     * Keeps back what controllers say to each other, until it is delivered to whoever has the
+     * address then.
+     */
     public void holdRecords() {
         holdRecords = true;
     }
@@ -300,15 +334,26 @@
         }
     }
 
-    /** Asks a controller as a user would; the rules take note of the answer when the user gets it. */
-    public void user(int node, String method, String path, String body, double timeoutS, Consumer<Reply> done) {
+    /**
+     * Asks a controller as a user would; the rules take note of the answer when the user gets it.
+     */
+    public void user(
+            int node,
+            String method,
+            String path,
+            String body,
+            double timeoutS,
+            Consumer<Reply> done) {
         Request request = new Request(apiOf(node), method, path, Rules.bytes(body), timeoutS);
         double sentAt = clock.now();
         rules.asks(request);
-        network.send("user", request, reply -> {
-            rules.told(request, sentAt, reply);
-            done.accept(reply);
-        });
+        network.send(
+                "user",
+                request,
+                reply -> {
+                    rules.told(request, sentAt, reply);
+                    done.accept(reply);
+                });
     }
 
     /** Asks a controller as a user would, and waits for the answer. */
@@ -322,8 +367,8 @@
     }
 
     /**
-     * Users ask about every unfinished job from now on, every five seconds. Each keeps to one controller for as long as
-     * the balancer finds that one healthy, as an open connection does.
+     * Users ask about every unfinished job from now on, every five seconds. Each keeps to one
+     * controller for as long as the balancer finds that one healthy, as an open connection does.
      */
     public World polled() {
         rules.polled();
@@ -335,7 +380,9 @@
     private void balance() {
         for (int i = 0; i < NODES; i++) {
             int node = i;
-            network.send("balancer", new Request(apiOf(node), "GET", "/ready", new byte[0], 1),
+            network.send(
+                    "balancer",
+                    new Request(apiOf(node), "GET", "/ready", new byte[0], 1),
                     reply -> unready[node] = reply.ok() ? 0 : unready[node] + 1);
         }
         clock.after(1, this::balance);
@@ -344,13 +391,16 @@
     private void poll() {
         for (String id : rules.unfinished()) {
             int node = connected.getOrDefault(id, random.nextInt(NODES));
-            // Two probes fail before the balancer takes note, and connections that are open get 5 s.
+            // Two probes fail before the balancer takes note, and connections that are open get 5
+            // s.
             while (unready[node] >= 7 && unready[0] + unready[1] + unready[2] < 7 * NODES) {
                 node = random.nextInt(NODES);
             }
             connected.put(id, node);
             int to = node;
-            clock.after(random.nextDouble() * POLL_S, () -> user(to, "GET", "/submissions/" + id, "", 2, reply -> { }));
+            clock.after(
+                    random.nextDouble() * POLL_S,
+                    () -> user(to, "GET", "/submissions/" + id, "", 2, reply -> {}));
         }
         clock.after(POLL_S, this::poll);
     }
@@ -360,7 +410,10 @@
         return ask(node, "POST", "/submissions", job.toString()).status();
     }
 
-    /** Makes known a job that a test has put into the state service itself, and which tasks of it are done. */
+    /**
+     * Makes known a job that a test has put into the state service itself, and which tasks of it
+     * are done.
+     */
     public void assume(ObjectNode job, int... done) {
         runTimes.put(job.path("nameId").asText(), 1.0);
         rules.assume(job, done);
@@ -375,14 +428,31 @@
     }
 
     private static String phaseOf(Reply reply) {
-        return reply.ok() ? SimState.parse(reply.body()).path("phase").asText() : Integer.toString(reply.status());
-    }
-
-    public static ObjectNode job(String id, String team, String shape, int tasks, double cpus, double gpus) {
-        return JSON.createObjectNode().put("nameId", id).put("grist", "c").put("crew", team).put("shape", shape)
-                .put("urgency", "normal").put("sacks", tasks).put("vcpus", cpus).put("cards", gpus).put("memGb", 1.0)
-                .put("mould", "img-1").put("pullGb", 1.0).put("samePlace", false).put("apart", false)
-                .put("loaner", false).put("expectS", 10.0).put("stashEveryS", 0.0).put("stashS", 0.0);
+        return reply.ok()
+                ? SimState.parse(reply.body()).path("phase").asText()
+                : Integer.toString(reply.status());
+    }
+
+    public static ObjectNode job(
+            String id, String team, String shape, int tasks, double cpus, double gpus) {
+        return JSON.createObjectNode()
+                .put("nameId", id)
+                .put("grist", "c")
+                .put("crew", team)
+                .put("shape", shape)
+                .put("urgency", "normal")
+                .put("sacks", tasks)
+                .put("vcpus", cpus)
+                .put("cards", gpus)
+                .put("memGb", 1.0)
+                .put("mould", "img-1")
+                .put("pullGb", 1.0)
+                .put("samePlace", false)
+                .put("apart", false)
+                .put("loaner", false)
+                .put("expectS", 10.0)
+                .put("stashEveryS", 0.0)
+                .put("stashS", 0.0);
     }
 
     double runTime(String task) {
@@ -419,7 +489,10 @@
         return rules.unserved();
     }
 
-    /** Tasks that a machine was told to start, and started, after their user was told that the job is cancelled. */
+    /**
+     * Tasks that a machine was told to start, and started, after their user was told that the job
+     * is cancelled.
+     */
     public List<String> startsAfterCancel() {
         return rules.startsAfterCancel();
     }
@@ -429,11 +502,17 @@
     }
 
     public int running(String job) {
-        return (int) cloud.machines().values().stream().flatMap(m -> m.tasks().stream())
-                .filter(t -> t.onMachine() && t.id.startsWith(job + "/")).count();
+        return (int)
+                cloud.machines().values().stream()
+                        .flatMap(m -> m.tasks().stream())
+                        .filter(t -> t.onMachine() && t.id.startsWith(job + "/"))
+                        .count();
     }
 
     public SimWorker holder(String task) {
-        return cloud.machines().values().stream().filter(m -> m.runs(task)).findFirst().orElse(null);
+        return cloud.machines().values().stream()
+                .filter(m -> m.runs(task))
+                .findFirst()
+                .orElse(null);
     }
 }
--- a/src/test/java/org/springmill/transport/TransportTest.java
+++ b/src/test/java/org/springmill/transport/TransportTest.java
@@ -14,11 +14,16 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import org.junit.jupiter.api.Test;
 
-/** Sockets are the first thing that a controller of a large fleet runs out of: bounds on real ones, on loopback. */
+/**
+ * Sockets are the first thing that a controller of a large fleet runs out of: bounds on real ones,
+ * on loopback.
+ */
 class TransportTest {
     private static final String REQUEST = "GET /ready HTTP/1.1\r\nHost: x\r\n\r\n";
 
-    /** More workers than places: each is answered, and those without a place are asked to come anew. */
+    /**
+     * More workers than places: each is answered, and those without a place are asked to come anew.
+     */
     @Test
     void whoeverFindsNoPlaceIsAnsweredAndToldToClose() throws Exception {
         try (Transport server = new Transport(100, Set.of())) {
@@ -36,9 +41,13 @@
                     kept++;
                 }
             }
-            assertEquals(47, kept, "of 60 sockets one in eight is left to newcomers, and one in eight of the rest");
+            assertEquals(
+                    47,
+                    kept,
+                    "of 60 sockets one in eight is left to newcomers, and one in eight of the rest");
             for (Socket worker : workers.subList(0, 47)) {
-                assertTrue(ask(worker).startsWith("HTTP/1.1 200"), "a kept connection was pushed out");
+                assertTrue(
+                        ask(worker).startsWith("HTTP/1.1 200"), "a kept connection was pushed out");
             }
             for (Socket worker : workers) {
                 worker.close();
@@ -66,28 +75,51 @@
         AtomicInteger held = new AtomicInteger();
         AtomicInteger most = new AtomicInteger();
         CountDownLatch answered = new CountDownLatch(2 * machines);
-        try (Transport workers = new Transport(1000, Set.of()); Transport controller = new Transport(30, Set.of())) {
+        try (Transport workers = new Transport(1000, Set.of());
+                Transport controller = new Transport(30, Set.of())) {
             List<String> addresses = new ArrayList<>();
             for (int i = 0; i < machines; i++) {
-                addresses.add("127.0.0.1:" + workers.serve("127.0.0.1:0", call -> {
-                    most.accumulateAndGet(held.incrementAndGet(), Math::max);
-                    workers.loop().after(0.01, () -> {
-                        held.decrementAndGet();
-                        call.reply(200, new byte[0], 0);
-                    });
-                }));
+                addresses.add(
+                        "127.0.0.1:"
+                                + workers.serve(
+                                        "127.0.0.1:0",
+                                        call -> {
+                                            most.accumulateAndGet(
+                                                    held.incrementAndGet(), Math::max);
+                                            workers.loop()
+                                                    .after(
+                                                            0.01,
+                                                            () -> {
+                                                                held.decrementAndGet();
+                                                                call.reply(200, new byte[0], 0);
+                                                            });
+                                        }));
             }
-            controller.loop().after(0, () -> {
-                for (int i = 0; i < 2 * machines; i++) {
-                    controller.client().send(new HttpClient.Request(addresses.get(i % machines), "POST", "/orders",
-                            new byte[] {'{', '}'}, 20), reply -> {
-                                if (reply.ok()) {
-                                    answered.countDown();
+            controller
+                    .loop()
+                    .after(
+                            0,
+                            () -> {
+                                for (int i = 0; i < 2 * machines; i++) {
+                                    controller
+                                            .client()
+                                            .send(
+                                                    new HttpClient.Request(
+                                                            addresses.get(i % machines),
+                                                            "POST",
+                                                            "/orders",
+                                                            new byte[] {'{', '}'},
+                                                            20),
+                                                    reply -> {
+                                                        if (reply.ok()) {
+                                                            answered.countDown();
+                                                        }
+                                                    });
                                 }
                             });
-                }
-            });
-            assertTrue(answered.await(30, TimeUnit.SECONDS), answered.getCount() + " requests are not answered");
+            assertTrue(
+                    answered.await(30, TimeUnit.SECONDS),
+                    answered.getCount() + " requests are not answered");
             assertTrue(most.get() <= 9, most + " connections at once");
         }
     }
