--- a/src/main/java/org/springmill/control/coordination/Controller.java
+++ b/src/main/java/org/springmill/control/coordination/Controller.java
@@ -27,7 +27,6 @@
     private static final byte[] EMPTY = new byte[0];
     private static final String METRICS = "/metrics";
 
-    private final HttpClient http;
     private final Loop loop;
     private final Settings settings;
     private final Timing timing;
@@ -49,7 +48,7 @@
             Settings settings, Loop loop, HttpClient http, PeerLink link, SplittableRandom random) {
         this.settings = settings;
         this.loop = loop;
-        this.http = http;
+
         timing = Timing.of(settings);
         metrics = new Metrics(loop);
         store = new StateStore(http, loop, settings, timing.stateTimeoutS());
--- a/src/main/java/org/springmill/control/coordination/Demand.java
+++ b/src/main/java/org/springmill/control/coordination/Demand.java
@@ -66,9 +66,9 @@
         Set<String> classes = new HashSet<>();
         for (Settings.Objective objective : settings.objectives()) {
             boolean tight =
-                    objective.kind().equals("wait") && objective.withinS() < bootS
-                            || objective.kind().equals("finished")
-                                    && objective.withinS() < TIGHT_BOOTS * bootS;
+                    (objective.kind().equals("wait") && objective.withinS() < bootS)
+                            || (objective.kind().equals("finished")
+                                    && objective.withinS() < TIGHT_BOOTS * bootS);
             if (tight && objective.jobClass() != null) {
                 classes.add(objective.jobClass());
             }
--- a/src/main/java/org/springmill/control/coordination/Job.java
+++ b/src/main/java/org/springmill/control/coordination/Job.java
@@ -47,7 +47,7 @@
         ENDED;
 
         private boolean mayBecome(State next) {
-            return next == ELIGIBLE && this == WAITING || next == ENDED && this != ENDED;
+            return (next == ELIGIBLE && this == WAITING) || (next == ENDED && this != ENDED);
         }
     }
 
--- a/src/main/java/org/springmill/control/coordination/Ledger.java
+++ b/src/main/java/org/springmill/control/coordination/Ledger.java
@@ -17,7 +17,7 @@
  * and machines.
  */
 final class Ledger {
-    private final Settings settings;
+
     private final Map<String, Job> jobs = new LinkedHashMap<>();
     private final Map<String, Usage> teams = new HashMap<>();
     private final Set<Attempt> ended = new LinkedHashSet<>();
@@ -72,8 +72,8 @@
          * stopped.
          */
         boolean exceedsGuaranteeWithout(double lessCpus, double lessGpus) {
-            return team.cpus() > 0 && cpus - leavingCpus - lessCpus > team.cpus() - 1e-6
-                    || team.gpus() > 0 && gpus - leavingGpus - lessGpus > team.gpus() - 1e-6;
+            return (team.cpus() > 0 && cpus - leavingCpus - lessCpus > team.cpus() - 1e-6)
+                    || (team.gpus() > 0 && gpus - leavingGpus - lessGpus > team.gpus() - 1e-6);
         }
 
         private void leaving(Submission spec, int sign) {
@@ -113,7 +113,7 @@
     }
 
     Ledger(Settings settings) {
-        this.settings = settings;
+
         settings.teams().forEach(team -> teams.put(team.name(), new Usage(team)));
     }
 
--- a/src/main/java/org/springmill/control/coordination/Machine.java
+++ b/src/main/java/org/springmill/control/coordination/Machine.java
@@ -197,7 +197,7 @@
      */
     boolean isLatestReport(Report report) {
         return report.session() > session
-                || report.session() == session && report.seq() > lastReportSeq;
+                || (report.session() == session && report.seq() > lastReportSeq);
     }
 
     void tookReport(Report report) {
--- a/src/main/java/org/springmill/control/coordination/Metrics.java
+++ b/src/main/java/org/springmill/control/coordination/Metrics.java
@@ -122,7 +122,7 @@
                                             name + "_seconds{quantile=\"" + at.percentile() + "\"}",
                                             at.value(TimeUnit.NANOSECONDS) / 1e9);
                                 }
-                                line(out, name + "_seconds_count", timer.count());
+                                line(out, name + "_seconds_count", (double) timer.count());
                                 line(
                                         out,
                                         name + "_seconds_sum",
--- a/src/main/java/org/springmill/control/coordination/Orders.java
+++ b/src/main/java/org/springmill/control/coordination/Orders.java
@@ -74,7 +74,7 @@
         }
         List<Command> due = machine.session() == 0 ? List.of() : due(machine);
         boolean probe = due.isEmpty() && machine.session() == 0;
-        if (due.isEmpty() && !machine.askAgain || probe && probes >= MAX_PROBES) {
+        if ((due.isEmpty() && !machine.askAgain) || (probe && probes >= MAX_PROBES)) {
             return;
         }
         machine.askAgain = false;
--- a/src/main/java/org/springmill/control/coordination/Placement.java
+++ b/src/main/java/org/springmill/control/coordination/Placement.java
@@ -291,7 +291,7 @@
 
     /** A gang is claimed in one round, and only when all of its members find a place. */
     private void placeGang(Job job, Ranking ranking, long round, int most, List<Attempt> placed) {
-        if (job.liveCount() > 0 || !placed.isEmpty() && job.waiting() > most - placed.size()) {
+        if (job.liveCount() > 0 || (!placed.isEmpty() && job.waiting() > most - placed.size())) {
             return;
         }
         List<Attempt> members = new ArrayList<>();
@@ -368,7 +368,7 @@
             boolean larger =
                     found == null
                             || spec.gpus() > found.gpus()
-                            || spec.gpus() == found.gpus() && spec.cpus() > found.cpus();
+                            || (spec.gpus() == found.gpus() && spec.cpus() > found.cpus());
             if (job.eligible() && spec.service() && larger) {
                 found = spec;
             }
@@ -449,8 +449,8 @@
     /** Whether anything at all may be stopped for a job: most find at a glance that nothing may. */
     private boolean mayStopAny(Job job) {
         return fleet.ledger().runsBelow(job.priority())
-                || usage(job).guaranteedFor(job.spec())
-                        && fleet.ledger().otherAboveGuarantee(job.spec().team());
+                || (usage(job).guaranteedFor(job.spec())
+                        && fleet.ledger().otherAboveGuarantee(job.spec().team()));
     }
 
     /** Frees room for one task, unless enough is being freed already. */
--- a/src/main/java/org/springmill/control/coordination/Rentals.java
+++ b/src/main/java/org/springmill/control/coordination/Rentals.java
@@ -431,7 +431,7 @@
 
     private static boolean reporting(Machine machine) {
         return machine.state() == Machine.State.UP
-                || machine.state() == Machine.State.EXPECTED && !machine.attempts().isEmpty();
+                || (machine.state() == Machine.State.EXPECTED && !machine.attempts().isEmpty());
     }
 
     /**
@@ -468,7 +468,7 @@
         return quietFor(machine, now) > timing.silentS()
                 && machine.ordersFailing()
                 && !machine.attempts().isEmpty()
-                && (unlisted(machine) || fewSilent && !darkZones.contains(machine.zone()));
+                && (unlisted(machine) || (fewSilent && !darkZones.contains(machine.zone())));
     }
 
     private void plan(double now) {
@@ -486,9 +486,10 @@
                 continue;
             }
             boolean there =
-                    machine.state() == Machine.State.EXPECTED && !darkZones.contains(machine.zone())
-                            || machine.state() == Machine.State.UP
-                                    && machine.takesWork(now, timing.leaseS());
+                    (machine.state() == Machine.State.EXPECTED
+                                    && !darkZones.contains(machine.zone()))
+                            || (machine.state() == Machine.State.UP
+                                    && machine.takesWork(now, timing.leaseS()));
             if (there) {
                 room.add(Bin.of(machine));
             }
@@ -636,7 +637,8 @@
                                 .noneMatch(
                                         m ->
                                                 quiet(m, now)
-                                                        || m.draining() && !m.attempts().isEmpty());
+                                                        || (m.draining()
+                                                                && !m.attempts().isEmpty()));
         if (!calm) {
             return;
         }
@@ -761,7 +763,7 @@
             int used = Math.min(tasks, type.holds(spec));
             for (String zone : type.zones()) {
                 if (darkZones.contains(zone)
-                        || spec.zone() != null && !spec.zone().equals(zone)
+                        || (spec.zone() != null && !spec.zone().equals(zone))
                         || zones.getOrDefault(zone, 0) >= spec.perZone()) {
                     continue;
                 }
--- a/src/main/java/org/springmill/control/coordination/Settling.java
+++ b/src/main/java/org/springmill/control/coordination/Settling.java
@@ -33,7 +33,6 @@
     private final Consumer<String> laterTerm;
 
     /**
-     * @param tookOver when this leader learned that it leads
      * @param changed called when a round may have something to do
      * @param laterTerm called when a worker has seen a token of a later term
      */
@@ -89,7 +88,7 @@
         }
         // Hundreds of workers report every few seconds, mostly that nothing has changed: no reason
         // for a round.
-        if (fleet.ledger().hasEnded() || !open && machine.takesWork(now, timing.quietS())) {
+        if (fleet.ledger().hasEnded() || (!open && machine.takesWork(now, timing.quietS()))) {
             changed.run();
         }
     }
@@ -164,7 +163,7 @@
             case CLAIMING, CLAIMED, ENDED, GONE -> false;
             default ->
                     report.token() > attempt.exposedToken()
-                            || attempt.session() != 0 && report.session() > attempt.session();
+                            || (attempt.session() != 0 && report.session() > attempt.session());
         };
     }
 
--- a/src/main/java/org/springmill/control/coordination/StandIn.java
+++ b/src/main/java/org/springmill/control/coordination/StandIn.java
@@ -57,10 +57,10 @@
         }
         boolean keeps =
                 leadership.vacant()
-                        || !holdsTerm && peers.helps()
-                        || !store.reachable() && !holdsTerm && onTheWordOfOthers()
-                        || alone && unclaimed(report);
-        keeps &= horizon.covers() || alone && zoneIsCutOff();
+                        || (!holdsTerm && peers.helps())
+                        || (!store.reachable() && !holdsTerm && onTheWordOfOthers())
+                        || (alone && unclaimed(report));
+        keeps &= horizon.covers() || (alone && zoneIsCutOff());
         if (keeps) {
             peers.stoodIn();
         }
@@ -71,7 +71,7 @@
         long term = leadership.knownTerm();
         boolean witnessed =
                 peers.allConfirmOutage(term)
-                        || leadership.informed() && peers.mostMissTheLeader(term);
+                        || (leadership.informed() && peers.mostMissTheLeader(term));
         return witnessed && !peers.someLead();
     }
 
--- a/src/main/java/org/springmill/control/coordination/UserApi.java
+++ b/src/main/java/org/springmill/control/coordination/UserApi.java
@@ -351,8 +351,8 @@
                                 new Cancellation(job.id(), result.revision(), cancelled.endedAt()));
                         call.reply(200, UserMessages.phase(job.id(), Phase.CANCELLED), 0);
                     } else if (loop.now() + timing.stateTimeoutS() > until
-                            || result.outcome() == StateStore.Outcome.NOT_NOW
-                                    && !store.reachable()) {
+                            || (result.outcome() == StateStore.Outcome.NOT_NOW
+                                    && !store.reachable())) {
                         later(call, "the state service does not answer");
                     } else {
                         // Refused: the record has moved on. No answer: the barrier tells whether it
--- a/src/main/java/org/springmill/control/storage/ImageNotes.java
+++ b/src/main/java/org/springmill/control/storage/ImageNotes.java
@@ -67,8 +67,8 @@
         List<String> machines = new ArrayList<>();
         value.path("machines").forEach(m -> machines.add(m.asText()));
         value.path("images")
-                .fields()
-                .forEachRemaining(
+                .properties()
+                .forEach(
                         e -> {
                             for (int i = 1; i < e.getValue().size(); i++) {
                                 int at = e.getValue().get(i).asInt();
--- a/src/main/java/org/springmill/control/storage/RoundLog.java
+++ b/src/main/java/org/springmill/control/storage/RoundLog.java
@@ -436,7 +436,7 @@
         // stays in proportion to what is new. A fleet's worth of long-lived claims was rewritten
         // every few rounds.
         boolean few = parts.size() < 2 * most;
-        if (few || parts.size() < MAX_PARTS && storedBytes() < 2 * neededBytes()) {
+        if (few || (parts.size() < MAX_PARTS && storedBytes() < 2 * neededBytes())) {
             return List.of();
         }
         List<Part> replaced = new ArrayList<>();
--- a/src/main/java/org/springmill/control/storage/StateStore.java
+++ b/src/main/java/org/springmill/control/storage/StateStore.java
@@ -71,8 +71,10 @@
     }
 
     /**
-     * @param revision of the commit, when it was applied; @param failed keys whose conditions did
-     *     not hold
+     * What came of a transaction.
+     *
+     * @param revision of the commit, when it was applied
+     * @param failed keys whose conditions did not hold
      */
     public record CommitResult(Outcome outcome, long revision, List<String> failed) {}
 
@@ -260,7 +262,7 @@
         if (largest <= half.valueBytes() && changes.size() <= half.writesPerCommit()) {
             return false;
         }
-        if (limits == under) {
+        if (limits.equals(under)) {
             limits = half;
             LOG.warn(
                     "the state service takes less than the settings say: keeping to {} writes of {} bytes",
@@ -314,14 +316,18 @@
     }
 
     /**
-     * @param changes null if not served; @param tooOld the keys have to be read anew
+     * What a read of the changes brought.
+     *
+     * @param changes null if not served
+     * @param tooOld whether the keys have to be read anew
      */
     public record ChangesResult(Changes changes, boolean tooOld) {}
 
     /** Sends past the queue. Reads and renewals are few and others wait for them. */
-    private void now(String method, String path, byte[] body, double limitS, Consumer<Reply> done) {
+    private void now(
+            String method, String path, byte[] body, double timeoutS, Consumer<Reply> done) {
         requests.take(1, loop.now());
-        send(new Request(settings.stateAddress(), method, path, body, limitS), done);
+        send(new Request(settings.stateAddress(), method, path, body, timeoutS), done);
     }
 
     private void enqueue(Waiting waiting) {
--- a/src/main/java/org/springmill/protocol/Priority.java
+++ b/src/main/java/org/springmill/protocol/Priority.java
@@ -27,6 +27,6 @@
     }
 
     public boolean above(Priority other) {
-        return ordinal() < other.ordinal();
+        return compareTo(other) < 0;
     }
 }
--- a/src/main/java/org/springmill/protocol/SettingsFile.java
+++ b/src/main/java/org/springmill/protocol/SettingsFile.java
@@ -22,6 +22,8 @@
     }
 
     /**
+     * Reads and checks the settings.
+     *
      * @param operatorFile the operators' own settings, or null for their defaults
      */
     public static Settings read(Path file, Path operatorFile) throws SettingsException {
--- a/src/main/java/org/springmill/protocol/StateMessages.java
+++ b/src/main/java/org/springmill/protocol/StateMessages.java
@@ -17,6 +17,8 @@
     public record Page(List<Entry> entries, boolean more, long revision) {}
 
     /**
+     * One change of a key.
+     *
      * @param value null for a deletion
      */
     public record Change(String key, JsonNode value, long version) {}
@@ -27,7 +29,10 @@
     public record Condition(String key, long version) {}
 
     /**
-     * @param value null to delete; @param lease 0 for none
+     * One write of a transaction.
+     *
+     * @param value null to delete
+     * @param lease 0 for none
      */
     public record Write(String key, JsonNode value, long lease) {
         public static Write put(String key, JsonNode value) {
--- a/src/main/java/org/springmill/protocol/WorkerMessages.java
+++ b/src/main/java/org/springmill/protocol/WorkerMessages.java
@@ -53,7 +53,7 @@
             List<TaskReport> tasks) {
 
         public boolean newerThan(long otherSession, long otherSeq) {
-            return session > otherSession || session == otherSession && seq > otherSeq;
+            return session > otherSession || (session == otherSession && seq > otherSeq);
         }
     }
 
--- a/src/main/java/org/springmill/transport/HttpClient.java
+++ b/src/main/java/org/springmill/transport/HttpClient.java
@@ -8,6 +8,8 @@
     void send(Request request, Consumer<Reply> done);
 
     /**
+     * A request to one address.
+     *
      * @param body may be empty
      */
     record Request(String address, String method, String path, byte[] body, double timeoutS) {}
--- a/src/main/java/org/springmill/transport/HttpHandler.java
+++ b/src/main/java/org/springmill/transport/HttpHandler.java
@@ -15,6 +15,8 @@
         byte[] body();
 
         /**
+         * Answers the request.
+         *
          * @param retryAfterS sent as {@code Retry-After} when positive
          */
         void reply(int status, byte[] body, int retryAfterS);
--- a/src/test/java/org/springmill/control/coordination/ChainTest.java
+++ b/src/test/java/org/springmill/control/coordination/ChainTest.java
@@ -325,7 +325,8 @@
                         (from, request) ->
                                 !from.startsWith("n-") || random.nextInt(100) > 5
                                         ? Fate.DELIVER
-                                        : Fate.values()[random.nextInt(Fate.values().length)]);
+                                        : List.of(Fate.values())
+                                                .get(random.nextInt(Fate.values().length)));
         world.polled();
         for (int i = 0; i < 8; i++) {
             int first = 10 * i + 1;
--- a/src/test/java/org/springmill/control/coordination/FailureTest.java
+++ b/src/test/java/org/springmill/control/coordination/FailureTest.java
@@ -212,13 +212,13 @@
                                     from.startsWith("host-")
                                             && request.address().equals("10.0.0." + cut + ":8080");
                             boolean lost =
-                                    from.equals(name)
-                                                    && (what.contains("state") && toState(request)
-                                                            || what.contains("workers")
+                                    (from.equals(name)
+                                                    && ((what.contains("state") && toState(request))
+                                                            || (what.contains("workers")
                                                                     && request.address()
-                                                                            .startsWith("10.1."))
-                                            || what.contains("workers") && fromWorker
-                                            || what.contains("users") && from.equals("user");
+                                                                            .startsWith("10.1."))))
+                                            || (what.contains("workers") && fromWorker)
+                                            || (what.contains("users") && from.equals("user"));
                             return lost ? Fate.DROP : Fate.DELIVER;
                         });
         world.run(forS);
@@ -357,7 +357,7 @@
         world.network()
                 .judge(
                         (from, request) ->
-                                from.equals("n-" + refused) && toState(request)
+                                (from.equals("n-" + refused) && toState(request))
                                                 || request.path().equals("/rentals/delete")
                                         ? Fate.REFUSE
                                         : Fate.DELIVER);
@@ -382,11 +382,11 @@
                         (from, request) -> {
                             boolean othersState = !from.equals("n-" + alone) && toState(request);
                             boolean workers =
-                                    from.startsWith("host-")
+                                    (from.startsWith("host-")
                                                     && request.address()
-                                                            .equals("10.0.0." + alone + ":8080")
-                                            || from.equals("n-" + alone)
-                                                    && request.address().startsWith("10.1.");
+                                                            .equals("10.0.0." + alone + ":8080"))
+                                            || (from.equals("n-" + alone)
+                                                    && request.address().startsWith("10.1."));
                             return othersState ? Fate.REFUSE : workers ? Fate.DROP : Fate.DELIVER;
                         });
         world.run(60);
@@ -404,11 +404,11 @@
         world.network()
                 .judge(
                         (from, request) ->
-                                from.startsWith("host-")
+                                (from.startsWith("host-")
                                                         && request.address()
-                                                                .equals("10.0.0." + cut + ":8080")
-                                                || from.equals("n-" + cut)
-                                                        && request.address().startsWith("10.1.")
+                                                                .equals("10.0.0." + cut + ":8080"))
+                                                || (from.equals("n-" + cut)
+                                                        && request.address().startsWith("10.1."))
                                         ? Fate.DROP
                                         : Fate.DELIVER);
         world.run(40);
@@ -475,7 +475,7 @@
         world.state().setDown(true);
         world.run(5);
         for (int i = 0; i < 3; i++) {
-            if (killed.equals("all") || killed.equals("leader") && i == leader) {
+            if (killed.equals("all") || (killed.equals("leader") && i == leader)) {
                 world.restart(i);
             }
         }
--- a/src/test/java/org/springmill/control/coordination/GapTest.java
+++ b/src/test/java/org/springmill/control/coordination/GapTest.java
@@ -75,8 +75,8 @@
         world.run(6);
         for (int i = 0; i < 3; i++) {
             if (crash.equals("all")
-                    || crash.equals("confirmer") && i == confirmer
-                    || crash.equals("leader") && i == leader) {
+                    || (crash.equals("confirmer") && i == confirmer)
+                    || (crash.equals("leader") && i == leader)) {
                 world.restart(i);
             }
         }
--- a/src/test/java/org/springmill/control/coordination/MeetingTest.java
+++ b/src/test/java/org/springmill/control/coordination/MeetingTest.java
@@ -349,9 +349,9 @@
             world.network()
                     .delayAnswers(
                             (from, request) ->
-                                    request.path().equals("/orders") && random.nextInt(3) == 0
-                                                    || from.startsWith("host")
-                                                            && random.nextInt(5) == 0
+                                    (request.path().equals("/orders") && random.nextInt(3) == 0)
+                                                    || (from.startsWith("host")
+                                                            && random.nextInt(5) == 0)
                                             ? random.nextDouble() * 9
                                             : 0);
         }
--- a/src/test/java/org/springmill/sim/Rules.java
+++ b/src/test/java/org/springmill/sim/Rules.java
@@ -206,9 +206,9 @@
         boolean accepted = told.accepted <= sentAt;
         if (accepted
                 && (status == 404
-                        || submission
+                        || (submission
                                 && sent.equals(told.job)
-                                && (status == 400 || status == 422))) {
+                                && (status == 400 || status == 422)))) {
             breaks("forgotten", id + " answered " + status);
         }
         if (status != 200 && status != 201) {
--- a/src/test/java/org/springmill/sim/SimNetwork.java
+++ b/src/test/java/org/springmill/sim/SimNetwork.java
@@ -131,7 +131,7 @@
             return Fate.REFUSE;
         }
         if (deaf.contains(request.address())
-                || stateless.contains(from) && request.address().equals("state:1")) {
+                || (stateless.contains(from) && request.address().equals("state:1"))) {
             return Fate.DROP;
         }
         Fate fate = judge.judge(from, request);
--- a/src/test/java/org/springmill/transport/TransportTest.java
+++ b/src/test/java/org/springmill/transport/TransportTest.java
@@ -4,6 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.io.InputStream;
+import java.net.InetAddress;
 import java.net.Socket;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
@@ -31,7 +32,7 @@
             List<Socket> workers = new ArrayList<>();
             int kept = 0;
             for (int i = 0; i < 80; i++) {
-                Socket worker = new Socket("127.0.0.1", port);
+                Socket worker = new Socket(InetAddress.getLoopbackAddress(), port);
                 workers.add(worker);
                 String answer = ask(worker);
                 assertTrue(answer.startsWith("HTTP/1.1 200"), answer);
