--- a/src/main/java/org/springmill/cli/RunCommand.java
+++ b/src/main/java/org/springmill/cli/RunCommand.java
@@ -42,7 +42,8 @@
     }
 
     static void start(Settings settings) throws IOException {
-        // Both may stand at one address, as they do in the rehearsal: it failed unseen on a set of
+        // Both may stand at one address, as they do in the archive training run: it failed unseen
+        // on a set of
         // two, and processes
         // started without an archive of their classes.
         Transport transport =
--- a/src/main/java/org/springmill/cli/RehearseCommand.java
+++ b/src/main/java/org/springmill/cli/TrainArchiveCommand.java
@@ -6,9 +6,9 @@
 import java.util.List;
 import java.util.Set;
 import java.util.concurrent.Callable;
+import org.springmill.protocol.ArchiveTrainingMessages;
+import org.springmill.protocol.ArchiveTrainingMessages.Answer;
 import org.springmill.protocol.BadMessageException;
-import org.springmill.protocol.RehearsalMessages;
-import org.springmill.protocol.RehearsalMessages.Answer;
 import org.springmill.protocol.SettingsFile;
 import org.springmill.protocol.UserMessages;
 import org.springmill.protocol.WorkerMessages;
@@ -23,11 +23,11 @@
  * not recorded it would have to read from the jar and verify at the very moment at which it takes
  * over.
  */
-@Command(name = "rehearse", hidden = true)
-final class RehearseCommand implements Callable<Integer> {
+@Command(name = "train-archive", hidden = true)
+final class TrainArchiveCommand implements Callable<Integer> {
     private static final String SETTINGS =
             """
-            node = "rehearsal"
+            node = "training"
             site = "here"
             api_addr = "127.0.0.1:%d"
             peer_bind = "127.0.0.1:0"
@@ -72,15 +72,15 @@
     private static final double STEP_S = 0.15;
     private static final int STEPS = 24;
 
-    private RehearsalMessages world;
+    private ArchiveTrainingMessages world;
 
     @Override
     public Integer call() throws Exception {
-        Path file = Files.createTempFile("rehearsal", ".toml");
+        Path file = Files.createTempFile("training", ".toml");
         Transport around = new Transport(100, Set.of());
         try {
             int port = around.serve("127.0.0.1:0", this::play);
-            world = new RehearsalMessages("127.0.0.1:" + port);
+            world = new ArchiveTrainingMessages("127.0.0.1:" + port);
             int api = freePort();
             Files.writeString(file, SETTINGS.formatted(api, "127.0.0.1:" + port));
             RunCommand.start(SettingsFile.read(file, null));
@@ -115,7 +115,7 @@
                         post(
                                 api,
                                 UserMessages.SUBMISSIONS,
-                                RehearsalMessages.submission("run-000001", true)),
+                                ArchiveTrainingMessages.submission("run-000001", true)),
                         new Request(api, "GET", UserMessages.READY, new byte[0], 1),
                         new Request(
                                 api,
@@ -126,7 +126,7 @@
                         post(
                                 api,
                                 UserMessages.SUBMISSIONS,
-                                RehearsalMessages.submission("run-000002", false)),
+                                ArchiveTrainingMessages.submission("run-000002", false)),
                         post(
                                 api,
                                 UserMessages.SUBMISSIONS + "/run-000001" + UserMessages.WITHDRAW,
--- a/src/main/java/org/springmill/control/coordination/Horizon.java
+++ b/src/main/java/org/springmill/control/coordination/CancellationFreshness.java
@@ -10,8 +10,8 @@
  * controller alone, have another confirm cancellations, and then be down for all. docs/design.md
  * has the argument.
  */
-final class Horizon {
-    private static final Logger LOG = LoggerFactory.getLogger(Horizon.class);
+final class CancellationFreshness {
+    private static final Logger LOG = LoggerFactory.getLogger(CancellationFreshness.class);
 
     private final JobDirectory directory;
     private final Peers peers;
@@ -20,7 +20,7 @@
     private final double presumedAt;
     private boolean covered = true;
 
-    Horizon(JobDirectory directory, Peers peers, Loop loop, Timing timing) {
+    CancellationFreshness(JobDirectory directory, Peers peers, Loop loop, Timing timing) {
         this.directory = directory;
         this.peers = peers;
         this.loop = loop;
--- a/src/main/java/org/springmill/control/coordination/CancellationWriter.java
+++ b/src/main/java/org/springmill/control/coordination/CancellationPersister.java
@@ -13,7 +13,7 @@
  * controller derives the same from the record of the first one; so it has the lowest standing among
  * all that is written, and a wave of cancellations costs no round its turn.
  */
-final class CancellationWriter {
+final class CancellationPersister {
     /** Of all that the state service takes. */
     private static final double SHARE = 0.1;
 
@@ -23,7 +23,8 @@
     private final Loop loop;
     private boolean closed;
 
-    CancellationWriter(StateStore store, JobDirectory directory, Leadership leadership, Loop loop) {
+    CancellationPersister(
+            StateStore store, JobDirectory directory, Leadership leadership, Loop loop) {
         this.store = store;
         this.directory = directory;
         this.leadership = leadership;
@@ -39,7 +40,7 @@
             return;
         }
         int most = Math.max(1, store.limits().writesPerCommit() / 2);
-        List<JobRecord> due = directory.chains().unwritten(most);
+        List<JobRecord> due = directory.dependencies().pendingPersistence(most);
         double restS = Math.max(1, due.size()) / (SHARE * store.limits().writesPerS());
         if (due.isEmpty() || store.backlog() > 0 || !leadership.mayPlace()) {
             loop.after(restS, this::run);
@@ -62,7 +63,7 @@
                                         job -> directory.learn(job.committed(result.revision())));
                         // Somebody else has written one of them, or it does not fit: not tried
                         // again without end.
-                        case REFUSED -> directory.chains().leaveUnwritten(due);
+                        case REFUSED -> directory.dependencies().abandonPersistence(due);
                         case TOO_LARGE, NOT_NOW, UNKNOWN -> {}
                     }
                     loop.after(restS, this::run);
--- a/src/main/java/org/springmill/control/coordination/Ledger.java
+++ b/src/main/java/org/springmill/control/coordination/ClusterState.java
@@ -16,7 +16,7 @@
  * All jobs and attempts that count: everything not proven gone is held against team limits, zones
  * and machines.
  */
-final class Ledger {
+final class ClusterState {
 
     private final Map<String, Job> jobs = new LinkedHashMap<>();
     private final Map<String, Usage> teams = new HashMap<>();
@@ -112,7 +112,7 @@
         }
     }
 
-    Ledger(Settings settings) {
+    ClusterState(Settings settings) {
 
         settings.teams().forEach(team -> teams.put(team.name(), new Usage(team)));
     }
--- a/src/main/java/org/springmill/control/coordination/Orders.java
+++ b/src/main/java/org/springmill/control/coordination/CommandDispatcher.java
@@ -18,11 +18,11 @@
 import org.springmill.transport.HttpClient.Reply;
 
 /**
- * Brings workers to what the ledger says: commands are derived from the difference between the two
- * each time, never queued, and one request at a time goes to a worker.
+ * Brings workers to what the clusterState says: commands are derived from the difference between
+ * the two each time, never queued, and one request at a time goes to a worker.
  */
-final class Orders {
-    private static final Logger LOG = LoggerFactory.getLogger(Orders.class);
+final class CommandDispatcher {
+    private static final Logger LOG = LoggerFactory.getLogger(CommandDispatcher.class);
 
     /**
      * So many requests that carry no command may be on the way at once to machines that have not
@@ -45,7 +45,7 @@
     private int probes;
     private boolean closed;
 
-    Orders(Fleet fleet, HttpClient http, Timing timing, ReportTaker reports) {
+    CommandDispatcher(Fleet fleet, HttpClient http, Timing timing, ReportTaker reports) {
         this.fleet = fleet;
         this.http = http;
         this.timing = timing;
@@ -67,7 +67,7 @@
                 machine.state() == Machine.State.UP || machine.state() == Machine.State.EXPECTED;
         if (closed
                 || !reachable
-                || machine.ordersInFlight
+                || machine.commandsInFlight
                 || now < machine.nextOrders
                 || machine.address().isEmpty()) {
             return;
@@ -78,7 +78,7 @@
             return;
         }
         machine.askAgain = false;
-        machine.ordersInFlight = true;
+        machine.commandsInFlight = true;
         probes += probe ? 1 : 0;
         // A worker that has not reported yet is most likely in its first session; if not, its
         // refusal tells.
@@ -99,7 +99,7 @@
     }
 
     private void answered(Machine machine, Reply reply) {
-        machine.ordersInFlight = false;
+        machine.commandsInFlight = false;
         if (closed) {
             return;
         }
--- a/src/main/java/org/springmill/control/coordination/Controller.java
+++ b/src/main/java/org/springmill/control/coordination/Controller.java
@@ -32,11 +32,11 @@
     private final Timing timing;
     private final StateStore store;
     private final JobDirectory directory;
-    private final Catalog catalog;
+    private final MachineTypeCatalog catalog;
     private final Peers peers;
     private final Leadership leadership;
-    private final Horizon horizon;
-    private final StandIn standIn;
+    private final CancellationFreshness horizon;
+    private final LeaseKeepalive standIn;
     private final UserApi users;
     private final Metrics metrics;
     private Map<String, JobProgress> progress = new HashMap<>();
@@ -53,9 +53,9 @@
         metrics = new Metrics(loop);
         store = new StateStore(http, loop, settings, timing.stateTimeoutS());
         directory = new JobDirectory(store, loop, timing, random.nextInt());
-        catalog = new Catalog(http, loop, settings);
+        catalog = new MachineTypeCatalog(http, loop, settings);
         peers = new Peers(link, loop, settings, timing, directory, this::status);
-        horizon = new Horizon(directory, peers, loop, timing);
+        horizon = new CancellationFreshness(directory, peers, loop, timing);
         String incarnation = Long.toHexString(random.nextLong());
         leadership =
                 new Leadership(
@@ -89,7 +89,7 @@
                                 leader = null;
                             }
                         });
-        standIn = new StandIn(store, peers, leadership, horizon, loop, timing);
+        standIn = new LeaseKeepalive(store, peers, leadership, horizon, loop, timing);
         users =
                 new UserApi(
                         directory,
@@ -108,7 +108,7 @@
         metrics.gauge("leading", leadership, l -> l.mayPlace() ? 1 : 0);
         metrics.gauge("state.reachable", store, s -> s.reachable() ? 1 : 0);
         metrics.gauge("state.backlog", store, StateStore::backlog);
-        metrics.gauge("cancellations.age", horizon, Horizon::age);
+        metrics.gauge("cancellations.age", horizon, CancellationFreshness::age);
         metrics.gauge("jobs.known", directory, d -> d.all().size());
         metrics.gauge("tasks.waiting", this, c -> c.leader == null ? 0 : c.leader.waitingTasks());
         metrics.gauge("tasks.running", this, c -> c.leader == null ? 0 : c.leader.runningTasks());
--- a/src/main/java/org/springmill/control/coordination/ChainOrder.java
+++ b/src/main/java/org/springmill/control/coordination/DependencyPriority.java
@@ -18,19 +18,19 @@
  * latest accepted comes first, and since a job can only need earlier ones each is looked at once
  * for a change. The work of one call is bounded; what is left over waits for the next.
  */
-final class ChainOrder {
+final class DependencyPriority {
     /** Jobs looked at in one call, those that need them included. */
     private static final int MOST_STEPS = 5_000;
 
     private final JobDirectory directory;
-    private final Ledger ledger;
+    private final ClusterState clusterState;
     private final PriorityQueue<Job> stale =
             new PriorityQueue<>(Comparator.comparingLong(Job::accepted).reversed());
     private final Set<String> queued = new HashSet<>();
 
-    ChainOrder(JobDirectory directory, Ledger ledger) {
+    DependencyPriority(JobDirectory directory, ClusterState clusterState) {
         this.directory = directory;
-        this.ledger = ledger;
+        this.clusterState = clusterState;
     }
 
     /** A job has come or ended. */
@@ -50,7 +50,7 @@
 
     private void queueDependencies(Job job) {
         for (String id : job.spec().dependencies()) {
-            Job needed = ledger.job(id);
+            Job needed = clusterState.job(id);
             if (needed != null && needed.active()) {
                 queue(needed);
             }
@@ -62,7 +62,7 @@
         for (int steps = 0; steps < MOST_STEPS && !stale.isEmpty(); ) {
             Job job = stale.poll();
             queued.remove(job.id());
-            steps += 1 + directory.chains().followers(job.id()).size();
+            steps += 1 + directory.dependencies().dependents(job.id()).size();
             if (job.active() && derive(job)) {
                 queueDependencies(job);
             }
@@ -77,18 +77,18 @@
                 job.spec().deadlineS() == null || record.acceptedAt() == 0
                         ? Double.POSITIVE_INFINITY
                         : record.acceptedAt() + job.spec().deadlineS();
-        for (String id : directory.chains().followers(job.id())) {
-            Job follower = ledger.job(id);
-            if (follower != null && follower.active()) {
-                priority = follower.priority().above(priority) ? follower.priority() : priority;
-                due = Math.min(due, follower.latestStart());
+        for (String id : directory.dependencies().dependents(job.id())) {
+            Job dependent = clusterState.job(id);
+            if (dependent != null && dependent.active()) {
+                priority = dependent.priority().above(priority) ? dependent.priority() : priority;
+                due = Math.min(due, dependent.latestStart());
             }
         }
         double latestStart = due - job.spec().estimateS();
         if (priority == job.priority() && latestStart == job.latestStart()) {
             return false;
         }
-        ledger.rank(job, priority, latestStart);
+        clusterState.rank(job, priority, latestStart);
         return true;
     }
 }
--- a/src/main/java/org/springmill/control/coordination/Fleet.java
+++ b/src/main/java/org/springmill/control/coordination/Fleet.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import org.springmill.control.storage.ImageNotes;
+import org.springmill.control.storage.ImageLocations;
 import org.springmill.protocol.Submission;
 import org.springmill.protocol.WorkerMessages.Cause;
 import org.springmill.protocol.WorkerMessages.Report;
@@ -16,17 +16,22 @@
 /** The machines that a leader knows of, with what every part of it needs to act on them. */
 final class Fleet {
     private final Map<String, Machine> machines = new LinkedHashMap<>();
-    private final Ledger ledger;
-    private final Catalog catalog;
+    private final ClusterState clusterState;
+    private final MachineTypeCatalog catalog;
     private final Loop loop;
     private final long term;
     private final double reportS;
     private final Set<String> deleted = new HashSet<>();
-    private ImageNotes noted = new ImageNotes();
-
-    Fleet(Ledger ledger, Catalog catalog, Loop loop, Timing timing, long term) {
+    private ImageLocations noted = new ImageLocations();
+
+    Fleet(
+            ClusterState clusterState,
+            MachineTypeCatalog catalog,
+            Loop loop,
+            Timing timing,
+            long term) {
         reportS = timing.reportS();
-        this.ledger = ledger;
+        this.clusterState = clusterState;
         this.catalog = catalog;
         this.loop = loop;
         this.term = term;
@@ -78,14 +83,14 @@
     }
 
     /** Takes over what an earlier leader noted of the machines' images. */
-    void adopt(ImageNotes notes) {
+    void adopt(ImageLocations notes) {
         noted = notes;
         machines.values()
                 .forEach(machine -> notes.of(machine.name()).forEach(machine.images()::adopt));
     }
 
-    ImageNotes imageNotes() {
-        ImageNotes notes = new ImageNotes();
+    ImageLocations imageLocations() {
+        ImageLocations notes = new ImageLocations();
         for (Machine machine : machines.values()) {
             if (machine.state() == Machine.State.UP) {
                 machine.images()
@@ -100,11 +105,11 @@
         return term;
     }
 
-    Ledger ledger() {
-        return ledger;
+    ClusterState clusterState() {
+        return clusterState;
     }
 
-    Catalog catalog() {
+    MachineTypeCatalog catalog() {
         return catalog;
     }
 
@@ -117,8 +122,8 @@
         if (!attempt.end(cause, now())) {
             return;
         }
-        ledger.noteLeaving(attempt);
-        ledger.noteEnded(attempt);
+        clusterState.noteLeaving(attempt);
+        clusterState.noteEnded(attempt);
         if (attempt.job().spec().gang() && cause != Cause.DONE) {
             // A gang without one of its members gets nowhere: the others stop too, and all are
             // claimed anew together.
@@ -138,7 +143,7 @@
             case CLAIMED -> end(attempt, Cause.STOPPED);
             case SENT, FETCHING, RUNNING, UNKNOWN -> {
                 attempt.transition(Attempt.State.STOPPING, now());
-                ledger.noteLeaving(attempt);
+                clusterState.noteLeaving(attempt);
                 attempt.grace(graceS);
             }
             case STOPPING -> {
--- a/src/main/java/org/springmill/control/coordination/Job.java
+++ b/src/main/java/org/springmill/control/coordination/Job.java
@@ -94,7 +94,7 @@
         return latestStart;
     }
 
-    /** Only through {@link Ledger#rank}, which counts what runs by priority. */
+    /** Only through {@link ClusterState#rank}, which counts what runs by priority. */
     void rank(Priority derived, double startBy) {
         priority = derived;
         latestStart = startBy;
--- a/src/main/java/org/springmill/control/coordination/Chains.java
+++ b/src/main/java/org/springmill/control/coordination/JobDependencies.java
@@ -23,24 +23,24 @@
  * record of every dependency says done; done and cancelled are both written on condition of the
  * version of a record that says neither, so they exclude each other; and what never started is
  * never done, so the same holds for those that need it. Hence a job's own end need not be
- * conditional on any other record, and a late write to a follower can change nothing.
+ * conditional on any other record, and a late write to a dependent can change nothing.
  *
  * <p>The graph has no cycles, since only accepted jobs can be named. It is walked without
  * recursion, for chains are as deep as users like.
  */
-final class Chains {
-    private static final Logger LOG = LoggerFactory.getLogger(Chains.class);
+final class JobDependencies {
+    private static final Logger LOG = LoggerFactory.getLogger(JobDependencies.class);
 
     private final Map<String, JobRecord> jobs;
-    private final Map<String, List<String>> followers = new HashMap<>();
+    private final Map<String, List<String>> dependents = new HashMap<>();
 
     /** Cancelled by derivation only; their own records still say otherwise. */
-    private final Set<String> unwritten = new LinkedHashSet<>();
+    private final Set<String> pendingPersistence = new LinkedHashSet<>();
 
     /**
      * @param jobs the directory's records as they are in effect; kept up here
      */
-    Chains(Map<String, JobRecord> jobs) {
+    JobDependencies(Map<String, JobRecord> jobs) {
         this.jobs = jobs;
     }
 
@@ -51,10 +51,10 @@
     List<JobRecord> learn(JobRecord stored) {
         if (!jobs.containsKey(stored.id())) {
             for (String needed : stored.submission().dependencies()) {
-                followers.computeIfAbsent(needed, id -> new ArrayList<>(2)).add(stored.id());
+                dependents.computeIfAbsent(needed, id -> new ArrayList<>(2)).add(stored.id());
             }
         }
-        unwritten.remove(stored.id());
+        pendingPersistence.remove(stored.id());
         List<JobRecord> changed = new ArrayList<>();
         JobRecord cause = stored.cancelled() ? null : cancelledDependency(stored.submission());
         put(cause == null ? stored : cancelledWith(stored, cause), changed);
@@ -63,10 +63,10 @@
         for (int next = 0; next < changed.size(); next++) {
             JobRecord job = changed.get(next);
             if (job.cancelled()) {
-                for (String id : followers.getOrDefault(job.id(), List.of())) {
-                    JobRecord follower = jobs.get(id);
-                    if (!follower.cancelled()) {
-                        put(cancelledWith(follower, job), changed);
+                for (String id : dependents.getOrDefault(job.id(), List.of())) {
+                    JobRecord dependent = jobs.get(id);
+                    if (!dependent.cancelled()) {
+                        put(cancelledWith(dependent, job), changed);
                     }
                 }
             }
@@ -83,7 +83,7 @@
         if (job.phase() == Phase.DONE) {
             LOG.error("{} is done although {}, which it needs, is cancelled", job.id(), cause.id());
         } else {
-            unwritten.add(job.id());
+            pendingPersistence.add(job.id());
         }
         return job.ended(Phase.CANCELLED, cause.endedAt());
     }
@@ -136,17 +136,17 @@
     }
 
     /** Ids of the jobs that name one directly. */
-    Collection<String> followers(String id) {
-        return followers.getOrDefault(id, List.of());
+    Collection<String> dependents(String id) {
+        return dependents.getOrDefault(id, List.of());
     }
 
     /** Some of those cancelled by derivation only, the longest known first. */
-    List<JobRecord> unwritten(int most) {
-        return unwritten.stream().limit(most).map(jobs::get).toList();
+    List<JobRecord> pendingPersistence(int most) {
+        return pendingPersistence.stream().limit(most).map(jobs::get).toList();
     }
 
     /** Leaves records as they are; nothing depends on them. */
-    void leaveUnwritten(List<JobRecord> records) {
-        records.forEach(job -> unwritten.remove(job.id()));
+    void abandonPersistence(List<JobRecord> records) {
+        records.forEach(job -> pendingPersistence.remove(job.id()));
     }
 }
--- a/src/main/java/org/springmill/control/coordination/JobDirectory.java
+++ b/src/main/java/org/springmill/control/coordination/JobDirectory.java
@@ -37,7 +37,7 @@
     private final Timing timing;
     private final double spacingS;
     private final Map<String, JobRecord> jobs = new HashMap<>();
-    private final Chains chains = new Chains(jobs);
+    private final JobDependencies chains = new JobDependencies(jobs);
     private List<Consumer<Boolean>> waiting = new ArrayList<>();
     private Consumer<JobRecord> listener = job -> {};
     private boolean reading;
@@ -87,7 +87,7 @@
         listener = taker;
     }
 
-    Chains chains() {
+    JobDependencies dependencies() {
         return chains;
     }
 
--- a/src/main/java/org/springmill/control/coordination/Leader.java
+++ b/src/main/java/org/springmill/control/coordination/Leader.java
@@ -7,7 +7,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 import org.springmill.control.storage.Claim;
-import org.springmill.control.storage.ImageNotes;
+import org.springmill.control.storage.ImageLocations;
 import org.springmill.control.storage.JobRecord;
 import org.springmill.control.storage.RoundLog;
 import org.springmill.control.storage.StateStore;
@@ -39,17 +39,17 @@
     private final Leadership leadership;
     private final JobDirectory directory;
     private final Peers peers;
-    private final Catalog catalog;
-    private final Ledger ledger;
+    private final MachineTypeCatalog catalog;
+    private final ClusterState clusterState;
     private final Fleet fleet;
     private final RoundLog log;
-    private final Orders orders;
-    private final Settling settling;
+    private final CommandDispatcher dispatcher;
+    private final Reconciliation reconciliation;
     private final Rounds rounds;
     private final Rentals rentals;
     private final Demand demand;
-    private final CancellationWriter cancellations;
-    private final ChainOrder order;
+    private final CancellationPersister cancellations;
+    private final DependencyPriority order;
     private JsonNode lastNotes;
     private double tickedAt;
     private boolean rebuilt;
@@ -64,7 +64,7 @@
             Leadership leadership,
             JobDirectory directory,
             Peers peers,
-            Catalog catalog,
+            MachineTypeCatalog catalog,
             Metrics metrics) {
         this.store = store;
         this.loop = loop;
@@ -74,16 +74,17 @@
         this.directory = directory;
         this.peers = peers;
         this.catalog = catalog;
-        ledger = new Ledger(settings);
-        fleet = new Fleet(ledger, catalog, loop, timing, leadership.term());
+        clusterState = new ClusterState(settings);
+        fleet = new Fleet(clusterState, catalog, loop, timing, leadership.term());
         log =
                 new RoundLog(
                         store,
                         loop,
                         leadership.condition(),
-                        id -> ledger.job(id) != null && ledger.job(id).active());
-        settling = new Settling(fleet, timing, peers, metrics, this::wake, leadership::deposed);
-        orders = new Orders(fleet, http, timing, settling::accept);
+                        id -> clusterState.job(id) != null && clusterState.job(id).active());
+        reconciliation =
+                new Reconciliation(fleet, timing, peers, metrics, this::wake, leadership::deposed);
+        dispatcher = new CommandDispatcher(fleet, http, timing, reconciliation::accept);
         Placement placement = new Placement(fleet, timing);
         rounds =
                 new Rounds(
@@ -107,8 +108,8 @@
                             }
                         });
         demand = new Demand(settings, timing.leaseS() * 3, loop.now());
-        order = new ChainOrder(directory, ledger);
-        cancellations = new CancellationWriter(store, directory, leadership, loop);
+        order = new DependencyPriority(directory, clusterState);
+        cancellations = new CancellationPersister(store, directory, leadership, loop);
         rentals =
                 new Rentals(
                         fleet, placement, demand, peers, http, loop, settings, timing, this::wake);
@@ -117,7 +118,7 @@
     void close() {
         closed = true;
         log.close();
-        orders.close();
+        dispatcher.close();
         rounds.close();
         rentals.close();
         cancellations.close();
@@ -169,12 +170,12 @@
             admit(job, false);
         }
         for (Claim claim : found.live()) {
-            Job known = ledger.job(claim.task().job());
+            Job known = clusterState.job(claim.task().job());
             Job job = known == null ? endedJob(claim.task().job()) : known;
             Machine machine = fleet.machine(claim.machine());
             Attempt attempt = new Attempt(claim, job, machine, now);
             attempt.exposed(machine.token() - 1, 0);
-            ledger.add(attempt);
+            clusterState.add(attempt);
             attempt.transition(Attempt.State.UNKNOWN, now);
             if (!job.active()) {
                 fleet.stop(attempt, 0);
@@ -190,9 +191,9 @@
         rentals.start(log.kept() == 0);
         for (Machine machine : fleet.machinesNow()) {
             machine.askAgain = true;
-            orders.poke(machine);
+            dispatcher.poke(machine);
         }
-        for (Job job : new ArrayList<>(ledger.jobs().values())) {
+        for (Job job : new ArrayList<>(clusterState.jobs().values())) {
             finishIfComplete(job);
         }
         rounds.request();
@@ -201,10 +202,10 @@
         broadcast();
         cancellations.run();
         store.get(
-                ImageNotes.KEY,
+                ImageLocations.KEY,
                 read -> {
                     if (read.entry() != null) {
-                        fleet.adopt(ImageNotes.decode(read.entry().value()));
+                        fleet.adopt(ImageLocations.decode(read.entry().value()));
                     }
                     loop.after(timing.leaseS(), this::noteImages);
                 });
@@ -215,12 +216,12 @@
             return;
         }
         loop.after(timing.leaseS(), this::noteImages);
-        JsonNode notes = fleet.imageNotes().encode(store.limits().valueBytes());
+        JsonNode notes = fleet.imageLocations().encode(store.limits().valueBytes());
         if (leadership.mayPlace() && !notes.equals(lastNotes) && store.backlog() == 0) {
             lastNotes = notes;
             store.commit(
                     List.of(leadership.condition()),
-                    List.of(Write.put(ImageNotes.KEY, notes)),
+                    List.of(Write.put(ImageLocations.KEY, notes)),
                     result -> {});
         }
     }
@@ -233,7 +234,7 @@
         JobRecord record = directory.get(id);
         Job job = new Job(record.submission(), record.version());
         job.end(record.phase(), record.version(), endedSince(record));
-        ledger.add(job);
+        clusterState.add(job);
         return job;
     }
 
@@ -277,14 +278,14 @@
         if (closed) {
             return;
         }
-        settling.tick();
+        reconciliation.tick();
         order.settle();
         for (Machine machine : fleet.machinesNow()) {
             if (machine.state() == Machine.State.UP
                     && loop.now() - machine.lastHeard() > timing.probeS()) {
                 machine.askAgain = true;
             }
-            orders.poke(machine);
+            dispatcher.poke(machine);
             if (machine.state() == Machine.State.GONE && machine.attempts().isEmpty()) {
                 fleet.forget(machine);
             }
@@ -319,7 +320,7 @@
 
     /** A cancelled task that cannot be stopped in time goes with its machine. */
     private void cancelOverdue() {
-        for (Job job : ledger.jobs().values()) {
+        for (Job job : clusterState.jobs().values()) {
             if (!job.active()
                     && job.liveCount() > 0
                     && loop.now() - job.endedAt() > timing.cancelDeleteS()) {
@@ -345,9 +346,9 @@
             return;
         }
         if (record.phase() == Phase.DONE) {
-            releaseFollowers(record);
+            releaseDependents(record);
         }
-        Job job = ledger.job(record.id());
+        Job job = clusterState.job(record.id());
         if (job == null) {
             if (record.active()) {
                 admit(new Job(record.submission(), record.version()), true);
@@ -359,7 +360,7 @@
             order.changed(job);
             for (Attempt attempt : job.attempts()) {
                 fleet.stop(attempt, 0);
-                orders.poke(attempt.machine());
+                dispatcher.poke(attempt.machine());
             }
             dropIfOver(job);
             rounds.request();
@@ -370,10 +371,10 @@
      * @param counted whether the job came just now, rather than being read back from storage
      */
     private void admit(Job job, boolean counted) {
-        ledger.add(job);
+        clusterState.add(job);
         order.changed(job);
-        if (job.waitsForOthers() && directory.chains().ready(job.spec())) {
-            job.becomeEligible(directory.chains().readySince(job.spec()));
+        if (job.waitsForOthers() && directory.dependencies().ready(job.spec())) {
+            job.becomeEligible(directory.dependencies().readySince(job.spec()));
         }
         if (job.eligible()) {
             demand.arrived(job.spec(), loop.now(), counted);
@@ -385,14 +386,14 @@
      * The jobs of which this was the last one needed are placed in the next round, not found by
      * some later tick.
      */
-    private void releaseFollowers(JobRecord done) {
-        for (String id : directory.chains().followers(done.id())) {
-            Job follower = ledger.job(id);
-            if (follower != null
-                    && follower.waitsForOthers()
-                    && directory.chains().ready(follower.spec())) {
-                follower.becomeEligible(done.version());
-                demand.arrived(follower.spec(), loop.now(), true);
+    private void releaseDependents(JobRecord done) {
+        for (String id : directory.dependencies().dependents(done.id())) {
+            Job dependent = clusterState.job(id);
+            if (dependent != null
+                    && dependent.waitsForOthers()
+                    && directory.dependencies().ready(dependent.spec())) {
+                dependent.becomeEligible(done.version());
+                demand.arrived(dependent.spec(), loop.now(), true);
                 rounds.request();
             }
         }
@@ -400,16 +401,16 @@
 
     private void dropIfOver(Job job) {
         if (!job.active() && job.liveCount() == 0) {
-            ledger.dropJob(job);
+            clusterState.dropJob(job);
         }
     }
 
     private void roundCommitted(List<Attempt> claimed, List<Attempt> ended) {
         for (Attempt attempt : claimed) {
-            orders.poke(attempt.machine());
+            dispatcher.poke(attempt.machine());
         }
         for (Attempt attempt : ended) {
-            orders.poke(attempt.machine());
+            dispatcher.poke(attempt.machine());
             finishIfComplete(attempt.job());
             dropIfOver(attempt.job());
         }
@@ -472,7 +473,7 @@
             return;
         }
         if (rebuilt) {
-            settling.accept(machine, report);
+            reconciliation.accept(machine, report);
         }
         if (closed) {
             call.reply(421, WorkerMessages.redirect(null), 0);
@@ -482,20 +483,20 @@
         machine.answered(loop.now(), timing.leaseS());
         List<Command> commands = rebuilt ? List.of() : directory.stopsFor(report);
         if (rebuilt
-                && machine.ordersFailing()
-                && !machine.ordersInFlight
+                && machine.commandsFailing()
+                && !machine.commandsInFlight
                 && report.session() == machine.session()) {
-            commands = orders.due(machine);
+            commands = dispatcher.due(machine);
         }
         call.reply(200, WorkerMessages.reportAnswer(machine.token(), commands), 0);
         if (rebuilt) {
-            orders.poke(machine);
+            dispatcher.poke(machine);
         }
     }
 
     /** Phase and counts of an active job, as its leader knows them; null if it is not known. */
     JobProgress progress(String id) {
-        Job job = rebuilt ? ledger.job(id) : null;
+        Job job = rebuilt ? clusterState.job(id) : null;
         return job == null ? null : progress(job);
     }
 
@@ -510,11 +511,11 @@
     }
 
     int waitingTasks() {
-        return ledger.jobs().values().stream().mapToInt(Job::waiting).sum();
+        return clusterState.jobs().values().stream().mapToInt(Job::waiting).sum();
     }
 
     int runningTasks() {
-        return ledger.jobs().values().stream().mapToInt(job -> progress(job).running()).sum();
+        return clusterState.jobs().values().stream().mapToInt(job -> progress(job).running()).sum();
     }
 
     long machinesUp() {
@@ -530,7 +531,7 @@
             return;
         }
         List<JobProgress> jobs = new ArrayList<>();
-        for (Job job : ledger.jobs().values()) {
+        for (Job job : clusterState.jobs().values()) {
             if (job.active() && job.liveCount() + job.doneCount() > 0) {
                 jobs.add(progress(job));
             }
--- a/src/main/java/org/springmill/control/coordination/StandIn.java
+++ b/src/main/java/org/springmill/control/coordination/LeaseKeepalive.java
@@ -13,13 +13,13 @@
  * nothing: because nobody leads, or because nobody who leads can act on this worker's silence.
  * Leaders elsewhere allow for it; docs/design.md has the argument.
  */
-final class StandIn {
+final class LeaseKeepalive {
     private final StateStore store;
     private final Peers peers;
     private final Leadership leadership;
     private final Loop loop;
     private final Timing timing;
-    private final Horizon horizon;
+    private final CancellationFreshness horizon;
 
     /** Tokens with which workers first came here in the present spell of loneliness. */
     private final Map<String, Long> firstTokens = new HashMap<>();
@@ -32,11 +32,11 @@
 
     private double reachedAt = Double.NEGATIVE_INFINITY;
 
-    StandIn(
+    LeaseKeepalive(
             StateStore store,
             Peers peers,
             Leadership leadership,
-            Horizon horizon,
+            CancellationFreshness horizon,
             Loop loop,
             Timing timing) {
         this.horizon = horizon;
--- a/src/main/java/org/springmill/control/coordination/Machine.java
+++ b/src/main/java/org/springmill/control/coordination/Machine.java
@@ -55,7 +55,7 @@
     private double listedAt = Double.NEGATIVE_INFINITY;
     private double idleSince;
     private double noticeAt = Double.POSITIVE_INFINITY;
-    private boolean ordersFailing;
+    private boolean commandsFailing;
     private double avoidUntil = Double.NEGATIVE_INFINITY;
     private List<TaskReport> reported = List.of();
     private boolean quarantined;
@@ -66,8 +66,8 @@
     private double usedGpus;
     private double usedMemory;
 
-    // The sending of commands; see Orders.
-    boolean ordersInFlight;
+    // The sending of commands; see CommandDispatcher.
+    boolean commandsInFlight;
     boolean askAgain;
     double nextOrders;
     double nextStray;
@@ -272,15 +272,15 @@
     }
 
     void ordersFailed() {
-        ordersFailing = true;
+        commandsFailing = true;
     }
 
     void ordersWorked() {
-        ordersFailing = false;
+        commandsFailing = false;
     }
 
-    boolean ordersFailing() {
-        return ordersFailing;
+    boolean commandsFailing() {
+        return commandsFailing;
     }
 
     void avoidUntil(double time) {
@@ -387,7 +387,7 @@
                 && !noticed()
                 && !quarantined
                 && !draining
-                && !ordersFailing()
+                && !commandsFailing()
                 && now - lastHeard < quietS
                 && now >= avoidUntil
                 && hearsThisTerm();
--- a/src/main/java/org/springmill/control/coordination/Catalog.java
+++ b/src/main/java/org/springmill/control/coordination/MachineTypeCatalog.java
@@ -14,15 +14,15 @@
 import org.springmill.transport.Loop;
 
 /** The machine types that the cloud offers. Unknown until it has answered once. */
-final class Catalog {
-    private static final Logger LOG = LoggerFactory.getLogger(Catalog.class);
+final class MachineTypeCatalog {
+    private static final Logger LOG = LoggerFactory.getLogger(MachineTypeCatalog.class);
 
     private final HttpClient http;
     private final Loop loop;
     private final Settings settings;
     private Map<String, MachineType> types = Map.of();
 
-    Catalog(HttpClient http, Loop loop, Settings settings) {
+    MachineTypeCatalog(HttpClient http, Loop loop, Settings settings) {
         this.http = http;
         this.loop = loop;
         this.settings = settings;
--- a/src/main/java/org/springmill/control/coordination/Placement.java
+++ b/src/main/java/org/springmill/control/coordination/Placement.java
@@ -109,7 +109,7 @@
     /** Jobs with waiting tasks, in the order in which they are served. */
     List<Job> waiting() {
         List<Job> waiting = new ArrayList<>();
-        for (Job job : fleet.ledger().jobs().values()) {
+        for (Job job : fleet.clusterState().jobs().values()) {
             if (job.eligible() && job.nextTask() >= 0) {
                 waiting.add(job);
             }
@@ -127,15 +127,18 @@
         return waiting;
     }
 
-    private Ledger.Usage usage(Job job) {
-        return fleet.ledger().usage(job.spec().team());
+    private ClusterState.Usage usage(Job job) {
+        return fleet.clusterState().usage(job.spec().team());
     }
 
-    /** Places waiting tasks, at most so many; adds the attempts to the ledger and returns them. */
+    /**
+     * Places waiting tasks, at most so many; adds the attempts to the clusterState and returns
+     * them.
+     */
     List<Attempt> place(long round, int most) {
         double now = fleet.now();
         List<Attempt> placed = new ArrayList<>();
-        fleet.ledger().releaseHeld();
+        fleet.clusterState().releaseHeld();
         List<Job> waiting = waiting();
         notePatience(waiting, now);
         if (waiting.isEmpty()) {
@@ -283,7 +286,7 @@
         }
         Claim claim = Claim.decide(new TaskId(job.id(), job.nextTask()), machine.name(), round);
         Attempt attempt = new Attempt(claim, job, machine, fleet.now());
-        fleet.ledger().add(attempt);
+        fleet.clusterState().add(attempt);
         machine.needsImage(job.spec(), fleet.now());
         placed.add(attempt);
         return true;
@@ -302,7 +305,7 @@
         if (all) {
             placed.addAll(members);
         } else {
-            members.forEach(attempt -> fleet.ledger().remove(attempt, fleet.now()));
+            members.forEach(attempt -> fleet.clusterState().remove(attempt, fleet.now()));
         }
     }
 
@@ -363,7 +366,7 @@
      */
     private Submission largestReplica() {
         Submission found = null;
-        for (Job job : fleet.ledger().jobs().values()) {
+        for (Job job : fleet.clusterState().jobs().values()) {
             Submission spec = job.spec();
             boolean larger =
                     found == null
@@ -409,7 +412,7 @@
         }
         List<Machine> open = open(now);
         Map<Machine, double[]> promised = new HashMap<>();
-        fleet.ledger().releaseHeld();
+        fleet.clusterState().releaseHeld();
         for (Job job : waiting) {
             // By the same measure as placement: tasks gave way, without end, to a job whose part of
             // its team's limit was
@@ -448,9 +451,9 @@
 
     /** Whether anything at all may be stopped for a job: most find at a glance that nothing may. */
     private boolean mayStopAny(Job job) {
-        return fleet.ledger().runsBelow(job.priority())
+        return fleet.clusterState().runsBelow(job.priority())
                 || (usage(job).guaranteedFor(job.spec())
-                        && fleet.ledger().otherAboveGuarantee(job.spec().team()));
+                        && fleet.clusterState().otherAboveGuarantee(job.spec().team()));
     }
 
     /** Frees room for one task, unless enough is being freed already. */
--- a/src/main/java/org/springmill/control/coordination/Settling.java
+++ b/src/main/java/org/springmill/control/coordination/Reconciliation.java
@@ -14,8 +14,8 @@
  * gone. A task may be placed again only after one of the proofs here; docs/design.md has the
  * argument.
  */
-final class Settling {
-    private static final Logger LOG = LoggerFactory.getLogger(Settling.class);
+final class Reconciliation {
+    private static final Logger LOG = LoggerFactory.getLogger(Reconciliation.class);
 
     /**
      * Machines on which this many jobs failed in a row, with none succeeding, are taken to be
@@ -36,7 +36,7 @@
      * @param changed called when a round may have something to do
      * @param laterTerm called when a worker has seen a token of a later term
      */
-    Settling(
+    Reconciliation(
             Fleet fleet,
             Timing timing,
             Peers peers,
@@ -88,7 +88,7 @@
         }
         // Hundreds of workers report every few seconds, mostly that nothing has changed: no reason
         // for a round.
-        if (fleet.ledger().hasEnded() || (!open && machine.takesWork(now, timing.quietS()))) {
+        if (fleet.clusterState().hasEnded() || (!open && machine.takesWork(now, timing.quietS()))) {
             changed.run();
         }
     }
@@ -119,7 +119,7 @@
             case SAVING -> {
                 if (attempt.state() == Attempt.State.UNKNOWN) {
                     attempt.transition(Attempt.State.STOPPING, now);
-                    fleet.ledger().noteLeaving(attempt);
+                    fleet.clusterState().noteLeaving(attempt);
                 }
             }
             case EXITED -> exited(machine, attempt, task.cause(), now);
--- a/src/main/java/org/springmill/control/coordination/Rentals.java
+++ b/src/main/java/org/springmill/control/coordination/Rentals.java
@@ -466,7 +466,7 @@
      */
     private boolean asGoodAsDead(Machine machine, double now, boolean fewSilent) {
         return quietFor(machine, now) > timing.silentS()
-                && machine.ordersFailing()
+                && machine.commandsFailing()
                 && !machine.attempts().isEmpty()
                 && (unlisted(machine) || (fewSilent && !darkZones.contains(machine.zone())));
     }
@@ -510,7 +510,7 @@
             int wanted =
                     Math.min(
                             job.waiting(),
-                            fleet.ledger().usage(job.spec().team()).roomFor(job.spec()));
+                            fleet.clusterState().usage(job.spec().team()).roomFor(job.spec()));
             Map<String, Integer> zones = new HashMap<>();
             for (Attempt attempt : job.attempts()) {
                 zones.merge(attempt.machine().zone(), 1, Integer::sum);
@@ -580,7 +580,7 @@
             return 0;
         }
         int running = 0;
-        for (Job other : fleet.ledger().jobs().values()) {
+        for (Job other : fleet.clusterState().jobs().values()) {
             running += other.spec().jobClass().equals(job.jobClass()) ? other.liveCount() : 0;
         }
         double each = Double.POSITIVE_INFINITY;
--- a/src/main/java/org/springmill/control/coordination/Rounds.java
+++ b/src/main/java/org/springmill/control/coordination/Rounds.java
@@ -77,7 +77,7 @@
         }
         wanted = false;
         lastRound = loop.now();
-        List<Attempt> ended = fleet.ledger().takeEnded(log.endsPerRound());
+        List<Attempt> ended = fleet.clusterState().takeEnded(log.endsPerRound());
         List<Attempt> claimed = placement.place(log.next(), log.claimsBeside(ended.size()));
         placement.preempt();
         if (ended.isEmpty() && claimed.isEmpty()) {
@@ -108,7 +108,7 @@
                 attempt.job().markDone(attempt.claim().task().index());
             }
             attempt.transition(Attempt.State.GONE, now);
-            fleet.ledger().remove(attempt, now);
+            fleet.clusterState().remove(attempt, now);
         }
         for (Attempt attempt : claimed) {
             attempt.transition(Attempt.State.CLAIMED, now);
--- a/src/main/java/org/springmill/control/coordination/UserApi.java
+++ b/src/main/java/org/springmill/control/coordination/UserApi.java
@@ -34,7 +34,7 @@
 
     private final JobDirectory directory;
     private final StateStore store;
-    private final Catalog catalog;
+    private final MachineTypeCatalog catalog;
     private final Loop loop;
     private final Timing timing;
     private final Function<String, JobProgress> progress;
@@ -49,7 +49,7 @@
     UserApi(
             JobDirectory directory,
             StateStore store,
-            Catalog catalog,
+            MachineTypeCatalog catalog,
             Loop loop,
             Timing timing,
             Function<String, JobProgress> progress,
@@ -158,7 +158,7 @@
                     + store.limits().valueBytes()
                     + ": names too many jobs or types";
         }
-        return directory.chains().refusal(job.submission());
+        return directory.dependencies().refusal(job.submission());
     }
 
     private void take(Call call, JobRecord job, double since) {
--- a/src/main/java/org/springmill/control/storage/DoneMarks.java
+++ b/src/main/java/org/springmill/control/storage/CompletedTasks.java
@@ -9,14 +9,14 @@
  * Text forms of sets of finished task numbers, in pieces of a bounded size each. A piece is a list
  * of ranges ("0-17,19") or, where that is shorter, a bitmap ("@16384:base64").
  */
-final class DoneMarks {
+final class CompletedTasks {
     private static final int LARGEST_WINDOW = 1 << 14;
     private static final int SMALLEST_WINDOW = 1 << 8;
 
     /** A character of a bitmap holds so many tasks. */
     private static final int TASKS_PER_CHARACTER = 6;
 
-    private DoneMarks() {}
+    private CompletedTasks() {}
 
     /**
      * @param most characters of one piece; a value that shrank must still hold a whole one
--- a/src/main/java/org/springmill/control/storage/ImageNotes.java
+++ b/src/main/java/org/springmill/control/storage/ImageLocations.java
@@ -14,7 +14,7 @@
  * Which machines hold which images, noted now and then for the next leader under {@code images}.
  * Nothing but start times depends on it, so it may be old, cut short or missing.
  */
-public final class ImageNotes {
+public final class ImageLocations {
     public static final String KEY = "images";
 
     private final Map<String, Map<String, Double>> byMachine = new LinkedHashMap<>();
@@ -62,8 +62,8 @@
         return json;
     }
 
-    public static ImageNotes decode(JsonNode value) {
-        ImageNotes notes = new ImageNotes();
+    public static ImageLocations decode(JsonNode value) {
+        ImageLocations notes = new ImageLocations();
         List<String> machines = new ArrayList<>();
         value.path("machines").forEach(m -> machines.add(m.asText()));
         value.path("images")
--- a/src/main/java/org/springmill/control/storage/RoundLog.java
+++ b/src/main/java/org/springmill/control/storage/RoundLog.java
@@ -197,7 +197,7 @@
             dropClaim(key.asText());
         }
         for (JsonNode d : value.path("done")) {
-            DoneMarks.decode(
+            CompletedTasks.decode(
                     d.path(1).asText(),
                     part.done.computeIfAbsent(d.path(0).asText(), j -> new BitSet()));
         }
@@ -533,7 +533,7 @@
         }
 
         private List<String> pieces(BitSet set) {
-            return DoneMarks.encode(set, limit / 2);
+            return CompletedTasks.encode(set, limit / 2);
         }
 
         /**
@@ -575,7 +575,7 @@
             for (String piece : pieces(set)) {
                 array("done", bytes(job, piece)).addArray().add(job).add(piece);
                 BitSet tasks = new BitSet();
-                DoneMarks.decode(piece, tasks);
+                CompletedTasks.decode(piece, tasks);
                 current().part.mark(job, tasks);
             }
         }
--- a/src/main/java/org/springmill/protocol/RehearsalMessages.java
+++ b/src/main/java/org/springmill/protocol/ArchiveTrainingMessages.java
@@ -12,7 +12,7 @@
  * What a state service, a cloud and one worker would say in the rehearsal of a build (see {@code
  * cli}): just enough for a controller to lead, to place a task and to stop it.
  */
-public final class RehearsalMessages {
+public final class ArchiveTrainingMessages {
     private static final String MACHINE = "host-000001";
     private static final String TYPE = "m";
     private static final String ZONE = "here";
@@ -29,7 +29,7 @@
     /**
      * @param address where this worker takes commands
      */
-    public RehearsalMessages(String address) {
+    public ArchiveTrainingMessages(String address) {
         this.address = address;
     }
 
--- a/src/test/java/org/springmill/control/coordination/MeetingTest.java
+++ b/src/test/java/org/springmill/control/coordination/CompoundFailureTest.java
@@ -18,14 +18,14 @@
 import org.junit.jupiter.params.provider.ValueSource;
 import org.springmill.sim.SimNetwork.Fate;
 import org.springmill.sim.SimWorker;
-import org.springmill.sim.World;
+import org.springmill.sim.SimulatedCluster;
 import org.springmill.transport.HttpClient.Request;
 
 /**
- * Two troubles at once; docs/meetings.md lists them. All rules are watched throughout, and after
- * each meeting work has to go on: every job that is not over runs, and its user gets answers.
+ * Two troubles at once; docs/meetings.md lists them. All invariants are watched throughout, and
+ * after each meeting work has to go on: every job that is not over runs, and its user gets answers.
  */
-class MeetingTest {
+class CompoundFailureTest {
     private static final String JOB = "run-000001";
     private static final String OTHER = "run-000002";
     private static final double FOREVER = Double.POSITIVE_INFINITY;
@@ -33,27 +33,32 @@
     /** Longer than a job may wait beside room that fits. */
     private static final double AFTERWARDS_S = 110;
 
-    private World world;
+    private SimulatedCluster cluster;
 
     private void begin(long seed) {
-        world = new World(seed).machines("large", "a", 2).machines("large", "b", 2).run(6).polled();
-        assertNotEquals(-1, world.leader());
+        cluster =
+                new SimulatedCluster(seed)
+                        .machines("large", "a", 2)
+                        .machines("large", "b", 2)
+                        .run(6)
+                        .polled();
+        assertNotEquals(-1, cluster.leader());
     }
 
     @AfterEach
     void noRuleIsBrokenAndWorkGoesOn() {
-        world.calm().run(AFTERWARDS_S);
-        assertEquals(List.of(), world.broken());
-        assertEquals(List.of(), world.startsAfterCancel());
-        assertEquals(List.of(), world.unserved());
+        cluster.calm().run(AFTERWARDS_S);
+        assertEquals(List.of(), cluster.broken());
+        assertEquals(List.of(), cluster.startsAfterCancel());
+        assertEquals(List.of(), cluster.unserved());
     }
 
     private int follower() {
-        return (world.leader() + 1) % 3;
+        return (cluster.leader() + 1) % 3;
     }
 
     private List<SimWorker> machines() {
-        return List.copyOf(world.cloud().machines().values());
+        return List.copyOf(cluster.cloud().machines().values());
     }
 
     private static String text(Request request) {
@@ -61,11 +66,11 @@
     }
 
     private void accept(ObjectNode job, double runS) {
-        assertEquals(201, world.submit(follower(), job, runS));
+        assertEquals(201, cluster.submit(follower(), job, runS));
     }
 
     private void acceptService(String id, String team, int tasks, double gpus) {
-        accept(World.job(id, team, "service", tasks, 1, gpus), FOREVER);
+        accept(SimulatedCluster.job(id, team, "service", tasks, 1, gpus), FOREVER);
     }
 
     /** Jobs that come, end and are cancelled by the dozen, wherever somebody takes them. */
@@ -73,16 +78,17 @@
         for (int i = 0; i < forS / 2; i++) {
             String id = String.format("run-%06d", 1000 + random.nextInt(100_000));
             int node = random.nextInt(3);
-            if (world.submit(
+            if (cluster.submit(
                                     node,
-                                    World.job(id, "blue", "sweep", 1 + random.nextInt(3), 1, 1),
+                                    SimulatedCluster.job(
+                                            id, "blue", "sweep", 1 + random.nextInt(3), 1, 1),
                                     1 + random.nextInt(20))
                             == 201
                     && random.nextInt(4) == 0) {
-                world.run(random.nextDouble() * 3);
-                world.withdraw((node + 1) % 3, id);
+                cluster.run(random.nextDouble() * 3);
+                cluster.withdraw((node + 1) % 3, id);
             }
-            world.run(0.5 + random.nextDouble() * 2);
+            cluster.run(0.5 + random.nextDouble() * 2);
         }
     }
 
@@ -93,10 +99,10 @@
     @Test
     void aTransactionAppliedAfterItsRoundWasCompactedRaisesNothingFromTheDead() {
         begin(1);
-        int leader = world.leader();
+        int leader = cluster.leader();
         boolean[] once = new boolean[1];
         String[] key = new String[1];
-        world.network()
+        cluster.network()
                 .judge(
                         (from, request) -> {
                             if (request.path().equals("/commit")
@@ -109,25 +115,25 @@
                             return Fate.DELIVER;
                         });
         acceptService(JOB, "blue", 1, 1);
-        world.run(5);
-        assertEquals(1, world.running(JOB));
-        SimWorker first = world.holder(JOB + "/0");
+        cluster.run(5);
+        assertEquals(1, cluster.running(JOB));
+        SimWorker first = cluster.holder(JOB + "/0");
         first.notice(600);
-        world.run(5);
-        assertNotEquals(first, world.holder(JOB + "/0"));
+        cluster.run(5);
+        assertNotEquals(first, cluster.holder(JOB + "/0"));
         for (int i = 0;
                 i < 80
-                        && world.state().value(key[0]) != null
-                        && !world.state().value(key[0]).path("claims").isEmpty();
+                        && cluster.state().value(key[0]) != null
+                        && !cluster.state().value(key[0]).path("claims").isEmpty();
                 i++) {
-            accept(World.job("run-0005" + (10 + i), "blue", "sweep", 4, 1, 1), 1);
-            world.run(3);
+            accept(SimulatedCluster.job("run-0005" + (10 + i), "blue", "sweep", 4, 1, 1), 1);
+            cluster.run(3);
         }
-        assertEquals(leader, world.leader(), "the same term");
-        world.network().releaseHeld();
-        world.kill(leader);
-        world.run(20);
-        assertEquals(2, world.starts(JOB + "/0"));
+        assertEquals(leader, cluster.leader(), "the same term");
+        cluster.network().releaseHeld();
+        cluster.kill(leader);
+        cluster.run(20);
+        assertEquals(2, cluster.starts(JOB + "/0"));
     }
 
     @ParameterizedTest
@@ -135,9 +141,9 @@
     void transactionsAreCarriedOutLate(long seed) {
         begin(seed);
         acceptService(JOB, "red", 4, 1);
-        world.state().lateWrites(0.3);
+        cluster.state().lateWrites(0.3);
         churn(60, new SplittableRandom(seed));
-        world.restart(world.leader() < 0 ? 0 : world.leader());
+        cluster.restart(cluster.leader() < 0 ? 0 : cluster.leader());
         churn(30, new SplittableRandom(seed + 100));
     }
 
@@ -150,9 +156,9 @@
     void aCampaignsWriteIsCarriedOutLate(double afterS) {
         begin(1);
         acceptService(JOB, "red", 4, 1);
-        world.run(5);
+        cluster.run(5);
         boolean[] hold = {true};
-        world.network()
+        cluster.network()
                 .judge(
                         (from, request) ->
                                 hold[0]
@@ -160,22 +166,22 @@
                                                 && text(request).contains("incarnation")
                                         ? Fate.HOLD
                                         : Fate.DELIVER);
-        int old = world.leader();
-        world.kill(old);
-        for (int i = 0; i < 200 && !world.network().holdsAny(); i++) {
-            world.run(0.05);
+        int old = cluster.leader();
+        cluster.kill(old);
+        for (int i = 0; i < 200 && !cluster.network().holdsAny(); i++) {
+            cluster.run(0.05);
         }
-        world.run(afterS - 0.3);
+        cluster.run(afterS - 0.3);
         hold[0] = false;
-        world.run(0.3);
-        world.network().releaseHeld();
-        world.run(10);
-        assertNotEquals(-1, world.leader());
-        world.kill(world.leader());
-        world.restart(old);
-        world.run(10);
-        assertEquals(1, world.starts(JOB + "/0"));
-        accept(World.job(OTHER, "red", "sweep", 2, 1, 1), 2);
+        cluster.run(0.3);
+        cluster.network().releaseHeld();
+        cluster.run(10);
+        assertNotEquals(-1, cluster.leader());
+        cluster.kill(cluster.leader());
+        cluster.restart(old);
+        cluster.run(10);
+        assertEquals(1, cluster.starts(JOB + "/0"));
+        accept(SimulatedCluster.job(OTHER, "red", "sweep", 2, 1, 1), 2);
     }
 
     /**
@@ -188,13 +194,13 @@
         begin(seed);
         SplittableRandom random = new SplittableRandom(seed);
         acceptService(JOB, "red", 6, 1);
-        world.network().lateReports(0.6);
+        cluster.network().lateReports(0.6);
         for (int i = 0; i < 3; i++) {
             churn(15, random);
             SimWorker hung = machines().get(random.nextInt(machines().size()));
             hung.hang(true);
-            world.run(3 + random.nextInt(20));
-            world.restart(Math.max(0, world.leader()));
+            cluster.run(3 + random.nextInt(20));
+            cluster.restart(Math.max(0, cluster.leader()));
             hung.hang(false);
             churn(10, random);
         }
@@ -206,12 +212,12 @@
     void aReportArrivesWhenTheNextLeaderHasActed(boolean machineLives) {
         begin(1);
         acceptService(JOB, "red", 4, 1);
-        world.run(6);
-        int old = world.leader();
-        SimWorker victim = world.holder(JOB + "/0");
+        cluster.run(6);
+        int old = cluster.leader();
+        SimWorker victim = cluster.holder(JOB + "/0");
         int next = (old + 1) % 3;
-        world.kill((old + 2) % 3);
-        world.network()
+        cluster.kill((old + 2) % 3);
+        cluster.network()
                 .judge(
                         (from, request) ->
                                 from.equals(victim.name())
@@ -220,19 +226,19 @@
                                                 ? Fate.HOLD
                                                 : Fate.DROP
                                         : Fate.DELIVER);
-        world.run(1);
-        world.kill(old);
-        world.run(12);
-        assertEquals(next, world.leader());
-        world.restart(old);
-        world.restart((old + 2) % 3);
-        world.run(machineLives ? 1 : 30);
+        cluster.run(1);
+        cluster.kill(old);
+        cluster.run(12);
+        assertEquals(next, cluster.leader());
+        cluster.restart(old);
+        cluster.restart((old + 2) % 3);
+        cluster.run(machineLives ? 1 : 30);
         if (!machineLives) {
-            world.cloud().take(victim);
+            cluster.cloud().take(victim);
         }
-        world.network().judge((from, request) -> Fate.DELIVER);
-        world.network().releaseHeld();
-        accept(World.job(OTHER, "red", "sweep", 3, 1, 2), 2);
+        cluster.network().judge((from, request) -> Fate.DELIVER);
+        cluster.network().releaseHeld();
+        accept(SimulatedCluster.job(OTHER, "red", "sweep", 3, 1, 2), 2);
     }
 
     @ParameterizedTest
@@ -240,28 +246,29 @@
     void leadersChangeTenTimesInTwoMinutes(String meanwhile, double late) {
         begin(3);
         acceptService(JOB, "red", 6, 1);
-        accept(World.job(OTHER, "blue", "sweep", 3, 1, 1), 5);
-        world.runsFor(OTHER + "/1", 50);
-        world.runsFor(OTHER + "/2", 100);
-        world.state().lateWrites(late);
-        world.network().lateReports(meanwhile.equals("reports") ? 0.5 : 0);
+        accept(SimulatedCluster.job(OTHER, "blue", "sweep", 3, 1, 1), 5);
+        cluster.runsFor(OTHER + "/1", 50);
+        cluster.runsFor(OTHER + "/2", 100);
+        cluster.state().lateWrites(late);
+        cluster.network().lateReports(meanwhile.equals("reports") ? 0.5 : 0);
         for (int i = 0; i < 10; i++) {
-            world.state().setDown(meanwhile.equals("outage") && i >= 3 && i < 6);
-            int leader = Math.max(0, world.leader());
-            world.kill(leader);
-            world.run(meanwhile.equals("away") ? 11 : 1);
-            world.restart(leader);
-            world.run(meanwhile.equals("away") ? 1 : 5);
-            world.submit(i % 3, World.job("run-00070" + i, "blue", "sweep", 1, 1, 1), 3);
-            world.run(5);
+            cluster.state().setDown(meanwhile.equals("outage") && i >= 3 && i < 6);
+            int leader = Math.max(0, cluster.leader());
+            cluster.kill(leader);
+            cluster.run(meanwhile.equals("away") ? 11 : 1);
+            cluster.restart(leader);
+            cluster.run(meanwhile.equals("away") ? 1 : 5);
+            cluster.submit(
+                    i % 3, SimulatedCluster.job("run-00070" + i, "blue", "sweep", 1, 1, 1), 3);
+            cluster.run(5);
             if (i % 3 == 0) {
-                world.withdraw((i + 1) % 3, "run-00070" + i);
+                cluster.withdraw((i + 1) % 3, "run-00070" + i);
             }
         }
-        world.calm().run(60);
-        assertEquals("done", world.phase(0, OTHER));
+        cluster.calm().run(60);
+        assertEquals("done", cluster.phase(0, OTHER));
         for (int i = 0; i < 3; i++) {
-            assertEquals(1, world.starts(OTHER + "/" + i), "task " + i);
+            assertEquals(1, cluster.starts(OTHER + "/" + i), "task " + i);
         }
     }
 
@@ -273,30 +280,30 @@
     @CsvSource({"normal, sweep", "best_effort, sweep", "urgent, sweep", "normal, service"})
     void theLargestBeginThoughThereIsMoreWorkThanRoom(String urgency, String shape) {
         begin(1);
-        world.cloud().runOut();
-        world.fetchesTake(6);
+        cluster.cloud().runOut();
+        cluster.fetchesTake(6);
         int n = 0;
         for (; n < 20; n++) {
-            world.submit(
+            cluster.submit(
                     n % 3,
-                    World.job("run-00" + (2000 + n), "blue", "sweep", 6, 1, 1)
+                    SimulatedCluster.job("run-00" + (2000 + n), "blue", "sweep", 6, 1, 1)
                             .put("urgency", urgency),
                     15 + n % 7);
         }
         accept(
-                World.job(JOB, "blue", shape, 1, 16, 8).put("urgency", urgency),
+                SimulatedCluster.job(JOB, "blue", shape, 1, 16, 8).put("urgency", urgency),
                 shape.equals("sweep") ? 20 : FOREVER);
-        for (int i = 0; i < 48 && world.starts(JOB + "/0") == 0; i++) {
-            world.submit(
+        for (int i = 0; i < 48 && cluster.starts(JOB + "/0") == 0; i++) {
+            cluster.submit(
                     n % 3,
-                    World.job("run-00" + (2000 + n++), "blue", "sweep", 7, 1, 1)
+                    SimulatedCluster.job("run-00" + (2000 + n++), "blue", "sweep", 7, 1, 1)
                             .put("urgency", urgency),
                     15 + n % 7);
-            world.run(5);
+            cluster.run(5);
         }
-        assertEquals(1, world.starts(JOB + "/0"));
-        world.cloud().refill();
-        world.run(150);
+        assertEquals(1, cluster.starts(JOB + "/0"));
+        cluster.cloud().refill();
+        cluster.run(150);
     }
 
     /**
@@ -312,23 +319,26 @@
         for (int i = 0; i < 9; i++) {
             acceptService("run-00010" + i, "blue", 1, 1);
         }
-        world.run(12);
-        int cut = world.leader();
-        world.isolate(cut);
-        world.run(1);
-        SimWorker hung = world.holder(JOB + "/0");
+        cluster.run(12);
+        int cut = cluster.leader();
+        cluster.isolate(cut);
+        cluster.run(1);
+        SimWorker hung = cluster.holder(JOB + "/0");
         hung.hang(hangS > 0);
-        for (int i = 0; i < 20 && !"cancelled".equals(world.withdraw((cut + 1) % 3, JOB)); i++) {
-            world.run(0.5);
+        for (int i = 0; i < 20 && !"cancelled".equals(cluster.withdraw((cut + 1) % 3, JOB)); i++) {
+            cluster.run(0.5);
         }
-        world.run(hangS);
+        cluster.run(hangS);
         hung.hang(false);
         for (int i = 0; i < forS / 5; i++) {
-            world.submit((cut + i) % 3, World.job("run-00080" + i, "blue", "sweep", 1, 1, 1), 3);
-            world.withdraw(cut, "run-00080" + i);
-            world.run(4);
+            cluster.submit(
+                    (cut + i) % 3,
+                    SimulatedCluster.job("run-00080" + i, "blue", "sweep", 1, 1, 1),
+                    3);
+            cluster.withdraw(cut, "run-00080" + i);
+            cluster.run(4);
         }
-        assertEquals(0, world.running(JOB));
+        assertEquals(0, cluster.running(JOB));
     }
 
     /** Commands, or their answers, are held up for seconds and the machine goes on. */
@@ -339,14 +349,14 @@
         SplittableRandom random = new SplittableRandom(seed);
         acceptService(JOB, "red", 4, 1);
         if (commands) {
-            world.network()
+            cluster.network()
                     .delayRequests(
                             (from, request) ->
                                     request.path().equals("/orders") && random.nextInt(3) == 0
                                             ? random.nextDouble() * 9
                                             : 0);
         } else {
-            world.network()
+            cluster.network()
                     .delayAnswers(
                             (from, request) ->
                                     (request.path().equals("/orders") && random.nextInt(3) == 0)
@@ -356,7 +366,7 @@
                                             : 0);
         }
         churn(40, random);
-        world.restart(Math.max(0, world.leader()));
+        cluster.restart(Math.max(0, cluster.leader()));
         churn(20, random);
     }
 
@@ -373,26 +383,27 @@
     void jobsBoundToOneZoneLoseItsMachines(
             String shape, boolean zoneNamed, boolean samePlace, String how) {
         begin(1);
-        ObjectNode job = World.job(JOB, "blue", shape, 4, 1, 8).put("samePlace", samePlace);
+        ObjectNode job =
+                SimulatedCluster.job(JOB, "blue", shape, 4, 1, 8).put("samePlace", samePlace);
         if (zoneNamed) {
             job.put("yard", "b");
         }
         accept(job, shape.equals("sweep") ? 60 : FOREVER);
-        world.run(70);
-        assertEquals(List.of(), world.unserved());
-        String zone = world.holder(JOB + "/0") == null ? "b" : world.holder(JOB + "/0").zone();
+        cluster.run(70);
+        assertEquals(List.of(), cluster.unserved());
+        String zone = cluster.holder(JOB + "/0") == null ? "b" : cluster.holder(JOB + "/0").zone();
         acceptService(OTHER, "red", 2, 4);
         for (SimWorker machine : machines()) {
             if (machine.zone().equals(zone)) {
                 if (how.equals("taken")) {
-                    world.cloud().take(machine);
+                    cluster.cloud().take(machine);
                 } else {
                     machine.hang(true);
                 }
             }
         }
-        world.run(90);
-        assertEquals(List.of(), world.unserved());
+        cluster.run(90);
+        assertEquals(List.of(), cluster.unserved());
     }
 
     /**
@@ -402,15 +413,15 @@
     @Test
     void theOnlyRoomInAZoneIsOnAFaultyMachine() {
         begin(1);
-        accept(World.job(OTHER, "blue", "service", 1, 1, 8).put("yard", "b"), FOREVER);
-        world.run(5);
-        SimWorker sound = world.holder(OTHER + "/0");
+        accept(SimulatedCluster.job(OTHER, "blue", "service", 1, 1, 8).put("yard", "b"), FOREVER);
+        cluster.run(5);
+        SimWorker sound = cluster.holder(OTHER + "/0");
         machines().stream()
                 .filter(m -> m != sound && m.zone().equals("b"))
                 .forEach(SimWorker::failEverything);
-        accept(World.job(JOB, "blue", "sweep", 1, 1, 8).put("yard", "b"), 30);
-        world.run(90);
-        assertEquals("done", world.phase(0, JOB));
+        accept(SimulatedCluster.job(JOB, "blue", "sweep", 1, 1, 8).put("yard", "b"), 30);
+        cluster.run(90);
+        assertEquals("done", cluster.phase(0, JOB));
     }
 
     private static final String[] FIELDS = {
@@ -442,52 +453,53 @@
         begin(1);
         for (int i = 0; i < FIELDS.length; i++) {
             for (String as : new String[] {"absent", "null", "list"}) {
-                ObjectNode job = World.job(JOB, "red", "service", 2, 1, 1);
+                ObjectNode job = SimulatedCluster.job(JOB, "red", "service", 2, 1, 1);
                 switch (as) {
                     case "absent" -> job.remove(FIELDS[i]);
                     case "null" -> job.putNull(FIELDS[i]);
                     default -> job.putArray(FIELDS[i]).add(1);
                 }
-                assertEquals(400, world.submit(i % 3, job, 1), FIELDS[i] + " " + as);
+                assertEquals(400, cluster.submit(i % 3, job, 1), FIELDS[i] + " " + as);
             }
         }
-        ObjectNode wide = World.job(JOB, "red", "sweep", 1, 1, 1);
+        ObjectNode wide = SimulatedCluster.job(JOB, "red", "sweep", 1, 1, 1);
         for (int i = 0; i < 900; i++) {
             wide.withArray("frames").add("large").add("another type of machine " + i);
         }
-        assertEquals(422, world.submit(0, wide, 1), "more than a record holds");
+        assertEquals(422, cluster.submit(0, wide, 1), "more than a record holds");
         for (int node = 0; node < 3; node++) {
             for (ObjectNode job : impossible()) {
-                assertEquals(422, world.submit(node, job, 1), job.toString());
+                assertEquals(422, cluster.submit(node, job, 1), job.toString());
             }
-            assertEquals(404, world.ask(node, "GET", "/submissions/" + JOB, "").status());
+            assertEquals(404, cluster.ask(node, "GET", "/submissions/" + JOB, "").status());
             assertEquals(
-                    404, world.ask(node, "POST", "/submissions/" + JOB + "/withdraw", "").status());
+                    404,
+                    cluster.ask(node, "POST", "/submissions/" + JOB + "/withdraw", "").status());
             for (String body :
                     new String[] {
                         "", "[]", "{", "{} {}", "{\"a\":".repeat(5000), "\"run-000001\""
                     }) {
-                assertEquals(400, world.ask(node, "POST", "/submissions", body).status());
+                assertEquals(400, cluster.ask(node, "POST", "/submissions", body).status());
             }
         }
     }
 
     private static List<ObjectNode> impossible() {
-        ObjectNode noZone = World.job(JOB, "red", "sweep", 1, 1, 1).put("yard", "c");
-        ObjectNode noType = World.job(JOB, "red", "sweep", 1, 1, 1);
+        ObjectNode noZone = SimulatedCluster.job(JOB, "red", "sweep", 1, 1, 1).put("yard", "c");
+        ObjectNode noType = SimulatedCluster.job(JOB, "red", "sweep", 1, 1, 1);
         noType.putArray("frames");
-        ObjectNode otherType = World.job(JOB, "red", "sweep", 1, 8, 0);
+        ObjectNode otherType = SimulatedCluster.job(JOB, "red", "sweep", 1, 8, 0);
         otherType.putArray("frames").add("small").add("huge");
         return List.of(
                 noZone,
                 noType,
                 otherType,
-                World.job(JOB, "green", "sweep", 1, 1, 1),
-                World.job(JOB, "red", "sweep", 1, 33, 0),
-                World.job(JOB, "red", "sweep", 1, 1, 9),
-                World.job(JOB, "red", "sweep", 1, 1, 1).put("memGb", 257),
-                World.job(JOB, "red", "service", 17, 1, 1),
-                World.job(JOB, "blue", "service", 65, 1, 1));
+                SimulatedCluster.job(JOB, "green", "sweep", 1, 1, 1),
+                SimulatedCluster.job(JOB, "red", "sweep", 1, 33, 0),
+                SimulatedCluster.job(JOB, "red", "sweep", 1, 1, 9),
+                SimulatedCluster.job(JOB, "red", "sweep", 1, 1, 1).put("memGb", 257),
+                SimulatedCluster.job(JOB, "red", "service", 17, 1, 1),
+                SimulatedCluster.job(JOB, "blue", "service", 65, 1, 1));
     }
 
     /**
@@ -497,36 +509,38 @@
     @Test
     void nothingIsAcceptedBeforeTheMachineTypesAreKnown() {
         begin(1);
-        accept(World.job(OTHER, "red", "sweep", 1, 1, 1), 300);
-        world.run(2);
-        world.network()
+        accept(SimulatedCluster.job(OTHER, "red", "sweep", 1, 1, 1), 300);
+        cluster.run(2);
+        cluster.network()
                 .judge(
                         (from, request) ->
                                 request.address().equals("cloud:1") ? Fate.REFUSE : Fate.DELIVER);
         for (int i = 0; i < 3; i++) {
-            world.restart(i);
+            cluster.restart(i);
         }
-        world.run(4);
+        cluster.run(4);
         for (int node = 0; node < 3; node++) {
-            assertEquals(503, world.ask(node, "GET", "/ready", "").status());
-            assertEquals(503, world.submit(node, World.job(JOB, "red", "sweep", 1, 1, 1), 1));
+            assertEquals(503, cluster.ask(node, "GET", "/ready", "").status());
+            assertEquals(
+                    503,
+                    cluster.submit(node, SimulatedCluster.job(JOB, "red", "sweep", 1, 1, 1), 1));
             assertEquals(
                     200,
-                    world.submit(node, World.job(OTHER, "red", "sweep", 1, 1, 1), 300),
+                    cluster.submit(node, SimulatedCluster.job(OTHER, "red", "sweep", 1, 1, 1), 300),
                     "known already");
-            ObjectNode job = World.job(JOB, "red", "sweep", 1, 1, 1);
+            ObjectNode job = SimulatedCluster.job(JOB, "red", "sweep", 1, 1, 1);
             job.remove("loaner");
-            assertEquals(400, world.submit(node, job, 1));
+            assertEquals(400, cluster.submit(node, job, 1));
             for (ObjectNode never : impossible()) {
-                int status = world.submit(node, never, 1);
+                int status = cluster.submit(node, never, 1);
                 assertTrue(status == 503 || status == 422, status + " for " + never);
             }
         }
-        world.calm().run(6);
+        cluster.calm().run(6);
         for (ObjectNode never : impossible()) {
-            assertEquals(422, world.submit(0, never, 1));
+            assertEquals(422, cluster.submit(0, never, 1));
         }
-        assertEquals(201, world.submit(1, World.job(JOB, "red", "sweep", 1, 1, 1), 1));
+        assertEquals(201, cluster.submit(1, SimulatedCluster.job(JOB, "red", "sweep", 1, 1, 1), 1));
     }
 
     /**
@@ -536,26 +550,26 @@
     @Test
     void oddRequestsMeetAChangeOfLeader() {
         begin(1);
-        ObjectNode done = World.job(JOB, "red", "sweep", 1, 1, 1);
+        ObjectNode done = SimulatedCluster.job(JOB, "red", "sweep", 1, 1, 1);
         accept(done, 2);
-        ObjectNode runs = World.job(OTHER, "red", "service", 2, 1, 1);
+        ObjectNode runs = SimulatedCluster.job(OTHER, "red", "service", 2, 1, 1);
         accept(runs, FOREVER);
-        world.run(8);
+        cluster.run(8);
         for (int i = 0; i < 6; i++) {
-            world.restart(Math.max(0, world.leader()));
+            cluster.restart(Math.max(0, cluster.leader()));
             for (int node = 0; node < 3; node++) {
-                world.submit(node, done, 2);
-                world.submit(node, runs, FOREVER);
-                world.withdraw(node, JOB);
-                world.phase(node, "run-999999");
-                world.withdraw(node, "run-999999");
+                cluster.submit(node, done, 2);
+                cluster.submit(node, runs, FOREVER);
+                cluster.withdraw(node, JOB);
+                cluster.phase(node, "run-999999");
+                cluster.withdraw(node, "run-999999");
             }
-            world.run(2);
+            cluster.run(2);
         }
-        world.run(10);
+        cluster.run(10);
         for (int node = 0; node < 3; node++) {
-            assertEquals("done", world.withdraw(node, JOB));
-            assertEquals(200, world.submit(node, runs, FOREVER));
+            assertEquals("done", cluster.withdraw(node, JOB));
+            assertEquals(200, cluster.submit(node, runs, FOREVER));
         }
     }
 
@@ -573,42 +587,42 @@
     void controllersHandOverAndBack(double withinS, boolean wordsOnTheWay) {
         begin(4);
         acceptService(JOB, "red", 4, 1);
-        world.run(5);
+        cluster.run(5);
         for (int round = 0; round < 4; round++) {
-            int leader = Math.max(0, world.leader());
+            int leader = Math.max(0, cluster.leader());
             if (wordsOnTheWay) {
-                world.holdRecords();
+                cluster.holdRecords();
             }
-            world.run(0.2);
-            world.kill(leader);
-            world.run(withinS);
-            world.restart(leader);
-            world.run(withinS / 2);
-            world.releaseRecords();
-            world.run(withinS);
-            world.restart(Math.max(0, world.leader()));
-            world.run(withinS);
+            cluster.run(0.2);
+            cluster.kill(leader);
+            cluster.run(withinS);
+            cluster.restart(leader);
+            cluster.run(withinS / 2);
+            cluster.releaseRecords();
+            cluster.run(withinS);
+            cluster.restart(Math.max(0, cluster.leader()));
+            cluster.run(withinS);
             for (int i = 0; i < 3; i++) {
-                world.kill((leader + i) % 3);
-                world.run(withinS / 3);
+                cluster.kill((leader + i) % 3);
+                cluster.run(withinS / 3);
             }
-            world.restart((leader + round) % 3);
-            world.run(withinS * 2);
-            world.submit(
+            cluster.restart((leader + round) % 3);
+            cluster.run(withinS * 2);
+            cluster.submit(
                     (leader + round) % 3,
-                    World.job("run-00090" + round, "blue", "sweep", 1, 1, 1),
+                    SimulatedCluster.job("run-00090" + round, "blue", "sweep", 1, 1, 1),
                     2);
             for (int i = 0; i < 3; i++) {
                 if (i != (leader + round) % 3) {
-                    world.restart(i);
+                    cluster.restart(i);
                 }
             }
-            world.run(5);
-            world.withdraw(round % 3, "run-00090" + round);
+            cluster.run(5);
+            cluster.withdraw(round % 3, "run-00090" + round);
         }
-        world.run(5);
+        cluster.run(5);
         for (int i = 0; i < 4; i++) {
-            assertEquals(1, world.starts(JOB + "/" + i), "task " + i);
+            assertEquals(1, cluster.starts(JOB + "/" + i), "task " + i);
         }
     }
 
@@ -621,25 +635,27 @@
     void aControllerReturnsAmongWordsOfItsEarlierLife(double heldForS) {
         begin(5);
         acceptService(JOB, "red", 4, 1);
-        world.run(5);
-        int leader = world.leader();
-        world.state().setDown(true);
-        world.run(3);
-        world.holdRecords();
-        world.run(0.6);
-        world.kill(leader);
-        world.run(heldForS);
-        world.restart(leader);
-        world.run(0.5);
-        world.state().setDown(false);
-        world.run(1);
-        world.releaseRecords();
-        world.run(0.5);
-        world.state().refuse(leader, true);
-        assertTrue(world.withdraw((leader + 1) % 3, JOB).equals("cancelled") || world.leader() < 0);
-        world.run(20);
-        world.state().refuse(leader, false);
-        world.run(20);
+        cluster.run(5);
+        int leader = cluster.leader();
+        cluster.state().setDown(true);
+        cluster.run(3);
+        cluster.holdRecords();
+        cluster.run(0.6);
+        cluster.kill(leader);
+        cluster.run(heldForS);
+        cluster.restart(leader);
+        cluster.run(0.5);
+        cluster.state().setDown(false);
+        cluster.run(1);
+        cluster.releaseRecords();
+        cluster.run(0.5);
+        cluster.state().refuse(leader, true);
+        assertTrue(
+                cluster.withdraw((leader + 1) % 3, JOB).equals("cancelled")
+                        || cluster.leader() < 0);
+        cluster.run(20);
+        cluster.state().refuse(leader, false);
+        cluster.run(20);
     }
 
     @ParameterizedTest
@@ -648,23 +664,23 @@
         begin(1);
         acceptService(JOB, "red", 4, 1);
         acceptService(OTHER, "blue", 3, 2);
-        world.run(6);
-        assertEquals("cancelled", world.withdraw(0, OTHER));
+        cluster.run(6);
+        assertEquals("cancelled", cluster.withdraw(0, OTHER));
         for (int i = 0; i < 3; i++) {
-            world.kill(i);
+            cluster.kill(i);
         }
-        world.run(forS);
-        world.state().setDown(outageAfter);
+        cluster.run(forS);
+        cluster.state().setDown(outageAfter);
         for (int i = 0; i < 3; i++) {
-            world.restart(i);
+            cluster.restart(i);
         }
-        world.run(10);
-        world.state().setDown(false);
-        world.run(15);
-        assertEquals(4, world.running(JOB));
+        cluster.run(10);
+        cluster.state().setDown(false);
+        cluster.run(15);
+        assertEquals(4, cluster.running(JOB));
         for (int i = 0; i < 4; i++) {
             assertEquals(
-                    forS < 14 && !outageAfter ? 1 : 2, world.starts(JOB + "/" + i), "task " + i);
+                    forS < 14 && !outageAfter ? 1 : 2, cluster.starts(JOB + "/" + i), "task " + i);
         }
     }
 
@@ -676,10 +692,10 @@
     @CsvSource({"calm", "late", "slow"})
     void aCancellationMeetsTheEndOfTheLastTask(String state) {
         begin(1);
-        world.state().lateWrites(state.equals("late") ? 0.2 : 0);
+        cluster.state().lateWrites(state.equals("late") ? 0.2 : 0);
         SplittableRandom random = new SplittableRandom(1);
         if (state.equals("slow")) {
-            world.network()
+            cluster.network()
                     .delayAnswers(
                             (from, request) ->
                                     request.address().equals("state:1")
@@ -688,19 +704,19 @@
         }
         for (int i = 0; i < 24; i++) {
             String id = "run-0003" + (10 + i);
-            ObjectNode job = World.job(id, "red", "sweep", 2, 1, 1);
-            world.submit(i % 3, job, 2);
-            world.run(2.6 + 0.05 * i);
+            ObjectNode job = SimulatedCluster.job(id, "red", "sweep", 2, 1, 1);
+            cluster.submit(i % 3, job, 2);
+            cluster.run(2.6 + 0.05 * i);
             List<String> told = new ArrayList<>();
             for (int node = 0; node < 3; node++) {
                 String path =
                         node == i % 3 ? "/submissions/" + id + "/withdraw" : "/submissions/" + id;
-                world.user(node, node == i % 3 ? "POST" : "GET", path, "", 5, reply -> {});
-                world.user(node, "POST", "/submissions", job.toString(), 5, reply -> {});
+                cluster.user(node, node == i % 3 ? "POST" : "GET", path, "", 5, reply -> {});
+                cluster.user(node, "POST", "/submissions", job.toString(), 5, reply -> {});
             }
-            world.run(12);
+            cluster.run(12);
             for (int node = 0; node < 3; node++) {
-                told.add(world.phase(node, id));
+                told.add(cluster.phase(node, id));
             }
             assertEquals(1, new HashSet<>(told).size(), told + " for " + id);
         }
@@ -724,8 +740,8 @@
     void aLeaderEndsWhileMachinesDoNotHear(String trouble, int count, String leaders) {
         begin(1);
         acceptService(JOB, "blue", 8, 4);
-        accept(World.job(OTHER, "blue", "sweep", 4, 1, 0), 200);
-        world.run(8);
+        accept(SimulatedCluster.job(OTHER, "blue", "sweep", 4, 1, 0), 200);
+        cluster.run(8);
         List<SimWorker> troubled = machines().subList(0, count);
         Set<String> names = new HashSet<>();
         troubled.forEach(
@@ -733,13 +749,13 @@
                     names.add(machine.name());
                     names.add(machine.address());
                     switch (trouble) {
-                        case "deaf" -> world.network().deafen(machine);
-                        case "mute" -> world.network().mute(machine);
-                        case "taken" -> world.cloud().take(machine);
+                        case "deaf" -> cluster.network().deafen(machine);
+                        case "mute" -> cluster.network().mute(machine);
+                        case "taken" -> cluster.cloud().take(machine);
                         default -> {}
                     }
                 });
-        world.network()
+        cluster.network()
                 .judge(
                         (from, request) ->
                                 trouble.equals("unreachable")
@@ -747,19 +763,19 @@
                                                         || names.contains(request.address()))
                                         ? Fate.DROP
                                         : Fate.DELIVER);
-        int leader = world.leader();
+        int leader = cluster.leader();
         if (!leaders.equals("stays")) {
-            world.kill(leader);
+            cluster.kill(leader);
         }
         if (leaders.equals("returns")) {
-            world.run(1);
-            world.restart(leader);
+            cluster.run(1);
+            cluster.restart(leader);
         }
-        world.run(120);
+        cluster.run(120);
         // The trouble goes on: what it hit has been replaced.
-        assertEquals(8, world.running(JOB));
-        assertEquals(4, world.running(OTHER));
-        world.restart(leader);
+        assertEquals(8, cluster.running(JOB));
+        assertEquals(4, cluster.running(OTHER));
+        cluster.restart(leader);
     }
 
     /**
@@ -769,21 +785,21 @@
     @Test
     void tasksOfAJobEndFarApartAcrossChangesOfLeader() {
         begin(1);
-        accept(World.job(JOB, "red", "sweep", 3, 1, 1), 4);
-        world.runsFor(JOB + "/1", 70);
-        world.runsFor(JOB + "/2", 140);
+        accept(SimulatedCluster.job(JOB, "red", "sweep", 3, 1, 1), 4);
+        cluster.runsFor(JOB + "/1", 70);
+        cluster.runsFor(JOB + "/2", 140);
         for (int i = 0; i < 40; i++) {
-            accept(World.job("run-0004" + (10 + i), "blue", "sweep", 3, 1, 1), 1);
-            world.run(3);
+            accept(SimulatedCluster.job("run-0004" + (10 + i), "blue", "sweep", 3, 1, 1), 1);
+            cluster.run(3);
             if (i % 12 == 11) {
-                world.restart(world.leader());
-                world.run(6);
+                cluster.restart(cluster.leader());
+                cluster.run(6);
             }
         }
-        world.run(20);
+        cluster.run(20);
         for (int i = 0; i < 3; i++) {
-            assertEquals("done", world.phase(i, JOB));
-            assertEquals(1, world.starts(JOB + "/" + i), "task " + i);
+            assertEquals("done", cluster.phase(i, JOB));
+            assertEquals(1, cluster.starts(JOB + "/" + i), "task " + i);
         }
     }
 
@@ -797,25 +813,25 @@
         begin(1);
         acceptService(JOB, "blue", 8, 2);
         acceptService(OTHER, "blue", 8, 1);
-        world.run(6);
+        cluster.run(6);
         List<SimWorker> mute = machines().subList(0, count);
-        mute.forEach(world.network()::mute);
-        world.run(1);
+        mute.forEach(cluster.network()::mute);
+        cluster.run(1);
         int before = machines().size();
-        assertEquals("cancelled", world.withdraw(follower(), OTHER));
-        world.run(4);
-        assertEquals(0, world.running(OTHER));
+        assertEquals("cancelled", cluster.withdraw(follower(), OTHER));
+        cluster.run(4);
+        assertEquals(0, cluster.running(OTHER));
         assertTrue(machines().size() >= before, "halted directly, not deleted");
-        world.run(70);
-        assertEquals(8, world.running(JOB));
+        cluster.run(70);
+        assertEquals(8, cluster.running(JOB));
         int starts = 0;
         for (int i = 0; i < 8; i++) {
-            starts += world.starts(JOB + "/" + i);
+            starts += cluster.starts(JOB + "/" + i);
         }
-        world.run(60);
+        cluster.run(60);
         int later = 0;
         for (int i = 0; i < 8; i++) {
-            later += world.starts(JOB + "/" + i);
+            later += cluster.starts(JOB + "/" + i);
         }
         assertEquals(starts, later, "nothing is started where its lease must run out");
     }
@@ -830,7 +846,7 @@
         begin(1);
         acceptService(JOB, "red", 8, 1);
         acceptService(OTHER, "red", 8, 1);
-        world.run(8);
+        cluster.run(8);
         Set<String> names = new HashSet<>();
         List<SimWorker> machines = machines().subList(0, silent);
         machines.forEach(
@@ -839,23 +855,23 @@
                     names.add(machine.address());
                     machine.hang(hang);
                 });
-        world.network()
+        cluster.network()
                 .judge(
                         (from, request) ->
                                 names.contains(from) || names.contains(request.address())
                                         ? Fate.DROP
                                         : Fate.DELIVER);
-        int leader = world.leader();
-        world.kill(leader);
-        world.run(3);
+        int leader = cluster.leader();
+        cluster.kill(leader);
+        cluster.run(3);
         acceptService("run-000003", "red", 8, 1);
-        assertEquals("cancelled", world.withdraw((leader + 1) % 3, OTHER));
-        world.run(10);
-        world.restart(leader);
+        assertEquals("cancelled", cluster.withdraw((leader + 1) % 3, OTHER));
+        cluster.run(10);
+        cluster.restart(leader);
         machines.forEach(machine -> machine.hang(false));
-        world.run(60);
-        assertEquals(8, world.running(JOB));
-        assertEquals(8, world.running("run-000003"));
+        cluster.run(60);
+        assertEquals(8, cluster.running(JOB));
+        assertEquals(8, cluster.running("run-000003"));
     }
 
     /** What is cancelled on machines that hang may not go on when they wake. */
@@ -874,18 +890,18 @@
         begin(1);
         acceptService(JOB, "blue", 8, 2);
         acceptService(OTHER, "blue", 4, 1);
-        world.run(8);
+        cluster.run(8);
         List<SimWorker> hung = machines().subList(0, machines);
-        world.run(0.3);
-        assertEquals("cancelled", world.withdraw(follower(), JOB));
+        cluster.run(0.3);
+        assertEquals("cancelled", cluster.withdraw(follower(), JOB));
         hung.forEach(machine -> machine.hang(true));
         if (leaderEnds) {
-            world.restart(world.leader());
+            cluster.restart(cluster.leader());
         }
-        world.run(hangS);
+        cluster.run(hangS);
         hung.forEach(machine -> machine.hang(false));
-        world.run(20);
-        assertEquals(0, world.running(JOB));
+        cluster.run(20);
+        assertEquals(0, cluster.running(JOB));
     }
 
     /** Every answer of the state service takes longer than usual, some longer than anyone waits. */
@@ -895,8 +911,8 @@
         begin(1);
         SplittableRandom random = new SplittableRandom(7);
         acceptService(JOB, "red", 4, 1);
-        world.run(5);
-        world.network()
+        cluster.run(5);
+        cluster.network()
                 .delayAnswers(
                         (from, request) ->
                                 request.address().equals("state:1")
@@ -904,15 +920,16 @@
                                         ? random.nextDouble() * upToS
                                         : 0);
         churn(60, random);
-        int leader = Math.max(0, world.leader());
-        world.state().refuse(leader, true);
-        world.submit((leader + 1) % 3, World.job(OTHER, "red", "service", 2, 1, 1), FOREVER);
-        world.run(1);
-        world.withdraw((leader + 1) % 3, OTHER);
-        world.state().setDown(true);
-        world.run(50);
-        world.state().setDown(false);
-        world.state().refuse(leader, false);
+        int leader = Math.max(0, cluster.leader());
+        cluster.state().refuse(leader, true);
+        cluster.submit(
+                (leader + 1) % 3, SimulatedCluster.job(OTHER, "red", "service", 2, 1, 1), FOREVER);
+        cluster.run(1);
+        cluster.withdraw((leader + 1) % 3, OTHER);
+        cluster.state().setDown(true);
+        cluster.run(50);
+        cluster.state().setDown(false);
+        cluster.state().refuse(leader, false);
         churn(20, random);
     }
 }
--- a/src/test/java/org/springmill/control/coordination/ChainOrderTest.java
+++ b/src/test/java/org/springmill/control/coordination/DependencyPriorityTest.java
@@ -8,27 +8,27 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
-import org.springmill.sim.World;
+import org.springmill.sim.SimulatedCluster;
 
 /**
  * What comes first where there is not room for all, seen from outside. Room is for eight tasks at a
  * time.
  */
-class ChainOrderTest {
+class DependencyPriorityTest {
     private static final String FIRST = "run-000001";
     private static final String RIVAL = "run-000002";
     private static final String LAST = "run-000003";
     private static final String OTHER_LAST = "run-000004";
 
-    private final World world = new World();
+    private final SimulatedCluster cluster = new SimulatedCluster();
 
     @AfterEach
     void noRuleIsBroken() {
-        assertEquals(List.of(), world.broken());
+        assertEquals(List.of(), cluster.broken());
     }
 
     private static ObjectNode job(String id, String urgency, String... needed) {
-        ObjectNode job = World.job(id, "blue", "sweep", 8, 1, 1).put("urgency", urgency);
+        ObjectNode job = SimulatedCluster.job(id, "blue", "sweep", 8, 1, 1).put("urgency", urgency);
         for (String n : needed) {
             job.withArray("waitsOn").add(n);
         }
@@ -36,12 +36,14 @@
     }
 
     private void room() {
-        world.machines("large", "a", 1).run(6);
-        world.cloud().runOut();
+        cluster.machines("large", "a", 1).run(6);
+        cluster.cloud().runOut();
         // Runs first, so that all that follows waits and is placed in order.
-        world.submit(
-                0, World.job("run-000009", "blue", "sweep", 8, 1, 1).put("urgency", "prod"), 8);
-        world.run(1);
+        cluster.submit(
+                0,
+                SimulatedCluster.job("run-000009", "blue", "sweep", 8, 1, 1).put("urgency", "prod"),
+                8);
+        cluster.run(1);
     }
 
     /**
@@ -62,18 +64,18 @@
     })
     void aJobHasThePriorityOfAllThatNeedIt(String own, String last, String then, String winner) {
         room();
-        world.submit(0, job(FIRST, "normal"), 5);
-        world.submit(1, job(RIVAL, own), 5);
-        world.submit(2, job(LAST, "best_effort", RIVAL), 5);
-        world.submit(2, job(OTHER_LAST, last, LAST), 5);
+        cluster.submit(0, job(FIRST, "normal"), 5);
+        cluster.submit(1, job(RIVAL, own), 5);
+        cluster.submit(2, job(LAST, "best_effort", RIVAL), 5);
+        cluster.submit(2, job(OTHER_LAST, last, LAST), 5);
         if (then.equals("cancelled")) {
-            assertEquals("cancelled", world.withdraw(0, OTHER_LAST));
+            assertEquals("cancelled", cluster.withdraw(0, OTHER_LAST));
         } else if (then.equals("takeover")) {
-            world.restart(world.leader());
+            cluster.restart(cluster.leader());
         }
-        world.run(12);
-        boolean rival = world.starts(RIVAL + "/0") > 0;
-        boolean first = world.starts(FIRST + "/0") > 0;
+        cluster.run(12);
+        boolean rival = cluster.starts(RIVAL + "/0") > 0;
+        boolean first = cluster.starts(FIRST + "/0") > 0;
         assertTrue(rival ^ first, "rival " + rival + ", first " + first);
         assertEquals(winner, rival ? "rival" : "first");
     }
@@ -93,15 +95,15 @@
     void insideAPriorityTheChainWithLeastSlackComesFirst(
             double firstDue, double rivalDue, double rivalEstimate, String then, String winner) {
         room();
-        world.submit(0, job(FIRST, "normal"), 5);
-        world.submit(1, job(RIVAL, "normal").put("expectS", rivalEstimate), 5);
+        cluster.submit(0, job(FIRST, "normal"), 5);
+        cluster.submit(1, job(RIVAL, "normal").put("expectS", rivalEstimate), 5);
         ObjectNode last = job(LAST, "normal", FIRST);
-        world.submit(2, firstDue < 0 ? last : last.put("dueS", firstDue), 5);
-        world.submit(2, job(OTHER_LAST, "normal", RIVAL).put("dueS", rivalDue), 5);
+        cluster.submit(2, firstDue < 0 ? last : last.put("dueS", firstDue), 5);
+        cluster.submit(2, job(OTHER_LAST, "normal", RIVAL).put("dueS", rivalDue), 5);
         if (then.equals("takeover")) {
-            world.restart(world.leader());
+            cluster.restart(cluster.leader());
         }
-        world.run(12);
-        assertEquals(winner, world.starts(RIVAL + "/0") > 0 ? "rival" : "first");
+        cluster.run(12);
+        assertEquals(winner, cluster.starts(RIVAL + "/0") > 0 ? "rival" : "first");
     }
 }
--- a/src/test/java/org/springmill/control/coordination/FailureTest.java
+++ b/src/test/java/org/springmill/control/coordination/FailureTest.java
@@ -19,26 +19,28 @@
 import org.junit.jupiter.params.provider.ValueSource;
 import org.springmill.sim.SimNetwork.Fate;
 import org.springmill.sim.SimWorker;
-import org.springmill.sim.World;
+import org.springmill.sim.SimulatedCluster;
 import org.springmill.transport.HttpClient.Request;
 
-/** The whole service against its stand-ins, under the failures that the rules have to survive. */
+/**
+ * The whole service against its stand-ins, under the failures that the invariants have to survive.
+ */
 class FailureTest {
     private static final String JOB = "run-000001";
     private static final String TASK = JOB + "/0";
 
-    private World world;
+    private SimulatedCluster cluster;
 
     @BeforeEach
     void threeControllersAndFourMachines() {
-        world = new World().machines("large", "a", 2).machines("large", "b", 2).run(6);
-        assertNotEquals(-1, world.leader());
+        cluster = new SimulatedCluster().machines("large", "a", 2).machines("large", "b", 2).run(6);
+        assertNotEquals(-1, cluster.leader());
     }
 
     @AfterEach
     void noRuleIsBroken() {
-        assertEquals(List.of(), world.broken());
-        assertEquals(List.of(), world.startsAfterCancel());
+        assertEquals(List.of(), cluster.broken());
+        assertEquals(List.of(), cluster.startsAfterCancel());
     }
 
     private static boolean starts(Request request) {
@@ -51,21 +53,25 @@
     }
 
     private int follower() {
-        return (world.leader() + 1) % 3;
+        return (cluster.leader() + 1) % 3;
     }
 
     @ParameterizedTest
     @ValueSource(ints = {0, 1, 2})
     void aJobRunsWhereverItIsSubmitted(int node) {
-        assertEquals(201, world.submit(node, World.job(JOB, "red", "sweep", 3, 1, 1), 5));
-        assertEquals(200, world.submit(node, World.job(JOB, "red", "sweep", 3, 1, 1), 5));
-        world.run(12);
+        assertEquals(
+                201, cluster.submit(node, SimulatedCluster.job(JOB, "red", "sweep", 3, 1, 1), 5));
+        assertEquals(
+                200, cluster.submit(node, SimulatedCluster.job(JOB, "red", "sweep", 3, 1, 1), 5));
+        cluster.run(12);
         for (int i = 0; i < 3; i++) {
-            assertEquals("done", world.phase(i, JOB));
-            assertEquals(1, world.starts(JOB + "/" + i));
+            assertEquals("done", cluster.phase(i, JOB));
+            assertEquals(1, cluster.starts(JOB + "/" + i));
         }
         // A retry may come at any time, also after the end.
-        assertEquals(200, world.submit(follower(), World.job(JOB, "red", "sweep", 3, 1, 1), 5));
+        assertEquals(
+                200,
+                cluster.submit(follower(), SimulatedCluster.job(JOB, "red", "sweep", 3, 1, 1), 5));
     }
 
     /** The moments at which a leader may die around a start. */
@@ -87,25 +93,27 @@
     @ParameterizedTest
     @EnumSource(Moment.class)
     void aLeaderDiesAroundAStart(Moment moment) {
-        int leader = world.leader();
-        world.network()
+        int leader = cluster.leader();
+        cluster.network()
                 .judge(
                         (from, request) -> {
                             if (from.equals("n-" + leader) && starts(request)) {
-                                world.clock().after(0.0001, () -> world.kill(leader));
+                                cluster.clock().after(0.0001, () -> cluster.kill(leader));
                                 return moment.fate;
                             }
                             return Fate.DELIVER;
                         });
-        world.submit(
-                follower(), World.job(JOB, "red", "service", 1, 1, 1), Double.POSITIVE_INFINITY);
-        world.run(30);
-        assertEquals(1, world.running(JOB));
-        world.network().releaseHeld();
-        world.run(10);
-        assertEquals(1, world.running(JOB));
-        assertEquals(1, world.starts(TASK));
-        assertEquals("running", world.phase(follower(), JOB));
+        cluster.submit(
+                follower(),
+                SimulatedCluster.job(JOB, "red", "service", 1, 1, 1),
+                Double.POSITIVE_INFINITY);
+        cluster.run(30);
+        assertEquals(1, cluster.running(JOB));
+        cluster.network().releaseHeld();
+        cluster.run(10);
+        assertEquals(1, cluster.running(JOB));
+        assertEquals(1, cluster.starts(TASK));
+        assertEquals("running", cluster.phase(follower(), JOB));
     }
 
     @ParameterizedTest
@@ -114,7 +122,7 @@
             names = {"LOSE_ANSWER", "HOLD", "DROP", "REFUSE"})
     void aStartIsUncertainWhileTheLeaderLives(Fate fate) {
         boolean[] once = new boolean[1];
-        world.network()
+        cluster.network()
                 .judge(
                         (from, request) -> {
                             if (starts(request) && !once[0]) {
@@ -123,18 +131,19 @@
                             }
                             return Fate.DELIVER;
                         });
-        world.submit(0, World.job(JOB, "red", "service", 1, 1, 1), Double.POSITIVE_INFINITY);
-        world.run(40);
-        assertEquals(1, world.running(JOB));
-        world.network().releaseHeld();
-        world.run(5);
-        assertEquals(1, world.running(JOB));
+        cluster.submit(
+                0, SimulatedCluster.job(JOB, "red", "service", 1, 1, 1), Double.POSITIVE_INFINITY);
+        cluster.run(40);
+        assertEquals(1, cluster.running(JOB));
+        cluster.network().releaseHeld();
+        cluster.run(5);
+        assertEquals(1, cluster.running(JOB));
     }
 
     @Test
     void aHeldStartArrivesAfterItsTaskWasClearedAndDoesNothing() {
         List<Request> seen = new ArrayList<>();
-        world.network()
+        cluster.network()
                 .judge(
                         (from, request) -> {
                             if (starts(request)) {
@@ -142,24 +151,25 @@
                             }
                             return Fate.DELIVER;
                         });
-        world.submit(0, World.job(JOB, "red", "sweep", 1, 1, 1), 3);
-        world.run(10);
-        assertEquals("done", world.phase(0, JOB));
-        seen.forEach(world.network()::repeat);
+        cluster.submit(0, SimulatedCluster.job(JOB, "red", "sweep", 1, 1, 1), 3);
+        cluster.run(10);
+        assertEquals("done", cluster.phase(0, JOB));
+        seen.forEach(cluster.network()::repeat);
         // Not even begun: a start that is refused, not one that is halted while its image is
         // fetched.
         assertTrue(
-                world.cloud().machines().values().stream()
+                cluster.cloud().machines().values().stream()
                         .noneMatch(machine -> machine.holds(TASK)));
-        world.run(10);
-        assertEquals(1, world.starts(TASK));
+        cluster.run(10);
+        assertEquals(1, cluster.starts(TASK));
     }
 
     @Test
     void lateCopiesOfReportsRenewNothingAndProveNothing() {
-        world.submit(0, World.job(JOB, "red", "service", 2, 1, 1), Double.POSITIVE_INFINITY);
+        cluster.submit(
+                0, SimulatedCluster.job(JOB, "red", "service", 2, 1, 1), Double.POSITIVE_INFINITY);
         List<Request> copies = new ArrayList<>();
-        world.network()
+        cluster.network()
                 .judge(
                         (from, request) -> {
                             if (request.path().equals("/v1/report")) {
@@ -167,8 +177,8 @@
                             }
                             return Fate.DELIVER;
                         });
-        world.run(10);
-        SimWorker victim = world.holder(TASK);
+        cluster.run(10);
+        SimWorker victim = cluster.holder(TASK);
         victim.hang(true);
         // Copies of what it said before keep coming; its task still has to be found gone after one
         // lease.
@@ -179,12 +189,12 @@
                                     new String(r.body(), StandardCharsets.UTF_8)
                                             .contains(victim.name()))
                     .limit(3)
-                    .forEach(world.network()::repeat);
-            world.run(1);
+                    .forEach(cluster.network()::repeat);
+            cluster.run(1);
         }
         assertEquals(
                 2,
-                world.cloud().machines().values().stream()
+                cluster.cloud().machines().values().stream()
                         .filter(m -> m != victim)
                         .mapToInt(SimWorker::running)
                         .sum());
@@ -199,13 +209,14 @@
         "state peers workers,  60",
     })
     void theLeaderIsCutOff(String what, double forS) {
-        world.submit(0, World.job(JOB, "red", "service", 4, 1, 1), Double.POSITIVE_INFINITY);
-        world.run(8);
-        assertEquals(4, world.running(JOB));
-        int cut = world.leader();
+        cluster.submit(
+                0, SimulatedCluster.job(JOB, "red", "service", 4, 1, 1), Double.POSITIVE_INFINITY);
+        cluster.run(8);
+        assertEquals(4, cluster.running(JOB));
+        int cut = cluster.leader();
         String name = "n-" + cut;
-        world.cutPeers(cut, what.contains("peers"));
-        world.network()
+        cluster.cutPeers(cut, what.contains("peers"));
+        cluster.network()
                 .judge(
                         (from, request) -> {
                             boolean fromWorker =
@@ -221,11 +232,11 @@
                                             || (what.contains("users") && from.equals("user"));
                             return lost ? Fate.DROP : Fate.DELIVER;
                         });
-        world.run(forS);
-        world.network().judge((from, request) -> Fate.DELIVER);
-        world.cutPeers(cut, false);
-        world.run(40);
-        assertEquals(4, world.running(JOB));
+        cluster.run(forS);
+        cluster.network().judge((from, request) -> Fate.DELIVER);
+        cluster.cutPeers(cut, false);
+        cluster.run(40);
+        assertEquals(4, cluster.running(JOB));
     }
 
     /**
@@ -235,7 +246,7 @@
     @Test
     void lateCopiesDoNotBringDeletedMachinesBack() {
         List<Request> copies = new ArrayList<>();
-        world.network()
+        cluster.network()
                 .judge(
                         (from, request) -> {
                             if (request.path().equals("/v1/report")) {
@@ -243,22 +254,24 @@
                             }
                             return Fate.DELIVER;
                         });
-        world.run(5);
+        cluster.run(5);
         List<Request> old = List.copyOf(copies);
-        world.cloud().runOut();
-        for (int i = 0; i < 60 && !world.cloud().machines().isEmpty(); i++) {
-            world.run(5);
+        cluster.cloud().runOut();
+        for (int i = 0; i < 60 && !cluster.cloud().machines().isEmpty(); i++) {
+            cluster.run(5);
         }
-        assertEquals(0, world.cloud().machines().size(), "idle machines go back");
-        old.forEach(world.network()::repeat);
+        assertEquals(0, cluster.cloud().machines().size(), "idle machines go back");
+        old.forEach(cluster.network()::repeat);
         assertEquals(
                 201,
-                world.submit(
-                        0, World.job(JOB, "red", "service", 1, 1, 1), Double.POSITIVE_INFINITY));
-        world.run(3);
+                cluster.submit(
+                        0,
+                        SimulatedCluster.job(JOB, "red", "service", 1, 1, 1),
+                        Double.POSITIVE_INFINITY));
+        cluster.run(3);
         assertEquals(
                 0,
-                world.state().keysUnder("round/").size(),
+                cluster.state().keysUnder("round/").size(),
                 "nothing is placed where no machine is");
     }
 
@@ -266,70 +279,74 @@
     @ParameterizedTest
     @ValueSource(doubles = {3, 5, 8})
     void aFleetThatIsOutOfReachForAWhileIsNotDeleted(double forS) {
-        world.submit(0, World.job(JOB, "blue", "service", 8, 1, 4), Double.POSITIVE_INFINITY);
-        world.run(8);
-        int before = world.cloud().machines().size();
-        world.network()
+        cluster.submit(
+                0, SimulatedCluster.job(JOB, "blue", "service", 8, 1, 4), Double.POSITIVE_INFINITY);
+        cluster.run(8);
+        int before = cluster.cloud().machines().size();
+        cluster.network()
                 .judge(
                         (from, request) ->
                                 from.startsWith("host-") || request.path().equals("/orders")
                                         ? Fate.DROP
                                         : Fate.DELIVER);
-        world.run(forS);
-        world.network().judge((from, request) -> Fate.DELIVER);
-        world.run(30);
-        assertEquals(before, world.cloud().machines().size());
+        cluster.run(forS);
+        cluster.network().judge((from, request) -> Fate.DELIVER);
+        cluster.run(30);
+        assertEquals(before, cluster.cloud().machines().size());
         for (int i = 0; i < 8; i++) {
-            assertEquals(1, world.starts(JOB + "/" + i), "task " + i);
+            assertEquals(1, cluster.starts(JOB + "/" + i), "task " + i);
         }
     }
 
     @Test
     void replicasOfASilentMachineMoveBeforeItsLeaseCouldEnd() {
-        world.submit(0, World.job(JOB, "red", "service", 1, 1, 1), Double.POSITIVE_INFINITY);
-        world.run(8);
-        world.holder(TASK).hang(true);
-        world.run(11);
-        assertEquals(2, world.starts(TASK));
+        cluster.submit(
+                0, SimulatedCluster.job(JOB, "red", "service", 1, 1, 1), Double.POSITIVE_INFINITY);
+        cluster.run(8);
+        cluster.holder(TASK).hang(true);
+        cluster.run(11);
+        assertEquals(2, cluster.starts(TASK));
     }
 
     @Test
     void aCrashedLeaderIsReplacedBeforeItsLeaseEnds() {
-        int old = world.leader();
-        world.kill(old);
-        world.run(1.6);
-        assertNotEquals(old, world.leader());
-        assertNotEquals(-1, world.leader());
+        int old = cluster.leader();
+        cluster.kill(old);
+        cluster.run(1.6);
+        assertNotEquals(old, cluster.leader());
+        assertNotEquals(-1, cluster.leader());
     }
 
     @Test
     void aPacketFilterBetweenControllersEndsOneTermAtMost() {
-        world.submit(0, World.job(JOB, "red", "service", 4, 1, 1), Double.POSITIVE_INFINITY);
-        world.run(5);
+        cluster.submit(
+                0, SimulatedCluster.job(JOB, "red", "service", 4, 1, 1), Double.POSITIVE_INFINITY);
+        cluster.run(5);
         int changes = 0;
-        int leader = world.leader();
-        world.filterPeers();
+        int leader = cluster.leader();
+        cluster.filterPeers();
         for (int i = 0; i < 100; i++) {
-            world.run(0.3);
-            if (world.leader() >= 0 && world.leader() != leader) {
-                leader = world.leader();
+            cluster.run(0.3);
+            if (cluster.leader() >= 0 && cluster.leader() != leader) {
+                leader = cluster.leader();
                 changes++;
             }
         }
         assertTrue(changes <= 1, "changes of leader: " + changes);
-        assertEquals(4, world.running(JOB));
+        assertEquals(4, cluster.running(JOB));
     }
 
     @ParameterizedTest
     @ValueSource(doubles = {5, 25})
     void theOthersStandInForALeaderThatIsCutOffInAnOutage(double cutForS) {
-        world.submit(0, World.job(JOB, "red", "service", 4, 1, 1), Double.POSITIVE_INFINITY);
-        world.run(8);
-        int cut = world.leader();
-        world.state().setDown(true);
-        world.run(3);
-        world.cutPeers(cut, true);
-        world.network()
+        cluster.submit(
+                0, SimulatedCluster.job(JOB, "red", "service", 4, 1, 1), Double.POSITIVE_INFINITY);
+        cluster.run(8);
+        int cut = cluster.leader();
+        cluster.state().setDown(true);
+        cluster.run(3);
+        cluster.cutPeers(cut, true);
+        cluster.network()
                 .judge(
                         (from, request) ->
                                 from.equals("n-" + cut)
@@ -337,47 +354,49 @@
                                                         .equals("10.0.0." + cut + ":8080")
                                         ? Fate.DROP
                                         : Fate.DELIVER);
-        world.run(cutForS);
-        world.state().setDown(false);
-        world.run(5);
-        world.cutPeers(cut, false);
-        world.network().judge((from, request) -> Fate.DELIVER);
-        world.run(30);
-        assertEquals(4, world.running(JOB));
+        cluster.run(cutForS);
+        cluster.state().setDown(false);
+        cluster.run(5);
+        cluster.cutPeers(cut, false);
+        cluster.network().judge((from, request) -> Fate.DELIVER);
+        cluster.run(30);
+        assertEquals(4, cluster.running(JOB));
         for (int i = 0; i < 4; i++) {
-            assertEquals(1, world.starts(JOB + "/" + i), "task " + i);
+            assertEquals(1, cluster.starts(JOB + "/" + i), "task " + i);
         }
     }
 
     @Test
     void aFollowerRefusedByTheStateServiceDoesNotHinderTheLeader() {
-        world.submit(0, World.job(JOB, "red", "service", 2, 1, 1), Double.POSITIVE_INFINITY);
-        world.run(8);
+        cluster.submit(
+                0, SimulatedCluster.job(JOB, "red", "service", 2, 1, 1), Double.POSITIVE_INFINITY);
+        cluster.run(8);
         int refused = follower();
-        world.network()
+        cluster.network()
                 .judge(
                         (from, request) ->
                                 (from.equals("n-" + refused) && toState(request))
                                                 || request.path().equals("/rentals/delete")
                                         ? Fate.REFUSE
                                         : Fate.DELIVER);
-        world.run(5);
-        SimWorker hung = world.holder(TASK);
+        cluster.run(5);
+        SimWorker hung = cluster.holder(TASK);
         hung.hang(true);
-        world.run(25);
+        cluster.run(25);
         // The cloud deletes nothing today, so this was proven by silence alone.
-        assertEquals(2, world.starts(TASK));
+        assertEquals(2, cluster.starts(TASK));
     }
 
     @Test
     void aLeaderAloneWithTheStateServiceProvesNothingBySilence() {
-        world.submit(0, World.job(JOB, "red", "service", 4, 1, 1), Double.POSITIVE_INFINITY);
-        world.run(8);
-        int alone = world.leader();
-        world.cutPeers(alone, true);
+        cluster.submit(
+                0, SimulatedCluster.job(JOB, "red", "service", 4, 1, 1), Double.POSITIVE_INFINITY);
+        cluster.run(8);
+        int alone = cluster.leader();
+        cluster.cutPeers(alone, true);
         // The others see an outage and, for lack of a leader, keep the workers; the leader sees
         // only silent workers.
-        world.network()
+        cluster.network()
                 .judge(
                         (from, request) -> {
                             boolean othersState = !from.equals("n-" + alone) && toState(request);
@@ -389,19 +408,20 @@
                                                     && request.address().startsWith("10.1."));
                             return othersState ? Fate.REFUSE : workers ? Fate.DROP : Fate.DELIVER;
                         });
-        world.run(60);
-        world.cutPeers(alone, false);
-        world.network().judge((from, request) -> Fate.DELIVER);
-        world.run(60);
-        assertEquals(4, world.running(JOB));
+        cluster.run(60);
+        cluster.cutPeers(alone, false);
+        cluster.network().judge((from, request) -> Fate.DELIVER);
+        cluster.run(60);
+        assertEquals(4, cluster.running(JOB));
     }
 
     @Test
     void aLeaderCutOffFromItsWorkersGivesWayBeforeTheirLeasesEnd() {
-        world.submit(0, World.job(JOB, "red", "service", 4, 1, 1), Double.POSITIVE_INFINITY);
-        world.run(8);
-        int cut = world.leader();
-        world.network()
+        cluster.submit(
+                0, SimulatedCluster.job(JOB, "red", "service", 4, 1, 1), Double.POSITIVE_INFINITY);
+        cluster.run(8);
+        int cut = cluster.leader();
+        cluster.network()
                 .judge(
                         (from, request) ->
                                 (from.startsWith("host-")
@@ -411,42 +431,44 @@
                                                         && request.address().startsWith("10.1."))
                                         ? Fate.DROP
                                         : Fate.DELIVER);
-        world.run(40);
-        assertNotEquals(cut, world.leader());
+        cluster.run(40);
+        assertNotEquals(cut, cluster.leader());
         for (int i = 0; i < 4; i++) {
-            assertEquals(1, world.starts(JOB + "/" + i), "task " + i);
+            assertEquals(1, cluster.starts(JOB + "/" + i), "task " + i);
         }
     }
 
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
     void anOutageIsSurvivedWithOneControllerCutOffAndTheOtherRestarted(boolean otherRemembers) {
-        world.submit(0, World.job(JOB, "red", "service", 4, 1, 1), Double.POSITIVE_INFINITY);
-        world.run(8);
-        int leader = world.leader();
-        world.cutPeers((leader + 1) % 3, true);
-        world.state().setDown(true);
+        cluster.submit(
+                0, SimulatedCluster.job(JOB, "red", "service", 4, 1, 1), Double.POSITIVE_INFINITY);
+        cluster.run(8);
+        int leader = cluster.leader();
+        cluster.cutPeers((leader + 1) % 3, true);
+        cluster.state().setDown(true);
         if (!otherRemembers) {
-            world.restart((leader + 2) % 3);
+            cluster.restart((leader + 2) % 3);
         }
-        world.run(25);
+        cluster.run(25);
         // Where the restarted one cannot bear the leader out, the one that is alone keeps the
         // workers.
-        assertEquals(4, world.running(JOB));
-        world.state().setDown(false);
-        world.run(20);
-        assertEquals(4, world.running(JOB));
+        assertEquals(4, cluster.running(JOB));
+        cluster.state().setDown(false);
+        cluster.run(20);
+        assertEquals(4, cluster.running(JOB));
     }
 
     @Test
     void machinesThatObeyACutOffLeaderKeepTheirTasksUntilTheirLeaseIsOver() {
-        world.submit(0, World.job(JOB, "red", "service", 2, 1, 1), Double.POSITIVE_INFINITY);
-        world.run(8);
-        int cut = world.leader();
-        SimWorker follows = world.holder(TASK);
-        world.cutPeers(cut, true);
+        cluster.submit(
+                0, SimulatedCluster.job(JOB, "red", "service", 2, 1, 1), Double.POSITIVE_INFINITY);
+        cluster.run(8);
+        int cut = cluster.leader();
+        SimWorker follows = cluster.holder(TASK);
+        cluster.cutPeers(cut, true);
         // One machine is alone with the old leader: nobody else reaches it, nor it them.
-        world.network()
+        cluster.network()
                 .judge(
                         (from, request) -> {
                             boolean oldLeader = from.equals("n-" + cut) && toState(request);
@@ -458,36 +480,39 @@
                                             && request.address().equals(follows.address());
                             return oldLeader || outwards || inwards ? Fate.DROP : Fate.DELIVER;
                         });
-        world.run(15);
-        assertNotEquals(cut, world.leader());
+        cluster.run(15);
+        assertNotEquals(cut, cluster.leader());
         // Cancelled meanwhile: within the time allowed everything has to be gone there too.
-        assertEquals("cancelled", world.withdraw((cut + 1) % 3, JOB));
-        world.run(50);
-        assertEquals(0, world.running(JOB));
+        assertEquals("cancelled", cluster.withdraw((cut + 1) % 3, JOB));
+        cluster.run(50);
+        assertEquals(0, cluster.running(JOB));
     }
 
     @ParameterizedTest
     @CsvSource({"20, none", "20, leader", "20, all", "30, all"})
     void anOutageOfTheStateServiceKillsNoTask(double forS, String killed) {
-        world.submit(0, World.job(JOB, "red", "service", 4, 1, 1), Double.POSITIVE_INFINITY);
-        world.run(8);
-        int leader = world.leader();
-        world.state().setDown(true);
-        world.run(5);
+        cluster.submit(
+                0, SimulatedCluster.job(JOB, "red", "service", 4, 1, 1), Double.POSITIVE_INFINITY);
+        cluster.run(8);
+        int leader = cluster.leader();
+        cluster.state().setDown(true);
+        cluster.run(5);
         for (int i = 0; i < 3; i++) {
             if (killed.equals("all") || (killed.equals("leader") && i == leader)) {
-                world.restart(i);
+                cluster.restart(i);
             }
         }
-        world.run(forS - 5);
-        assertEquals("503", world.phase(0, JOB).replace("running", "503"));
-        world.state().setDown(false);
-        world.run(15);
-        assertEquals(4, world.running(JOB));
+        cluster.run(forS - 5);
+        assertEquals("503", cluster.phase(0, JOB).replace("running", "503"));
+        cluster.state().setDown(false);
+        cluster.run(15);
+        assertEquals(4, cluster.running(JOB));
         for (int i = 0; i < 4; i++) {
-            assertEquals(1, world.starts(JOB + "/" + i), "task " + i);
+            assertEquals(1, cluster.starts(JOB + "/" + i), "task " + i);
         }
-        assertEquals(201, world.submit(1, World.job("run-000002", "red", "sweep", 1, 1, 1), 1));
+        assertEquals(
+                201,
+                cluster.submit(1, SimulatedCluster.job("run-000002", "red", "sweep", 1, 1, 1), 1));
     }
 
     /**
@@ -500,27 +525,28 @@
     @CsvSource({"false, 40, 1", "false, 60, 0", "true, 60, 0"})
     void aLoneControllerInAnOutageKeepsItsWorkersAsLongAsNoCancellationCanBeDue(
             boolean cancelled, double forS, int left) {
-        world.submit(0, World.job(JOB, "red", "service", 1, 1, 1), Double.POSITIVE_INFINITY);
-        world.run(8);
-        SimWorker holder = world.holder(TASK);
-        int alone = world.leader();
+        cluster.submit(
+                0, SimulatedCluster.job(JOB, "red", "service", 1, 1, 1), Double.POSITIVE_INFINITY);
+        cluster.run(8);
+        SimWorker holder = cluster.holder(TASK);
+        int alone = cluster.leader();
         if (cancelled) {
-            world.filterPeers();
-            world.network()
+            cluster.filterPeers();
+            cluster.network()
                     .judge(
                             (from, request) ->
                                     from.equals("n-" + alone) && toState(request)
                                             ? Fate.REFUSE
                                             : Fate.DELIVER);
-            assertEquals("cancelled", world.withdraw((alone + 1) % 3, JOB));
+            assertEquals("cancelled", cluster.withdraw((alone + 1) % 3, JOB));
         }
         for (int i = 0; i < 3; i++) {
             if (i != alone) {
-                world.kill(i);
+                cluster.kill(i);
             }
         }
-        world.state().setDown(true);
-        world.run(forS);
+        cluster.state().setDown(true);
+        cluster.run(forS);
         // Whoever leads later counts on no silence before it has heard from this one.
         assertEquals(left == 1, holder.session() == 1);
         assertEquals(left, holder.running());
@@ -529,7 +555,7 @@
     /** Cuts a zone off from everything, with one controller in it. */
     private void cutZone(String zone, int inside) {
         Set<String> hosts = new HashSet<>();
-        for (SimWorker worker : world.cloud().machines().values()) {
+        for (SimWorker worker : cluster.cloud().machines().values()) {
             if (worker.zone().equals(zone)) {
                 hosts.add(worker.name());
                 hosts.add(worker.address());
@@ -537,8 +563,8 @@
         }
         hosts.add("n-" + inside);
         hosts.add("10.0.0." + inside + ":8080");
-        world.cutPeers(inside, true);
-        world.network()
+        cluster.cutPeers(inside, true);
+        cluster.network()
                 .judge(
                         (from, request) ->
                                 hosts.contains(from) == hosts.contains(request.address())
@@ -558,33 +584,35 @@
         "true, true, true"
     })
     void aZoneThatIsCutOffGoesOnWorking(boolean leaderInside, boolean restarts, boolean outage) {
-        var spread = World.job(JOB, "red", "service", 4, 1, 4);
+        var spread = SimulatedCluster.job(JOB, "red", "service", 4, 1, 4);
         spread.put("apart", true);
-        world.submit(0, spread, Double.POSITIVE_INFINITY);
-        world.submit(
-                0, World.job("run-000002", "blue", "service", 4, 1, 4), Double.POSITIVE_INFINITY);
-        world.run(8);
-        int before = world.cloud().machines().size();
-        int inside = leaderInside ? world.leader() : follower();
+        cluster.submit(0, spread, Double.POSITIVE_INFINITY);
+        cluster.submit(
+                0,
+                SimulatedCluster.job("run-000002", "blue", "service", 4, 1, 4),
+                Double.POSITIVE_INFINITY);
+        cluster.run(8);
+        int before = cluster.cloud().machines().size();
+        int inside = leaderInside ? cluster.leader() : follower();
         cutZone("b", inside);
-        world.state().setDown(outage);
-        world.run(15);
+        cluster.state().setDown(outage);
+        cluster.run(15);
         if (restarts) {
             for (int i = 0; i < 3; i++) {
-                world.restart(i);
+                cluster.restart(i);
             }
         }
-        world.state().setDown(false);
-        world.run(45);
-        assertEquals(4, world.running(JOB));
-        world.network().judge((from, request) -> Fate.DELIVER);
-        world.cutPeers(inside, false);
-        world.run(30);
-        assertEquals(4, world.running(JOB));
-        assertEquals(before, world.cloud().machines().size(), "no machine was given back");
+        cluster.state().setDown(false);
+        cluster.run(45);
+        assertEquals(4, cluster.running(JOB));
+        cluster.network().judge((from, request) -> Fate.DELIVER);
+        cluster.cutPeers(inside, false);
+        cluster.run(30);
+        assertEquals(4, cluster.running(JOB));
+        assertEquals(before, cluster.cloud().machines().size(), "no machine was given back");
         for (int i = 0; i < 4; i++) {
-            assertEquals(1, world.starts(JOB + "/" + i), "task " + i);
-            assertEquals(1, world.starts("run-000002/" + i), "task " + i);
+            assertEquals(1, cluster.starts(JOB + "/" + i), "task " + i);
+            assertEquals(1, cluster.starts("run-000002/" + i), "task " + i);
         }
     }
 
@@ -595,34 +623,35 @@
      */
     @Test
     void machinesOfAZoneAreGivenTimeToBeHeardOnceItsCutIsOver() {
-        world.submit(0, World.job(JOB, "blue", "service", 8, 1, 4), Double.POSITIVE_INFINITY);
-        world.run(8);
-        assertEquals(8, world.running(JOB));
-        int inside = world.leader();
+        cluster.submit(
+                0, SimulatedCluster.job(JOB, "blue", "service", 8, 1, 4), Double.POSITIVE_INFINITY);
+        cluster.run(8);
+        assertEquals(8, cluster.running(JOB));
+        int inside = cluster.leader();
         cutZone("b", inside);
-        world.run(60);
-        assertNotEquals(inside, world.leader());
+        cluster.run(60);
+        assertNotEquals(inside, cluster.leader());
         List<SimWorker> there =
-                world.cloud().machines().values().stream()
+                cluster.cloud().machines().values().stream()
                         .filter(m -> m.zone().equals("b"))
                         .toList();
         Set<String> addresses = new HashSet<>();
         there.forEach(worker -> addresses.add(worker.address()));
-        world.network()
+        cluster.network()
                 .judge(
                         (from, request) ->
                                 from.equals(there.get(0).name())
                                                 || addresses.contains(request.address())
                                         ? Fate.DROP
                                         : Fate.DELIVER);
-        world.cutPeers(inside, false);
-        world.run(4);
-        world.network().judge((from, request) -> Fate.DELIVER);
-        world.run(30);
+        cluster.cutPeers(inside, false);
+        cluster.run(4);
+        cluster.network().judge((from, request) -> Fate.DELIVER);
+        cluster.run(30);
         for (int i = 0; i < 8; i++) {
-            assertEquals(1, world.starts(JOB + "/" + i), "task " + i);
+            assertEquals(1, cluster.starts(JOB + "/" + i), "task " + i);
         }
-        assertEquals(8, world.running(JOB));
+        assertEquals(8, cluster.running(JOB));
     }
 
     /**
@@ -631,36 +660,40 @@
      */
     @Test
     void aZoneIsCutOffTwice() {
-        world.submit(0, World.job(JOB, "blue", "service", 8, 1, 4), Double.POSITIVE_INFINITY);
-        world.run(8);
+        cluster.submit(
+                0, SimulatedCluster.job(JOB, "blue", "service", 8, 1, 4), Double.POSITIVE_INFINITY);
+        cluster.run(8);
         int inside = follower();
         for (int cut = 0; cut < 2; cut++) {
             // Its workers first try the controllers that they cannot reach: by then the one inside
             // knows that it is alone.
-            world.cutPeers(inside, true);
-            world.network()
+            cluster.cutPeers(inside, true);
+            cluster.network()
                     .judge(
                             (from, request) ->
                                     from.startsWith("host-") || from.equals("n-" + inside)
                                             ? Fate.DROP
                                             : Fate.DELIVER);
-            world.run(4);
+            cluster.run(4);
             cutZone("b", inside);
-            world.run(26);
-            world.network().judge((from, request) -> Fate.DELIVER);
-            world.cutPeers(inside, false);
-            world.run(10);
+            cluster.run(26);
+            cluster.network().judge((from, request) -> Fate.DELIVER);
+            cluster.cutPeers(inside, false);
+            cluster.run(10);
             assertEquals(
                     201,
-                    world.submit(0, World.job("run-00010" + cut, "blue", "sweep", 40, 1, 0), 1));
-            world.run(20);
+                    cluster.submit(
+                            0,
+                            SimulatedCluster.job("run-00010" + cut, "blue", "sweep", 40, 1, 0),
+                            1));
+            cluster.run(20);
             assertEquals(
                     "done",
-                    world.phase(0, "run-00010" + cut),
+                    cluster.phase(0, "run-00010" + cut),
                     "commands that raise every worker's token");
         }
         for (int i = 0; i < 8; i++) {
-            assertEquals(1, world.starts(JOB + "/" + i), "task " + i);
+            assertEquals(1, cluster.starts(JOB + "/" + i), "task " + i);
         }
     }
 
@@ -673,119 +706,125 @@
     @CsvSource({"20, 40, false", "3, 40, false", "3, 13, true"})
     void whatIsCancelledInAZoneThatIsCutOffGoesInTime(
             double restartAfterS, double cutForS, boolean othersStay) {
-        world.submit(0, World.job(JOB, "blue", "service", 4, 1, 4), Double.POSITIVE_INFINITY);
-        world.submit(
-                0, World.job("run-000002", "blue", "service", 4, 1, 4), Double.POSITIVE_INFINITY);
-        world.run(8);
+        cluster.submit(
+                0, SimulatedCluster.job(JOB, "blue", "service", 4, 1, 4), Double.POSITIVE_INFINITY);
+        cluster.submit(
+                0,
+                SimulatedCluster.job("run-000002", "blue", "service", 4, 1, 4),
+                Double.POSITIVE_INFINITY);
+        cluster.run(8);
         int inside = follower();
         cutZone("b", inside);
-        world.run(5);
-        int first = world.leader();
-        assertEquals("cancelled", world.withdraw(first, JOB));
-        world.run(restartAfterS);
-        world.restart(first);
-        world.run(cutForS - restartAfterS);
-        world.network().judge((from, request) -> Fate.DELIVER);
-        world.cutPeers(inside, false);
-        world.run(20);
-        assertEquals(0, world.running(JOB));
-        assertEquals(4, world.running("run-000002"));
+        cluster.run(5);
+        int first = cluster.leader();
+        assertEquals("cancelled", cluster.withdraw(first, JOB));
+        cluster.run(restartAfterS);
+        cluster.restart(first);
+        cluster.run(cutForS - restartAfterS);
+        cluster.network().judge((from, request) -> Fate.DELIVER);
+        cluster.cutPeers(inside, false);
+        cluster.run(20);
+        assertEquals(0, cluster.running(JOB));
+        assertEquals(4, cluster.running("run-000002"));
         int starts = 0;
         for (int i = 0; i < 4; i++) {
-            starts += world.starts("run-000002/" + i);
+            starts += cluster.starts("run-000002/" + i);
         }
         assertEquals(othersStay, starts == 4, starts + " starts");
     }
 
     @Test
     void workersAreKeptWhileAllControllersAreBackAndNoneLeadsYet() {
-        world.submit(0, World.job(JOB, "red", "service", 4, 1, 1), Double.POSITIVE_INFINITY);
-        world.run(8);
+        cluster.submit(
+                0, SimulatedCluster.job(JOB, "red", "service", 4, 1, 1), Double.POSITIVE_INFINITY);
+        cluster.run(8);
         for (int i = 0; i < 3; i++) {
-            world.kill(i);
+            cluster.kill(i);
         }
-        world.run(9);
+        cluster.run(9);
         boolean[] undecided = {true};
-        world.network()
+        cluster.network()
                 .judge(
                         (from, request) ->
                                 undecided[0] && request.path().equals("/commit")
                                         ? Fate.REFUSE
                                         : Fate.DELIVER);
         for (int i = 0; i < 3; i++) {
-            world.restart(i);
+            cluster.restart(i);
         }
-        world.run(10);
+        cluster.run(10);
         undecided[0] = false;
-        world.run(15);
+        cluster.run(15);
         for (int i = 0; i < 4; i++) {
-            assertEquals(1, world.starts(JOB + "/" + i), "task " + i);
+            assertEquals(1, cluster.starts(JOB + "/" + i), "task " + i);
         }
-        assertEquals(4, world.running(JOB));
+        assertEquals(4, cluster.running(JOB));
     }
 
     @Test
     void aControllerWithOnlyItsWorkersGivesThemUpToTheNextLeader() {
-        world.submit(0, World.job(JOB, "red", "service", 4, 1, 1), Double.POSITIVE_INFINITY);
-        world.run(8);
-        int alone = world.leader();
-        world.cutPeers(alone, true);
-        world.network()
+        cluster.submit(
+                0, SimulatedCluster.job(JOB, "red", "service", 4, 1, 1), Double.POSITIVE_INFINITY);
+        cluster.run(8);
+        int alone = cluster.leader();
+        cluster.cutPeers(alone, true);
+        cluster.network()
                 .judge(
                         (from, request) ->
                                 from.equals("n-" + alone) && !request.address().startsWith("10.1.")
                                         ? Fate.DROP
                                         : Fate.DELIVER);
-        world.run(30);
-        assertNotEquals(alone, world.leader());
-        assertEquals("cancelled", world.withdraw(world.leader(), JOB));
-        world.run(4);
-        assertEquals(0, world.running(JOB), "the new leader reaches the workers");
+        cluster.run(30);
+        assertNotEquals(alone, cluster.leader());
+        assertEquals("cancelled", cluster.withdraw(cluster.leader(), JOB));
+        cluster.run(4);
+        assertEquals(0, cluster.running(JOB), "the new leader reaches the workers");
     }
 
     @ParameterizedTest
     @ValueSource(doubles = {0, 0.05, 0.5, 3})
     void aCancelledJobIsGoneInTimeAlsoWhereTheWorkerCannotBeReached(double afterS) {
-        world.submit(0, World.job(JOB, "red", "service", 3, 1, 1), Double.POSITIVE_INFINITY);
-        world.run(afterS);
+        cluster.submit(
+                0, SimulatedCluster.job(JOB, "red", "service", 3, 1, 1), Double.POSITIVE_INFINITY);
+        cluster.run(afterS);
         int[] dropped = new int[1];
-        world.network()
+        cluster.network()
                 .judge(
                         (from, request) -> {
                             boolean orders = request.path().equals("/orders");
                             dropped[0] += orders ? 1 : 0;
                             return orders ? Fate.HOLD : Fate.DELIVER;
                         });
-        assertEquals("cancelled", world.withdraw(1, JOB));
-        assertEquals("cancelled", world.withdraw(2, JOB));
-        world.run(50);
-        assertEquals(0, world.running(JOB));
-        world.network().releaseHeld();
-        world.run(10);
-        assertEquals(0, world.running(JOB));
-        assertEquals("cancelled", world.phase(0, JOB));
+        assertEquals("cancelled", cluster.withdraw(1, JOB));
+        assertEquals("cancelled", cluster.withdraw(2, JOB));
+        cluster.run(50);
+        assertEquals(0, cluster.running(JOB));
+        cluster.network().releaseHeld();
+        cluster.run(10);
+        assertEquals(0, cluster.running(JOB));
+        assertEquals("cancelled", cluster.phase(0, JOB));
     }
 
     @Test
     void doneAndCancelledNeverBothStand() {
         for (int i = 0; i < 12; i++) {
             String id = String.format("run-%06d", 100 + i);
-            world.submit(i % 3, World.job(id, "red", "sweep", 1, 1, 0), 2);
-            world.run(2.7 + 0.1 * i);
-            String told = world.withdraw((i + 1) % 3, id);
+            cluster.submit(i % 3, SimulatedCluster.job(id, "red", "sweep", 1, 1, 0), 2);
+            cluster.run(2.7 + 0.1 * i);
+            String told = cluster.withdraw((i + 1) % 3, id);
             assertTrue(told.equals("done") || told.equals("cancelled"), told);
-            world.run(5);
+            cluster.run(5);
             for (int node = 0; node < 3; node++) {
-                assertEquals(told, world.phase(node, id));
+                assertEquals(told, cluster.phase(node, id));
             }
         }
     }
 
     @Test
     void aWriteOfAnEarlierLeaderThatIsAppliedLateChangesNothing() {
-        int old = world.leader();
+        int old = cluster.leader();
         boolean[] hold = {true};
-        world.network()
+        cluster.network()
                 .judge(
                         (from, request) ->
                                 hold[0]
@@ -797,28 +836,30 @@
                                                         .contains("round/")
                                         ? Fate.HOLD
                                         : Fate.DELIVER);
-        world.submit(
-                follower(), World.job(JOB, "red", "service", 2, 1, 1), Double.POSITIVE_INFINITY);
-        world.run(1);
-        assertEquals(0, world.running(JOB));
-        world.kill(old);
+        cluster.submit(
+                follower(),
+                SimulatedCluster.job(JOB, "red", "service", 2, 1, 1),
+                Double.POSITIVE_INFINITY);
+        cluster.run(1);
+        assertEquals(0, cluster.running(JOB));
+        cluster.kill(old);
         hold[0] = false;
-        world.run(20);
-        assertEquals(2, world.running(JOB));
-        List<String> before = world.state().keysUnder("round/");
-        world.network().releaseHeld();
-        assertEquals(before, world.state().keysUnder("round/"));
-        world.restart(old);
-        world.kill(world.leader());
-        world.run(20);
-        assertEquals(2, world.running(JOB));
-        assertEquals(1, world.starts(TASK));
+        cluster.run(20);
+        assertEquals(2, cluster.running(JOB));
+        List<String> before = cluster.state().keysUnder("round/");
+        cluster.network().releaseHeld();
+        assertEquals(before, cluster.state().keysUnder("round/"));
+        cluster.restart(old);
+        cluster.kill(cluster.leader());
+        cluster.run(20);
+        assertEquals(2, cluster.running(JOB));
+        assertEquals(1, cluster.starts(TASK));
     }
 
     @Test
     void aCommitWithoutAnswerIsNeitherLostNorDoubled() {
         int[] lost = new int[1];
-        world.network()
+        cluster.network()
                 .judge(
                         (from, request) ->
                                 request.path().equals("/commit") && ++lost[0] % 2 == 1
@@ -828,129 +869,139 @@
             int status = 503;
             for (int tries = 0; tries < 5 && status == 503; tries++) {
                 status =
-                        world.submit(
-                                i % 3, World.job("run-00020" + i, "blue", "sweep", 2, 1, 0), 2);
+                        cluster.submit(
+                                i % 3,
+                                SimulatedCluster.job("run-00020" + i, "blue", "sweep", 2, 1, 0),
+                                2);
             }
             assertTrue(status == 201 || status == 200, "status " + status);
         }
-        world.run(20);
+        cluster.run(20);
         for (int i = 0; i < 6; i++) {
-            assertEquals("done", world.phase(i % 3, "run-00020" + i));
-            assertEquals(1, world.starts("run-00020" + i + "/0"));
+            assertEquals("done", cluster.phase(i % 3, "run-00020" + i));
+            assertEquals(1, cluster.starts("run-00020" + i + "/0"));
         }
     }
 
     @Test
     void limitsAndSpreadHoldWhileClaimsAreUnknown() {
-        var spread = World.job(JOB, "red", "service", 6, 1, 2);
+        var spread = SimulatedCluster.job(JOB, "red", "service", 6, 1, 2);
         spread.put("apart", true);
-        world.submit(0, spread, Double.POSITIVE_INFINITY);
-        world.run(8);
-        assertEquals(6, world.running(JOB));
+        cluster.submit(0, spread, Double.POSITIVE_INFINITY);
+        cluster.run(8);
+        assertEquals(6, cluster.running(JOB));
         // Two machines fall silent with what they run; the limit of 16 leaves room for two more
         // tasks, not for six.
-        List<SimWorker> silent = world.cloud().machines().values().stream().limit(2).toList();
+        List<SimWorker> silent = cluster.cloud().machines().values().stream().limit(2).toList();
         silent.forEach(w -> w.hang(true));
-        world.submit(
-                1, World.job("run-000002", "red", "service", 5, 1, 2), Double.POSITIVE_INFINITY);
-        world.run(60);
+        cluster.submit(
+                1,
+                SimulatedCluster.job("run-000002", "red", "service", 5, 1, 2),
+                Double.POSITIVE_INFINITY);
+        cluster.run(60);
         silent.forEach(w -> w.hang(false));
-        world.run(40);
-        assertEquals(6, world.running(JOB));
-        assertEquals(2, world.running("run-000002"));
+        cluster.run(40);
+        assertEquals(6, cluster.running(JOB));
+        assertEquals(2, cluster.running("run-000002"));
     }
 
     @Test
     void everyControllerIsRestartedInTurnAndThenAllAtOnce() {
-        world.submit(0, World.job(JOB, "blue", "service", 8, 1, 1), Double.POSITIVE_INFINITY);
-        world.submit(0, World.job("run-000002", "blue", "sweep", 40, 1, 1), 6);
+        cluster.submit(
+                0, SimulatedCluster.job(JOB, "blue", "service", 8, 1, 1), Double.POSITIVE_INFINITY);
+        cluster.submit(0, SimulatedCluster.job("run-000002", "blue", "sweep", 40, 1, 1), 6);
         for (int i = 0; i < 6; i++) {
-            world.run(5);
-            world.restart(i % 3);
+            cluster.run(5);
+            cluster.restart(i % 3);
         }
-        world.run(5);
+        cluster.run(5);
         for (int i = 0; i < 3; i++) {
-            world.restart(i);
+            cluster.restart(i);
         }
-        world.run(60);
-        assertEquals(8, world.running(JOB));
-        assertEquals("done", world.phase(1, "run-000002"));
+        cluster.run(60);
+        assertEquals(8, cluster.running(JOB));
+        assertEquals("done", cluster.phase(1, "run-000002"));
         for (int i = 0; i < 8; i++) {
-            assertEquals(1, world.starts(JOB + "/" + i), "task " + i);
+            assertEquals(1, cluster.starts(JOB + "/" + i), "task " + i);
         }
     }
 
     @Test
     void ordersDoNotReachAMachineWhoseReportsArrive() {
-        SimWorker deaf = world.cloud().machines().values().iterator().next();
-        world.network()
+        SimWorker deaf = cluster.cloud().machines().values().iterator().next();
+        cluster.network()
                 .judge(
                         (from, request) ->
                                 request.address().equals(deaf.address())
                                         ? Fate.DROP
                                         : Fate.DELIVER);
         for (int i = 0; i < 8; i++) {
-            world.submit(
+            cluster.submit(
                     0,
-                    World.job("run-00030" + i, "blue", "service", 1, 1, 2),
+                    SimulatedCluster.job("run-00030" + i, "blue", "service", 1, 1, 2),
                     Double.POSITIVE_INFINITY);
         }
-        world.run(60);
+        cluster.run(60);
         for (int i = 0; i < 8; i++) {
-            assertEquals(1, world.running("run-00030" + i), "job " + i);
+            assertEquals(1, cluster.running("run-00030" + i), "job " + i);
         }
     }
 
     @Test
     void aFaultyMachineIsToldFromAFaultyJob() {
-        SimWorker faulty = world.cloud().machines().values().iterator().next();
+        SimWorker faulty = cluster.cloud().machines().values().iterator().next();
         faulty.failEverything();
         for (int i = 0; i < 8; i++) {
-            world.submit(0, World.job("run-00040" + i, "blue", "sweep", 4, 1, 1), 5);
+            cluster.submit(0, SimulatedCluster.job("run-00040" + i, "blue", "sweep", 4, 1, 1), 5);
         }
-        world.run(90);
+        cluster.run(90);
         for (int i = 0; i < 8; i++) {
-            assertEquals("done", world.phase(0, "run-00040" + i), "job " + i);
+            assertEquals("done", cluster.phase(0, "run-00040" + i), "job " + i);
         }
     }
 
     @Test
     void aGangStartsOnlyWholeAndAnew() {
-        world.cloud().runOut();
-        world.submit(
-                0, World.job("run-000002", "blue", "service", 3, 1, 8), Double.POSITIVE_INFINITY);
-        world.submit(0, World.job(JOB, "blue", "group", 4, 1, 4), 20);
-        world.run(10);
-        assertEquals(0, world.running(JOB), "there is room for two of four");
-        world.withdraw(0, "run-000002");
-        world.run(8);
-        assertEquals(4, world.running(JOB));
-        world.holder(TASK).notice(30);
-        world.run(12);
-        assertEquals(4, world.running(JOB));
+        cluster.cloud().runOut();
+        cluster.submit(
+                0,
+                SimulatedCluster.job("run-000002", "blue", "service", 3, 1, 8),
+                Double.POSITIVE_INFINITY);
+        cluster.submit(0, SimulatedCluster.job(JOB, "blue", "group", 4, 1, 4), 20);
+        cluster.run(10);
+        assertEquals(0, cluster.running(JOB), "there is room for two of four");
+        cluster.withdraw(0, "run-000002");
+        cluster.run(8);
+        assertEquals(4, cluster.running(JOB));
+        cluster.holder(TASK).notice(30);
+        cluster.run(12);
+        assertEquals(4, cluster.running(JOB));
         for (int i = 0; i < 4; i++) {
-            assertEquals(2, world.starts(JOB + "/" + i), "task " + i);
+            assertEquals(2, cluster.starts(JOB + "/" + i), "task " + i);
         }
-        world.run(30);
-        assertEquals("done", world.phase(0, JOB));
+        cluster.run(30);
+        assertEquals("done", cluster.phase(0, JOB));
     }
 
     @Test
     void smallWorkDoesNotBreakUpTheRoomOfLargeReplicas() {
-        world.cloud().runOut();
-        world.submit(0, World.job(JOB, "blue", "service", 1, 1, 8), Double.POSITIVE_INFINITY);
-        world.run(4);
+        cluster.cloud().runOut();
+        cluster.submit(
+                0, SimulatedCluster.job(JOB, "blue", "service", 1, 1, 8), Double.POSITIVE_INFINITY);
+        cluster.run(4);
         for (int i = 0; i < 6; i++) {
-            world.submit(
+            cluster.submit(
                     0,
-                    World.job("run-00050" + i, "blue", "service", 1, 1, 1),
+                    SimulatedCluster.job("run-00050" + i, "blue", "service", 1, 1, 1),
                     Double.POSITIVE_INFINITY);
-            world.run(1);
+            cluster.run(1);
         }
-        world.submit(
-                0, World.job("run-000002", "blue", "service", 2, 1, 8), Double.POSITIVE_INFINITY);
-        world.run(8);
-        assertEquals(2, world.running("run-000002"));
+        cluster.submit(
+                0,
+                SimulatedCluster.job("run-000002", "blue", "service", 2, 1, 8),
+                Double.POSITIVE_INFINITY);
+        cluster.run(8);
+        assertEquals(2, cluster.running("run-000002"));
     }
 
     /** "red" and "blue" are both guaranteed 8 of the 32 GPUs here. */
@@ -963,17 +1014,17 @@
     })
     void aGuaranteeIsGivenOnceAndFromExcessOnly(
             String running, String claiming, int claimed, int left) {
-        world.cloud().runOut();
-        var first = World.job(JOB, "blue", "service", 32, 1, 1);
-        world.submit(0, first.put("urgency", running), Double.POSITIVE_INFINITY);
-        world.run(8);
-        var second = World.job("run-000002", "red", "service", 12, 1, 1);
-        world.submit(0, second.put("urgency", claiming), Double.POSITIVE_INFINITY);
-        world.run(30);
-        assertEquals(claimed, world.running("run-000002"));
-        assertEquals(left, world.running(JOB));
+        cluster.cloud().runOut();
+        var first = SimulatedCluster.job(JOB, "blue", "service", 32, 1, 1);
+        cluster.submit(0, first.put("urgency", running), Double.POSITIVE_INFINITY);
+        cluster.run(8);
+        var second = SimulatedCluster.job("run-000002", "red", "service", 12, 1, 1);
+        cluster.submit(0, second.put("urgency", claiming), Double.POSITIVE_INFINITY);
+        cluster.run(30);
+        assertEquals(claimed, cluster.running("run-000002"));
+        assertEquals(left, cluster.running(JOB));
         for (int i = 0; i < 32; i++) {
-            assertEquals(1, world.starts(JOB + "/" + i), "task " + i);
+            assertEquals(1, cluster.starts(JOB + "/" + i), "task " + i);
         }
     }
 
@@ -983,14 +1034,19 @@
      */
     @Test
     void nobodyGivesWayToAJobThatItsTeamsLimitHoldsBack() {
-        World small = new World().machines("large", "a", 4).run(6);
+        SimulatedCluster small = new SimulatedCluster().machines("large", "a", 4).run(6);
         small.cloud().runOut();
-        small.submit(0, World.job(JOB, "blue", "service", 32, 1, 1), Double.POSITIVE_INFINITY);
+        small.submit(
+                0,
+                SimulatedCluster.job(JOB, "blue", "service", 32, 1, 1),
+                Double.POSITIVE_INFINITY);
         small.run(8);
-        var elsewhere = World.job("run-000002", "red", "service", 16, 1, 1);
+        var elsewhere = SimulatedCluster.job("run-000002", "red", "service", 16, 1, 1);
         small.submit(0, elsewhere.put("yard", "b"), Double.POSITIVE_INFINITY);
         small.submit(
-                0, World.job("run-000003", "red", "service", 4, 1, 1), Double.POSITIVE_INFINITY);
+                0,
+                SimulatedCluster.job("run-000003", "red", "service", 4, 1, 1),
+                Double.POSITIVE_INFINITY);
         small.run(20);
         for (int i = 0; i < 32; i++) {
             assertEquals(1, small.starts(JOB + "/" + i), "task " + i);
@@ -1000,23 +1056,25 @@
 
     @Test
     void aNoticedMachineIsLeftInTime() {
-        world.submit(0, World.job(JOB, "red", "service", 1, 1, 1), Double.POSITIVE_INFINITY);
-        world.run(5);
-        SimWorker first = world.holder(TASK);
+        cluster.submit(
+                0, SimulatedCluster.job(JOB, "red", "service", 1, 1, 1), Double.POSITIVE_INFINITY);
+        cluster.run(5);
+        SimWorker first = cluster.holder(TASK);
         first.notice(10);
-        world.run(5);
-        assertNotNull(world.holder(TASK));
-        assertNotEquals(first.name(), world.holder(TASK).name());
+        cluster.run(5);
+        assertNotNull(cluster.holder(TASK));
+        assertNotEquals(first.name(), cluster.holder(TASK).name());
     }
 
     @Test
     void waitingWorkIsGivenRentedMachines() {
-        world.submit(0, World.job(JOB, "blue", "service", 6, 1, 8), Double.POSITIVE_INFINITY);
-        world.run(45);
-        assertEquals(6, world.running(JOB));
-        assertEquals("cancelled", world.withdraw(0, JOB));
-        world.run(200);
-        assertEquals(0, world.cloud().machines().size(), "idle machines go back");
+        cluster.submit(
+                0, SimulatedCluster.job(JOB, "blue", "service", 6, 1, 8), Double.POSITIVE_INFINITY);
+        cluster.run(45);
+        assertEquals(6, cluster.running(JOB));
+        assertEquals("cancelled", cluster.withdraw(0, JOB));
+        cluster.run(200);
+        assertEquals(0, cluster.cloud().machines().size(), "idle machines go back");
     }
 
     @Test
@@ -1024,59 +1082,59 @@
         // Four replicas of 3 GPUs fill up two machines of 8 in each zone, one each after the others
         // have gone.
         for (int i = 0; i < 8; i++) {
-            var job = World.job("run-00060" + i, "blue", "service", 1, 1, 3);
-            world.submit(0, job.put("yard", i < 4 ? "a" : "b"), Double.POSITIVE_INFINITY);
+            var job = SimulatedCluster.job("run-00060" + i, "blue", "service", 1, 1, 3);
+            cluster.submit(0, job.put("yard", i < 4 ? "a" : "b"), Double.POSITIVE_INFINITY);
         }
-        world.run(30);
+        cluster.run(30);
         for (int i = 0; i < 8; i += 4) {
-            String first = world.holder("run-00060" + i + "/0").name();
+            String first = cluster.holder("run-00060" + i + "/0").name();
             for (int j = i + 1; j < i + 4; j++) {
-                if (world.holder("run-00060" + j + "/0").name().equals(first)) {
-                    world.withdraw(0, "run-00060" + j);
+                if (cluster.holder("run-00060" + j + "/0").name().equals(first)) {
+                    cluster.withdraw(0, "run-00060" + j);
                     break;
                 }
             }
         }
-        world.run(90);
+        cluster.run(90);
         int running = 0;
         for (int i = 0; i < 8; i++) {
-            running += world.running("run-00060" + i);
-            assertTrue(world.starts("run-00060" + i + "/0") <= 2, "moved at most once");
+            running += cluster.running("run-00060" + i);
+            assertTrue(cluster.starts("run-00060" + i + "/0") <= 2, "moved at most once");
         }
         assertEquals(6, running);
         assertEquals(
                 4,
-                world.cloud().machines().size(),
+                cluster.cloud().machines().size(),
                 "three replicas of 3 GPUs do not fit one machine of 8");
         for (int i = 0; i < 8; i += 4) {
             for (int j = i; j < i + 4; j++) {
-                if (world.running("run-00060" + j) == 1 && j % 4 != 0) {
-                    world.withdraw(0, "run-00060" + j);
+                if (cluster.running("run-00060" + j) == 1 && j % 4 != 0) {
+                    cluster.withdraw(0, "run-00060" + j);
                     break;
                 }
             }
         }
-        world.run(180);
-        assertEquals(2, world.cloud().machines().size(), "two of them do");
+        cluster.run(180);
+        assertEquals(2, cluster.cloud().machines().size(), "two of them do");
         assertEquals(
                 4,
                 java.util.stream.IntStream.range(0, 8)
-                        .map(i -> world.running("run-00060" + i))
+                        .map(i -> cluster.running("run-00060" + i))
                         .sum());
     }
 
     @Test
     void metricsTellOfTheWork() {
-        world.submit(world.leader(), World.job(JOB, "red", "sweep", 3, 1, 1), 2);
-        world.run(10);
+        cluster.submit(cluster.leader(), SimulatedCluster.job(JOB, "red", "sweep", 3, 1, 1), 2);
+        cluster.run(10);
         String text =
                 new String(
-                        world.ask(world.leader(), "GET", "/metrics", "").body(),
+                        cluster.ask(cluster.leader(), "GET", "/metrics", "").body(),
                         StandardCharsets.UTF_8);
         assertTrue(text.contains("springmill_start_seconds_count 3"), text);
         assertTrue(text.contains("springmill_acceptance_seconds_count 1"), text);
         assertTrue(text.contains("springmill_leading 1"), text);
-        assertEquals(429, world.ask(world.leader(), "GET", "/metrics", "").status());
+        assertEquals(429, cluster.ask(cluster.leader(), "GET", "/metrics", "").status());
     }
 
     /** Requests that a controller cannot or will not serve, at any node and time. */
@@ -1098,7 +1156,7 @@
     })
     void otherRequestsAreRefusedCleanly(String method, String path, int status) {
         for (int node = 0; node < 3; node++) {
-            assertEquals(status, world.ask(node, method, path, "").status());
+            assertEquals(status, cluster.ask(node, method, path, "").status());
         }
     }
 
@@ -1112,19 +1170,21 @@
     })
     void whatCanNeverRunIsSaidAtOnce(String team, int tasks, double cpus, double gpus, int status) {
         assertEquals(
-                status, world.submit(0, World.job(JOB, team, "service", tasks, cpus, gpus), 1));
+                status,
+                cluster.submit(
+                        0, SimulatedCluster.job(JOB, team, "service", tasks, cpus, gpus), 1));
     }
 
     @Test
     void oldRoundsAreCompactedAndALargeJobIsRebuilt() {
-        world.submit(0, World.job(JOB, "blue", "sweep", 2000, 1, 0), 1.5);
-        world.run(60);
-        world.kill(world.leader());
-        world.run(120);
+        cluster.submit(0, SimulatedCluster.job(JOB, "blue", "sweep", 2000, 1, 0), 1.5);
+        cluster.run(60);
+        cluster.kill(cluster.leader());
+        cluster.run(120);
         assertTrue(
-                world.state().keysUnder("round/").size() < 60,
-                "rounds kept: " + world.state().keysUnder("round/").size());
-        world.run(100);
-        assertEquals("done", world.phase(follower(), JOB));
+                cluster.state().keysUnder("round/").size() < 60,
+                "rounds kept: " + cluster.state().keysUnder("round/").size());
+        cluster.run(100);
+        assertEquals("done", cluster.phase(follower(), JOB));
     }
 }
--- a/src/test/java/org/springmill/control/coordination/GapTest.java
+++ b/src/test/java/org/springmill/control/coordination/IsolatedLeaderCancellationTest.java
@@ -11,39 +11,43 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.springmill.sim.SimNetwork.Fate;
 import org.springmill.sim.SimWorker;
-import org.springmill.sim.World;
+import org.springmill.sim.SimulatedCluster;
 
 /**
  * The state service refuses the leader alone, other controllers confirm cancellations, and then it
  * is down for all for longer than users have to wait for them, while workers go on reporting.
  */
-class GapTest {
+class IsolatedLeaderCancellationTest {
     private static final String JOB = "run-000001";
     private static final String OTHER = "run-000002";
 
-    private World world;
+    private SimulatedCluster cluster;
     private int leader;
 
     @BeforeEach
     void fourMachinesRunTwoJobs() {
-        world = new World().machines("large", "a", 2).machines("large", "b", 2).run(6);
+        cluster = new SimulatedCluster().machines("large", "a", 2).machines("large", "b", 2).run(6);
         assertEquals(
                 201,
-                world.submit(
-                        0, World.job(JOB, "blue", "service", 4, 1, 4), Double.POSITIVE_INFINITY));
+                cluster.submit(
+                        0,
+                        SimulatedCluster.job(JOB, "blue", "service", 4, 1, 4),
+                        Double.POSITIVE_INFINITY));
         assertEquals(
                 201,
-                world.submit(
-                        1, World.job(OTHER, "blue", "service", 4, 1, 4), Double.POSITIVE_INFINITY));
-        world.run(8);
-        assertEquals(8, world.running(JOB) + world.running(OTHER));
-        leader = world.leader();
+                cluster.submit(
+                        1,
+                        SimulatedCluster.job(OTHER, "blue", "service", 4, 1, 4),
+                        Double.POSITIVE_INFINITY));
+        cluster.run(8);
+        assertEquals(8, cluster.running(JOB) + cluster.running(OTHER));
+        leader = cluster.leader();
         assertNotEquals(-1, leader);
     }
 
     @AfterEach
     void noRuleIsBroken() {
-        assertEquals(List.of(), world.broken());
+        assertEquals(List.of(), cluster.broken());
     }
 
     /**
@@ -66,58 +70,60 @@
         "90, all, false",
     })
     void whatOthersConfirmedIsGoneInTime(double peersCutForS, String crash, boolean kept) {
-        world.state().refuse(leader, true);
-        world.cutPeers(leader, peersCutForS > 0);
-        world.run(1);
+        cluster.state().refuse(leader, true);
+        cluster.cutPeers(leader, peersCutForS > 0);
+        cluster.run(1);
         int confirmer = (leader + 1) % 3;
-        assertEquals("cancelled", world.withdraw(confirmer, JOB));
-        world.state().setDown(true);
-        world.run(6);
+        assertEquals("cancelled", cluster.withdraw(confirmer, JOB));
+        cluster.state().setDown(true);
+        cluster.run(6);
         for (int i = 0; i < 3; i++) {
             if (crash.equals("all")
                     || (crash.equals("confirmer") && i == confirmer)
                     || (crash.equals("leader") && i == leader)) {
-                world.restart(i);
+                cluster.restart(i);
             }
         }
-        world.run(Math.min(peersCutForS, 40));
+        cluster.run(Math.min(peersCutForS, 40));
         if (peersCutForS < 40) {
-            world.cutPeers(leader, false);
+            cluster.cutPeers(leader, false);
         }
-        world.run(46 - Math.min(peersCutForS, 40));
-        assertEquals(0, world.running(JOB));
-        world.cutPeers(leader, false);
-        world.state().refuse(leader, false);
-        world.state().setDown(false);
-        world.run(60);
-        assertEquals(4, world.running(OTHER));
+        cluster.run(46 - Math.min(peersCutForS, 40));
+        assertEquals(0, cluster.running(JOB));
+        cluster.cutPeers(leader, false);
+        cluster.state().refuse(leader, false);
+        cluster.state().setDown(false);
+        cluster.run(60);
+        assertEquals(4, cluster.running(OTHER));
         for (int i = 0; kept && i < 4; i++) {
-            assertEquals(1, world.starts(OTHER + "/" + i), "task " + i);
+            assertEquals(1, cluster.starts(OTHER + "/" + i), "task " + i);
         }
         for (int i = 0; i < 3; i++) {
-            assertEquals("cancelled", world.phase(i, JOB));
+            assertEquals("cancelled", cluster.phase(i, JOB));
         }
     }
 
     /** An old cancellation among many: what is told in parts arrives whole. */
     @Test
     void whateverIsCancelledMeanwhileIsToldInParts() {
-        world.state().refuse(leader, true);
-        world.cutPeers(leader, true);
+        cluster.state().refuse(leader, true);
+        cluster.cutPeers(leader, true);
         int other = (leader + 1) % 3;
         for (int i = 0; i < 130; i++) {
             String id = String.format("run-%06d", 1000 + i);
-            assertEquals(201, world.submit(other, World.job(id, "red", "sweep", 1, 1, 0), 1));
-            assertEquals("cancelled", world.withdraw(other, id));
+            assertEquals(
+                    201,
+                    cluster.submit(other, SimulatedCluster.job(id, "red", "sweep", 1, 1, 0), 1));
+            assertEquals("cancelled", cluster.withdraw(other, id));
         }
-        assertEquals("cancelled", world.withdraw(other, JOB));
-        world.state().setDown(true);
-        world.run(1);
-        world.cutPeers(leader, false);
-        world.run(4);
-        assertEquals(0, world.running(JOB));
-        world.run(50);
-        assertEquals(4, world.running(OTHER));
+        assertEquals("cancelled", cluster.withdraw(other, JOB));
+        cluster.state().setDown(true);
+        cluster.run(1);
+        cluster.cutPeers(leader, false);
+        cluster.run(4);
+        assertEquals(0, cluster.running(JOB));
+        cluster.run(50);
+        assertEquals(4, cluster.running(OTHER));
     }
 
     /**
@@ -127,20 +133,20 @@
      */
     @Test
     void aLeaderInDoubtRemovesWhatItCannotStop() {
-        SimWorker victim = world.holder(JOB + "/0");
-        world.state().setDown(true);
-        world.run(5);
-        world.state().setDown(false);
-        world.state().refuse(leader, true);
-        assertEquals("cancelled", world.withdraw((leader + 1) % 3, JOB));
-        world.state().setDown(true);
-        world.network()
+        SimWorker victim = cluster.holder(JOB + "/0");
+        cluster.state().setDown(true);
+        cluster.run(5);
+        cluster.state().setDown(false);
+        cluster.state().refuse(leader, true);
+        assertEquals("cancelled", cluster.withdraw((leader + 1) % 3, JOB));
+        cluster.state().setDown(true);
+        cluster.network()
                 .judge(
                         (from, request) ->
                                 request.address().equals(victim.address())
                                         ? Fate.DROP
                                         : Fate.DELIVER);
-        world.run(43);
-        assertEquals(0, world.running(JOB));
+        cluster.run(43);
+        assertEquals(0, cluster.running(JOB));
     }
 }
--- a/src/test/java/org/springmill/control/coordination/ChainTest.java
+++ b/src/test/java/org/springmill/control/coordination/JobChainTest.java
@@ -16,23 +16,23 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 import org.springmill.sim.SimNetwork.Fate;
-import org.springmill.sim.World;
+import org.springmill.sim.SimulatedCluster;
 import org.springmill.transport.HttpClient.Reply;
 import org.springmill.transport.HttpClient.Request;
 
-/** Chained jobs, through the whole service. The world notes every task that starts too early. */
-class ChainTest {
-    private World world;
+/** Chained jobs, through the whole service. The cluster notes every task that starts too early. */
+class JobChainTest {
+    private SimulatedCluster cluster;
 
     @BeforeEach
     void threeControllersAndFourMachines() {
-        world = new World().machines("large", "a", 2).machines("large", "b", 2).run(6);
-        assertNotEquals(-1, world.leader());
+        cluster = new SimulatedCluster().machines("large", "a", 2).machines("large", "b", 2).run(6);
+        assertNotEquals(-1, cluster.leader());
     }
 
     @AfterEach
     void noRuleIsBroken() {
-        assertEquals(List.of(), world.broken());
+        assertEquals(List.of(), cluster.broken());
     }
 
     private static String id(int number) {
@@ -40,7 +40,7 @@
     }
 
     private static ObjectNode job(int number, int tasks, int... needed) {
-        ObjectNode job = World.job(id(number), "red", "sweep", tasks, 1, 1);
+        ObjectNode job = SimulatedCluster.job(id(number), "red", "sweep", tasks, 1, 1);
         ArrayNode names = job.putArray("waitsOn");
         for (int n : needed) {
             names.add(id(n));
@@ -53,17 +53,17 @@
     }
 
     private void submit(int node, double runS, ObjectNode job) {
-        assertEquals(201, world.submit(node, job, runS), job.toString());
+        assertEquals(201, cluster.submit(node, job, runS), job.toString());
     }
 
     private int follower() {
-        return (world.leader() + 1) % 3;
+        return (cluster.leader() + 1) % 3;
     }
 
     private void allSay(String phase, int... numbers) {
         for (int number : numbers) {
             for (int node = 0; node < 3; node++) {
-                assertEquals(phase, world.phase(node, id(number)), id(number) + " at " + node);
+                assertEquals(phase, cluster.phase(node, id(number)), id(number) + " at " + node);
             }
         }
     }
@@ -90,13 +90,13 @@
     void whatASubmissionNamesIsChecked(String names, int status, String says) {
         submit(0, 1e9, job(1, 1));
         submit(0, 1e9, service(2, 1));
-        String body = World.job(id(9), "red", "sweep", 1, 1, 1).toString();
+        String body = SimulatedCluster.job(id(9), "red", "sweep", 1, 1, 1).toString();
         body =
                 body.substring(0, body.length() - 1)
                         + ",\"waitsOn\":"
                         + names.replace('~', '"')
                         + "}";
-        Reply reply = world.ask(1, "POST", "/submissions", body);
+        Reply reply = cluster.ask(1, "POST", "/submissions", body);
         String said = new String(reply.body(), StandardCharsets.UTF_8);
         assertEquals(status, reply.status(), said);
         assertTrue(said.contains(says), said);
@@ -108,7 +108,7 @@
         for (int i = 0; i < 1000; i++) {
             job.withArray("waitsOn").add(id(100 + i));
         }
-        Reply reply = world.ask(1, "POST", "/submissions", job.toString());
+        Reply reply = cluster.ask(1, "POST", "/submissions", job.toString());
         assertEquals(422, reply.status());
         String said = new String(reply.body(), StandardCharsets.UTF_8);
         assertTrue(said.contains("bytes to store, more than"), said);
@@ -120,7 +120,7 @@
      */
     @Test
     void aNameUnknownHereMayBeKnownElsewhere() {
-        world.network()
+        cluster.network()
                 .judge(
                         (from, request) ->
                                 from.equals("n-1")
@@ -128,23 +128,23 @@
                                                 && !request.path().endsWith("waitMs=0")
                                         ? Fate.DROP
                                         : Fate.DELIVER);
-        world.run(20);
+        cluster.run(20);
         submit(0, 30, job(1, 1));
         submit(1, 1, job(2, 1, 1));
         submit(0, 30, job(3, 1));
-        world.network()
+        cluster.network()
                 .judge(
                         (from, request) ->
                                 from.equals("n-1") && request.path().startsWith("/changes")
                                         ? Fate.REFUSE
                                         : Fate.DELIVER);
-        assertEquals(503, world.submit(1, job(4, 1, 3), 1));
+        assertEquals(503, cluster.submit(1, job(4, 1, 3), 1));
         // Known there already, in whatever state the jobs are that it names.
-        assertEquals(503, world.submit(1, job(3, 1), 1));
-        world.network().judge((from, request) -> Fate.DELIVER);
-        world.run(1);
-        assertEquals(201, world.submit(1, job(4, 1, 3), 1));
-        assertEquals(200, world.submit(1, job(3, 1), 30));
+        assertEquals(503, cluster.submit(1, job(3, 1), 1));
+        cluster.network().judge((from, request) -> Fate.DELIVER);
+        cluster.run(1);
+        assertEquals(201, cluster.submit(1, job(4, 1, 3), 1));
+        assertEquals(200, cluster.submit(1, job(3, 1), 30));
     }
 
     @Test
@@ -156,9 +156,9 @@
         allSay("queued", 4);
         // The image takes a second and each step its time; a second each for reports, records and
         // rounds.
-        world.run(2 + 4 + 1 + 9 + 1 + 4 + 4);
+        cluster.run(2 + 4 + 1 + 9 + 1 + 4 + 4);
         allSay("done", 1, 2, 3, 4);
-        assertEquals(200, world.submit(1, job(4, 1, 2, 3, 1), 4));
+        assertEquals(200, cluster.submit(1, job(4, 1, 2, 3, 1), 4));
     }
 
     /** The limit of the team is 16 cards. */
@@ -167,15 +167,15 @@
         submit(0, 30, job(1, 1));
         submit(0, 1e9, service(2, 15, 1));
         submit(1, 1e9, service(3, 12));
-        int machines = world.cloud().machines().size();
-        world.run(15);
-        assertEquals(12, world.running(id(3)));
-        assertEquals(0, world.starts(id(2) + "/0"));
-        assertEquals(machines, world.cloud().machines().size());
+        int machines = cluster.cloud().machines().size();
+        cluster.run(15);
+        assertEquals(12, cluster.running(id(3)));
+        assertEquals(0, cluster.starts(id(2) + "/0"));
+        assertEquals(machines, cluster.cloud().machines().size());
         allSay("queued", 2);
-        assertEquals("cancelled", world.withdraw(1, id(3)));
-        world.run(30);
-        assertEquals(15, world.running(id(2)));
+        assertEquals("cancelled", cluster.withdraw(1, id(3)));
+        cluster.run(30);
+        assertEquals(15, cluster.running(id(2)));
     }
 
     /** Who is gone or cut off just after the answer. */
@@ -188,35 +188,35 @@
         submit(1, 1, job(4, 1, 2, 3));
         submit(2, 1, job(5, 1, 4));
         submit(2, 1, job(6, 1, 3));
-        world.run(10);
-        assertEquals("cancelled", world.withdraw(follower(), id(2)));
+        cluster.run(10);
+        assertEquals("cancelled", cluster.withdraw(follower(), id(2)));
         if (lost.equals("leader") || lost.equals("all")) {
             for (int node = 0; node < 3; node++) {
-                if (node == world.leader() || lost.equals("all")) {
-                    world.restart(node);
+                if (node == cluster.leader() || lost.equals("all")) {
+                    cluster.restart(node);
                 }
             }
-            world.run(3);
+            cluster.run(3);
         } else if (lost.equals("outage")) {
-            world.state().setDown(true);
-            world.run(10);
-            world.state().setDown(false);
-            world.run(1);
+            cluster.state().setDown(true);
+            cluster.run(10);
+            cluster.state().setDown(false);
+            cluster.run(1);
         }
         allSay("cancelled", 2, 4, 5);
         // One that names it only now is accepted all the same.
         submit(1, 1, job(7, 1, 5));
         allSay("cancelled", 7);
-        assertEquals(200, world.submit(0, job(5, 1, 4), 1));
-        assertEquals("cancelled", world.withdraw(0, id(5)));
-        world.run(30);
+        assertEquals(200, cluster.submit(0, job(5, 1, 4), 1));
+        assertEquals("cancelled", cluster.withdraw(0, id(5)));
+        cluster.run(30);
         allSay("done", 1, 3, 6);
         allSay("cancelled", 2, 4, 5, 7);
-        assertEquals("cancelled", world.state().value("job/" + id(7)).path("end").asText());
+        assertEquals("cancelled", cluster.state().value("job/" + id(7)).path("end").asText());
         assertEquals(
                 id(5),
-                world.state().value("job/" + id(7)).path("job").path("waitsOn").path(0).asText());
-        assertEquals("done", world.withdraw(1, id(1)));
+                cluster.state().value("job/" + id(7)).path("job").path("waitsOn").path(0).asText());
+        assertEquals("done", cluster.withdraw(1, id(1)));
         allSay("done", 3);
     }
 
@@ -236,8 +236,8 @@
     void aLeaderDiesBetweenTwoSteps(Fate fate, String what) {
         submit(follower(), 3, job(1, 2));
         submit(follower(), 3, job(2, 2, 1));
-        int leader = world.leader();
-        world.network()
+        int leader = cluster.leader();
+        cluster.network()
                 .judge(
                         (from, request) -> {
                             String body = new String(request.body(), StandardCharsets.UTF_8);
@@ -248,18 +248,18 @@
                                                     ? body.contains("\"end\":\"done\"")
                                                     : body.contains("\"claims\":[[\"" + id(2)));
                             if (hit) {
-                                world.clock().after(0.003, () -> world.kill(leader));
+                                cluster.clock().after(0.003, () -> cluster.kill(leader));
                             }
                             return hit ? fate : Fate.DELIVER;
                         });
-        world.run(12);
-        world.network().releaseHeld();
-        world.run(30);
-        world.restart(leader);
-        world.run(5);
+        cluster.run(12);
+        cluster.network().releaseHeld();
+        cluster.run(30);
+        cluster.restart(leader);
+        cluster.run(5);
         allSay("done", 1, 2);
         for (int i = 0; i < 2; i++) {
-            assertEquals(1, world.starts(id(2) + "/" + i));
+            assertEquals(1, cluster.starts(id(2) + "/" + i));
         }
     }
 
@@ -269,20 +269,20 @@
         for (int i = 2; i < 60; i++) {
             submit(i % 3, 1, job(i, 1, i % 4 == 0 ? 1 : i - 1));
         }
-        assertEquals("cancelled", world.withdraw(0, id(1)));
+        assertEquals("cancelled", cluster.withdraw(0, id(1)));
         allSay("cancelled", 2, 31, 59);
         long before = ended();
-        world.run(10);
+        cluster.run(10);
         // A tenth of the 20 changes a second that the state service takes, in steps of half a
         // transaction.
         assertTrue(ended() - before <= 0.1 * 20 * 10 + 6, ended() + " after " + before);
-        world.run(30);
+        cluster.run(30);
         assertEquals(59, ended());
     }
 
     private long ended() {
-        return world.state().keysUnder("job/").stream()
-                .filter(key -> world.state().value(key).has("end"))
+        return cluster.state().keysUnder("job/").stream()
+                .filter(key -> cluster.state().value(key).has("end"))
                 .count();
     }
 
@@ -296,18 +296,18 @@
         submit(0, before ? 1e9 : 20, job(1, 2));
         submit(1, 1e9, job(2, 2, 1));
         submit(2, 1, job(3, 2, 2));
-        world.run(8);
-        int cut = world.leader();
-        world.isolate(cut);
-        world.run(before ? 1 : 25);
+        cluster.run(8);
+        int cut = cluster.leader();
+        cluster.isolate(cut);
+        cluster.run(before ? 1 : 25);
         int other = (cut + 1) % 3;
-        assertEquals("cancelled", world.withdraw(other, id(before ? 1 : 2)));
-        world.polled().run(60);
-        assertEquals("cancelled", world.phase(other, id(3)));
+        assertEquals("cancelled", cluster.withdraw(other, id(before ? 1 : 2)));
+        cluster.polled().run(60);
+        assertEquals("cancelled", cluster.phase(other, id(3)));
         // Unless it was told, it cannot know, and says so rather than what it knew.
-        String said = world.phase(cut, id(3));
+        String said = cluster.phase(cut, id(3));
         assertTrue(said.equals("503") || said.equals("cancelled"), said);
-        world.calm().run(30);
+        cluster.calm().run(30);
         allSay("cancelled", 2, 3);
     }
 
@@ -318,16 +318,20 @@
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
     void controllersRollUnderABurstOfPipelines(long seed) {
-        world = new World(seed).machines("large", "a", 2).machines("large", "b", 2).run(6);
+        cluster =
+                new SimulatedCluster(seed)
+                        .machines("large", "a", 2)
+                        .machines("large", "b", 2)
+                        .run(6);
         SplittableRandom random = new SplittableRandom(seed);
-        world.network()
+        cluster.network()
                 .judge(
                         (from, request) ->
                                 !from.startsWith("n-") || random.nextInt(100) > 5
                                         ? Fate.DELIVER
                                         : List.of(Fate.values())
                                                 .get(random.nextInt(Fate.values().length)));
-        world.polled();
+        cluster.polled();
         for (int i = 0; i < 8; i++) {
             int first = 10 * i + 1;
             accept(job(first, 3), random);
@@ -335,17 +339,17 @@
             accept(job(first + 2, 4, first), random);
             accept(job(first + 3, 2, first + 1, first + 2), random);
             if (random.nextInt(3) == 0) {
-                world.withdraw(random.nextInt(3), id(first + random.nextInt(4)));
+                cluster.withdraw(random.nextInt(3), id(first + random.nextInt(4)));
             }
-            world.restart(i % 3);
-            world.run(2 + random.nextInt(4));
+            cluster.restart(i % 3);
+            cluster.run(2 + random.nextInt(4));
         }
-        world.network().releaseHeld();
-        world.run(10);
-        world.calm().run(150);
+        cluster.network().releaseHeld();
+        cluster.run(10);
+        cluster.calm().run(150);
         for (int i = 0; i < 8; i++) {
             for (int step = 1; step <= 4; step++) {
-                String phase = world.phase(0, id(10 * i + step));
+                String phase = cluster.phase(0, id(10 * i + step));
                 assertTrue(
                         phase.equals("done") || phase.equals("cancelled"),
                         id(10 * i + step) + " is " + phase);
@@ -357,8 +361,8 @@
     private void accept(ObjectNode job, SplittableRandom random) {
         int status = 0;
         for (int i = 0; i < 30 && status != 201 && status != 200; i++) {
-            status = world.submit(random.nextInt(3), job, 1 + random.nextInt(5));
-            world.run(status == 201 || status == 200 ? 0 : 1);
+            status = cluster.submit(random.nextInt(3), job, 1 + random.nextInt(5));
+            cluster.run(status == 201 || status == 200 ? 0 : 1);
         }
         assertTrue(status == 201 || status == 200, job + ": " + status);
     }
@@ -370,9 +374,9 @@
     @Test
     void aLeaderTakesOverRecordsOfBothGenerations() {
         for (int node = 0; node < 3; node++) {
-            world.kill(node);
+            cluster.kill(node);
         }
-        world.run(5);
+        cluster.run(5);
         String form =
                 """
                 {"v":1%s,"job":{"nameId":"%s","grist":"c","crew":"red","shape":"sweep","urgency":"normal","sacks":2,\
@@ -404,27 +408,28 @@
         put(
                 "round/000000000000008.00",
                 "{\"v\":1,\"ended\":[\"k1\",\"k2\"],\"done\":[[\"run-000002\",\"1\"]]}");
-        world.assume(job(1, 2), 0, 1);
-        world.assume(job(2, 2), 1);
-        world.assume(job(3, 2, 1));
-        world.assume(job(4, 2, 1, 2));
-        world.assume(job(5, 2));
-        world.assume(job(6, 2, 5));
+        cluster.assume(job(1, 2), 0, 1);
+        cluster.assume(job(2, 2), 1);
+        cluster.assume(job(3, 2, 1));
+        cluster.assume(job(4, 2, 1, 2));
+        cluster.assume(job(5, 2));
+        cluster.assume(job(6, 2, 5));
         for (int node = 0; node < 3; node++) {
-            world.restart(node);
+            cluster.restart(node);
         }
-        world.run(30);
+        cluster.run(30);
         allSay("done", 1, 2, 3, 4);
-        assertEquals("cancelled", world.withdraw(0, id(5)));
+        assertEquals("cancelled", cluster.withdraw(0, id(5)));
         allSay("cancelled", 5, 6);
-        assertEquals(0, world.starts(id(2) + "/1"));
+        assertEquals(0, cluster.starts(id(2) + "/1"));
         // What is written of a job without dependencies is what the version before reads.
-        submit(0, 1, World.job(id(8), "red", "sweep", 2, 1, 1));
-        assertEquals(form.formatted("", id(8), ""), world.state().value("job/" + id(8)).toString());
+        submit(0, 1, SimulatedCluster.job(id(8), "red", "sweep", 2, 1, 1));
+        assertEquals(
+                form.formatted("", id(8), ""), cluster.state().value("job/" + id(8)).toString());
     }
 
     private void put(String key, String value) {
-        world.network()
+        cluster.network()
                 .repeat(
                         new Request(
                                 "state:1",
--- a/src/test/java/org/springmill/control/coordination/ChainsTest.java
+++ b/src/test/java/org/springmill/control/coordination/JobDependenciesTest.java
@@ -21,9 +21,9 @@
 import org.springmill.protocol.Submission;
 import org.springmill.protocol.UserMessages.Phase;
 
-class ChainsTest {
+class JobDependenciesTest {
     private final Map<String, JobRecord> jobs = new HashMap<>();
-    private final Chains chains = new Chains(jobs);
+    private final JobDependencies chains = new JobDependencies(jobs);
 
     /** From a line such as "3<1,2": job 3 needs 1 and 2. */
     private static Submission job(String line) throws BadMessageException {
@@ -69,7 +69,8 @@
                 "1 2<1 3<1 4<2,3 5 6<4,5    | 1     | 5     | 1 2 3 4 6",
                 "1 2 3<1 4<2 5<3,4          | 2     | 1 3   | 2 4 5",
                 "1 2 3<1                    | 2     | 1     | 2",
-                // A withdrawn follower, and one whose own record says something else: what it needs
+                // A withdrawn dependent, and one whose own record says something else: what it
+                // needs
                 // is cancelled, so it is.
                 "1 2<1 3<2                  | 1 2   | ``    | 1 2 3",
                 "1 2<1 3<2                  | 1     | 2     | 1 2 3",
@@ -90,7 +91,7 @@
         Random random = new Random(5);
         for (int order = 0; order < 20; order++) {
             jobs.clear();
-            Chains again = new Chains(jobs);
+            JobDependencies again = new JobDependencies(jobs);
             for (JobRecord next : records) {
                 JobRecord known = jobs.get(next.id());
                 if (known == null || known.version() < next.version()) {
@@ -110,10 +111,10 @@
             chains.learn(record(i + "<" + (i % 2 == 0 ? 1 : i - 1), Phase.QUEUED, i));
         }
         assertEquals(deep, chains.learn(record("1", Phase.CANCELLED, deep + 1)).size());
-        assertEquals(deep - 1, chains.unwritten(deep).size());
+        assertEquals(deep - 1, chains.pendingPersistence(deep).size());
         // Written down, a record is a change no more, and only the others are still to be written.
         assertEquals(1, chains.learn(record("2<1", Phase.CANCELLED, deep + 2)).size());
-        assertEquals(deep - 2, chains.unwritten(deep).size());
+        assertEquals(deep - 2, chains.pendingPersistence(deep).size());
     }
 
     @Test
