--- a/src/test/java/org/springmill/control/coordination/GrowthTest.java
+++ b/src/test/java/org/springmill/control/coordination/LargeFleetTest.java
@@ -10,13 +10,13 @@
 import org.junit.jupiter.api.Test;
 import org.springmill.sim.SimNetwork.Fate;
 import org.springmill.sim.SimWorker;
-import org.springmill.sim.World;
+import org.springmill.sim.SimulatedCluster;
 
 /**
  * The service at the size to which its deployments have grown: bounds on counted work, never on
  * time.
  */
-class GrowthTest {
+class LargeFleetTest {
     private static final int MACHINES = 200;
     private static final int JOBS = 120;
     private static final int REPLICAS = 8;
@@ -29,13 +29,13 @@
 
     @Test
     void workFollowsWhatChangesAndNotTheSizeOfTheFleet() {
-        World world =
-                new World()
+        SimulatedCluster cluster =
+                new SimulatedCluster()
                         .machines("large", "a", MACHINES / 2)
                         .machines("large", "b", MACHINES / 2)
                         .run(6);
-        world.cloud().runOut();
-        world.network()
+        cluster.cloud().runOut();
+        cluster.network()
                 .judge(
                         (from, request) -> {
                             counted.merge(request.path(), 1, Integer::sum);
@@ -43,17 +43,19 @@
                         });
         // Idle machines would go back: the first jobs take a place on every machine.
         for (int i = 0; i < JOBS; i++) {
-            var job = World.job(String.format("run-%06d", i), "blue", "service", REPLICAS, 4, 0);
-            assertEquals(201, world.submit(i % 3, job, Double.POSITIVE_INFINITY));
+            var job =
+                    SimulatedCluster.job(
+                            String.format("run-%06d", i), "blue", "service", REPLICAS, 4, 0);
+            assertEquals(201, cluster.submit(i % 3, job, Double.POSITIVE_INFINITY));
         }
-        world.run(20);
-        assertEquals(JOBS * REPLICAS, running(world));
-        int rounds = world.state().keysUnder("round/").size();
+        cluster.run(20);
+        assertEquals(JOBS * REPLICAS, running(cluster));
+        int rounds = cluster.state().keysUnder("round/").size();
         assertTrue(rounds <= 2 * JOBS, rounds + " keys of rounds for " + JOBS + " jobs");
 
         // Nothing happens: no orders, and hardly a write.
         counted.clear();
-        world.run(20);
+        cluster.run(20);
         assertTrue(
                 count("/orders") <= MACHINES / 20,
                 count("/orders") + " orders while nothing happens");
@@ -65,9 +67,9 @@
         // One array: commits by the round, one order for each machine that it touches, and its
         // ends.
         counted.clear();
-        world.submit(0, World.job("run-900000", "blue", "sweep", 100, 1, 0), 5);
-        world.run(20);
-        assertEquals("done", world.phase(1, "run-900000"));
+        cluster.submit(0, SimulatedCluster.job("run-900000", "blue", "sweep", 100, 1, 0), 5);
+        cluster.run(20);
+        assertEquals("done", cluster.phase(1, "run-900000"));
         assertTrue(count("/commit") <= 20, count("/commit") + " commits for one array");
         assertTrue(
                 count("/orders") <= 5 * 100,
@@ -75,18 +77,18 @@
 
         // A takeover asks every machine about once, and starts nothing again.
         counted.clear();
-        world.kill(world.leader());
-        world.run(20);
-        assertEquals(JOBS * REPLICAS, running(world));
-        int machines = world.cloud().machines().size();
+        cluster.kill(cluster.leader());
+        cluster.run(20);
+        assertEquals(JOBS * REPLICAS, running(cluster));
+        int machines = cluster.cloud().machines().size();
         assertTrue(
                 count("/orders") <= 4 * machines,
                 count("/orders") + " orders at a takeover of " + machines);
         assertTrue(count("/commit") <= 10, count("/commit") + " commits at a takeover");
         for (int i = 0; i < JOBS; i++) {
-            assertEquals(1, world.starts(String.format("run-%06d/0", i)));
+            assertEquals(1, cluster.starts(String.format("run-%06d/0", i)));
         }
-        assertEquals(List.of(), world.broken());
+        assertEquals(List.of(), cluster.broken());
     }
 
     /**
@@ -96,14 +98,14 @@
     @Test
     void aRackOfALargeFleetIsReplacedAndItsLeaderToo() {
         int machines = 1600;
-        World world =
-                new World()
+        SimulatedCluster cluster =
+                new SimulatedCluster()
                         .machines("large", "a", machines / 2)
                         .machines("large", "b", machines / 2)
                         .run(6);
-        world.cloud().runOut();
+        cluster.cloud().runOut();
         int[] bytes = new int[1];
-        world.network()
+        cluster.network()
                 .judge(
                         (from, request) -> {
                             counted.merge(request.path(), 1, Integer::sum);
@@ -112,23 +114,25 @@
                         });
         int jobs = machines / 4;
         for (int i = 0; i < jobs; i++) {
-            var job = World.job(String.format("run-%06d", i), "blue", "service", REPLICAS, 4, 0);
-            assertEquals(201, world.submit(i % 3, job, Double.POSITIVE_INFINITY));
+            var job =
+                    SimulatedCluster.job(
+                            String.format("run-%06d", i), "blue", "service", REPLICAS, 4, 0);
+            assertEquals(201, cluster.submit(i % 3, job, Double.POSITIVE_INFINITY));
         }
-        world.run(20);
-        assertEquals(jobs * REPLICAS, running(world, jobs));
+        cluster.run(20);
+        assertEquals(jobs * REPLICAS, running(cluster, jobs));
 
         counted.clear();
-        int up = world.cloud().machines().size();
+        int up = cluster.cloud().machines().size();
         List<SimWorker> rack =
-                new ArrayList<>(world.cloud().machines().values()).subList(0, up / 5);
+                new ArrayList<>(cluster.cloud().machines().values()).subList(0, up / 5);
         int lost = rack.stream().mapToInt(SimWorker::running).sum();
         assertTrue(lost > 0, "the rack ran something");
         rack.forEach(worker -> worker.hang(true));
-        world.run(9);
+        cluster.run(9);
         assertEquals(
                 jobs * REPLICAS,
-                running(world, jobs) - rack.stream().mapToInt(SimWorker::running).sum(),
+                running(cluster, jobs) - rack.stream().mapToInt(SimWorker::running).sum(),
                 "all that the rack ran is up elsewhere within " + 9 + " s");
         assertTrue(
                 count("/rentals/delete") <= 12,
@@ -139,24 +143,24 @@
                 count("/orders") + " orders for " + lost + " replicas");
 
         counted.clear();
-        world.kill(world.leader());
-        world.run(12);
-        assertEquals(jobs * REPLICAS, running(world, jobs));
+        cluster.kill(cluster.leader());
+        cluster.run(12);
+        assertEquals(jobs * REPLICAS, running(cluster, jobs));
         assertTrue(count("/orders") <= 4 * up, count("/orders") + " orders at a takeover of " + up);
         assertTrue(count("/commit") <= 10, count("/commit") + " commits at a takeover");
         assertTrue(bytes[0] <= 64 * 1024, "a request of " + bytes[0] + " bytes");
-        assertEquals(List.of(), world.broken());
+        assertEquals(List.of(), cluster.broken());
     }
 
-    private static int running(World world, int jobs) {
+    private static int running(SimulatedCluster cluster, int jobs) {
         int running = 0;
         for (int i = 0; i < jobs; i++) {
-            running += world.running(String.format("run-%06d", i));
+            running += cluster.running(String.format("run-%06d", i));
         }
         return running;
     }
 
-    private static int running(World world) {
-        return running(world, JOBS);
+    private static int running(SimulatedCluster cluster) {
+        return running(cluster, JOBS);
     }
 }
--- a/src/test/java/org/springmill/control/coordination/LimitsTest.java
+++ b/src/test/java/org/springmill/control/coordination/StateServiceLimitsTest.java
@@ -12,16 +12,16 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.springmill.protocol.Settings;
 import org.springmill.sim.SimNetwork.Fate;
-import org.springmill.sim.World;
+import org.springmill.sim.SimulatedCluster;
 
 /** A state service that takes less than it did, with and without having said so. */
-class LimitsTest {
+class StateServiceLimitsTest {
     private static final Settings.State SMALLER = new Settings.State(120, 15, 2048, 4);
-    private final World world = new World();
+    private final SimulatedCluster cluster = new SimulatedCluster();
 
     @AfterEach
     void noRuleIsBroken() {
-        assertEquals(List.of(), world.broken());
+        assertEquals(List.of(), cluster.broken());
     }
 
     private static String id(int number) {
@@ -29,21 +29,21 @@
     }
 
     private static ObjectNode job(int number, String shape, int tasks) {
-        return World.job(id(number), "blue", shape, tasks, 0.5, 0.2);
+        return SimulatedCluster.job(id(number), "blue", shape, tasks, 0.5, 0.2);
     }
 
     private void machinesAndServices() {
-        world.machines("large", "a", 4).machines("large", "b", 4).run(6);
+        cluster.machines("large", "a", 4).machines("large", "b", 4).run(6);
         for (int i = 1; i <= 12; i++) {
-            assertEquals(201, world.submit(i % 3, job(i, "service", 12), 1e9));
+            assertEquals(201, cluster.submit(i % 3, job(i, "service", 12), 1e9));
         }
-        world.run(10);
-        assertEquals(12, world.running(id(12)));
+        cluster.run(10);
+        assertEquals(12, cluster.running(id(12)));
     }
 
     private long largest() {
-        return world.state().keysUnder("round/").stream()
-                .mapToLong(key -> world.state().value(key).toString().length())
+        return cluster.state().keysUnder("round/").stream()
+                .mapToLong(key -> cluster.state().value(key).toString().length())
                 .max()
                 .orElse(0);
     }
@@ -56,30 +56,30 @@
     void storedLargerRoundsAreSplitWhenCarriedOn() {
         machinesAndServices();
         assertTrue(largest() > 2048, "largest " + largest());
-        world.settings(SMALLER);
+        cluster.settings(SMALLER);
         for (int node = 0; node < 3; node++) {
-            world.restart(node);
-            world.run(12);
+            cluster.restart(node);
+            cluster.run(12);
         }
-        world.state().limit(2048, 4);
+        cluster.state().limit(2048, 4);
         for (int i = 20; i < 60; i++) {
-            assertEquals(201, world.submit(i % 3, job(i, "sweep", 20), 1));
-            world.run(2);
+            assertEquals(201, cluster.submit(i % 3, job(i, "sweep", 20), 1));
+            cluster.run(2);
         }
-        world.run(20);
-        assertEquals(0, world.state().tooLarge());
+        cluster.run(20);
+        assertEquals(0, cluster.state().tooLarge());
         assertTrue(largest() <= 2048, "largest " + largest());
         for (int i = 20; i < 60; i++) {
-            assertEquals("done", world.phase(i % 3, id(i)));
+            assertEquals("done", cluster.phase(i % 3, id(i)));
         }
         // Nothing was lost on the way: another leader finds every replica where it is.
-        int leader = world.leader();
-        world.restart(leader);
-        world.run(20);
+        int leader = cluster.leader();
+        cluster.restart(leader);
+        cluster.run(20);
         for (int i = 1; i <= 12; i++) {
-            assertEquals(12, world.running(id(i)));
+            assertEquals(12, cluster.running(id(i)));
             for (int task = 0; task < 12; task++) {
-                assertEquals(1, world.starts(id(i) + "/" + task));
+                assertEquals(1, cluster.starts(id(i) + "/" + task));
             }
         }
     }
@@ -99,11 +99,11 @@
         "HOLD, 1"
     })
     void aRefusalForSizeEndsNoTermAndIsNotRepeated(Fate fate, int later) {
-        world.machines("large", "a", 4).machines("large", "b", 4).run(6);
-        int leader = world.leader();
-        String term = world.state().value("leader").toString();
+        cluster.machines("large", "a", 4).machines("large", "b", 4).run(6);
+        int leader = cluster.leader();
+        String term = cluster.state().value("leader").toString();
         int[] seen = new int[1];
-        world.network()
+        cluster.network()
                 .judge(
                         (from, request) -> {
                             boolean round =
@@ -111,41 +111,41 @@
                                             && new String(request.body(), StandardCharsets.UTF_8)
                                                     .contains("\"claims\":[[\"" + id(1));
                             if (round && seen[0]++ == later) {
-                                world.clock().after(0.001, () -> world.state().limit(2048, 3));
+                                cluster.clock().after(0.001, () -> cluster.state().limit(2048, 3));
                                 return fate;
                             }
                             if (round && later == 1 && seen[0] == 1) {
-                                world.state().limit(2048, 3);
+                                cluster.state().limit(2048, 3);
                             }
                             return Fate.DELIVER;
                         });
-        assertEquals(201, world.submit(leader, job(1, "service", 90), 1e9));
-        world.run(10);
-        world.network().releaseHeld();
-        world.run(20);
-        assertEquals(term, world.state().value("leader").toString());
-        assertTrue(world.state().tooLarge() < 8, "refused " + world.state().tooLarge());
-        world.restart(leader);
-        world.run(20);
-        assertEquals(90, world.running(id(1)));
+        assertEquals(201, cluster.submit(leader, job(1, "service", 90), 1e9));
+        cluster.run(10);
+        cluster.network().releaseHeld();
+        cluster.run(20);
+        assertEquals(term, cluster.state().value("leader").toString());
+        assertTrue(cluster.state().tooLarge() < 8, "refused " + cluster.state().tooLarge());
+        cluster.restart(leader);
+        cluster.run(20);
+        assertEquals(90, cluster.running(id(1)));
         for (int task = 0; task < 90; task++) {
-            assertEquals(1, world.starts(id(1) + "/" + task));
+            assertEquals(1, cluster.starts(id(1) + "/" + task));
         }
     }
 
     /** A job whose record the service finds too large: told so once, not put off for ever. */
     @Test
     void aRecordThatIsFoundTooLargeIsRefused() {
-        world.machines("large", "a", 2).run(6);
-        world.state().limit(1024, 4);
+        cluster.machines("large", "a", 2).run(6);
+        cluster.state().limit(1024, 4);
         ObjectNode job = job(1, "sweep", 1);
         for (int i = 0; i < 150; i++) {
             job.withArray("frames").add("type-" + i);
         }
         job.withArray("frames").add("large");
-        assertEquals(422, world.submit(0, job, 1));
-        assertEquals(201, world.submit(0, job(2, "sweep", 1), 1));
-        world.run(15);
-        assertEquals("done", world.phase(1, id(2)));
+        assertEquals(422, cluster.submit(0, job, 1));
+        assertEquals(201, cluster.submit(0, job(2, "sweep", 1), 1));
+        cluster.run(15);
+        assertEquals("done", cluster.phase(1, id(2)));
     }
 }
--- a/src/test/java/org/springmill/control/storage/DoneMarksTest.java
+++ b/src/test/java/org/springmill/control/storage/CompletedTasksTest.java
@@ -8,7 +8,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-class DoneMarksTest {
+class CompletedTasksTest {
     /** Sets given as first, step, end. */
     @ParameterizedTest
     @CsvSource({
@@ -31,11 +31,11 @@
     }
 
     private static void survives(BitSet set, int most) {
-        List<String> pieces = DoneMarks.encode(set, most);
+        List<String> pieces = CompletedTasks.encode(set, most);
         BitSet read = new BitSet();
         for (String piece : pieces) {
             assertTrue(piece.length() <= Math.min(most, 2731) + 16);
-            DoneMarks.decode(piece, read);
+            CompletedTasks.decode(piece, read);
         }
         assertEquals(set, read);
     }
--- a/src/test/java/org/springmill/sim/Rules.java
+++ b/src/test/java/org/springmill/sim/InvariantChecker.java
@@ -16,10 +16,10 @@
 import org.springmill.transport.HttpClient.Request;
 
 /**
- * The protocol's rules, watched from outside: by what machines do and by what users are told.
+ * The protocol's invariants, watched from outside: by what machines do and by what users are told.
  * Whatever is broken is noted once, under the rule's name.
  */
-final class Rules {
+final class InvariantChecker {
     /** A job waits no longer beside room that fits, once all troubles are over. */
     private static final double WAITS_S = 90;
 
@@ -100,7 +100,7 @@
         }
     }
 
-    Rules(VirtualClock clock, SimCloud cloud, Settings settings) {
+    InvariantChecker(VirtualClock clock, SimCloud cloud, Settings settings) {
         this.clock = clock;
         this.cloud = cloud;
         this.settings = settings;
@@ -149,7 +149,7 @@
         broken.add(rule + ' ' + what);
     }
 
-    /** A job accepted before this world began, with what is done of it. */
+    /** A job accepted before this cluster began, with what is done of it. */
     void assume(JsonNode job, int... done) {
         String id = job.path("nameId").asText();
         jobs.computeIfAbsent(id, unknown -> new Told(job)).accepted = Double.NEGATIVE_INFINITY;
@@ -245,7 +245,7 @@
         if (told.end != null && !phase.equals(told.end) && (over || sentAt >= told.ended)) {
             breaks("went_back", id + " from " + told.end + " to " + phase);
         }
-        if (!over && told.orphanedBy(sentAt - World.CANCEL_S, jobs)) {
+        if (!over && told.orphanedBy(sentAt - SimulatedCluster.CANCEL_S, jobs)) {
             breaks("orphaned", id + " is " + phase);
         }
         if (over && told.end == null) {
@@ -381,7 +381,7 @@
                         used.computeIfAbsent(told.job.path("crew").asText(), t -> new double[2]);
                 team[0] += told.job.path("vcpus").asDouble();
                 team[1] += told.job.path("cards").asDouble();
-                if (told.cancelledBy(now - World.CANCEL_S)) {
+                if (told.cancelledBy(now - SimulatedCluster.CANCEL_S)) {
                     breaks("ran_cancelled", task.id + " on " + worker.name());
                 }
             }
--- a/src/test/java/org/springmill/sim/SimCloud.java
+++ b/src/test/java/org/springmill/sim/SimCloud.java
@@ -28,14 +28,14 @@
                     "large",
                     new Type("large", 32, 8, 256, 10));
 
-    private final World world;
+    private final SimulatedCluster cluster;
     private final Map<String, SimWorker> machines = new LinkedHashMap<>();
     private final Map<String, ArrayNode> rentals = new HashMap<>();
     private int named;
     private final Set<String> emptyZones = new HashSet<>();
 
-    SimCloud(World world) {
-        this.world = world;
+    SimCloud(SimulatedCluster cluster) {
+        this.cluster = cluster;
     }
 
     /** From now on no machine is to be had. */
@@ -61,9 +61,9 @@
     SimWorker add(String type, String zone, boolean spot, double bootS) {
         String name = String.format("host-%06d", ++named);
         SimWorker worker =
-                new SimWorker(world, name, "10.1.0." + named + ":9000", type, zone, spot);
+                new SimWorker(cluster, name, "10.1.0." + named + ":9000", type, zone, spot);
         machines.put(name, worker);
-        world.clock().after(bootS, worker::boot);
+        cluster.clock().after(bootS, worker::boot);
         return worker;
     }
 
--- a/src/test/java/org/springmill/sim/SimNetwork.java
+++ b/src/test/java/org/springmill/sim/SimNetwork.java
@@ -31,7 +31,7 @@
         Fate judge(String from, Request request);
     }
 
-    private final World world;
+    private final SimulatedCluster cluster;
     private final List<Held> held = new ArrayList<>();
     private final Set<String> deaf = new HashSet<>();
     private final Set<String> mute = new HashSet<>();
@@ -49,8 +49,8 @@
         double delayS(String from, Request request);
     }
 
-    SimNetwork(World world) {
-        this.world = world;
+    SimNetwork(SimulatedCluster cluster) {
+        this.cluster = cluster;
     }
 
     void random(SplittableRandom source) {
@@ -115,14 +115,14 @@
     /** Delivers everything that was held, to nobody's answer. */
     public void releaseHeld() {
         for (Held message : List.copyOf(held)) {
-            world.route(message.from(), message.request(), reply -> {});
+            cluster.route(message.from(), message.request(), reply -> {});
         }
         held.clear();
     }
 
     /** Delivers a copy of a request once more. */
     public void repeat(Request request) {
-        world.route("", request, reply -> {});
+        cluster.route("", request, reply -> {});
     }
 
     private Fate fate(String from, Request request) {
@@ -149,34 +149,34 @@
                 };
         Fate fate = fate(from, request);
         if (fate == Fate.REFUSE) {
-            world.clock().after(DELAY_S, () -> once.accept(Reply.NOT_SENT));
+            cluster.clock().after(DELAY_S, () -> once.accept(Reply.NOT_SENT));
             return;
         }
-        world.clock().after(request.timeoutS(), () -> once.accept(Reply.LOST));
+        cluster.clock().after(request.timeoutS(), () -> once.accept(Reply.LOST));
         if (request.path().equals("/v1/report")
                 && lateReports > 0
                 && random.nextDouble() < lateReports) {
-            world.clock()
+            cluster.clock()
                     .after(
-                            2 + random.nextDouble() * (3 * World.LEASE_S - 2),
-                            () -> world.route(from, request, reply -> {}));
+                            2 + random.nextDouble() * (3 * SimulatedCluster.LEASE_S - 2),
+                            () -> cluster.route(from, request, reply -> {}));
         }
         double delayS = DELAY_S + delays.delayS(from, request);
         switch (fate) {
             case DROP -> {}
             case HOLD -> held.add(new Held(from, request));
             case LOSE_ANSWER ->
-                    world.clock().after(delayS, () -> world.route(from, request, reply -> {}));
+                    cluster.clock().after(delayS, () -> cluster.route(from, request, reply -> {}));
             default ->
-                    world.clock()
+                    cluster.clock()
                             .after(
                                     delayS,
                                     () ->
-                                            world.route(
+                                            cluster.route(
                                                     from,
                                                     request,
                                                     reply ->
-                                                            world.clock()
+                                                            cluster.clock()
                                                                     .after(
                                                                             DELAY_S
                                                                                     + answerDelays
--- a/src/test/java/org/springmill/sim/SimWorker.java
+++ b/src/test/java/org/springmill/sim/SimWorker.java
@@ -37,7 +37,7 @@
         }
     }
 
-    private final World world;
+    private final SimulatedCluster cluster;
     private final String name;
     private final String address;
     private final String type;
@@ -56,8 +56,14 @@
     private boolean reporting;
     private boolean failing;
 
-    SimWorker(World world, String name, String address, String type, String zone, boolean spot) {
-        this.world = world;
+    SimWorker(
+            SimulatedCluster cluster,
+            String name,
+            String address,
+            String type,
+            String zone,
+            boolean spot) {
+        this.cluster = cluster;
         this.name = name;
         this.address = address;
         this.type = type;
@@ -97,7 +103,7 @@
      * Past its lease nothing counts as on the machine, even if it hangs and so has not noticed yet.
      */
     private boolean expired() {
-        return world.clock().now() - renewedAt > World.LEASE_S;
+        return cluster.clock().now() - renewedAt > SimulatedCluster.LEASE_S;
     }
 
     public int running() {
@@ -136,7 +142,7 @@
     void boot() {
         if (!gone) {
             up = true;
-            renewedAt = world.clock().now();
+            renewedAt = cluster.clock().now();
             loop();
         }
     }
@@ -153,14 +159,14 @@
         }
         checkLease();
         report();
-        world.clock().after(World.REPORT_S, this::loop);
+        cluster.clock().after(SimulatedCluster.REPORT_S, this::loop);
     }
 
     private void checkLease() {
         if (!hung && expired()) {
             tasks.clear();
             session++;
-            renewedAt = world.clock().now();
+            renewedAt = cluster.clock().now();
         }
     }
 
@@ -197,14 +203,14 @@
             return;
         }
         reporting = true;
-        double sent = world.clock().now();
+        double sent = cluster.clock().now();
         long sentSession = session;
         byte[] body = reportBody().toString().getBytes(java.nio.charset.StandardCharsets.UTF_8);
         int to = node;
-        world.network()
+        cluster.network()
                 .send(
                         name,
-                        new Request(world.apiOf(to), "POST", "/v1/report", body, 4),
+                        new Request(cluster.apiOf(to), "POST", "/v1/report", body, 4),
                         reply -> {
                             reporting = false;
                             if (gone || hung) {
@@ -230,10 +236,10 @@
                                                         .path("foreman")
                                                         .asText()
                                                         .substring(2));
-                                world.clock().after(0.1, this::report);
+                                cluster.clock().after(0.1, this::report);
                             } else {
-                                node = (to + 1) % World.NODES;
-                                world.clock().after(1, this::report);
+                                node = (to + 1) % SimulatedCluster.NODES;
+                                cluster.clock().after(1, this::report);
                             }
                         });
     }
@@ -266,7 +272,7 @@
             switch (order.path("verb").asText()) {
                 case "start" -> {
                     if (task == null) {
-                        start(key, new Task(id, attempt, world.clock().now()));
+                        start(key, new Task(id, attempt, cluster.clock().now()));
                     }
                 }
                 case "halt" -> {
@@ -293,15 +299,15 @@
             return;
         }
         whenAwake(
-                world.fetchS(),
+                cluster.fetchS(),
                 () -> {
                     if (tasks.get(key) != task || !task.phase.equals("pulling")) {
                         return;
                     }
                     task.phase = "running";
-                    world.started(this, task);
+                    cluster.started(this, task);
                     report();
-                    double runS = failing ? 0.1 : world.runTime(task.id);
+                    double runS = failing ? 0.1 : cluster.runTime(task.id);
                     if (runS < Double.POSITIVE_INFINITY) {
                         whenAwake(runS, () -> finish(key, task));
                     }
@@ -313,13 +319,13 @@
      * to go on with.
      */
     private void whenAwake(double seconds, Runnable then) {
-        world.clock()
+        cluster.clock()
                 .after(
                         seconds,
                         () -> {
                             checkLease();
                             if (hung) {
-                                whenAwake(World.REPORT_S / 20, then);
+                                whenAwake(SimulatedCluster.REPORT_S / 20, then);
                             } else if (!gone) {
                                 then.run();
                             }
@@ -330,7 +336,7 @@
         if (tasks.get(key) == task && task.phase.equals("running")) {
             end(task, failing ? "error" : "done");
             if (!failing) {
-                world.done(task.id);
+                cluster.done(task.id);
             }
             report();
         }
--- a/src/test/java/org/springmill/sim/World.java
+++ b/src/test/java/org/springmill/sim/SimulatedCluster.java
@@ -22,10 +22,10 @@
 import org.springmill.transport.PeerLink;
 
 /**
- * Controllers with everything around them under one virtual clock. Breaks of the rules are noted as
- * they happen.
+ * Controllers with everything around them under one virtual clock. Breaks of the invariants are
+ * noted as they happen.
  */
-public final class World {
+public final class SimulatedCluster {
     static final int NODES = 3;
     static final double REPORT_S = 2;
     static final double LEASE_S = 14;
@@ -40,7 +40,7 @@
     private final SimCloud cloud = new SimCloud(this);
     private final SimNetwork network = new SimNetwork(this);
     private final Node[] nodes = new Node[NODES];
-    private final Rules rules = new Rules(clock, cloud, settings(0));
+    private final InvariantChecker invariants = new InvariantChecker(clock, cloud, settings(0));
     private final Map<String, Double> runTimes = new HashMap<>();
     private final Map<String, Integer> starts = new HashMap<>();
     private final Set<String> cutPeers = new HashSet<>();
@@ -138,14 +138,14 @@
         }
     }
 
-    public World() {
+    public SimulatedCluster() {
         this(1);
     }
 
     /**
      * @param seed of what is left to chance
      */
-    public World(long seed) {
+    public SimulatedCluster(long seed) {
         random = new SplittableRandom(seed);
         network.random(random.split());
         state.random(random.split());
@@ -153,7 +153,7 @@
         for (int i = 0; i < NODES; i++) {
             nodes[i] = new Node(i);
         }
-        rules.watch();
+        invariants.watch();
     }
 
     /** Settings of a controller that is started from now on; those that run keep theirs. */
@@ -220,14 +220,14 @@
     }
 
     /** Adds machines that are up after a moment. */
-    public World machines(String type, String zone, int count) {
+    public SimulatedCluster machines(String type, String zone, int count) {
         for (int i = 0; i < count; i++) {
             cloud.add(type, zone, false, 0.5);
         }
         return this;
     }
 
-    public World run(double seconds) {
+    public SimulatedCluster run(double seconds) {
         clock.run(seconds);
         return this;
     }
@@ -335,7 +335,8 @@
     }
 
     /**
-     * Asks a controller as a user would; the rules take note of the answer when the user gets it.
+     * Asks a controller as a user would; the invariants take note of the answer when the user gets
+     * it.
      */
     public void user(
             int node,
@@ -344,14 +345,15 @@
             String body,
             double timeoutS,
             Consumer<Reply> done) {
-        Request request = new Request(apiOf(node), method, path, Rules.bytes(body), timeoutS);
+        Request request =
+                new Request(apiOf(node), method, path, InvariantChecker.bytes(body), timeoutS);
         double sentAt = clock.now();
-        rules.asks(request);
+        invariants.asks(request);
         network.send(
                 "user",
                 request,
                 reply -> {
-                    rules.told(request, sentAt, reply);
+                    invariants.told(request, sentAt, reply);
                     done.accept(reply);
                 });
     }
@@ -370,8 +372,8 @@
      * Users ask about every unfinished job from now on, every five seconds. Each keeps to one
      * controller for as long as the balancer finds that one healthy, as an open connection does.
      */
-    public World polled() {
-        rules.polled();
+    public SimulatedCluster polled() {
+        invariants.polled();
         balance();
         poll();
         return this;
@@ -389,7 +391,7 @@
     }
 
     private void poll() {
-        for (String id : rules.unfinished()) {
+        for (String id : invariants.unfinished()) {
             int node = connected.getOrDefault(id, random.nextInt(NODES));
             // Two probes fail before the balancer takes note, and connections that are open get 5
             // s.
@@ -416,7 +418,7 @@
      */
     public void assume(ObjectNode job, int... done) {
         runTimes.put(job.path("nameId").asText(), 1.0);
-        rules.assume(job, done);
+        invariants.assume(job, done);
     }
 
     public String phase(int node, String id) {
@@ -462,31 +464,31 @@
 
     void started(SimWorker on, SimWorker.Task task) {
         starts.merge(task.id, 1, Integer::sum);
-        rules.started(on, task);
+        invariants.started(on, task);
     }
 
     void done(String task) {
-        rules.done(task);
+        invariants.done(task);
     }
 
     /** All troubles are over: from now on work has to go on, and every question to be answered. */
-    public World calm() {
+    public SimulatedCluster calm() {
         network.calm();
         state.calm();
         cutPeers.clear();
         filtered = false;
-        rules.calm();
+        invariants.calm();
         return this;
     }
 
     /** What has broken a rule so far. */
     public List<String> broken() {
-        return rules.broken();
+        return invariants.broken();
     }
 
     /** Accepted jobs that are not over and have tasks that are neither done nor on a machine. */
     public List<String> unserved() {
-        return rules.unserved();
+        return invariants.unserved();
     }
 
     /**
@@ -494,7 +496,7 @@
      * is cancelled.
      */
     public List<String> startsAfterCancel() {
-        return rules.startsAfterCancel();
+        return invariants.startsAfterCancel();
     }
 
     public int starts(String task) {
