--- a/src/main/java/org/springmill/control/coordination/Controller.java
+++ b/src/main/java/org/springmill/control/coordination/Controller.java
@@ -1,8 +1,7 @@
 package org.springmill.control.coordination;
 
-import java.util.HashMap;
-import java.util.Map;
 import java.util.SplittableRandom;
+import java.util.function.ToDoubleFunction;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 import org.springmill.control.storage.JobRecord;
@@ -10,7 +9,6 @@
 import org.springmill.protocol.BadMessageException;
 import org.springmill.protocol.PeerMessages.JobProgress;
 import org.springmill.protocol.PeerMessages.News;
-import org.springmill.protocol.PeerMessages.Progress;
 import org.springmill.protocol.PeerMessages.Status;
 import org.springmill.protocol.Settings;
 import org.springmill.protocol.UserMessages;
@@ -21,12 +19,17 @@
 import org.springmill.transport.Loop;
 import org.springmill.transport.PeerLink;
 
-/** One controller: answers users and workers, and leads when it holds the leadership. */
+/**
+ * One controller: puts its parts together, passes each HTTP request to the part that answers it,
+ * and holds a {@link Leader} while it has the leadership.
+ */
 public final class Controller implements HttpHandler {
     private static final Logger LOG = LoggerFactory.getLogger(Controller.class);
     private static final byte[] EMPTY = new byte[0];
-    private static final String METRICS = "/metrics";
+    private static final String METRICS_PATH = "/metrics";
+    private static final int METRICS_RETRY_AFTER_SECONDS = 1;
 
+    private final HttpClient http;
     private final Loop loop;
     private final Settings settings;
     private final Timing timing;
@@ -35,62 +38,39 @@
     private final MachineTypeCatalog catalog;
     private final Peers peers;
     private final Leadership leadership;
-    private final CancellationFreshness horizon;
-    private final LeaseKeepalive standIn;
-    private final UserApi users;
+    private final CancellationFreshness cancellationFreshness;
+    private final LeaseKeepalive leaseKeepalive;
+    private final UserApi userApi;
     private final Metrics metrics;
-    private Map<String, JobProgress> progress = new HashMap<>();
-    private final Map<String, Double> strayWorkers = new HashMap<>();
-    private double progressAt;
+    private final RemoteProgress remoteProgress;
+    private final UnservedWorkers unservedWorkers;
+
+    /** Null while this controller does not lead. */
     private Leader leader;
 
+    /** Puts a controller together; nothing is sent before {@link #start}. */
     public Controller(
             Settings settings, Loop loop, HttpClient http, PeerLink link, SplittableRandom random) {
         this.settings = settings;
         this.loop = loop;
+        this.http = http;
 
         timing = Timing.of(settings);
         metrics = new Metrics(loop);
+        remoteProgress = new RemoteProgress(loop, timing);
+        unservedWorkers = new UnservedWorkers(loop, timing);
         store = new StateStore(http, loop, settings, timing.stateTimeoutS());
         directory = new JobDirectory(store, loop, timing, random.nextInt());
         catalog = new MachineTypeCatalog(http, loop, settings);
         peers = new Peers(link, loop, settings, timing, directory, this::status);
-        horizon = new CancellationFreshness(directory, peers, loop, timing);
+        cancellationFreshness = new CancellationFreshness(directory, peers, loop, timing);
         String incarnation = Long.toHexString(random.nextLong());
         leadership =
                 new Leadership(
-                        store,
-                        loop,
-                        settings,
-                        timing,
-                        peers,
-                        incarnation,
-                        new Leadership.Listener() {
-                            @Override
-                            public void gained(long term) {
-                                leader =
-                                        new Leader(
-                                                store,
-                                                http,
-                                                loop,
-                                                settings,
-                                                timing,
-                                                leadership,
-                                                directory,
-                                                peers,
-                                                catalog,
-                                                metrics);
-                                leader.start();
-                            }
-
-                            @Override
-                            public void lost() {
-                                leader.close();
-                                leader = null;
-                            }
-                        });
-        standIn = new LeaseKeepalive(store, peers, leadership, horizon, loop, timing);
-        users =
+                        store, loop, settings, timing, peers, incarnation, new TermListener());
+        leaseKeepalive =
+                new LeaseKeepalive(store, peers, leadership, cancellationFreshness, loop, timing);
+        userApi =
                 new UserApi(
                         directory,
                         store,
@@ -101,21 +81,39 @@
                         peers::tell,
                         metrics,
                         settings.operator().pendingSubmissions());
+
         directory.onChange(this::jobChanged);
-        peers.onProgress(this::progressReceived);
+        peers.onProgress(remoteProgress::receive);
         peers.onSilentRefusal(leadership::leaderRefuses);
-        store.onCommit(metrics::committed);
+        store.onCommit(metrics::commitAnswered);
+        addGauges();
+    }
+
+    private void addGauges() {
         metrics.gauge("leading", leadership, l -> l.mayPlace() ? 1 : 0);
-        metrics.gauge("state.reachable", store, s -> s.reachable() ? 1 : 0);
-        metrics.gauge("state.backlog", store, StateStore::backlog);
-        metrics.gauge("cancellations.age", horizon, CancellationFreshness::age);
-        metrics.gauge("jobs.known", directory, d -> d.all().size());
-        metrics.gauge("tasks.waiting", this, c -> c.leader == null ? 0 : c.leader.waitingTasks());
-        metrics.gauge("tasks.running", this, c -> c.leader == null ? 0 : c.leader.runningTasks());
-        metrics.gauge("machines.up", this, c -> c.leader == null ? 0 : c.leader.machinesUp());
-        metrics.gauge("rounds.kept", this, c -> c.leader == null ? 0 : c.leader.roundsKept());
+        metrics.gauge("state_service_up", store, s -> s.reachable() ? 1 : 0);
+        metrics.gauge("state_service_queued_requests", store, StateStore::backlog);
+        metrics.gauge(
+                "cancellation_staleness_seconds",
+                cancellationFreshness,
+                CancellationFreshness::age);
+        metrics.gauge("jobs", directory, d -> d.all().size());
+        addLeaderGauge("tasks_waiting", Leader::waitingTasks);
+        addLeaderGauge("tasks_running", Leader::runningTasks);
+        addLeaderGauge("machines_up", Leader::machinesUp);
+        addLeaderGauge("rounds_stored", Leader::roundsKept);
+    }
+
+    /** Adds a gauge that only a leader has a value for; any other controller shows 0. */
+    private void addLeaderGauge(String name, ToDoubleFunction<Leader> value) {
+        metrics.gauge(
+                name,
+                this,
+                controller ->
+                        controller.leader == null ? 0 : value.applyAsDouble(controller.leader));
     }
 
+    /** Begins to talk to the state service, the cloud and the other controllers. */
     public void start() {
         LOG.info("controller {} in {} starts", settings.node(), settings.zone());
         peers.start();
@@ -123,35 +121,51 @@
         leadership.start();
         catalog.start();
         directory.start();
-        horizon.start();
+        cancellationFreshness.start();
     }
 
     @Override
     public void handle(Call call) {
         String path = call.path();
-        if (!path.equals(WorkerMessages.REPORT)) {
-            standIn.reachedByUsers();
-        }
         if (path.equals(WorkerMessages.REPORT)) {
-            if (call.method().equals("POST")) {
-                report(call);
-            } else {
-                call.reply(405, EMPTY, 0);
-            }
-        } else if (path.equals(UserMessages.READY)) {
-            if (call.method().equals("GET")) {
-                call.reply(ready() ? 200 : 503, EMPTY, 0);
-            } else {
-                call.reply(405, EMPTY, 0);
-            }
-        } else if (path.equals(UserMessages.SUBMISSIONS)
-                || path.startsWith(UserMessages.SUBMISSIONS + "/")) {
-            users.handle(call);
-        } else if (path.equals(METRICS) && call.method().equals("GET")) {
-            byte[] read = metrics.read();
-            call.reply(read == null ? 429 : 200, read == null ? EMPTY : read, read == null ? 1 : 0);
+            handleReport(call);
+            return;
+        }
+        leaseKeepalive.reachedByUsers();
+        if (path.equals(UserMessages.READY)) {
+            handleReady(call);
+        } else if (isSubmissionPath(path)) {
+            userApi.handle(call);
+        } else if (path.equals(METRICS_PATH) && call.method().equals("GET")) {
+            handleMetrics(call);
+        } else {
+            reply(call, 404);
+        }
+    }
+
+    private static boolean isSubmissionPath(String path) {
+        return path.equals(UserMessages.SUBMISSIONS)
+                || path.startsWith(UserMessages.SUBMISSIONS + "/");
+    }
+
+    private static void reply(Call call, int status) {
+        call.reply(status, EMPTY, 0);
+    }
+
+    private void handleReady(Call call) {
+        if (!call.method().equals("GET")) {
+            reply(call, 405);
+            return;
+        }
+        reply(call, ready() ? 200 : 503);
+    }
+
+    private void handleMetrics(Call call) {
+        byte[] text = metrics.read();
+        if (text == null) {
+            call.reply(429, EMPTY, METRICS_RETRY_AFTER_SECONDS);
         } else {
-            call.reply(404, EMPTY, 0);
+            call.reply(200, text, 0);
         }
     }
 
@@ -163,19 +177,26 @@
         if (!directory.loaded() || !catalog.known()) {
             return false;
         }
-        boolean cutOff =
-                !store.reachable() && loop.now() - store.lastServed() > timing.leaderTtlS() / 2;
-        // One that has heard of nobody for a whole lease is itself what is cut off. Users whose
-        // connections stayed open
-        // there went without an answer for as long as it was, while all others were served.
-        boolean alone =
-                loop.now() - Math.max(store.lastServed(), peers.lastHeard()) > timing.leaseS();
-        return !(cutOff && (peers.someReachState() || alone));
+        boolean othersAreServed = peers.someReachState();
+        return !lacksStateService() || !(othersAreServed || isolated());
+    }
+
+    private boolean lacksStateService() {
+        return !store.reachable() && loop.now() - store.lastServed() > timing.leaderTtlS() / 2;
     }
 
+    /**
+     * Whether nobody was heard of for a whole lease, so that this controller itself is what is cut
+     * off. Users whose connections stayed open here would go without an answer for as long as it
+     * is, while all others are served.
+     */
+    private boolean isolated() {
+        double lastHeard = Math.max(store.lastServed(), peers.lastHeard());
+        return loop.now() - lastHeard > timing.leaseS();
+    }
+
+    /** What this controller tells the others of itself; {@link Peers} fills in the numbers. */
     private Status status() {
-        double since = loop.now() - 2 * timing.quietS();
-        strayWorkers.values().removeIf(at -> at < since);
         return new Status(
                 settings.node(),
                 0,
@@ -183,14 +204,18 @@
                 store.reachable(),
                 leadership.mayAnswer(),
                 leadership.informed(),
-                strayWorkers.size(),
+                unservedWorkers.count(),
                 false,
                 0,
                 leadership.knownTerm(),
                 News.NONE);
     }
 
-    private void report(Call call) {
+    private void handleReport(Call call) {
+        if (!call.method().equals("POST")) {
+            reply(call, 405);
+            return;
+        }
         Report report;
         try {
             report = WorkerMessages.report(call.body());
@@ -198,27 +223,35 @@
             call.reply(400, UserMessages.error(e.getMessage()), 0);
             return;
         }
-        if (leader != null && leadership.mayAnswer() && horizon.covers()) {
+        boolean mayLead = leader != null && leadership.mayAnswer();
+        if (mayLead && cancellationFreshness.covers()) {
             leader.report(call, report);
-            return;
-        }
-        if (standIn.keeps(report, leader != null)) {
-            // Ordering nothing but an end that is final: whoever renews a lease may not leave
-            // cancelled tasks alone.
-            call.reply(
-                    200,
-                    WorkerMessages.reportAnswer(report.token(), directory.stopsFor(report)),
-                    0);
-            return;
+        } else if (leaseKeepalive.keeps(report, leader != null)) {
+            renewLease(call, report);
+        } else {
+            sendAway(call, report);
         }
-        // Not those kept just now: after a cut they would seem to be lost to a leader that merely
-        // could not be reached.
-        strayWorkers.put(report.machine(), loop.now());
-        String leads = leadership.leader();
-        if (leads != null && !leads.equals(settings.node())) {
-            call.reply(421, WorkerMessages.redirect(leads), 0);
+    }
+
+    /**
+     * Renews a worker's lease under its own token. The only commands are stops of cancelled tasks,
+     * for whoever renews a lease may not leave those running.
+     */
+    private void renewLease(Call call, Report report) {
+        byte[] answer = WorkerMessages.reportAnswer(report.token(), directory.stopsFor(report));
+        call.reply(200, answer, 0);
+    }
+
+    private void sendAway(Call call, Report report) {
+        // Only workers sent away count. With those whose lease was just renewed, a leader that
+        // could
+        // not be reached during a partition would seem to have lost them once it is over.
+        unservedWorkers.add(report.machine());
+        String leadingNode = leadership.leader();
+        if (leadingNode == null || leadingNode.equals(settings.node())) {
+            reply(call, 503);
         } else {
-            call.reply(503, EMPTY, 0);
+            call.reply(421, WorkerMessages.redirect(leadingNode), 0);
         }
     }
 
@@ -228,15 +261,33 @@
         }
     }
 
-    private JobProgress progressOf(String id) {
-        return leader != null ? leader.progress(id) : progress.get(id);
+    private JobProgress progressOf(String jobId) {
+        return leader != null ? leader.progress(jobId) : remoteProgress.of(jobId);
     }
 
-    private void progressReceived(Progress received) {
-        if (loop.now() - progressAt > timing.reportS() * 4) {
-            progress = new HashMap<>();
+    /** Makes a leader for each term that this controller wins, and closes it when the term ends. */
+    private final class TermListener implements Leadership.Listener {
+        @Override
+        public void gained(long term) {
+            leader =
+                    new Leader(
+                            store,
+                            http,
+                            loop,
+                            settings,
+                            timing,
+                            leadership,
+                            directory,
+                            peers,
+                            catalog,
+                            metrics);
+            leader.start();
+        }
+
+        @Override
+        public void lost() {
+            leader.close();
+            leader = null;
         }
-        progressAt = loop.now();
-        received.jobs().forEach(p -> progress.put(p.job(), p));
     }
 }
--- a/src/main/java/org/springmill/control/coordination/Metrics.java
+++ b/src/main/java/org/springmill/control/coordination/Metrics.java
@@ -17,126 +17,163 @@
 import org.springmill.transport.Loop;
 
 /**
- * What an operator can read of a controller. The number of series is fixed, and latencies are kept
- * in histograms of bounded size (HdrHistogram, inside Micrometer), so memory does not grow with
- * load.
+ * The metrics of one controller, in the text format that Prometheus reads. The number of series is
+ * fixed, and latencies are kept in histograms of bounded size (HdrHistogram, inside Micrometer), so
+ * memory does not grow with load.
+ *
+ * <p>Names are in snake case. Names of counters end in {@code _total}, names of durations in {@code
+ * _seconds}. docs/operations.md describes every series.
  */
 final class Metrics {
+    private static final String PREFIX = "springmill_";
+    private static final String DURATION_SUFFIX = "_seconds";
+    private static final String COUNTER_SUFFIX = "_total";
     private static final double[] QUANTILES = {0.5, 0.9, 0.99};
 
+    /** Significant digits of the quantiles; more would cost memory. */
+    private static final int QUANTILE_DIGITS = 2;
+
     /** One reading a second is served; metrics must not compete with the work. */
-    private static final double SPACING_S = 1;
+    private static final double MIN_READ_INTERVAL_SECONDS = 1;
+
+    private static final double MILLIS_PER_SECOND = 1e3;
+    private static final double NANOS_PER_SECOND = 1e9;
+    private static final int INITIAL_TEXT_LENGTH = 2048;
 
     private final SimpleMeterRegistry registry;
     private final Loop loop;
     private final Timer acceptance;
-    private final Timer round;
-    private final Timer commit;
-    private final Timer start;
-    private final Counter claims;
-    private final Counter ends;
-    private final Counter restarts;
-    private double lastRead = Double.NEGATIVE_INFINITY;
+    private final Timer placementRound;
+    private final Timer stateServiceCommit;
+    private final Timer taskStart;
+    private final Counter claimsCommitted;
+    private final Counter attemptsEnded;
+    private final Counter attemptsLost;
+    private double lastReadAt = Double.NEGATIVE_INFINITY;
 
     Metrics(Loop loop) {
         this.loop = loop;
-        registry =
-                new SimpleMeterRegistry(
-                        SimpleConfig.DEFAULT,
-                        new Clock() {
-                            @Override
-                            public long wallTime() {
-                                return (long) (loop.now() * 1e3);
-                            }
-
-                            @Override
-                            public long monotonicTime() {
-                                return (long) (loop.now() * 1e9);
-                            }
-                        });
+        registry = new SimpleMeterRegistry(SimpleConfig.DEFAULT, new LoopClock(loop));
         acceptance = timer("acceptance", "from a submission's arrival to its 201");
-        round = timer("round", "from the start of a round to its commit");
-        commit = timer("commit", "one transaction of the state service");
-        start = timer("start", "from a claim to the report that its task runs");
-        claims = registry.counter("springmill.claims");
-        ends = registry.counter("springmill.ends");
-        restarts = registry.counter("springmill.tasks.lost");
+        placementRound = timer("placement_round", "from the start of a round to its commit");
+        stateServiceCommit = timer("state_service_commit", "one transaction of the state service");
+        taskStart = timer("start", "from a claim to the report that its task runs");
+        claimsCommitted = counter("claims_committed");
+        attemptsEnded = counter("attempts_ended");
+        attemptsLost = counter("attempts_lost");
+    }
+
+    /** Adds a gauge that reads its value from an object whenever the metrics are read. */
+    <T> void gauge(String name, T source, ToDoubleFunction<T> value) {
+        Gauge.builder(PREFIX + name, source, value).strongReference(true).register(registry);
+    }
+
+    /** Records that a submission, which arrived at the given time, was accepted now. */
+    void accepted(double arrivedAt) {
+        recordSince(acceptance, arrivedAt);
+    }
+
+    /** Records the commit of a placement round, which was started at the given time. */
+    void roundCommitted(double startedAt, int claims, int endedAttempts) {
+        recordSince(placementRound, startedAt);
+        claimsCommitted.increment(claims);
+        attemptsEnded.increment(endedAttempts);
+    }
+
+    /** Records a commit that the state service answered, and that was sent at the given time. */
+    void commitAnswered(double sentAt) {
+        recordSince(stateServiceCommit, sentAt);
+    }
+
+    /** Records that a task, which was claimed at the given time, runs now. */
+    void started(double claimedAt) {
+        recordSince(taskStart, claimedAt);
+    }
+
+    /** Records an attempt that ended because its machine was silent beyond its lease. */
+    void lost() {
+        attemptsLost.increment();
+    }
+
+    /** All series as text, one to a line; null if they were read less than a second ago. */
+    byte[] read() {
+        if (loop.now() - lastReadAt < MIN_READ_INTERVAL_SECONDS) {
+            return null;
+        }
+        lastReadAt = loop.now();
+        StringBuilder text = new StringBuilder(INITIAL_TEXT_LENGTH);
+        List<Meter> meters = registry.getMeters();
+        meters.stream()
+                .filter(meter -> !isDerived(meter))
+                .sorted(Comparator.comparing(meter -> meter.getId().getName()))
+                .forEach(meter -> append(text, meter));
+        return text.toString().getBytes(StandardCharsets.UTF_8);
     }
 
     private Timer timer(String name, String description) {
-        return Timer.builder("springmill." + name)
+        return Timer.builder(PREFIX + name + DURATION_SUFFIX)
                 .description(description)
                 .publishPercentiles(QUANTILES)
-                .percentilePrecision(2)
+                .percentilePrecision(QUANTILE_DIGITS)
                 .register(registry);
     }
 
-    <T> void gauge(String name, T of, ToDoubleFunction<T> value) {
-        Gauge.builder("springmill." + name, of, value).strongReference(true).register(registry);
+    private Counter counter(String name) {
+        return registry.counter(PREFIX + name + COUNTER_SUFFIX);
     }
 
-    private void record(Timer timer, double since) {
-        timer.record((long) (Math.max(0, loop.now() - since) * 1e9), TimeUnit.NANOSECONDS);
+    private void recordSince(Timer timer, double startedAt) {
+        double seconds = Math.max(0, loop.now() - startedAt);
+        timer.record((long) (seconds * NANOS_PER_SECOND), TimeUnit.NANOSECONDS);
     }
 
-    void accepted(double since) {
-        record(acceptance, since);
+    /** Micrometer adds a gauge for each quantile of a timer, which the timer's own lines show. */
+    private static boolean isDerived(Meter meter) {
+        return meter.getId().syntheticAssociation() != null;
     }
 
-    void roundCommitted(double since, int claimed, int ended) {
-        record(round, since);
-        claims.increment(claimed);
-        ends.increment(ended);
+    private static void append(StringBuilder text, Meter meter) {
+        String name = meter.getId().getName();
+        if (meter instanceof Timer timer) {
+            appendTimer(text, name, timer);
+        } else if (meter instanceof Counter counter) {
+            appendLine(text, name, counter.count());
+        } else if (meter instanceof Gauge gauge) {
+            appendLine(text, name, gauge.value());
+        }
     }
 
-    void committed(double since) {
-        record(commit, since);
+    private static void appendTimer(StringBuilder text, String name, Timer timer) {
+        for (ValueAtPercentile quantile : timer.takeSnapshot().percentileValues()) {
+            String series = name + "{quantile=\"" + quantile.percentile() + "\"}";
+            appendLine(text, series, quantile.value(TimeUnit.NANOSECONDS) / NANOS_PER_SECOND);
+        }
+        double total = timer.totalTime(TimeUnit.NANOSECONDS) / NANOS_PER_SECOND;
+        appendLine(text, name + "_count", (double) timer.count());
+        appendLine(text, name + "_sum", total);
     }
 
-    void started(double since) {
-        record(start, since);
+    private static void appendLine(StringBuilder text, String series, double value) {
+        text.append(series).append(' ');
+        text.append(String.format(Locale.ROOT, "%.6g", value)).append('\n');
     }
 
-    void lost() {
-        restarts.increment();
-    }
+    /** Lets the histograms age by the event loop's clock, which tests can control. */
+    private static final class LoopClock implements Clock {
+        private final Loop loop;
 
-    /** All series as text, one to a line; null if they were read less than a second ago. */
-    byte[] read() {
-        if (loop.now() - lastRead < SPACING_S) {
-            return null;
+        LoopClock(Loop loop) {
+            this.loop = loop;
+        }
+
+        @Override
+        public long wallTime() {
+            return (long) (loop.now() * MILLIS_PER_SECOND);
+        }
+
+        @Override
+        public long monotonicTime() {
+            return (long) (loop.now() * NANOS_PER_SECOND);
         }
-        lastRead = loop.now();
-        StringBuilder out = new StringBuilder(2048);
-        List<Meter> meters = registry.getMeters();
-        meters.stream()
-                .sorted(Comparator.comparing(m -> m.getId().getName()))
-                .forEach(
-                        meter -> {
-                            String name = meter.getId().getName().replace('.', '_');
-                            if (meter instanceof Timer timer) {
-                                for (ValueAtPercentile at :
-                                        timer.takeSnapshot().percentileValues()) {
-                                    line(
-                                            out,
-                                            name + "_seconds{quantile=\"" + at.percentile() + "\"}",
-                                            at.value(TimeUnit.NANOSECONDS) / 1e9);
-                                }
-                                line(out, name + "_seconds_count", (double) timer.count());
-                                line(
-                                        out,
-                                        name + "_seconds_sum",
-                                        timer.totalTime(TimeUnit.NANOSECONDS) / 1e9);
-                            } else if (meter instanceof Counter counter) {
-                                line(out, name + "_total", counter.count());
-                            } else if (meter instanceof Gauge gauge) {
-                                line(out, name, gauge.value());
-                            }
-                        });
-        return out.toString().getBytes(StandardCharsets.UTF_8);
-    }
-
-    private static void line(StringBuilder out, String name, double value) {
-        out.append(name).append(' ').append(String.format(Locale.ROOT, "%.6g", value)).append('\n');
     }
 }
--- /dev/null
+++ b/src/main/java/org/springmill/control/coordination/UnservedWorkers.java
@@ -0,0 +1,31 @@
+package org.springmill.control.coordination;
+
+import java.util.HashMap;
+import java.util.Map;
+import org.springmill.transport.Loop;
+
+/**
+ * Workers that reported to this controller lately and were sent away. Their number tells a leader
+ * that lost them that it is cut off from its workers.
+ */
+final class UnservedWorkers {
+    private final Loop loop;
+    private final double maxAgeSeconds;
+    private final Map<String, Double> lastReportAt = new HashMap<>();
+
+    UnservedWorkers(Loop loop, Timing timing) {
+        this.loop = loop;
+        maxAgeSeconds = 2 * timing.quietS();
+    }
+
+    void add(String machine) {
+        lastReportAt.put(machine, loop.now());
+    }
+
+    /** How many workers were sent away lately; forgets all others. */
+    int count() {
+        double oldest = loop.now() - maxAgeSeconds;
+        lastReportAt.values().removeIf(reportAt -> reportAt < oldest);
+        return lastReportAt.size();
+    }
+}
--- /dev/null
+++ b/src/test/java/org/springmill/control/coordination/MetricsTest.java
@@ -0,0 +1,96 @@
+package org.springmill.control.coordination;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertNotNull;
+import static org.junit.jupiter.api.Assertions.assertNull;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.io.IOException;
+import java.nio.charset.StandardCharsets;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.util.List;
+import java.util.Set;
+import java.util.TreeSet;
+import java.util.regex.Matcher;
+import java.util.regex.Pattern;
+import org.junit.jupiter.api.Test;
+import org.springmill.sim.SimulatedCluster;
+import org.springmill.sim.VirtualClock;
+
+class MetricsTest {
+    private static final Pattern METRIC_NAME = Pattern.compile("`(springmill_[a-z_]+)`");
+    private static final Set<String> COUNTERS =
+            Set.of(
+                    "springmill_claims_committed_total",
+                    "springmill_attempts_ended_total",
+                    "springmill_attempts_lost_total");
+
+    private static List<String> linesOf(byte[] text) {
+        assertNotNull(text);
+        return new String(text, StandardCharsets.UTF_8).lines().toList();
+    }
+
+    /** Names of the series that a running controller shows, without what belongs to a summary. */
+    private static Set<String> namesOnAController() {
+        SimulatedCluster cluster = new SimulatedCluster(1);
+        cluster.run(20);
+        byte[] text = cluster.ask(cluster.leader(), "GET", "/metrics", "").body();
+        Set<String> names = new TreeSet<>();
+        for (String line : linesOf(text)) {
+            String series = line.substring(0, line.indexOf(' '));
+            names.add(series.replaceAll("\\{.*|_count$|_sum$", ""));
+        }
+        return names;
+    }
+
+    @Test
+    void everySeriesOfAControllerIsDescribedInTheOperatorsPageAndNoOther() throws IOException {
+        Set<String> described = new TreeSet<>();
+        Matcher matcher = METRIC_NAME.matcher(Files.readString(Path.of("docs/operations.md")));
+        while (matcher.find()) {
+            described.add(matcher.group(1));
+        }
+        assertEquals(namesOnAController(), described);
+    }
+
+    @Test
+    void countersAndNoOtherSeriesEndInTotal() {
+        Set<String> totals = new TreeSet<>(namesOnAController());
+        totals.removeIf(name -> !name.endsWith("_total"));
+        assertEquals(new TreeSet<>(COUNTERS), totals);
+    }
+
+    @Test
+    void aDurationIsShownInSecondsWithQuantilesCountAndSum() {
+        VirtualClock clock = new VirtualClock();
+        Metrics metrics = new Metrics(clock);
+        metrics.accepted(clock.now() - 0.5);
+        List<String> lines = linesOf(metrics.read());
+        String name = "springmill_acceptance_seconds";
+        assertTrue(lines.contains(name + "_count 1.00000"), lines.toString());
+        assertTrue(lines.contains(name + "_sum 0.500000"), lines.toString());
+        List<String> quantiles =
+                lines.stream().filter(line -> line.startsWith(name + "{quantile=")).toList();
+        assertEquals(3, quantiles.size(), lines.toString());
+        assertEquals(
+                lines.size(),
+                lines.stream().map(line -> line.substring(0, line.indexOf(' '))).distinct().count(),
+                "a series is shown only once");
+        for (String line : quantiles) {
+            double value = Double.parseDouble(line.substring(line.indexOf(' ') + 1));
+            assertEquals(0.5, value, 0.01, line);
+        }
+    }
+
+    @Test
+    void metricsReadTwiceWithinASecondAreShownOnce() {
+        VirtualClock clock = new VirtualClock();
+        Metrics metrics = new Metrics(clock);
+        assertNotNull(metrics.read());
+        clock.run(0.9);
+        assertNull(metrics.read());
+        clock.run(0.2);
+        assertNotNull(metrics.read());
+    }
+}
