--- a/src/main/java/org/springmill/protocol/Json.java
+++ b/src/main/java/org/springmill/protocol/Json.java
@@ -12,15 +12,23 @@
 import java.io.IOException;
 import java.io.UncheckedIOException;
 
-/** Reading and writing of JSON bodies. */
+/** Reads and writes JSON bodies. Readers ignore fields that they do not know. */
 public final class Json {
     private static final ObjectMapper MAPPER =
             new ObjectMapper().enable(DeserializationFeature.FAIL_ON_TRAILING_TOKENS);
+
+    /** Most messages fit without the buffer having to grow. */
+    private static final int INITIAL_BUFFER_BYTES = 256;
+
     private static final JsonFactory FACTORY = MAPPER.getFactory();
 
     private Json() {}
 
-    /** Parses a body that has to be one object. */
+    /**
+     * Parses a body that has to be one object.
+     *
+     * @param body the body, or null if it was too large to be read
+     */
     public static JsonNode object(byte[] body) throws BadMessageException {
         if (body == null) {
             throw new BadMessageException("body too large");
@@ -39,8 +47,9 @@
         return node;
     }
 
+    /** Encodes one object, whose fields the writer adds in order. */
     public static byte[] write(Writer content) {
-        ByteArrayOutputStream out = new ByteArrayOutputStream(256);
+        ByteArrayOutputStream out = new ByteArrayOutputStream(INITIAL_BUFFER_BYTES);
         try (JsonGenerator json = FACTORY.createGenerator(out)) {
             json.writeStartObject();
             content.write(json);
@@ -51,6 +60,7 @@
         return out.toByteArray();
     }
 
+    /** Encodes a value that was read or built before. */
     public static byte[] bytes(JsonNode node) {
         try {
             return MAPPER.writeValueAsBytes(node);
@@ -59,6 +69,7 @@
         }
     }
 
+    /** An object without fields. */
     public static ObjectNode newObject() {
         return JsonNodeFactory.instance.objectNode();
     }
@@ -66,6 +77,7 @@
     /** Writes the fields of an object. */
     @FunctionalInterface
     public interface Writer {
+        /** Adds the fields to an object that has been begun. */
         void write(JsonGenerator json) throws IOException;
     }
 }
--- /dev/null
+++ b/src/main/java/org/springmill/protocol/OperatorSettingsFile.java
@@ -0,0 +1,104 @@
+package org.springmill.protocol;
+
+import com.bertramlabs.plugins.hcl4j.HCLParser;
+import com.bertramlabs.plugins.hcl4j.HCLParserException;
+import java.io.IOException;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.util.Map;
+import java.util.Set;
+import java.util.TreeSet;
+
+/**
+ * Reads and checks the operators' settings file, which is HCL. Since people write it by hand, a
+ * block or field that is not known is refused rather than ignored.
+ */
+final class OperatorSettingsFile {
+    private static final String RENTALS = "rentals";
+    private static final String USERS = "users";
+    private static final String IDLE_BOOTS = "idle_boots";
+    private static final String BOOT_PATIENCE = "boot_patience";
+    private static final String RESERVE = "reserve";
+    private static final String PENDING_SUBMISSIONS = "pending_submissions";
+
+    private static final Map<String, Set<String>> FIELDS_BY_BLOCK =
+            Map.of(
+                    RENTALS, Set.of(IDLE_BOOTS, BOOT_PATIENCE, RESERVE),
+                    USERS, Set.of(PENDING_SUBMISSIONS));
+
+    private final Path file;
+    private final Map<String, Object> blocks;
+
+    private OperatorSettingsFile(Path file, Map<String, Object> blocks) {
+        this.file = file;
+        this.blocks = blocks;
+    }
+
+    static OperatorSettings read(Path file) throws SettingsException {
+        OperatorSettingsFile settings = new OperatorSettingsFile(file, parse(file));
+        settings.checkNames();
+        return settings.values();
+    }
+
+    private static Map<String, Object> parse(Path file) throws SettingsException {
+        try {
+            return new HCLParser().parse(Files.readString(file));
+        } catch (HCLParserException | RuntimeException e) {
+            throw new SettingsException(file, "not valid HCL: " + e.getMessage());
+        } catch (IOException e) {
+            throw new SettingsException(
+                    file, "cannot be read; name an existing HCL file with --operator");
+        }
+    }
+
+    private void checkNames() throws SettingsException {
+        for (Map.Entry<String, Object> block : blocks.entrySet()) {
+            String name = block.getKey();
+            Set<String> knownFields = FIELDS_BY_BLOCK.get(name);
+            if (knownFields == null) {
+                throw unknown(name, FIELDS_BY_BLOCK.keySet());
+            }
+            if (!(block.getValue() instanceof Map<?, ?> fields)) {
+                throw new SettingsException(file, name, "must be a block: " + name + " { ... }");
+            }
+            for (Object field : fields.keySet()) {
+                if (!knownFields.contains(field.toString())) {
+                    throw unknown(name + "." + field, knownFields);
+                }
+            }
+        }
+    }
+
+    private SettingsException unknown(String name, Set<String> known) {
+        String sorted = String.join(", ", new TreeSet<>(known));
+        return new SettingsException(file, name, "is not known; use one of " + sorted);
+    }
+
+    private OperatorSettings values() throws SettingsException {
+        OperatorSettings defaults = OperatorSettings.DEFAULTS;
+        double idleBoots = number(RENTALS, IDLE_BOOTS, defaults.idleBoots(), 0.1, 100);
+        double bootPatience = number(RENTALS, BOOT_PATIENCE, defaults.bootPatience(), 1.5, 100);
+        double reserve = number(RENTALS, RESERVE, defaults.reserve(), 0, 10);
+        double pendingSubmissions =
+                number(USERS, PENDING_SUBMISSIONS, defaults.pendingSubmissions(), 1, 10_000);
+        return new OperatorSettings(idleBoots, bootPatience, reserve, (int) pendingSubmissions);
+    }
+
+    private double number(
+            String block, String field, double defaultValue, double minimum, double maximum)
+            throws SettingsException {
+        Object value = blocks.get(block) instanceof Map<?, ?> fields ? fields.get(field) : null;
+        if (value == null) {
+            return defaultValue;
+        }
+        double number = value instanceof Number given ? given.doubleValue() : Double.NaN;
+        boolean inRange = number >= minimum && number <= maximum;
+        if (!inRange) {
+            throw new SettingsException(
+                    file,
+                    block + "." + field,
+                    "must be a number from " + minimum + " to " + maximum);
+        }
+        return number;
+    }
+}
--- a/src/main/java/org/springmill/protocol/Settings.java
+++ b/src/main/java/org/springmill/protocol/Settings.java
@@ -4,10 +4,17 @@
 import java.util.Map;
 
 /**
- * What the platform hands over at start, with what operators set beside it.
+ * What the platform hands over at start, with what operators set beside it. Durations are in
+ * seconds.
  *
+ * @param node name of this controller
+ * @param zone zone of this controller
+ * @param listen address on which users and workers reach this controller
+ * @param peerListen address on which the other controllers reach this one
  * @param peers addresses of the other controllers' links, by node
+ * @param zones all zones of the deployment
  * @param skewS bound on how far the time of day may be off
+ * @param operator the operators' own settings, or their defaults
  */
 public record Settings(
         String node,
@@ -29,40 +36,70 @@
 
     /** What a team is guaranteed and limited to; 0 means none. */
     public record Team(String name, double cpus, double cpusMax, double gpus, double gpusMax) {
+        /** Allows for the rounding of sums of decimal amounts. */
+        private static final double TOLERANCE = 1e-6;
+
+        /** Whether use of these amounts keeps to the team's limit. */
         public boolean withinLimit(double usedCpus, double usedGpus) {
             return within(usedCpus, cpusMax) && within(usedGpus, gpusMax);
         }
 
+        /** Whether use of these amounts is guaranteed to the team. */
         public boolean withinGuarantee(double usedCpus, double usedGpus) {
             return within(usedCpus, cpus) && within(usedGpus, gpus);
         }
 
         private static boolean within(double used, double bound) {
-            return bound == 0 || used <= bound + 1e-6;
+            return bound == 0 || used <= bound + TOLERANCE;
         }
     }
 
     /**
-     * An aim: a share of a class (null: of all work within guarantees) started or finished within a
-     * time.
+     * An objective: a share of a class of jobs started or finished within a time.
+     *
+     * @param jobClass the class, or null for all work within guarantees
      */
     public record Objective(String kind, String jobClass, double withinS, double share) {}
 
+    /**
+     * Times of the workers.
+     *
+     * @param reportS interval of their reports
+     * @param leaseS how long a worker keeps its tasks after it sent the last report that was
+     *     answered
+     * @param cancelS within this time every task of a cancelled job must be gone
+     */
     public record Workers(double reportS, double leaseS, double cancelS) {}
 
+    /**
+     * Limits of the state service.
+     *
+     * @param requestsPerS requests a second, of all controllers together
+     * @param writesPerS puts and deletes a second, of all controllers together
+     * @param valueBytes largest value
+     * @param writesPerCommit most puts and deletes in one transaction
+     */
     public record State(
             double requestsPerS, double writesPerS, int valueBytes, int writesPerCommit) {
-        private static final int LEAST_VALUE_BYTES = 1024;
+        /** An ordinary job's record fits. */
+        private static final int MIN_HALVED_VALUE_BYTES = 1024;
+
+        /** One write beside the deletion of what it replaces. */
+        private static final int MIN_HALVED_WRITES = 2;
+
+        /** Of the writes of one second, the share that one transaction may take. */
+        private static final double COMMIT_SHARE_OF_SECOND = 0.6;
 
         /**
-         * Bursts are worth one second: a transaction larger than that, less what others write,
-         * would never be taken.
+         * Bounds a transaction by the rate limit. Bursts are worth one second: a transaction larger
+         * than that, less what others write, would never be accepted.
          */
         public State {
-            writesPerCommit = Math.max(1, Math.min(writesPerCommit, (int) (writesPerS * 0.6)));
+            int writesPerBurst = (int) (writesPerS * COMMIT_SHARE_OF_SECOND);
+            writesPerCommit = Math.max(1, Math.min(writesPerCommit, writesPerBurst));
         }
 
-        /** What keeps to both sets of limits. */
+        /** The limits that keep to both sets: the smaller of each pair. */
         State within(State other) {
             return new State(
                     Math.min(requestsPerS, other.requestsPerS),
@@ -72,23 +109,33 @@
         }
 
         /**
-         * What is tried once the service has refused a transaction for its size although it kept to
-         * these limits. Never less than an ordinary job's record takes, and one write beside what
-         * it replaces.
+         * The limits to try once the service has refused a transaction for its size although it
+         * kept to these.
          */
         public State halved() {
             return new State(
                     requestsPerS,
                     writesPerS,
-                    Math.max(LEAST_VALUE_BYTES, valueBytes / 2),
-                    Math.max(2, writesPerCommit / 2));
+                    Math.max(MIN_HALVED_VALUE_BYTES, valueBytes / 2),
+                    Math.max(MIN_HALVED_WRITES, writesPerCommit / 2));
         }
     }
 
+    /**
+     * The cloud's limit of requests, and by how much its list of machines is late.
+     *
+     * @param listLagS nominal lag; it may be twice as long
+     */
     public record Cloud(double requestsPerS, double listLagS) {}
 
+    /**
+     * What this controller may use of its host.
+     *
+     * @param cpuShare share of one core
+     */
     public record Limits(double cpuShare, double memoryMb, int maxSockets) {}
 
+    /** The team of that name, or null. */
     public Team team(String name) {
         for (Team team : teams) {
             if (team.name().equals(name)) {
--- a/src/main/java/org/springmill/protocol/SettingsException.java
+++ b/src/main/java/org/springmill/protocol/SettingsException.java
@@ -1,13 +1,21 @@
 package org.springmill.protocol;
 
+import java.nio.file.Path;
+
 /**
- * A settings file that cannot be used; the message names the file, the field and what would mend
- * it.
+ * A settings file that cannot be used. The message names the file, the field if one is at fault,
+ * and what would mend it.
  */
 public final class SettingsException extends Exception {
     private static final long serialVersionUID = 1L;
 
-    SettingsException(String message) {
-        super(message);
+    /** A file that is at fault as a whole. */
+    SettingsException(Path file, String problem) {
+        super(file + ": " + problem);
+    }
+
+    /** A field that is at fault. */
+    SettingsException(Path file, String field, String problem) {
+        super(file + ": " + field + " " + problem);
     }
 }
--- a/src/main/java/org/springmill/protocol/SettingsFile.java
+++ b/src/main/java/org/springmill/protocol/SettingsFile.java
@@ -11,15 +11,17 @@
 import java.util.List;
 import java.util.Map;
 
-/** Reads and checks the platform's settings file. Unknown fields are ignored. */
+/** Reads and checks the platform's settings file, which is TOML. Unknown fields are ignored. */
 public final class SettingsFile {
-    private final Path file;
-    private final OperatorSettings operator;
+    private static final int MIN_MEMORY_MB = 100;
+    private static final int MIN_SOCKETS = 64;
+    private static final int MIN_WRITES_PER_SECOND = 5;
+    private static final int MIN_VALUE_KB = 2;
+    private static final int MIN_WRITES_PER_COMMIT = 4;
+    private static final int BYTES_PER_KB = 1024;
+    private static final double MILLIS_PER_SECOND = 1000;
 
-    private SettingsFile(Path file, OperatorSettings operator) {
-        this.file = file;
-        this.operator = operator;
-    }
+    private SettingsFile() {}
 
     /**
      * Reads and checks the settings.
@@ -30,239 +32,156 @@
         OperatorSettings operator =
                 operatorFile == null
                         ? OperatorSettings.DEFAULTS
-                        : OperatorSettings.read(operatorFile);
-        return new SettingsFile(file, operator).read();
+                        : OperatorSettingsFile.read(operatorFile);
+        SettingsTable root = SettingsTable.root(file, parse(file));
+        return settings(root, operator);
     }
 
-    private Settings read() throws SettingsException {
-        JsonNode root;
+    private static JsonNode parse(Path file) throws SettingsException {
         try {
-            root = new TomlMapper().readTree(Files.readString(file));
+            return new TomlMapper().readTree(Files.readString(file));
         } catch (JsonProcessingException e) {
-            String where = e.getLocation() == null ? "" : " line " + e.getLocation().getLineNr();
-            throw new SettingsException(
-                    file + where + ": not valid TOML: " + e.getOriginalMessage());
+            String line =
+                    e.getLocation() == null ? "" : "line " + e.getLocation().getLineNr() + ": ";
+            throw new SettingsException(file, line + "not valid TOML: " + e.getOriginalMessage());
         } catch (IOException e) {
             throw new SettingsException(
-                    file + ": cannot be read; name an existing TOML file with --config");
-        }
-        String node = text(root, "node");
-        Map<String, String> peers = new LinkedHashMap<>();
-        int i = 0;
-        for (JsonNode seed : list(root, "seeds")) {
-            String at = "seeds[" + i++ + "].";
-            String name = text(seed, "node", at);
-            if (name.equals(node) || peers.put(name, address(seed, "addr", at)) != null) {
-                throw bad(
-                        at + "node",
-                        "each controller must be listed once, without this one itself");
-            }
-        }
-        JsonNode cluster = root.path("cluster");
-        JsonNode workers = cluster.path("workers");
-        JsonNode state = cluster.path("state");
-        JsonNode cloud = cluster.path("cloud");
-        JsonNode limits = cluster.path("machine_limits");
-        List<String> zones = new ArrayList<>();
-        for (JsonNode zone : list(cluster, "zones")) {
-            zones.add(zone.asText());
+                    file, "cannot be read; name an existing TOML file with --config");
         }
+    }
+
+    private static Settings settings(SettingsTable root, OperatorSettings operator)
+            throws SettingsException {
+        SettingsTable services = root.table("services");
+        SettingsTable cluster = root.table("cluster");
+        String node = root.text("node");
         return new Settings(
                 node,
-                text(root, "site"),
-                address(root, "api_addr", ""),
-                address(root, "peer_bind", ""),
-                Map.copyOf(peers),
-                address(root.path("services"), "cloud", "services."),
-                address(root.path("services"), "state", "services."),
-                List.copyOf(zones),
-                positive(cluster, "skew_ms", "cluster.") / 1000,
+                root.text("site"),
+                root.address("api_addr"),
+                root.address("peer_bind"),
+                peers(root, node),
+                services.address("cloud"),
+                services.address("state"),
+                cluster.texts("zones"),
+                cluster.positive("skew_ms") / MILLIS_PER_SECOND,
                 teams(cluster),
                 objectives(cluster),
-                new Settings.Workers(
-                        positive(workers, "report_s", "cluster.workers."),
-                        positive(workers, "lease_s", "cluster.workers."),
-                        positive(workers, "cancel_s", "cluster.workers.")),
-                stateLimits(state),
-                new Settings.Cloud(
-                        positive(cloud, "rps", "cluster.cloud."),
-                        number(cloud, "list_lag_s", "cluster.cloud.")),
-                new Settings.Limits(
-                        positive(limits, "cpu_share", "cluster.machine_limits."),
-                        atLeast(
-                                limits,
-                                "ram_mb",
-                                "cluster.machine_limits.",
-                                100,
-                                "for the process with its heap"),
-                        (int)
-                                atLeast(
-                                        limits,
-                                        "max_sockets",
-                                        "cluster.machine_limits.",
-                                        64,
-                                        "for the state service, the cloud, the other controllers, users and workers")),
+                workers(cluster.table("workers")),
+                stateLimits(cluster.table("state")),
+                cloud(cluster.table("cloud")),
+                machineLimits(cluster.table("machine_limits")),
                 operator);
     }
 
-    /**
-     * The limits in force and, if there is a second set, those that will be from an unannounced
-     * moment on. What is written keeps to both from the start, so that the moment need not be
-     * known.
-     */
-    private Settings.State stateLimits(JsonNode state) throws SettingsException {
-        Settings.State now = stateLimits(state, state, "cluster.state.");
-        JsonNode next = state.path("next");
-        if (next.isMissingNode()) {
-            return now;
-        }
-        if (!next.isObject()) {
-            throw bad("cluster.state.next", "must be a table of limits");
-        }
-        return now.within(stateLimits(next, state, "cluster.state.next."));
-    }
-
-    /**
-     * @param otherwise where a limit stands that is not given
-     */
-    private Settings.State stateLimits(JsonNode limits, JsonNode otherwise, String at)
+    private static Map<String, String> peers(SettingsTable root, String ownNode)
             throws SettingsException {
-        return new Settings.State(
-                positive(either(limits, otherwise, "rps"), "rps", at),
-                atLeast(
-                        either(limits, otherwise, "write_rps"),
-                        "write_rps",
-                        at,
-                        5,
-                        "for rounds beside the leader's record"),
-                (int)
-                        (atLeast(
-                                        either(limits, otherwise, "value_kb"),
-                                        "value_kb",
-                                        at,
-                                        2,
-                                        "for the largest submission")
-                                * 1024),
-                (int)
-                        atLeast(
-                                either(limits, otherwise, "txn_ops"),
-                                "txn_ops",
-                                at,
-                                4,
-                                "for a round that replaces older ones"));
-    }
-
-    private static JsonNode either(JsonNode first, JsonNode second, String field) {
-        return first.has(field) ? first : second;
+        Map<String, String> peers = new LinkedHashMap<>();
+        for (SettingsTable seed : root.tables("seeds")) {
+            String node = seed.text("node");
+            String address = seed.address("addr");
+            if (node.equals(ownNode) || peers.put(node, address) != null) {
+                throw seed.bad(
+                        "node", "each controller must be listed once, without this one itself");
+            }
+        }
+        return Map.copyOf(peers);
     }
 
-    private List<Settings.Team> teams(JsonNode cluster) throws SettingsException {
+    private static List<Settings.Team> teams(SettingsTable cluster) throws SettingsException {
         List<Settings.Team> teams = new ArrayList<>();
-        int i = 0;
-        for (JsonNode team : list(cluster, "teams")) {
-            String at = "cluster.teams[" + i++ + "].";
+        for (SettingsTable team : cluster.tables("teams")) {
             teams.add(
                     new Settings.Team(
-                            text(team, "name", at),
-                            optional(team, "cpus", at),
-                            optional(team, "cpus_max", at),
-                            optional(team, "gpus", at),
-                            optional(team, "gpus_max", at)));
+                            team.text("name"),
+                            team.optionalNumber("cpus"),
+                            team.optionalNumber("cpus_max"),
+                            team.optionalNumber("gpus"),
+                            team.optionalNumber("gpus_max")));
         }
         return List.copyOf(teams);
     }
 
-    private List<Settings.Objective> objectives(JsonNode cluster) throws SettingsException {
+    private static List<Settings.Objective> objectives(SettingsTable cluster)
+            throws SettingsException {
         List<Settings.Objective> objectives = new ArrayList<>();
-        int i = 0;
-        for (JsonNode objective : list(cluster, "objectives")) {
-            String at = "cluster.objectives[" + i++ + "].";
-            JsonNode jobClass = objective.path("class");
+        for (SettingsTable objective : cluster.tables("objectives")) {
             objectives.add(
                     new Settings.Objective(
-                            text(objective, "kind", at),
-                            jobClass.isTextual() ? jobClass.textValue() : null,
-                            optional(objective, "within_s", at),
-                            optional(objective, "share", at)));
+                            objective.text("kind"),
+                            objective.optionalText("class"),
+                            objective.optionalNumber("within_s"),
+                            objective.optionalNumber("share")));
         }
         return List.copyOf(objectives);
     }
 
-    private JsonNode list(JsonNode parent, String field) throws SettingsException {
-        JsonNode node = parent.path(field);
-        if (!node.isMissingNode() && !node.isArray()) {
-            throw bad(field, "must be a list");
-        }
-        return node;
+    private static Settings.Workers workers(SettingsTable workers) throws SettingsException {
+        return new Settings.Workers(
+                workers.positive("report_s"),
+                workers.positive("lease_s"),
+                workers.positive("cancel_s"));
     }
 
-    private String text(JsonNode parent, String field) throws SettingsException {
-        return text(parent, field, "");
+    private static Settings.Cloud cloud(SettingsTable cloud) throws SettingsException {
+        return new Settings.Cloud(cloud.positive("rps"), cloud.number("list_lag_s"));
     }
 
-    private String text(JsonNode parent, String field, String at) throws SettingsException {
-        JsonNode node = parent.path(field);
-        if (node.isMissingNode()) {
-            throw bad(at + field, "is missing; add it as a text");
-        }
-        if (!node.isTextual() || node.textValue().isEmpty()) {
-            throw bad(at + field, "must be a text that is not empty");
-        }
-        return node.textValue();
+    private static Settings.Limits machineLimits(SettingsTable limits) throws SettingsException {
+        double cpuShare = limits.positive("cpu_share");
+        double memoryMb = limits.atLeast("ram_mb", MIN_MEMORY_MB, "for the process with its heap");
+        double sockets =
+                limits.atLeast(
+                        "max_sockets",
+                        MIN_SOCKETS,
+                        "for the state service, the cloud, the other controllers, users and"
+                                + " workers");
+        return new Settings.Limits(cpuShare, memoryMb, (int) sockets);
     }
 
-    private String address(JsonNode parent, String field, String at) throws SettingsException {
-        String text = text(parent, field, at);
-        int colon = text.lastIndexOf(':');
-        int port = -1;
-        try {
-            port = Integer.parseInt(text.substring(colon + 1));
-        } catch (NumberFormatException e) {
-            // Falls through to the one message for every wrong address.
-        }
-        if (colon < 1 || port < 0 || port > 65535) {
-            throw bad(at + field, "is \"" + text + "\"; write it as \"10.0.0.1:8080\"");
-        }
-        return text;
-    }
-
-    private double number(JsonNode parent, String field, String at) throws SettingsException {
-        JsonNode node = parent.path(field);
-        if (node.isMissingNode()) {
-            throw bad(at + field, "is missing; add it as a number");
-        }
-        if (!node.isNumber() || !Double.isFinite(node.doubleValue()) || node.doubleValue() < 0) {
-            throw bad(at + field, "must be a number of at least 0");
-        }
-        return node.doubleValue();
+    /**
+     * The limits in force and, if there is a second set, those that will be from an unannounced
+     * moment on. What is written keeps to both from the start, so that the moment need not be
+     * known.
+     */
+    private static Settings.State stateLimits(SettingsTable state) throws SettingsException {
+        Settings.State current = stateLimits(state, state);
+        SettingsTable next = state.optionalTable("next", "next = { write_rps = 15.0 }");
+        return next == null ? current : current.within(stateLimits(next, state));
     }
 
     /**
-     * A limit too small to serve at all stops the start, rather than let the service fail by and
-     * by.
+     * One set of limits.
+     *
+     * @param defaults the table that holds a limit which the set itself lacks
      */
-    private double atLeast(JsonNode parent, String field, String at, double least, String what)
+    private static Settings.State stateLimits(SettingsTable limits, SettingsTable defaults)
             throws SettingsException {
-        double value = number(parent, field, at);
-        if (value < least) {
-            throw bad(at + field, "must be at least " + (int) least + ' ' + what);
-        }
-        return value;
-    }
-
-    private double positive(JsonNode parent, String field, String at) throws SettingsException {
-        double value = number(parent, field, at);
-        if (value <= 0) {
-            throw bad(at + field, "must be above 0");
-        }
-        return value;
-    }
-
-    private double optional(JsonNode parent, String field, String at) throws SettingsException {
-        return parent.has(field) ? number(parent, field, at) : 0;
+        double requestsPerSecond = tableWith("rps", limits, defaults).positive("rps");
+        double writesPerSecond =
+                tableWith("write_rps", limits, defaults)
+                        .atLeast(
+                                "write_rps",
+                                MIN_WRITES_PER_SECOND,
+                                "for rounds beside the leader's record");
+        double valueKb =
+                tableWith("value_kb", limits, defaults)
+                        .atLeast("value_kb", MIN_VALUE_KB, "for the largest submission");
+        double writesPerCommit =
+                tableWith("txn_ops", limits, defaults)
+                        .atLeast(
+                                "txn_ops",
+                                MIN_WRITES_PER_COMMIT,
+                                "for a round that replaces older ones");
+        return new Settings.State(
+                requestsPerSecond,
+                writesPerSecond,
+                (int) (valueKb * BYTES_PER_KB),
+                (int) writesPerCommit);
     }
 
-    private SettingsException bad(String field, String problem) {
-        return new SettingsException(file + ": " + field + " " + problem);
+    private static SettingsTable tableWith(
+            String field, SettingsTable preferred, SettingsTable otherwise) {
+        return preferred.has(field) ? preferred : otherwise;
     }
 }
--- a/src/main/java/org/springmill/protocol/Shape.java
+++ b/src/main/java/org/springmill/protocol/Shape.java
@@ -15,6 +15,7 @@
         this.wire = wire;
     }
 
+    /** The shape with that name on the wire. */
     static Shape of(String wire) throws BadMessageException {
         for (Shape shape : values()) {
             if (shape.wire.equals(wire)) {
@@ -24,6 +25,7 @@
         throw new BadMessageException("shape is not one of sweep, service, group");
     }
 
+    /** The name on the wire. */
     String wire() {
         return wire;
     }
--- a/src/main/java/org/springmill/protocol/WorkerMessages.java
+++ b/src/main/java/org/springmill/protocol/WorkerMessages.java
@@ -6,38 +6,60 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Messages between controllers and workers. */
+/**
+ * Messages between controllers and workers. The names on the wire stand only in this class; fields
+ * that it does not read are ignored.
+ */
 public final class WorkerMessages {
+    /** Path of a controller to which workers report. */
     public static final String REPORT = "/v1/report";
+
+    /** Path of a worker that takes commands. */
     public static final String ORDERS = "/orders";
 
     private WorkerMessages() {}
 
     /** Where a task stands on its machine. */
     public enum TaskState {
+        /** Waits for its image, or is in a state that is not known here. */
         FETCHING,
         RUNNING,
+        /** Was told to stop and saves its progress. */
         SAVING,
         EXITED
     }
 
     /** Why a task has ended. */
     public enum Cause {
+        /** It has not ended, or nothing is known but that it is gone. */
         NONE,
+        /** Completed; the result is kept. */
         DONE,
+        /** Stopped by command. */
         STOPPED,
+        /** Failed. */
         ERROR,
+        /** Start refused: not enough free resources. */
         NO_ROOM,
+        /** Start refused: the task is on this machine with another attempt. */
         BUSY,
+        /** Start refused: no such job or task. */
         UNKNOWN_JOB
     }
 
-    /** One task of a report. */
+    /**
+     * One task of a report.
+     *
+     * @param attempt number of the attempt, which is the placement round that claimed it
+     */
     public record TaskReport(TaskId task, long attempt, TaskState state, Cause cause) {}
 
     /**
-     * A worker's account of itself.
+     * A worker's state as it reports it.
      *
+     * @param session begins at 1 and rises whenever the worker's lease has expired
+     * @param seq rises with every message of the worker
+     * @param token highest token that the worker has seen
      * @param noticeS seconds until the cloud takes the machine away; null without notice
      */
     public record Report(
@@ -52,36 +74,41 @@
             Double noticeS,
             List<TaskReport> tasks) {
 
+        /** Whether this report was made after another message of the same worker. */
         public boolean newerThan(long otherSession, long otherSeq) {
             return session > otherSession || (session == otherSession && seq > otherSeq);
         }
     }
 
-    /** An order to a worker. */
+    /** A command to a worker. */
     public sealed interface Command {
+        /** The task that it is about. */
         TaskId task();
 
+        /** The attempt that it is about. */
         long attempt();
     }
 
+    /** Starts an attempt; does nothing while the worker knows that attempt. */
     public record Start(TaskId task, long attempt) implements Command {}
 
+    /**
+     * Stops an attempt.
+     *
+     * @param graceS seconds that a task which can save its progress has for that
+     */
     public record Stop(TaskId task, long attempt, double graceS) implements Command {}
 
+    /**
+     * Removes an attempt that has ended from the reports. The worker then forgets it: a start that
+     * arrives later would run it again.
+     */
     public record Forget(TaskId task, long attempt) implements Command {}
 
+    /** Decodes a report, or the answer to a command, which has the same form. */
     public static Report report(byte[] body) throws BadMessageException {
         JsonNode json = Json.object(body);
-        JsonNode listed = json.path("sacks");
-        List<TaskReport> tasks = new ArrayList<>(listed.size());
-        for (JsonNode task : listed) {
-            tasks.add(
-                    new TaskReport(
-                            TaskId.parse(task.path("sack").asText()),
-                            whole(task, "try"),
-                            state(task.path("phase").asText()),
-                            cause(task.path("cause").asText())));
-        }
+        List<TaskReport> tasks = taskReports(json.path("sacks"));
         JsonNode notice = json.path("warningS");
         String machine = json.path("stone").asText();
         if (machine.isEmpty()) {
@@ -100,6 +127,20 @@
                 tasks);
     }
 
+    private static List<TaskReport> taskReports(JsonNode array) throws BadMessageException {
+        List<TaskReport> tasks = new ArrayList<>(array.size());
+        for (JsonNode task : array) {
+            tasks.add(
+                    new TaskReport(
+                            TaskId.parse(task.path("sack").asText()),
+                            whole(task, "try"),
+                            state(task.path("phase").asText()),
+                            cause(task.path("cause").asText())));
+        }
+        return tasks;
+    }
+
+    /** Encodes the answer to a report, which renews the worker's lease. */
     public static byte[] reportAnswer(long token, List<Command> commands) {
         return Json.write(
                 json -> {
@@ -108,6 +149,7 @@
                 });
     }
 
+    /** Encodes commands that are sent straight to a worker; they do not renew its lease. */
     public static byte[] orders(long token, long session, List<Command> commands) {
         return Json.write(
                 json -> {
@@ -147,7 +189,10 @@
         if (command instanceof Start) {
             return "start";
         }
-        return command instanceof Stop ? "halt" : "clear";
+        if (command instanceof Stop) {
+            return "halt";
+        }
+        return "clear";
     }
 
     private static long whole(JsonNode json, String field) throws BadMessageException {
--- a/src/test/java/org/springmill/cli/SettingsTest.java
+++ b/src/test/java/org/springmill/cli/SettingsTest.java
@@ -157,6 +157,31 @@
                 "{ write_rps = -3 }                                 | | cluster.state.next.write_rps",
                 "{ rps = 0 }                                        | | cluster.state.next.rps must be above 0",
                 "5                                                  | | cluster.state.next must be a table",
+                "\"small\"                                            | | cluster.state.next must be a table",
+                "[{ rps = 100.0 }]                                  | | cluster.state.next must be a table",
+                "{ rps = 100.0 }                                    | 100, 60, 8192, 16 | fine",
+                "{ write_rps = 20.0 }                               | 150, 20, 8192, 12 | fine",
+                "{ value_kb = 4.0 }                                 | 150, 60, 4096, 16 | fine",
+                "{ txn_ops = 8 }                                    | 150, 60, 8192, 8  | fine",
+                "{ rps = -1 }                                       | | cluster.state.next.rps must be a number of at least 0",
+                "{ value_kb = -8.0 }                                | | cluster.state.next.value_kb must be a number of at least 0",
+                "{ txn_ops = -16 }                                  | | cluster.state.next.txn_ops must be a number of at least 0",
+                "{ write_rps = 0 }                                  | | cluster.state.next.write_rps must be at least 5",
+                "{ value_kb = 0.0 }                                 | | cluster.state.next.value_kb must be at least 2",
+                "{ txn_ops = 0 }                                    | | cluster.state.next.txn_ops must be at least 4",
+                "{ write_rps = 4.9 }                                | | cluster.state.next.write_rps must be at least 5",
+                "{ value_kb = 1.99 }                                | | cluster.state.next.value_kb must be at least 2",
+                "{ txn_ops = 3 }                                    | | cluster.state.next.txn_ops must be at least 4",
+                "{ rps = \"100\" }                                    | | cluster.state.next.rps must be a number",
+                "{ write_rps = \"20\" }                               | | cluster.state.next.write_rps must be a number",
+                "{ value_kb = \"4\" }                                 | | cluster.state.next.value_kb must be a number",
+                "{ txn_ops = \"8\" }                                  | | cluster.state.next.txn_ops must be a number",
+                "{ txn_ops = true }                                 | | cluster.state.next.txn_ops must be a number",
+                "{ value_kb = nan }                                 | | cluster.state.next.value_kb must be a number",
+                "{ rps = inf }                                      | | cluster.state.next.rps must be a number",
+                "{ rps = [100.0] }                                  | | cluster.state.next.rps must be a number",
+                "{ value_kb = 4.0, txn_ops = 1 }                    | | cluster.state.next.txn_ops must be at least 4",
+                "{ rps =                                            | | not valid TOML",
             })
     void limitsToComeAreCheckedAndKeptTo(String next, String kept, String says) throws Exception {
         Path file =
@@ -165,7 +190,9 @@
                         GOOD.replace("txn_ops = 16", "txn_ops = 16\nnext = " + next));
         Ran ran = run("check", "--config", file.toString());
         assertEquals(kept == null ? 2 : 0, ran.code(), ran.err());
-        assertTrue((ran.out() + ran.err()).contains(says), ran.out() + ran.err());
+        String said = ran.out() + ran.err();
+        assertTrue(said.contains(says) && said.contains(file.toString()), said);
+        assertFalse(said.contains("Exception"), said);
         if (kept != null) {
             String[] limits = kept.split(", ");
             assertEquals(
