--- /dev/null
+++ b/src/main/java/org/springmill/control/coordination/Bin.java
@@ -0,0 +1,150 @@
+package org.springmill.control.coordination;
+
+import java.util.function.Predicate;
+import org.springmill.protocol.CloudMessages.MachineType;
+import org.springmill.protocol.Submission;
+
+/**
+ * The free resources of one machine, rented already or planned to be, as the packing of demand sees
+ * them. What is packed here takes nothing of the machine itself.
+ */
+final class Bin {
+    /** What a machine does at the moment, in the order in which bins are filled. */
+    enum Activity {
+        RUNNING_TASKS,
+        IDLE,
+        BOOTING
+    }
+
+    /** Resources are sums of decimal fractions, and off by the rounding of these. */
+    private static final double ROUNDING = 1e-6;
+
+    private final MachineKind kind;
+
+    /** Null for a machine that is not rented yet. */
+    private final Machine machine;
+
+    private double freeCpus;
+    private double freeGpus;
+    private double freeMemoryGb;
+    private boolean used;
+
+    private Bin(
+            MachineKind kind,
+            Machine machine,
+            double freeCpus,
+            double freeGpus,
+            double freeMemoryGb) {
+        this.kind = kind;
+        this.machine = machine;
+        this.freeCpus = freeCpus;
+        this.freeGpus = freeGpus;
+        this.freeMemoryGb = freeMemoryGb;
+    }
+
+    /** What is free on a machine of known type. */
+    static Bin of(Machine machine) {
+        return new Bin(
+                new MachineKind(machine.type(), machine.zone(), machine.spot()),
+                machine,
+                machine.freeCpus(),
+                machine.freeGpus(),
+                machine.freeMemory());
+    }
+
+    /** An empty machine that would have to be rented. */
+    static Bin planned(MachineKind kind) {
+        MachineType type = kind.type();
+        return new Bin(kind, null, type.cpus(), type.gpus(), type.memoryGb());
+    }
+
+    MachineKind kind() {
+        return kind;
+    }
+
+    /** Null if {@link #isPlanned}. */
+    Machine machine() {
+        return machine;
+    }
+
+    /** Whether the machine would have to be rented. */
+    boolean isPlanned() {
+        return machine == null;
+    }
+
+    /** Whether anything was packed here. */
+    boolean isUsed() {
+        return used;
+    }
+
+    /** What the machine, which must be rented already, does at the moment. */
+    Activity activity() {
+        if (machine.state() != Machine.State.UP) {
+            return Activity.BOOTING;
+        }
+        return machine.attempts().isEmpty() ? Activity.IDLE : Activity.RUNNING_TASKS;
+    }
+
+    /** Share of the machine that is free, by what is scarcest on it. */
+    double freeShare() {
+        MachineType type = kind.type();
+        double share = Math.min(freeCpus / type.cpus(), freeMemoryGb / type.memoryGb());
+        return type.gpus() == 0 ? share : Math.min(share, freeGpus / type.gpus());
+    }
+
+    /** What the free part of the machine costs by the hour. */
+    double freeCost() {
+        return kind.price() * freeShare();
+    }
+
+    /** How many of a job's tasks find room here, whatever other zones hold of it. */
+    int holds(Submission spec) {
+        if (!suits(spec)) {
+            return 0;
+        }
+        double byCpus = holds(freeCpus, spec.cpus(), spec.tasks());
+        double byGpus = holds(freeGpus, spec.gpus(), spec.tasks());
+        double byMemory = holds(freeMemoryGb, spec.memoryGb(), spec.tasks());
+        return (int) Math.min(spec.tasks(), Math.min(byCpus, Math.min(byGpus, byMemory)));
+    }
+
+    private static double holds(double free, double each, int tasks) {
+        return each == 0 ? tasks : (free + ROUNDING) / each;
+    }
+
+    /**
+     * Packs one task here if there is room and the job may have one more in this zone.
+     *
+     * @param tasksPerZone the job's tasks so far; the packed one is added
+     * @return whether it was packed
+     */
+    boolean pack(Submission spec, ZoneCounts tasksPerZone) {
+        boolean zoneIsOpen = tasksPerZone.count(kind.zone()) < spec.perZone();
+        if (!suits(spec) || !hasRoom(spec) || !zoneIsOpen) {
+            return false;
+        }
+        freeCpus -= spec.cpus();
+        freeGpus -= spec.gpus();
+        freeMemoryGb -= spec.memoryGb();
+        used = true;
+        tasksPerZone.add(kind.zone());
+        return true;
+    }
+
+    /** Whether the machine is rented already and is excluded by a condition. */
+    boolean isExcluded(Predicate<Machine> excluded) {
+        return machine != null && excluded.test(machine);
+    }
+
+    private boolean suits(Submission spec) {
+        boolean spotAllowed = !kind.spot() || spec.spot();
+        boolean zoneAllowed = spec.zone() == null || spec.zone().equals(kind.zone());
+        return kind.type().fits(spec) && spotAllowed && zoneAllowed;
+    }
+
+    private boolean hasRoom(Submission spec) {
+        return spec.cpus() <= freeCpus + ROUNDING
+                && spec.gpus() <= freeGpus + ROUNDING
+                && spec.memoryGb() <= freeMemoryGb + ROUNDING;
+    }
+}
--- /dev/null
+++ b/src/main/java/org/springmill/control/coordination/CloudClient.java
@@ -0,0 +1,84 @@
+package org.springmill.control.coordination;
+
+import java.util.function.Consumer;
+import org.springmill.control.storage.RateLimit;
+import org.springmill.protocol.Settings;
+import org.springmill.transport.HttpClient;
+import org.springmill.transport.HttpClient.Reply;
+import org.springmill.transport.HttpClient.Request;
+import org.springmill.transport.Loop;
+
+/**
+ * Sends one leader's requests to the cloud at no more than the agreed rate. It is closed at the end
+ * of the leader's term; whoever schedules further requests checks that first.
+ */
+final class CloudClient {
+    private static final byte[] NO_BODY = new byte[0];
+
+    /** Three attempts, one after the other, fit into one worker lease. */
+    private static final double ATTEMPTS_PER_LEASE = 3;
+
+    /** A request that recurs takes at most one in so many of those that the rate allows. */
+    private static final double REQUESTS_PER_REPEAT = 2;
+
+    private final HttpClient http;
+    private final Loop loop;
+    private final Settings settings;
+    private final Timing timing;
+    private final RateLimit rateLimit;
+    private boolean closed;
+
+    CloudClient(HttpClient http, Loop loop, Settings settings, Timing timing) {
+        this.http = http;
+        this.loop = loop;
+        this.settings = settings;
+        this.timing = timing;
+        this.rateLimit = new RateLimit(settings.cloud().requestsPerS(), loop.now());
+    }
+
+    /** Ends the leader's term: no request is scheduled any more, and answers may be ignored. */
+    void close() {
+        closed = true;
+    }
+
+    boolean isClosed() {
+        return closed;
+    }
+
+    /** The pause before a request is repeated, be it a regular one or one that failed. */
+    double repeatSeconds() {
+        return Math.max(
+                timing.reportS() / 2, REQUESTS_PER_REPEAT / settings.cloud().requestsPerS());
+    }
+
+    /** Seconds until the rate allows so many requests. */
+    double secondsUntil(int requests) {
+        return rateLimit.waitFor(requests, loop.now());
+    }
+
+    /** Sends a GET request as soon as the rate allows it. */
+    void get(String path, Consumer<Reply> done) {
+        send(request("GET", path, NO_BODY), done);
+    }
+
+    /** Builds a POST request that can be sent more than once. */
+    Request post(String path, byte[] body) {
+        return request("POST", path, body);
+    }
+
+    /** Sends a request as soon as the rate allows it. */
+    void send(Request request, Consumer<Reply> done) {
+        double waitSeconds = secondsUntil(1);
+        rateLimit.take(1, loop.now());
+        if (waitSeconds > 0) {
+            loop.after(waitSeconds, () -> http.send(request, done));
+        } else {
+            http.send(request, done);
+        }
+    }
+
+    private Request request(String method, String path, byte[] body) {
+        double timeoutSeconds = timing.leaseS() / ATTEMPTS_PER_LEASE;
+        return new Request(settings.cloudAddress(), method, path, body, timeoutSeconds);
+    }
+}
--- /dev/null
+++ b/src/main/java/org/springmill/control/coordination/DemandPacking.java
@@ -0,0 +1,180 @@
+package org.springmill.control.coordination;
+
+import java.util.List;
+import java.util.Optional;
+import java.util.function.Predicate;
+import org.springmill.protocol.CloudMessages;
+import org.springmill.protocol.CloudMessages.MachineType;
+import org.springmill.protocol.Submission;
+
+/**
+ * Packs waiting and expected tasks, first fit, into the free resources of the fleet, and plans
+ * machines to be rented for those that find no room. One instance serves one plan.
+ */
+final class DemandPacking {
+    /**
+     * A plan rents no more machines than can be asked for in so many requests. A bound on all
+     * machines together would end rentals for good in a fleet that has grown past it.
+     */
+    private static final int MAX_PLANNED = CloudMessages.MAX_RENT * 4;
+
+    /**
+     * Per task of the job in a zone: less than any difference in price that matters, so that among
+     * equal prices a job's tasks are spread over zones.
+     */
+    private static final double PRICE_PER_TASK_IN_ZONE = 1e-3;
+
+    /**
+     * Per machine in a zone: a tenth of that, so that the spread of the fleet decides only between
+     * zones that hold as many tasks of the job.
+     */
+    private static final double PRICE_PER_MACHINE_IN_ZONE = 1e-4;
+
+    private final Iterable<MachineType> types;
+    private final List<String> zones;
+    private final Predicate<MachineKind> rentable;
+    private final ZoneCounts machinesPerZone;
+    private final List<Bin> bins;
+    private int planned;
+
+    /**
+     * @param types all types that the cloud offers
+     * @param zones all zones of the deployment
+     * @param rentable whether a kind of machine may be rented now
+     * @param machinesPerZone all machines of the fleet
+     * @param bins the free resources of the fleet in the order in which they are to be filled;
+     *     planned machines are added at the end
+     */
+    DemandPacking(
+            Iterable<MachineType> types,
+            List<String> zones,
+            Predicate<MachineKind> rentable,
+            ZoneCounts machinesPerZone,
+            List<Bin> bins) {
+        this.types = types;
+        this.zones = zones;
+        this.rentable = rentable;
+        this.machinesPerZone = machinesPerZone;
+        this.bins = bins;
+    }
+
+    /** All bins, those of planned machines last. */
+    List<Bin> bins() {
+        return bins;
+    }
+
+    /** The bins of machines that have to be rented. */
+    List<Bin> plannedBins() {
+        return bins.stream().filter(Bin::isPlanned).toList();
+    }
+
+    /** Finds room for tasks or plans machines for them, as far as some may be rented. */
+    void pack(PackingRequest request) {
+        // What has no room for one task has none for the next: each bin is looked at once for all.
+        int binIndex = 0;
+        int left = request.tasks();
+        while (left > 0) {
+            ZoneCounts tasksPerZone = request.tasksPerZone().get();
+            if (binIndex == bins.size() && !plan(request.spec(), left, tasksPerZone)) {
+                return;
+            }
+            if (pack(request, tasksPerZone, bins.get(binIndex))) {
+                left--;
+            } else {
+                binIndex++;
+            }
+        }
+    }
+
+    /**
+     * A job whose tasks have to be together, as if it were allowed only in the zone where most of
+     * them find room. Without that, room in one zone would seem to be room for the rest of a job
+     * whose first tasks go to another.
+     *
+     * @param tasks how many wait
+     */
+    Submission inZoneWithMostRoom(Submission spec, int tasks) {
+        Submission best = spec;
+        int mostHeld = -1;
+        for (String zone : zones) {
+            boolean allowed = spec.zone() == null || spec.zone().equals(zone);
+            if (!allowed) {
+                continue;
+            }
+            Submission inZone = spec.inZone(zone);
+            int held = bins.stream().mapToInt(bin -> bin.holds(inZone)).sum();
+            if (held > mostHeld && (held >= tasks || isRentable(inZone, tasks))) {
+                best = inZone;
+                mostHeld = held;
+            }
+        }
+        return best;
+    }
+
+    private static boolean pack(PackingRequest request, ZoneCounts tasksPerZone, Bin bin) {
+        return !bin.isExcluded(request.excluded()) && bin.pack(request.spec(), tasksPerZone);
+    }
+
+    /** Plans one more machine; false if none may be rented for such tasks. */
+    private boolean plan(Submission spec, int tasks, ZoneCounts tasksPerZone) {
+        if (planned == MAX_PLANNED) {
+            return false;
+        }
+        Optional<MachineKind> kind = cheapest(spec, tasks, tasksPerZone);
+        if (kind.isEmpty()) {
+            return false;
+        }
+        planned++;
+        bins.add(Bin.planned(kind.get()));
+        return true;
+    }
+
+    private boolean isRentable(Submission spec, int tasks) {
+        return cheapest(spec, tasks, new ZoneCounts()).isPresent();
+    }
+
+    /** The kind of machine that runs so many tasks at the least price for each. */
+    private Optional<MachineKind> cheapest(Submission spec, int tasks, ZoneCounts tasksPerZone) {
+        Offer best = Offer.NONE;
+        for (MachineType type : types) {
+            if (!type.fits(spec)) {
+                continue;
+            }
+            int tasksOnMachine = Math.min(tasks, type.holds(spec));
+            for (String zone : type.zones()) {
+                if (!isZoneOpen(zone, spec, tasksPerZone)) {
+                    continue;
+                }
+                if (spec.spot()) {
+                    MachineKind spot = new MachineKind(type, zone, true);
+                    best = better(best, offer(spot, tasksOnMachine, tasksPerZone));
+                }
+                MachineKind ordinary = new MachineKind(type, zone, false);
+                best = better(best, offer(ordinary, tasksOnMachine, tasksPerZone));
+            }
+        }
+        return Optional.ofNullable(best.kind());
+    }
+
+    private static boolean isZoneOpen(String zone, Submission spec, ZoneCounts tasksPerZone) {
+        boolean allowed = spec.zone() == null || spec.zone().equals(zone);
+        return allowed && tasksPerZone.count(zone) < spec.perZone();
+    }
+
+    private Offer offer(MachineKind kind, int tasksOnMachine, ZoneCounts tasksPerZone) {
+        double price =
+                kind.price() / tasksOnMachine
+                        + PRICE_PER_TASK_IN_ZONE * tasksPerZone.count(kind.zone())
+                        + PRICE_PER_MACHINE_IN_ZONE * machinesPerZone.count(kind.zone());
+        return new Offer(kind, price);
+    }
+
+    private Offer better(Offer best, Offer other) {
+        return other.price() < best.price() && rentable.test(other.kind()) ? other : best;
+    }
+
+    /** A kind of machine at its price for each task, with the surcharges that spread work. */
+    private record Offer(MachineKind kind, double price) {
+        private static final Offer NONE = new Offer(null, Double.POSITIVE_INFINITY);
+    }
+}
--- a/src/main/java/org/springmill/control/coordination/Fleet.java
+++ b/src/main/java/org/springmill/control/coordination/Fleet.java
@@ -13,16 +13,23 @@
 import org.springmill.protocol.WorkerMessages.Report;
 import org.springmill.transport.Loop;
 
-/** The machines that a leader knows of, with what every part of it needs to act on them. */
+/**
+ * The machines that a leader knows of, with what every part of it needs to act on them. A machine
+ * is added when it is first heard of, whether from the cloud, its worker or a stored claim, and
+ * stays until it is forgotten.
+ */
 final class Fleet {
+    /** A margin for slow members: what a gang has saved counts only if all of its members have. */
+    private static final double GANG_SAVE_TIMES = 2;
+
     private final Map<String, Machine> machines = new LinkedHashMap<>();
     private final ClusterState clusterState;
     private final MachineTypeCatalog catalog;
     private final Loop loop;
     private final long term;
-    private final double reportS;
-    private final Set<String> deleted = new HashSet<>();
-    private ImageLocations noted = new ImageLocations();
+    private final double reportSeconds;
+    private final Set<String> deletedMachines = new HashSet<>();
+    private ImageLocations storedLocations = new ImageLocations();
 
     Fleet(
             ClusterState clusterState,
@@ -30,35 +37,40 @@
             Loop loop,
             Timing timing,
             long term) {
-        reportS = timing.reportS();
         this.clusterState = clusterState;
         this.catalog = catalog;
         this.loop = loop;
         this.term = term;
+        this.reportSeconds = timing.reportS();
     }
 
+    /** A live view of all machines, in the order in which they were first heard of. */
     Collection<Machine> machines() {
         return machines.values();
     }
 
+    /** A copy of {@link #machines}, for loops that change the fleet. */
     List<Machine> machinesNow() {
         return new ArrayList<>(machines.values());
     }
 
+    /** Null for a machine that is not known. */
     Machine find(String name) {
         return machines.get(name);
     }
 
+    /** Returns a machine by its name, and adds it if it is not known yet. */
     Machine machine(String name) {
-        return machines.computeIfAbsent(
-                name,
-                n -> {
-                    Machine machine = new Machine(n, term, loop.now());
-                    noted.of(n).forEach(machine.images()::adopt);
-                    return machine;
-                });
+        return machines.computeIfAbsent(name, this::newMachine);
+    }
+
+    private Machine newMachine(String name) {
+        Machine machine = new Machine(name, term, loop.now());
+        adoptImages(machine);
+        return machine;
     }
 
+    /** Returns the machine of a report, described by it if it was not yet. */
     Machine machine(Report report) {
         Machine machine = machine(report.machine());
         if (machine.type() == null || machine.address().isEmpty()) {
@@ -68,51 +80,60 @@
         return machine;
     }
 
+    /** Removes a machine that is gone. */
     void forget(Machine machine) {
         machines.remove(machine.name());
     }
 
-    /** The cloud has confirmed that a machine and everything on it are gone. */
+    /** Notes that the cloud has confirmed that a machine and everything on it are gone. */
     void deleted(Machine machine) {
-        deleted.add(machine.name());
+        deletedMachines.add(machine.name());
     }
 
-    /** Whether whatever is still heard of a machine is old. */
+    /** Whether a machine's deletion is confirmed, so that all that is still heard of it is old. */
     boolean wasDeleted(String name) {
-        return deleted.contains(name);
+        return deletedMachines.contains(name);
     }
 
-    /** Takes over what an earlier leader noted of the machines' images. */
-    void adopt(ImageLocations notes) {
-        noted = notes;
-        machines.values()
-                .forEach(machine -> notes.of(machine.name()).forEach(machine.images()::adopt));
+    /** Takes over what an earlier leader stored of the machines' images. */
+    void adopt(ImageLocations stored) {
+        storedLocations = stored;
+        machines.values().forEach(this::adoptImages);
     }
 
+    private void adoptImages(Machine machine) {
+        storedLocations.of(machine.name()).forEach(machine.images()::adopt);
+    }
+
+    /** Which images the machines that are up hold, to be stored for a later leader. */
     ImageLocations imageLocations() {
-        ImageLocations notes = new ImageLocations();
+        ImageLocations locations = new ImageLocations();
         for (Machine machine : machines.values()) {
             if (machine.state() == Machine.State.UP) {
                 machine.images()
                         .all()
-                        .forEach((image, held) -> notes.add(machine.name(), image, held.gb()));
+                        .forEach((image, held) -> locations.add(machine.name(), image, held.gb()));
             }
         }
-        return notes;
+        return locations;
     }
 
+    /** The leader's term, which all tokens of its machines belong to. */
     long term() {
         return term;
     }
 
+    /** Jobs, attempts and the teams' usage. */
     ClusterState clusterState() {
         return clusterState;
     }
 
+    /** The types of machines that the cloud offers. */
     MachineTypeCatalog catalog() {
         return catalog;
     }
 
+    /** Seconds on the steady clock. */
     double now() {
         return loop.now();
     }
@@ -125,30 +146,40 @@
         clusterState.noteLeaving(attempt);
         clusterState.noteEnded(attempt);
         if (attempt.job().spec().gang() && cause != Cause.DONE) {
-            // A gang without one of its members gets nowhere: the others stop too, and all are
-            // claimed anew together.
-            attempt.job().attempts().forEach(other -> stop(other, other.job().spec().saveS() * 2));
+            stopGang(attempt.job());
         }
     }
 
+    /**
+     * A gang without one of its members gets nowhere: the others stop too, and all are claimed anew
+     * together.
+     */
+    private void stopGang(Job gang) {
+        double graceSeconds = gang.spec().saveS() * GANG_SAVE_TIMES;
+        gang.attempts().forEach(attempt -> stop(attempt, graceSeconds));
+    }
+
     /** Has an attempt stopped to make way, with time to save what it can and to be told of it. */
     void stopSaving(Attempt attempt) {
         Submission spec = attempt.job().spec();
-        stop(attempt, spec.checkpoints() ? spec.saveS() + reportS : 0);
+        stop(attempt, spec.checkpoints() ? spec.saveS() + reportSeconds : 0);
     }
 
-    /** Has an attempt stopped; what never was sent ends at once. */
-    void stop(Attempt attempt, double graceS) {
+    /**
+     * Has an attempt stopped; what never was sent ends at once. The grace of one that is stopping
+     * already is only ever shortened.
+     */
+    void stop(Attempt attempt, double graceSeconds) {
         switch (attempt.state()) {
             case CLAIMED -> end(attempt, Cause.STOPPED);
             case SENT, FETCHING, RUNNING, UNKNOWN -> {
                 attempt.transition(Attempt.State.STOPPING, now());
                 clusterState.noteLeaving(attempt);
-                attempt.grace(graceS);
+                attempt.grace(graceSeconds);
             }
             case STOPPING -> {
-                if (graceS < attempt.graceS()) {
-                    attempt.grace(graceS);
+                if (graceSeconds < attempt.graceS()) {
+                    attempt.grace(graceSeconds);
                 }
             }
             // While its round is being committed it can only be dropped afterwards; see Rounds.
--- /dev/null
+++ b/src/main/java/org/springmill/control/coordination/Headroom.java
@@ -0,0 +1,111 @@
+package org.springmill.control.coordination;
+
+import java.util.List;
+import org.springmill.protocol.CloudMessages.MachineType;
+import org.springmill.protocol.Settings;
+import org.springmill.protocol.Submission;
+
+/**
+ * Keeps room ready for tasks that have to start sooner than a machine boots: those that are
+ * expected to arrive, and replicas that a correlated failure would end.
+ */
+final class Headroom {
+    /**
+     * Room for the replicas of a failing rack may cost this part of what the fleet costs, for each
+     * class: next to nothing. For large replicas that is no room to speak of; small ones lost with
+     * a rack would otherwise wait for a boot, behind large ones that take the new machines.
+     */
+    private static final double FAILOVER_COST_SHARE = 0.01;
+
+    /** Keeps a price per task from being zero. */
+    private static final double LEAST_PRICE = 1e-6;
+
+    private final Fleet fleet;
+    private final Demand demand;
+    private final Settings settings;
+
+    Headroom(Fleet fleet, Demand demand, Settings settings) {
+        this.fleet = fleet;
+        this.demand = demand;
+        this.settings = settings;
+    }
+
+    /** Packs the tasks that room is to be kept for. */
+    void reserve(DemandPacking packing, double now) {
+        double bootSeconds = slowestBootSeconds();
+        double failoverBudget = FAILOVER_COST_SHARE * fleetCost();
+        for (Submission job : demand.urgent(bootSeconds)) {
+            int expected = demand.expected(job.jobClass(), bootSeconds, now);
+            int failover = failoverReplicas(job, failoverBudget);
+            reserve(job, expected + failover, packing);
+        }
+    }
+
+    /** Keeps room for tasks; in equal parts in all zones where their jobs have to be spread. */
+    private void reserve(Submission job, int tasks, DemandPacking packing) {
+        boolean spreadOverZones = job.spread() && job.zone() == null;
+        if (!spreadOverZones) {
+            packing.pack(PackingRequest.ofExpected(job, tasks));
+            return;
+        }
+        List<String> zones = settings.zones();
+        int tasksPerZone = (tasks + zones.size() - 1) / zones.size();
+        for (String zone : zones) {
+            packing.pack(PackingRequest.ofExpected(job.inZone(zone), tasksPerZone));
+        }
+    }
+
+    /**
+     * How many replicas of a class are to find room should part of the fleet fail at once: as many
+     * as run on the share of machines that is taken for dead without further doubt, as far as the
+     * budget goes.
+     */
+    private int failoverReplicas(Submission job, double budget) {
+        if (!job.service()) {
+            return 0;
+        }
+        double lost = running(job.jobClass()) * MachineHealth.CORRELATED_FAILURE_SHARE;
+        double affordable = budget / Math.max(LEAST_PRICE, leastPricePerTask(job));
+        return (int) Math.min(lost, affordable);
+    }
+
+    private int running(String jobClass) {
+        int running = 0;
+        for (Job job : fleet.clusterState().jobs().values()) {
+            if (job.spec().jobClass().equals(jobClass)) {
+                running += job.liveCount();
+            }
+        }
+        return running;
+    }
+
+    /** Infinite if no type of machine fits. */
+    private double leastPricePerTask(Submission job) {
+        double least = Double.POSITIVE_INFINITY;
+        for (MachineType type : fleet.catalog().all()) {
+            if (type.fits(job)) {
+                least = Math.min(least, type.price() / type.holds(job));
+            }
+        }
+        return least;
+    }
+
+    /** What all machines cost by the hour. */
+    private double fleetCost() {
+        double cost = 0;
+        for (Machine machine : fleet.machines()) {
+            if (machine.type() != null) {
+                cost += machine.type().price(machine.spot());
+            }
+        }
+        return cost;
+    }
+
+    private double slowestBootSeconds() {
+        double slowest = 0;
+        for (MachineType type : fleet.catalog().all()) {
+            slowest = Math.max(slowest, type.bootS());
+        }
+        return slowest;
+    }
+}
--- /dev/null
+++ b/src/main/java/org/springmill/control/coordination/IdleMachines.java
@@ -0,0 +1,44 @@
+package org.springmill.control.coordination;
+
+import java.util.List;
+import org.springmill.protocol.Settings;
+
+/** Deletes machines that have been idle for some time and that nothing is expected to need. */
+final class IdleMachines {
+    /** By the protocol a deleted machine costs at least so much of its time. */
+    private static final double LEAST_CHARGED_SECONDS = 60;
+
+    private final MachineDeletion deletion;
+    private final Settings settings;
+
+    IdleMachines(MachineDeletion deletion, Settings settings) {
+        this.deletion = deletion;
+        this.settings = settings;
+    }
+
+    /**
+     * @param bins what is left of the fleet's free resources by all that waits or is expected
+     */
+    void delete(List<Bin> bins, double now) {
+        for (Bin bin : bins) {
+            if (!bin.isPlanned() && !bin.isUsed() && isIdleForLong(bin.machine(), now)) {
+                deletion.delete(bin.machine(), DeletionReason.IDLE);
+            }
+        }
+    }
+
+    private boolean isIdleForLong(Machine machine, double now) {
+        if (!isIdle(machine)) {
+            return false;
+        }
+        double patienceSeconds = settings.operator().idleBoots() * machine.type().bootS();
+        return now - machine.idleSince() >= patienceSeconds
+                && now - machine.firstSeen() >= LEAST_CHARGED_SECONDS;
+    }
+
+    private static boolean isIdle(Machine machine) {
+        return machine.state() == Machine.State.UP
+                && machine.attempts().isEmpty()
+                && machine.reported().isEmpty();
+    }
+}
--- /dev/null
+++ b/src/main/java/org/springmill/control/coordination/MachineDeletion.java
@@ -0,0 +1,111 @@
+package org.springmill.control.coordination;
+
+import java.util.ArrayList;
+import java.util.List;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+import org.springmill.protocol.CloudMessages;
+import org.springmill.protocol.WorkerMessages.Cause;
+import org.springmill.transport.HttpClient.Reply;
+import org.springmill.transport.Loop;
+
+/**
+ * Deletes machines through the cloud. The cloud's confirmation, and nothing before it, proves that
+ * a machine and everything on it are gone. Machines fall silent or idle by the dozen and the cloud
+ * accepts few requests, so all deletions that are due share one.
+ */
+final class MachineDeletion {
+    private static final Logger LOG = LoggerFactory.getLogger(MachineDeletion.class);
+
+    private final Fleet fleet;
+    private final CloudClient cloud;
+    private final Loop loop;
+    private final Runnable changed;
+    private final List<Machine> queue = new ArrayList<>();
+
+    /**
+     * @param changed run once a deletion is confirmed
+     */
+    MachineDeletion(Fleet fleet, CloudClient cloud, Loop loop, Runnable changed) {
+        this.fleet = fleet;
+        this.cloud = cloud;
+        this.loop = loop;
+        this.changed = changed;
+    }
+
+    /** Deletes a machine, unless that was asked for before. */
+    void delete(Machine machine, DeletionReason reason) {
+        delete(machine, reason.text());
+    }
+
+    /**
+     * Deletes a machine, unless that was asked for before.
+     *
+     * @param reason for the log
+     */
+    void delete(Machine machine, String reason) {
+        if (isDeletionRequested(machine)) {
+            return;
+        }
+        LOG.info("giving back {}: {}", machine.name(), reason);
+        machine.transition(Machine.State.RETURNING);
+        enqueue(machine);
+    }
+
+    /** Ends all attempts of a machine that is known to be gone with everything on it. */
+    void declareLost(Machine machine) {
+        for (Attempt attempt : machine.attemptsNow()) {
+            fleet.end(attempt, Cause.NONE);
+        }
+    }
+
+    private static boolean isDeletionRequested(Machine machine) {
+        return machine.state() == Machine.State.RETURNING || machine.state() == Machine.State.GONE;
+    }
+
+    private void enqueue(Machine machine) {
+        queue.add(machine);
+        boolean sendingIsScheduled = queue.size() > 1;
+        if (!sendingIsScheduled) {
+            loop.after(cloud.secondsUntil(1), this::sendQueued);
+        }
+    }
+
+    private void sendQueued() {
+        if (cloud.isClosed()) {
+            return;
+        }
+        List<Machine> batch = takeBatch();
+        if (!queue.isEmpty()) {
+            // One request is for this batch, the other for the next.
+            loop.after(cloud.secondsUntil(2), this::sendQueued);
+        }
+        byte[] body = CloudMessages.giveBack(batch.stream().map(Machine::name).toList());
+        cloud.send(cloud.post(CloudMessages.RETURN, body), reply -> answered(batch, reply));
+    }
+
+    private List<Machine> takeBatch() {
+        int size = Math.min(queue.size(), CloudMessages.MAX_RETURN);
+        List<Machine> batch = new ArrayList<>(queue.subList(0, size));
+        queue.removeAll(batch);
+        return batch;
+    }
+
+    private void answered(List<Machine> batch, Reply reply) {
+        if (cloud.isClosed()) {
+            return;
+        }
+        if (reply.ok()) {
+            batch.forEach(this::confirmDeleted);
+            changed.run();
+        } else {
+            loop.after(cloud.repeatSeconds(), () -> batch.forEach(this::enqueue));
+        }
+    }
+
+    private void confirmDeleted(Machine machine) {
+        fleet.deleted(machine);
+        declareLost(machine);
+        machine.transition(Machine.State.GONE);
+    }
+}
--- /dev/null
+++ b/src/main/java/org/springmill/control/coordination/MachineDraining.java
@@ -0,0 +1,138 @@
+package org.springmill.control.coordination;
+
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+import org.springmill.protocol.CloudMessages.MachineType;
+import org.springmill.protocol.Submission;
+
+/**
+ * Empties machines that are mostly free, if what they run finds room on others that hold the images
+ * and neither waiting nor expected work needs them. A move costs a replica a moment, a machine
+ * costs for as long as it is kept; so the one with most to save goes first, one at a time, and
+ * nothing is moved that has just begun.
+ */
+final class MachineDraining {
+    private static final Logger LOG = LoggerFactory.getLogger(MachineDraining.class);
+
+    /** A machine of which less is free is not drained: moves would cost more than it saves. */
+    private static final double LEAST_FREE_SHARE = 0.5;
+
+    /** Until then a new leader may not have heard of all that runs. */
+    private static final double LEASES_AFTER_START = 2;
+
+    /** By then the reports show where the tasks of the last machine have gone. */
+    private static final double REPORTS_BETWEEN = 2;
+
+    /** An attempt that ran for so long has paid for its start. */
+    private static final double LEASES_RUNNING = 3;
+
+    private final Fleet fleet;
+    private final Demand demand;
+    private final ReportSilence silence;
+    private final Timing timing;
+    private final double startedAt;
+    private double drainedAt = Double.NEGATIVE_INFINITY;
+
+    MachineDraining(Fleet fleet, Demand demand, ReportSilence silence, Timing timing, double now) {
+        this.fleet = fleet;
+        this.demand = demand;
+        this.silence = silence;
+        this.timing = timing;
+        this.startedAt = now;
+    }
+
+    /**
+     * Begins to drain one machine, if there is one worth it and the fleet is calm.
+     *
+     * @param bins what is left of the fleet's free resources by all that waits or is expected
+     */
+    void drainOne(List<Bin> bins, double now) {
+        if (!isCalm(bins, now)) {
+            return;
+        }
+        Bin best = mostCostlyToKeep(bins, now);
+        if (best == null || !fitElsewhere(best, bins)) {
+            return;
+        }
+        Machine machine = best.machine();
+        LOG.info("draining {}: {} tasks move", machine.name(), machine.attempts().size());
+        drainedAt = now;
+        machine.drain();
+        machine.attemptsNow().forEach(fleet::stopSaving);
+    }
+
+    /** Whether nothing is to be rented, no machine is silent, and none is being drained. */
+    private boolean isCalm(List<Bin> bins, double now) {
+        return now - startedAt > LEASES_AFTER_START * timing.leaseS()
+                && now - drainedAt > REPORTS_BETWEEN * timing.reportS()
+                && bins.stream().noneMatch(Bin::isPlanned)
+                && fleet.machines().stream().noneMatch(machine -> isUnsettled(machine, now));
+    }
+
+    private boolean isUnsettled(Machine machine, double now) {
+        boolean beingDrained = machine.draining() && !machine.attempts().isEmpty();
+        return beingDrained || silence.isOverdue(machine, now);
+    }
+
+    /** Null if no machine is to be drained. */
+    private Bin mostCostlyToKeep(List<Bin> bins, double now) {
+        Bin best = null;
+        Map<MachineType, Boolean> boundToImages = new HashMap<>();
+        for (Bin bin : bins) {
+            boolean saves = isMostlyFree(bin) && costsMore(bin, best);
+            if (saves
+                    && !boundToImages.computeIfAbsent(bin.kind().type(), demand::boundToImages)
+                    && mayMoveAll(bin.machine(), now)) {
+                best = bin;
+            }
+        }
+        return best;
+    }
+
+    private static boolean isMostlyFree(Bin bin) {
+        return !bin.isUsed()
+                && bin.freeShare() >= LEAST_FREE_SHARE
+                && bin.activity() == Bin.Activity.RUNNING_TASKS;
+    }
+
+    private static boolean costsMore(Bin bin, Bin best) {
+        return best == null || bin.freeCost() > best.freeCost();
+    }
+
+    private boolean mayMoveAll(Machine machine, double now) {
+        return machine.attempts().stream().allMatch(attempt -> mayMove(attempt, now));
+    }
+
+    private boolean mayMove(Attempt attempt, double now) {
+        return attempt.state() == Attempt.State.RUNNING
+                && now - attempt.runningSince() > LEASES_RUNNING * timing.leaseS();
+    }
+
+    /** Whether everything on a machine finds room on others; packs it there. */
+    private static boolean fitElsewhere(Bin from, List<Bin> bins) {
+        for (Attempt attempt : from.machine().attempts()) {
+            Submission spec = attempt.job().spec();
+            boolean packed =
+                    bins.stream()
+                            .anyMatch(
+                                    bin ->
+                                            mayMoveTo(bin, from, spec)
+                                                    && bin.pack(spec, new ZoneCounts()));
+            if (!packed) {
+                return false;
+            }
+        }
+        return true;
+    }
+
+    /** Whether a bin is another busy machine of the same zone that holds the job's image. */
+    private static boolean mayMoveTo(Bin bin, Bin from, Submission spec) {
+        return bin != from
+                && bin.activity() == Bin.Activity.RUNNING_TASKS
+                && bin.kind().zone().equals(from.kind().zone())
+                && bin.machine().holdsImage(spec.image());
+    }
+}
--- /dev/null
+++ b/src/main/java/org/springmill/control/coordination/MachineListing.java
@@ -0,0 +1,149 @@
+package org.springmill.control.coordination;
+
+import java.util.ArrayList;
+import java.util.List;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+import org.springmill.protocol.BadMessageException;
+import org.springmill.protocol.CloudMessages;
+import org.springmill.protocol.CloudMessages.ListedMachine;
+import org.springmill.protocol.CloudMessages.MachinePage;
+import org.springmill.protocol.CloudMessages.MachinePhase;
+import org.springmill.protocol.Settings;
+import org.springmill.transport.HttpClient.Reply;
+import org.springmill.transport.Loop;
+
+/**
+ * Reads the cloud's list of machines at regular intervals, page by page, and brings the fleet up to
+ * date with each complete list.
+ */
+final class MachineListing {
+    private static final Logger LOG = LoggerFactory.getLogger(MachineListing.class);
+
+    /** By the protocol a list may lag by twice its nominal lag. */
+    private static final double NOMINAL_LAGS = 2;
+
+    private final Fleet fleet;
+    private final CloudClient cloud;
+    private final MachineDeletion deletion;
+    private final Loop loop;
+    private final Settings settings;
+    private final Runnable changed;
+    private double listedAt = Double.NEGATIVE_INFINITY;
+
+    /**
+     * @param changed run after each complete list
+     */
+    MachineListing(
+            Fleet fleet,
+            CloudClient cloud,
+            MachineDeletion deletion,
+            Loop loop,
+            Settings settings,
+            Runnable changed) {
+        this.fleet = fleet;
+        this.cloud = cloud;
+        this.deletion = deletion;
+        this.loop = loop;
+        this.settings = settings;
+        this.changed = changed;
+    }
+
+    /** Begins a list; the next one follows by itself. */
+    void start() {
+        requestPage(null, new ArrayList<>());
+    }
+
+    /** Whether a complete list was read in this term. */
+    boolean hasListed() {
+        return listedAt > Double.NEGATIVE_INFINITY;
+    }
+
+    /** When the latest complete list was read; negative infinity before the first. */
+    double listedAt() {
+        return listedAt;
+    }
+
+    /** By how much a list may lag behind the fleet. */
+    double longestLagSeconds() {
+        return NOMINAL_LAGS * settings.cloud().listLagS();
+    }
+
+    /**
+     * @param after the last machine that was read; null for the first page
+     * @param found what the pages before this one held
+     */
+    private void requestPage(String after, List<ListedMachine> found) {
+        if (!cloud.isClosed()) {
+            cloud.get(CloudMessages.listPath(after), reply -> pageAnswered(found, reply));
+        }
+    }
+
+    private void pageAnswered(List<ListedMachine> found, Reply reply) {
+        MachinePage page = parse(reply);
+        if (page == null) {
+            startLater();
+            return;
+        }
+        found.addAll(page.machines());
+        if (page.more() && !page.machines().isEmpty()) {
+            String last = page.machines().get(page.machines().size() - 1).name();
+            requestPage(last, found);
+            return;
+        }
+        completed(found);
+        startLater();
+    }
+
+    /** Null if there is no page to be read in the reply. */
+    private static MachinePage parse(Reply reply) {
+        if (!reply.ok()) {
+            return null;
+        }
+        try {
+            return CloudMessages.list(reply.body());
+        } catch (BadMessageException e) {
+            LOG.warn("cloud: {}", e.getMessage());
+            return null;
+        }
+    }
+
+    private void startLater() {
+        loop.after(cloud.repeatSeconds(), this::start);
+    }
+
+    private void completed(List<ListedMachine> found) {
+        boolean first = !hasListed();
+        listedAt = loop.now();
+        for (ListedMachine listed : found) {
+            // The list lags, and may still name machines that are deleted.
+            if (!fleet.wasDeleted(listed.name())) {
+                update(listed, first);
+            }
+        }
+        changed.run();
+    }
+
+    private void update(ListedMachine listed, boolean first) {
+        Machine machine = fleet.machine(listed.name());
+        machine.listed(listedAt);
+        if (machine.type() == null || machine.address().isEmpty()) {
+            describe(machine, listed);
+            if (first) {
+                // A new leader's token goes out at once, so that the worker stops obeying the old
+                // one.
+                machine.askAgain = true;
+            }
+        }
+        boolean failed = listed.phase() == MachinePhase.FAILED;
+        if (failed && machine.state() != Machine.State.RETURNING) {
+            deletion.declareLost(machine);
+            deletion.delete(machine, DeletionReason.FAILED);
+        }
+    }
+
+    private void describe(Machine machine, ListedMachine listed) {
+        machine.describe(
+                listed.address(), fleet.catalog().get(listed.type()), listed.zone(), listed.spot());
+    }
+}
--- /dev/null
+++ b/src/main/java/org/springmill/control/coordination/PartitionedZones.java
@@ -0,0 +1,111 @@
+package org.springmill.control.coordination;
+
+import java.util.HashMap;
+import java.util.HashSet;
+import java.util.Map;
+import java.util.Set;
+
+/**
+ * The zones that may be cut off from this leader by a network partition.
+ *
+ * <p>A zone counts as partitioned while most of its machines are silent and some controller is,
+ * too: the zone may go on working inside, with that controller renewing its workers' leases. What
+ * runs there is left alone; deleting the machines, or waiting for leases that do not end, would
+ * only stop replicas that are up. This holds for a bounded time.
+ */
+final class PartitionedZones {
+    /**
+     * After so many leases without word from every controller a zone counts as reachable again,
+     * however silent it is, so that machines that are lost for good are replaced in the end.
+     */
+    private static final double MOST_LEASES = 10;
+
+    /** Once a partition is over, the workers need this part of a lease to find their way back. */
+    private static final double RETURN_LEASES = 0.5;
+
+    private final Fleet fleet;
+    private final Peers peers;
+    private final ReportSilence silence;
+    private final Timing timing;
+
+    /**
+     * The zones that the latest update found. They cannot be read from {@link #lastPartitionedAt}:
+     * two updates at the same time may differ, for a peer may have answered between them.
+     */
+    private final Set<String> partitioned = new HashSet<>();
+
+    private final Map<String, Double> lastPartitionedAt = new HashMap<>();
+    private double allPeersHeardAt;
+    private double peerMissedAt = Double.NEGATIVE_INFINITY;
+
+    PartitionedZones(Fleet fleet, Peers peers, ReportSilence silence, Timing timing, double now) {
+        this.fleet = fleet;
+        this.peers = peers;
+        this.silence = silence;
+        this.timing = timing;
+        this.allPeersHeardAt = now;
+    }
+
+    /** Judges all zones anew. */
+    void update(double now) {
+        if (peers.allHeard()) {
+            allPeersHeardAt = now;
+        } else {
+            peerMissedAt = now;
+        }
+        partitioned.clear();
+        if (!mayBePartitioned(now)) {
+            return;
+        }
+        reportsByZone(now)
+                .forEach(
+                        (zone, reports) -> {
+                            if (reports.mostAreOverdue()) {
+                                partitioned.add(zone);
+                                lastPartitionedAt.put(zone, now);
+                            }
+                        });
+    }
+
+    /** Whether the latest update took a zone for partitioned. */
+    boolean contains(String zone) {
+        return partitioned.contains(zone);
+    }
+
+    /**
+     * Whether a zone was partitioned within the last lease. Once a partition is over, the zone's
+     * machines are heard one by one, and the last of them are not dead.
+     */
+    boolean wasRecently(String zone, double now) {
+        double since = now - lastPartitionedAt.getOrDefault(zone, Double.NEGATIVE_INFINITY);
+        return since < timing.leaseS();
+    }
+
+    private boolean mayBePartitioned(double now) {
+        return now - peerMissedAt < RETURN_LEASES * timing.leaseS()
+                && now - allPeersHeardAt < MOST_LEASES * timing.leaseS();
+    }
+
+    private Map<String, ZoneReports> reportsByZone(double now) {
+        Map<String, ZoneReports> zones = new HashMap<>();
+        for (Machine machine : fleet.machines()) {
+            if (silence.shouldReport(machine) && !silence.isUnlisted(machine)) {
+                ZoneReports one = new ZoneReports(1, silence.isOverdue(machine, now) ? 1 : 0);
+                zones.merge(machine.zone(), one, ZoneReports::plus);
+            }
+        }
+        return zones;
+    }
+
+    /** How many machines of a zone should report, and how many of those are overdue. */
+    private record ZoneReports(int expected, int overdue) {
+        ZoneReports plus(ZoneReports other) {
+            return new ZoneReports(expected + other.expected, overdue + other.overdue);
+        }
+
+        /** A single silent machine is no partition. */
+        boolean mostAreOverdue() {
+            return overdue > Math.max(1, expected / 2);
+        }
+    }
+}
--- /dev/null
+++ b/src/main/java/org/springmill/control/coordination/RentalPlanner.java
@@ -0,0 +1,171 @@
+package org.springmill.control.coordination;
+
+import java.util.ArrayList;
+import java.util.Comparator;
+import java.util.List;
+import org.springmill.protocol.Settings;
+import org.springmill.protocol.Submission;
+
+/**
+ * Weighs once in a while what waits and what is to be expected against the fleet: rents machines
+ * for what finds no room, has idle ones deleted, and drains one that is mostly free.
+ */
+final class RentalPlanner {
+    /** A job that failed on more machines than this has most likely a fault of its own. */
+    private static final int MAX_MACHINES_FAILED_ON = 2;
+
+    /** The fullest first, so that what is free gathers on few machines that can be returned. */
+    private static final Comparator<Bin> FILLING_ORDER =
+            Comparator.comparing(Bin::activity)
+                    .thenComparingDouble(bin -> bin.kind().type().price())
+                    .thenComparingDouble(Bin::freeShare);
+
+    private final Fleet fleet;
+    private final Placement placement;
+    private final MachineListing listing;
+    private final PartitionedZones partitions;
+    private final RentalRequests requests;
+    private final Headroom headroom;
+    private final IdleMachines idleMachines;
+    private final MachineDraining draining;
+    private final Settings settings;
+    private final Timing timing;
+    private final double startedAt;
+    private boolean firstTerm;
+
+    RentalPlanner(
+            Fleet fleet,
+            Placement placement,
+            MachineListing listing,
+            PartitionedZones partitions,
+            RentalRequests requests,
+            Headroom headroom,
+            IdleMachines idleMachines,
+            MachineDraining draining,
+            Settings settings,
+            Timing timing,
+            double now) {
+        this.fleet = fleet;
+        this.placement = placement;
+        this.listing = listing;
+        this.partitions = partitions;
+        this.requests = requests;
+        this.headroom = headroom;
+        this.idleMachines = idleMachines;
+        this.draining = draining;
+        this.settings = settings;
+        this.timing = timing;
+        this.startedAt = now;
+    }
+
+    /**
+     * @param noEarlierTerm whether no earlier leader can have rented anything
+     */
+    void start(boolean noEarlierTerm) {
+        firstTerm = noEarlierTerm;
+    }
+
+    /** Makes one plan and carries it out. */
+    void plan(double now) {
+        if (!areEarlierRentalsListed(now)) {
+            return;
+        }
+        DemandPacking packing = packing(now);
+        List<Job> waiting = placement.waiting();
+        for (Job job : waiting) {
+            if (job.machinesFailedOn() <= MAX_MACHINES_FAILED_ON) {
+                pack(job, packing);
+            }
+        }
+        headroom.reserve(packing, now);
+        requests.rent(packing.plannedBins());
+        idleMachines.delete(packing.bins(), now);
+        if (waiting.isEmpty()) {
+            draining.drainOne(packing.bins(), now);
+        }
+    }
+
+    /** Machines rented just before a change of leader may not be listed yet. */
+    private boolean areEarlierRentalsListed(double now) {
+        return firstTerm || now - startedAt >= listing.longestLagSeconds();
+    }
+
+    private DemandPacking packing(double now) {
+        ZoneCounts machinesPerZone = new ZoneCounts();
+        fleet.machines().forEach(machine -> machinesPerZone.add(machine.zone()));
+        return new DemandPacking(
+                fleet.catalog().all(),
+                settings.zones(),
+                kind -> isRentable(kind, now),
+                machinesPerZone,
+                usableBins(now));
+    }
+
+    private boolean isRentable(MachineKind kind, double now) {
+        return !partitions.contains(kind.zone()) && !requests.isRefused(kind, now);
+    }
+
+    private List<Bin> usableBins(double now) {
+        List<Bin> bins = new ArrayList<>();
+        for (Machine machine : fleet.machines()) {
+            if (isUsable(machine, now)) {
+                bins.add(Bin.of(machine));
+            }
+        }
+        bins.sort(FILLING_ORDER);
+        return bins;
+    }
+
+    /** Whether a machine takes new work, or will once it has booted. */
+    private boolean isUsable(Machine machine, double now) {
+        if (machine.type() == null || isToBeEmptied(machine)) {
+            return false;
+        }
+        return switch (machine.state()) {
+            case EXPECTED -> !partitions.contains(machine.zone());
+            case UP -> machine.takesWork(now, timing.leaseS());
+            case LOST, RETURNING, GONE -> false;
+        };
+    }
+
+    private static boolean isToBeEmptied(Machine machine) {
+        return machine.quarantined() || machine.draining() || machine.noticed();
+    }
+
+    /**
+     * Packs what waits of a job. Machines where it failed are no room for it, since it is not
+     * placed there: it would wait for ever where they are the only ones with room. Nor are those
+     * that are reserved for another job.
+     */
+    private void pack(Job job, DemandPacking packing) {
+        int tasks = Math.min(job.waiting(), tasksWithinLimit(job));
+        Submission spec = job.spec().oneZone() ? inOneZone(job, tasks, packing) : job.spec();
+        ZoneCounts tasksPerZone = new ZoneCounts();
+        job.attempts().forEach(attempt -> tasksPerZone.add(attempt.machine().zone()));
+        packing.pack(
+                PackingRequest.ofJob(
+                        spec, tasks, tasksPerZone, machine -> isExcluded(machine, job)));
+    }
+
+    private boolean isExcluded(Machine machine, Job job) {
+        return job.hasFailedOn(machine.name()) || placement.reservedFrom(job, machine);
+    }
+
+    private int tasksWithinLimit(Job job) {
+        return fleet.clusterState().usage(job.spec().team()).roomFor(job.spec());
+    }
+
+    /**
+     * A job whose tasks have to be together, as if it were allowed only in the zone where they are;
+     * if none runs, where most of them find room.
+     */
+    private static Submission inOneZone(Job job, int tasks, DemandPacking packing) {
+        for (Attempt attempt : job.attempts()) {
+            String zone = attempt.machine().zone();
+            if (!zone.isEmpty()) {
+                return job.spec().inZone(zone);
+            }
+        }
+        return packing.inZoneWithMostRoom(job.spec(), tasks);
+    }
+}
--- /dev/null
+++ b/src/main/java/org/springmill/control/coordination/RentalRequests.java
@@ -0,0 +1,145 @@
+package org.springmill.control.coordination;
+
+import java.util.ArrayList;
+import java.util.Collection;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+import org.springmill.protocol.BadMessageException;
+import org.springmill.protocol.CloudMessages;
+import org.springmill.transport.HttpClient.Reply;
+import org.springmill.transport.HttpClient.Request;
+import org.springmill.transport.Loop;
+
+/**
+ * Rents machines from the cloud. A request without an answer may have been carried out, so it is
+ * repeated under the same name until it is answered, and nothing else is rented before that. A kind
+ * of machine that the cloud refused is not asked for again for some time.
+ */
+final class RentalRequests {
+    private static final Logger LOG = LoggerFactory.getLogger(RentalRequests.class);
+
+    private static final int NO_CAPACITY = 503;
+    private static final int MALFORMED = 400;
+
+    /**
+     * A refused kind is left out for half of its boot time: whether capacity has come back is asked
+     * at least twice in the time in which a machine of that kind boots.
+     */
+    private static final double REFUSAL_BOOTS = 0.5;
+
+    private final Fleet fleet;
+    private final CloudClient cloud;
+    private final Loop loop;
+
+    /** By the kind's label. */
+    private final Map<String, Double> refusedUntil = new HashMap<>();
+
+    private final List<Rental> unanswered = new ArrayList<>();
+    private int lastRequestNumber;
+
+    /** A request for so many machines of a kind. */
+    private record Rental(MachineKind kind, int count, Request request) {}
+
+    RentalRequests(Fleet fleet, CloudClient cloud, Loop loop) {
+        this.fleet = fleet;
+        this.cloud = cloud;
+        this.loop = loop;
+    }
+
+    /** Whether the cloud has lately refused a kind of machine. */
+    boolean isRefused(MachineKind kind, double now) {
+        return now < refusedUntil.getOrDefault(kind.label(), 0.0);
+    }
+
+    /** Forgets the refusals that no longer hold. */
+    void forgetOldRefusals(double now) {
+        refusedUntil.values().removeIf(until -> until < now);
+    }
+
+    /** Rents the machines of planned bins, unless an earlier request is still unanswered. */
+    void rent(List<Bin> planned) {
+        if (!unanswered.isEmpty()) {
+            return;
+        }
+        for (List<MachineKind> machines : groupByLabel(planned)) {
+            int count = Math.min(machines.size(), CloudMessages.MAX_RENT);
+            rent(machines.get(0), count);
+        }
+    }
+
+    private static Collection<List<MachineKind>> groupByLabel(List<Bin> planned) {
+        Map<String, List<MachineKind>> groups = new HashMap<>();
+        for (Bin bin : planned) {
+            MachineKind kind = bin.kind();
+            groups.computeIfAbsent(kind.label(), label -> new ArrayList<>()).add(kind);
+        }
+        return groups.values();
+    }
+
+    private void rent(MachineKind kind, int count) {
+        LOG.info("renting {} of {}", count, kind.label());
+        byte[] body =
+                CloudMessages.rent(
+                        nextRequestName(), kind.type().name(), kind.zone(), kind.spot(), count);
+        Rental rental = new Rental(kind, count, cloud.post(CloudMessages.RENT, body));
+        unanswered.add(rental);
+        send(rental);
+    }
+
+    /** Term and number: no other leader, nor this one again, ever uses the same name. */
+    private String nextRequestName() {
+        lastRequestNumber++;
+        return "r-" + fleet.term() + "-" + lastRequestNumber;
+    }
+
+    private void send(Rental rental) {
+        cloud.send(rental.request(), reply -> answered(rental, reply));
+    }
+
+    private void answered(Rental rental, Reply reply) {
+        if (cloud.isClosed()) {
+            return;
+        }
+        if (reply.ok()) {
+            unanswered.remove(rental);
+            rented(rental, reply);
+        } else if (reply.status() == NO_CAPACITY || reply.status() == MALFORMED) {
+            unanswered.remove(rental);
+            refuse(rental.kind());
+        } else {
+            // The same name again tells which machines it gave, if it was carried out.
+            loop.after(cloud.repeatSeconds(), () -> sendAgain(rental));
+        }
+    }
+
+    private void sendAgain(Rental rental) {
+        if (!cloud.isClosed()) {
+            send(rental);
+        }
+    }
+
+    private void rented(Rental rental, Reply reply) {
+        try {
+            List<String> names = CloudMessages.rented(reply.body());
+            names.forEach(name -> describe(name, rental.kind()));
+            if (names.size() < rental.count()) {
+                refuse(rental.kind());
+            }
+        } catch (BadMessageException e) {
+            LOG.warn("cloud: {}", e.getMessage());
+        }
+    }
+
+    private void describe(String name, MachineKind kind) {
+        Machine machine = fleet.machine(name);
+        machine.describe(machine.address(), kind.type(), kind.zone(), kind.spot());
+    }
+
+    private void refuse(MachineKind kind) {
+        double forSeconds = REFUSAL_BOOTS * kind.type().bootS();
+        refusedUntil.put(kind.label(), loop.now() + forSeconds);
+    }
+}
