--- /dev/null
+++ b/src/test/java/org/springmill/control/coordination/CancellationTest.java
@@ -0,0 +1,46 @@
+package org.springmill.control.coordination;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+import static org.springmill.control.coordination.MessageMatchers.isCommand;
+
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.ValueSource;
+import org.springmill.sim.SimNetwork.Fate;
+import org.springmill.sim.SimulatedCluster;
+
+/** Cancellations take effect in time and are final. */
+class CancellationTest extends SingleFailureFixture {
+    @ParameterizedTest
+    @ValueSource(doubles = {0, 0.05, 0.5, 3})
+    void cancelledJobEndsInTimeWhenCommandsDoNotReachItsWorkers(double delaySeconds) {
+        submitService(0, JOB, "red", 3, 1);
+        cluster.run(delaySeconds);
+
+        cluster.network().judge((from, request) -> isCommand(request) ? Fate.HOLD : Fate.DELIVER);
+        assertEquals("cancelled", cluster.withdraw(1, JOB));
+        assertEquals("cancelled", cluster.withdraw(2, JOB));
+        cluster.run(50);
+        assertEquals(0, cluster.running(JOB));
+        cluster.network().releaseHeld();
+        cluster.run(10);
+        assertEquals(0, cluster.running(JOB));
+        assertEquals("cancelled", cluster.phase(0, JOB));
+    }
+
+    @Test
+    void cancellationRacingWithCompletionYieldsOneFinalPhaseEverywhere() {
+        for (int i = 0; i < 12; i++) {
+            String id = String.format("run-%06d", 100 + i);
+            cluster.submit(i % 3, SimulatedCluster.job(id, "red", "sweep", 1, 1, 0), 2);
+            cluster.run(2.7 + 0.1 * i);
+            String told = cluster.withdraw((i + 1) % 3, id);
+            assertTrue(told.equals("done") || told.equals("cancelled"), told);
+            cluster.run(5);
+            for (int node = 0; node < 3; node++) {
+                assertEquals(told, cluster.phase(node, id));
+            }
+        }
+    }
+}
--- /dev/null
+++ b/src/test/java/org/springmill/control/coordination/ClusterFixture.java
@@ -0,0 +1,80 @@
+package org.springmill.control.coordination;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertNotEquals;
+
+import com.fasterxml.jackson.databind.node.ObjectNode;
+import java.util.List;
+import org.junit.jupiter.api.AfterEach;
+import org.springmill.sim.SimNetwork.Fate;
+import org.springmill.sim.SimWorker;
+import org.springmill.sim.SimulatedCluster;
+
+/**
+ * Three controllers and four machines in two zones, all simulated, with the shorthands of the tests
+ * that use them. After each test no invariant may have been broken.
+ */
+abstract class ClusterFixture {
+    static final int CONTROLLERS = 3;
+    static final String JOB = "run-000001";
+    static final String OTHER = "run-000002";
+    static final String FIRST_TASK = JOB + "/0";
+    static final double FOREVER = Double.POSITIVE_INFINITY;
+
+    private static final int MACHINES_PER_ZONE = 2;
+    private static final double ELECTION_SECONDS = 6;
+
+    SimulatedCluster cluster;
+
+    /** Starts controllers and machines, and waits until a leader is elected. */
+    void startCluster(long seed) {
+        cluster =
+                new SimulatedCluster(seed)
+                        .machines("large", "a", MACHINES_PER_ZONE)
+                        .machines("large", "b", MACHINES_PER_ZONE)
+                        .run(ELECTION_SECONDS);
+        assertNotEquals(-1, cluster.leader());
+    }
+
+    @AfterEach
+    void noInvariantIsBroken() {
+        assertEquals(List.of(), cluster.broken());
+        assertEquals(List.of(), cluster.startsAfterCancel());
+    }
+
+    /** A controller that does not lead. */
+    final int follower() {
+        return (cluster.leader() + 1) % CONTROLLERS;
+    }
+
+    final List<SimWorker> machines() {
+        return List.copyOf(cluster.cloud().machines().values());
+    }
+
+    /** Submits a job through a follower, which has to accept it. */
+    final void accept(ObjectNode job, double runSeconds) {
+        assertEquals(201, cluster.submit(follower(), job, runSeconds));
+    }
+
+    /** Submits a service of tasks with one CPU each through a follower, which has to accept it. */
+    final void acceptService(String id, String team, int tasks, double gpus) {
+        submitService(follower(), id, team, tasks, gpus);
+    }
+
+    /** Submits a service of tasks with one CPU each to a controller, which has to accept it. */
+    final void submitService(int controller, String id, String team, int tasks, double gpus) {
+        ObjectNode job = SimulatedCluster.job(id, team, "service", tasks, 1, gpus);
+        assertEquals(201, cluster.submit(controller, job, FOREVER));
+    }
+
+    /** From now on the network delivers every message. */
+    final void deliverAllMessages() {
+        cluster.network().judge((from, request) -> Fate.DELIVER);
+    }
+
+    final void assertEachTaskStartedOnce(String job, int tasks) {
+        for (int i = 0; i < tasks; i++) {
+            assertEquals(1, cluster.starts(job + "/" + i), "task " + i);
+        }
+    }
+}
--- /dev/null
+++ b/src/test/java/org/springmill/control/coordination/CompoundFailureFixture.java
@@ -0,0 +1,50 @@
+package org.springmill.control.coordination;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+
+import java.util.List;
+import java.util.SplittableRandom;
+import org.junit.jupiter.api.AfterEach;
+import org.springmill.sim.SimulatedCluster;
+
+/**
+ * The simulated cluster under several failures at once; docs/compound-failures.md lists them. Users
+ * poll their jobs throughout. After each test all failures end, and then work has to go on: every
+ * job that is not over runs, and its user gets answers.
+ */
+abstract class CompoundFailureFixture extends ClusterFixture {
+    /** Longer than a job may wait while a machine has room for it. */
+    private static final double RECOVERY_SECONDS = 110;
+
+    @Override
+    void startCluster(long seed) {
+        super.startCluster(seed);
+        cluster.polled();
+    }
+
+    @AfterEach
+    void workGoesOnAfterTheFailures() {
+        cluster.calm().run(RECOVERY_SECONDS);
+        assertEquals(List.of(), cluster.unserved());
+    }
+
+    /** Submits arrays, a quarter of which are cancelled soon after, through random controllers. */
+    final void submitAndCancelJobs(double durationSeconds, SplittableRandom random) {
+        for (int i = 0; i < durationSeconds / 2; i++) {
+            String id = String.format("run-%06d", 1000 + random.nextInt(100_000));
+            int controller = random.nextInt(CONTROLLERS);
+            int tasks = 1 + random.nextInt(3);
+            int runSeconds = 1 + random.nextInt(20);
+            int status =
+                    cluster.submit(
+                            controller,
+                            SimulatedCluster.job(id, "blue", "sweep", tasks, 1, 1),
+                            runSeconds);
+            if (status == 201 && random.nextInt(4) == 0) {
+                cluster.run(random.nextDouble() * 3);
+                cluster.withdraw((controller + 1) % CONTROLLERS, id);
+            }
+            cluster.run(0.5 + random.nextDouble() * 2);
+        }
+    }
+}
--- /dev/null
+++ b/src/test/java/org/springmill/control/coordination/DelayedMessageTest.java
@@ -0,0 +1,190 @@
+package org.springmill.control.coordination;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+import static org.springmill.control.coordination.MessageMatchers.fromController;
+import static org.springmill.control.coordination.MessageMatchers.isCommit;
+import static org.springmill.control.coordination.MessageMatchers.isReport;
+import static org.springmill.control.coordination.MessageMatchers.isStartCommand;
+import static org.springmill.control.coordination.MessageMatchers.text;
+
+import java.util.ArrayList;
+import java.util.List;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.EnumSource;
+import org.springmill.sim.SimNetwork.Fate;
+import org.springmill.sim.SimWorker;
+import org.springmill.sim.SimulatedCluster;
+import org.springmill.transport.HttpClient.Request;
+
+/** Commands, reports and transactions that are delayed, duplicated or whose response is lost. */
+class DelayedMessageTest extends SingleFailureFixture {
+    @ParameterizedTest
+    @EnumSource(
+            value = Fate.class,
+            names = {"LOSE_ANSWER", "HOLD", "DROP", "REFUSE"})
+    void startCommandWithUnknownOutcomeLeavesOneTaskRunning(Fate fate) {
+        boolean[] once = new boolean[1];
+        cluster.network()
+                .judge(
+                        (from, request) -> {
+                            if (isStartCommand(request) && !once[0]) {
+                                once[0] = true;
+                                return fate;
+                            }
+                            return Fate.DELIVER;
+                        });
+        submitService(0, JOB, "red", 1, 1);
+        cluster.run(40);
+        assertEquals(1, cluster.running(JOB));
+        cluster.network().releaseHeld();
+        cluster.run(5);
+        assertEquals(1, cluster.running(JOB));
+    }
+
+    @Test
+    void startDelayedPastTheClearOfItsTaskDoesNothing() {
+        List<Request> seen = new ArrayList<>();
+        cluster.network()
+                .judge(
+                        (from, request) -> {
+                            if (isStartCommand(request)) {
+                                seen.add(request);
+                            }
+                            return Fate.DELIVER;
+                        });
+        cluster.submit(0, SimulatedCluster.job(JOB, "red", "sweep", 1, 1, 1), 3);
+        cluster.run(10);
+        assertEquals("done", cluster.phase(0, JOB));
+        seen.forEach(cluster.network()::repeat);
+        // The start must be refused, not begun and halted while its image is fetched.
+        assertTrue(
+                cluster.cloud().machines().values().stream()
+                        .noneMatch(machine -> machine.holds(FIRST_TASK)));
+        cluster.run(10);
+        assertEquals(1, cluster.starts(FIRST_TASK));
+    }
+
+    @Test
+    void delayedReportCopiesNeitherRenewALeaseNorProveThatTasksRun() {
+        submitService(0, JOB, "red", 2, 1);
+        List<Request> copies = new ArrayList<>();
+        cluster.network()
+                .judge(
+                        (from, request) -> {
+                            if (isReport(request)) {
+                                copies.add(request);
+                            }
+                            return Fate.DELIVER;
+                        });
+        cluster.run(10);
+        SimWorker victim = cluster.holder(FIRST_TASK);
+        victim.hang(true);
+        // Copies of its earlier reports keep arriving; its task still has to be declared lost after
+        // one lease.
+        for (int i = 0; i < 40; i++) {
+            copies.stream()
+                    .filter(r -> text(r).contains(victim.name()))
+                    .limit(3)
+                    .forEach(cluster.network()::repeat);
+            cluster.run(1);
+        }
+        assertEquals(
+                2,
+                cluster.cloud().machines().values().stream()
+                        .filter(m -> m != victim)
+                        .mapToInt(SimWorker::running)
+                        .sum());
+    }
+
+    /**
+     * Otherwise work would be placed on the deleted machine and wait until it is declared lost
+     * again.
+     */
+    @Test
+    void delayedReportCopiesDoNotReviveDeletedMachines() {
+        List<Request> copies = new ArrayList<>();
+        cluster.network()
+                .judge(
+                        (from, request) -> {
+                            if (isReport(request)) {
+                                copies.add(request);
+                            }
+                            return Fate.DELIVER;
+                        });
+        cluster.run(5);
+        List<Request> old = List.copyOf(copies);
+        cluster.cloud().runOut();
+        for (int i = 0; i < 60 && !cluster.cloud().machines().isEmpty(); i++) {
+            cluster.run(5);
+        }
+        assertEquals(0, cluster.cloud().machines().size(), "idle machines are returned");
+        old.forEach(cluster.network()::repeat);
+        assertEquals(
+                201,
+                cluster.submit(0, SimulatedCluster.job(JOB, "red", "service", 1, 1, 1), FOREVER));
+        cluster.run(3);
+        assertEquals(
+                0,
+                cluster.state().keysUnder("round/").size(),
+                "nothing is placed while there is no machine");
+    }
+
+    @Test
+    void delayedWriteOfAFormerLeaderChangesNothing() {
+        int old = cluster.leader();
+        boolean[] hold = {true};
+        cluster.network()
+                .judge(
+                        (from, request) ->
+                                hold[0]
+                                                && fromController(from, old)
+                                                && isCommit(request)
+                                                && text(request).contains("round/")
+                                        ? Fate.HOLD
+                                        : Fate.DELIVER);
+        submitService(follower(), JOB, "red", 2, 1);
+        cluster.run(1);
+        assertEquals(0, cluster.running(JOB));
+        cluster.kill(old);
+        hold[0] = false;
+        cluster.run(20);
+        assertEquals(2, cluster.running(JOB));
+        List<String> before = cluster.state().keysUnder("round/");
+        cluster.network().releaseHeld();
+        assertEquals(before, cluster.state().keysUnder("round/"));
+        cluster.restart(old);
+        cluster.kill(cluster.leader());
+        cluster.run(20);
+        assertEquals(2, cluster.running(JOB));
+        assertEquals(1, cluster.starts(FIRST_TASK));
+    }
+
+    @Test
+    void commitsWithLostResponsesAreNeitherLostNorDuplicated() {
+        int[] lost = new int[1];
+        cluster.network()
+                .judge(
+                        (from, request) ->
+                                isCommit(request) && ++lost[0] % 2 == 1
+                                        ? Fate.LOSE_ANSWER
+                                        : Fate.DELIVER);
+        for (int i = 0; i < 6; i++) {
+            int status = 503;
+            for (int tries = 0; tries < 5 && status == 503; tries++) {
+                status =
+                        cluster.submit(
+                                i % 3,
+                                SimulatedCluster.job("run-00020" + i, "blue", "sweep", 2, 1, 0),
+                                2);
+            }
+            assertTrue(status == 201 || status == 200, "status " + status);
+        }
+        cluster.run(20);
+        for (int i = 0; i < 6; i++) {
+            assertEquals("done", cluster.phase(i % 3, "run-00020" + i));
+            assertEquals(1, cluster.starts("run-00020" + i + "/0"));
+        }
+    }
+}
--- a/src/test/java/org/springmill/control/coordination/IsolatedLeaderCancellationTest.java
+++ b/src/test/java/org/springmill/control/coordination/IsolatedLeaderCancellationTest.java
@@ -3,8 +3,6 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 
-import java.util.List;
-import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -14,48 +12,28 @@
 import org.springmill.sim.SimulatedCluster;
 
 /**
- * The state service refuses the leader alone, other controllers confirm cancellations, and then it
- * is down for all for longer than users have to wait for them, while workers go on reporting.
+ * The state service refuses the leader alone while other controllers confirm cancellations; then it
+ * is down for all of them for longer than the cancellation deadline, while workers keep reporting.
  */
-class IsolatedLeaderCancellationTest {
-    private static final String JOB = "run-000001";
-    private static final String OTHER = "run-000002";
-
-    private SimulatedCluster cluster;
+class IsolatedLeaderCancellationTest extends SingleFailureFixture {
     private int leader;
 
     @BeforeEach
     void fourMachinesRunTwoJobs() {
-        cluster = new SimulatedCluster().machines("large", "a", 2).machines("large", "b", 2).run(6);
-        assertEquals(
-                201,
-                cluster.submit(
-                        0,
-                        SimulatedCluster.job(JOB, "blue", "service", 4, 1, 4),
-                        Double.POSITIVE_INFINITY));
-        assertEquals(
-                201,
-                cluster.submit(
-                        1,
-                        SimulatedCluster.job(OTHER, "blue", "service", 4, 1, 4),
-                        Double.POSITIVE_INFINITY));
+        submitService(0, JOB, "blue", 4, 4);
+        submitService(1, OTHER, "blue", 4, 4);
         cluster.run(8);
         assertEquals(8, cluster.running(JOB) + cluster.running(OTHER));
         leader = cluster.leader();
         assertNotEquals(-1, leader);
     }
 
-    @AfterEach
-    void noRuleIsBroken() {
-        assertEquals(List.of(), cluster.broken());
-    }
-
     /**
-     * @param peersCutForS how long the leader loses the other controllers, too
+     * @param partitionSeconds how long the leader loses the other controllers as well
      * @param crash who crashes 6 s into the outage
-     * @param kept whether the other job's replicas go through it all: not where a controller that
-     *     has forgotten what it confirmed, or one that cannot be heard, leaves it open for longer
-     *     than users wait what else was cancelled
+     * @param othersKept whether the replicas of the other job are never restarted; they may be
+     *     where a controller that forgot, or one that is partitioned, leaves open for longer than
+     *     the cancellation deadline what else was cancelled
      */
     @ParameterizedTest
     @CsvSource({
@@ -69,9 +47,10 @@
         "90, confirmer, false",
         "90, all, false",
     })
-    void whatOthersConfirmedIsGoneInTime(double peersCutForS, String crash, boolean kept) {
+    void cancellationConfirmedByAnotherControllerEndsTasksInTime(
+            double partitionSeconds, String crash, boolean othersKept) {
         cluster.state().refuse(leader, true);
-        cluster.cutPeers(leader, peersCutForS > 0);
+        cluster.cutPeers(leader, partitionSeconds > 0);
         cluster.run(1);
         int confirmer = (leader + 1) % 3;
         assertEquals("cancelled", cluster.withdraw(confirmer, JOB));
@@ -84,28 +63,28 @@
                 cluster.restart(i);
             }
         }
-        cluster.run(Math.min(peersCutForS, 40));
-        if (peersCutForS < 40) {
+        cluster.run(Math.min(partitionSeconds, 40));
+        if (partitionSeconds < 40) {
             cluster.cutPeers(leader, false);
         }
-        cluster.run(46 - Math.min(peersCutForS, 40));
+        cluster.run(46 - Math.min(partitionSeconds, 40));
         assertEquals(0, cluster.running(JOB));
         cluster.cutPeers(leader, false);
         cluster.state().refuse(leader, false);
         cluster.state().setDown(false);
         cluster.run(60);
         assertEquals(4, cluster.running(OTHER));
-        for (int i = 0; kept && i < 4; i++) {
-            assertEquals(1, cluster.starts(OTHER + "/" + i), "task " + i);
+        if (othersKept) {
+            assertEachTaskStartedOnce(OTHER, 4);
         }
         for (int i = 0; i < 3; i++) {
             assertEquals("cancelled", cluster.phase(i, JOB));
         }
     }
 
-    /** An old cancellation among many: what is told in parts arrives whole. */
+    /** The responses to its questions are bounded in size, so that the news comes in parts. */
     @Test
-    void whateverIsCancelledMeanwhileIsToldInParts() {
+    void manyCancellationsReachTheReconnectedLeaderInParts() {
         cluster.state().refuse(leader, true);
         cluster.cutPeers(leader, true);
         int other = (leader + 1) % 3;
@@ -127,12 +106,11 @@
     }
 
     /**
-     * A leader that only its workers and users still reach, with one of them deaf: the cancelled
-     * task goes with the machine, for the leader knows where it is though it is not sure of its
-     * lease.
+     * The leader is reached by workers and users only, and one machine gets none of its commands.
+     * The cancelled task ends with the machine, which the leader knows to hold it.
      */
     @Test
-    void aLeaderInDoubtRemovesWhatItCannotStop() {
+    void leaderUnsureOfItsLeaseDeletesAMachineItCannotCommand() {
         SimWorker victim = cluster.holder(JOB + "/0");
         cluster.state().setDown(true);
         cluster.run(5);
--- a/src/test/java/org/springmill/control/coordination/LargeFleetTest.java
+++ b/src/test/java/org/springmill/control/coordination/LargeFleetTest.java
@@ -3,7 +3,6 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
@@ -13,154 +12,148 @@
 import org.springmill.sim.SimulatedCluster;
 
 /**
- * The service at the size to which its deployments have grown: bounds on counted work, never on
- * time.
+ * Fleets as large as those of the largest deployments and larger. The bounds are on counted
+ * requests, never on time, so that they hold on any machine.
  */
-class LargeFleetTest {
-    private static final int MACHINES = 200;
-    private static final int JOBS = 120;
+class LargeFleetTest extends ClusterFixture {
     private static final int REPLICAS = 8;
+    private static final int MAX_REQUEST_BYTES = 64 * 1024;
 
-    private final Map<String, Integer> counted = new HashMap<>();
-
-    private int count(String path) {
-        return counted.getOrDefault(path, 0);
-    }
+    private final Map<String, Integer> requests = new HashMap<>();
+    private int largestRequestBytes;
 
+    /** Counted work follows what changes: nothing, then one array, then the leader. */
     @Test
-    void workFollowsWhatChangesAndNotTheSizeOfTheFleet() {
-        SimulatedCluster cluster =
-                new SimulatedCluster()
-                        .machines("large", "a", MACHINES / 2)
-                        .machines("large", "b", MACHINES / 2)
-                        .run(6);
-        cluster.cloud().runOut();
-        cluster.network()
-                .judge(
-                        (from, request) -> {
-                            counted.merge(request.path(), 1, Integer::sum);
-                            return Fate.DELIVER;
-                        });
-        // Idle machines would go back: the first jobs take a place on every machine.
-        for (int i = 0; i < JOBS; i++) {
-            var job =
-                    SimulatedCluster.job(
-                            String.format("run-%06d", i), "blue", "service", REPLICAS, 4, 0);
-            assertEquals(201, cluster.submit(i % 3, job, Double.POSITIVE_INFINITY));
-        }
+    void requestsFollowChangesAndNotTheSizeOfTheFleet() {
+        int machines = 200;
+        int jobs = 120;
+        startFleet(machines);
+        submitServices(jobs);
         cluster.run(20);
-        assertEquals(JOBS * REPLICAS, running(cluster));
+        assertEquals(jobs * REPLICAS, running(jobs));
         int rounds = cluster.state().keysUnder("round/").size();
-        assertTrue(rounds <= 2 * JOBS, rounds + " keys of rounds for " + JOBS + " jobs");
+        assertTrue(rounds <= 2 * jobs, rounds + " keys of rounds for " + jobs + " jobs");
 
-        // Nothing happens: no orders, and hardly a write.
-        counted.clear();
+        idleFleetCausesHardlyAnyRequest(machines);
+        arrayCausesOneCommandForEachMachineAndTask();
+        takeoverAsksEveryMachineAboutOnce(jobs);
+    }
+
+    private void idleFleetCausesHardlyAnyRequest(int machines) {
+        requests.clear();
         cluster.run(20);
-        assertTrue(
-                count("/orders") <= MACHINES / 20,
-                count("/orders") + " orders while nothing happens");
-        assertTrue(count("/commit") <= 4, count("/commit") + " commits while nothing happens");
-        assertTrue(
-                count("/rentals/delete") <= 4,
-                count("/rentals/delete") + " deletions, though machines go by the dozen");
+        assertAtMost(machines / 20, "/orders", "while nothing changes");
+        assertAtMost(4, "/commit", "while nothing changes");
+        assertAtMost(4, "/rentals/delete", "though idle machines are returned by the dozen");
+    }
 
-        // One array: commits by the round, one order for each machine that it touches, and its
-        // ends.
-        counted.clear();
+    private void arrayCausesOneCommandForEachMachineAndTask() {
+        requests.clear();
         cluster.submit(0, SimulatedCluster.job("run-900000", "blue", "sweep", 100, 1, 0), 5);
         cluster.run(20);
         assertEquals("done", cluster.phase(1, "run-900000"));
-        assertTrue(count("/commit") <= 20, count("/commit") + " commits for one array");
-        assertTrue(
-                count("/orders") <= 5 * 100,
-                count("/orders") + " orders for one array of 100 tasks");
+        assertAtMost(20, "/commit", "for one array");
+        assertAtMost(5 * 100, "/orders", "for one array of 100 tasks");
+    }
 
-        // A takeover asks every machine about once, and starts nothing again.
-        counted.clear();
+    private void takeoverAsksEveryMachineAboutOnce(int jobs) {
+        requests.clear();
         cluster.kill(cluster.leader());
         cluster.run(20);
-        assertEquals(JOBS * REPLICAS, running(cluster));
-        int machines = cluster.cloud().machines().size();
-        assertTrue(
-                count("/orders") <= 4 * machines,
-                count("/orders") + " orders at a takeover of " + machines);
-        assertTrue(count("/commit") <= 10, count("/commit") + " commits at a takeover");
-        for (int i = 0; i < JOBS; i++) {
-            assertEquals(1, cluster.starts(String.format("run-%06d/0", i)));
+        assertEquals(jobs * REPLICAS, running(jobs));
+        int machines = machines().size();
+        assertAtMost(4 * machines, "/orders", "at a takeover of " + machines + " machines");
+        assertAtMost(10, "/commit", "at a takeover");
+        for (int i = 0; i < jobs; i++) {
+            assertEquals(1, cluster.starts(id(i) + "/0"));
         }
-        assertEquals(List.of(), cluster.broken());
     }
 
     /**
-     * A fleet half as large again as any yet: what a lost rack and a takeover cost is bounded by
-     * what they touch.
+     * The cost of a lost rack and of a takeover is bounded by the replicas and machines touched.
      */
     @Test
-    void aRackOfALargeFleetIsReplacedAndItsLeaderToo() {
+    void lostRackAndThenTheLeaderAreReplacedWithBoundedRequests() {
         int machines = 1600;
-        SimulatedCluster cluster =
+        int jobs = machines / 4;
+        startFleet(machines);
+        submitServices(jobs);
+        cluster.run(20);
+        assertEquals(jobs * REPLICAS, running(jobs));
+
+        int up = machines().size();
+        lostRackIsReplaced(machines().subList(0, up / 5), jobs);
+
+        requests.clear();
+        cluster.kill(cluster.leader());
+        cluster.run(12);
+        assertEquals(jobs * REPLICAS, running(jobs));
+        assertAtMost(4 * up, "/orders", "at a takeover of " + up + " machines");
+        assertAtMost(10, "/commit", "at a takeover");
+        assertTrue(
+                largestRequestBytes <= MAX_REQUEST_BYTES,
+                "a request of " + largestRequestBytes + " bytes");
+    }
+
+    private void lostRackIsReplaced(List<SimWorker> rack, int jobs) {
+        requests.clear();
+        int lost = running(rack);
+        assertTrue(lost > 0, "the rack ran something");
+        rack.forEach(worker -> worker.hang(true));
+        cluster.run(9);
+        assertEquals(
+                jobs * REPLICAS,
+                running(jobs) - running(rack),
+                "all that the rack ran is up elsewhere within 9 s");
+        assertAtMost(12, "/rentals/delete", "for a rack of " + rack.size());
+        assertAtMost(60, "/commit", "for " + lost + " replicas");
+        assertAtMost(3 * lost + 4 * rack.size(), "/orders", "for " + lost + " replicas");
+    }
+
+    /** Starts controllers and machines; no others can be rented. */
+    private void startFleet(int machines) {
+        cluster =
                 new SimulatedCluster()
                         .machines("large", "a", machines / 2)
                         .machines("large", "b", machines / 2)
                         .run(6);
         cluster.cloud().runOut();
-        int[] bytes = new int[1];
         cluster.network()
                 .judge(
                         (from, request) -> {
-                            counted.merge(request.path(), 1, Integer::sum);
-                            bytes[0] = Math.max(bytes[0], request.body().length);
+                            requests.merge(request.path(), 1, Integer::sum);
+                            largestRequestBytes =
+                                    Math.max(largestRequestBytes, request.body().length);
                             return Fate.DELIVER;
                         });
-        int jobs = machines / 4;
+    }
+
+    /** Submits services through all controllers, before machines are returned as idle. */
+    private void submitServices(int jobs) {
         for (int i = 0; i < jobs; i++) {
-            var job =
-                    SimulatedCluster.job(
-                            String.format("run-%06d", i), "blue", "service", REPLICAS, 4, 0);
-            assertEquals(201, cluster.submit(i % 3, job, Double.POSITIVE_INFINITY));
+            var job = SimulatedCluster.job(id(i), "blue", "service", REPLICAS, 4, 0);
+            assertEquals(201, cluster.submit(i % CONTROLLERS, job, FOREVER));
         }
-        cluster.run(20);
-        assertEquals(jobs * REPLICAS, running(cluster, jobs));
-
-        counted.clear();
-        int up = cluster.cloud().machines().size();
-        List<SimWorker> rack =
-                new ArrayList<>(cluster.cloud().machines().values()).subList(0, up / 5);
-        int lost = rack.stream().mapToInt(SimWorker::running).sum();
-        assertTrue(lost > 0, "the rack ran something");
-        rack.forEach(worker -> worker.hang(true));
-        cluster.run(9);
-        assertEquals(
-                jobs * REPLICAS,
-                running(cluster, jobs) - rack.stream().mapToInt(SimWorker::running).sum(),
-                "all that the rack ran is up elsewhere within " + 9 + " s");
-        assertTrue(
-                count("/rentals/delete") <= 12,
-                count("/rentals/delete") + " deletions for a rack of " + rack.size());
-        assertTrue(count("/commit") <= 60, count("/commit") + " commits for " + lost + " replicas");
-        assertTrue(
-                count("/orders") <= 3 * lost + 4 * rack.size(),
-                count("/orders") + " orders for " + lost + " replicas");
+    }
 
-        counted.clear();
-        cluster.kill(cluster.leader());
-        cluster.run(12);
-        assertEquals(jobs * REPLICAS, running(cluster, jobs));
-        assertTrue(count("/orders") <= 4 * up, count("/orders") + " orders at a takeover of " + up);
-        assertTrue(count("/commit") <= 10, count("/commit") + " commits at a takeover");
-        assertTrue(bytes[0] <= 64 * 1024, "a request of " + bytes[0] + " bytes");
-        assertEquals(List.of(), cluster.broken());
+    private static String id(int job) {
+        return String.format("run-%06d", job);
     }
 
-    private static int running(SimulatedCluster cluster, int jobs) {
+    private int running(int jobs) {
         int running = 0;
         for (int i = 0; i < jobs; i++) {
-            running += cluster.running(String.format("run-%06d", i));
+            running += cluster.running(id(i));
         }
         return running;
     }
 
-    private static int running(SimulatedCluster cluster) {
-        return running(cluster, JOBS);
+    private static int running(List<SimWorker> machines) {
+        return machines.stream().mapToInt(SimWorker::running).sum();
+    }
+
+    private void assertAtMost(int bound, String path, String when) {
+        int count = requests.getOrDefault(path, 0);
+        assertTrue(count <= bound, count + " requests to " + path + " " + when);
     }
 }
--- /dev/null
+++ b/src/test/java/org/springmill/control/coordination/MachineRentalTest.java
@@ -0,0 +1,77 @@
+package org.springmill.control.coordination;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertNotEquals;
+import static org.junit.jupiter.api.Assertions.assertNotNull;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.util.stream.IntStream;
+import org.junit.jupiter.api.Test;
+import org.springmill.sim.SimWorker;
+import org.springmill.sim.SimulatedCluster;
+
+/** Machines are rented, left before they are taken away, drained and returned. */
+class MachineRentalTest extends SingleFailureFixture {
+    @Test
+    void replicaLeavesAMachineWithTerminationNoticeInTime() {
+        submitService(0, JOB, "red", 1, 1);
+        cluster.run(5);
+        SimWorker first = cluster.holder(FIRST_TASK);
+        first.notice(10);
+        cluster.run(5);
+        assertNotNull(cluster.holder(FIRST_TASK));
+        assertNotEquals(first.name(), cluster.holder(FIRST_TASK).name());
+    }
+
+    @Test
+    void pendingTasksGetRentedMachinesAndIdleOnesAreReturned() {
+        submitService(0, JOB, "blue", 6, 8);
+        cluster.run(45);
+        assertEquals(6, cluster.running(JOB));
+        assertEquals("cancelled", cluster.withdraw(0, JOB));
+        cluster.run(200);
+        assertEquals(0, cluster.cloud().machines().size(), "idle machines are returned");
+    }
+
+    @Test
+    void underusedMachineIsDrainedAndItsReplicasMoveAtMostOnce() {
+        // Four replicas of 3 GPUs fill up two machines of 8 in each zone, one each after the others
+        // have gone.
+        for (int i = 0; i < 8; i++) {
+            var job = SimulatedCluster.job("run-00060" + i, "blue", "service", 1, 1, 3);
+            cluster.submit(0, job.put("yard", i < 4 ? "a" : "b"), FOREVER);
+        }
+        cluster.run(30);
+        for (int i = 0; i < 8; i += 4) {
+            String first = cluster.holder("run-00060" + i + "/0").name();
+            for (int j = i + 1; j < i + 4; j++) {
+                if (cluster.holder("run-00060" + j + "/0").name().equals(first)) {
+                    cluster.withdraw(0, "run-00060" + j);
+                    break;
+                }
+            }
+        }
+        cluster.run(90);
+        int running = 0;
+        for (int i = 0; i < 8; i++) {
+            running += cluster.running("run-00060" + i);
+            assertTrue(cluster.starts("run-00060" + i + "/0") <= 2, "moved at most once");
+        }
+        assertEquals(6, running);
+        assertEquals(
+                4,
+                cluster.cloud().machines().size(),
+                "three replicas of 3 GPUs do not fit one machine of 8");
+        for (int i = 0; i < 8; i += 4) {
+            for (int j = i; j < i + 4; j++) {
+                if (cluster.running("run-00060" + j) == 1 && j % 4 != 0) {
+                    cluster.withdraw(0, "run-00060" + j);
+                    break;
+                }
+            }
+        }
+        cluster.run(180);
+        assertEquals(2, cluster.cloud().machines().size(), "two of them do");
+        assertEquals(4, IntStream.range(0, 8).map(i -> cluster.running("run-00060" + i)).sum());
+    }
+}
--- /dev/null
+++ b/src/test/java/org/springmill/control/coordination/NetworkPartitionTest.java
@@ -0,0 +1,169 @@
+package org.springmill.control.coordination;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertNotEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+import static org.springmill.control.coordination.MessageMatchers.fromController;
+import static org.springmill.control.coordination.MessageMatchers.fromWorker;
+import static org.springmill.control.coordination.MessageMatchers.toController;
+import static org.springmill.control.coordination.MessageMatchers.toStateService;
+import static org.springmill.control.coordination.MessageMatchers.toWorker;
+
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.CsvSource;
+import org.springmill.sim.SimNetwork.Fate;
+import org.springmill.sim.SimWorker;
+import org.springmill.transport.HttpClient.Request;
+
+/** Partitions between the leader, the other controllers, the workers and the state service. */
+class NetworkPartitionTest extends SingleFailureFixture {
+    /** The leader loses its connections to one or several kinds of components for some time. */
+    @ParameterizedTest
+    @CsvSource({
+        "state,                10", "state,                40",
+        "state peers,          10", "state peers,          40",
+        "state peers users,    60", "workers,              30",
+        "state peers workers,  60",
+    })
+    void allReplicasRunOnceThePartitionOfTheLeaderIsOver(
+            String lostConnections, double durationSeconds) {
+        submitService(0, JOB, "red", 4, 1);
+        cluster.run(8);
+        assertEquals(4, cluster.running(JOB));
+        int isolated = cluster.leader();
+        cluster.cutPeers(isolated, lostConnections.contains("peers"));
+        cluster.network()
+                .judge(
+                        (from, request) ->
+                                isLost(lostConnections, isolated, from, request)
+                                        ? Fate.DROP
+                                        : Fate.DELIVER);
+        cluster.run(durationSeconds);
+        deliverAllMessages();
+        cluster.cutPeers(isolated, false);
+        cluster.run(40);
+        assertEquals(4, cluster.running(JOB));
+    }
+
+    /** Whether a message is lost by a controller that lost the named connections. */
+    private static boolean isLost(
+            String lostConnections, int isolated, String from, Request request) {
+        boolean fromIsolated = fromController(from, isolated);
+        boolean state = fromIsolated && toStateService(request);
+        boolean workers =
+                (fromIsolated && toWorker(request))
+                        || (fromWorker(from) && toController(request, isolated));
+        return (state && lostConnections.contains("state"))
+                || (workers && lostConnections.contains("workers"))
+                || (from.equals("user") && lostConnections.contains("users"));
+    }
+
+    @Test
+    void packetFilterBetweenControllersCausesAtMostOneLeaderChange() {
+        submitService(0, JOB, "red", 4, 1);
+        cluster.run(5);
+        int changes = 0;
+        int leader = cluster.leader();
+        cluster.filterPeers();
+        for (int i = 0; i < 100; i++) {
+            cluster.run(0.3);
+            if (cluster.leader() >= 0 && cluster.leader() != leader) {
+                leader = cluster.leader();
+                changes++;
+            }
+        }
+        assertTrue(changes <= 1, "changes of leader: " + changes);
+        assertEquals(4, cluster.running(JOB));
+    }
+
+    @Test
+    void leaderAloneWithTheStateServiceTakesSilenceForNoProof() {
+        submitService(0, JOB, "red", 4, 1);
+        cluster.run(8);
+        int alone = cluster.leader();
+        cluster.cutPeers(alone, true);
+        // The other controllers see an outage and, without a leader, renew the leases of the
+        // workers; the leader sees only silent workers.
+        cluster.network()
+                .judge(
+                        (from, request) -> {
+                            boolean othersState =
+                                    !fromController(from, alone) && toStateService(request);
+                            boolean workers =
+                                    (fromWorker(from) && toController(request, alone))
+                                            || (fromController(from, alone) && toWorker(request));
+                            return othersState ? Fate.REFUSE : workers ? Fate.DROP : Fate.DELIVER;
+                        });
+        cluster.run(60);
+        cluster.cutPeers(alone, false);
+        deliverAllMessages();
+        cluster.run(60);
+        assertEquals(4, cluster.running(JOB));
+    }
+
+    @Test
+    void leaderPartitionedFromItsWorkersIsReplacedBeforeTheirLeasesEnd() {
+        submitService(0, JOB, "red", 4, 1);
+        cluster.run(8);
+        int isolated = cluster.leader();
+        cluster.network()
+                .judge(
+                        (from, request) ->
+                                (fromWorker(from) && toController(request, isolated))
+                                                || (fromController(from, isolated)
+                                                        && toWorker(request))
+                                        ? Fate.DROP
+                                        : Fate.DELIVER);
+        cluster.run(40);
+        assertNotEquals(isolated, cluster.leader());
+        assertEachTaskStartedOnce(JOB, 4);
+    }
+
+    @Test
+    void machineReachableOnlyByTheOldLeaderEndsCancelledTasksInTime() {
+        submitService(0, JOB, "red", 2, 1);
+        cluster.run(8);
+        int isolated = cluster.leader();
+        SimWorker follows = cluster.holder(FIRST_TASK);
+        cluster.cutPeers(isolated, true);
+        // One machine exchanges messages with the old leader only.
+        cluster.network()
+                .judge(
+                        (from, request) -> {
+                            boolean oldLeader =
+                                    fromController(from, isolated) && toStateService(request);
+                            boolean outwards =
+                                    from.equals(follows.name()) && !toController(request, isolated);
+                            boolean inwards =
+                                    !fromController(from, isolated)
+                                            && request.address().equals(follows.address());
+                            return oldLeader || outwards || inwards ? Fate.DROP : Fate.DELIVER;
+                        });
+        cluster.run(15);
+        assertNotEquals(isolated, cluster.leader());
+        // A cancellation through another controller has to take effect in time there, too.
+        assertEquals("cancelled", cluster.withdraw((isolated + 1) % 3, JOB));
+        cluster.run(50);
+        assertEquals(0, cluster.running(JOB));
+    }
+
+    @Test
+    void controllerThatReachesOnlyItsWorkersYieldsThemToTheNextLeader() {
+        submitService(0, JOB, "red", 4, 1);
+        cluster.run(8);
+        int alone = cluster.leader();
+        cluster.cutPeers(alone, true);
+        cluster.network()
+                .judge(
+                        (from, request) ->
+                                fromController(from, alone) && !toWorker(request)
+                                        ? Fate.DROP
+                                        : Fate.DELIVER);
+        cluster.run(30);
+        assertNotEquals(alone, cluster.leader());
+        assertEquals("cancelled", cluster.withdraw(cluster.leader(), JOB));
+        cluster.run(4);
+        assertEquals(0, cluster.running(JOB), "the new leader reaches the workers");
+    }
+}
--- /dev/null
+++ b/src/test/java/org/springmill/control/coordination/StateServiceOutageTest.java
@@ -0,0 +1,141 @@
+package org.springmill.control.coordination;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.springmill.control.coordination.MessageMatchers.fromController;
+import static org.springmill.control.coordination.MessageMatchers.toController;
+import static org.springmill.control.coordination.MessageMatchers.toStateService;
+
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.CsvSource;
+import org.junit.jupiter.params.provider.ValueSource;
+import org.springmill.sim.SimNetwork.Fate;
+import org.springmill.sim.SimWorker;
+import org.springmill.sim.SimulatedCluster;
+
+/** The state service is down, for all controllers or for one of them. */
+class StateServiceOutageTest extends SingleFailureFixture {
+    @ParameterizedTest
+    @ValueSource(doubles = {5, 25})
+    void followersKeepWorkerLeasesWhenTheLeaderIsPartitionedInAnOutage(double partitionSeconds) {
+        submitService(0, JOB, "red", 4, 1);
+        cluster.run(8);
+        int isolated = cluster.leader();
+        cluster.state().setDown(true);
+        cluster.run(3);
+        cluster.cutPeers(isolated, true);
+        cluster.network()
+                .judge(
+                        (from, request) ->
+                                fromController(from, isolated) || toController(request, isolated)
+                                        ? Fate.DROP
+                                        : Fate.DELIVER);
+        cluster.run(partitionSeconds);
+        cluster.state().setDown(false);
+        cluster.run(5);
+        cluster.cutPeers(isolated, false);
+        deliverAllMessages();
+        cluster.run(30);
+        assertEquals(4, cluster.running(JOB));
+        assertEachTaskStartedOnce(JOB, 4);
+    }
+
+    @Test
+    void followerRefusedByTheStateServiceDoesNotKeepTheLeaderFromReplacingTasks() {
+        submitService(0, JOB, "red", 2, 1);
+        cluster.run(8);
+        int refused = follower();
+        cluster.network()
+                .judge(
+                        (from, request) ->
+                                (fromController(from, refused) && toStateService(request))
+                                                || request.path().equals("/rentals/delete")
+                                        ? Fate.REFUSE
+                                        : Fate.DELIVER);
+        cluster.run(5);
+        SimWorker hung = cluster.holder(FIRST_TASK);
+        hung.hang(true);
+        cluster.run(25);
+        // The cloud refuses all deletions, so silence alone proved that the task was gone.
+        assertEquals(2, cluster.starts(FIRST_TASK));
+    }
+
+    @ParameterizedTest
+    @ValueSource(booleans = {true, false})
+    void outageWithOneControllerPartitionedAndAnotherRestartedKeepsAllReplicas(boolean otherRuns) {
+        submitService(0, JOB, "red", 4, 1);
+        cluster.run(8);
+        int leader = cluster.leader();
+        cluster.cutPeers((leader + 1) % 3, true);
+        cluster.state().setDown(true);
+        if (!otherRuns) {
+            cluster.restart((leader + 2) % 3);
+        }
+        cluster.run(25);
+        // If the restarted controller cannot confirm the leader, the isolated one renews the
+        // leases of the workers.
+        assertEquals(4, cluster.running(JOB));
+        cluster.state().setDown(false);
+        cluster.run(20);
+        assertEquals(4, cluster.running(JOB));
+    }
+
+    @ParameterizedTest
+    @CsvSource({"20, none", "20, leader", "20, all", "30, all"})
+    void outageKillsNoTaskEvenIfControllersRestart(double durationSeconds, String killed) {
+        submitService(0, JOB, "red", 4, 1);
+        cluster.run(8);
+        int leader = cluster.leader();
+        cluster.state().setDown(true);
+        cluster.run(5);
+        for (int i = 0; i < 3; i++) {
+            if (killed.equals("all") || (killed.equals("leader") && i == leader)) {
+                cluster.restart(i);
+            }
+        }
+        cluster.run(durationSeconds - 5);
+        assertEquals("503", cluster.phase(0, JOB).replace("running", "503"));
+        cluster.state().setDown(false);
+        cluster.run(15);
+        assertEquals(4, cluster.running(JOB));
+        assertEachTaskStartedOnce(JOB, 4);
+        assertEquals(
+                201, cluster.submit(1, SimulatedCluster.job(OTHER, "red", "sweep", 1, 1, 1), 1));
+    }
+
+    /**
+     * A controller without contact to others renews the leases of its workers in an outage, but
+     * only until a cancellation that another one may have confirmed since has to have taken effect:
+     * it can tell neither crashed controllers from controllers behind a packet filter nor an outage
+     * from being refused alone.
+     */
+    @ParameterizedTest
+    @CsvSource({"false, 40, 1", "false, 60, 0", "true, 60, 0"})
+    void soleControllerInAnOutageKeepsItsWorkersUntilACancellationCouldBeOverdue(
+            boolean cancelled, double durationSeconds, int replicasLeft) {
+        submitService(0, JOB, "red", 1, 1);
+        cluster.run(8);
+        SimWorker holder = cluster.holder(FIRST_TASK);
+        int alone = cluster.leader();
+        if (cancelled) {
+            cluster.filterPeers();
+            cluster.network()
+                    .judge(
+                            (from, request) ->
+                                    fromController(from, alone) && toStateService(request)
+                                            ? Fate.REFUSE
+                                            : Fate.DELIVER);
+            assertEquals("cancelled", cluster.withdraw((alone + 1) % 3, JOB));
+        }
+        for (int i = 0; i < 3; i++) {
+            if (i != alone) {
+                cluster.kill(i);
+            }
+        }
+        cluster.state().setDown(true);
+        cluster.run(durationSeconds);
+        // A later leader takes no silence for proof before it has contact to this controller.
+        assertEquals(replicasLeft == 1, holder.session() == 1);
+        assertEquals(replicasLeft, holder.running());
+    }
+}
--- /dev/null
+++ b/src/test/java/org/springmill/control/coordination/WorkerLeaseTest.java
@@ -0,0 +1,73 @@
+package org.springmill.control.coordination;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.springmill.control.coordination.MessageMatchers.fromWorker;
+import static org.springmill.control.coordination.MessageMatchers.isCommand;
+
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.ValueSource;
+import org.springmill.sim.SimNetwork.Fate;
+import org.springmill.sim.SimWorker;
+import org.springmill.sim.SimulatedCluster;
+
+/** Silent, unreachable, deaf and faulty machines, and the leases of their workers. */
+class WorkerLeaseTest extends SingleFailureFixture {
+    /** Also when the whole fleet is unreachable. */
+    @ParameterizedTest
+    @ValueSource(doubles = {3, 5, 8})
+    void fleetUnreachableForLessThanALeaseKeepsItsMachinesAndTasks(double durationSeconds) {
+        submitService(0, JOB, "blue", 8, 4);
+        cluster.run(8);
+        int before = cluster.cloud().machines().size();
+        cluster.network()
+                .judge(
+                        (from, request) ->
+                                fromWorker(from) || isCommand(request) ? Fate.DROP : Fate.DELIVER);
+        cluster.run(durationSeconds);
+        deliverAllMessages();
+        cluster.run(30);
+        assertEquals(before, cluster.cloud().machines().size());
+        assertEachTaskStartedOnce(JOB, 8);
+    }
+
+    @Test
+    void replicasOfASilentMachineAreReplacedBeforeItsLeaseEnds() {
+        submitService(0, JOB, "red", 1, 1);
+        cluster.run(8);
+        cluster.holder(FIRST_TASK).hang(true);
+        cluster.run(11);
+        assertEquals(2, cluster.starts(FIRST_TASK));
+    }
+
+    @Test
+    void jobsRunElsewhereWhenCommandsDoNotReachAReportingMachine() {
+        SimWorker deaf = cluster.cloud().machines().values().iterator().next();
+        cluster.network()
+                .judge(
+                        (from, request) ->
+                                request.address().equals(deaf.address())
+                                        ? Fate.DROP
+                                        : Fate.DELIVER);
+        for (int i = 0; i < 8; i++) {
+            submitService(0, "run-00030" + i, "blue", 1, 2);
+        }
+        cluster.run(60);
+        for (int i = 0; i < 8; i++) {
+            assertEquals(1, cluster.running("run-00030" + i), "job " + i);
+        }
+    }
+
+    @Test
+    void allJobsCompleteDespiteAMachineThatFailsEveryTask() {
+        SimWorker faulty = cluster.cloud().machines().values().iterator().next();
+        faulty.failEverything();
+        for (int i = 0; i < 8; i++) {
+            cluster.submit(0, SimulatedCluster.job("run-00040" + i, "blue", "sweep", 4, 1, 1), 5);
+        }
+        cluster.run(90);
+        for (int i = 0; i < 8; i++) {
+            assertEquals("done", cluster.phase(0, "run-00040" + i), "job " + i);
+        }
+    }
+}
--- /dev/null
+++ b/src/test/java/org/springmill/sim/PlacementRules.java
@@ -0,0 +1,107 @@
+package org.springmill.sim;
+
+import com.fasterxml.jackson.databind.JsonNode;
+import org.springmill.protocol.Settings;
+
+/** Where tasks of a job may be, and whether there is room for one. */
+final class PlacementRules {
+    private static final double ROUNDING_ERROR = 1e-6;
+
+    private final SimCloud cloud;
+    private final Settings settings;
+    private final JobHistories jobs;
+
+    PlacementRules(SimCloud cloud, Settings settings, JobHistories jobs) {
+        this.cloud = cloud;
+        this.settings = settings;
+        this.jobs = jobs;
+    }
+
+    /** Whether the job allows a machine type, and a task fits an empty machine of it. */
+    static boolean allowsType(JsonNode job, SimCloud.Type type) {
+        boolean named = !job.hasNonNull("frames");
+        for (JsonNode name : job.path("frames")) {
+            named |= name.asText().equals(type.name());
+        }
+        return named
+                && job.path("vcpus").asDouble() <= type.cpus()
+                && job.path("cards").asDouble() <= type.gpus()
+                && job.path("memGb").asDouble() <= type.memoryGb();
+    }
+
+    /** Why a task of the job, which may be there already, must not be on a machine; or null. */
+    String whyNotAllowed(SimWorker machine, JsonNode job) {
+        if (!allowsType(job, SimCloud.TYPES.get(machine.type()))) {
+            return "type";
+        }
+        if (job.hasNonNull("yard") && !job.path("yard").asText().equals(machine.zone())) {
+            return "zone";
+        }
+        if (machine.spot() && !job.path("loaner").asBoolean()) {
+            return "spot";
+        }
+        if (job.path("samePlace").asBoolean() && tasksOutside(machine.zone(), job) > 0) {
+            return "apart from the others";
+        }
+        int mostInOneZone = (job.path("sacks").asInt() + 1) / 2;
+        if (job.path("apart").asBoolean() && tasksIn(machine.zone(), job) > mostInOneZone) {
+            return "too many in the zone";
+        }
+        return null;
+    }
+
+    private int tasksIn(String zone, JsonNode job) {
+        return cloud.machines().values().stream()
+                .filter(machine -> machine.zone().equals(zone))
+                .mapToInt(machine -> tasksOn(machine, job))
+                .sum();
+    }
+
+    private int tasksOutside(String zone, JsonNode job) {
+        return cloud.machines().values().stream()
+                .filter(machine -> !machine.zone().equals(zone))
+                .mapToInt(machine -> tasksOn(machine, job))
+                .sum();
+    }
+
+    private static int tasksOn(SimWorker machine, JsonNode job) {
+        String prefix = job.path("nameId").asText() + '/';
+        return (int)
+                machine.tasks().stream()
+                        .filter(task -> task.onMachine() && task.id.startsWith(prefix))
+                        .count();
+    }
+
+    /** Whether a further task fits its team's limit and a machine on which it may be. */
+    boolean hasRoom(JobHistory job, TeamUsage used) {
+        JsonNode spec = job.job();
+        boolean withinLimit =
+                settings.team(job.team())
+                        .withinLimit(
+                                used.cpus() + spec.path("vcpus").asDouble(),
+                                used.gpus() + spec.path("cards").asDouble());
+        return withinLimit
+                && cloud.machines().values().stream()
+                        .anyMatch(
+                                machine ->
+                                        machine.sound()
+                                                && whyNotAllowed(machine, spec) == null
+                                                && hasRoom(machine, spec));
+    }
+
+    private boolean hasRoom(SimWorker machine, JsonNode job) {
+        SimCloud.Type type = SimCloud.TYPES.get(machine.type());
+        double cpus = type.cpus() - job.path("vcpus").asDouble();
+        double gpus = type.gpus() - job.path("cards").asDouble();
+        double memoryGb = type.memoryGb() - job.path("memGb").asDouble();
+        for (SimWorker.Task task : machine.tasks()) {
+            JobHistory other = jobs.ofTask(task.id);
+            if (!task.over() && other != null) {
+                cpus -= other.job().path("vcpus").asDouble();
+                gpus -= other.job().path("cards").asDouble();
+                memoryGb -= other.job().path("memGb").asDouble();
+            }
+        }
+        return cpus >= -ROUNDING_ERROR && gpus >= -ROUNDING_ERROR && memoryGb >= -ROUNDING_ERROR;
+    }
+}
--- a/src/test/java/org/springmill/sim/SimCloud.java
+++ b/src/test/java/org/springmill/sim/SimCloud.java
@@ -7,7 +7,6 @@
 import java.util.HashMap;
 import java.util.HashSet;
 import java.util.LinkedHashMap;
-import java.util.List;
 import java.util.Map;
 import java.util.Set;
 import org.springmill.transport.HttpClient.Reply;
@@ -16,7 +15,7 @@
 /** A stand-in for the cloud: one small and one large machine type in two zones. */
 public final class SimCloud {
     private static final ObjectMapper JSON = new ObjectMapper();
-    static final double BOOT_S = 20;
+    static final double BOOT_SECONDS = 20;
 
     /** A machine type as the cloud offers it. */
     record Type(String name, double cpus, double gpus, double memoryGb, double price) {}
@@ -38,12 +37,12 @@
         this.cluster = cluster;
     }
 
-    /** From now on no machine is to be had. */
+    /** From now on no machine can be rented. */
     public void runOut() {
-        emptyZones.addAll(List.of("a", "b"));
+        emptyZones.addAll(SimSettings.ZONES);
     }
 
-    /** There are machines again. */
+    /** Machines can be rented again. */
     public void refill() {
         emptyZones.clear();
     }
@@ -58,12 +57,12 @@
         return machines;
     }
 
-    SimWorker add(String type, String zone, boolean spot, double bootS) {
+    SimWorker add(String type, String zone, boolean spot, double bootSeconds) {
         String name = String.format("host-%06d", ++named);
         SimWorker worker =
                 new SimWorker(cluster, name, "10.1.0." + named + ":9000", type, zone, spot);
         machines.put(name, worker);
-        cluster.clock().after(bootS, worker::boot);
+        cluster.clock().after(bootSeconds, worker::boot);
         return worker;
     }
 
@@ -115,7 +114,7 @@
                                         body.path("frame").asText(),
                                         body.path("yard").asText(),
                                         body.path("loaner").asBoolean(),
-                                        BOOT_S)
+                                        BOOT_SECONDS)
                                 .name());
             }
             rentals.put(name, rented);
@@ -135,7 +134,7 @@
                 .put("pullGbPerS", 1.0)
                 .put("price", type.price())
                 .put("marketPrice", type.price() / 3)
-                .put("bootS", BOOT_S)
+                .put("bootS", BOOT_SECONDS)
                 .putArray("yards")
                 .add("a")
                 .add("b");
--- /dev/null
+++ b/src/test/java/org/springmill/sim/SimController.java
@@ -0,0 +1,129 @@
+package org.springmill.sim;
+
+import java.util.SplittableRandom;
+import java.util.function.Consumer;
+import org.springmill.control.coordination.Controller;
+import org.springmill.protocol.Settings;
+import org.springmill.transport.HttpClient;
+import org.springmill.transport.HttpHandler;
+import org.springmill.transport.Loop;
+import org.springmill.transport.PeerLink;
+
+/**
+ * The process of one controller: the real {@link Controller} on the virtual clock and the simulated
+ * networks. Once stopped it acts no more, whatever timers and responses are still to come.
+ */
+final class SimController implements Loop, HttpClient, PeerLink {
+    private final int number;
+    private final VirtualClock clock;
+    private final SimNetwork network;
+    private final SimPeerNetwork peerNetwork;
+    private final Controller controller;
+    private Listener listener;
+    private boolean stopped;
+
+    SimController(
+            int number,
+            Settings.State stateLimits,
+            long seed,
+            VirtualClock clock,
+            SimNetwork network,
+            SimPeerNetwork peerNetwork) {
+        this.number = number;
+        this.clock = clock;
+        this.network = network;
+        this.peerNetwork = peerNetwork;
+        controller =
+                new Controller(
+                        SimSettings.of(number, stateLimits),
+                        this,
+                        this,
+                        this,
+                        new SplittableRandom(seed));
+        controller.start();
+    }
+
+    void stop() {
+        stopped = true;
+    }
+
+    String name() {
+        return SimSettings.controllerName(number);
+    }
+
+    /** Where peer messages go; null until the controller listens. */
+    Listener listener() {
+        return listener;
+    }
+
+    void handle(Request request, Consumer<Reply> done) {
+        controller.handle(new SimCall(request, done));
+    }
+
+    @Override
+    public double now() {
+        return clock.now();
+    }
+
+    /** Off by as much as the settings allow, to either side. */
+    @Override
+    public double timeOfDay() {
+        return clock.timeOfDay() + number - 1;
+    }
+
+    @Override
+    public Timer after(double seconds, Runnable task) {
+        return clock.after(
+                seconds,
+                () -> {
+                    if (!stopped) {
+                        task.run();
+                    }
+                });
+    }
+
+    @Override
+    public void send(Request request, Consumer<Reply> done) {
+        network.send(
+                name(),
+                request,
+                reply -> {
+                    if (!stopped) {
+                        done.accept(reply);
+                    }
+                });
+    }
+
+    @Override
+    public void send(String peer, byte[] message) {
+        peerNetwork.send(this, peer, message);
+    }
+
+    @Override
+    public void onRecord(Listener taker) {
+        listener = taker;
+    }
+
+    /** A request that the simulated network delivers, and where its response goes. */
+    private record SimCall(Request request, Consumer<Reply> done) implements HttpHandler.Call {
+        @Override
+        public String method() {
+            return request.method();
+        }
+
+        @Override
+        public String path() {
+            return request.path();
+        }
+
+        @Override
+        public byte[] body() {
+            return request.body();
+        }
+
+        @Override
+        public void reply(int status, byte[] body, int retryAfterS) {
+            done.accept(new Reply(status, body));
+        }
+    }
+}
--- a/src/test/java/org/springmill/sim/SimNetwork.java
+++ b/src/test/java/org/springmill/sim/SimNetwork.java
@@ -11,7 +11,7 @@
 
 /** Carries requests with a delay and lets a test decide the fate of each. */
 public final class SimNetwork {
-    private static final double DELAY_S = 0.002;
+    private static final double DELAY_SECONDS = 0.002;
 
     /** What becomes of a message. */
     public enum Fate {
@@ -20,9 +20,9 @@
         DROP,
         /** The connection cannot be made; the sender knows that nothing was sent. */
         REFUSE,
-        /** Arrives and is executed, but its answer is lost. */
+        /** Arrives and is executed, but its response is lost. */
         LOSE_ANSWER,
-        /** Kept back, and delivered when the test lets go, long after the sender has given up. */
+        /** Held, and delivered when the test releases it, long after the sender has given up. */
         HOLD
     }
 
@@ -33,20 +33,20 @@
 
     private final SimulatedCluster cluster;
     private final List<Held> held = new ArrayList<>();
-    private final Set<String> deaf = new HashSet<>();
-    private final Set<String> mute = new HashSet<>();
-    private final Set<String> stateless = new HashSet<>();
+    private final Set<String> unreachable = new HashSet<>();
+    private final Set<String> unableToReport = new HashSet<>();
+    private final Set<String> cutFromState = new HashSet<>();
     private Judge judge = (from, request) -> Fate.DELIVER;
     private Delays delays = (from, request) -> 0;
     private Delays answerDelays = (from, request) -> 0;
     private SplittableRandom random;
-    private double lateReports;
+    private double duplicatedReportShare;
 
     private record Held(String from, Request request) {}
 
     /** How much longer a message is on its way, in seconds. */
     public interface Delays {
-        double delayS(String from, Request request);
+        double delaySeconds(String from, Request request);
     }
 
     SimNetwork(SimulatedCluster cluster) {
@@ -61,58 +61,52 @@
         judge = by;
     }
 
-    /** Holds up requests, to be carried out even if their sender has long given up. */
+    /** Delays requests, which are executed even if their sender has long given up. */
     public void delayRequests(Delays by) {
         delays = by;
     }
 
-    /** Holds up answers; the sender may have given up by then. */
+    /** Delays responses; the sender may have given up by then. */
     public void delayAnswers(Delays by) {
         answerDelays = by;
     }
 
     /** The reports of a machine arrive; answers and direct commands to it are lost. */
-    public void deafen(SimWorker machine) {
-        deaf.add(machine.name());
-        deaf.add(machine.address());
+    public void blockMessagesTo(SimWorker machine) {
+        unreachable.add(machine.name());
+        unreachable.add(machine.address());
     }
 
-    /** A machine reaches no controller, while direct commands reach it. */
-    public void mute(SimWorker machine) {
-        mute.add(machine.name());
-    }
-
-    public void heal(SimWorker machine) {
-        mute.remove(machine.name());
-        deaf.remove(machine.name());
-        deaf.remove(machine.address());
+    /** A machine cannot connect to any controller, while direct commands reach it. */
+    public void blockReportsFrom(SimWorker machine) {
+        unableToReport.add(machine.name());
     }
 
     /** Nothing gets through between a controller and the state service. */
-    public void cutFromState(String node) {
-        stateless.add(node);
+    public void cutFromState(String controller) {
+        cutFromState.add(controller);
     }
 
     /** Of that share of the reports a copy arrives again, from 2 s to three leases later. */
-    public void lateReports(double share) {
-        lateReports = share;
+    public void duplicateReports(double share) {
+        duplicatedReportShare = share;
     }
 
     void calm() {
         judge = (from, request) -> Fate.DELIVER;
         delays = (from, request) -> 0;
         answerDelays = (from, request) -> 0;
-        lateReports = 0;
-        deaf.clear();
-        mute.clear();
-        stateless.clear();
+        duplicatedReportShare = 0;
+        unreachable.clear();
+        unableToReport.clear();
+        cutFromState.clear();
     }
 
     public boolean holdsAny() {
         return !held.isEmpty();
     }
 
-    /** Delivers everything that was held, to nobody's answer. */
+    /** Delivers everything that was held; nobody waits for the responses. */
     public void releaseHeld() {
         for (Held message : List.copyOf(held)) {
             cluster.route(message.from(), message.request(), reply -> {});
@@ -127,15 +121,16 @@
 
     private Fate fate(String from, Request request) {
         boolean report = request.path().equals("/v1/report");
-        if (report && mute.contains(from)) {
+        if (report && unableToReport.contains(from)) {
             return Fate.REFUSE;
         }
-        if (deaf.contains(request.address())
-                || (stateless.contains(from) && request.address().equals("state:1"))) {
+        if (unreachable.contains(request.address())
+                || (cutFromState.contains(from)
+                        && request.address().equals(SimSettings.STATE_SERVICE))) {
             return Fate.DROP;
         }
         Fate fate = judge.judge(from, request);
-        return fate == Fate.DELIVER && deaf.contains(from) ? Fate.LOSE_ANSWER : fate;
+        return fate == Fate.DELIVER && unreachable.contains(from) ? Fate.LOSE_ANSWER : fate;
     }
 
     void send(String from, Request request, Consumer<Reply> done) {
@@ -149,28 +144,29 @@
                 };
         Fate fate = fate(from, request);
         if (fate == Fate.REFUSE) {
-            cluster.clock().after(DELAY_S, () -> once.accept(Reply.NOT_SENT));
+            cluster.clock().after(DELAY_SECONDS, () -> once.accept(Reply.NOT_SENT));
             return;
         }
         cluster.clock().after(request.timeoutS(), () -> once.accept(Reply.LOST));
         if (request.path().equals("/v1/report")
-                && lateReports > 0
-                && random.nextDouble() < lateReports) {
+                && duplicatedReportShare > 0
+                && random.nextDouble() < duplicatedReportShare) {
             cluster.clock()
                     .after(
-                            2 + random.nextDouble() * (3 * SimulatedCluster.LEASE_S - 2),
+                            2 + random.nextDouble() * (3 * SimSettings.LEASE_SECONDS - 2),
                             () -> cluster.route(from, request, reply -> {}));
         }
-        double delayS = DELAY_S + delays.delayS(from, request);
+        double delaySeconds = DELAY_SECONDS + delays.delaySeconds(from, request);
         switch (fate) {
             case DROP -> {}
             case HOLD -> held.add(new Held(from, request));
             case LOSE_ANSWER ->
-                    cluster.clock().after(delayS, () -> cluster.route(from, request, reply -> {}));
+                    cluster.clock()
+                            .after(delaySeconds, () -> cluster.route(from, request, reply -> {}));
             default ->
                     cluster.clock()
                             .after(
-                                    delayS,
+                                    delaySeconds,
                                     () ->
                                             cluster.route(
                                                     from,
@@ -178,9 +174,9 @@
                                                     reply ->
                                                             cluster.clock()
                                                                     .after(
-                                                                            DELAY_S
+                                                                            DELAY_SECONDS
                                                                                     + answerDelays
-                                                                                            .delayS(
+                                                                                            .delaySeconds(
                                                                                                     from,
                                                                                                     request),
                                                                             () ->
--- /dev/null
+++ b/src/test/java/org/springmill/sim/SimPeerNetwork.java
@@ -0,0 +1,83 @@
+package org.springmill.sim;
+
+import java.util.ArrayList;
+import java.util.HashSet;
+import java.util.List;
+import java.util.Set;
+import java.util.function.Function;
+
+/** Carries messages between controllers; lets a test partition, filter or hold them. */
+final class SimPeerNetwork {
+    private static final double DELAY_SECONDS = 0.002;
+
+    private final VirtualClock clock;
+
+    /** Finds the process that has a controller's name now; null if it is stopped. */
+    private final Function<String, SimController> processes;
+
+    private final Set<String> isolated = new HashSet<>();
+    private final List<Runnable> held = new ArrayList<>();
+    private boolean holding;
+    private boolean filtered;
+
+    SimPeerNetwork(VirtualClock clock, Function<String, SimController> processes) {
+        this.clock = clock;
+        this.processes = processes;
+    }
+
+    /** A controller's messages to and from its peers are lost, or no longer are. */
+    void isolate(String controller, boolean isolate) {
+        if (isolate) {
+            isolated.add(controller);
+        } else {
+            isolated.remove(controller);
+        }
+    }
+
+    /** From now on a packet filter refuses all connections between controllers. */
+    void filter() {
+        filtered = true;
+    }
+
+    /** From now on messages are delivered, those in flight excepted. */
+    void heal() {
+        isolated.clear();
+        filtered = false;
+    }
+
+    void hold() {
+        holding = true;
+    }
+
+    /** Delivers what was held to the processes that have the names now. */
+    void release() {
+        holding = false;
+        held.forEach(Runnable::run);
+        held.clear();
+    }
+
+    void send(SimController from, String to, byte[] message) {
+        if (filtered) {
+            clock.after(DELAY_SECONDS, () -> from.listener().refused(to));
+            return;
+        }
+        if (isolated.contains(from.name()) || isolated.contains(to)) {
+            return;
+        }
+        Runnable delivery = () -> deliver(from, to, message);
+        if (holding) {
+            held.add(delivery);
+        } else {
+            clock.after(DELAY_SECONDS, delivery);
+        }
+    }
+
+    private void deliver(SimController from, String to, byte[] message) {
+        SimController receiver = processes.apply(to);
+        if (receiver == null) {
+            from.listener().refused(to);
+        } else if (receiver.listener() != null) {
+            receiver.listener().received(message);
+        }
+    }
+}
--- /dev/null
+++ b/src/test/java/org/springmill/sim/SimSettings.java
@@ -0,0 +1,83 @@
+package org.springmill.sim;
+
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import org.springmill.protocol.OperatorSettings;
+import org.springmill.protocol.Settings;
+
+/** The settings of the simulated deployment, with the names and addresses of its hosts. */
+final class SimSettings {
+    static final int CONTROLLERS = 3;
+    static final double REPORT_SECONDS = 2;
+    static final double LEASE_SECONDS = 14;
+    static final double CANCEL_SECONDS = 44;
+    static final int VALUE_BYTES = 8192;
+    static final int WRITES_PER_COMMIT = 12;
+    static final Settings.State STATE_LIMITS =
+            new Settings.State(120, 20, VALUE_BYTES, WRITES_PER_COMMIT);
+    static final String STATE_SERVICE = "state:1";
+    static final String CLOUD = "cloud:1";
+    static final List<String> ZONES = List.of("a", "b");
+    static final String USER = "user";
+    static final String LOAD_BALANCER = "balancer";
+
+    private static final String CONTROLLER_PREFIX = "n-";
+    private static final String CONTROLLER_HOST_PREFIX = "10.0.0.";
+
+    private SimSettings() {}
+
+    static String controllerName(int controller) {
+        return CONTROLLER_PREFIX + controller;
+    }
+
+    /** The number of a controller, by its name. */
+    static int controllerNumber(String name) {
+        return Integer.parseInt(name.substring(CONTROLLER_PREFIX.length()));
+    }
+
+    static String apiAddress(int controller) {
+        return CONTROLLER_HOST_PREFIX + controller + ":8080";
+    }
+
+    private static String peerAddress(int controller) {
+        return CONTROLLER_HOST_PREFIX + controller + ":8081";
+    }
+
+    static boolean isController(String address) {
+        return address.startsWith(CONTROLLER_HOST_PREFIX);
+    }
+
+    /** The number of a controller, by the address of its API. */
+    static int controllerAt(String address) {
+        return address.charAt(CONTROLLER_HOST_PREFIX.length()) - '0';
+    }
+
+    static Settings of(int controller, Settings.State stateLimits) {
+        Map<String, String> peers = new HashMap<>();
+        for (int i = 0; i < CONTROLLERS; i++) {
+            if (i != controller) {
+                peers.put(controllerName(i), peerAddress(i));
+            }
+        }
+        return new Settings(
+                controllerName(controller),
+                ZONES.get(0),
+                apiAddress(controller),
+                peerAddress(controller),
+                peers,
+                CLOUD,
+                STATE_SERVICE,
+                ZONES,
+                1,
+                List.of(
+                        new Settings.Team("red", 0, 0, 8, 16),
+                        new Settings.Team("blue", 0, 0, 8, 64)),
+                List.of(),
+                new Settings.Workers(REPORT_SECONDS, LEASE_SECONDS, CANCEL_SECONDS),
+                stateLimits,
+                new Settings.Cloud(4, 3),
+                new Settings.Limits(0.2, 176, 700),
+                OperatorSettings.DEFAULTS);
+    }
+}
--- a/src/test/java/org/springmill/sim/SimState.java
+++ b/src/test/java/org/springmill/sim/SimState.java
@@ -53,7 +53,7 @@
     private long nextLease = 1;
     private final Set<String> refused = new HashSet<>();
     private SplittableRandom random;
-    private double lateShare;
+    private double delayedCommitShare;
     private int tooLarge;
     private boolean down;
 
@@ -92,26 +92,26 @@
      * Answers one node 503 while the others are served; its leases run out, and its open watches
      * wait.
      */
-    public void refuse(int node, boolean now) {
+    public void refuse(int controller, boolean now) {
         if (now) {
-            refused.add("n-" + node);
+            refused.add(SimSettings.controllerName(controller));
         } else {
-            refused.remove("n-" + node);
+            refused.remove(SimSettings.controllerName(controller));
             serveOverdue();
         }
     }
 
     /**
-     * That share of the transactions gets no answer and is carried out 2 to 12 s later, after newer
+     * That share of the transactions gets no response and is applied 2 to 12 s later, after newer
      * ones.
      */
-    public void lateWrites(double share) {
-        lateShare = share;
+    public void delayCommits(double share) {
+        delayedCommitShare = share;
     }
 
     void calm() {
         refused.clear();
-        lateShare = 0;
+        delayedCommitShare = 0;
         setDown(false);
     }
 
@@ -145,20 +145,22 @@
             done.accept(reply(503, JSON.createObjectNode()));
         } else if (path.startsWith("/changes")) {
             changes(from, query(path), done);
-        } else if (path.equals("/commit") && lateShare > 0 && random.nextDouble() < lateShare) {
-            late(request, 2 + random.nextDouble() * 10);
+        } else if (path.equals("/commit")
+                && delayedCommitShare > 0
+                && random.nextDouble() < delayedCommitShare) {
+            commitLater(request, 2 + random.nextDouble() * 10);
         } else {
             done.accept(answer(request, path));
         }
     }
 
-    private void late(Request request, double inS) {
+    private void commitLater(Request request, double delaySeconds) {
         clock.after(
-                inS,
+                delaySeconds,
                 () -> {
                     expire();
                     if (down) {
-                        late(request, 1);
+                        commitLater(request, 1);
                     } else {
                         commit(parse(request.body()));
                     }
@@ -330,7 +332,7 @@
         }
     }
 
-    private boolean serve(Watch watch, boolean even) {
+    private boolean serve(Watch watch, boolean evenIfEmpty) {
         if (watch.over || !serves(watch.node)) {
             return watch.over;
         }
@@ -345,7 +347,7 @@
                 }
             }
         }
-        if (news.isEmpty() && !even) {
+        if (news.isEmpty() && !evenIfEmpty) {
             return false;
         }
         watch.over = true;
--- a/src/test/java/org/springmill/sim/SimWorker.java
+++ b/src/test/java/org/springmill/sim/SimWorker.java
@@ -45,14 +45,14 @@
     private final boolean spot;
     private final Map<String, Task> tasks = new LinkedHashMap<>();
     private long session = 1;
-    private long seq;
+    private long sequence;
     private long token;
     private double renewedAt;
-    private Double noticeS;
+    private Double noticeSeconds;
     private boolean up;
     private boolean gone;
     private boolean hung;
-    private int node;
+    private int controller;
     private boolean reporting;
     private boolean failing;
 
@@ -103,7 +103,7 @@
      * Past its lease nothing counts as on the machine, even if it hangs and so has not noticed yet.
      */
     private boolean expired() {
-        return cluster.clock().now() - renewedAt > SimulatedCluster.LEASE_S;
+        return cluster.clock().now() - renewedAt > SimSettings.LEASE_SECONDS;
     }
 
     public int running() {
@@ -120,13 +120,14 @@
         return !expired() && tasks.values().stream().anyMatch(t -> t.id.equals(task) && !t.over());
     }
 
-    /** Whether nothing is wrong with it. */
+    /** Whether nothing is wrong with this machine. */
     boolean sound() {
-        return reachable() && !failing && noticeS == null && !expired();
+        return reachable() && !failing && noticeSeconds == null && !expired();
     }
 
+    /** The cloud gives notice that it will take this machine away. */
     public void notice(double seconds) {
-        noticeS = seconds;
+        noticeSeconds = seconds;
         report();
     }
 
@@ -135,6 +136,7 @@
         failing = true;
     }
 
+    /** This machine stops to act, or resumes. */
     public void hang(boolean now) {
         hung = now;
     }
@@ -159,7 +161,7 @@
         }
         checkLease();
         report();
-        cluster.clock().after(SimulatedCluster.REPORT_S, this::loop);
+        cluster.clock().after(SimSettings.REPORT_SECONDS, this::loop);
     }
 
     private void checkLease() {
@@ -179,10 +181,10 @@
                         .put("yard", zone)
                         .put("loaner", spot)
                         .put("shift", session)
-                        .put("tally", ++seq)
+                        .put("tally", ++sequence)
                         .put("baton", token);
-        if (noticeS != null) {
-            body.put("warningS", noticeS);
+        if (noticeSeconds != null) {
+            body.put("warningS", noticeSeconds);
         }
         ArrayNode sacks = body.putArray("sacks");
         for (Task task : tasks.values()) {
@@ -206,11 +208,11 @@
         double sent = cluster.clock().now();
         long sentSession = session;
         byte[] body = reportBody().toString().getBytes(java.nio.charset.StandardCharsets.UTF_8);
-        int to = node;
+        int to = controller;
         cluster.network()
                 .send(
                         name,
-                        new Request(cluster.apiOf(to), "POST", "/v1/report", body, 4),
+                        new Request(SimSettings.apiAddress(to), "POST", "/v1/report", body, 4),
                         reply -> {
                             reporting = false;
                             if (gone || hung) {
@@ -230,15 +232,14 @@
                                 }
                             } else if (reply.status() == 421
                                     && SimState.parse(reply.body()).has("foreman")) {
-                                node =
-                                        Integer.parseInt(
+                                controller =
+                                        SimSettings.controllerNumber(
                                                 SimState.parse(reply.body())
                                                         .path("foreman")
-                                                        .asText()
-                                                        .substring(2));
+                                                        .asText());
                                 cluster.clock().after(0.1, this::report);
                             } else {
-                                node = (to + 1) % SimulatedCluster.NODES;
+                                controller = (to + 1) % SimSettings.CONTROLLERS;
                                 cluster.clock().after(1, this::report);
                             }
                         });
@@ -299,7 +300,7 @@
             return;
         }
         whenAwake(
-                cluster.fetchS(),
+                cluster.imageFetchSeconds(),
                 () -> {
                     if (tasks.get(key) != task || !task.phase.equals("pulling")) {
                         return;
@@ -307,9 +308,9 @@
                     task.phase = "running";
                     cluster.started(this, task);
                     report();
-                    double runS = failing ? 0.1 : cluster.runTime(task.id);
-                    if (runS < Double.POSITIVE_INFINITY) {
-                        whenAwake(runS, () -> finish(key, task));
+                    double runSeconds = failing ? 0.1 : cluster.runSeconds(task.id);
+                    if (runSeconds < Double.POSITIVE_INFINITY) {
+                        whenAwake(runSeconds, () -> finish(key, task));
                     }
                 });
     }
@@ -325,7 +326,7 @@
                         () -> {
                             checkLease();
                             if (hung) {
-                                whenAwake(SimulatedCluster.REPORT_S / 20, then);
+                                whenAwake(SimSettings.REPORT_SECONDS / 20, then);
                             } else if (!gone) {
                                 then.run();
                             }
--- a/src/test/java/org/springmill/sim/SimulatedCluster.java
+++ b/src/test/java/org/springmill/sim/SimulatedCluster.java
@@ -3,194 +3,66 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import java.util.ArrayList;
 import java.util.HashMap;
-import java.util.HashSet;
 import java.util.List;
 import java.util.Map;
-import java.util.Set;
 import java.util.SplittableRandom;
 import java.util.function.Consumer;
-import org.springmill.control.coordination.Controller;
-import org.springmill.protocol.OperatorSettings;
 import org.springmill.protocol.Settings;
-import org.springmill.transport.HttpClient;
 import org.springmill.transport.HttpClient.Reply;
 import org.springmill.transport.HttpClient.Request;
-import org.springmill.transport.HttpHandler;
-import org.springmill.transport.Loop;
-import org.springmill.transport.PeerLink;
 
 /**
- * Controllers with everything around them under one virtual clock. Breaks of the invariants are
- * noted as they happen.
+ * Three controllers with everything around them under one virtual clock. Violations of the
+ * invariants are noted as they happen.
  */
 public final class SimulatedCluster {
-    static final int NODES = 3;
-    static final double REPORT_S = 2;
-    static final double LEASE_S = 14;
-    static final double CANCEL_S = 44;
-    static final double FETCH_S = 1;
-    private static final double POLL_S = 5;
-    private static final Settings.State LIMITS = new Settings.State(120, 20, 8192, 12);
+    private static final double IMAGE_FETCH_SECONDS = 1;
     private static final ObjectMapper JSON = new ObjectMapper();
 
     private final VirtualClock clock = new VirtualClock();
-    private final SimState state = new SimState(clock, 8192, 12);
+    private final SimState state =
+            new SimState(clock, SimSettings.VALUE_BYTES, SimSettings.WRITES_PER_COMMIT);
     private final SimCloud cloud = new SimCloud(this);
     private final SimNetwork network = new SimNetwork(this);
-    private final Node[] nodes = new Node[NODES];
-    private final InvariantChecker invariants = new InvariantChecker(clock, cloud, settings(0));
-    private final Map<String, Double> runTimes = new HashMap<>();
+    private final SimController[] controllers = new SimController[SimSettings.CONTROLLERS];
+    private final SimPeerNetwork peerNetwork =
+            new SimPeerNetwork(clock, name -> controllers[SimSettings.controllerNumber(name)]);
+    private final InvariantChecker invariants =
+            new InvariantChecker(clock, cloud, SimSettings.of(0, SimSettings.STATE_LIMITS));
+    private final SimUsers users;
+    private final Map<String, Double> runSeconds = new HashMap<>();
     private final Map<String, Integer> starts = new HashMap<>();
-    private final Set<String> cutPeers = new HashSet<>();
-    private final Map<String, Integer> connected = new HashMap<>();
-    private final int[] unready = new int[NODES];
-    private final List<Runnable> heldRecords = new ArrayList<>();
-    private final SplittableRandom random;
-    private boolean holdRecords;
-    private double fetchS = FETCH_S;
-    private Settings.State limits = LIMITS;
+    private double imageFetchSeconds = IMAGE_FETCH_SECONDS;
+    private Settings.State stateLimits = SimSettings.STATE_LIMITS;
     private int incarnations;
-    private boolean filtered;
-
-    /** One controller's process. */
-    private final class Node implements Loop, HttpClient, PeerLink {
-        private final int index;
-        private final Controller controller;
-        private Listener listener;
-        private boolean dead;
-
-        Node(int index) {
-            this.index = index;
-            controller =
-                    new Controller(
-                            settings(index, limits),
-                            this,
-                            this,
-                            this,
-                            new SplittableRandom(++incarnations));
-            controller.start();
-        }
-
-        @Override
-        public double now() {
-            return clock.now();
-        }
-
-        /** Off by as much as the settings allow, to either side. */
-        @Override
-        public double timeOfDay() {
-            return clock.timeOfDay() + index - 1;
-        }
-
-        @Override
-        public Timer after(double seconds, Runnable task) {
-            return clock.after(
-                    seconds,
-                    () -> {
-                        if (!dead) {
-                            task.run();
-                        }
-                    });
-        }
-
-        @Override
-        public void send(Request request, Consumer<Reply> done) {
-            network.send(
-                    "n-" + index,
-                    request,
-                    reply -> {
-                        if (!dead) {
-                            done.accept(reply);
-                        }
-                    });
-        }
-
-        @Override
-        public void send(String node, byte[] record) {
-            if (filtered) {
-                clock.after(0.002, () -> listener.refused(node));
-                return;
-            }
-            if (cutPeers.contains("n-" + index) || cutPeers.contains(node)) {
-                return;
-            }
-            Runnable delivery =
-                    () -> {
-                        Node to = nodes[Integer.parseInt(node.substring(2))];
-                        if (to == null) {
-                            listener.refused(node);
-                        } else if (to.listener != null) {
-                            to.listener.received(record);
-                        }
-                    };
-            if (holdRecords) {
-                heldRecords.add(delivery);
-            } else {
-                clock.after(0.002, delivery);
-            }
-        }
-
-        @Override
-        public void onRecord(Listener taker) {
-            listener = taker;
-        }
-    }
 
     public SimulatedCluster() {
         this(1);
     }
 
     /**
-     * @param seed of what is left to chance
+     * @param seed of everything that is random
      */
     public SimulatedCluster(long seed) {
-        random = new SplittableRandom(seed);
+        SplittableRandom random = new SplittableRandom(seed);
         network.random(random.split());
         state.random(random.split());
+        users = new SimUsers(clock, network, invariants, random);
         state.tick();
-        for (int i = 0; i < NODES; i++) {
-            nodes[i] = new Node(i);
+        for (int i = 0; i < SimSettings.CONTROLLERS; i++) {
+            controllers[i] = newController(i);
         }
         invariants.watch();
     }
 
-    /** Settings of a controller that is started from now on; those that run keep theirs. */
-    public void settings(Settings.State stateLimits) {
-        limits = stateLimits;
-    }
-
-    static Settings settings(int index) {
-        return settings(index, LIMITS);
+    private SimController newController(int number) {
+        return new SimController(number, stateLimits, ++incarnations, clock, network, peerNetwork);
     }
 
-    private static Settings settings(int index, Settings.State limits) {
-        Map<String, String> peers = new HashMap<>();
-        for (int i = 0; i < NODES; i++) {
-            if (i != index) {
-                peers.put("n-" + i, "10.0.0." + i + ":8081");
-            }
-        }
-        return new Settings(
-                "n-" + index,
-                "a",
-                "10.0.0." + index + ":8080",
-                "10.0.0." + index + ":8081",
-                peers,
-                "cloud:1",
-                "state:1",
-                List.of("a", "b"),
-                1,
-                List.of(
-                        new Settings.Team("red", 0, 0, 8, 16),
-                        new Settings.Team("blue", 0, 0, 8, 64)),
-                List.of(),
-                new Settings.Workers(REPORT_S, LEASE_S, CANCEL_S),
-                limits,
-                new Settings.Cloud(4, 3),
-                new Settings.Limits(0.2, 176, 700),
-                OperatorSettings.DEFAULTS);
+    /** Limits in the settings of controllers that are started from now on. */
+    public void settings(Settings.State limits) {
+        stateLimits = limits;
     }
 
     public VirtualClock clock() {
@@ -209,14 +81,8 @@
         return network;
     }
 
-    String apiOf(int node) {
-        return "10.0.0." + node + ":8080";
-    }
-
-    /** A controller loses the state service and the other controllers, not its workers or users. */
-    public void isolate(int node) {
-        cutPeers(node, true);
-        network.cutFromState("n-" + node);
+    InvariantChecker invariants() {
+        return invariants;
     }
 
     /** Adds machines that are up after a moment. */
@@ -232,76 +98,92 @@
         return this;
     }
 
-    public void kill(int node) {
-        if (nodes[node] != null) {
-            nodes[node].dead = true;
-            nodes[node] = null;
+    /** The process of a controller ends without further ado. */
+    public void kill(int controller) {
+        if (controllers[controller] != null) {
+            controllers[controller].stop();
+            controllers[controller] = null;
         }
     }
 
-    public void restart(int node) {
-        kill(node);
-        nodes[node] = new Node(node);
+    public void restart(int controller) {
+        kill(controller);
+        controllers[controller] = newController(controller);
     }
 
-    public void cutPeers(int node, boolean cut) {
-        if (cut) {
-            cutPeers.add("n-" + node);
-        } else {
-            cutPeers.remove("n-" + node);
-        }
+    /** The number of the controller whose leadership is on record, or -1. */
+    public int leader() {
+        JsonNode record = state.value("leader");
+        return record == null ? -1 : SimSettings.controllerNumber(record.path("node").asText());
+    }
+
+    /** A controller loses the state service and the other controllers, not its workers or users. */
+    public void isolate(int controller) {
+        cutPeers(controller, true);
+        network.cutFromState(SimSettings.controllerName(controller));
+    }
+
+    /** Loses all messages between a controller and the others, or delivers them again. */
+    public void cutPeers(int controller, boolean cut) {
+        peerNetwork.isolate(SimSettings.controllerName(controller), cut);
     }
 
     /** From now on a packet filter refuses all connections between controllers. */
     public void filterPeers() {
-        filtered = true;
+        peerNetwork.filter();
     }
 
-    /**
-     * Keeps back what controllers say to each other, until it is delivered to whoever has the
-     * address then.
-     */
-    public void holdRecords() {
-        holdRecords = true;
+    /** Holds messages between controllers until they are released. */
+    public void holdPeerMessages() {
+        peerNetwork.hold();
     }
 
-    public void releaseRecords() {
-        holdRecords = false;
-        heldRecords.forEach(Runnable::run);
-        heldRecords.clear();
+    /** Delivers the held messages to whichever processes run under the names now. */
+    public void releasePeerMessages() {
+        peerNetwork.release();
+    }
+
+    /** All failures end: from now on work has to go on, and every question to be answered. */
+    public SimulatedCluster calm() {
+        network.calm();
+        state.calm();
+        peerNetwork.heal();
+        invariants.failuresAreOver();
+        return this;
     }
 
     /** From now on machines take so long to fetch an image. */
-    public void fetchesTake(double seconds) {
-        fetchS = seconds;
+    public void setImageFetchSeconds(double seconds) {
+        imageFetchSeconds = seconds;
     }
 
-    double fetchS() {
-        return fetchS;
+    double imageFetchSeconds() {
+        return imageFetchSeconds;
     }
 
     /** Has one task of a job run for another time than the rest. */
-    public void runsFor(String task, double seconds) {
-        runTimes.put(task, seconds);
+    public void setRunSeconds(String task, double seconds) {
+        runSeconds.put(task, seconds);
     }
 
-    /** The node whose leadership is on record, or -1. */
-    public int leader() {
-        JsonNode record = state.value("leader");
-        return record == null ? -1 : Integer.parseInt(record.path("node").asText().substring(2));
+    double runSeconds(String task) {
+        double ofItsJob =
+                runSeconds.getOrDefault(JobHistories.jobOf(task), Double.POSITIVE_INFINITY);
+        return runSeconds.getOrDefault(task, ofItsJob);
     }
 
+    /** Delivers a request to whoever has the address. */
     void route(String from, Request request, Consumer<Reply> done) {
-        if (request.address().equals("state:1")) {
+        if (request.address().equals(SimSettings.STATE_SERVICE)) {
             state.handle(from, request, done);
-        } else if (request.address().equals("cloud:1")) {
+        } else if (request.address().equals(SimSettings.CLOUD)) {
             done.accept(cloud.handle(request));
-        } else if (request.address().startsWith("10.0.0.")) {
-            Node node = nodes[request.address().charAt(7) - '0'];
-            if (node == null) {
+        } else if (SimSettings.isController(request.address())) {
+            SimController controller = controllers[SimSettings.controllerAt(request.address())];
+            if (controller == null) {
                 done.accept(Reply.NOT_SENT);
             } else {
-                node.controller.handle(new SimCall(request, done));
+                controller.handle(request, done);
             }
         } else {
             for (SimWorker worker : cloud.machines().values()) {
@@ -312,104 +194,36 @@
         }
     }
 
-    private record SimCall(Request request, Consumer<Reply> done) implements HttpHandler.Call {
-        @Override
-        public String method() {
-            return request.method();
-        }
-
-        @Override
-        public String path() {
-            return request.path();
-        }
-
-        @Override
-        public byte[] body() {
-            return request.body();
-        }
-
-        @Override
-        public void reply(int status, byte[] body, int retryAfterS) {
-            done.accept(new Reply(status, body));
-        }
-    }
-
-    /**
-     * Asks a controller as a user would; the invariants take note of the answer when the user gets
-     * it.
-     */
+    /** Asks a controller as a user would, without waiting for the answer. */
     public void user(
-            int node,
+            int controller,
             String method,
             String path,
             String body,
-            double timeoutS,
+            double timeoutSeconds,
             Consumer<Reply> done) {
-        Request request =
-                new Request(apiOf(node), method, path, InvariantChecker.bytes(body), timeoutS);
-        double sentAt = clock.now();
-        invariants.asks(request);
-        network.send(
-                "user",
-                request,
-                reply -> {
-                    invariants.told(request, sentAt, reply);
-                    done.accept(reply);
-                });
+        users.send(controller, method, path, body, timeoutSeconds, done);
     }
 
     /** Asks a controller as a user would, and waits for the answer. */
-    public Reply ask(int node, String method, String path, String body) {
-        Reply[] answer = new Reply[1];
-        user(node, method, path, body, 5, reply -> answer[0] = reply);
-        for (int i = 0; i < 501 && answer[0] == null; i++) {
-            clock.run(0.01);
-        }
-        return answer[0];
+    public Reply ask(int controller, String method, String path, String body) {
+        return users.ask(controller, method, path, body);
     }
 
-    /**
-     * Users ask about every unfinished job from now on, every five seconds. Each keeps to one
-     * controller for as long as the balancer finds that one healthy, as an open connection does.
-     */
+    /** From now on users poll every unfinished job, every five seconds. */
     public SimulatedCluster polled() {
-        invariants.polled();
-        balance();
-        poll();
+        users.startPolling();
         return this;
     }
 
-    private void balance() {
-        for (int i = 0; i < NODES; i++) {
-            int node = i;
-            network.send(
-                    "balancer",
-                    new Request(apiOf(node), "GET", "/ready", new byte[0], 1),
-                    reply -> unready[node] = reply.ok() ? 0 : unready[node] + 1);
-        }
-        clock.after(1, this::balance);
-    }
-
-    private void poll() {
-        for (String id : invariants.unfinished()) {
-            int node = connected.getOrDefault(id, random.nextInt(NODES));
-            // Two probes fail before the balancer takes note, and connections that are open get 5
-            // s.
-            while (unready[node] >= 7 && unready[0] + unready[1] + unready[2] < 7 * NODES) {
-                node = random.nextInt(NODES);
-            }
-            connected.put(id, node);
-            int to = node;
-            clock.after(
-                    random.nextDouble() * POLL_S,
-                    () -> user(to, "GET", "/submissions/" + id, "", 2, reply -> {}));
-        }
-        clock.after(POLL_S, this::poll);
-    }
-
-    public int submit(int node, ObjectNode job, double runS) {
-        runTimes.put(job.path("nameId").asText(), runS);
-        return ask(node, "POST", "/submissions", job.toString()).status();
+    /**
+     * Submits a job and returns the status of the answer.
+     *
+     * @param taskRunSeconds how long each of its tasks will run
+     */
+    public int submit(int controller, ObjectNode job, double taskRunSeconds) {
+        runSeconds.put(job.path("nameId").asText(), taskRunSeconds);
+        return ask(controller, "POST", "/submissions", job.toString()).status();
     }
 
     /**
@@ -417,16 +231,18 @@
      * are done.
      */
     public void assume(ObjectNode job, int... done) {
-        runTimes.put(job.path("nameId").asText(), 1.0);
+        runSeconds.put(job.path("nameId").asText(), 1.0);
         invariants.assume(job, done);
     }
 
-    public String phase(int node, String id) {
-        return phaseOf(ask(node, "GET", "/submissions/" + id, ""));
+    /** The phase of a job, or the status if the answer has none. */
+    public String phase(int controller, String id) {
+        return phaseOf(ask(controller, "GET", "/submissions/" + id, ""));
     }
 
-    public String withdraw(int node, String id) {
-        return phaseOf(ask(node, "POST", "/submissions/" + id + "/withdraw", ""));
+    /** Cancels a job, and returns its phase or the status if the answer has none. */
+    public String withdraw(int controller, String id) {
+        return phaseOf(ask(controller, "POST", "/submissions/" + id + "/withdraw", ""));
     }
 
     private static String phaseOf(Reply reply) {
@@ -435,6 +251,7 @@
                 : Integer.toString(reply.status());
     }
 
+    /** A valid submission; tests change what they are about. */
     public static ObjectNode job(
             String id, String team, String shape, int tasks, double cpus, double gpus) {
         return JSON.createObjectNode()
@@ -457,31 +274,16 @@
                 .put("stashS", 0.0);
     }
 
-    double runTime(String task) {
-        String job = task.substring(0, task.indexOf('/'));
-        return runTimes.getOrDefault(task, runTimes.getOrDefault(job, Double.POSITIVE_INFINITY));
-    }
-
-    void started(SimWorker on, SimWorker.Task task) {
+    void started(SimWorker machine, SimWorker.Task task) {
         starts.merge(task.id, 1, Integer::sum);
-        invariants.started(on, task);
+        invariants.started(machine, task);
     }
 
     void done(String task) {
         invariants.done(task);
     }
 
-    /** All troubles are over: from now on work has to go on, and every question to be answered. */
-    public SimulatedCluster calm() {
-        network.calm();
-        state.calm();
-        cutPeers.clear();
-        filtered = false;
-        invariants.calm();
-        return this;
-    }
-
-    /** What has broken a rule so far. */
+    /** The violations of invariants so far. */
     public List<String> broken() {
         return invariants.broken();
     }
@@ -499,21 +301,24 @@
         return invariants.startsAfterCancel();
     }
 
+    /** How often a task was started. */
     public int starts(String task) {
         return starts.getOrDefault(task, 0);
     }
 
+    /** How many tasks of a job are on machines. */
     public int running(String job) {
         return (int)
                 cloud.machines().values().stream()
-                        .flatMap(m -> m.tasks().stream())
-                        .filter(t -> t.onMachine() && t.id.startsWith(job + "/"))
+                        .flatMap(machine -> machine.tasks().stream())
+                        .filter(task -> task.onMachine() && task.id.startsWith(job + "/"))
                         .count();
     }
 
+    /** A machine that runs a task; null if none does. */
     public SimWorker holder(String task) {
         return cloud.machines().values().stream()
-                .filter(m -> m.runs(task))
+                .filter(machine -> machine.runs(task))
                 .findFirst()
                 .orElse(null);
     }
