--- /dev/null
+++ b/src/test/java/org/springmill/control/storage/RecordGenerationsTest.java
@@ -0,0 +1,266 @@
+package org.springmill.control.storage;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+
+import com.fasterxml.jackson.databind.JsonNode;
+import java.nio.charset.StandardCharsets;
+import java.util.ArrayList;
+import java.util.BitSet;
+import java.util.List;
+import java.util.Map;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.CsvSource;
+import org.springmill.control.storage.RoundLog.End;
+import org.springmill.control.storage.RoundLog.Rebuilt;
+import org.springmill.protocol.BadMessageException;
+import org.springmill.protocol.Json;
+import org.springmill.protocol.OperatorSettings;
+import org.springmill.protocol.Settings;
+import org.springmill.protocol.StateMessages.Condition;
+import org.springmill.protocol.Submission;
+import org.springmill.protocol.TaskId;
+import org.springmill.protocol.UserMessages.Phase;
+import org.springmill.transport.HttpClient.Reply;
+import org.springmill.transport.Loop;
+
+/**
+ * Stored records as three versions wrote them: the two that served before jobs could wait for
+ * others (880f457, and the last commit before that change, 025a6a8) and the first one with such
+ * jobs in production (9f45bfd). The literals were printed by those versions, built from the
+ * history; where not said otherwise all three printed the same. Each is read, and written again to
+ * the byte: this version leads before, after and beside each of them.
+ */
+class RecordGenerationsTest {
+    private static final String SWEEP =
+            """
+            "nameId":"run-000412","grist":"train","crew":"vision","shape":"sweep","urgency":"urgent",\
+            "sacks":16,"vcpus":8.0,"cards":1.0,"memGb":64.0,"mould":"img-07","pullGb":6.2,\
+            "samePlace":true,"apart":false,"loaner":true,"expectS":240.0,"stashEveryS":30.0,\
+            "stashS":4.0,"frames":["g8"],"dueS":900.0""";
+    private static final String SERVICE =
+            """
+            "nameId":"run-000413","grist":"serve","crew":"vision","shape":"service","urgency":"prod",\
+            "sacks":3,"vcpus":0.5,"cards":0.0,"memGb":100.0,"mould":"img-08","pullGb":16.25,\
+            "samePlace":false,"apart":true,"loaner":false,"expectS":0.0,"stashEveryS":0.0,\
+            "stashS":0.0,"yard":"a\"""";
+    private static final String NAMES = ",\"waitsOn\":[\"run-000398\",\"run-000405\"]";
+
+    private static final String CARRIED_AND_NEW =
+            """
+            {"v":1,"claims":[["run-000412",3,"host-000007","wguCodlQscziaJJFXNLA2w",7],\
+            ["run-000413",0,"host-000231","oXQwIj__gD6SKtI49DT20Q"]]}""";
+    private static final String ENDED =
+            """
+            {"v":1,"ended":["wguCodlQscziaJJFXNLA2w","oXQwIj__gD6SKtI49DT20Q"],\
+            "done":[["run-000412","3"]]}""";
+    private static final String RANGES =
+            """
+            {"v":1,"ended":["BXnGxYqrl1nuh7PzxN_i4Q","EyQaKfDDbJXiroDogWdGwg",\
+            "ZD5cla_hAOfD18rIhweHMg","CiaNC9y8O5sKYjv37nccng","gX7QbupyFsaliyIQKcPUNA"],\
+            "done":[["run-000412","0-3,17"]]}""";
+    private static final String IMAGES =
+            """
+            {"v":1,"machines":["host-000007","host-000231"],\
+            "images":{"img-07":[6.2,0,1],"img-08":[16.25,1]}}""";
+
+    /** A window's marks as ranges, and another's as a bitmap, being shorter. */
+    private static final String MARKS =
+            "\"done\":[[\"run-000412\",\"5\"],[\"run-000412\",\"@16384:VVVVVVVVVVVVVVVVVVVVVVVVVVVVVVVVVQ\"]]";
+
+    private static final Settings SETTINGS =
+            new Settings(
+                    "n-0",
+                    "a",
+                    "10.0.0.0:8080",
+                    "10.0.0.0:8081",
+                    Map.of(),
+                    "cloud:1",
+                    "state:1",
+                    List.of("a"),
+                    1,
+                    List.of(),
+                    List.of(),
+                    new Settings.Workers(2, 14, 44),
+                    new Settings.State(120, 20, 8192, 12),
+                    new Settings.Cloud(4, 3),
+                    new Settings.Limits(0.2, 176, 700),
+                    OperatorSettings.DEFAULTS);
+
+    private static final Loop STILL =
+            new Loop() {
+                @Override
+                public double now() {
+                    return 100;
+                }
+
+                @Override
+                public double timeOfDay() {
+                    return 1e9;
+                }
+
+                @Override
+                public Timer after(double seconds, Runnable task) {
+                    throw new AssertionError("nothing here has to wait");
+                }
+            };
+
+    private static JsonNode json(String text) throws BadMessageException {
+        return Json.object(text.getBytes(StandardCharsets.UTF_8));
+    }
+
+    private static String text(JsonNode json) {
+        return new String(Json.bytes(json), StandardCharsets.UTF_8);
+    }
+
+    private static JobRecord read(String bytes) throws BadMessageException {
+        JsonNode value = json(bytes);
+        return JobRecord.decode("job/" + value.path("job").path("nameId").asText(), value, 5);
+    }
+
+    /** The body of each record, and its ends by their time as the versions spelled it. */
+    @ParameterizedTest
+    @CsvSource({
+        "sweep,   '',                      ''",
+        "service, '',                      ''",
+        "sweep,   '\"accepted\":12.25,',     names",
+        "service, '\"accepted\":12.25,',     names",
+        "sweep,   '\"accepted\":1.7000000005E9,', names"
+    })
+    void aJobsRecordKeepsItsBytes(String shape, String accepted, String names)
+            throws BadMessageException {
+        String job = (shape.equals("sweep") ? SWEEP : SERVICE) + (names.isEmpty() ? "" : NAMES);
+        String form = "{\"v\":1,%s" + accepted + "\"job\":{" + job + "}}";
+        JobRecord active = read(form.formatted(""));
+        assertEquals(Phase.QUEUED, active.phase());
+        assertEquals(
+                names.isEmpty() ? List.of() : List.of("run-000398", "run-000405"),
+                active.submission().dependencies());
+        assertEquals(form.formatted(""), text(active.encode()));
+        // A controller of this version that accepts the same job itself writes the same.
+        Submission sent = Submission.parse(json("{" + job + "}"));
+        assertEquals(
+                form.formatted(""),
+                text(JobRecord.accepted(sent, names.isEmpty() ? 3 : active.acceptedAt()).encode()));
+        String done = form.formatted("\"end\":\"done\",\"at\":17.5,");
+        assertEquals(done, text(active.ended(Phase.DONE, 17.5).encode()));
+        assertEquals(Phase.DONE, read(done).phase());
+        assertEquals(done, text(read(done).encode()));
+        String cancelled = form.formatted("\"end\":\"cancelled\",\"at\":1.7E9,");
+        assertEquals(cancelled, text(active.ended(Phase.CANCELLED, 1.7e9).encode()));
+        assertEquals(1.7e9, read(cancelled).endedAt());
+        assertEquals(cancelled, text(read(cancelled).encode()));
+    }
+
+    /** A state service that takes every transaction, and lists what it was given to begin with. */
+    private static RoundLog rounds(List<String> stored, List<String> written) {
+        StateStore store =
+                new StateStore(
+                        (request, done) -> {
+                            String body = new String(request.body(), StandardCharsets.UTF_8);
+                            if (request.method().equals("POST")) {
+                                written.add(body.substring(body.indexOf("\"writes\":")));
+                                done.accept(answer("{\"ledgerRev\":9}"));
+                            } else {
+                                done.accept(answer(page(stored)));
+                            }
+                        },
+                        STILL,
+                        SETTINGS,
+                        1);
+        return new RoundLog(store, STILL, new Condition("leader", 5), job -> true);
+    }
+
+    private static Reply answer(String body) {
+        return new Reply(200, body.getBytes(StandardCharsets.UTF_8));
+    }
+
+    private static String page(List<String> values) {
+        List<String> pairs = new ArrayList<>();
+        for (int i = 0; i < values.size(); i++) {
+            pairs.add(
+                    "{\"key\":\"round/%015d.00\",\"stamp\":%d,\"value\":%s}"
+                            .formatted(i + 1, i + 6, values.get(i)));
+        }
+        return "{\"pairs\":[" + String.join(",", pairs) + "],\"truncated\":false,\"ledgerRev\":9}";
+    }
+
+    private static String put(int round, String value) {
+        return "\"writes\":[{\"write\":\"round/%015d.00\",\"value\":%s}]}".formatted(round, value);
+    }
+
+    @Test
+    void roundsKeepTheirBytes() {
+        List<String> written = new ArrayList<>();
+        RoundLog log = rounds(List.of(), written);
+        Claim carried = Claim.decide(new TaskId("run-000412", 3), "host-000007", 7);
+        Claim decided = Claim.decide(new TaskId("run-000413", 0), "host-000231", 1);
+        List<End> some = new ArrayList<>();
+        for (int task : new int[] {0, 1, 2, 3, 17}) {
+            some.add(new End(Claim.decide(new TaskId("run-000412", task), "host-000007", 2), true));
+        }
+        log.append(List.of(carried, decided), List.of(), () -> {}, () -> {});
+        log.append(
+                List.of(),
+                List.of(new End(carried, true), new End(decided, false)),
+                () -> {},
+                () -> {});
+        log.append(List.of(), some, () -> {}, () -> {});
+        assertEquals(List.of(put(1, CARRIED_AND_NEW), put(2, ENDED), put(3, RANGES)), written);
+    }
+
+    @Test
+    void marksInAWindowKeepTheirBytes() {
+        List<String> written = new ArrayList<>();
+        List<End> ends = new ArrayList<>();
+        for (int task = 16384; task < 16584; task += 2) {
+            ends.add(
+                    new End(
+                            new Claim("k", new TaskId("run-000412", task), "host-000007", 3),
+                            true));
+        }
+        ends.add(new End(new Claim("k", new TaskId("run-000412", 5), "host-000007", 3), true));
+        rounds(List.of(), written).append(List.of(), ends, () -> {}, () -> {});
+        String marks = written.get(0).substring(written.get(0).indexOf("\"done\""));
+        assertEquals(MARKS + "}}]}", marks);
+    }
+
+    private static Rebuilt readBack(List<String> values) {
+        Rebuilt[] found = new Rebuilt[1];
+        rounds(values, new ArrayList<>()).load(rebuilt -> found[0] = rebuilt);
+        return found[0];
+    }
+
+    @Test
+    void roundsOfEachVersionAreRead() {
+        Rebuilt first = readBack(List.of(CARRIED_AND_NEW));
+        assertEquals(
+                List.of(
+                        Claim.decide(new TaskId("run-000412", 3), "host-000007", 7),
+                        Claim.decide(new TaskId("run-000413", 0), "host-000231", 1)),
+                List.copyOf(first.live()));
+        Rebuilt all = readBack(List.of(CARRIED_AND_NEW, ENDED, RANGES, "{\"v\":1," + MARKS + "}"));
+        assertEquals(List.of(), List.copyOf(all.live()));
+        BitSet done = new BitSet();
+        done.set(0, 4);
+        done.set(5);
+        done.set(17);
+        for (int task = 16384; task < 16584; task += 2) {
+            done.set(task);
+        }
+        assertEquals(Map.of("run-000412", done), all.done());
+    }
+
+    @Test
+    void imageLocationsKeepTheirBytes() throws BadMessageException {
+        ImageLocations locations = new ImageLocations();
+        locations.add("host-000007", "img-07", 6.2);
+        locations.add("host-000231", "img-07", 6.2);
+        locations.add("host-000231", "img-08", 16.25);
+        assertEquals(IMAGES, text(locations.encode(8192)));
+        ImageLocations read = ImageLocations.decode(json(IMAGES));
+        assertEquals(Map.of("img-07", 6.2), read.of("host-000007"));
+        assertEquals(Map.of("img-07", 6.2, "img-08", 16.25), read.of("host-000231"));
+        assertEquals(IMAGES, text(read.encode(8192)));
+    }
+}
--- a/src/test/java/org/springmill/protocol/PeerMessagesTest.java
+++ b/src/test/java/org/springmill/protocol/PeerMessagesTest.java
@@ -12,6 +12,7 @@
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.Arguments;
 import org.junit.jupiter.params.provider.MethodSource;
 import org.springmill.protocol.PeerMessages.Cancellation;
 import org.springmill.protocol.PeerMessages.Cancelled;
@@ -22,6 +23,22 @@
 import org.springmill.protocol.PeerMessages.Status;
 
 class PeerMessagesTest {
+    /** A status as 880f457 wrote it, whole. */
+    private static final String STATUS =
+            "0101"
+                    + "00036e2d31"
+                    + "0000000000000007"
+                    + "0000000000000003"
+                    + "010001"
+                    + "00000003"
+                    + "00"
+                    + "000000fa"
+                    + "0000000000000063";
+
+    /** One cancellation. */
+    private static final String CANCELLATIONS =
+            "0001" + "000a72756e2d303030343132" + "0000000000000028" + "41d954fc40000000";
+
     static Stream<PeerRecord> records() {
         return Stream.of(
                 new Status(
@@ -98,6 +115,60 @@
         assertArrayEquals(first, Arrays.copyOf(now, first.length), "new fields come last");
     }
 
+    /**
+     * Messages as three versions wrote them (880f457, which has no news, 025a6a8 and 9f45bfd),
+     * printed by those versions, built from the history. This version reads each and writes the
+     * same bytes; to 880f457 a status with news is its own with a rest that it leaves unread.
+     */
+    static Stream<Arguments> bytesOfEarlierVersions() {
+        Status plain = new Status("n-1", 7, 3, true, false, true, 3, false, 250, 99, News.NONE);
+        Cancellation cancellation = new Cancellation("run-000412", 40, 1.7e9);
+        Status withNews =
+                new Status(
+                        "n-1",
+                        7,
+                        3,
+                        true,
+                        false,
+                        true,
+                        3,
+                        false,
+                        250,
+                        99,
+                        new News(41, 7, false, true, List.of(cancellation)));
+        return Stream.of(
+                Arguments.of(plain, STATUS + "ffffffffffffffff000000000000000000000000"),
+                Arguments.of(
+                        withNews,
+                        STATUS + "0000000000000029" + "0000000000000007" + "0001" + CANCELLATIONS),
+                Arguments.of(
+                        new Cancelled("n-1", List.of(cancellation)),
+                        "0103" + "00036e2d31" + CANCELLATIONS),
+                Arguments.of(
+                        new Progress("n-1", 5, List.of(new JobProgress("run-000412", 3, 9))),
+                        "0102"
+                                + "00036e2d31"
+                                + "0000000000000005"
+                                + "0001"
+                                + "000a72756e2d303030343132"
+                                + "00000003"
+                                + "00000009"));
+    }
+
+    @ParameterizedTest
+    @MethodSource("bytesOfEarlierVersions")
+    void everyVersionsBytesAreReadAndWrittenAsTheyWere(PeerRecord message, String hex)
+            throws BadMessageException {
+        assertEquals(message, PeerMessages.decode(HexFormat.of().parseHex(hex)));
+        assertEquals(hex, HexFormat.of().formatHex(PeerMessages.encode(message)));
+        if (message instanceof Status status) {
+            Status withoutNews = (Status) PeerMessages.decode(HexFormat.of().parseHex(STATUS));
+            assertEquals(News.NONE, withoutNews.news());
+            assertEquals(status.term(), withoutNews.term());
+            assertTrue(hex.startsWith(STATUS));
+        }
+    }
+
     @Test
     void aRecordIsBounded() {
         byte[] longer =
