--- a/src/test/java/org/springmill/control/coordination/CancellationTest.java
+++ b/src/test/java/org/springmill/control/coordination/CancellationTest.java
@@ -35,11 +35,11 @@
             String id = String.format("run-%06d", 100 + i);
             cluster.submit(i % 3, SimulatedCluster.job(id, "red", "sweep", 1, 1, 0), 2);
             cluster.run(2.7 + 0.1 * i);
-            String told = cluster.withdraw((i + 1) % 3, id);
-            assertTrue(told.equals("done") || told.equals("cancelled"), told);
+            String phase = cluster.withdraw((i + 1) % 3, id);
+            assertTrue(phase.equals("done") || phase.equals("cancelled"), phase);
             cluster.run(5);
             for (int node = 0; node < 3; node++) {
-                assertEquals(told, cluster.phase(node, id));
+                assertEquals(phase, cluster.phase(node, id));
             }
         }
     }
--- a/src/test/java/org/springmill/control/coordination/CompoundCancellationTest.java
+++ b/src/test/java/org/springmill/control/coordination/CompoundCancellationTest.java
@@ -75,7 +75,7 @@
             ObjectNode job = SimulatedCluster.job(id, "red", "sweep", 2, 1, 1);
             cluster.submit(i % 3, job, 2);
             cluster.run(2.6 + 0.05 * i);
-            List<String> told = new ArrayList<>();
+            List<String> phases = new ArrayList<>();
             for (int node = 0; node < 3; node++) {
                 String path =
                         node == i % 3 ? "/submissions/" + id + "/withdraw" : "/submissions/" + id;
@@ -84,9 +84,9 @@
             }
             cluster.run(12);
             for (int node = 0; node < 3; node++) {
-                told.add(cluster.phase(node, id));
+                phases.add(cluster.phase(node, id));
             }
-            assertEquals(1, new HashSet<>(told).size(), told + " for " + id);
+            assertEquals(1, new HashSet<>(phases).size(), phases + " for " + id);
         }
     }
 
@@ -101,8 +101,8 @@
         acceptService(JOB, "blue", 8, 2);
         acceptService(OTHER, "blue", 8, 1);
         cluster.run(6);
-        List<SimWorker> mute = machines().subList(0, count);
-        mute.forEach(cluster.network()::blockReportsFrom);
+        List<SimWorker> unableToReport = machines().subList(0, count);
+        unableToReport.forEach(cluster.network()::blockReportsFrom);
         cluster.run(1);
         int before = machines().size();
         assertEquals("cancelled", cluster.withdraw(follower(), OTHER));
--- a/src/test/java/org/springmill/control/coordination/CompoundLeaderFailoverTest.java
+++ b/src/test/java/org/springmill/control/coordination/CompoundLeaderFailoverTest.java
@@ -163,13 +163,13 @@
      */
     @ParameterizedTest
     @CsvSource({
-        "deaf,        1, returns", "deaf,        3, returns", "deaf,        1, away",
-                "deaf,        3, away",
+        "responses_lost,  1, returns", "responses_lost,  3, returns", "responses_lost,  1, away",
+                "responses_lost,  3, away",
         "unreachable, 1, returns", "unreachable, 3, returns", "unreachable, 1, away",
                 "unreachable, 3, away",
-        "mute,        1, returns", "mute,        3, returns", "mute,        3, away",
+        "reports_refused, 1, returns", "reports_refused, 3, returns", "reports_refused, 3, away",
                 "taken,       1, away",
-        "taken,       3, away", "deaf,        1, stays", "deaf,        3, stays",
+        "taken,       3, away", "responses_lost,  1, stays", "responses_lost,  3, stays",
                 "unreachable, 3, stays",
     })
     void tasksOnUnreachableMachinesAreReplacedWhenTheLeaderCrashes(
@@ -185,8 +185,8 @@
                     names.add(machine.name());
                     names.add(machine.address());
                     switch (failure) {
-                        case "deaf" -> cluster.network().blockMessagesTo(machine);
-                        case "mute" -> cluster.network().blockReportsFrom(machine);
+                        case "responses_lost" -> cluster.network().blockMessagesTo(machine);
+                        case "reports_refused" -> cluster.network().blockReportsFrom(machine);
                         case "taken" -> cluster.cloud().take(machine);
                         default -> {}
                     }
--- a/src/test/java/org/springmill/control/coordination/NetworkPartitionTest.java
+++ b/src/test/java/org/springmill/control/coordination/NetworkPartitionTest.java
@@ -81,22 +81,23 @@
     void leaderAloneWithTheStateServiceTakesSilenceForNoProof() {
         submitService(0, JOB, "red", 4, 1);
         cluster.run(8);
-        int alone = cluster.leader();
-        cluster.cutPeers(alone, true);
+        int isolated = cluster.leader();
+        cluster.cutPeers(isolated, true);
         // The other controllers see an outage and, without a leader, renew the leases of the
         // workers; the leader sees only silent workers.
         cluster.network()
                 .judge(
                         (from, request) -> {
                             boolean othersState =
-                                    !fromController(from, alone) && toStateService(request);
+                                    !fromController(from, isolated) && toStateService(request);
                             boolean workers =
-                                    (fromWorker(from) && toController(request, alone))
-                                            || (fromController(from, alone) && toWorker(request));
+                                    (fromWorker(from) && toController(request, isolated))
+                                            || (fromController(from, isolated)
+                                                    && toWorker(request));
                             return othersState ? Fate.REFUSE : workers ? Fate.DROP : Fate.DELIVER;
                         });
         cluster.run(60);
-        cluster.cutPeers(alone, false);
+        cluster.cutPeers(isolated, false);
         deliverAllMessages();
         cluster.run(60);
         assertEquals(4, cluster.running(JOB));
@@ -152,16 +153,16 @@
     void controllerThatReachesOnlyItsWorkersYieldsThemToTheNextLeader() {
         submitService(0, JOB, "red", 4, 1);
         cluster.run(8);
-        int alone = cluster.leader();
-        cluster.cutPeers(alone, true);
+        int isolated = cluster.leader();
+        cluster.cutPeers(isolated, true);
         cluster.network()
                 .judge(
                         (from, request) ->
-                                fromController(from, alone) && !toWorker(request)
+                                fromController(from, isolated) && !toWorker(request)
                                         ? Fate.DROP
                                         : Fate.DELIVER);
         cluster.run(30);
-        assertNotEquals(alone, cluster.leader());
+        assertNotEquals(isolated, cluster.leader());
         assertEquals("cancelled", cluster.withdraw(cluster.leader(), JOB));
         cluster.run(4);
         assertEquals(0, cluster.running(JOB), "the new leader reaches the workers");
--- a/src/test/java/org/springmill/control/coordination/StateServiceOutageTest.java
+++ b/src/test/java/org/springmill/control/coordination/StateServiceOutageTest.java
@@ -116,19 +116,19 @@
         submitService(0, JOB, "red", 1, 1);
         cluster.run(8);
         SimWorker holder = cluster.holder(FIRST_TASK);
-        int alone = cluster.leader();
+        int isolated = cluster.leader();
         if (cancelled) {
             cluster.filterPeers();
             cluster.network()
                     .judge(
                             (from, request) ->
-                                    fromController(from, alone) && toStateService(request)
+                                    fromController(from, isolated) && toStateService(request)
                                             ? Fate.REFUSE
                                             : Fate.DELIVER);
-            assertEquals("cancelled", cluster.withdraw((alone + 1) % 3, JOB));
+            assertEquals("cancelled", cluster.withdraw((isolated + 1) % 3, JOB));
         }
         for (int i = 0; i < 3; i++) {
-            if (i != alone) {
+            if (i != isolated) {
                 cluster.kill(i);
             }
         }
--- a/src/test/java/org/springmill/control/coordination/WorkerLeaseTest.java
+++ b/src/test/java/org/springmill/control/coordination/WorkerLeaseTest.java
@@ -11,7 +11,7 @@
 import org.springmill.sim.SimWorker;
 import org.springmill.sim.SimulatedCluster;
 
-/** Silent, unreachable, deaf and faulty machines, and the leases of their workers. */
+/** Silent, unreachable and faulty machines, and the leases of their workers. */
 class WorkerLeaseTest extends SingleFailureFixture {
     /** Also when the whole fleet is unreachable. */
     @ParameterizedTest
@@ -42,11 +42,11 @@
 
     @Test
     void jobsRunElsewhereWhenCommandsDoNotReachAReportingMachine() {
-        SimWorker deaf = cluster.cloud().machines().values().iterator().next();
+        SimWorker unreachable = cluster.cloud().machines().values().iterator().next();
         cluster.network()
                 .judge(
                         (from, request) ->
-                                request.address().equals(deaf.address())
+                                request.address().equals(unreachable.address())
                                         ? Fate.DROP
                                         : Fate.DELIVER);
         for (int i = 0; i < 8; i++) {
--- a/src/test/java/org/springmill/sim/SimCloud.java
+++ b/src/test/java/org/springmill/sim/SimCloud.java
@@ -12,7 +12,7 @@
 import org.springmill.transport.HttpClient.Reply;
 import org.springmill.transport.HttpClient.Request;
 
-/** A stand-in for the cloud: one small and one large machine type in two zones. */
+/** A simulated cloud: one small and one large machine type in two zones. */
 public final class SimCloud {
     private static final ObjectMapper JSON = new ObjectMapper();
     static final double BOOT_SECONDS = 20;
--- a/src/test/java/org/springmill/sim/SimState.java
+++ b/src/test/java/org/springmill/sim/SimState.java
@@ -16,7 +16,7 @@
 import org.springmill.transport.HttpClient.Reply;
 import org.springmill.transport.HttpClient.Request;
 
-/** A stand-in for the state service, written from the published protocol. */
+/** A simulated state service, written from the published protocol. */
 public final class SimState {
     private static final ObjectMapper JSON = new ObjectMapper();
 
--- a/src/test/java/org/springmill/sim/SimWorker.java
+++ b/src/test/java/org/springmill/sim/SimWorker.java
@@ -10,7 +10,7 @@
 import org.springmill.transport.HttpClient.Reply;
 import org.springmill.transport.HttpClient.Request;
 
-/** A stand-in for a worker, written from the published protocol. */
+/** A simulated worker, written from the published protocol. */
 public final class SimWorker {
     private static final ObjectMapper JSON = new ObjectMapper();
 
