--- a/src/main/java/org/springmill/control/coordination/CancellationPersister.java
+++ b/src/main/java/org/springmill/control/coordination/CancellationPersister.java
@@ -2,20 +2,29 @@
 
 import java.util.ArrayList;
 import java.util.List;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
 import org.springmill.control.storage.JobRecord;
 import org.springmill.control.storage.StateStore;
+import org.springmill.control.storage.StateStore.CommitResult;
 import org.springmill.protocol.StateMessages.Condition;
 import org.springmill.protocol.StateMessages.Write;
 import org.springmill.transport.Loop;
 
 /**
- * Writes down which jobs were cancelled with one that they need. Nothing depends on it, since every
- * controller derives the same from the record of the first one; so it has the lowest standing among
- * all that is written, and a wave of cancellations costs no round its turn.
+ * Persists derived cancellations: the records of jobs that were cancelled with one of their
+ * dependencies. Nothing depends on it, since every controller derives the same from the record of
+ * the first cancelled job; so it has the lowest standing among all that is written, and a wave of
+ * cancellations costs no round its turn.
+ *
+ * <p>A transaction is refused as a whole, also when only one of its records is at fault. Its
+ * records are then written one by one, and only a record that is refused alone is left as it is.
  */
 final class CancellationPersister {
-    /** Of all that the state service takes. */
-    private static final double SHARE = 0.1;
+    private static final Logger LOG = LoggerFactory.getLogger(CancellationPersister.class);
+
+    /** Share of the changes that the state service takes. */
+    private static final double WRITE_SHARE = 0.1;
 
     private final StateStore store;
     private final JobDirectory directory;
@@ -23,6 +32,9 @@
     private final Loop loop;
     private boolean closed;
 
+    /** How many of the records that come next are to be written alone. */
+    private int singleWrites;
+
     CancellationPersister(
             StateStore store, JobDirectory directory, Leadership leadership, Loop loop) {
         this.store = store;
@@ -35,38 +47,83 @@
         closed = true;
     }
 
+    /** Writes the next batch if there is one and nothing else waits; goes on until closed. */
     void run() {
         if (closed) {
             return;
         }
-        int most = Math.max(1, store.limits().writesPerCommit() / 2);
-        List<JobRecord> due = directory.dependencies().pendingPersistence(most);
-        double restS = Math.max(1, due.size()) / (SHARE * store.limits().writesPerS());
-        if (due.isEmpty() || store.backlog() > 0 || !leadership.mayPlace()) {
-            loop.after(restS, this::run);
+        List<JobRecord> batch = directory.dependencies().pendingPersistence(batchSize());
+        if (batch.isEmpty() || store.backlog() > 0 || !leadership.mayPlace()) {
+            runAfter(batch);
             return;
         }
+        write(batch);
+    }
+
+    private int batchSize() {
+        return singleWrites > 0 ? 1 : Math.max(1, store.limits().writesPerCommit() / 2);
+    }
+
+    /** Waits for as long as a batch of that size uses up the share of the changes. */
+    private void runAfter(List<JobRecord> batch) {
+        double changesPerS = WRITE_SHARE * store.limits().writesPerS();
+        loop.after(Math.max(1, batch.size()) / changesPerS, this::run);
+    }
+
+    private void write(List<JobRecord> batch) {
+        int valueBytes = store.limits().valueBytes();
         List<Condition> conditions = new ArrayList<>();
         conditions.add(leadership.condition());
         List<Write> writes = new ArrayList<>();
-        for (JobRecord job : due) {
+        for (JobRecord job : batch) {
             conditions.add(new Condition(job.key(), job.version()));
-            writes.add(Write.put(job.key(), job.encode(store.limits().valueBytes())));
+            writes.add(Write.put(job.key(), job.encode(valueBytes)));
         }
         store.commit(
                 conditions,
                 writes,
                 result -> {
-                    switch (result.outcome()) {
-                        case COMMITTED ->
-                                due.forEach(
-                                        job -> directory.learn(job.committed(result.revision())));
-                        // Somebody else has written one of them, or it does not fit: not tried
-                        // again without end.
-                        case REFUSED -> directory.dependencies().abandonPersistence(due);
-                        case TOO_LARGE, NOT_NOW, UNKNOWN -> {}
-                    }
-                    loop.after(restS, this::run);
+                    written(batch, valueBytes, result);
+                    runAfter(batch);
                 });
     }
+
+    private void written(List<JobRecord> batch, int valueBytes, CommitResult result) {
+        switch (result.outcome()) {
+            case COMMITTED -> committed(batch, result.revision());
+            case REFUSED -> {
+                // A leader that has been replaced leaves the records to the next one.
+                if (!result.failed().contains(leadership.condition().key())) {
+                    refused(batch);
+                }
+            }
+            case TOO_LARGE -> {
+                if (batch.size() > 1 || !isShorterNow(batch.get(0), valueBytes)) {
+                    refused(batch);
+                }
+            }
+            case NOT_NOW, UNKNOWN -> {}
+        }
+    }
+
+    private void committed(List<JobRecord> batch, long revision) {
+        singleWrites = Math.max(0, singleWrites - batch.size());
+        batch.forEach(job -> directory.learn(job.committed(revision)));
+    }
+
+    /** Retries a batch record by record; gives up on a single record. */
+    private void refused(List<JobRecord> batch) {
+        if (batch.size() > 1) {
+            singleWrites = batch.size();
+            return;
+        }
+        singleWrites = Math.max(0, singleWrites - 1);
+        LOG.warn("the cancellation of {} cannot be written down", batch.get(0).id());
+        directory.dependencies().abandonPersistence(batch);
+    }
+
+    /** Whether a record has a shorter form under the limits that are in force by now. */
+    private boolean isShorterNow(JobRecord job, int valueBytes) {
+        return !job.encode(store.limits().valueBytes()).equals(job.encode(valueBytes));
+    }
 }
--- /dev/null
+++ b/src/test/java/org/springmill/control/coordination/CancellationPersisterTest.java
@@ -0,0 +1,146 @@
+package org.springmill.control.coordination;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import com.fasterxml.jackson.databind.JsonNode;
+import com.fasterxml.jackson.databind.node.ArrayNode;
+import com.fasterxml.jackson.databind.node.ObjectNode;
+import java.nio.charset.StandardCharsets;
+import java.util.List;
+import java.util.stream.IntStream;
+import org.junit.jupiter.api.AfterEach;
+import org.junit.jupiter.api.BeforeEach;
+import org.junit.jupiter.api.Test;
+import org.springmill.protocol.Json;
+import org.springmill.sim.SimNetwork.Fate;
+import org.springmill.sim.SimulatedCluster;
+import org.springmill.transport.HttpClient.Request;
+
+/** Which derived cancellations reach the state service when some of them are refused. */
+class CancellationPersisterTest {
+    private static final int FIRST = 1;
+    private static final int LAST = 9;
+
+    /** So many, with the longest ids, that a record naming them all takes most of a value. */
+    private static final int MANY = 180;
+
+    private SimulatedCluster cluster;
+
+    @BeforeEach
+    void aClusterWithALeader() {
+        cluster = new SimulatedCluster().machines("large", "a", 1).run(6);
+    }
+
+    @AfterEach
+    void noRuleIsBroken() {
+        assertEquals(List.of(), cluster.broken());
+    }
+
+    private static String id(int number) {
+        return String.format("run-%06d", number);
+    }
+
+    private static ObjectNode job(int number, int... dependencies) {
+        ObjectNode job = SimulatedCluster.job(id(number), "red", "sweep", 1, 1, 1);
+        ArrayNode ids = job.putArray("waitsOn");
+        for (int dependency : dependencies) {
+            ids.add(id(dependency));
+        }
+        return job;
+    }
+
+    private void submit(ObjectNode job) {
+        assertEquals(201, cluster.submit(cluster.leader(), job, 1e9), job.toString());
+    }
+
+    private void submitFirstAndDependents() {
+        submit(job(FIRST));
+        for (int number = FIRST + 1; number <= LAST; number++) {
+            submit(job(number, FIRST));
+        }
+    }
+
+    private JsonNode record(int number) {
+        return cluster.state().value("job/" + id(number));
+    }
+
+    private List<Integer> unwritten() {
+        return IntStream.rangeClosed(FIRST, LAST)
+                .filter(number -> !record(number).has("end"))
+                .boxed()
+                .toList();
+    }
+
+    /** Gives a record a new version that the leader does not learn of. */
+    private void rewriteUnseen(int number) {
+        ObjectNode write = Json.newObject().put("write", "job/" + id(number));
+        write.set("value", record(number));
+        ObjectNode commit = Json.newObject();
+        commit.putArray("when");
+        commit.putArray("writes").add(write);
+        byte[] body = commit.toString().getBytes(StandardCharsets.UTF_8);
+        cluster.network().repeat(new Request("state:1", "POST", "/commit", body, 1));
+    }
+
+    private void leaderReadsNoMoreChanges() {
+        String leader = "n-" + cluster.leader();
+        cluster.network()
+                .judge(
+                        (from, request) ->
+                                from.equals(leader)
+                                                && request.path().startsWith("/changes?under=job")
+                                        ? Fate.DROP
+                                        : Fate.DELIVER);
+        // Longer than a watch stays open.
+        cluster.run(20);
+    }
+
+    @Test
+    void oneRefusedRecordLeavesOnlyItselfUnwritten() {
+        submitFirstAndDependents();
+        leaderReadsNoMoreChanges();
+        rewriteUnseen(4);
+        assertEquals("cancelled", cluster.withdraw(cluster.leader(), id(FIRST)));
+        cluster.run(20);
+        assertEquals(List.of(4), unwritten());
+    }
+
+    @Test
+    void aRefusedRecordIsWrittenOnceItsNewVersionIsKnown() {
+        submitFirstAndDependents();
+        leaderReadsNoMoreChanges();
+        rewriteUnseen(4);
+        assertEquals("cancelled", cluster.withdraw(cluster.leader(), id(FIRST)));
+        cluster.run(10);
+        cluster.network().judge((from, request) -> Fate.DELIVER);
+        cluster.run(20);
+        assertEquals(List.of(), unwritten());
+    }
+
+    /** Accepted when values could be larger; its dependencies cannot be left out to make it fit. */
+    @Test
+    void aRecordTooLargeForTheServiceHoldsUpNoOtherAndIsNotTriedForEver() {
+        submit(job(FIRST));
+        ObjectNode large = job(2, FIRST);
+        for (int number = 0; number < MANY; number++) {
+            String longId = String.format("run-%018d", number);
+            submit(job(0).put("nameId", longId));
+            large.withArray("waitsOn").add(longId);
+        }
+        submit(large);
+        for (int number = 3; number <= LAST; number++) {
+            submit(job(number, FIRST));
+        }
+        cluster.run(3);
+        cluster.state().limit(1024, 12);
+        assertEquals("cancelled", cluster.withdraw(cluster.leader(), id(FIRST)));
+        cluster.run(60);
+        assertEquals(List.of(2), unwritten());
+        int refusals = cluster.state().tooLarge();
+        assertTrue(refusals > 0);
+        cluster.run(60);
+        assertEquals(refusals, cluster.state().tooLarge());
+        assertEquals("cancelled", cluster.phase(cluster.leader(), id(2)));
+    }
+}
