--- a/src/main/java/org/springmill/control/coordination/DependencyPriority.java
+++ b/src/main/java/org/springmill/control/coordination/DependencyPriority.java
@@ -35,13 +35,18 @@
 
     /** A job has come or ended. */
     void changed(Job job) {
-        if (job.active() && !job.spec().dependencies().isEmpty()) {
+        if (job.active() && hasPlaceOfItsOwn(job)) {
             queue(job);
         }
         queueDependencies(job);
         settle();
     }
 
+    /** A pipeline may have a single job, which then has the deadline. */
+    private static boolean hasPlaceOfItsOwn(Job job) {
+        return job.spec().deadlineS() != null || !job.spec().dependencies().isEmpty();
+    }
+
     private void queue(Job job) {
         if (queued.add(job.id())) {
             stale.add(job);
--- a/src/main/java/org/springmill/control/storage/JobRecord.java
+++ b/src/main/java/org/springmill/control/storage/JobRecord.java
@@ -12,9 +12,10 @@
  * once it has. The submission stays, for a later leader has to count what an ended job's tasks
  * still hold.
  *
- * <p>Two generations of records exist. That of a job with dependencies holds them, and when it was
- * accepted; every other record has the form that was there before dependencies, so that both
- * versions read it during an upgrade.
+ * <p>A job with a deadline or with dependencies holds the time at which it was accepted, from which
+ * the deadline counts; dependencies are stored only where there are any. Every other record has the
+ * form that was there before both, byte by byte. Versions that know neither field ignore them, so
+ * all versions read each other's records during an upgrade.
  *
  * @param phase QUEUED while active: whether tasks run is not stored
  * @param endedAt time of day at which its end was asked for; 0 if active or not known
@@ -35,13 +36,8 @@
 
     /** A job that is being accepted; it has no version before it is committed. */
     public static JobRecord accepted(Submission submission, double now) {
-        return new JobRecord(
-                submission.id(),
-                submission,
-                Phase.QUEUED,
-                0,
-                0,
-                submission.dependencies().isEmpty() ? 0 : now);
+        boolean timed = submission.deadlineS() != null || !submission.dependencies().isEmpty();
+        return new JobRecord(submission.id(), submission, Phase.QUEUED, 0, 0, timed ? now : 0);
     }
 
     public JobRecord ended(Phase end, double at) {
--- a/src/test/java/org/springmill/control/coordination/DependencyPriorityTest.java
+++ b/src/test/java/org/springmill/control/coordination/DependencyPriorityTest.java
@@ -106,4 +106,39 @@
         cluster.run(12);
         assertEquals(winner, cluster.starts(RIVAL + "/0") > 0 ? "rival" : "first");
     }
+
+    /** A pipeline of one job, against one of one or two jobs; the rival is accepted later. */
+    @ParameterizedTest
+    @CsvSource({
+        "none, alone, 100, none,     rival",
+        "200,  alone, 100, none,     rival",
+        "100,  alone, 200, none,     first",
+        "200,  chain, 100, none,     rival",
+        "100,  chain, 200, none,     first",
+        "none, alone, 100, takeover, rival",
+        "200,  chain, 100, takeover, rival",
+    })
+    void aDeadlineCountsForAJobThatNothingElseNeeds(
+            String firstDue, String shape, double rivalDue, String then, String winner) {
+        room();
+        boolean chain = shape.equals("chain");
+        ObjectNode first = job(FIRST, "normal");
+        ObjectNode last = job(LAST, "normal", FIRST);
+        if (!firstDue.equals("none")) {
+            (chain ? last : first).put("dueS", Double.parseDouble(firstDue));
+        }
+        cluster.submit(0, first, 5);
+        cluster.submit(1, job(RIVAL, "normal").put("dueS", rivalDue), 5);
+        if (chain) {
+            cluster.submit(2, last, 5);
+        }
+        if (then.equals("takeover")) {
+            cluster.restart(cluster.leader());
+        }
+        cluster.run(12);
+        boolean rivalRuns = cluster.starts(RIVAL + "/0") > 0;
+        boolean firstRuns = cluster.starts(FIRST + "/0") > 0;
+        assertTrue(rivalRuns ^ firstRuns, "rival " + rivalRuns + ", first " + firstRuns);
+        assertEquals(winner, rivalRuns ? "rival" : "first");
+    }
 }
