--- a/src/main/java/org/springmill/control/coordination/DependencyPriority.java
+++ b/src/main/java/org/springmill/control/coordination/DependencyPriority.java
@@ -1,49 +1,97 @@
 package org.springmill.control.coordination;
 
 import java.util.Comparator;
+import java.util.HashMap;
 import java.util.HashSet;
+import java.util.Map;
 import java.util.PriorityQueue;
 import java.util.Set;
+import org.springmill.control.coordination.DependentRanks.Rank;
 import org.springmill.control.storage.JobRecord;
 import org.springmill.protocol.Priority;
 
 /**
- * Priority and deadline flow from jobs to those that they need: whoever sets them does so on the
- * last job of a chain. A job has the highest priority of its own and all that need it, and has to
- * start by the time that leaves the rest of its chain its estimated run before the chain's
- * deadline. Both are derived, never stored, and are no more than an order: owners' estimates are
- * often wrong, and no rule hangs on them.
+ * Priority and deadline flow from jobs to their dependencies: whoever sets them does so on the last
+ * job of a pipeline. A job has the highest priority of its own and those of its dependents, and has
+ * to start by the time that leaves the rest of its pipeline its estimated run before the deadline.
+ * Both are derived, never stored, and are no more than an order: owners' estimates are often wrong,
+ * and no rule hangs on them.
  *
- * <p>Kept up as jobs come and end. A job is looked at again when one that needs it has changed; the
- * latest accepted comes first, and since a job can only need earlier ones each is looked at once
- * for a change. The work of one call is bounded; what is left over waits for the next.
+ * <p>Kept up as jobs come and end. A job whose rank has changed tells its dependencies, which keep
+ * the ranks of all their dependents and so need not look at each of them again. The latest accepted
+ * is looked at first, and since a job can only need earlier ones each is looked at once for a
+ * change. The work of one call is bounded; what is left over waits for the next, so that many
+ * changes share one walk through a long chain.
+ *
+ * <p>Work is counted in steps: a job looked at, or one of its dependencies told. A call may go over
+ * its bound by the dependencies of one job, of which a record holds some hundreds at most.
  */
 final class DependencyPriority {
-    /** Jobs looked at in one call, those that need them included. */
+    /** Steps of one call of {@link #settle}. */
     private static final int MOST_STEPS = 5_000;
 
+    /** Steps for one change: enough for any ordinary pipeline to be up to date at once. */
+    private static final int MOST_STEPS_PER_CHANGE = 250;
+
     private final JobDirectory directory;
     private final ClusterState clusterState;
     private final PriorityQueue<Job> stale =
             new PriorityQueue<>(Comparator.comparingLong(Job::accepted).reversed());
     private final Set<String> queued = new HashSet<>();
 
+    /** By the id of the dependency, which need not be known yet. */
+    private final Map<String, DependentRanks> dependentRanks = new HashMap<>();
+
+    /** What each active job with dependencies last told them. */
+    private final Map<String, Rank> told = new HashMap<>();
+
     DependencyPriority(JobDirectory directory, ClusterState clusterState) {
         this.directory = directory;
         this.clusterState = clusterState;
     }
 
-    /** A job has come or ended. */
-    void changed(Job job) {
-        if (job.active() && hasPlaceOfItsOwn(job)) {
+    /**
+     * Takes note of a job that has come or ended, and brings the order up to date as far as one
+     * change may.
+     *
+     * @return the steps that this took
+     */
+    int changed(Job job) {
+        int steps = 1;
+        if (!job.active()) {
+            steps += tellDependencies(job, null);
+        } else if (hasRankOfItsOwn(job) || dependentRanks.containsKey(job.id())) {
             queue(job);
         }
-        queueDependencies(job);
-        settle();
+        return steps + settle(MOST_STEPS_PER_CHANGE);
+    }
+
+    /**
+     * Brings the order up to date as far as one call may.
+     *
+     * @return the steps that this took; 0 if nothing was left to do
+     */
+    int settle() {
+        return settle(MOST_STEPS);
+    }
+
+    private int settle(int mostSteps) {
+        int steps = 0;
+        while (steps < mostSteps && !stale.isEmpty()) {
+            Job job = stale.poll();
+            queued.remove(job.id());
+            steps++;
+            if (job.active()) {
+                Rank rank = derive(job);
+                apply(job, rank);
+                steps += tellDependencies(job, rank);
+            }
+        }
+        return steps;
     }
 
     /** A pipeline may have a single job, which then has the deadline. */
-    private static boolean hasPlaceOfItsOwn(Job job) {
+    private static boolean hasRankOfItsOwn(Job job) {
         return job.spec().deadlineS() != null || !job.spec().dependencies().isEmpty();
     }
 
@@ -53,47 +101,67 @@
         }
     }
 
-    private void queueDependencies(Job job) {
-        for (String id : job.spec().dependencies()) {
-            Job needed = clusterState.job(id);
-            if (needed != null && needed.active()) {
-                queue(needed);
-            }
+    private Rank derive(Job job) {
+        Priority priority = job.spec().priority();
+        double due = ownDeadline(job);
+        DependentRanks ranks = dependentRanks.get(job.id());
+        if (ranks != null) {
+            priority = ranks.highestPriority(priority);
+            due = Math.min(due, ranks.earliestLatestStart());
         }
+        return new Rank(priority, due - job.spec().estimateS());
     }
 
-    /** Looks at what has changed since, as far as one call may. */
-    void settle() {
-        for (int steps = 0; steps < MOST_STEPS && !stale.isEmpty(); ) {
-            Job job = stale.poll();
-            queued.remove(job.id());
-            steps += 1 + directory.dependencies().dependents(job.id()).size();
-            if (job.active() && derive(job)) {
-                queueDependencies(job);
-            }
+    /** Time of day; infinite without a deadline, or if it is not known since when it counts. */
+    private double ownDeadline(Job job) {
+        JobRecord record = directory.get(job.id());
+        Double deadlineS = job.spec().deadlineS();
+        return deadlineS == null || record.acceptedAt() == 0
+                ? Double.POSITIVE_INFINITY
+                : record.acceptedAt() + deadlineS;
+    }
+
+    private void apply(Job job, Rank rank) {
+        if (rank.priority() != job.priority() || rank.latestStart() != job.latestStart()) {
+            clusterState.rank(job, rank.priority(), rank.latestStart());
         }
     }
 
-    /** True if that is a change. */
-    private boolean derive(Job job) {
-        JobRecord record = directory.get(job.id());
-        Priority priority = job.spec().priority();
-        double due =
-                job.spec().deadlineS() == null || record.acceptedAt() == 0
-                        ? Double.POSITIVE_INFINITY
-                        : record.acceptedAt() + job.spec().deadlineS();
-        for (String id : directory.dependencies().dependents(job.id())) {
-            Job dependent = clusterState.job(id);
-            if (dependent != null && dependent.active()) {
-                priority = dependent.priority().above(priority) ? dependent.priority() : priority;
-                due = Math.min(due, dependent.latestStart());
+    /**
+     * Tells a job's dependencies its rank if they do not know it.
+     *
+     * @param rank null once the job has ended
+     * @return how many were told
+     */
+    private int tellDependencies(Job job, Rank rank) {
+        if (job.spec().dependencies().isEmpty()) {
+            return 0;
+        }
+        Rank before = rank == null ? told.remove(job.id()) : told.put(job.id(), rank);
+        if (rank == null ? before == null : rank.equals(before)) {
+            return 0;
+        }
+        for (String dependency : job.spec().dependencies()) {
+            replace(dependency, before, rank);
+            Job needed = clusterState.job(dependency);
+            if (needed != null && needed.active()) {
+                queue(needed);
             }
         }
-        double latestStart = due - job.spec().estimateS();
-        if (priority == job.priority() && latestStart == job.latestStart()) {
-            return false;
+        return job.spec().dependencies().size();
+    }
+
+    private void replace(String dependency, Rank before, Rank after) {
+        DependentRanks ranks =
+                dependentRanks.computeIfAbsent(dependency, id -> new DependentRanks());
+        if (before != null) {
+            ranks.remove(before);
+        }
+        if (after != null) {
+            ranks.add(after);
+        }
+        if (ranks.isEmpty()) {
+            dependentRanks.remove(dependency);
         }
-        clusterState.rank(job, priority, latestStart);
-        return true;
     }
 }
--- /dev/null
+++ b/src/main/java/org/springmill/control/coordination/DependentRanks.java
@@ -0,0 +1,64 @@
+package org.springmill.control.coordination;
+
+import java.util.EnumMap;
+import java.util.Map;
+import java.util.TreeMap;
+import org.springmill.protocol.Priority;
+
+/**
+ * The ranks of the active dependents of one job, as they last told them. The highest is known
+ * without looking at each, also after it has been taken out.
+ */
+final class DependentRanks {
+    /** How many dependents have a priority. */
+    private final Map<Priority, Integer> priorities = new EnumMap<>(Priority.class);
+
+    /** How many dependents have to start by a time; those without a deadline are left out. */
+    private final TreeMap<Double, Integer> latestStarts = new TreeMap<>();
+
+    private int size;
+
+    /**
+     * A job's place in the order.
+     *
+     * @param latestStart time of day; infinite for no deadline
+     */
+    record Rank(Priority priority, double latestStart) {}
+
+    void add(Rank rank) {
+        size++;
+        priorities.merge(rank.priority(), 1, Integer::sum);
+        if (Double.isFinite(rank.latestStart())) {
+            latestStarts.merge(rank.latestStart(), 1, Integer::sum);
+        }
+    }
+
+    /** Takes out a rank that was added before. */
+    void remove(Rank rank) {
+        size--;
+        takeOne(priorities, rank.priority());
+        takeOne(latestStarts, rank.latestStart());
+    }
+
+    private static <K> void takeOne(Map<K, Integer> counts, K key) {
+        counts.computeIfPresent(key, (same, count) -> count == 1 ? null : count - 1);
+    }
+
+    boolean isEmpty() {
+        return size == 0;
+    }
+
+    /** The highest of a job's own priority and those of its dependents. */
+    Priority highestPriority(Priority own) {
+        Priority highest = own;
+        for (Priority priority : priorities.keySet()) {
+            highest = priority.above(highest) ? priority : highest;
+        }
+        return highest;
+    }
+
+    /** The earliest time by which a dependent has to start; infinite if none has a deadline. */
+    double earliestLatestStart() {
+        return latestStarts.isEmpty() ? Double.POSITIVE_INFINITY : latestStarts.firstKey();
+    }
+}
--- /dev/null
+++ b/src/test/java/org/springmill/control/coordination/DependencyPriorityWorkTest.java
@@ -0,0 +1,279 @@
+package org.springmill.control.coordination;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.nio.charset.StandardCharsets;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Map;
+import java.util.Random;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.ValueSource;
+import org.springmill.control.storage.JobRecord;
+import org.springmill.control.storage.StateStore;
+import org.springmill.protocol.BadMessageException;
+import org.springmill.protocol.Json;
+import org.springmill.protocol.OperatorSettings;
+import org.springmill.protocol.Priority;
+import org.springmill.protocol.Settings;
+import org.springmill.protocol.Submission;
+import org.springmill.protocol.UserMessages.Phase;
+import org.springmill.sim.VirtualClock;
+
+/** What is derived for each job, and how much work that takes, counted in steps. */
+class DependencyPriorityWorkTest {
+    private static final double ESTIMATE_S = 10;
+
+    /** One call may go on to the end of the list of the job that it looks at last. */
+    private static final int MOST_STEPS_OF_A_CALL = 6_000;
+
+    /** The leader's ticks, each of which settles once. */
+    private static final int TICKS_OF_A_SECOND = 4;
+
+    private static final Settings SETTINGS =
+            new Settings(
+                    "n-0",
+                    "a",
+                    "x:1",
+                    "x:2",
+                    Map.of(),
+                    "c:1",
+                    "s:1",
+                    List.of("a"),
+                    1,
+                    List.of(),
+                    List.of(),
+                    new Settings.Workers(2, 14, 44),
+                    new Settings.State(120, 20, 8192, 12),
+                    new Settings.Cloud(4, 3),
+                    new Settings.Limits(0.2, 176, 700),
+                    OperatorSettings.DEFAULTS);
+
+    private final JobDirectory directory = directory();
+    private final ClusterState clusterState = new ClusterState(SETTINGS);
+    private final DependencyPriority order = new DependencyPriority(directory, clusterState);
+    private long steps;
+    private long version;
+
+    private static JobDirectory directory() {
+        VirtualClock clock = new VirtualClock();
+        Timing timing = Timing.of(SETTINGS);
+        StateStore store =
+                new StateStore((request, done) -> {}, clock, SETTINGS, timing.stateTimeoutS());
+        return new JobDirectory(store, clock, timing, 1);
+    }
+
+    private static String id(int number) {
+        return "run-" + number;
+    }
+
+    private static JobRecord record(
+            int number, String urgency, Double dueS, List<Integer> dependencies, long version) {
+        List<String> ids = dependencies.stream().map(n -> '"' + id(n) + '"').toList();
+        String body =
+                """
+                {"nameId":"%s","grist":"c","crew":"t","shape":"sweep","urgency":"%s","sacks":1,"vcpus":1,
+                 "cards":0,"memGb":1,"mould":"i","pullGb":1,"samePlace":false,"apart":false,"loaner":false,
+                 "expectS":%s,"stashEveryS":0,"stashS":0,"dueS":%s,"waitsOn":[%s]}"""
+                        .formatted(id(number), urgency, ESTIMATE_S, dueS, String.join(",", ids));
+        try {
+            Submission submission =
+                    Submission.parse(Json.object(body.getBytes(StandardCharsets.UTF_8)));
+            return new JobRecord(submission.id(), submission, Phase.QUEUED, version, 0, 1);
+        } catch (BadMessageException e) {
+            throw new AssertionError(e);
+        }
+    }
+
+    private Job accept(int number, String urgency, Double dueS, List<Integer> dependencies) {
+        JobRecord record = record(number, urgency, dueS, dependencies, ++version);
+        directory.learn(record);
+        return admit(record);
+    }
+
+    private Job admit(JobRecord record) {
+        Job job = new Job(record.submission(), record.version());
+        clusterState.add(job);
+        count(order.changed(job));
+        return job;
+    }
+
+    private void end(Job job) {
+        job.end(Phase.DONE, ++version, 0);
+        count(order.changed(job));
+        clusterState.dropJob(job);
+    }
+
+    private void count(int stepsOfCall) {
+        assertTrue(stepsOfCall <= MOST_STEPS_OF_A_CALL, stepsOfCall + " steps in one call");
+        steps += stepsOfCall;
+    }
+
+    /** How many ticks it takes until nothing is left to be done. */
+    private int settle() {
+        for (int ticks = 0; ; ticks++) {
+            int stepsOfCall = order.settle();
+            if (stepsOfCall == 0) {
+                return ticks;
+            }
+            count(stepsOfCall);
+        }
+    }
+
+    @Test
+    void eachOfThousandsOfDependentsIsLookedAtAFewTimesInAll() {
+        int wide = 4_000;
+        Job common = accept(1, "normal", null, List.of());
+        List<Job> dependents = new ArrayList<>();
+        for (int i = 0; i < wide; i++) {
+            // Each has an earlier deadline than all before it, and so changes what they all need.
+            dependents.add(accept(2 + i, "normal", 100_000.0 - i, List.of(1)));
+        }
+        settle();
+        assertEquals(1 + 100_000.0 - (wide - 1) - 2 * ESTIMATE_S, common.latestStart());
+        assertTrue(steps <= 8L * wide, steps + " steps to accept " + wide);
+        steps = 0;
+        // The one that decides ends first each time.
+        for (int i = wide - 1; i >= 0; i--) {
+            end(dependents.get(i));
+        }
+        settle();
+        assertEquals(Double.POSITIVE_INFINITY, common.latestStart());
+        assertTrue(steps <= 8L * wide, steps + " steps to end " + wide);
+    }
+
+    @Test
+    void aWideWaveReachesItsEndWithinASecond() {
+        int firsts = 500;
+        int middles = 20;
+        List<Integer> firstIds = new ArrayList<>();
+        List<Job> jobs = new ArrayList<>();
+        for (int i = 0; i < firsts; i++) {
+            firstIds.add(1 + i);
+            jobs.add(accept(1 + i, "best_effort", null, List.of()));
+        }
+        List<Integer> middleIds = new ArrayList<>();
+        for (int i = 0; i < middles; i++) {
+            middleIds.add(1 + firsts + i);
+            jobs.add(accept(1 + firsts + i, "best_effort", null, firstIds));
+        }
+        settle();
+        steps = 0;
+        Job last = accept(10_000, "urgent", 1_000.0, middleIds);
+        int ticks = settle();
+        assertTrue(ticks <= TICKS_OF_A_SECOND, ticks + " ticks");
+        assertTrue(steps <= 2L * firsts * middles, steps + " steps");
+        assertEquals(1 + 1_000.0 - ESTIMATE_S, last.latestStart());
+        for (Job job : jobs) {
+            assertEquals(Priority.HIGH, job.priority(), job.id());
+        }
+        assertEquals(1 + 1_000.0 - 3 * ESTIMATE_S, jobs.get(0).latestStart());
+    }
+
+    @Test
+    void aDeepChainIsWalkedInBoundedCalls() {
+        int deep = 15_000;
+        Job first = accept(1, "normal", null, List.of());
+        for (int i = 2; i < deep; i++) {
+            accept(i, "normal", null, List.of(i - 1));
+        }
+        settle();
+        steps = 0;
+        accept(deep, "urgent", 1_000_000.0, List.of(deep - 1));
+        int ticks = settle();
+        assertEquals(Priority.HIGH, first.priority());
+        assertEquals(1 + 1_000_000.0 - deep * ESTIMATE_S, first.latestStart());
+        assertTrue(steps <= 3L * deep, steps + " steps");
+        assertTrue(ticks <= 2 * TICKS_OF_A_SECOND, ticks + " ticks");
+    }
+
+    /** Else each of many dependents of a long chain walks all of it. */
+    @Test
+    void manyChangesOfALongChainShareItsWalk() {
+        int deep = 1_000;
+        int wide = 1_000;
+        Job first = accept(1, "normal", null, List.of());
+        for (int i = 2; i <= deep; i++) {
+            accept(i, "normal", null, List.of(i - 1));
+        }
+        settle();
+        steps = 0;
+        for (int i = 0; i < wide; i++) {
+            accept(deep + 1 + i, "normal", 1_000_000.0 - i, List.of(deep));
+        }
+        settle();
+        assertEquals(1 + 1_000_000.0 - (wide - 1) - (deep + 1) * ESTIMATE_S, first.latestStart());
+        assertTrue(steps <= 300L * wide, steps + " steps");
+    }
+
+    @Test
+    void aJobLearnedAfterItsDependentsTakesTheirPlace() {
+        JobRecord needed = record(1, "best_effort", null, List.of(), 1);
+        directory.learn(record(2, "urgent", 100.0, List.of(1), 2));
+        admit(directory.get(id(2)));
+        directory.learn(needed);
+        Job late = admit(needed);
+        settle();
+        assertEquals(Priority.HIGH, late.priority());
+        assertEquals(1 + 100.0 - 2 * ESTIMATE_S, late.latestStart());
+    }
+
+    @ParameterizedTest
+    @ValueSource(longs = {1, 2, 3, 4, 5})
+    void whatIsDerivedIsWhatAWholeWalkGives(long seed) {
+        Random random = new Random(seed);
+        String[] urgencies = {"prod", "urgent", "normal", "best_effort"};
+        List<Job> jobs = new ArrayList<>();
+        for (int i = 0; i < 300; i++) {
+            List<Integer> dependencies = new ArrayList<>();
+            for (int n = random.nextInt(4); n > 0 && i > 0; n--) {
+                dependencies.add(random.nextInt(i));
+            }
+            Double dueS = random.nextInt(3) == 0 ? 100.0 + random.nextInt(1000) : null;
+            jobs.add(accept(i, urgencies[random.nextInt(4)], dueS, dependencies));
+            if (random.nextInt(3) == 0) {
+                Job ended = jobs.get(random.nextInt(jobs.size()));
+                if (ended.active()) {
+                    end(ended);
+                }
+            }
+            settle();
+            for (Job job : jobs) {
+                assertEquals(latestStart(job, jobs), job.active() ? job.latestStart() : 0);
+                assertEquals(priority(job, jobs), job.active() ? job.priority() : null);
+            }
+        }
+    }
+
+    private static List<Job> activeDependents(Job job, List<Job> jobs) {
+        return jobs.stream()
+                .filter(other -> other.active() && other.spec().dependencies().contains(job.id()))
+                .toList();
+    }
+
+    /** One level at a time is enough: it is asked for every job, from the last to the first. */
+    private static double latestStart(Job job, List<Job> jobs) {
+        if (!job.active()) {
+            return 0;
+        }
+        Double dueS = job.spec().deadlineS();
+        double due = dueS == null ? Double.POSITIVE_INFINITY : 1 + dueS;
+        for (Job dependent : activeDependents(job, jobs)) {
+            due = Math.min(due, dependent.latestStart());
+        }
+        return due - ESTIMATE_S;
+    }
+
+    private static Priority priority(Job job, List<Job> jobs) {
+        if (!job.active()) {
+            return null;
+        }
+        Priority highest = job.spec().priority();
+        for (Job dependent : activeDependents(job, jobs)) {
+            highest = dependent.priority().above(highest) ? dependent.priority() : highest;
+        }
+        return highest;
+    }
+}
