--- a/src/test/java/org/springmill/protocol/SubmissionTest.java
+++ b/src/test/java/org/springmill/protocol/SubmissionTest.java
@@ -5,6 +5,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.nio.charset.StandardCharsets;
+import java.util.List;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
@@ -79,4 +80,56 @@
                                         .replace("\"apart\":false", "\"apart\":true"))
                         .perZone());
     }
+
+    private static String withDependencies(String names) {
+        return GOOD.replace("\"unheardOf\":[1]", "\"waitsOn\":" + names.replace('~', '"'));
+    }
+
+    @ParameterizedTest
+    @CsvSource(
+            delimiter = '|',
+            value = {
+                "null                                    | ''",
+                "[]                                      | ''",
+                "[~run-7~]                               | run-7",
+                "[~run-7~,~run-000007~]                  | run-7 run-000007",
+                "[~run-9~,~run-7~,~run-9~,~run-9~]       | run-9 run-7",
+                "[~run-123456789012345678~]              | run-123456789012345678",
+            })
+    void eachDependencyCountsOnceInTheOrderOfItsFirstMention(String names, String expected)
+            throws BadMessageException {
+        Submission job = parse(withDependencies(names));
+        assertEquals(expected, String.join(" ", job.dependencies()));
+        assertEquals(job, Submission.parse(job.toJson()));
+        assertEquals(!expected.isEmpty(), job.toJson().has("waitsOn"));
+    }
+
+    @Test
+    void aSubmissionWithoutTheFieldHasNoDependencies() throws BadMessageException {
+        assertEquals(List.of(), parse(GOOD).dependencies());
+    }
+
+    @ParameterizedTest
+    @CsvSource(
+            delimiter = '|',
+            value = {
+                "~run-7~                     | waitsOn is not a list",
+                "~~                          | waitsOn is not a list",
+                "{}                          | waitsOn is not a list",
+                "7                           | waitsOn is not a list",
+                "false                       | waitsOn is not a list",
+                "[7]                         | waitsOn holds something that is no job's id",
+                "[null]                      | waitsOn holds something that is no job's id",
+                "[[~run-7~]]                 | waitsOn holds something that is no job's id",
+                "[~~]                        | waitsOn holds something that is no job's id",
+                "[~run-7~,~job-7~]           | waitsOn holds something that is no job's id",
+                "[~run-7 ~]                  | waitsOn holds something that is no job's id",
+                "[~run-1234567890123456789~] | waitsOn holds something that is no job's id",
+                "[~run-7~,~run-000412~]      | waitsOn names the job itself",
+            })
+    void dependenciesOfAWrongFormAreRefused(String names, String message) {
+        BadMessageException e =
+                assertThrows(BadMessageException.class, () -> parse(withDependencies(names)));
+        assertEquals(message, e.getMessage());
+    }
 }
