--- a/src/main/java/org/springmill/control/coordination/CancellationFreshness.java
+++ b/src/main/java/org/springmill/control/coordination/CancellationFreshness.java
@@ -5,10 +5,10 @@
 import org.springmill.transport.Loop;
 
 /**
- * Up to when this controller knows every cancellation that any user was told of. Whoever renews a
- * lease long after that may be keeping a cancelled task alive: the state service can refuse one
- * controller alone, have another confirm cancellations, and then be down for all. docs/design.md
- * has the argument.
+ * Bounds the staleness of the cancellations that this controller knows. Whoever renews a worker's
+ * lease long after its knowledge was last complete may be keeping a cancelled task alive: the state
+ * service can refuse one controller alone, commit cancellations for another, and then be down for
+ * all. docs/design.md has the argument.
  */
 final class CancellationFreshness {
     private static final Logger LOG = LoggerFactory.getLogger(CancellationFreshness.class);
@@ -29,8 +29,8 @@
     }
 
     /**
-     * Reads the job records now and then where nobody else asks for them and the others do not tell
-     * enough.
+     * Begins to read the job records from time to time where no user's question makes this
+     * controller read them and the peers' confirmations are not recent enough.
      */
     void start() {
         loop.after(timing.renewS(), this::start);
@@ -56,14 +56,19 @@
     }
 
     /**
-     * By a served read, or by the word of all others, each of which has read the job records since
-     * it was started. A process that has just started, and may not reach the state service yet,
-     * presumes that what was cancelled some time before is dealt with: whoever confirmed it told
-     * the others first, and the leader stops tasks at once. Only some time before, for where all
-     * controllers crashed in the middle of a gap the last cancellations were told to nobody.
+     * For how many seconds a cancellation may have been committed without being known here. Known
+     * is what a read of the state service has brought, or what all peers have confirmed, each of
+     * which has read the job records since it was started.
+     *
+     * <p>A process that has just started, and may not reach the state service yet, presumes that
+     * what was cancelled some time before is dealt with: whoever committed it told the others
+     * first, and the leader stops tasks at once. Only some time before, since the last
+     * cancellations were told to nobody if all controllers crashed while one of them alone was
+     * refused.
      */
     double age() {
-        double told = directory.loaded() ? peers.toldUntil() : Double.NEGATIVE_INFINITY;
-        return loop.now() - Math.max(presumedAt, Math.max(directory.currentAt(), told));
+        double confirmedAt = directory.loaded() ? peers.toldUntil() : Double.NEGATIVE_INFINITY;
+        double knownAt = Math.max(directory.currentAt(), confirmedAt);
+        return loop.now() - Math.max(presumedAt, knownAt);
     }
 }
--- a/src/main/java/org/springmill/control/coordination/Cancellations.java
+++ b/src/main/java/org/springmill/control/coordination/Cancellations.java
@@ -18,17 +18,21 @@
     private final List<Cancellation> learned = new ArrayList<>();
     private final Map<String, Cancellation> byJob = new HashMap<>();
 
-    /**
-     * Tells this process's bookmarks from those of an earlier one, whose order meant something
-     * else.
-     */
+    /** Tells this process's bookmarks from those of an earlier one, which had another order. */
     private final long tag;
 
+    /**
+     * @param tag random, and so most likely another one than that of an earlier process
+     */
     Cancellations(int tag) {
         this.tag = ((long) tag & 0x7fff_ffff) << INDEX_BITS;
     }
 
-    /** True if it was not known before. */
+    /**
+     * Takes in a cancellation.
+     *
+     * @return whether it was not known before
+     */
     boolean add(Cancellation cancellation) {
         if (byJob.putIfAbsent(cancellation.job(), cancellation) != null) {
             return false;
@@ -37,6 +41,7 @@
         return true;
     }
 
+    /** The cancellation of a job; null if none is known. */
     Cancellation of(String job) {
         return byJob.get(job);
     }
--- /dev/null
+++ b/src/main/java/org/springmill/control/coordination/JobAnswers.java
@@ -0,0 +1,74 @@
+package org.springmill.control.coordination;
+
+import java.util.function.Function;
+import org.springmill.control.storage.JobRecord;
+import org.springmill.protocol.PeerMessages.JobProgress;
+import org.springmill.protocol.UserMessages;
+import org.springmill.protocol.UserMessages.Phase;
+import org.springmill.transport.HttpHandler.Call;
+
+/** The answers that users get about a job, from its record and the progress of its tasks. */
+final class JobAnswers {
+    /** Users wait 5 s for an answer; by then they have to have one. */
+    static final double ANSWER_WITHIN_S = 3.5;
+
+    static final String STATE_SERVICE_SILENT = "the state service does not answer";
+
+    private static final int RETRY_AFTER_S = 1;
+
+    private final Function<String, JobProgress> progress;
+
+    /**
+     * @param progress of an active job by its id, as far as it is known here; null if it is not
+     */
+    JobAnswers(Function<String, JobProgress> progress) {
+        this.progress = progress;
+    }
+
+    /** Answers 200 with the phase that a job is in. */
+    void phase(Call call, JobRecord job) {
+        call.reply(200, UserMessages.phase(job.id(), phaseOf(job)), 0);
+    }
+
+    /** Answers 200 with the phase that a job is in and how many of its tasks are done and run. */
+    void progress(Call call, JobRecord job) {
+        JobProgress known = progress.apply(job.id());
+        int done = known == null ? 0 : known.done();
+        int running = known == null ? 0 : known.running();
+        if (job.phase() == Phase.DONE) {
+            done = job.submission().tasks();
+        }
+        if (job.phase().terminal()) {
+            running = 0;
+        }
+        call.reply(200, UserMessages.progress(job.id(), phaseOf(job), done, running), 0);
+    }
+
+    private Phase phaseOf(JobRecord job) {
+        if (job.phase().terminal()) {
+            return job.phase();
+        }
+        JobProgress known = progress.apply(job.id());
+        return known != null && known.running() > 0 ? Phase.RUNNING : Phase.QUEUED;
+    }
+
+    /** Answers 404: the job was never accepted. */
+    static void notFound(Call call) {
+        call.reply(404, UserMessages.error("no such job"), 0);
+    }
+
+    /** Answers 503: what was asked for cannot be decided now. */
+    static void unavailable(Call call, String reason) {
+        call.reply(503, UserMessages.error(reason), RETRY_AFTER_S);
+    }
+
+    /** Answers 422: the job can never run. */
+    static void impossible(Call call, String reason) {
+        call.reply(422, UserMessages.error(reason), 0);
+    }
+
+    /** Answers 429: too many submissions are under way. */
+    static void overloaded(Call call) {
+        call.reply(429, UserMessages.error("too many submissions"), RETRY_AFTER_S);
+    }
+}
--- a/src/main/java/org/springmill/control/coordination/JobDependencies.java
+++ b/src/main/java/org/springmill/control/coordination/JobDependencies.java
@@ -14,10 +14,10 @@
 import org.springmill.protocol.UserMessages.Phase;
 
 /**
- * Which job needs which, and what follows from it. A job is cancelled if its record says so or if
- * any job that it needs is: a pure function of committed records, so every controller tells the
- * same from the moment at which it knows the one write that cancelled the first of them, after any
- * crash and in whatever order the records come.
+ * The dependency graph of all jobs, and the cancellations derived from it. A job is cancelled if
+ * its record says so or if any job that it needs is: a pure function of committed records, so every
+ * controller tells the same from the moment at which it knows the one write that cancelled the
+ * first of them, after any crash and in whatever order the records come.
  *
  * <p>A job of which a dependency is cancelled can never have started. It starts only after the
  * record of every dependency says done; done and cancelled are both written on condition of the
@@ -34,7 +34,7 @@
     private final Map<String, JobRecord> jobs;
     private final Map<String, List<String>> dependents = new HashMap<>();
 
-    /** Cancelled by derivation only; their own records still say otherwise. */
+    /** Ids of jobs whose cancellation is derived and not yet in their own records. */
     private final Set<String> pendingPersistence = new LinkedHashSet<>();
 
     /**
@@ -50,30 +50,40 @@
      */
     List<JobRecord> learn(JobRecord stored) {
         if (!jobs.containsKey(stored.id())) {
-            for (String needed : stored.submission().dependencies()) {
-                dependents.computeIfAbsent(needed, id -> new ArrayList<>(2)).add(stored.id());
-            }
+            addToDependents(stored);
         }
         pendingPersistence.remove(stored.id());
         List<JobRecord> changed = new ArrayList<>();
-        JobRecord cause = stored.cancelled() ? null : cancelledDependency(stored.submission());
-        put(cause == null ? stored : cancelledWith(stored, cause), changed);
-        // The list is what is still to be looked at, too: those that need what has just been found
-        // cancelled.
+        put(inEffect(stored), changed);
+        // What has changed is also the list of what is still to be looked at.
         for (int next = 0; next < changed.size(); next++) {
-            JobRecord job = changed.get(next);
-            if (job.cancelled()) {
-                for (String id : dependents.getOrDefault(job.id(), List.of())) {
-                    JobRecord dependent = jobs.get(id);
-                    if (!dependent.cancelled()) {
-                        put(cancelledWith(dependent, job), changed);
-                    }
-                }
+            if (changed.get(next).cancelled()) {
+                cancelDependents(changed.get(next), changed);
             }
         }
         return changed;
     }
 
+    private void addToDependents(JobRecord job) {
+        for (String needed : job.submission().dependencies()) {
+            dependents.computeIfAbsent(needed, id -> new ArrayList<>(2)).add(job.id());
+        }
+    }
+
+    private JobRecord inEffect(JobRecord stored) {
+        JobRecord cause = stored.cancelled() ? null : cancelledDependency(stored.submission());
+        return cause == null ? stored : cancelledWith(stored, cause);
+    }
+
+    private void cancelDependents(JobRecord cancelled, List<JobRecord> changed) {
+        for (String id : dependents(cancelled.id())) {
+            JobRecord dependent = jobs.get(id);
+            if (!dependent.cancelled()) {
+                put(cancelledWith(dependent, cancelled), changed);
+            }
+        }
+    }
+
     private void put(JobRecord job, List<JobRecord> changed) {
         jobs.put(job.id(), job);
         changed.add(job);
@@ -98,7 +108,7 @@
         return null;
     }
 
-    /** Why a job cannot wait for those that it names, as far as is known here; null if it can. */
+    /** Why a job cannot wait for its dependencies, as far as is known here; null if it can. */
     String refusal(Submission submission) {
         for (String id : submission.dependencies()) {
             JobRecord needed = jobs.get(id);
@@ -135,17 +145,17 @@
         return since;
     }
 
-    /** Ids of the jobs that name one directly. */
+    /** Ids of the direct dependents of a job. */
     Collection<String> dependents(String id) {
         return dependents.getOrDefault(id, List.of());
     }
 
-    /** Some of those cancelled by derivation only, the longest known first. */
+    /** Jobs whose derived cancellation is to be written down, the longest known first. */
     List<JobRecord> pendingPersistence(int most) {
         return pendingPersistence.stream().limit(most).map(jobs::get).toList();
     }
 
-    /** Leaves records as they are; nothing depends on them. */
+    /** Leaves records unwritten until a newer version of them is learned. */
     void abandonPersistence(List<JobRecord> records) {
         records.forEach(job -> pendingPersistence.remove(job.id()));
     }
--- /dev/null
+++ b/src/main/java/org/springmill/control/coordination/JobRecordFeed.java
@@ -0,0 +1,157 @@
+package org.springmill.control.coordination;
+
+import java.util.ArrayList;
+import java.util.List;
+import java.util.function.Consumer;
+import org.springmill.control.storage.JobRecord;
+import org.springmill.control.storage.StateStore;
+import org.springmill.control.storage.StateStore.ChangesResult;
+import org.springmill.protocol.StateMessages.Change;
+import org.springmill.protocol.StateMessages.Changes;
+import org.springmill.protocol.StateMessages.Entry;
+import org.springmill.protocol.StateMessages.Page;
+import org.springmill.transport.Loop;
+
+/**
+ * Reads the job records from the state service: all of them once, and from then on their changes by
+ * a watch and by barriers.
+ *
+ * <p>A barrier reads the changes up to a revision that was current after it was asked for. One read
+ * serves all barriers that wait.
+ */
+final class JobRecordFeed {
+    /** Barrier reads take at most this share of the requests that the state service takes. */
+    private static final double BARRIER_SHARE = 0.25;
+
+    private final StateStore store;
+    private final Loop loop;
+    private final Timing timing;
+    private final Listener listener;
+    private final double barrierIntervalS;
+    private List<Consumer<Boolean>> waitingBarriers = new ArrayList<>();
+    private boolean reading;
+    private boolean loaded;
+    private long cursor;
+    private double currentAt = Double.NEGATIVE_INFINITY;
+
+    /** Takes what is read. */
+    interface Listener {
+        /** A record as it stands, or its change. */
+        void changed(Change change);
+
+        /** All records were read for the first time. */
+        void loaded();
+    }
+
+    JobRecordFeed(StateStore store, Loop loop, Timing timing, Listener listener) {
+        this.store = store;
+        this.loop = loop;
+        this.timing = timing;
+        this.listener = listener;
+        barrierIntervalS = 1 / (BARRIER_SHARE * store.limits().requestsPerS());
+    }
+
+    /** Reads all records, and follows their changes from there. */
+    void start() {
+        double askedAt = loop.now();
+        store.list(
+                JobRecord.PREFIX,
+                page -> {
+                    if (page == null) {
+                        loop.after(timing.renewS(), this::start);
+                        return;
+                    }
+                    takeAll(page, askedAt);
+                    watch();
+                });
+    }
+
+    private void takeAll(Page page, double askedAt) {
+        for (Entry entry : page.entries()) {
+            listener.changed(new Change(entry.key(), entry.value(), entry.version()));
+        }
+        cursor = Math.max(cursor, page.revision());
+        currentAt = Math.max(currentAt, askedAt);
+        if (!loaded) {
+            loaded = true;
+            listener.loaded();
+        }
+    }
+
+    /** Whether all records were read once. */
+    boolean loaded() {
+        return loaded;
+    }
+
+    /** Every change up to this revision was passed on. */
+    long cursor() {
+        return cursor;
+    }
+
+    /** Everything that was committed before this moment was passed on. */
+    double currentAt() {
+        return currentAt;
+    }
+
+    /**
+     * Calls back with true once every change made before this call was passed on; with false if
+     * that cannot be had.
+     */
+    void barrier(Consumer<Boolean> done) {
+        if (!loaded) {
+            done.accept(false);
+            return;
+        }
+        waitingBarriers.add(done);
+        if (!reading) {
+            readForBarriers();
+        }
+    }
+
+    private void readForBarriers() {
+        reading = true;
+        List<Consumer<Boolean>> served = waitingBarriers;
+        waitingBarriers = new ArrayList<>();
+        double askedAt = loop.now();
+        store.changes(
+                JobRecord.PREFIX,
+                cursor,
+                0,
+                result -> {
+                    boolean read = result.changes() != null;
+                    if (read) {
+                        currentAt = Math.max(currentAt, askedAt);
+                        take(result.changes());
+                    }
+                    served.forEach(barrier -> barrier.accept(read));
+                    loop.after(barrierIntervalS, this::readForWaitingBarriers);
+                });
+    }
+
+    private void readForWaitingBarriers() {
+        reading = false;
+        if (!waitingBarriers.isEmpty()) {
+            readForBarriers();
+        }
+    }
+
+    private void watch() {
+        store.changes(JobRecord.PREFIX, cursor, timing.leaseS(), this::watched);
+    }
+
+    private void watched(ChangesResult result) {
+        if (result.changes() != null) {
+            take(result.changes());
+            watch();
+        } else if (result.tooOld()) {
+            start();
+        } else {
+            loop.after(timing.renewS(), this::watch);
+        }
+    }
+
+    private void take(Changes changes) {
+        changes.changes().forEach(listener::changed);
+        cursor = Math.max(cursor, changes.revision());
+    }
+}
--- /dev/null
+++ b/src/main/java/org/springmill/control/coordination/SubmissionHandler.java
@@ -0,0 +1,234 @@
+package org.springmill.control.coordination;
+
+import java.util.List;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+import org.springmill.control.storage.JobRecord;
+import org.springmill.control.storage.StateStore;
+import org.springmill.control.storage.StateStore.CommitResult;
+import org.springmill.control.storage.StateStore.Outcome;
+import org.springmill.protocol.BadMessageException;
+import org.springmill.protocol.Json;
+import org.springmill.protocol.StateMessages.Condition;
+import org.springmill.protocol.StateMessages.Write;
+import org.springmill.protocol.Submission;
+import org.springmill.protocol.UserMessages;
+import org.springmill.transport.HttpHandler.Call;
+import org.springmill.transport.Loop;
+
+/**
+ * Accepts jobs. A job is accepted by creating its record on condition that there is none, and its
+ * user is answered only after the commit. Whatever cannot be accepted is answered at once.
+ */
+final class SubmissionHandler {
+    private static final Logger LOG = LoggerFactory.getLogger(SubmissionHandler.class);
+
+    private final JobDirectory directory;
+    private final StateStore store;
+    private final MachineTypeCatalog catalog;
+    private final Loop loop;
+    private final Timing timing;
+    private final JobAnswers answers;
+    private final Metrics metrics;
+    private final int maxPending;
+    private int pending;
+
+    /**
+     * A submission on its way.
+     *
+     * @param job the record to be created
+     * @param since when it came in
+     */
+    private record Pending(Call call, JobRecord job, double since) {}
+
+    /**
+     * @param maxPending submissions whose records may be on their way to the state service at a
+     *     time
+     */
+    SubmissionHandler(
+            JobDirectory directory,
+            StateStore store,
+            MachineTypeCatalog catalog,
+            Loop loop,
+            Timing timing,
+            JobAnswers answers,
+            Metrics metrics,
+            int maxPending) {
+        this.directory = directory;
+        this.store = store;
+        this.catalog = catalog;
+        this.loop = loop;
+        this.timing = timing;
+        this.answers = answers;
+        this.metrics = metrics;
+        this.maxPending = maxPending;
+    }
+
+    /** Accepts the job that a request describes, or says why not. */
+    void submit(Call call) {
+        try {
+            submit(call, Submission.parse(Json.object(call.body())));
+        } catch (BadMessageException e) {
+            call.reply(400, UserMessages.error(e.getMessage()), 0);
+        }
+    }
+
+    private void submit(Call call, Submission submission) {
+        if (directory.get(submission.id()) != null) {
+            answerKnown(call, submission.id());
+            return;
+        }
+        if (!catalog.known() || !directory.loaded()) {
+            JobAnswers.unavailable(call, "not ready yet");
+            return;
+        }
+        String impossible = catalog.impossible(submission);
+        if (impossible != null) {
+            JobAnswers.impossible(call, impossible);
+            return;
+        }
+        JobRecord job = JobRecord.accepted(submission, loop.timeOfDay());
+        Pending submitted = new Pending(call, job, loop.now());
+        if (refusal(job) == null) {
+            accept(submitted);
+        } else {
+            decideAfterBarrier(submitted);
+        }
+    }
+
+    /** Why a job cannot be accepted, as far as is known here; null if it can. */
+    private String refusal(JobRecord job) {
+        int bytes = job.mostBytes(loop.timeOfDay());
+        int mostBytes = store.limits().valueBytes();
+        if (bytes > mostBytes) {
+            return "takes "
+                    + bytes
+                    + " bytes to store, more than "
+                    + mostBytes
+                    + ": names too many jobs or types";
+        }
+        return directory.dependencies().refusal(job.submission());
+    }
+
+    /**
+     * Decides again once all earlier changes are known: what the job names, or the job itself in a
+     * repeated submission, may just have been accepted by another controller.
+     */
+    private void decideAfterBarrier(Pending submitted) {
+        directory.barrier(
+                current -> {
+                    String refusal = refusal(submitted.job());
+                    if (refusal == null && current && unknown(submitted)) {
+                        accept(submitted);
+                    } else {
+                        refuse(submitted, current, refusal);
+                    }
+                });
+    }
+
+    /** Refuses a job for a given reason, unless it turns out to have been accepted before. */
+    private void refuseAfterBarrier(Pending submitted, String reason) {
+        directory.barrier(current -> refuse(submitted, current, reason));
+    }
+
+    private void refuse(Pending submitted, boolean current, String reason) {
+        if (!unknown(submitted)) {
+            answerKnown(submitted.call(), submitted.job().id());
+        } else if (!current) {
+            JobAnswers.unavailable(submitted.call(), JobAnswers.STATE_SERVICE_SILENT);
+        } else {
+            JobAnswers.impossible(submitted.call(), reason);
+        }
+    }
+
+    private boolean unknown(Pending submitted) {
+        return directory.get(submitted.job().id()) == null;
+    }
+
+    private void accept(Pending submitted) {
+        if (pending >= maxPending || store.full()) {
+            JobAnswers.overloaded(submitted.call());
+            return;
+        }
+        pending++;
+        create(submitted);
+    }
+
+    private void create(Pending submitted) {
+        JobRecord job = submitted.job();
+        store.commit(
+                List.of(new Condition(job.key(), 0)),
+                List.of(Write.put(job.key(), job.encode())),
+                result -> answered(submitted, result));
+    }
+
+    private void answered(Pending submitted, CommitResult result) {
+        if (mayRetry(submitted, result)) {
+            loop.after(timing.pingS() / 4, () -> create(submitted));
+            return;
+        }
+        pending--;
+        switch (result.outcome()) {
+            case COMMITTED -> created(submitted, result.revision());
+            case REFUSED -> refused(submitted, result);
+            case TOO_LARGE -> decideAfterBarrier(submitted);
+            case NOT_NOW, UNKNOWN ->
+                    JobAnswers.unavailable(submitted.call(), JobAnswers.STATE_SERVICE_SILENT);
+        }
+    }
+
+    /**
+     * Whether the same write is to be sent again: it was not executed, or may have been. It is
+     * applied once at most.
+     */
+    private boolean mayRetry(Pending submitted, CommitResult result) {
+        boolean outage = result.outcome() == Outcome.NOT_NOW && !store.reachable();
+        boolean undecided =
+                result.outcome() == Outcome.NOT_NOW || result.outcome() == Outcome.UNKNOWN;
+        double answerBy = submitted.since() + JobAnswers.ANSWER_WITHIN_S;
+        return undecided && !outage && loop.now() + timing.stateTimeoutS() < answerBy;
+    }
+
+    private void created(Pending submitted, long revision) {
+        JobRecord job = submitted.job().committed(revision);
+        directory.learn(job);
+        metrics.accepted(submitted.since());
+        LOG.debug(
+                "{} accepted: {} of {} for {}",
+                job.id(),
+                job.submission().tasks(),
+                job.submission().jobClass(),
+                job.submission().team());
+        // Cancelled already if it names a cancelled one.
+        JobRecord inEffect = directory.get(job.id());
+        byte[] answer = UserMessages.phase(job.id(), inEffect.phase());
+        submitted.call().reply(201, answer, 0);
+    }
+
+    private void refused(Pending submitted, CommitResult result) {
+        if (result.failed().isEmpty()) {
+            refuseAfterBarrier(submitted, "the state service takes no such record");
+        } else {
+            answerKnown(submitted.call(), submitted.job().id());
+        }
+    }
+
+    /** Answers for a job that exists, with a state no older than the question. */
+    private void answerKnown(Call call, String id) {
+        JobRecord known = directory.get(id);
+        if (known != null && known.phase().terminal()) {
+            answers.phase(call, known);
+        } else {
+            directory.barrier(current -> answerKnown(call, id, current));
+        }
+    }
+
+    private void answerKnown(Call call, String id, boolean current) {
+        JobRecord job = current ? directory.get(id) : null;
+        if (job == null) {
+            JobAnswers.unavailable(call, JobAnswers.STATE_SERVICE_SILENT);
+        } else {
+            answers.phase(call, job);
+        }
+    }
+}
--- a/src/test/java/org/springmill/control/coordination/JobDependenciesTest.java
+++ b/src/test/java/org/springmill/control/coordination/JobDependenciesTest.java
@@ -23,7 +23,7 @@
 
 class JobDependenciesTest {
     private final Map<String, JobRecord> jobs = new HashMap<>();
-    private final JobDependencies chains = new JobDependencies(jobs);
+    private final JobDependencies dependencies = new JobDependencies(jobs);
 
     /** From a line such as "3<1,2": job 3 needs 1 and 2. */
     private static Submission job(String line) throws BadMessageException {
@@ -69,9 +69,8 @@
                 "1 2<1 3<1 4<2,3 5 6<4,5    | 1     | 5     | 1 2 3 4 6",
                 "1 2 3<1 4<2 5<3,4          | 2     | 1 3   | 2 4 5",
                 "1 2 3<1                    | 2     | 1     | 2",
-                // A withdrawn dependent, and one whose own record says something else: what it
-                // needs
-                // is cancelled, so it is.
+                // A dependent that was cancelled itself, and one whose own record says done: a
+                // dependency of it is cancelled, so it is.
                 "1 2<1 3<2                  | 1 2   | ``    | 1 2 3",
                 "1 2<1 3<2                  | 1     | 2     | 1 2 3",
             })
@@ -104,32 +103,32 @@
     }
 
     @Test
-    void chainsAreAsDeepAndWideAsUsersLike() throws BadMessageException {
+    void aCancellationReachesAllOfADeepAndWideGraph() throws BadMessageException {
         int deep = 50_000;
-        chains.learn(record("1", Phase.QUEUED, 1));
+        dependencies.learn(record("1", Phase.QUEUED, 1));
         for (int i = 2; i <= deep; i++) {
-            chains.learn(record(i + "<" + (i % 2 == 0 ? 1 : i - 1), Phase.QUEUED, i));
+            dependencies.learn(record(i + "<" + (i % 2 == 0 ? 1 : i - 1), Phase.QUEUED, i));
         }
-        assertEquals(deep, chains.learn(record("1", Phase.CANCELLED, deep + 1)).size());
-        assertEquals(deep - 1, chains.pendingPersistence(deep).size());
+        assertEquals(deep, dependencies.learn(record("1", Phase.CANCELLED, deep + 1)).size());
+        assertEquals(deep - 1, dependencies.pendingPersistence(deep).size());
         // Written down, a record is a change no more, and only the others are still to be written.
-        assertEquals(1, chains.learn(record("2<1", Phase.CANCELLED, deep + 2)).size());
-        assertEquals(deep - 2, chains.pendingPersistence(deep).size());
+        assertEquals(1, dependencies.learn(record("2<1", Phase.CANCELLED, deep + 2)).size());
+        assertEquals(deep - 2, dependencies.pendingPersistence(deep).size());
     }
 
     @Test
     void aJobIsReadyOnceEveryRecordSaysDone() throws BadMessageException {
         Submission last = job("4<1,2,3");
-        assertEquals("needs run-1, which was never accepted", chains.refusal(last));
+        assertEquals("needs run-1, which was never accepted", dependencies.refusal(last));
         for (int i = 1; i <= 3; i++) {
-            chains.learn(record(Integer.toString(i), Phase.QUEUED, i));
+            dependencies.learn(record(Integer.toString(i), Phase.QUEUED, i));
         }
-        assertEquals(null, chains.refusal(last));
-        chains.learn(record("1", Phase.DONE, 11));
-        chains.learn(record("3", Phase.DONE, 13));
-        assertFalse(chains.ready(last));
-        chains.learn(record("2", Phase.DONE, 12));
-        assertTrue(chains.ready(last));
-        assertEquals(13, chains.readySince(last));
+        assertEquals(null, dependencies.refusal(last));
+        dependencies.learn(record("1", Phase.DONE, 11));
+        dependencies.learn(record("3", Phase.DONE, 13));
+        assertFalse(dependencies.ready(last));
+        dependencies.learn(record("2", Phase.DONE, 12));
+        assertTrue(dependencies.ready(last));
+        assertEquals(13, dependencies.readySince(last));
     }
 }
