--- /dev/null
+++ b/src/test/java/org/springmill/architecture/LayersTest.java
@@ -0,0 +1,58 @@
+package org.springmill.architecture;
+
+import static com.tngtech.archunit.lang.syntax.ArchRuleDefinition.classes;
+import static com.tngtech.archunit.library.Architectures.layeredArchitecture;
+import static com.tngtech.archunit.library.dependencies.SlicesRuleDefinition.slices;
+
+import com.tngtech.archunit.core.importer.ImportOption;
+import com.tngtech.archunit.junit.AnalyzeClasses;
+import com.tngtech.archunit.junit.ArchTest;
+import com.tngtech.archunit.lang.ArchRule;
+
+/**
+ * The layers of the program, from the bottom: transport and protocol, which know nothing of each
+ * other, storage, coordination, command line. A layer depends only on those below it.
+ */
+@AnalyzeClasses(packages = "org.springmill", importOptions = ImportOption.DoNotIncludeTests.class)
+class LayersTest {
+    private static final String TRANSPORT = "org.springmill.transport..";
+    private static final String PROTOCOL = "org.springmill.protocol..";
+    private static final String STORAGE = "org.springmill.control.storage..";
+    private static final String COORDINATION = "org.springmill.control.coordination..";
+    private static final String COMMAND_LINE = "org.springmill.cli..";
+
+    @ArchTest
+    static final ArchRule aLayerDependsOnlyOnThoseBelowIt =
+            layeredArchitecture()
+                    .consideringOnlyDependenciesInLayers()
+                    .layer("transport")
+                    .definedBy(TRANSPORT)
+                    .layer("protocol")
+                    .definedBy(PROTOCOL)
+                    .layer("storage")
+                    .definedBy(STORAGE)
+                    .layer("coordination")
+                    .definedBy(COORDINATION)
+                    .layer("command line")
+                    .definedBy(COMMAND_LINE)
+                    .whereLayer("transport")
+                    .mayOnlyBeAccessedByLayers("storage", "coordination", "command line")
+                    .whereLayer("protocol")
+                    .mayOnlyBeAccessedByLayers("storage", "coordination", "command line")
+                    .whereLayer("storage")
+                    .mayOnlyBeAccessedByLayers("coordination", "command line")
+                    .whereLayer("coordination")
+                    .mayOnlyBeAccessedByLayers("command line")
+                    .whereLayer("command line")
+                    .mayNotBeAccessedByAnyLayer();
+
+    @ArchTest
+    static final ArchRule everyClassBelongsToALayer =
+            classes()
+                    .should()
+                    .resideInAnyPackage(TRANSPORT, PROTOCOL, STORAGE, COORDINATION, COMMAND_LINE);
+
+    @ArchTest
+    static final ArchRule packagesHaveNoCycles =
+            slices().matching("org.springmill.(**)").should().beFreeOfCycles();
+}
