--- /dev/null
+++ b/src/main/java/org/springmill/control/storage/RoundCodec.java
@@ -0,0 +1,140 @@
+package org.springmill.control.storage;
+
+import com.fasterxml.jackson.databind.JsonNode;
+import com.fasterxml.jackson.databind.node.ArrayNode;
+import com.fasterxml.jackson.databind.node.ObjectNode;
+import java.util.ArrayList;
+import java.util.BitSet;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import org.springmill.protocol.Json;
+import org.springmill.protocol.TaskId;
+
+/**
+ * The stored form of rounds. A key is {@code round/<number>.<part>}, with zeros in front so that
+ * keys sort by number; a value is a JSON object whose fields are present only if they hold
+ * something:
+ *
+ * <ul>
+ *   <li>{@code claims}: job, task index, machine and key of each claim, followed by its round if
+ *       that is an earlier one than the value's own
+ *   <li>{@code ended}: keys of claims that have ended
+ *   <li>{@code done}: jobs with pieces of their completed task sets, see {@link CompletedTasks}
+ * </ul>
+ */
+final class RoundCodec {
+    static final String PREFIX = "round/";
+
+    /** Share of a value's limit that is filled; the rest is for punctuation that isn't counted. */
+    static final double FILL_RATIO = 0.9;
+
+    private static final int FORMAT_VERSION = 1;
+    private static final String CLAIMS = "claims";
+    private static final String ENDED = "ended";
+    private static final String COMPLETED = "done";
+
+    /** Index of the round in a claim that was carried forward from an earlier round. */
+    private static final int CLAIM_ROUND_INDEX = 4;
+
+    /** Task index, round, quotes and commas of one claim. */
+    private static final int CLAIM_OVERHEAD_BYTES = 44;
+
+    private static final int END_OVERHEAD_BYTES = 3;
+    private static final int COMPLETED_OVERHEAD_BYTES = 7;
+
+    private RoundCodec() {}
+
+    /** The content of one stored value. */
+    record RoundValue(List<Claim> claims, List<String> ended, Map<String, BitSet> completed) {}
+
+    static String key(long number, int part) {
+        return String.format("%s%015d.%02d", PREFIX, number, part);
+    }
+
+    /** The number of the round to which a key belongs. */
+    static long number(String key) {
+        int dot = key.lastIndexOf('.');
+        return Long.parseLong(key, PREFIX.length(), dot, 10);
+    }
+
+    static ObjectNode emptyValue() {
+        return Json.newObject().put("v", FORMAT_VERSION);
+    }
+
+    /**
+     * Adds a claim to a value.
+     *
+     * @param round number of the round to which the value belongs
+     */
+    static void addClaim(ObjectNode value, Claim claim, long round) {
+        ArrayNode fields = value.withArray(CLAIMS).addArray();
+        fields.add(claim.task().job());
+        fields.add(claim.task().index());
+        fields.add(claim.machine());
+        fields.add(claim.key());
+        if (claim.round() != round) {
+            fields.add(claim.round());
+        }
+    }
+
+    static void addEnd(ObjectNode value, String claimKey) {
+        value.withArray(ENDED).add(claimKey);
+    }
+
+    static void addCompleted(ObjectNode value, String job, String piece) {
+        value.withArray(COMPLETED).addArray().add(job).add(piece);
+    }
+
+    /** Bytes that a claim takes in a value, with room for its numbers and punctuation. */
+    static int bytes(Claim claim) {
+        return claim.task().job().length()
+                + claim.machine().length()
+                + claim.key().length()
+                + CLAIM_OVERHEAD_BYTES;
+    }
+
+    static int endBytes(String claimKey) {
+        return claimKey.length() + END_OVERHEAD_BYTES;
+    }
+
+    static int completedBytes(String job, String piece) {
+        return job.length() + piece.length() + COMPLETED_OVERHEAD_BYTES;
+    }
+
+    /**
+     * Reads a value.
+     *
+     * @param round number of the round to which the value belongs
+     */
+    static RoundValue decode(JsonNode value, long round) {
+        List<Claim> claims = new ArrayList<>();
+        value.path(CLAIMS).forEach(fields -> claims.add(decodeClaim(fields, round)));
+        List<String> ended = new ArrayList<>();
+        value.path(ENDED).forEach(claimKey -> ended.add(claimKey.asText()));
+        Map<String, BitSet> completed = new LinkedHashMap<>();
+        for (JsonNode fields : value.path(COMPLETED)) {
+            String job = fields.path(0).asText();
+            String piece = fields.path(1).asText();
+            CompletedTasks.decode(piece, completed.computeIfAbsent(job, j -> new BitSet()));
+        }
+        return new RoundValue(claims, ended, completed);
+    }
+
+    private static Claim decodeClaim(JsonNode fields, long round) {
+        boolean carriedForward = fields.size() > CLAIM_ROUND_INDEX;
+        TaskId task = new TaskId(fields.path(0).asText(), fields.path(1).asInt());
+        String machine = fields.path(2).asText();
+        String claimKey = fields.path(3).asText();
+        long claimRound = carriedForward ? fields.path(CLAIM_ROUND_INDEX).longValue() : round;
+        return new Claim(claimKey, task, machine, claimRound);
+    }
+
+    /** Keys of the claims made and then of those ended in a value; they tell rounds apart. */
+    static List<String> claimKeys(JsonNode value) {
+        List<String> claimKeys = new ArrayList<>();
+        value.path(CLAIMS).forEach(fields -> claimKeys.add(fields.path(3).asText()));
+        value.path(ENDED).forEach(claimKey -> claimKeys.add(claimKey.asText()));
+        return claimKeys;
+    }
+}
--- /dev/null
+++ b/src/main/java/org/springmill/control/storage/RoundIndex.java
@@ -0,0 +1,96 @@
+package org.springmill.control.storage;
+
+import java.util.ArrayDeque;
+import java.util.ArrayList;
+import java.util.BitSet;
+import java.util.Collection;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import org.springmill.control.storage.RoundCodec.RoundValue;
+import org.springmill.control.storage.RoundLog.Rebuilt;
+import org.springmill.protocol.StateMessages.Entry;
+
+/**
+ * The stored values of all rounds, oldest first, and in which of them each live claim stands. Built
+ * by replaying the values in the order of their keys; the last copy of a claim counts.
+ */
+final class RoundIndex {
+    private final ArrayDeque<StoredRound> values = new ArrayDeque<>();
+    private final Map<String, StoredRound> valueByClaim = new HashMap<>();
+    private long lastNumber;
+
+    /** Number of the last round that is known to be committed. */
+    long lastNumber() {
+        return lastNumber;
+    }
+
+    void setLastNumber(long number) {
+        lastNumber = number;
+    }
+
+    int size() {
+        return values.size();
+    }
+
+    /** All values, oldest first. */
+    Iterable<StoredRound> values() {
+        return values;
+    }
+
+    /** Takes in a value that was read from the state service. */
+    void replay(Entry entry) {
+        long number = RoundCodec.number(entry.key());
+        RoundValue content = RoundCodec.decode(entry.value(), number);
+        StoredRound value = new StoredRound(entry.key());
+        value.addBytes(content.claims().size() * StoredRound.ESTIMATED_CLAIM_BYTES);
+        value.addBytes(content.ended().size() * StoredRound.ESTIMATED_END_BYTES);
+        add(value, content.claims());
+        content.ended().forEach(this::removeClaim);
+        content.completed().forEach(value::addCompleted);
+        lastNumber = number;
+    }
+
+    /** Adds the newest value with its claims, which are removed from where they stood before. */
+    void add(StoredRound value, List<Claim> claims) {
+        values.add(value);
+        for (Claim claim : claims) {
+            removeClaim(claim.key());
+            value.claims().put(claim.key(), claim);
+            valueByClaim.put(claim.key(), value);
+        }
+    }
+
+    void removeAll(Collection<StoredRound> replaced) {
+        values.removeAll(replaced);
+    }
+
+    void removeClaim(String claimKey) {
+        StoredRound value = valueByClaim.remove(claimKey);
+        if (value != null) {
+            value.claims().remove(claimKey);
+        }
+    }
+
+    /** The live claims and completed tasks of all values together. */
+    Rebuilt rebuilt() {
+        List<Claim> live = new ArrayList<>();
+        Map<String, BitSet> completed = new HashMap<>();
+        for (StoredRound value : values) {
+            live.addAll(value.claims().values());
+            value.completed()
+                    .forEach(
+                            (job, tasks) ->
+                                    completed.computeIfAbsent(job, j -> new BitSet()).or(tasks));
+        }
+        return new Rebuilt(live, completed);
+    }
+
+    int storedBytes() {
+        return values.stream().mapToInt(StoredRound::bytes).sum();
+    }
+
+    int neededBytes() {
+        return values.stream().mapToInt(StoredRound::neededBytes).sum();
+    }
+}
