--- a/src/main/java/org/springmill/control/coordination/ClusterState.java
+++ b/src/main/java/org/springmill/control/coordination/ClusterState.java
@@ -1,6 +1,8 @@
 package org.springmill.control.coordination;
 
 import java.util.ArrayList;
+import java.util.Collection;
+import java.util.Collections;
 import java.util.EnumMap;
 import java.util.HashMap;
 import java.util.LinkedHashMap;
@@ -211,6 +213,11 @@
         return taken;
     }
 
+    /** Attempts known to have ended whose end is not yet committed, the earliest first. */
+    Collection<Attempt> ended() {
+        return Collections.unmodifiableSet(ended);
+    }
+
     boolean hasEnded() {
         return !ended.isEmpty();
     }
--- a/src/main/java/org/springmill/control/coordination/Rounds.java
+++ b/src/main/java/org/springmill/control/coordination/Rounds.java
@@ -30,10 +30,12 @@
     private final Leadership leadership;
     private final Loop loop;
     private final double gapS;
+    private final EndBatching endBatching;
     private final Listener listener;
     private boolean committing;
     private boolean wanted;
     private boolean scheduled;
+    private boolean postponed;
     private boolean closed;
     private double lastRound = Double.NEGATIVE_INFINITY;
 
@@ -51,6 +53,7 @@
         this.leadership = leadership;
         this.loop = loop;
         this.gapS = gapS;
+        this.endBatching = new EndBatching(gapS);
         this.listener = listener;
     }
 
@@ -75,6 +78,9 @@
         if (closed || committing || !wanted || !leadership.mayPlace()) {
             return;
         }
+        if (postponeEnds()) {
+            return;
+        }
         wanted = false;
         lastRound = loop.now();
         List<Attempt> ended = fleet.clusterState().takeEnded(log.endsPerRound());
@@ -101,6 +107,29 @@
                 listener::lost);
     }
 
+    /** Puts off a round that would hold only ends on which nothing depends. */
+    private boolean postponeEnds() {
+        if (!fleet.clusterState().hasEnded()) {
+            return false;
+        }
+        boolean workWaits = !placement.waiting().isEmpty();
+        double seconds =
+                endBatching.postponeSeconds(fleet.clusterState().ended(), workWaits, loop.now());
+        if (seconds == 0) {
+            return false;
+        }
+        if (!postponed) {
+            postponed = true;
+            loop.after(seconds, this::resume);
+        }
+        return true;
+    }
+
+    private void resume() {
+        postponed = false;
+        request();
+    }
+
     private void committed(List<Attempt> claimed, List<Attempt> ended, double since) {
         double now = loop.now();
         for (Attempt attempt : ended) {
