--- a/src/main/java/org/springmill/control/coordination/Placement.java
+++ b/src/main/java/org/springmill/control/coordination/Placement.java
@@ -345,7 +345,7 @@
         if (now - machine.lastHeard() > timing.reportS() * 1.3) {
             score += 10;
         }
-        if (spec.spot() && !machine.spot()) {
+        if (spec.spot() && !machine.spot() && !usesStrandedCpus(spec, machine)) {
             // Ordinary machines are for those that have no other choice; they run out first.
             score += ORDINARY_S;
         }
@@ -361,6 +361,25 @@
         return score - roomShare(machine) * 0.4;
     }
 
+    /**
+     * Whether a task without GPUs takes only what the free GPUs of a machine leave over, going by
+     * the largest replica: no replica could use it, and the machine is kept for its GPU tasks in
+     * any case. Such room on an ordinary machine costs less than a spot machine's, and a job does
+     * not lose it without notice.
+     */
+    private boolean usesStrandedCpus(Submission spec, Machine machine) {
+        if (largest == null || largest.gpus() == 0 || spec.gpus() > 0) {
+            return false;
+        }
+        boolean runsGpuTasks = machine.freeGpus() < machine.type().gpus();
+        if (!runsGpuTasks) {
+            return false;
+        }
+        double replicas = machine.freeGpus() / largest.gpus();
+        return machine.freeCpus() - spec.cpus() >= replicas * largest.cpus()
+                && machine.freeMemory() - spec.memoryGb() >= replicas * largest.memoryGb();
+    }
+
     /**
      * The replica that is hardest to place: room for it should not be broken up by smaller work.
      */
