--- a/src/main/java/org/springmill/control/coordination/Bin.java
+++ b/src/main/java/org/springmill/control/coordination/Bin.java
@@ -58,6 +58,13 @@
         return new Bin(kind, null, type.cpus(), type.gpus(), type.memoryGb());
     }
 
+    /** The same room; what is packed into the copy takes nothing of this one. */
+    Bin copy() {
+        Bin copy = new Bin(kind, machine, freeCpus, freeGpus, freeMemoryGb);
+        copy.used = used;
+        return copy;
+    }
+
     MachineKind kind() {
         return kind;
     }
--- a/src/main/java/org/springmill/control/coordination/MachineDraining.java
+++ b/src/main/java/org/springmill/control/coordination/MachineDraining.java
@@ -1,5 +1,6 @@
 package org.springmill.control.coordination;
 
+import java.util.Comparator;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
@@ -26,6 +27,9 @@
     /** By then the reports show where the tasks of the last machine have gone. */
     private static final double REPORTS_BETWEEN = 2;
 
+    /** Machines looked at in one call, so that a large fleet costs little processor time. */
+    private static final int MAX_CANDIDATES = 8;
+
     /** An attempt that ran for so long has paid for its start. */
     private static final double LEASES_RUNNING = 3;
 
@@ -53,11 +57,17 @@
         if (!isCalm(bins, now)) {
             return;
         }
-        Bin best = mostCostlyToKeep(bins, now);
-        if (best == null || !fitElsewhere(best, bins)) {
-            return;
+        for (Bin candidate : mostCostlyToKeep(bins, now)) {
+            // A candidate that does not fit must leave the room of the next one as it was.
+            List<Bin> room = bins.stream().map(Bin::copy).toList();
+            if (fitElsewhere(candidate, room)) {
+                drain(candidate.machine(), now);
+                return;
+            }
         }
-        Machine machine = best.machine();
+    }
+
+    private void drain(Machine machine, double now) {
         LOG.info("draining {}: {} tasks move", machine.name(), machine.attempts().size());
         drainedAt = now;
         machine.drain();
@@ -77,19 +87,20 @@
         return beingDrained || silence.isOverdue(machine, now);
     }
 
-    /** Null if no machine is to be drained. */
-    private Bin mostCostlyToKeep(List<Bin> bins, double now) {
-        Bin best = null;
+    /** Machines that may be drained, the one with most to save first. */
+    private List<Bin> mostCostlyToKeep(List<Bin> bins, double now) {
         Map<MachineType, Boolean> boundToImages = new HashMap<>();
-        for (Bin bin : bins) {
-            boolean saves = isMostlyFree(bin) && costsMore(bin, best);
-            if (saves
-                    && !boundToImages.computeIfAbsent(bin.kind().type(), demand::boundToImages)
-                    && mayMoveAll(bin.machine(), now)) {
-                best = bin;
-            }
-        }
-        return best;
+        return bins.stream()
+                .filter(MachineDraining::isMostlyFree)
+                .filter(bin -> !isBoundToImages(bin, boundToImages))
+                .filter(bin -> mayMoveAll(bin.machine(), now))
+                .sorted(Comparator.comparingDouble(Bin::freeCost).reversed())
+                .limit(MAX_CANDIDATES)
+                .toList();
+    }
+
+    private boolean isBoundToImages(Bin bin, Map<MachineType, Boolean> known) {
+        return known.computeIfAbsent(bin.kind().type(), demand::boundToImages);
     }
 
     private static boolean isMostlyFree(Bin bin) {
@@ -98,10 +109,6 @@
                 && bin.activity() == Bin.Activity.RUNNING_TASKS;
     }
 
-    private static boolean costsMore(Bin bin, Bin best) {
-        return best == null || bin.freeCost() > best.freeCost();
-    }
-
     private boolean mayMoveAll(Machine machine, double now) {
         return machine.attempts().stream().allMatch(attempt -> mayMove(attempt, now));
     }
@@ -130,7 +137,7 @@
 
     /** Whether a bin is another busy machine of the same zone that holds the job's image. */
     private static boolean mayMoveTo(Bin bin, Bin from, Submission spec) {
-        return bin != from
+        return bin.machine() != from.machine()
                 && bin.activity() == Bin.Activity.RUNNING_TASKS
                 && bin.kind().zone().equals(from.kind().zone())
                 && bin.machine().holdsImage(spec.image());
