--- a/src/main/java/org/springmill/control/coordination/MachineDraining.java
+++ b/src/main/java/org/springmill/control/coordination/MachineDraining.java
@@ -57,14 +57,26 @@
         if (!isCalm(bins, now)) {
             return;
         }
-        for (Bin candidate : mostCostlyToKeep(bins, now)) {
+        Machine machine = firstThatFitsElsewhere(mostCostlyToKeep(bins, now), bins);
+        if (machine != null) {
+            drain(machine, now);
+        }
+    }
+
+    /**
+     * The machine of the first candidate whose tasks find room on others; null if there is none.
+     * While only the most costly machine was looked at, one that could not be emptied kept all
+     * others from it for minutes.
+     */
+    static Machine firstThatFitsElsewhere(List<Bin> candidates, List<Bin> bins) {
+        for (Bin candidate : candidates) {
             // A candidate that does not fit must leave the room of the next one as it was.
             List<Bin> room = bins.stream().map(Bin::copy).toList();
             if (fitElsewhere(candidate, room)) {
-                drain(candidate.machine(), now);
-                return;
+                return candidate.machine();
             }
         }
+        return null;
     }
 
     private void drain(Machine machine, double now) {
--- a/src/main/java/org/springmill/control/coordination/Placement.java
+++ b/src/main/java/org/springmill/control/coordination/Placement.java
@@ -345,7 +345,7 @@
         if (now - machine.lastHeard() > timing.reportS() * 1.3) {
             score += 10;
         }
-        if (spec.spot() && !machine.spot() && !usesStrandedCpus(spec, machine)) {
+        if (spec.spot() && !machine.spot() && !usesStrandedCpus(spec, machine, largest)) {
             // Ordinary machines are for those that have no other choice; they run out first.
             score += ORDINARY_S;
         }
@@ -367,7 +367,7 @@
      * any case. Such room on an ordinary machine costs less than a spot machine's, and a job does
      * not lose it without notice.
      */
-    private boolean usesStrandedCpus(Submission spec, Machine machine) {
+    static boolean usesStrandedCpus(Submission spec, Machine machine, Submission largest) {
         if (largest == null || largest.gpus() == 0 || spec.gpus() > 0) {
             return false;
         }
--- /dev/null
+++ b/src/test/java/org/springmill/control/coordination/MachineDrainingTest.java
@@ -0,0 +1,51 @@
+package org.springmill.control.coordination;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertNull;
+
+import java.util.List;
+import org.junit.jupiter.api.Test;
+import org.springmill.control.storage.Claim;
+import org.springmill.protocol.CloudMessages.MachineType;
+import org.springmill.protocol.Submission;
+import org.springmill.protocol.TaskId;
+import org.springmill.protocol.WorkerMessages.Report;
+
+/** Which machine is drained, by where its tasks would find room. */
+class MachineDrainingTest {
+    private static final double NOW = 100;
+    private static final String ZONE = "a";
+    private static final MachineType TYPE = PackingFixtures.type("large", 10, ZONE);
+
+    /** A machine that runs one task which takes so many CPUs, and holds its image. */
+    private static Machine running(String name, double cpus) {
+        Machine machine = new Machine(name, 1, NOW);
+        machine.describe("10.1.0.1:9000", TYPE, ZONE, false);
+        machine.take(new Report(name, "", "large", ZONE, false, 1, 1, 0, null, List.of()), NOW);
+        machine.transition(Machine.State.UP);
+        Submission spec = PackingFixtures.job(1).size(cpus, 0, 1).build();
+        machine.usesImage(spec, NOW);
+        Claim claim = Claim.decide(new TaskId(spec.id(), 0), name, 1);
+        machine.add(new Attempt(claim, new Job(spec, 1), machine, NOW));
+        return machine;
+    }
+
+    @Test
+    void nextCandidateIsDrainedIfTheFirstOneCannotBeEmptied() {
+        Bin stuck = Bin.of(running("host-000001", 90));
+        Bin movable = Bin.of(running("host-000002", 10));
+        Bin target = Bin.of(running("host-000003", 80));
+        List<Bin> bins = List.of(stuck, movable, target);
+        assertEquals(
+                movable.machine(),
+                MachineDraining.firstThatFitsElsewhere(
+                        List.of(stuck, movable), List.of(stuck, movable, target)));
+        assertNull(MachineDraining.firstThatFitsElsewhere(List.of(stuck), List.of(stuck, target)));
+        // Trying a candidate takes nothing of the room that was counted.
+        assertEquals(List.of(6.0, 86.0, 16.0), bins.stream().map(this::freeCpus).toList());
+    }
+
+    private double freeCpus(Bin bin) {
+        return Math.round(bin.freeShare() * TYPE.cpus());
+    }
+}
