--- a/src/main/java/org/springmill/control/coordination/CommandDispatcher.java
+++ b/src/main/java/org/springmill/control/coordination/CommandDispatcher.java
@@ -18,7 +18,7 @@
 import org.springmill.transport.HttpClient.Reply;
 
 /**
- * Brings workers to what the clusterState says: commands are derived from the difference between
+ * Brings workers to what the cluster state says: commands are derived from the difference between
  * the two each time, never queued, and one request at a time goes to a worker.
  */
 final class CommandDispatcher {
@@ -33,8 +33,20 @@
      */
     private static final int MAX_PROBES = 16;
 
-    /** Takes what a worker says of itself. */
+    /** Unconfirmed commands are sent again so often between two reports. */
+    private static final double RESENDS_PER_REPORT = 2;
+
+    /** A refusal shows the session and token to use: the next request follows sooner by this. */
+    private static final double SOONER_AFTER_REFUSAL_RATIO = 8;
+
+    private static final int OK = 200;
+
+    /** The worker has seen a higher token, or is in another session. */
+    private static final int CONFLICT = 409;
+
+    /** Takes a worker's report. */
     interface ReportTaker {
+        /** Takes the report that a machine answered to a request. */
         void accept(Machine machine, Report report);
     }
 
@@ -52,29 +64,24 @@
         this.reports = reports;
     }
 
+    /** Sends nothing more, and takes no more answers. */
     void close() {
         closed = true;
     }
 
-    private double againS() {
-        return timing.reportS() / 2;
+    private double resendIntervalSeconds() {
+        return timing.reportS() / RESENDS_PER_REPORT;
     }
 
     /** Sends what is due to a machine, if anything is. */
     void poke(Machine machine) {
-        double now = fleet.now();
-        boolean reachable =
-                machine.state() == Machine.State.UP || machine.state() == Machine.State.EXPECTED;
-        if (closed
-                || !reachable
-                || machine.commandsInFlight
-                || now < machine.nextOrders
-                || machine.address().isEmpty()) {
+        if (closed || !canBeAsked(machine)) {
             return;
         }
         List<Command> due = machine.session() == 0 ? List.of() : due(machine);
         boolean probe = due.isEmpty() && machine.session() == 0;
-        if ((due.isEmpty() && !machine.askAgain) || (probe && probes >= MAX_PROBES)) {
+        boolean nothingToAsk = due.isEmpty() && !machine.askAgain;
+        if (nothingToAsk || (probe && probes >= MAX_PROBES)) {
             return;
         }
         machine.askAgain = false;
@@ -98,30 +105,44 @@
                 });
     }
 
+    private boolean canBeAsked(Machine machine) {
+        boolean mayRun =
+                machine.state() == Machine.State.UP || machine.state() == Machine.State.EXPECTED;
+        return mayRun
+                && !machine.commandsInFlight
+                && fleet.now() >= machine.nextOrders
+                && !machine.address().isEmpty();
+    }
+
     private void answered(Machine machine, Reply reply) {
         machine.commandsInFlight = false;
         if (closed) {
             return;
         }
-        if (reply.status() == 200 || reply.status() == 409) {
-            machine.ordersWorked();
-            try {
-                Report report = WorkerMessages.report(reply.body());
-                if (report.machine().equals(machine.name())) {
-                    reports.accept(machine, report);
-                }
-            } catch (BadMessageException e) {
-                LOG.warn("{}: {}", machine.name(), e.getMessage());
-            }
-            if (reply.status() == 409) {
-                machine.nextOrders = fleet.now() + againS() / 8;
-            }
-            poke(machine);
-        } else {
+        if (reply.status() != OK && reply.status() != CONFLICT) {
             LOG.debug("{} gives no answer to orders ({})", machine.name(), reply.status());
             machine.ordersFailed();
             machine.askAgain = true;
-            machine.nextOrders = fleet.now() + againS();
+            machine.nextOrders = fleet.now() + resendIntervalSeconds();
+            return;
+        }
+        machine.ordersWorked();
+        takeReport(machine, reply);
+        if (reply.status() == CONFLICT) {
+            double pauseSeconds = resendIntervalSeconds() / SOONER_AFTER_REFUSAL_RATIO;
+            machine.nextOrders = fleet.now() + pauseSeconds;
+        }
+        poke(machine);
+    }
+
+    private void takeReport(Machine machine, Reply reply) {
+        try {
+            Report report = WorkerMessages.report(reply.body());
+            if (report.machine().equals(machine.name())) {
+                reports.accept(machine, report);
+            }
+        } catch (BadMessageException e) {
+            LOG.warn("{}: {}", machine.name(), e.getMessage());
         }
     }
 
@@ -132,68 +153,95 @@
     List<Command> due(Machine machine) {
         double now = fleet.now();
         List<Attempt> starts = new ArrayList<>();
-        List<Command> others = new ArrayList<>();
-        boolean raise = false;
+        List<Command> commands = new ArrayList<>();
+        boolean raiseToken = false;
         for (Attempt attempt : machine.attempts()) {
             if (now < attempt.nextSend()) {
                 continue;
             }
             switch (attempt.state()) {
                 case CLAIMED, SENT -> {
-                    if (attempt.session() != 0 && attempt.session() != machine.session()) {
-                        // Sent to an earlier session: not to be started anew under the same key.
-                        continue;
-                    }
-                    if (attempt.state() == Attempt.State.CLAIMED) {
-                        attempt.transition(Attempt.State.SENT, now);
+                    if (startIsDue(machine, attempt, now)) {
+                        starts.add(attempt);
                     }
-                    attempt.sendAgainAt(now + againS());
-                    starts.add(attempt);
                 }
                 case STOPPING -> {
-                    attempt.sendAgainAt(now + againS());
-                    others.add(
-                            new Stop(
-                                    attempt.claim().task(),
-                                    attempt.claim().round(),
-                                    attempt.graceS()));
-                    // Its start may still be on the way: only under a higher token does its absence
-                    // prove anything.
-                    raise |= attempt.exposedToken() >= machine.token();
+                    attempt.sendAgainAt(now + resendIntervalSeconds());
+                    commands.add(stop(attempt));
+                    raiseToken |= startMayBeOnTheWay(machine, attempt);
                 }
                 case UNKNOWN -> {
-                    attempt.sendAgainAt(now + againS());
+                    attempt.sendAgainAt(now + resendIntervalSeconds());
                     machine.askAgain = true;
-                    raise |= attempt.exposedToken() >= machine.token();
+                    raiseToken |= startMayBeOnTheWay(machine, attempt);
                 }
                 default -> {}
             }
         }
-        if (now >= machine.nextStray) {
-            for (TaskReport task : machine.reported()) {
-                if (machine.find(task) == null) {
-                    machine.nextStray = now + againS();
-                    if (task.state() == TaskState.EXITED) {
-                        others.add(new Forget(task.task(), task.attempt()));
-                        // Once forgotten, a start still held up by the network would run anew: void
-                        // it first.
-                        raise = true;
-                    } else {
-                        others.add(new Stop(task.task(), task.attempt(), 0));
-                    }
-                }
-            }
-        }
-        if (raise) {
+        raiseToken |= removeUnknownTasks(machine, now, commands);
+        if (raiseToken) {
             machine.raiseToken();
         }
-        // A machine fetches images in the order of the starts: a small one hardly delays a large
-        // one.
+        addStarts(machine, starts, commands);
+        return commands;
+    }
+
+    private boolean startIsDue(Machine machine, Attempt attempt, double now) {
+        boolean sentToEarlierSession =
+                attempt.session() != 0 && attempt.session() != machine.session();
+        if (sentToEarlierSession) {
+            // Not to be started anew under the same key.
+            return false;
+        }
+        if (attempt.state() == Attempt.State.CLAIMED) {
+            attempt.transition(Attempt.State.SENT, now);
+        }
+        attempt.sendAgainAt(now + resendIntervalSeconds());
+        return true;
+    }
+
+    private static Stop stop(Attempt attempt) {
+        return new Stop(attempt.claim().task(), attempt.claim().round(), attempt.graceS());
+    }
+
+    /** If so, the attempt's absence proves something only under a higher token. */
+    private static boolean startMayBeOnTheWay(Machine machine, Attempt attempt) {
+        return attempt.exposedToken() >= machine.token();
+    }
+
+    /**
+     * Adds commands that stop, or forget once they have exited, the reported tasks of which the
+     * cluster state knows nothing.
+     *
+     * @return whether the token has to be raised: once an attempt is forgotten, a start still held
+     *     up by the network would run anew, so it is made void first
+     */
+    private boolean removeUnknownTasks(Machine machine, double now, List<Command> commands) {
+        if (now < machine.nextStray) {
+            return false;
+        }
+        boolean raiseToken = false;
+        for (TaskReport task : machine.reported()) {
+            if (machine.find(task) != null) {
+                continue;
+            }
+            machine.nextStray = now + resendIntervalSeconds();
+            if (task.state() == TaskState.EXITED) {
+                commands.add(new Forget(task.task(), task.attempt()));
+                raiseToken = true;
+            } else {
+                commands.add(new Stop(task.task(), task.attempt(), 0));
+            }
+        }
+        return raiseToken;
+    }
+
+    /** A machine fetches images in the order of the starts: a small one hardly delays a large. */
+    private static void addStarts(Machine machine, List<Attempt> starts, List<Command> commands) {
         starts.sort(Comparator.comparingDouble(attempt -> attempt.job().spec().imageGb()));
         for (Attempt attempt : starts) {
             attempt.exposed(machine.token(), machine.session());
-            others.add(new Start(attempt.claim().task(), attempt.claim().round()));
+            commands.add(new Start(attempt.claim().task(), attempt.claim().round()));
         }
-        return others;
     }
 }
--- a/src/main/java/org/springmill/control/coordination/ImageCache.java
+++ b/src/main/java/org/springmill/control/coordination/ImageCache.java
@@ -3,7 +3,7 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** What a machine's image cache should hold, as far as one can tell from what was started on it. */
+/** What a machine's image cache should hold, estimated from what was started on it. */
 final class ImageCache {
     /** An image with its size, its last use, and when it should be there. */
     record Image(double gb, double usedAt, double readyAt) {}
@@ -75,14 +75,17 @@
         return images.values().stream().mapToDouble(Image::gb).sum();
     }
 
+    /** Whether an image is there or being fetched. */
     boolean holds(String image) {
         return images.containsKey(image);
     }
 
+    /** All images that are there or being fetched, by name. */
     Map<String, Image> all() {
         return images;
     }
 
+    /** Forgets all images. */
     void clear() {
         images.clear();
     }
--- /dev/null
+++ b/src/main/java/org/springmill/control/coordination/LeaderRecordWatch.java
@@ -0,0 +1,58 @@
+package org.springmill.control.coordination;
+
+import java.util.function.Consumer;
+import org.springmill.control.storage.StateStore;
+import org.springmill.control.storage.StateStore.ChangesResult;
+import org.springmill.protocol.StateMessages.Change;
+import org.springmill.protocol.StateMessages.Page;
+import org.springmill.transport.Loop;
+
+/** Follows the changes of the leader's record for as long as the process runs. */
+final class LeaderRecordWatch {
+    private final StateStore store;
+    private final Loop loop;
+    private final Timing timing;
+    private final Consumer<Change> onChange;
+
+    /** Revision up to which changes are known; 0 if it has to be read first. */
+    private long knownRevision;
+
+    LeaderRecordWatch(StateStore store, Loop loop, Timing timing, Consumer<Change> onChange) {
+        this.store = store;
+        this.loop = loop;
+        this.timing = timing;
+        this.onChange = onChange;
+    }
+
+    void start() {
+        if (knownRevision == 0) {
+            store.list(LeaderRecord.KEY, this::revisionRead);
+        } else {
+            store.changes(LeaderRecord.KEY, knownRevision, timing.leaseS(), this::changesRead);
+        }
+    }
+
+    private void revisionRead(Page page) {
+        if (page == null) {
+            startLater();
+            return;
+        }
+        knownRevision = Math.max(1, page.revision());
+        start();
+    }
+
+    private void changesRead(ChangesResult result) {
+        if (result.changes() == null) {
+            knownRevision = result.tooOld() ? 0 : knownRevision;
+            startLater();
+            return;
+        }
+        knownRevision = Math.max(knownRevision, result.changes().revision());
+        result.changes().changes().forEach(onChange);
+        start();
+    }
+
+    private void startLater() {
+        loop.after(timing.renewS(), this::start);
+    }
+}
--- a/src/main/java/org/springmill/control/coordination/Leadership.java
+++ b/src/main/java/org/springmill/control/coordination/Leadership.java
@@ -5,9 +5,10 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 import org.springmill.control.storage.StateStore;
+import org.springmill.control.storage.StateStore.CommitResult;
 import org.springmill.control.storage.StateStore.Outcome;
 import org.springmill.control.storage.StateStore.ReadResult;
-import org.springmill.protocol.Json;
+import org.springmill.control.storage.StateStore.Renewal;
 import org.springmill.protocol.PeerMessages.Status;
 import org.springmill.protocol.Settings;
 import org.springmill.protocol.StateMessages.Change;
@@ -17,15 +18,21 @@
 import org.springmill.transport.Loop;
 
 /**
- * Who leads: whoever's record stands under {@code leader}, attached to a lease of the state
- * service. The revision at which the record was written is the term.
+ * Election and state of the leadership. The leader is whoever's {@link LeaderRecord} stands in the
+ * state service, attached to a lease there; the revision at which it was written is the term.
  */
 final class Leadership {
     private static final Logger LOG = LoggerFactory.getLogger(Leadership.class);
-    static final String KEY = "leader";
 
+    /** After it has resigned, a controller lets others stand for so many leases. */
+    private static final int LEASES_BEFORE_STANDING_AGAIN = 2;
+
+    /** Where this controller stands in the election. */
     enum State {
+        /** Another controller leads, or none is known to. */
         FOLLOWING,
+
+        /** Has asked for a lease, to put its own record on it. */
         CAMPAIGNING,
         /** Leading, and the lease is known to hold. */
         LEADING,
@@ -35,8 +42,10 @@
 
     /** Takes notice of gained and lost leadership. */
     interface Listener {
+        /** This controller leads from now on. */
         void gained(long term);
 
+        /** This controller leads no longer. */
         void lost();
     }
 
@@ -60,11 +69,14 @@
      */
     private long vacantAt;
 
-    private long watchFrom;
     private boolean renewing;
-    private boolean informed;
-    private long deposedTerm;
-    private double notBefore;
+    private boolean recordRead;
+
+    /** The last term that this controller ended because its leader refused connections. */
+    private long endedTerm;
+
+    /** After resigning, this controller does not stand before this time. */
+    private double standsFrom;
 
     Leadership(
             StateStore store,
@@ -83,16 +95,19 @@
         this.listener = listener;
     }
 
+    /** Begins to follow the leader's record, and to stand whenever there is none. */
     void start() {
         tick();
-        watch();
+        new LeaderRecordWatch(store, loop, timing, this::changed).start();
     }
 
+    /** The state as of now: a lease that has run out is noticed here. */
     State state() {
         check();
         return state;
     }
 
+    /** The last term that this controller held or holds; 0 if none. */
     long term() {
         return term;
     }
@@ -109,7 +124,7 @@
 
     /** Whether the leader's record was read since this process started. */
     boolean informed() {
-        return informed;
+        return recordRead;
     }
 
     /**
@@ -122,29 +137,36 @@
         return vacantAt > 0 && !holdsTerm() && Math.max(knownTerm, peers.highestTerm()) <= vacantAt;
     }
 
+    /** Holds in the state service for as long as nobody else has led since this term began. */
     Condition condition() {
-        return new Condition(KEY, term);
+        return new Condition(LeaderRecord.KEY, term);
     }
 
     private boolean holdsTerm() {
         return state == State.LEADING || state == State.DOUBTING;
     }
 
-    /** Whether rounds may be placed and commands given. */
+    /** Whether placements may be committed and commands given. */
     boolean mayPlace() {
         return state() == State.LEADING;
     }
 
     /**
      * Whether reports may be answered: while the lease holds, for the grace after it, and beyond
-     * that only on the word of most or all controllers that they cannot reach the state service.
+     * that only while a quorum of controllers, or all of them, confirm an outage of the state
+     * service.
      */
     boolean mayAnswer() {
         check();
-        return holdsTerm()
-                && (loop.now() < validUntil + timing.graceS()
-                        || peers.mostConfirmOutage(term)
-                        || peers.allConfirmOutage(term));
+        return holdsTerm() && (withinGrace() || outageConfirmed());
+    }
+
+    private boolean withinGrace() {
+        return loop.now() < validUntil + timing.graceS();
+    }
+
+    private boolean outageConfirmed() {
+        return peers.mostConfirmOutage(term) || peers.allConfirmOutage(term);
     }
 
     /** A message showed a token of a later term: someone else leads. */
@@ -158,7 +180,7 @@
     /** Gives the leadership up so that another controller can take it. */
     void resign(String why) {
         long given = lease;
-        notBefore = loop.now() + 2 * timing.leaderTtlS();
+        standsFrom = loop.now() + LEASES_BEFORE_STANDING_AGAIN * timing.leaderTtlS();
         deposed(why);
         if (given != 0) {
             store.revoke(given, () -> {});
@@ -170,26 +192,28 @@
      * is no proof of the leader's end and need not be one: taking a lease away early is safe, since
      * a new leader allows its predecessor a whole lease and the grace from its own beginning on.
      */
-    void leaderRefuses(Status lastSaid) {
-        String node = lastSaid.from();
-        if (state != State.FOLLOWING
-                || !node.equals(knownLeader)
-                || lastSaid.term() < knownTerm
-                || deposedTerm == knownTerm) {
+    void leaderRefuses(Status lastStatus) {
+        String node = lastStatus.from();
+        boolean leadsNow = node.equals(knownLeader) && lastStatus.term() >= knownTerm;
+        if (state == State.FOLLOWING && leadsNow && endedTerm != knownTerm) {
+            store.get(LeaderRecord.KEY, read -> endTermOf(node, read));
+        }
+    }
+
+    private void endTermOf(String node, ReadResult read) {
+        Entry entry = read.entry();
+        if (state != State.FOLLOWING || entry == null || entry.version() <= endedTerm) {
             return;
         }
-        store.get(
-                KEY,
-                read -> {
-                    if (state == State.FOLLOWING
-                            && read.entry() != null
-                            && read.entry().version() > deposedTerm
-                            && read.entry().value().path("node").asText().equals(node)) {
-                        deposedTerm = read.entry().version();
-                        LOG.info("{} refuses connections: ending its term {}", node, deposedTerm);
-                        store.revoke(read.entry().lease(), () -> store.get(KEY, this::seen));
-                    }
-                });
+        if (LeaderRecord.decode(entry.value()).node().equals(node)) {
+            endedTerm = entry.version();
+            LOG.info("{} refuses connections: ending its term {}", node, endedTerm);
+            store.revoke(entry.lease(), this::readRecord);
+        }
+    }
+
+    private void readRecord() {
+        store.get(LeaderRecord.KEY, this::seen);
     }
 
     private void transition(State next) {
@@ -234,7 +258,7 @@
         if (holdsTerm()) {
             renew();
         } else if (state == State.FOLLOWING) {
-            store.get(KEY, this::seen);
+            readRecord();
         }
         loop.after(timing.renewS(), this::tick);
     }
@@ -244,39 +268,39 @@
             return;
         }
         renewing = true;
-        double sent = loop.now();
-        long renewed = lease;
-        store.renew(
-                renewed,
-                result -> {
-                    renewing = false;
-                    if (!holdsTerm() || lease != renewed) {
-                        return;
-                    }
-                    switch (result) {
-                        case RENEWED -> {
-                            validUntil = Math.max(validUntil, sent + timing.leaderTtlS());
-                            if (state == State.DOUBTING && loop.now() < validUntil) {
-                                transition(State.LEADING);
-                            }
-                        }
-                        case ENDED -> deposed("its lease has ended");
-                        case UNKNOWN -> LOG.debug("renewal without answer");
-                    }
-                });
+        double sentAt = loop.now();
+        long renewedLease = lease;
+        store.renew(renewedLease, result -> renewalAnswered(result, renewedLease, sentAt));
+    }
+
+    private void renewalAnswered(Renewal result, long renewedLease, double sentAt) {
+        renewing = false;
+        if (!holdsTerm() || lease != renewedLease) {
+            return;
+        }
+        switch (result) {
+            case RENEWED -> {
+                validUntil = Math.max(validUntil, sentAt + timing.leaderTtlS());
+                if (state == State.DOUBTING && loop.now() < validUntil) {
+                    transition(State.LEADING);
+                }
+            }
+            case ENDED -> deposed("its lease has ended");
+            case UNKNOWN -> LOG.debug("renewal without answer");
+        }
     }
 
     private void seen(ReadResult read) {
         if (!read.served() || state != State.FOLLOWING) {
             return;
         }
-        informed = true;
+        recordRead = true;
         if (read.entry() == null) {
             knownLeader = null;
             vacantAt = read.revision();
             // Having just given the leadership up, this controller stands again only if nobody else
             // does.
-            if (loop.now() >= notBefore) {
+            if (loop.now() >= standsFrom) {
                 campaign();
             }
         } else {
@@ -285,20 +309,19 @@
     }
 
     private void recorded(Entry entry) {
-        JsonNode value = entry.value();
-        String node = value.path("node").asText();
+        LeaderRecord leader = LeaderRecord.decode(entry.value());
         knownTerm = Math.max(knownTerm, entry.version());
-        knownLeader = node;
+        knownLeader = leader.node();
         vacantAt = 0;
-        if (!node.equals(settings.node())) {
+        if (!leader.node().equals(settings.node())) {
             return;
         }
-        if (!value.path("incarnation").asText().equals(incarnation)) {
+        if (!leader.incarnation().equals(incarnation)) {
             // This node's earlier process is gone, since this one has its address: no need to wait
             // for its lease.
             knownLeader = null;
             LOG.info("ending the lease of an earlier process of this node");
-            store.revoke(entry.lease(), () -> store.get(KEY, this::seen));
+            store.revoke(entry.lease(), this::readRecord);
         } else if (entry.lease() == lease) {
             // A campaign whose answer was lost has been won after all.
             won(entry.version());
@@ -307,40 +330,34 @@
 
     private void campaign() {
         transition(State.CAMPAIGNING);
-        double asked = loop.now();
-        store.grant(
-                timing.leaderTtlS(),
-                granted -> {
-                    if (granted == 0) {
-                        transition(State.FOLLOWING);
-                        return;
-                    }
-                    lease = granted;
-                    validUntil = asked + timing.leaderTtlS();
-                    JsonNode value =
-                            Json.newObject()
-                                    .put("v", 1)
-                                    .put("node", settings.node())
-                                    .put("incarnation", incarnation)
-                                    .put("api", settings.listen())
-                                    .put("peer", settings.peerListen());
-                    store.commit(
-                            List.of(new Condition(KEY, 0)),
-                            List.of(new Write(KEY, value, granted)),
-                            result -> {
-                                if (state != State.CAMPAIGNING) {
-                                    return;
-                                }
-                                if (result.outcome() == Outcome.COMMITTED) {
-                                    won(result.revision());
-                                } else {
-                                    transition(State.FOLLOWING);
-                                    // Whoever won is found out at once; so is an own win whose
-                                    // answer was lost.
-                                    store.get(KEY, this::seen);
-                                }
-                            });
-                });
+        double askedAt = loop.now();
+        store.grant(timing.leaderTtlS(), granted -> leaseAnswered(granted, askedAt));
+    }
+
+    private void leaseAnswered(long granted, double askedAt) {
+        if (granted == 0) {
+            transition(State.FOLLOWING);
+            return;
+        }
+        lease = granted;
+        validUntil = askedAt + timing.leaderTtlS();
+        Condition noLeader = new Condition(LeaderRecord.KEY, 0);
+        JsonNode record = LeaderRecord.encode(settings, incarnation);
+        Write takeOffice = new Write(LeaderRecord.KEY, record, granted);
+        store.commit(List.of(noLeader), List.of(takeOffice), this::campaignAnswered);
+    }
+
+    private void campaignAnswered(CommitResult result) {
+        if (state != State.CAMPAIGNING) {
+            return;
+        }
+        if (result.outcome() == Outcome.COMMITTED) {
+            won(result.revision());
+        } else {
+            transition(State.FOLLOWING);
+            // Whoever won is found out at once; so is an own win whose answer was lost.
+            readRecord();
+        }
     }
 
     private void won(long revision) {
@@ -355,38 +372,6 @@
         transition(State.LEADING);
     }
 
-    private void watch() {
-        if (watchFrom == 0) {
-            store.list(
-                    KEY,
-                    page -> {
-                        if (page == null) {
-                            loop.after(timing.renewS(), this::watch);
-                        } else {
-                            watchFrom = Math.max(1, page.revision());
-                            watch();
-                        }
-                    });
-            return;
-        }
-        store.changes(
-                KEY,
-                watchFrom,
-                timing.leaseS(),
-                result -> {
-                    if (result.changes() != null) {
-                        watchFrom = Math.max(watchFrom, result.changes().revision());
-                        for (Change change : result.changes().changes()) {
-                            changed(change);
-                        }
-                        watch();
-                    } else {
-                        watchFrom = result.tooOld() ? 0 : watchFrom;
-                        loop.after(timing.renewS(), this::watch);
-                    }
-                });
-    }
-
     private void changed(Change change) {
         if (change.value() == null) {
             if (holdsTerm() && change.version() > term) {
@@ -395,14 +380,14 @@
             knownLeader = null;
             vacantAt = change.version();
             if (state == State.FOLLOWING) {
-                store.get(KEY, this::seen);
+                readRecord();
             }
         } else if (change.version() > term && holdsTerm()) {
             deposed("another controller has taken over");
         } else if (state == State.FOLLOWING && change.version() > knownTerm) {
             knownTerm = change.version();
             vacantAt = 0;
-            knownLeader = change.value().path("node").asText();
+            knownLeader = LeaderRecord.decode(change.value()).node();
         }
     }
 }
--- a/src/main/java/org/springmill/control/coordination/LeaseKeepalive.java
+++ b/src/main/java/org/springmill/control/coordination/LeaseKeepalive.java
@@ -9,9 +9,9 @@
 import org.springmill.transport.Loop;
 
 /**
- * Decides whether a controller that may not lead keeps a worker's lease all the same, ordering
- * nothing: because nobody leads, or because nobody who leads can act on this worker's silence.
- * Leaders elsewhere allow for it; docs/design.md has the argument.
+ * Decides whether a controller that does not lead keeps a worker's lease all the same, without
+ * giving commands: because nobody leads, or because nobody who leads can declare this worker lost
+ * for its silence. Leaders elsewhere allow for it; docs/design.md has the argument.
  */
 final class LeaseKeepalive {
     private final StateStore store;
@@ -19,102 +19,115 @@
     private final Leadership leadership;
     private final Loop loop;
     private final Timing timing;
-    private final CancellationFreshness horizon;
+    private final CancellationFreshness freshness;
 
-    /** Tokens with which workers first came here in the present spell of loneliness. */
+    /** Tokens with which workers first came here while this controller has been isolated. */
     private final Map<String, Long> firstTokens = new HashMap<>();
 
-    /** When this controller last heard of anyone before that spell. */
-    private double aloneSince = Double.NEGATIVE_INFINITY;
+    /** When this controller last heard of anyone before it was isolated. */
+    private double isolatedSince = Double.NEGATIVE_INFINITY;
 
-    /** Zones whose workers came here in that spell. */
+    /** Zones whose workers came here while it has been isolated. */
     private final Set<String> zones = new HashSet<>();
 
-    private double reachedAt = Double.NEGATIVE_INFINITY;
+    private double reachedByUsersAt = Double.NEGATIVE_INFINITY;
 
     LeaseKeepalive(
             StateStore store,
             Peers peers,
             Leadership leadership,
-            CancellationFreshness horizon,
+            CancellationFreshness freshness,
             Loop loop,
             Timing timing) {
-        this.horizon = horizon;
         this.store = store;
         this.peers = peers;
         this.leadership = leadership;
+        this.freshness = freshness;
         this.loop = loop;
         this.timing = timing;
     }
 
     /**
+     * Whether a report is answered so that the worker's lease is renewed.
+     *
      * @param holdsTerm whether this controller was elected and has not yet learned of a later term
      */
     boolean keeps(Report report, boolean holdsTerm) {
-        boolean alone = !store.reachable() && alone();
-        if (alone) {
+        boolean isolated = !store.reachable() && isIsolated();
+        if (isolated) {
             zones.add(report.zone());
         }
-        boolean keeps =
+        boolean entitled =
                 leadership.vacant()
-                        || (!holdsTerm && peers.helps())
-                        || (!store.reachable() && !holdsTerm && onTheWordOfOthers())
-                        || (alone && unclaimed(report));
-        keeps &= horizon.covers() || (alone && zoneIsCutOff());
+                        || keepsForNewLeader(holdsTerm)
+                        || keepsInConfirmedOutage(holdsTerm)
+                        || (isolated && isUnclaimed(report));
+        boolean keeps = entitled && noCancelledTaskIsKept(isolated);
         if (keeps) {
-            peers.stoodIn();
+            peers.noteLeaseKept();
         }
         return keeps;
     }
 
-    private boolean onTheWordOfOthers() {
+    private boolean keepsForNewLeader(boolean holdsTerm) {
+        return !holdsTerm && peers.helps();
+    }
+
+    private boolean keepsInConfirmedOutage(boolean holdsTerm) {
+        return !store.reachable() && !holdsTerm && outageIsConfirmed() && !peers.anyLeads();
+    }
+
+    private boolean outageIsConfirmed() {
         long term = leadership.knownTerm();
-        boolean witnessed =
-                peers.allConfirmOutage(term)
-                        || (leadership.informed() && peers.mostMissTheLeader(term));
-        return witnessed && !peers.someLead();
+        boolean confirmedByQuorum = leadership.informed() && peers.quorumMissesLeader(term);
+        return confirmedByQuorum || peers.allConfirmOutage(term);
+    }
+
+    /** Either its cancellations are known here, or a leader outside removes them by the cloud. */
+    private boolean noCancelledTaskIsKept(boolean isolated) {
+        return freshness.covers() || (isolated && zoneIsPartitioned());
     }
 
     /**
-     * Cut off from the state service and from every other controller, as all are in a zone that is
-     * cut off.
+     * Whether this controller hears neither the state service nor any other controller, as is so
+     * for all in a partitioned zone.
      */
-    private boolean alone() {
-        double since = Math.max(peers.lastHeard(), store.lastServed());
-        if (since != aloneSince) {
-            // Tokens remembered from an earlier cut made every worker that a leader had since
-            // commanded seem to be
-            // within a leader's reach: in a second cut of the zone all of them were sent away until
-            // their leases ended.
-            aloneSince = since;
+    private boolean isIsolated() {
+        double lastHeardAt = Math.max(peers.lastHeard(), store.lastServed());
+        if (lastHeardAt != isolatedSince) {
+            // Tokens remembered from an earlier partition made every worker that a leader had since
+            // commanded seem to be within a leader's reach: in a second partition of the zone all
+            // of them were sent away until their leases ended.
+            isolatedSince = lastHeardAt;
             firstTokens.clear();
             zones.clear();
         }
-        return loop.now() - since > timing.wordS();
+        return loop.now() - lastHeardAt > timing.confirmationValiditySeconds();
     }
 
-    /** Users, or whoever looks after their connections, reached this controller. */
+    /** Users, or the load balancer, reached this controller. */
     void reachedByUsers() {
-        reachedAt = loop.now();
+        reachedByUsersAt = loop.now();
     }
 
     /**
-     * Whether the zone around this controller is cut off rather than this controller alone: then a
-     * leader outside removes through the cloud what was cancelled there. One that users or the
-     * workers of several zones still reach is itself what is cut off, and one that the state
+     * Whether the zone around this controller is partitioned rather than this controller alone:
+     * then a leader outside removes through the cloud what was cancelled there. One that users or
+     * the workers of several zones still reach is itself what is cut off, and one that the state
      * service refuses may be in the middle of an outage; nobody is then sure to remove what it
      * keeps.
      */
-    private boolean zoneIsCutOff() {
-        return zones.size() == 1 && reachedAt < aloneSince + timing.wordS() && !store.refuses();
+    private boolean zoneIsPartitioned() {
+        boolean reachedByUsers =
+                reachedByUsersAt >= isolatedSince + timing.confirmationValiditySeconds();
+        return zones.size() == 1 && !reachedByUsers && !store.refuses();
     }
 
     /** A worker whose token has risen is within some leader's reach and should report there. */
-    private boolean unclaimed(Report report) {
-        long first = firstTokens.computeIfAbsent(report.machine(), m -> report.token());
-        boolean laterTerm =
-                leadership.knownTerm() > 0
-                        && Machine.termOf(report.token()) > leadership.knownTerm();
-        return report.token() <= first && !laterTerm;
+    private boolean isUnclaimed(Report report) {
+        long firstToken = firstTokens.computeIfAbsent(report.machine(), m -> report.token());
+        long knownTerm = leadership.knownTerm();
+        boolean ofLaterTerm = knownTerm > 0 && Machine.termOf(report.token()) > knownTerm;
+        return report.token() <= firstToken && !ofLaterTerm;
     }
 }
--- a/src/main/java/org/springmill/control/coordination/MachineTypeCatalog.java
+++ b/src/main/java/org/springmill/control/coordination/MachineTypeCatalog.java
@@ -17,6 +17,14 @@
 final class MachineTypeCatalog {
     private static final Logger LOG = LoggerFactory.getLogger(MachineTypeCatalog.class);
 
+    /** Prices move slowly: they are read again after so many leases. */
+    private static final double LEASES_BETWEEN_READS = 4;
+
+    /** Until the types are known no job can be judged: retries come this often in a lease. */
+    private static final double RETRIES_PER_LEASE = 14;
+
+    private static final double TIMEOUTS_PER_LEASE = 5;
+
     private final HttpClient http;
     private final Loop loop;
     private final Settings settings;
@@ -30,19 +38,23 @@
 
     /** Asks until there is an answer, and now and then after that, for prices move. */
     void start() {
-        double againS = settings.workers().leaseS();
+        double leaseSeconds = settings.workers().leaseS();
         http.send(
                 new HttpClient.Request(
                         settings.cloudAddress(),
                         "GET",
                         CloudMessages.TYPES,
                         new byte[0],
-                        againS / 5),
+                        leaseSeconds / TIMEOUTS_PER_LEASE),
                 reply -> {
                     if (reply.ok()) {
                         take(reply.body());
                     }
-                    loop.after(known() ? againS * 4 : againS / 14, this::start);
+                    loop.after(
+                            known()
+                                    ? leaseSeconds * LEASES_BETWEEN_READS
+                                    : leaseSeconds / RETRIES_PER_LEASE,
+                            this::start);
                 });
     }
 
@@ -51,7 +63,7 @@
             List<MachineType> read = CloudMessages.types(body);
             if (!read.isEmpty()) {
                 Map<String, MachineType> byName = new LinkedHashMap<>();
-                read.forEach(t -> byName.put(t.name(), t));
+                read.forEach(type -> byName.put(type.name(), type));
                 types = byName;
             }
         } catch (BadMessageException e) {
@@ -59,14 +71,17 @@
         }
     }
 
+    /** Whether the cloud has answered. */
     boolean known() {
         return !types.isEmpty();
     }
 
+    /** The type of a name, or null. */
     MachineType get(String name) {
         return types.get(name);
     }
 
+    /** All types, in the order of the cloud's answer. */
     Iterable<MachineType> all() {
         return types.values();
     }
--- /dev/null
+++ b/src/main/java/org/springmill/control/coordination/PeerConfirmations.java
@@ -0,0 +1,149 @@
+package org.springmill.control.coordination;
+
+import java.util.HashMap;
+import java.util.Map;
+import java.util.Set;
+import java.util.function.Predicate;
+import org.springmill.protocol.PeerMessages.Status;
+import org.springmill.transport.Loop;
+
+/**
+ * The latest answer of each peer, and what follows from all of them together. An answer is dated by
+ * this controller's clock, by when it was asked for, and confirms anything only while it is recent.
+ * A quorum is more than half of all controllers, this one included.
+ */
+final class PeerConfirmations {
+    /**
+     * The drift of two clocks against each other, doubled: a peer's account of a time counts as
+     * later rather than earlier.
+     */
+    private static final double CLOCK_DRIFT_RATIO = 0.002;
+
+    private static final double MILLISECONDS_PER_SECOND = 1000;
+
+    private final Loop loop;
+    private final Timing timing;
+    private final Set<String> nodes;
+    private final Map<String, Answer> answers = new HashMap<>();
+
+    /** A peer's answer, with the time of the question and that of the answer on this clock. */
+    record Answer(double askedAt, double receivedAt, Status status) {}
+
+    /**
+     * @param nodes all other controllers
+     */
+    PeerConfirmations(Loop loop, Timing timing, Set<String> nodes) {
+        this.loop = loop;
+        this.timing = timing;
+        this.nodes = nodes;
+    }
+
+    void answered(double askedAt, Status status) {
+        answers.put(status.from(), new Answer(askedAt, loop.now(), status));
+    }
+
+    /** The latest answer of a peer, however old, or null. */
+    Answer latest(String node) {
+        return answers.get(node);
+    }
+
+    /**
+     * Whether every peer lately confirmed that it cannot reach the state service and knows no newer
+     * leader.
+     */
+    boolean allConfirmOutage(long term) {
+        return nodes.stream().allMatch(node -> confirmsOutage(node, term));
+    }
+
+    /**
+     * Whether a quorum confirms that. Enough for a leader that is still in office: whoever takes
+     * over waits for a quorum to know of it, and two quorums share a controller. A controller that
+     * was restarted and has read nothing since does not count, for it may have forgotten what it
+     * confirmed.
+     */
+    boolean quorumConfirmsOutage(long term) {
+        return isQuorum(node -> confirmsOutage(node, term) && remembers(node));
+    }
+
+    /** Whether a quorum confirms that and has not heard from a leader for some time either. */
+    boolean quorumMissesLeader(long term) {
+        return isQuorum(
+                node ->
+                        confirmsOutage(node, term)
+                                && remembers(node)
+                                && answers.get(node).status().leaderSilent());
+    }
+
+    private boolean confirmsOutage(String node, long term) {
+        Answer answer = answers.get(node);
+        return isRecent(answer)
+                && !answer.status().stateReachable()
+                && answer.status().term() <= term;
+    }
+
+    /** Whether a peer that has answered has read the leader's record since it was started. */
+    private boolean remembers(String node) {
+        return answers.get(node).status().informed();
+    }
+
+    /** Whether a quorum knows of a term. Terms only rise, so that answers of any age count. */
+    boolean quorumKnows(long term) {
+        return isQuorum(
+                node -> {
+                    Answer answer = answers.get(node);
+                    return answer != null && answer.status().term() >= term;
+                });
+    }
+
+    private boolean isQuorum(Predicate<String> condition) {
+        long withThisOne = nodes.stream().filter(condition).count() + 1;
+        int controllers = nodes.size() + 1;
+        return 2 * withThisOne > controllers;
+    }
+
+    /** Whether every peer has lately answered. */
+    boolean allAnswered() {
+        return nodes.stream().allMatch(node -> isRecent(answers.get(node)));
+    }
+
+    boolean anyReachesState() {
+        return answers.values().stream()
+                .anyMatch(answer -> isRecent(answer) && answer.status().stateReachable());
+    }
+
+    /** Whether a peer lately said that it leads. */
+    boolean anyLeads() {
+        return answers.values().stream()
+                .anyMatch(answer -> isRecent(answer) && answer.status().leading());
+    }
+
+    /** The greatest number of workers that one of the peers lately heard although it follows. */
+    int maxWorkers() {
+        return answers.values().stream()
+                .filter(this::isRecent)
+                .mapToInt(answer -> answer.status().workers())
+                .max()
+                .orElse(0);
+    }
+
+    /**
+     * The latest time at which a peer confirmed an outage or renewed a worker's lease, or until
+     * which it may go on doing so.
+     */
+    double lastConfirmationOfPeers() {
+        return answers.values().stream()
+                .mapToDouble(PeerConfirmations::lastConfirmation)
+                .max()
+                .orElse(Double.NEGATIVE_INFINITY);
+    }
+
+    private static double lastConfirmation(Answer answer) {
+        double agoSeconds = answer.status().witnessAgoMs() / MILLISECONDS_PER_SECOND;
+        double maxDriftSeconds = Math.abs(agoSeconds) * CLOCK_DRIFT_RATIO;
+        return answer.receivedAt() - agoSeconds + maxDriftSeconds;
+    }
+
+    private boolean isRecent(Answer answer) {
+        return answer != null && loop.now() - answer.askedAt() < timing.confirmS();
+    }
+}
--- a/src/main/java/org/springmill/control/coordination/Peers.java
+++ b/src/main/java/org/springmill/control/coordination/Peers.java
@@ -3,10 +3,12 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.Set;
 import java.util.function.Consumer;
 import java.util.function.Supplier;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
+import org.springmill.control.coordination.PeerConfirmations.Answer;
 import org.springmill.protocol.BadMessageException;
 import org.springmill.protocol.PeerMessages;
 import org.springmill.protocol.PeerMessages.Cancellation;
@@ -20,46 +22,50 @@
 import org.springmill.transport.PeerLink;
 
 /**
- * What the other controllers say of themselves, dated by this one's clock: by when each was asked.
+ * Exchange of status, cancellations and progress with the other controllers. Each is asked for its
+ * status in a steady interval; {@link PeerConfirmations} tells what follows from the answers,
+ * {@link PeerCancellations} how far cancellations are known through them.
  */
 final class Peers implements PeerLink.Listener {
     private static final Logger LOG = LoggerFactory.getLogger(Peers.class);
 
+    /** A question has this number if it is none, and an answer if it answers none. */
+    private static final long NO_QUESTION = 0;
+
+    private static final double MICROSECONDS_PER_SECOND = 1e6;
+    private static final double MILLISECONDS_PER_SECOND = 1000;
+
+    /** A peer that left so many questions unanswered and refuses connections may be gone. */
+    private static final int MAX_UNANSWERED_QUESTIONS = 2;
+
     private final PeerLink link;
     private final Loop loop;
     private final Settings settings;
     private final Timing timing;
-    private final Supplier<Status> self;
+    private final Supplier<Status> ownStatus;
     private final JobDirectory directory;
+    private final Set<String> nodes;
+    private final PeerConfirmations confirmations;
+    private final PeerCancellations cancellations;
 
-    /**
-     * How far each of the others has told its cancellations; only it can read its own bookmarks.
-     */
-    private final Map<String, Long> bookmarks = new HashMap<>();
+    /** When each recent question was asked. */
+    private final Map<Long, Double> askedAtByQuestion = new HashMap<>();
 
-    private final Map<String, Told> told = new HashMap<>();
-    private final Map<String, Word> words = new HashMap<>();
-    private final Map<Long, Double> asked = new HashMap<>();
-    private Consumer<Progress> onProgress = p -> {};
+    private Consumer<Progress> onProgress = progress -> {};
     private Consumer<Status> onSilentRefusal = status -> {};
-    private double lastWitness;
-    private double lastLeaderHeard;
-    private double lastHeard;
-    private double helpsUntil = Double.NEGATIVE_INFINITY;
-    private long question;
-    private long highestTerm;
 
-    /** A peer's latest answer. */
-    private record Word(double askedAt, double receivedAt, Status status) {}
+    /** When this controller last confirmed an outage, or kept a worker's lease as a follower. */
+    private double lastConfirmationAt;
 
-    /**
-     * Up to when a peer has told all that it confirmed, and whether it could then have confirmed
-     * anything at all.
-     */
-    private record Told(double until, boolean reachedState) {}
+    private double lastLeaderHeardAt;
+    private double lastHeardAt;
+    private double keepsLeasesForNewLeaderUntil = Double.NEGATIVE_INFINITY;
+    private long lastQuestion;
+    private long highestTerm;
 
     /**
-     * @param self gives what this controller says of itself; its numbers are filled in here
+     * @param ownStatus gives the status of this controller; numbers and what this class knows are
+     *     filled in here
      */
     Peers(
             PeerLink link,
@@ -67,19 +73,22 @@
             Settings settings,
             Timing timing,
             JobDirectory directory,
-            Supplier<Status> self) {
-        this.directory = directory;
+            Supplier<Status> ownStatus) {
         this.link = link;
         this.loop = loop;
         this.settings = settings;
         this.timing = timing;
-        this.self = self;
-        // An earlier process of this node may have borne witness until just now.
-        this.lastWitness = loop.now();
-        this.lastLeaderHeard = loop.now();
-        this.lastHeard = loop.now();
+        this.directory = directory;
+        this.ownStatus = ownStatus;
+        nodes = settings.peers().keySet();
+        confirmations = new PeerConfirmations(loop, timing, nodes);
+        cancellations = new PeerCancellations(loop, timing, nodes);
+        // An earlier process of this node may have confirmed an outage until just now.
+        lastConfirmationAt = loop.now();
+        lastLeaderHeardAt = loop.now();
+        lastHeardAt = loop.now();
         // Nor may answers to its questions, still on the way, be taken for answers to this one's.
-        this.question = (long) (loop.timeOfDay() * 1e6);
+        lastQuestion = (long) (loop.timeOfDay() * MICROSECONDS_PER_SECOND);
     }
 
     /**
@@ -91,74 +100,96 @@
         ask();
     }
 
-    private void ask() {
-        question++;
-        asked.put(question, loop.now());
-        asked.values().removeIf(at -> at < loop.now() - timing.confirmS());
-        Status status = self.get();
-        for (String node : settings.peers().keySet()) {
-            send(
-                    node,
-                    numbered(
-                            status,
-                            question,
-                            0,
-                            directory.known(bookmarks.getOrDefault(node, 0L))));
-        }
-        loop.after(timing.pingS(), this::ask);
-    }
-
+    /** Takes the progress of running jobs as the leader tells it. */
     void onProgress(Consumer<Progress> taker) {
         onProgress = taker;
     }
 
+    /**
+     * Told of a node that refuses connections and has not answered for some time, with its last
+     * status, if that was that it leads. One that never said so in its present term may merely be
+     * behind a packet filter: deposing every leader that refuses let a filter between controllers
+     * end term after term.
+     */
+    void onSilentRefusal(Consumer<Status> taker) {
+        onSilentRefusal = taker;
+    }
+
     /**
      * Tells of a cancellation committed here, before its user is told: a leader may be unable to
      * read of it.
      */
     void tell(Cancellation cancellation) {
-        settings.peers()
-                .keySet()
-                .forEach(node -> send(node, new Cancelled(settings.node(), List.of(cancellation))));
+        Cancelled message = new Cancelled(settings.node(), List.of(cancellation));
+        nodes.forEach(node -> send(node, message));
     }
 
+    /** Tells all peers how far running jobs are. */
     void broadcast(Progress progress) {
-        settings.peers().keySet().forEach(node -> send(node, progress));
+        nodes.forEach(node -> send(node, progress));
     }
 
     private void send(String node, PeerRecord message) {
         link.send(node, PeerMessages.encode(message));
     }
 
+    private void ask() {
+        lastQuestion++;
+        askedAtByQuestion.put(lastQuestion, loop.now());
+        askedAtByQuestion.values().removeIf(askedAt -> askedAt < loop.now() - timing.confirmS());
+        Status status = ownStatus.get();
+        for (String node : nodes) {
+            News known = directory.known(cancellations.bookmark(node));
+            send(node, message(status, lastQuestion, NO_QUESTION, known));
+        }
+        loop.after(timing.pingS(), this::ask);
+    }
+
+    private void answer(Status question) {
+        Status status = ownStatus.get();
+        // While this controller hears a leader, its confirmation is of use only together with that
+        // leader's own, which the leader remembers itself.
+        if (!status.stateReachable() && (leaderSilent() || status.leading())) {
+            lastConfirmationAt = loop.now();
+        }
+        News lacking = directory.lackedBy(question.news());
+        send(question.from(), message(status, NO_QUESTION, question.question(), lacking));
+    }
+
+    /**
+     * The term told never falls behind one that was heard: an answer that names a term is a promise
+     * to know it from then on.
+     */
+    private Status message(Status status, long question, long answeredQuestion, News news) {
+        return new Status(
+                settings.node(),
+                question,
+                answeredQuestion,
+                status.stateReachable(),
+                status.leading(),
+                status.informed(),
+                status.workers(),
+                leaderSilent(),
+                millisecondsSinceConfirmation(),
+                Math.max(highestTerm, status.term()),
+                news);
+    }
+
+    /** Negative while this controller may go on keeping leases for so long. */
+    private int millisecondsSinceConfirmation() {
+        double latest = Math.max(lastConfirmationAt, keepsLeasesForNewLeaderUntil);
+        double milliseconds = (loop.now() - latest) * MILLISECONDS_PER_SECOND;
+        return (int) Math.min(Integer.MAX_VALUE, milliseconds);
+    }
+
     @Override
     public void received(byte[] bytes) {
         try {
             PeerRecord message = PeerMessages.decode(bytes);
-            if (message instanceof Status status && settings.peers().containsKey(status.from())) {
-                if (status.term() > highestTerm) {
-                    highestTerm = status.term();
-                    helpsUntil = loop.now() + timing.helpS();
-                }
-                lastHeard = loop.now();
-                if (status.leading()) {
-                    lastLeaderHeard = loop.now();
-                }
-                status.news().cancellations().forEach(directory::learn);
-                if (status.echo() == 0) {
-                    answer(status);
-                } else {
-                    bookmarks.put(status.from(), status.news().bookmark());
-                    Double at = asked.get(status.echo());
-                    if (at != null) {
-                        words.put(status.from(), new Word(at, loop.now(), status));
-                        if (status.news().complete()
-                                && (status.news().informed() || wasRefused(status, at))) {
-                            told.put(status.from(), new Told(at, status.stateReachable()));
-                        }
-                    }
-                }
-            } else if (message instanceof Cancelled cancelled
-                    && settings.peers().containsKey(cancelled.from())) {
+            boolean fromPeer = nodes.contains(message.from());
+            if (message instanceof Status status && fromPeer) {
+                statusReceived(status);
+            } else if (message instanceof Cancelled cancelled && fromPeer) {
                 cancelled.cancellations().forEach(directory::learn);
             } else if (message instanceof Progress progress) {
                 onProgress.accept(progress);
@@ -168,216 +199,131 @@
         }
     }
 
-    @Override
-    public void refused(String node) {
-        Word word = words.get(node);
-        if (word != null
-                && word.status().leading()
-                && loop.now() - word.askedAt() > 2 * timing.pingS()) {
-            onSilentRefusal.accept(word.status());
+    private void statusReceived(Status status) {
+        if (status.term() > highestTerm) {
+            highestTerm = status.term();
+            keepsLeasesForNewLeaderUntil = loop.now() + timing.keepaliveForNewLeaderSeconds();
+        }
+        lastHeardAt = loop.now();
+        if (status.leading()) {
+            lastLeaderHeardAt = loop.now();
+        }
+        status.news().cancellations().forEach(directory::learn);
+        if (status.echo() == NO_QUESTION) {
+            answer(status);
+        } else {
+            answerReceived(status);
         }
     }
 
-    /**
-     * Told of a node that refuses connections and has not answered for some time, with the last
-     * that it said, if that was that it leads. One that never said so in its present term may
-     * merely be behind a packet filter: deposing every leader that refuses let a filter between
-     * controllers end term after term.
-     */
-    void onSilentRefusal(Consumer<Status> taker) {
-        onSilentRefusal = taker;
-    }
-
-    private void answer(Status to) {
-        Status status = self.get();
-        // A word of one that hears a leader is of use only together with that leader's own, which
-        // it remembers itself.
-        if (!status.stateReachable() && (leaderSilent() || status.leading())) {
-            lastWitness = loop.now();
+    private void answerReceived(Status answer) {
+        cancellations.bookmarkReceived(answer);
+        Double askedAt = askedAtByQuestion.get(answer.echo());
+        if (askedAt != null) {
+            confirmations.answered(askedAt, answer);
+            cancellations.answered(askedAt, answer);
         }
-        send(to.from(), numbered(status, 0, to.question(), directory.lackedBy(to.news())));
     }
 
-    /**
-     * What is said never falls behind what was heard: an answer that names a term is a promise to
-     * know it from then on.
-     */
-    private Status numbered(Status status, long number, long echo, News news) {
-        return new Status(
-                settings.node(),
-                number,
-                echo,
-                status.stateReachable(),
-                status.leading(),
-                status.informed(),
-                status.workers(),
-                leaderSilent(),
-                (int)
-                        Math.min(
-                                Integer.MAX_VALUE,
-                                (loop.now() - Math.max(lastWitness, helpsUntil)) * 1000),
-                Math.max(highestTerm, status.term()),
-                news);
+    @Override
+    public void refused(String node) {
+        Answer latest = confirmations.latest(node);
+        if (latest != null && latest.status().leading() && isOverdue(latest)) {
+            onSilentRefusal.accept(latest.status());
+        }
     }
 
-    private boolean recent(Word word) {
-        return word != null && loop.now() - word.askedAt() < timing.confirmS();
+    private boolean isOverdue(Answer latest) {
+        return loop.now() - latest.askedAt() > MAX_UNANSWERED_QUESTIONS * timing.pingS();
     }
 
-    /**
-     * Whether every other controller lately said that it cannot reach the state service and knows
-     * no newer leader.
-     */
+    /** See {@link PeerConfirmations#allConfirmOutage}. */
     boolean allConfirmOutage(long term) {
-        return settings.peers().keySet().stream().allMatch(node -> confirms(node, term, false));
+        return confirmations.allConfirmOutage(term);
     }
 
-    /**
-     * Whether, with this one, most controllers say so. Enough for a leader that is still in office:
-     * whoever takes over waits for most controllers to know of it, and the two majorities share
-     * one. A controller that was restarted and has read nothing since does not count, for it may
-     * have forgotten what it promised.
-     */
+    /** See {@link PeerConfirmations#quorumConfirmsOutage}. */
     boolean mostConfirmOutage(long term) {
-        return isMost(
-                settings.peers().keySet().stream()
-                        .filter(node -> confirms(node, term, true))
-                        .count());
+        return confirmations.quorumConfirmsOutage(term);
     }
 
     /**
-     * Whether, with this one, most controllers say so and none of them has heard of a leader for
-     * some time: then any leader there may be has no majority to prove anything by silence with.
+     * Whether a quorum confirms the outage and has not heard of a leader for some time: then any
+     * leader there may be has no quorum to declare a silent worker lost with.
      */
-    boolean mostMissTheLeader(long term) {
-        return leaderSilent()
-                && isMost(
-                        settings.peers().keySet().stream()
-                                .filter(
-                                        node ->
-                                                confirms(node, term, true)
-                                                        && words.get(node).status().leaderSilent())
-                                .count());
+    boolean quorumMissesLeader(long term) {
+        return leaderSilent() && confirmations.quorumMissesLeader(term);
     }
 
     private boolean leaderSilent() {
-        return loop.now() - lastLeaderHeard > timing.unheardS();
+        return loop.now() - lastLeaderHeardAt > timing.leaderSilenceSeconds();
     }
 
-    /**
-     * Whatever the other controllers confirmed to their users before this moment, they have told
-     * here.
-     */
-    double toldUntil() {
-        return settings.peers().keySet().stream()
-                .mapToDouble(
-                        node ->
-                                told.containsKey(node)
-                                        ? told.get(node).until()
-                                        : Double.NEGATIVE_INFINITY)
-                .min()
-                .orElse(loop.now());
+    /** See {@link PeerConfirmations#quorumKnows}. */
+    boolean quorumKnows(long term) {
+        return confirmations.quorumKnows(term);
     }
 
-    /**
-     * Whether a peer that was started in an outage, and has read nothing since, can be taken to
-     * have confirmed nothing untold in its earlier life: it could not reach the state service when
-     * last heard then, nor can it now, and there was little time between. Otherwise a crash in a
-     * long outage would end the leases of the whole fleet.
-     */
-    private boolean wasRefused(Status status, double askedAt) {
-        Told before = told.get(status.from());
-        return before != null
-                && !before.reachedState()
-                && !status.stateReachable()
-                && askedAt - before.until() < timing.unknowingS() / 2;
+    /** See {@link PeerCancellations#toldUntil}. */
+    double toldUntil() {
+        return cancellations.toldUntil();
     }
 
     /** When any other controller was last heard of. */
     double lastHeard() {
-        return lastHeard;
+        return lastHeardAt;
     }
 
     /** Whether every other controller has lately answered this one. */
     boolean allHeard() {
-        return settings.peers().keySet().stream().allMatch(node -> recent(words.get(node)));
+        return confirmations.allAnswered();
     }
 
-    /**
-     * Notes that a worker's lease was renewed on the word of others, though nobody is known to
-     * lead.
-     */
-    void stoodIn() {
-        lastWitness = loop.now();
+    /** Notes that a worker's lease was renewed by this controller, which does not lead. */
+    void noteLeaseKept() {
+        lastConfirmationAt = loop.now();
     }
 
     /**
-     * Whether a new term was heard of so lately that this controller still helps its leader: it
-     * keeps the workers that come to it, rather than send them all on to one controller that has
-     * just begun. It says until when in its answers.
+     * Whether a new term was heard of so lately that this controller still keeps leases for its
+     * leader: the workers that come here stay, rather than all be sent on to one controller that
+     * has just begun. Its answers say until when.
      */
     boolean helps() {
-        return loop.now() < helpsUntil;
-    }
-
-    private boolean confirms(String node, long term, boolean hasToBeInformed) {
-        Word word = words.get(node);
-        return recent(word)
-                && !word.status().stateReachable()
-                && word.status().term() <= term
-                && (word.status().informed() || !hasToBeInformed);
-    }
-
-    /** Whether most controllers, with this one, know of a term. */
-    boolean mostKnow(long term) {
-        return isMost(words.values().stream().filter(w -> w.status().term() >= term).count());
-    }
-
-    private boolean isMost(long others) {
-        return 2 * (others + 1) > settings.peers().size() + 1;
+        return loop.now() < keepsLeasesForNewLeaderUntil;
     }
 
+    /** See {@link PeerConfirmations#anyReachesState}. */
     boolean someReachState() {
-        return words.values().stream().anyMatch(w -> recent(w) && w.status().stateReachable());
+        return confirmations.anyReachesState();
     }
 
-    /** Whether a peer lately said that it leads. */
-    boolean someLead() {
-        return words.values().stream().anyMatch(w -> recent(w) && w.status().leading());
+    /** See {@link PeerConfirmations#anyLeads}. */
+    boolean anyLeads() {
+        return confirmations.anyLeads();
     }
 
-    /**
-     * The greatest number of workers that one of the others lately heard, though it does not lead.
-     */
+    /** See {@link PeerConfirmations#maxWorkers}. */
     int workersElsewhere() {
-        return words.values().stream()
-                .filter(this::recent)
-                .mapToInt(w -> w.status().workers())
-                .max()
-                .orElse(0);
+        return confirmations.maxWorkers();
     }
 
+    /** The highest term that a peer has told of; 0 if none. */
     long highestTerm() {
         return highestTerm;
     }
 
     /**
      * Until when other controllers may have renewed leases although this one leads. Unknown, and so
-     * without end, unless all of them have lately answered this one: having heard it they stand in
-     * for none. One that does not answer may be alone with the workers of a zone that is cut off
-     * and keep their leases for as long as the cut lasts.
+     * without end, unless all of them have lately answered this one: having heard it they keep
+     * none. One that does not answer may be isolated with the workers of a partitioned zone and
+     * keep their leases for as long as the partition lasts.
      */
     double othersMayRenewUntil() {
         if (!allHeard()) {
             return Double.POSITIVE_INFINITY;
         }
-        double latest = lastWitness;
-        for (Word word : words.values()) {
-            double ago = word.status().witnessAgoMs() / 1000.0;
-            // Its clock may run at another pace, and a time still to come counts as longer rather
-            // than shorter.
-            latest = Math.max(latest, word.receivedAt() - ago + Math.abs(ago) * 0.002);
-        }
-        return latest + timing.wordS();
+        double latest = Math.max(lastConfirmationAt, confirmations.lastConfirmationOfPeers());
+        return latest + timing.confirmationValiditySeconds();
     }
 }
--- a/src/main/java/org/springmill/control/coordination/Reconciliation.java
+++ b/src/main/java/org/springmill/control/coordination/Reconciliation.java
@@ -27,29 +27,32 @@
     private final Timing timing;
     private final Peers peers;
     private final Metrics metrics;
-    private final double tookOver;
-    private double acknowledged = Double.POSITIVE_INFINITY;
-    private final Runnable changed;
-    private final Consumer<String> laterTerm;
+    private final double tookOverAt;
+
+    /** When a quorum of controllers was first seen to know this term. */
+    private double quorumKnewTermAt = Double.POSITIVE_INFINITY;
+
+    private final Runnable onChange;
+    private final Consumer<String> onLaterTerm;
 
     /**
-     * @param changed called when a round may have something to do
-     * @param laterTerm called when a worker has seen a token of a later term
+     * @param onChange called when a round may have something to do
+     * @param onLaterTerm called when a worker has seen a token of a later term
      */
     Reconciliation(
             Fleet fleet,
             Timing timing,
             Peers peers,
             Metrics metrics,
-            Runnable changed,
-            Consumer<String> laterTerm) {
+            Runnable onChange,
+            Consumer<String> onLaterTerm) {
         this.fleet = fleet;
         this.timing = timing;
         this.peers = peers;
         this.metrics = metrics;
-        this.tookOver = fleet.now();
-        this.changed = changed;
-        this.laterTerm = laterTerm;
+        this.tookOverAt = fleet.now();
+        this.onChange = onChange;
+        this.onLaterTerm = onLaterTerm;
     }
 
     /**
@@ -57,27 +60,20 @@
      */
     void accept(Machine machine, Report report) {
         if (Machine.termOf(report.token()) > fleet.term()) {
-            laterTerm.accept(machine.name() + " has seen a later term");
+            onLaterTerm.accept(machine.name() + " has seen a later term");
             return;
         }
         if (!machine.isNews(report)) {
             return;
         }
         double now = fleet.now();
-        boolean open = machine.takesWork(now, timing.quietS());
+        boolean tookWork = machine.takesWork(now, timing.quietS());
         machine.adoptToken(report.token());
         machine.take(report, now);
         if (machine.state() == Machine.State.EXPECTED || machine.state() == Machine.State.LOST) {
             machine.transition(Machine.State.UP);
         }
-        Set<Attempt> present = new HashSet<>();
-        for (TaskReport task : report.tasks()) {
-            Attempt attempt = machine.find(task);
-            if (attempt != null) {
-                present.add(attempt);
-                seen(machine, attempt, task, now);
-            }
-        }
+        Set<Attempt> present = takeReportedTasks(machine, report, now);
         for (Attempt attempt : machine.attemptsNow()) {
             if (!present.contains(attempt) && provenGone(attempt, report)) {
                 fleet.end(attempt, Cause.NONE);
@@ -88,11 +84,24 @@
         }
         // Hundreds of workers report every few seconds, mostly that nothing has changed: no reason
         // for a round.
-        if (fleet.clusterState().hasEnded() || (!open && machine.takesWork(now, timing.quietS()))) {
-            changed.run();
+        boolean takesWorkAgain = !tookWork && machine.takesWork(now, timing.quietS());
+        if (fleet.clusterState().hasEnded() || takesWorkAgain) {
+            onChange.run();
         }
     }
 
+    private Set<Attempt> takeReportedTasks(Machine machine, Report report, double now) {
+        Set<Attempt> present = new HashSet<>();
+        for (TaskReport task : report.tasks()) {
+            Attempt attempt = machine.find(task);
+            if (attempt != null) {
+                present.add(attempt);
+                seen(machine, attempt, task, now);
+            }
+        }
+        return present;
+    }
+
     private void seen(Machine machine, Attempt attempt, TaskReport task, double now) {
         switch (task.state()) {
             case FETCHING -> {
@@ -169,46 +178,65 @@
 
     /** When the last lease that anyone may have granted to a machine's worker has run out. */
     private double leaseGoneAt(Machine machine, double othersUntil) {
-        double renewed = Math.max(machine.lastAnswered(), othersUntil);
-        // Until the worker has seen this term's token it may obey an earlier leader, whose last
-        // answer is not known
-        // here: a worker that showed the token and then fell silent has its full lease from then
-        // on.
-        // Without that, an earlier leader may go on as long as most controllers bear it out: until
-        // most know this term.
-        double earlier = Math.max(tookOver + timing.othersS(), acknowledged + timing.wordS());
-        return Math.max(renewed, Math.min(machine.ownTokenSeen(), earlier)) + timing.leaseS();
+        double lastRenewal = Math.max(machine.lastAnswered(), othersUntil);
+        double lastUnderEarlierTerm = Math.min(machine.ownTokenSeen(), earlierLeaderUntil());
+        return Math.max(lastRenewal, lastUnderEarlierTerm) + timing.leaseS();
+    }
+
+    /**
+     * Until when an earlier leader may have renewed leases. A worker may obey it until it has seen
+     * this term's token, and the leader's last answer is not known here: a worker that showed the
+     * token and then fell silent has its full lease from then on. An earlier leader whose outage a
+     * quorum confirms may go on until a quorum knows this term.
+     */
+    private double earlierLeaderUntil() {
+        double afterTakeover = tookOverAt + timing.othersS();
+        double afterQuorumKnew = quorumKnewTermAt + timing.confirmationValiditySeconds();
+        return Math.max(afterTakeover, afterQuorumKnew);
     }
 
     /** Looks for claims past their window and for machines silent beyond their lease. */
     void tick() {
         double now = fleet.now();
-        if (acknowledged == Double.POSITIVE_INFINITY && peers.mostKnow(fleet.term())) {
-            acknowledged = now;
+        if (quorumKnewTermAt == Double.POSITIVE_INFINITY && peers.quorumKnows(fleet.term())) {
+            quorumKnewTermAt = now;
         }
         double othersUntil = peers.othersMayRenewUntil();
         for (Machine machine : fleet.machinesNow()) {
             if (machine.state() == Machine.State.GONE) {
                 continue;
             }
-            boolean expired = now > leaseGoneAt(machine, othersUntil);
-            for (Attempt attempt : machine.attemptsNow()) {
-                if (expired) {
-                    if (attempt.state() != Attempt.State.CLAIMING) {
-                        metrics.lost();
-                        fleet.end(attempt, Cause.NONE);
-                    }
-                } else if (attempt.state() == Attempt.State.SENT
-                        && now - attempt.since() > timing.claimWindowS()) {
-                    attempt.transition(Attempt.State.UNKNOWN, now);
-                    attempt.sendAgainAt(now);
-                }
+            if (now > leaseGoneAt(machine, othersUntil)) {
+                leaseExpired(machine);
+            } else {
+                checkClaimWindows(machine, now);
+            }
+        }
+    }
+
+    /** All attempts on a machine have ended with its worker's lease. */
+    private void leaseExpired(Machine machine) {
+        for (Attempt attempt : machine.attemptsNow()) {
+            if (attempt.state() != Attempt.State.CLAIMING) {
+                metrics.lost();
+                fleet.end(attempt, Cause.NONE);
             }
-            if (expired && machine.state() == Machine.State.UP) {
-                LOG.warn("machine {} was silent for a whole lease", machine.name());
-                machine.transition(Machine.State.LOST);
-                machine.images().clear();
-                changed.run();
+        }
+        if (machine.state() == Machine.State.UP) {
+            LOG.warn("machine {} was silent for a whole lease", machine.name());
+            machine.transition(Machine.State.LOST);
+            machine.images().clear();
+            onChange.run();
+        }
+    }
+
+    /** A start that no report has confirmed within the window is unknown from then on. */
+    private void checkClaimWindows(Machine machine, double now) {
+        for (Attempt attempt : machine.attemptsNow()) {
+            boolean overdue = now - attempt.since() > timing.claimWindowS();
+            if (attempt.state() == Attempt.State.SENT && overdue) {
+                attempt.transition(Attempt.State.UNKNOWN, now);
+                attempt.sendAgainAt(now);
             }
         }
     }
--- a/src/main/java/org/springmill/control/coordination/Timing.java
+++ b/src/main/java/org/springmill/control/coordination/Timing.java
@@ -3,21 +3,25 @@
 import org.springmill.protocol.Settings;
 
 /**
- * The times that safety and failover hang on, all ratios to the workers' lease and report interval.
- * The argument for them is in docs/design.md, "When a task may start again".
+ * The times on which safety and failover depend, all ratios to the workers' lease and report
+ * interval. The argument for them is in docs/design.md, "When a task may start again".
  *
  * @param leaderTtlS lease of the leader in the state service
  * @param renewS interval of its renewals, and of the followers' looks at the leader's record
  * @param graceS how long after its lease may have run out a leader still answers reports without
- *     its peers' word
- * @param confirmS how long a peer's word that it cannot reach the state service is good for, from
- *     the question on
+ *     its peers' confirmation
+ * @param confirmS how long a peer's answer, such as that it cannot reach the state service, counts,
+ *     from the question on
+ * @param pingS interval in which each peer is asked for its status
+ * @param stateTimeoutS after this a request to the state service has no answer
  * @param leaseS a worker's lease as seen from another clock
- * @param claimWindowS after this an unconfirmed start is unknown and is settled
+ * @param reportS interval of a worker's reports
+ * @param claimWindowS after this an unconfirmed start is unknown and has to be reconciled
  * @param probeS a worker not heard for this long, longer than its reports are apart, is asked
  * @param quietS a worker not heard for this long gets no new work
- * @param silentS a worker not heard for this long, and not answering orders either, is as good as
- *     dead
+ * @param silentS a worker not heard for this long, and not answering commands either, is taken to
+ *     be dead
+ * @param orderTimeoutS after this a request with commands has no answer
  * @param cancelDeleteS a cancelled task not gone by then has its machine deleted
  * @param unknowingS how long after the last moment up to which it knows every cancellation a
  *     controller may renew leases: what is renewed then is over before anything cancelled since has
@@ -71,23 +75,23 @@
     }
 
     /**
-     * Silence between controllers longer than anyone acts on a word: whoever was just answered does
-     * not stand in.
+     * A controller that has not heard a leader for so long finds it silent. Longer than any
+     * confirmation counts: while a leader still acts on its peers' answers, they still hear it.
      */
-    double unheardS() {
+    double leaderSilenceSeconds() {
         return 2 * confirmS;
     }
 
     /**
-     * How long other controllers keep the workers that come to them after a new leader was heard
-     * of.
+     * How long other controllers keep the leases of workers that come to them after a new leader
+     * was heard of.
      */
-    double helpS() {
+    double keepaliveForNewLeaderSeconds() {
         return leaseS / 4;
     }
 
-    /** How long after a peer's word someone may still act on it. */
-    double wordS() {
+    /** How long after a peer's answer, on any clock, someone may still act on it. */
+    double confirmationValiditySeconds() {
         return confirmS * DRIFT;
     }
 
--- a/src/main/java/org/springmill/control/storage/Claim.java
+++ b/src/main/java/org/springmill/control/storage/Claim.java
@@ -7,9 +7,11 @@
 import org.springmill.protocol.TaskId;
 
 /**
- * The decision to start one task on one machine, as committed before the start is sent. Its key is
- * derived once, here, and read from the record ever after; the round doubles as the attempt number
- * on the wire, so every resend by any controller names the same attempt.
+ * The decision to start one task on one machine, as committed before the start is sent.
+ *
+ * @param key derived once, when the claim is decided, and read from the record ever after
+ * @param round the round of the decision; doubles as the attempt number on the wire, so that every
+ *     resend by any controller names the same attempt
  */
 public record Claim(String key, TaskId task, String machine, long round) {
     private static final int KEY_BYTES = 16;
--- a/src/main/java/org/springmill/control/storage/CompletedTasks.java
+++ b/src/main/java/org/springmill/control/storage/CompletedTasks.java
@@ -6,11 +6,13 @@
 import java.util.List;
 
 /**
- * Text forms of sets of finished task numbers, in pieces of a bounded size each. A piece is a list
+ * Text forms of sets of completed task numbers, in pieces of a bounded size each. A piece is a list
  * of ranges ("0-17,19") or, where that is shorter, a bitmap ("@16384:base64").
  */
 final class CompletedTasks {
+    /** A piece covers the tasks of one window, which a smaller value makes smaller. */
     private static final int LARGEST_WINDOW = 1 << 14;
+
     private static final int SMALLEST_WINDOW = 1 << 8;
 
     /** A character of a bitmap holds so many tasks. */
@@ -19,31 +21,28 @@
     private CompletedTasks() {}
 
     /**
-     * @param most characters of one piece; a value that shrank must still hold a whole one
+     * Writes a set in pieces.
+     *
+     * @param maxCharacters of one piece; a value that shrank must still hold a whole one
      */
-    static List<String> encode(BitSet done, int most) {
+    static List<String> encode(BitSet completed, int maxCharacters) {
         int window = LARGEST_WINDOW;
-        while (window > SMALLEST_WINDOW && window / TASKS_PER_CHARACTER > most) {
+        while (window > SMALLEST_WINDOW && window / TASKS_PER_CHARACTER > maxCharacters) {
             window /= 2;
         }
         List<String> pieces = new ArrayList<>();
-        for (int from = done.nextSetBit(0); from >= 0; ) {
+        for (int from = completed.nextSetBit(0); from >= 0; ) {
             int base = from / window * window;
-            BitSet part = done.get(base, base + window);
+            BitSet part = completed.get(base, base + window);
             String ranges = ranges(part, base);
-            String bitmap =
-                    '@'
-                            + Integer.toString(base)
-                            + ':'
-                            + Base64.getEncoder()
-                                    .withoutPadding()
-                                    .encodeToString(part.toByteArray());
+            String bitmap = bitmap(part, base);
             pieces.add(ranges.length() <= bitmap.length() ? ranges : bitmap);
-            from = done.nextSetBit(base + window);
+            from = completed.nextSetBit(base + window);
         }
         return pieces;
     }
 
+    /** Adds the tasks of a piece to a set. */
     static void decode(String piece, BitSet into) {
         if (piece.startsWith("@")) {
             int colon = piece.indexOf(':');
@@ -64,6 +63,11 @@
         }
     }
 
+    private static String bitmap(BitSet part, int base) {
+        Base64.Encoder encoder = Base64.getEncoder().withoutPadding();
+        return "@" + base + ":" + encoder.encodeToString(part.toByteArray());
+    }
+
     private static String ranges(BitSet part, int base) {
         StringBuilder text = new StringBuilder();
         for (int from = part.nextSetBit(0); from >= 0; ) {
--- a/src/main/java/org/springmill/control/storage/ImageLocations.java
+++ b/src/main/java/org/springmill/control/storage/ImageLocations.java
@@ -11,14 +11,27 @@
 import org.springmill.protocol.Json;
 
 /**
- * Which machines hold which images, noted now and then for the next leader under {@code images}.
- * Nothing but start times depends on it, so it may be old, cut short or missing.
+ * Hints on which machines hold which images, stored now and then for the next leader under {@code
+ * images}. Nothing but start times depends on it, so it may be old, cut short or missing.
  */
 public final class ImageLocations {
     public static final String KEY = "images";
 
+    /** Room for the fields around the lists. */
+    private static final int OVERHEAD_BYTES = 64;
+
+    /** Quotes and comma of a machine in the list. */
+    private static final int MACHINE_OVERHEAD_BYTES = 3;
+
+    /** Size and punctuation around the name of an image that is listed first for this machine. */
+    private static final int IMAGE_OVERHEAD_BYTES = 25;
+
+    /** A machine's place in the list of an image. */
+    private static final int HOLDER_BYTES = 5;
+
     private final Map<String, Map<String, Double>> byMachine = new LinkedHashMap<>();
 
+    /** Notes that a machine holds an image of the size given. */
     public void add(String machine, String image, double gb) {
         byMachine.computeIfAbsent(machine, m -> new HashMap<>()).put(image, gb);
     }
@@ -36,15 +49,15 @@
         ObjectNode json = Json.newObject().put("v", 1);
         ArrayNode machines = json.putArray("machines");
         ObjectNode images = json.putObject("images");
-        int room = valueBytes - 64;
+        int bytesLeft = valueBytes - OVERHEAD_BYTES;
         int index = 0;
         for (Map.Entry<String, Map<String, Double>> e : byMachine.entrySet()) {
-            int cost = e.getKey().length() + 3;
+            int cost = e.getKey().length() + MACHINE_OVERHEAD_BYTES;
             for (String image : e.getValue().keySet()) {
-                cost += images.has(image) ? 5 : image.length() + 25;
+                cost += images.has(image) ? HOLDER_BYTES : image.length() + IMAGE_OVERHEAD_BYTES;
             }
-            room -= cost;
-            if (room < 0) {
+            bytesLeft -= cost;
+            if (bytesLeft < 0) {
                 break;
             }
             machines.add(e.getKey());
@@ -62,8 +75,9 @@
         return json;
     }
 
+    /** Reads a stored value; machines that it does not list are passed over. */
     public static ImageLocations decode(JsonNode value) {
-        ImageLocations notes = new ImageLocations();
+        ImageLocations locations = new ImageLocations();
         List<String> machines = new ArrayList<>();
         value.path("machines").forEach(m -> machines.add(m.asText()));
         value.path("images")
@@ -73,13 +87,13 @@
                             for (int i = 1; i < e.getValue().size(); i++) {
                                 int at = e.getValue().get(i).asInt();
                                 if (at < machines.size()) {
-                                    notes.add(
+                                    locations.add(
                                             machines.get(at),
                                             e.getKey(),
                                             e.getValue().get(0).asDouble());
                                 }
                             }
                         });
-        return notes;
+        return locations;
     }
 }
--- a/src/main/java/org/springmill/control/storage/RateLimit.java
+++ b/src/main/java/org/springmill/control/storage/RateLimit.java
@@ -2,16 +2,21 @@
 
 /** A token bucket that holds one second's worth, as the limits of the protocol do. */
 public final class RateLimit {
+    /** Rounding of waits may leave this much of a token missing. */
+    private static final double TOLERANCE = 1e-9;
+
     private double rate;
     private double tokens;
-    private double at;
+    private double refilledAt;
 
+    /** A full bucket. */
     public RateLimit(double perSecond, double now) {
         rate = perSecond;
         tokens = perSecond;
-        at = now;
+        refilledAt = now;
     }
 
+    /** Changes the rate, and so the size of the bucket. */
     public void setRate(double perSecond, double now) {
         refill(now);
         rate = perSecond;
@@ -25,7 +30,7 @@
     public double waitFor(double amount, double now) {
         refill(now);
         double missing = Math.min(amount, rate) - tokens;
-        return missing <= 1e-9 ? 0 : missing / rate;
+        return missing <= TOLERANCE ? 0 : missing / rate;
     }
 
     /**
@@ -38,7 +43,7 @@
     }
 
     private void refill(double now) {
-        tokens = Math.min(rate, tokens + (now - at) * rate);
-        at = now;
+        tokens = Math.min(rate, tokens + (now - refilledAt) * rate);
+        refilledAt = now;
     }
 }
--- a/src/main/java/org/springmill/protocol/PeerMessages.java
+++ b/src/main/java/org/springmill/protocol/PeerMessages.java
@@ -12,11 +12,15 @@
 /** Records between controllers: a version, a kind, and the fields of that kind. */
 public final class PeerMessages {
     private static final int VERSION = 1;
+    private static final int STATUS = 1;
+    private static final int PROGRESS = 2;
+    private static final int CANCELLED = 3;
 
     private PeerMessages() {}
 
     /** Any record. */
     public sealed interface PeerRecord {
+        /** Name of the controller that sent it. */
         String from();
     }
 
@@ -32,8 +36,8 @@
      *     term means something
      * @param workers how many workers lately came to it with reports although it does not lead
      * @param leaderSilent whether it has not heard from a leading controller for some time
-     * @param witnessAgoMs how long ago it last bore witness of an outage, or answered a worker
-     *     although it does not lead; negative while it may go on answering them for so long
+     * @param witnessAgoMs how long ago it last confirmed an outage, or renewed a worker's lease
+     *     although it does not lead; negative while it may go on renewing them for so long
      * @param term the highest leadership term it knows of
      * @param news what it knows of cancelled jobs; {@link News#NONE} from a version that does not
      *     tell
@@ -52,7 +56,7 @@
             News news)
             implements PeerRecord {}
 
-    /** A committed cancellation. It is final, so anyone's word of it may be acted on. */
+    /** A committed cancellation. It is final, so it may be acted on whoever tells of it. */
     public record Cancellation(String job, long revision, double askedAt) {}
 
     /**
@@ -91,12 +95,13 @@
         public static final int MOST = 400;
     }
 
+    /** Writes a record; lists that are longer than their bound are cut short. */
     public static byte[] encode(PeerRecord message) {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream(64);
         try (DataOutputStream out = new DataOutputStream(bytes)) {
             out.writeByte(VERSION);
             if (message instanceof Status s) {
-                out.writeByte(1);
+                out.writeByte(STATUS);
                 out.writeUTF(s.from);
                 out.writeLong(s.question);
                 out.writeLong(s.echo);
@@ -115,11 +120,11 @@
                 out.writeBoolean(s.news.informed);
                 write(out, s.news.cancellations);
             } else if (message instanceof Cancelled c) {
-                out.writeByte(3);
+                out.writeByte(CANCELLED);
                 out.writeUTF(c.from);
                 write(out, c.cancellations);
             } else if (message instanceof Progress p) {
-                out.writeByte(2);
+                out.writeByte(PROGRESS);
                 out.writeUTF(p.from);
                 out.writeLong(p.term);
                 int count = Math.min(Progress.MOST, p.jobs.size());
@@ -136,6 +141,11 @@
         return bytes.toByteArray();
     }
 
+    /**
+     * Reads a record.
+     *
+     * @throws BadMessageException if it is cut short or of an unknown version or kind
+     */
     public static PeerRecord decode(byte[] bytes) throws BadMessageException {
         try (DataInputStream in = new DataInputStream(new ByteArrayInputStream(bytes))) {
             int version = in.readUnsignedByte();
@@ -143,7 +153,7 @@
                 throw new BadMessageException("peer record of version " + version);
             }
             int kind = in.readUnsignedByte();
-            if (kind == 1) {
+            if (kind == STATUS) {
                 return new Status(
                         in.readUTF(),
                         in.readLong(),
@@ -164,10 +174,10 @@
                                         in.readBoolean(),
                                         readCancellations(in)));
             }
-            if (kind == 3) {
+            if (kind == CANCELLED) {
                 return new Cancelled(in.readUTF(), readCancellations(in));
             }
-            if (kind != 2) {
+            if (kind != PROGRESS) {
                 throw new BadMessageException("peer record of kind " + kind);
             }
             String from = in.readUTF();
--- a/src/main/java/org/springmill/protocol/StateMessages.java
+++ b/src/main/java/org/springmill/protocol/StateMessages.java
@@ -6,14 +6,28 @@
 
 /** Messages between controllers and the state service. */
 public final class StateMessages {
+    /** Path of transactions. */
     public static final String COMMIT = "/commit";
+
+    /** Path of leases. */
     public static final String LEASES = "/grants";
 
     private StateMessages() {}
 
-    /** A key with its value and the revision of its last change. */
+    /**
+     * A key with its value.
+     *
+     * @param version revision of the key's last change
+     * @param lease to which the key is attached; 0 for none
+     */
     public record Entry(String key, JsonNode value, long version, long lease) {}
 
+    /**
+     * One page of a read of several keys.
+     *
+     * @param more whether further keys follow
+     * @param revision of the state service as the page was read
+     */
     public record Page(List<Entry> entries, boolean more, long revision) {}
 
     /**
@@ -23,6 +37,11 @@
      */
     public record Change(String key, JsonNode value, long version) {}
 
+    /**
+     * Changes in their order.
+     *
+     * @param revision up to which they are complete
+     */
     public record Changes(List<Change> changes, long revision) {}
 
     /** Version that a key must have; 0 if it must not exist. */
@@ -35,15 +54,18 @@
      * @param lease 0 for none
      */
     public record Write(String key, JsonNode value, long lease) {
+        /** Writes a value that is attached to no lease. */
         public static Write put(String key, JsonNode value) {
             return new Write(key, value, 0);
         }
 
+        /** Deletes a key. */
         public static Write delete(String key) {
             return new Write(key, null, 0);
         }
     }
 
+    /** Path of a key. */
     public static String keyPath(String key) {
         return "/store/" + key;
     }
@@ -54,6 +76,11 @@
      */
     private static final int PAGE = 100;
 
+    /**
+     * Path of a read of all keys with a prefix.
+     *
+     * @param after the key after which the page begins; null for the first page
+     */
     public static String listPath(String prefix, String after) {
         return "/store?under="
                 + prefix
@@ -62,26 +89,32 @@
                 + PAGE;
     }
 
+    /** Path of a watch on all keys with a prefix, for changes after a revision. */
     public static String changesPath(String prefix, long from, long waitMs) {
         return "/changes?under=" + prefix + "&from=" + from + "&waitMs=" + waitMs;
     }
 
+    /** Path of the renewal of a lease. */
     public static String renewPath(long lease) {
         return LEASES + "/" + lease + "/touch";
     }
 
+    /** Path of a lease. */
     public static String leasePath(long lease) {
         return LEASES + "/" + lease;
     }
 
+    /** A request for a lease. */
     public static byte[] grant(long ttlMs) {
         return Json.write(json -> json.writeNumberField("ttlMs", ttlMs));
     }
 
+    /** The lease that was granted. */
     public static long granted(byte[] body) throws BadMessageException {
         return Json.object(body).path("tenancy").longValue();
     }
 
+    /** A transaction: all writes are applied if all conditions hold. */
     public static byte[] commit(List<Condition> conditions, List<Write> writes) {
         return Json.write(
                 json -> {
@@ -115,6 +148,7 @@
                 });
     }
 
+    /** The revision of the state service, which most of its answers hold. */
     public static long revision(byte[] body) throws BadMessageException {
         return Json.object(body).path("ledgerRev").longValue();
     }
@@ -134,10 +168,12 @@
         return keys;
     }
 
+    /** The answer to a read of one key. */
     public static Entry entry(byte[] body) throws BadMessageException {
         return entry(Json.object(body));
     }
 
+    /** The answer to a read of several keys. */
     public static Page page(byte[] body) throws BadMessageException {
         JsonNode json = Json.object(body);
         List<Entry> entries = new ArrayList<>();
@@ -148,6 +184,7 @@
                 entries, json.path("truncated").asBoolean(), json.path("ledgerRev").longValue());
     }
 
+    /** The answer to a watch. */
     public static Changes changes(byte[] body) throws BadMessageException {
         JsonNode json = Json.object(body);
         List<Change> changes = new ArrayList<>();
--- a/src/main/java/org/springmill/transport/HttpClient.java
+++ b/src/main/java/org/springmill/transport/HttpClient.java
@@ -5,6 +5,7 @@
 /** Sends requests without blocking; each is answered exactly once, on the loop. */
 public interface HttpClient {
 
+    /** Sends a request; what came of it is passed on once. */
     void send(Request request, Consumer<Reply> done);
 
     /**
@@ -25,10 +26,12 @@
         public static final Reply NOT_SENT = new Reply(-1, new byte[0]);
         public static final Reply LOST = new Reply(0, new byte[0]);
 
+        /** Whether there is an answer, whatever its status. */
         public boolean answered() {
             return status > 0;
         }
 
+        /** Whether the request was served. */
         public boolean ok() {
             return status == 200;
         }
--- a/src/main/java/org/springmill/transport/Loop.java
+++ b/src/main/java/org/springmill/transport/Loop.java
@@ -14,10 +14,12 @@
      */
     double timeOfDay();
 
+    /** Runs a task once so many seconds have passed. */
     Timer after(double seconds, Runnable task);
 
     /** A pending task; cancelling one that has run does nothing. */
     interface Timer {
+        /** The task will not run. */
         void cancel();
     }
 }
--- a/src/main/java/org/springmill/transport/Transport.java
+++ b/src/main/java/org/springmill/transport/Transport.java
@@ -55,10 +55,12 @@
                         preferred);
     }
 
+    /** The loop on which all callbacks run. */
     public Loop loop() {
         return loop;
     }
 
+    /** The client for all outgoing requests. */
     public HttpClient client() {
         return client;
     }
