--- /dev/null
+++ b/src/test/java/org/springmill/control/coordination/JobChainCancellationTest.java
@@ -0,0 +1,236 @@
+package org.springmill.control.coordination;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+import static org.springmill.control.coordination.MessageMatchers.isCommit;
+import static org.springmill.control.coordination.MessageMatchers.text;
+
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.CsvSource;
+import org.junit.jupiter.params.provider.ValueSource;
+import org.springmill.sim.SimNetwork.Fate;
+
+/**
+ * The cancellation of a job is the cancellation of all jobs that need it, whatever fails meanwhile.
+ */
+class JobChainCancellationTest extends JobChainFixture {
+    /**
+     * @param lost what restarts or fails just after the answer to the user
+     */
+    @ParameterizedTest
+    @ValueSource(strings = {"nobody", "leader", "all", "outage"})
+    void cancellingAJobCancelsAllItsDependentsAndNoOtherJob(String lost) {
+        submit(0, 3, job(1, 1));
+        submit(0, 60, job(2, 1, 1));
+        submit(1, 3, job(3, 2, 1));
+        submit(1, 1, job(4, 1, 2, 3));
+        submit(2, 1, job(5, 1, 4));
+        submit(2, 1, job(6, 1, 3));
+        cluster.run(10);
+        assertEquals("cancelled", cluster.withdraw(follower(), id(2)));
+        if (lost.equals("leader") || lost.equals("all")) {
+            for (int node = 0; node < 3; node++) {
+                if (node == cluster.leader() || lost.equals("all")) {
+                    cluster.restart(node);
+                }
+            }
+            cluster.run(3);
+        } else if (lost.equals("outage")) {
+            cluster.state().setDown(true);
+            cluster.run(10);
+            cluster.state().setDown(false);
+            cluster.run(1);
+        }
+        assertPhaseEverywhere("cancelled", 2, 4, 5);
+        // One that names it only now is accepted all the same.
+        submit(1, 1, job(7, 1, 5));
+        assertPhaseEverywhere("cancelled", 7);
+        assertEquals(200, cluster.submit(0, job(5, 1, 4), 1));
+        assertEquals("cancelled", cluster.withdraw(0, id(5)));
+        cluster.run(30);
+        assertPhaseEverywhere("done", 1, 3, 6);
+        assertPhaseEverywhere("cancelled", 2, 4, 5, 7);
+        assertEquals("cancelled", cluster.state().value("job/" + id(7)).path("end").asText());
+        assertEquals(
+                id(5),
+                cluster.state().value("job/" + id(7)).path("job").path("waitsOn").path(0).asText());
+        assertEquals("done", cluster.withdraw(1, id(1)));
+        assertPhaseEverywhere("done", 3);
+    }
+
+    @Test
+    void manyCancelledDependentsAreReportedAtOnceAndStoredSlowly() {
+        submit(0, 1e9, job(1, 1));
+        for (int i = 2; i < 60; i++) {
+            submit(i % 3, 1, job(i, 1, i % 4 == 0 ? 1 : i - 1));
+        }
+        assertEquals("cancelled", cluster.withdraw(0, id(1)));
+        assertPhaseEverywhere("cancelled", 2, 31, 59);
+        long before = storedEnds();
+        cluster.run(10);
+        // A tenth of the 20 changes a second that the state service takes, in steps of half a
+        // transaction.
+        assertTrue(storedEnds() - before <= 0.1 * 20 * 10 + 6, storedEnds() + " after " + before);
+        cluster.run(30);
+        assertEquals(59, storedEnds());
+    }
+
+    /**
+     * Only workers and users still reach the leader, while a job of the chain is cancelled through
+     * another controller.
+     */
+    @ParameterizedTest
+    @ValueSource(booleans = {true, false})
+    void dependentsAreCancelledWhileTheLeaderIsIsolated(boolean before) {
+        submit(0, before ? 1e9 : 20, job(1, 2));
+        submit(1, 1e9, job(2, 2, 1));
+        submit(2, 1, job(3, 2, 2));
+        cluster.run(8);
+        int cut = cluster.leader();
+        cluster.isolate(cut);
+        cluster.run(before ? 1 : 25);
+        int other = (cut + 1) % 3;
+        assertEquals("cancelled", cluster.withdraw(other, id(before ? 1 : 2)));
+        cluster.polled().run(60);
+        assertEquals("cancelled", cluster.phase(other, id(3)));
+        // Unless it was told, it cannot know, and says so rather than what it knew.
+        String said = cluster.phase(cut, id(3));
+        assertTrue(said.equals("503") || said.equals("cancelled"), said);
+        cluster.calm().run(30);
+        assertPhaseEverywhere("cancelled", 2, 3);
+    }
+
+    /**
+     * The state service refuses the leader alone, a job is cancelled through another controller,
+     * and then the state service is down for longer than users wait.
+     */
+    @ParameterizedTest
+    @ValueSource(booleans = {true, false})
+    void dependentsAreCancelledThoughTheLeaderIsRefusedBeforeALongOutage(boolean confirmerDies) {
+        submit(0, 1e9, job(1, 2));
+        submit(1, 1, job(2, 2, 1));
+        submit(2, 1, job(3, 2, 2));
+        cluster.run(8);
+        int leader = cluster.leader();
+        cluster.state().refuse(leader, true);
+        cluster.run(1);
+        int confirmer = (leader + 1) % 3;
+        assertEquals("cancelled", cluster.withdraw(confirmer, id(1)));
+        cluster.state().setDown(true);
+        cluster.run(5);
+        if (confirmerDies) {
+            cluster.restart(confirmer);
+        }
+        cluster.run(45);
+        assertEquals(0, cluster.running(id(1)));
+        for (int node = 0; node < 3; node++) {
+            String said = cluster.phase(node, id(3));
+            assertTrue(said.equals("503") || said.equals("cancelled"), said + " at " + node);
+        }
+        cluster.state().refuse(leader, false);
+        cluster.state().setDown(false);
+        cluster.run(20);
+        assertPhaseEverywhere("cancelled", 1, 2, 3);
+        assertEquals(0, cluster.starts(id(2) + "/0"));
+    }
+
+    /**
+     * A chain that is deep behind the cancelled job and wide behind the next. All controllers die
+     * just after one of the writes of the cancellation: that of the job itself or a later one of
+     * its dependents.
+     */
+    @ParameterizedTest
+    @CsvSource({
+        "DELIVER, 0",
+        "DROP, 0",
+        "LOSE_ANSWER, 0",
+        "HOLD, 0",
+        "DELIVER, 1",
+        "DROP, 1",
+        "LOSE_ANSWER, 1",
+        "HOLD, 1",
+        "DELIVER, 2",
+        "HOLD, 2",
+        "DELIVER, 3",
+        "LOSE_ANSWER, 3"
+    })
+    void dependentsStayCancelledWhenAllControllersDieDuringTheWrites(Fate fate, int which) {
+        submit(0, 2, job(1, 1));
+        submit(1, 1e9, job(2, 2, 1));
+        for (int i = 3; i <= 8; i++) {
+            submit(i % 3, 1, job(i, 1, i - 1));
+        }
+        for (int i = 9; i <= 20; i++) {
+            submit(i % 3, 1, job(i, 1, 3));
+        }
+        cluster.run(6);
+        assertPhaseEverywhere("running", 2);
+        int[] seen = new int[1];
+        cluster.network()
+                .judge(
+                        (from, request) -> {
+                            boolean hit =
+                                    isCommit(request)
+                                            && text(request).contains("\"end\":\"cancelled\"")
+                                            && seen[0]++ == which;
+                            if (hit) {
+                                cluster.clock().after(0.003, this::killControllers);
+                            }
+                            return hit ? fate : Fate.DELIVER;
+                        });
+        String answer = cluster.withdraw(follower(), id(2));
+        cluster.run(20);
+        assertTrue(seen[0] > which, "only " + seen[0] + " writes");
+        restartControllers();
+        cluster.run(4);
+        for (int i = 0; i < 10 && !answer.equals("cancelled"); i++) {
+            answer = cluster.withdraw(i % 3, id(2));
+            cluster.run(1);
+        }
+        assertPhaseEverywhere("cancelled", 2, 3, 8, 9, 20);
+        cluster.network().releaseHeld();
+        cluster.run(50);
+        assertPhaseEverywhere("done", 1);
+        assertPhaseEverywhere("cancelled", 2, 3, 4, 5, 6, 7, 8, 9, 20);
+        assertEquals(0, cluster.running(id(2)));
+        assertEquals(20, storedEnds());
+    }
+
+    /** A job is cancelled just when its last task has ended. */
+    @ParameterizedTest
+    @CsvSource({
+        "DELIVER, 0",
+        "DELIVER, 0.004",
+        "DELIVER, 0.008",
+        "DELIVER, 0.5",
+        "HOLD, 0",
+        "HOLD, 0.5",
+        "DROP, 0.05",
+        "LOSE_ANSWER, 0.004",
+        "LOSE_ANSWER, 0.05"
+    })
+    void aDependentFollowsWhicheverOfDoneAndCancelledIsCommittedFirst(Fate fate, double laterS) {
+        submit(0, 4, job(1, 2));
+        submit(1, 1, job(2, 1, 1));
+        cluster.network()
+                .judge(
+                        (from, request) ->
+                                isCommit(request) && text(request).contains("\"end\":\"done\"")
+                                        ? fate
+                                        : Fate.DELIVER);
+        cluster.run(4);
+        assertEquals(2, cluster.running(id(1)));
+        while (cluster.running(id(1)) > 0) {
+            cluster.run(0.001);
+        }
+        cluster.run(laterS);
+        String answer = cluster.withdraw(follower(), id(1));
+        assertTrue(answer.equals("cancelled") || answer.equals("done"), answer);
+        deliverAllMessages();
+        cluster.network().releaseHeld();
+        cluster.run(15);
+        assertPhaseEverywhere(answer, 1, 2);
+        assertEquals(answer.equals("done") ? 1 : 0, cluster.starts(id(2) + "/0"));
+    }
+}
--- /dev/null
+++ b/src/test/java/org/springmill/control/coordination/JobChainEligibilityTest.java
@@ -0,0 +1,140 @@
+package org.springmill.control.coordination;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.springmill.control.coordination.MessageMatchers.text;
+
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.CsvSource;
+import org.springmill.sim.SimNetwork.Fate;
+import org.springmill.sim.SimWorker;
+
+/** When a job becomes eligible: once the records of all its dependencies say that they are done. */
+class JobChainEligibilityTest extends JobChainFixture {
+    @Test
+    void eachJobStartsAtOnceWhenItsLastDependencyIsDone() {
+        submit(0, 4, job(1, 2));
+        submit(1, 4, job(2, 3, 1));
+        submit(2, 9, job(3, 2, 1));
+        submit(0, 4, job(4, 1, 2, 3, 1));
+        assertPhaseEverywhere("queued", 4);
+        // The image takes a second and each step its time; a second each for reports, records and
+        // rounds.
+        cluster.run(2 + 4 + 1 + 9 + 1 + 4 + 4);
+        assertPhaseEverywhere("done", 1, 2, 3, 4);
+        assertEquals(200, cluster.submit(1, job(4, 1, 2, 3, 1), 4));
+    }
+
+    /** The limit of the team is 16 GPUs. */
+    @Test
+    void aWaitingJobUsesNoneOfItsTeamsLimitAndRentsNoMachines() {
+        submit(0, 30, job(1, 1));
+        submit(0, 1e9, service(2, 15, 1));
+        submit(1, 1e9, service(3, 12));
+        int machines = cluster.cloud().machines().size();
+        cluster.run(15);
+        assertEquals(12, cluster.running(id(3)));
+        assertEquals(0, cluster.starts(id(2) + "/0"));
+        assertEquals(machines, cluster.cloud().machines().size());
+        assertPhaseEverywhere("queued", 2);
+        assertEquals("cancelled", cluster.withdraw(1, id(3)));
+        cluster.run(30);
+        assertEquals(15, cluster.running(id(2)));
+    }
+
+    /**
+     * Records may arrive in any order: that of the dependent, written at a lower revision, becomes
+     * known before that of its dependency, to a leader that rebuilds its state from the records and
+     * to one that watches them.
+     */
+    @ParameterizedTest
+    @CsvSource({
+        "rebuild, queued, done",
+        "rebuild, done, done",
+        "rebuild, cancelled, cancelled",
+        "watch, queued, done",
+        "watch, done, done",
+        "watch, cancelled, cancelled"
+    })
+    void aDependentWhoseRecordArrivesFirstWaitsForItsDependency(
+            String how, String state, String end) {
+        int[] over = state.equals("done") ? new int[] {0, 1} : new int[0];
+        cluster.assume(job(9, 2), over);
+        cluster.assume(job(1, 2, 9));
+        cluster.assume(job(2, 2, 1));
+        if (how.equals("rebuild")) {
+            killControllers();
+            cluster.run(6);
+        }
+        store("job/" + id(2), jobRecord(2, ",\"accepted\":1000000001.0", 1));
+        store("job/" + id(1), jobRecord(1, ",\"accepted\":1000000001.0", 9));
+        cluster.run(5);
+        assertEquals(0, cluster.starts(id(1) + "/0") + cluster.starts(id(2) + "/0"));
+        String front = ",\"end\":\"" + state + "\",\"at\":1000000002.0";
+        store("job/" + id(9), jobRecord(9, state.equals("queued") ? "" : front));
+        if (state.equals("cancelled")) {
+            // What its user did, whose answer the invariants have to know.
+            cluster.restart(0);
+            cluster.run(3);
+            assertEquals("cancelled", cluster.withdraw(0, id(9)));
+        }
+        for (int node = 0; node < 3 && how.equals("rebuild"); node++) {
+            cluster.restart(node);
+        }
+        cluster.run(20);
+        assertPhaseEverywhere(end, 9, 1, 2);
+        assertEquals(end.equals("done") ? 1 : 0, cluster.starts(id(2) + "/0"));
+    }
+
+    /**
+     * A machine is lost while it runs a task of the dependency; in some cases the leader restarts.
+     */
+    @ParameterizedTest
+    @CsvSource({"taken, false", "taken, true", "hangs, false", "hangs, true"})
+    void aDependentWaitsForTheReplacementOfALostTask(String how, boolean leaderToo) {
+        submit(0, 9, job(1, 2));
+        submit(1, 1, job(2, 2, 1));
+        cluster.run(8);
+        SimWorker lost = cluster.holder(id(1) + "/0");
+        if (how.equals("taken")) {
+            cluster.cloud().take(lost);
+        } else {
+            lost.hang(true);
+        }
+        if (leaderToo) {
+            cluster.restart(cluster.leader());
+        }
+        cluster.run(6);
+        lost.hang(false);
+        assertEquals(0, cluster.starts(id(2) + "/0"));
+        cluster.run(60);
+        assertPhaseEverywhere("done", 1, 2);
+        assertEquals(1, cluster.starts(id(2) + "/0"));
+    }
+
+    /**
+     * All tasks of the dependency have finished, as seen by the leader of that time and by those
+     * that take over from it, but none can commit the end of the job.
+     */
+    @Test
+    void aDependentWaitsForTheRecordAfterAllTasksOfItsDependencyFinished() {
+        submit(0, 5, job(1, 2));
+        submit(1, 1, job(2, 2, 1));
+        cluster.network()
+                .judge(
+                        (from, request) ->
+                                text(request).contains("\"end\":\"done\"")
+                                        ? Fate.DROP
+                                        : Fate.DELIVER);
+        cluster.run(4);
+        cluster.restart(cluster.leader());
+        cluster.run(15);
+        cluster.restart(cluster.leader());
+        cluster.run(10);
+        assertEquals(0, cluster.running(id(1)));
+        assertEquals(0, cluster.starts(id(2) + "/0"));
+        deliverAllMessages();
+        cluster.run(10);
+        assertPhaseEverywhere("done", 1, 2);
+    }
+}
--- /dev/null
+++ b/src/test/java/org/springmill/control/coordination/JobChainSubmissionTest.java
@@ -0,0 +1,149 @@
+package org.springmill.control.coordination;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+import static org.springmill.control.coordination.MessageMatchers.fromController;
+
+import com.fasterxml.jackson.databind.node.ObjectNode;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.CsvSource;
+import org.springmill.sim.SimNetwork.Fate;
+import org.springmill.sim.SimulatedCluster;
+import org.springmill.transport.HttpClient.Reply;
+
+/** Which dependencies a submission may name, and how each is answered. */
+class JobChainSubmissionTest extends JobChainFixture {
+    @ParameterizedTest
+    @CsvSource(
+            delimiter = '|',
+            quoteCharacter = '`',
+            value = {
+                "null                             | 201 | queued",
+                "[]                               | 201 | queued",
+                "[~run-000001~]                   | 201 | queued",
+                "[~run-000001~,~run-000001~]      | 201 | queued",
+                "~run-000001~                     | 400 | waitsOn is not a list",
+                "{}                               | 400 | waitsOn is not a list",
+                "[1]                              | 400 | waitsOn holds something that is no job's id",
+                "[null]                           | 400 | waitsOn holds something that is no job's id",
+                "[~job-7~]                        | 400 | waitsOn holds something that is no job's id",
+                "[~run-000009~]                   | 400 | waitsOn names the job itself",
+                "[~run-000001~,~run-000007~]      | 422 | run-000007, which was never accepted",
+                "[~run-000002~]                   | 422 | run-000002, a service",
+            },
+            ignoreLeadingAndTrailingWhitespace = true)
+    void aSubmissionIsAcceptedOrRefusedByTheDependenciesItNames(
+            String names, int status, String says) {
+        submit(0, 1e9, job(1, 1));
+        submit(0, 1e9, service(2, 1));
+        String body = SimulatedCluster.job(id(9), "red", "sweep", 1, 1, 1).toString();
+        body =
+                body.substring(0, body.length() - 1)
+                        + ",\"waitsOn\":"
+                        + names.replace('~', '"')
+                        + "}";
+        Reply reply = cluster.ask(1, "POST", "/submissions", body);
+        String said = bodyOf(reply);
+        assertEquals(status, reply.status(), said);
+        assertTrue(said.contains(says), said);
+    }
+
+    @Test
+    void aDependencyListTooLargeToStoreIsRefusedWithItsSize() {
+        ObjectNode job = job(9, 1);
+        for (int i = 0; i < 1000; i++) {
+            job.withArray("waitsOn").add(id(100 + i));
+        }
+        Reply reply = cluster.ask(1, "POST", "/submissions", job.toString());
+        assertEquals(422, reply.status());
+        String said = bodyOf(reply);
+        assertTrue(said.contains("bytes to store, more than"), said);
+    }
+
+    /**
+     * Another controller may have accepted the dependency a moment ago, which only a read of the
+     * state service can tell.
+     */
+    @Test
+    void anUnknownDependencyGetsNoFinalAnswerWithoutAReadOfTheStateService() {
+        cluster.network()
+                .judge(
+                        (from, request) ->
+                                fromController(from, 1)
+                                                && request.path().startsWith("/changes?under=job")
+                                                && !request.path().endsWith("waitMs=0")
+                                        ? Fate.DROP
+                                        : Fate.DELIVER);
+        cluster.run(20);
+        submit(0, 30, job(1, 1));
+        submit(1, 1, job(2, 1, 1));
+        submit(0, 30, job(3, 1));
+        cluster.network()
+                .judge(
+                        (from, request) ->
+                                fromController(from, 1) && request.path().startsWith("/changes")
+                                        ? Fate.REFUSE
+                                        : Fate.DELIVER);
+        assertEquals(503, cluster.submit(1, job(4, 1, 3), 1));
+        // Known there already, in whatever state the jobs are that it names.
+        assertEquals(503, cluster.submit(1, job(3, 1), 1));
+        deliverAllMessages();
+        cluster.run(1);
+        assertEquals(201, cluster.submit(1, job(4, 1, 3), 1));
+        assertEquals(200, cluster.submit(1, job(3, 1), 30));
+    }
+
+    @Test
+    void aDependencyNamedTwiceIsStoredOnce() {
+        submit(0, 3, job(1, 1));
+        submit(1, 3, job(2, 1, 1, 1));
+        assertEquals(
+                "[\"run-000001\"]",
+                cluster.state().value("job/" + id(2)).path("job").path("waitsOn").toString());
+        cluster.run(15);
+        assertPhaseEverywhere("done", 1, 2);
+    }
+
+    /** A dependency of another team in each of its states, and how its dependent ends. */
+    @ParameterizedTest
+    @CsvSource({
+        "queued, done",
+        "running, done",
+        "done, done",
+        "cancelled, cancelled",
+    })
+    void aDependencyMayBeInAnyStateAndOfAnotherTeam(String state, String end) {
+        submit(0, 8, job(1, 2).put("crew", "blue"));
+        if (!state.equals("queued")) {
+            cluster.run(state.equals("done") ? 15 : 5);
+        }
+        if (state.equals("cancelled")) {
+            cluster.withdraw(1, id(1));
+        }
+        assertPhaseEverywhere(state, 1);
+        submit(2, 1, job(2, 1, 1));
+        cluster.run(20);
+        assertPhaseEverywhere(end, 2);
+        assertEquals(end.equals("done") ? 1 : 0, cluster.starts(id(2) + "/0"));
+    }
+
+    /**
+     * The last job of a pipeline is submitted to a leader that knows the other jobs from their
+     * records only, and is then taken over by another such leader.
+     */
+    @Test
+    void aJobSubmittedAfterItsDependenciesAreDoneRunsDespiteLeaderChanges() {
+        submit(0, 2, job(1, 2));
+        submit(1, 2, job(2, 2, 1));
+        cluster.run(15);
+        assertPhaseEverywhere("done", 1, 2);
+        cluster.restart(cluster.leader());
+        cluster.run(5);
+        submit(follower(), 2, job(3, 2, 1, 2));
+        cluster.restart(cluster.leader());
+        cluster.run(15);
+        assertPhaseEverywhere("done", 3);
+        assertEquals(1, cluster.starts(id(3) + "/0"));
+    }
+}
