--- a/src/test/java/org/springmill/control/coordination/CompoundUserRequestTest.java
+++ b/src/test/java/org/springmill/control/coordination/CompoundUserRequestTest.java
@@ -8,29 +8,10 @@
 import org.junit.jupiter.api.Test;
 import org.springmill.sim.SimNetwork.Fate;
 import org.springmill.sim.SimulatedCluster;
+import org.springmill.sim.SubmissionRules;
 
 /** Bad, early and repeated requests of users while controllers restart. */
 class CompoundUserRequestTest extends CompoundFailureFixture {
-    private static final String[] REQUIRED_FIELDS = {
-        "nameId",
-        "grist",
-        "crew",
-        "shape",
-        "urgency",
-        "sacks",
-        "vcpus",
-        "cards",
-        "memGb",
-        "mould",
-        "pullGb",
-        "samePlace",
-        "apart",
-        "loaner",
-        "expectS",
-        "stashEveryS",
-        "stashS"
-    };
-
     /**
      * Invalid input gets a final answer at once from any controller; a job that can never run is
      * never accepted.
@@ -38,15 +19,16 @@
     @Test
     void incompleteOrImpossibleSubmissionsAreRefusedByEveryController() {
         startCluster(1);
-        for (int i = 0; i < REQUIRED_FIELDS.length; i++) {
+        for (int i = 0; i < SubmissionRules.REQUIRED_FIELDS.size(); i++) {
+            String field = SubmissionRules.REQUIRED_FIELDS.get(i);
             for (String defect : new String[] {"absent", "null", "list"}) {
                 ObjectNode job = SimulatedCluster.job(JOB, "red", "service", 2, 1, 1);
                 switch (defect) {
-                    case "absent" -> job.remove(REQUIRED_FIELDS[i]);
-                    case "null" -> job.putNull(REQUIRED_FIELDS[i]);
-                    default -> job.putArray(REQUIRED_FIELDS[i]).add(1);
+                    case "absent" -> job.remove(field);
+                    case "null" -> job.putNull(field);
+                    default -> job.putArray(field).add(1);
                 }
-                assertEquals(400, cluster.submit(i % 3, job, 1), REQUIRED_FIELDS[i] + " " + defect);
+                assertEquals(400, cluster.submit(i % 3, job, 1), field + " " + defect);
             }
         }
         ObjectNode oversized = SimulatedCluster.job(JOB, "red", "sweep", 1, 1, 1);
--- a/src/test/java/org/springmill/control/coordination/DelayedMessageTest.java
+++ b/src/test/java/org/springmill/control/coordination/DelayedMessageTest.java
@@ -4,12 +4,12 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 import static org.springmill.control.coordination.MessageMatchers.fromController;
 import static org.springmill.control.coordination.MessageMatchers.isCommit;
-import static org.springmill.control.coordination.MessageMatchers.isReport;
 import static org.springmill.control.coordination.MessageMatchers.isStartCommand;
 import static org.springmill.control.coordination.MessageMatchers.text;
 
 import java.util.ArrayList;
 import java.util.List;
+import java.util.function.Predicate;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
@@ -20,6 +20,20 @@
 
 /** Commands, reports and transactions that are delayed, duplicated or whose response is lost. */
 class DelayedMessageTest extends SingleFailureFixture {
+    /** Delivers every message; the list returned grows by those of one kind as they are sent. */
+    private List<Request> recordDelivered(Predicate<Request> kind) {
+        List<Request> delivered = new ArrayList<>();
+        cluster.network()
+                .judge(
+                        (from, request) -> {
+                            if (kind.test(request)) {
+                                delivered.add(request);
+                            }
+                            return Fate.DELIVER;
+                        });
+        return delivered;
+    }
+
     @ParameterizedTest
     @EnumSource(
             value = Fate.class,
@@ -45,15 +59,7 @@
 
     @Test
     void startDelayedPastTheClearOfItsTaskDoesNothing() {
-        List<Request> seen = new ArrayList<>();
-        cluster.network()
-                .judge(
-                        (from, request) -> {
-                            if (isStartCommand(request)) {
-                                seen.add(request);
-                            }
-                            return Fate.DELIVER;
-                        });
+        List<Request> seen = recordDelivered(MessageMatchers::isStartCommand);
         cluster.submit(0, SimulatedCluster.job(JOB, "red", "sweep", 1, 1, 1), 3);
         cluster.run(10);
         assertEquals("done", cluster.phase(0, JOB));
@@ -69,15 +75,7 @@
     @Test
     void delayedReportCopiesNeitherRenewALeaseNorProveThatTasksRun() {
         submitService(0, JOB, "red", 2, 1);
-        List<Request> copies = new ArrayList<>();
-        cluster.network()
-                .judge(
-                        (from, request) -> {
-                            if (isReport(request)) {
-                                copies.add(request);
-                            }
-                            return Fate.DELIVER;
-                        });
+        List<Request> copies = recordDelivered(MessageMatchers::isReport);
         cluster.run(10);
         SimWorker victim = cluster.holder(FIRST_TASK);
         victim.hang(true);
@@ -104,15 +102,7 @@
      */
     @Test
     void delayedReportCopiesDoNotReviveDeletedMachines() {
-        List<Request> copies = new ArrayList<>();
-        cluster.network()
-                .judge(
-                        (from, request) -> {
-                            if (isReport(request)) {
-                                copies.add(request);
-                            }
-                            return Fate.DELIVER;
-                        });
+        List<Request> copies = recordDelivered(MessageMatchers::isReport);
         cluster.run(5);
         List<Request> old = List.copyOf(copies);
         cluster.cloud().runOut();
--- a/src/test/java/org/springmill/control/coordination/NetworkPartitionTest.java
+++ b/src/test/java/org/springmill/control/coordination/NetworkPartitionTest.java
@@ -90,10 +90,7 @@
                         (from, request) -> {
                             boolean othersState =
                                     !fromController(from, isolated) && toStateService(request);
-                            boolean workers =
-                                    (fromWorker(from) && toController(request, isolated))
-                                            || (fromController(from, isolated)
-                                                    && toWorker(request));
+                            boolean workers = isBetweenWorkersAnd(isolated, from, request);
                             return othersState ? Fate.REFUSE : workers ? Fate.DROP : Fate.DELIVER;
                         });
         cluster.run(60);
@@ -111,9 +108,7 @@
         cluster.network()
                 .judge(
                         (from, request) ->
-                                (fromWorker(from) && toController(request, isolated))
-                                                || (fromController(from, isolated)
-                                                        && toWorker(request))
+                                isBetweenWorkersAnd(isolated, from, request)
                                         ? Fate.DROP
                                         : Fate.DELIVER);
         cluster.run(40);
@@ -167,4 +162,10 @@
         cluster.run(4);
         assertEquals(0, cluster.running(JOB), "the new leader reaches the workers");
     }
+
+    /** Whether a message goes from any worker to a controller, or the other way. */
+    private static boolean isBetweenWorkersAnd(int controller, String from, Request request) {
+        return (fromWorker(from) && toController(request, controller))
+                || (fromController(from, controller) && toWorker(request));
+    }
 }
--- a/src/test/java/org/springmill/sim/SubmissionRules.java
+++ b/src/test/java/org/springmill/sim/SubmissionRules.java
@@ -5,8 +5,9 @@
 import org.springmill.protocol.Settings;
 
 /** Which submissions must not be accepted, since their jobs can never run. */
-final class SubmissionRules {
-    private static final List<String> REQUIRED_FIELDS =
+public final class SubmissionRules {
+    /** Fields that every submission must have, other than null. */
+    public static final List<String> REQUIRED_FIELDS =
             List.of(
                     "nameId",
                     "grist",
