--- a/src/main/java/org/springmill/cli/RunCommand.java
+++ b/src/main/java/org/springmill/cli/RunCommand.java
@@ -49,7 +49,7 @@
         Transport transport =
                 new Transport(
                         settings.limits().maxSockets(),
-                        Set.copyOf(List.of(settings.stateAddress(), settings.cloudAddress())));
+                        Set.copyOf(List.of(settings.storeAddress(), settings.cloudAddress())));
         PeerLink link = transport.peers(settings.peerListen(), settings.peers());
         Controller controller =
                 new Controller(
--- a/src/main/java/org/springmill/cli/TrainArchiveCommand.java
+++ b/src/main/java/org/springmill/cli/TrainArchiveCommand.java
@@ -8,7 +8,7 @@
 import java.util.concurrent.Callable;
 import org.springmill.protocol.ArchiveTrainingMessages;
 import org.springmill.protocol.ArchiveTrainingMessages.Answer;
-import org.springmill.protocol.BadMessageException;
+import org.springmill.protocol.MalformedMessageException;
 import org.springmill.protocol.UserMessages;
 import org.springmill.protocol.WorkerMessages;
 import org.springmill.transport.HttpClient.Request;
@@ -69,7 +69,7 @@
             ram_mb = 100.0
             max_sockets = 100
             """;
-    private static final double STEP_S = 0.15;
+    private static final double STEP_SECONDS = 0.15;
     private static final int STEPS = 24;
 
     private ArchiveTrainingMessages world;
@@ -86,7 +86,7 @@
             // By the real command line, which has classes of its own that a start needs.
             new CommandLine(new Main()).execute("run", "--config", file.toString());
             visit(around, "127.0.0.1:" + api, 0);
-            Thread.sleep((long) ((STEPS + 2) * STEP_S * 1000));
+            Thread.sleep((long) ((STEPS + 2) * STEP_SECONDS * 1000));
         } finally {
             Files.delete(file);
         }
@@ -103,7 +103,7 @@
         try {
             Answer answer = world.answer(call.method(), call.path(), call.body());
             call.reply(answer.status(), answer.body(), 0);
-        } catch (BadMessageException e) {
+        } catch (MalformedMessageException e) {
             call.reply(400, new byte[0], 0);
         }
     }
@@ -112,7 +112,7 @@
     private void visit(Transport around, String api, int step) {
         List<Request> visits =
                 List.of(
-                        post(api, WorkerMessages.REPORT, world.report()),
+                        post(api, WorkerMessages.HEARTBEAT_PATH, world.report()),
                         post(
                                 api,
                                 UserMessages.SUBMISSIONS,
@@ -135,7 +135,7 @@
         around.client().send(visits.get(step / 3 % visits.size()), reply -> {});
         around.client().send(visits.get(0), reply -> {});
         if (step < STEPS) {
-            around.loop().after(STEP_S, () -> visit(around, api, step + 1));
+            around.loop().after(STEP_SECONDS, () -> visit(around, api, step + 1));
         }
     }
 
--- a/src/main/java/org/springmill/control/admission/LiveWork.java
+++ b/src/main/java/org/springmill/control/admission/ActiveJobs.java
@@ -10,7 +10,7 @@
  * accepting: how many there are, the memory that they need, and what each team has asked for. A job
  * counts once, however often it is told of.
  */
-public final class LiveWork {
+public final class ActiveJobs {
     /**
      * Heap that one live job needs at a leader, beside the tasks that run: its record, its place in
      * the indexes, and its state. docs/admission.md has the measurement.
@@ -44,7 +44,7 @@
         }
     }
 
-    public LiveWork(double now) {
+    public ActiveJobs(double now) {
         endedBytes = new RateMeter(ENDS_AVERAGED_SECONDS, now);
     }
 
--- a/src/main/java/org/springmill/control/admission/AdmissionControl.java
+++ b/src/main/java/org/springmill/control/admission/AdmissionControl.java
@@ -10,7 +10,7 @@
 import org.springmill.protocol.Settings;
 import org.springmill.protocol.Settings.Team;
 import org.springmill.protocol.Submission;
-import org.springmill.transport.Loop;
+import org.springmill.transport.EventLoop;
 
 /**
  * Decides whether a submission can be taken now. Only new jobs are ever refused: whoever asks has
@@ -25,9 +25,9 @@
     /** What memory that has not drained lately is expected to take. */
     private static final double UNKNOWN_DRAIN_SECONDS = 5;
 
-    private final Loop loop;
+    private final EventLoop loop;
     private final Settings settings;
-    private final LiveWork live;
+    private final ActiveJobs live;
     private final MemoryBound memory;
     private final Congestion congestion;
     private final RetryAfter retryAfter;
@@ -39,12 +39,12 @@
     /**
      * @param endedRecords how many records of ended jobs are in memory
      * @param heapBytes the largest heap that this process may have
-     * @param maxQueueSeconds the longest wait for the state service whose end a user still awaits
+     * @param maxQueueSeconds the longest wait for the key-value store whose end a user still awaits
      */
     public AdmissionControl(
-            Loop loop,
+            EventLoop loop,
             Settings settings,
-            LiveWork live,
+            ActiveJobs live,
             Congestion congestion,
             SplittableRandom random,
             LongSupplier endedRecords,
@@ -63,7 +63,7 @@
     /**
      * Why a new job cannot be taken now; empty if it can.
      *
-     * @param queueSeconds how long its record would wait for the state service
+     * @param queueSeconds how long its record would wait for the key-value store
      */
     public Optional<AdmissionRefusal> refusal(Submission job, double queueSeconds) {
         double now = loop.now();
@@ -103,7 +103,7 @@
     /**
      * The refusal of a job that was taken and whose turn did not come in time.
      *
-     * @param queueSeconds how long its record would wait for the state service now
+     * @param queueSeconds how long its record would wait for the key-value store now
      */
     public AdmissionRefusal givenUp(double queueSeconds) {
         return count(AdmissionReason.QUEUE, Math.max(maxQueueSeconds, queueSeconds));
@@ -133,7 +133,7 @@
     }
 
     private long endedBytes() {
-        return endedRecords.getAsLong() * LiveWork.ENDED_RECORD_BYTES;
+        return endedRecords.getAsLong() * ActiveJobs.ENDED_RECORD_BYTES;
     }
 
     /** Submissions refused for a reason so far. */
--- a/src/main/java/org/springmill/control/admission/AdmissionReason.java
+++ b/src/main/java/org/springmill/control/admission/AdmissionReason.java
@@ -8,7 +8,7 @@
     /** Work of this kind waits longer for its start than operators want it to. */
     WAIT("work of this team and priority waits too long already"),
 
-    /** The state service would take the job's record only after its user has given up. */
+    /** The key-value store would take the job's record only after its user has given up. */
     QUEUE("too many submissions wait for the state service");
 
     private final String text;
--- a/src/main/java/org/springmill/control/admission/Congestion.java
+++ b/src/main/java/org/springmill/control/admission/Congestion.java
@@ -27,7 +27,7 @@
     }
 
     /** Takes the queues that wait too long; what was said before no longer counts. */
-    public void told(List<CongestedQueue> queues, double now) {
+    public void update(List<CongestedQueue> queues, double now) {
         toldAt = now;
         waits.clear();
         for (CongestedQueue queue : queues) {
--- a/src/main/java/org/springmill/control/admission/QueueWaits.java
+++ b/src/main/java/org/springmill/control/admission/QueueWaits.java
@@ -9,8 +9,8 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import org.springmill.protocol.PeerMessages.Congested;
 import org.springmill.protocol.PeerMessages.CongestedQueue;
+import org.springmill.protocol.PeerMessages.CongestionNotice;
 import org.springmill.protocol.Priority;
 
 /**
@@ -110,7 +110,7 @@
             }
         }
         congested.sort(Comparator.comparingDouble(CongestedQueue::excessSeconds).reversed());
-        return congested.subList(0, Math.min(Congested.MOST, congested.size()));
+        return congested.subList(0, Math.min(CongestionNotice.MAX_QUEUES, congested.size()));
     }
 
     private double expectedSeconds(Queue queue, int tasks, double now) {
--- a/src/main/java/org/springmill/control/admission/StateShares.java
+++ b/src/main/java/org/springmill/control/admission/StoreRateShares.java
@@ -5,26 +5,28 @@
 import java.util.HashMap;
 import java.util.Map;
 import java.util.function.LongSupplier;
-import org.springmill.control.storage.StateStore;
-import org.springmill.transport.Loop;
+import org.springmill.control.storage.KeyValueStoreClient;
+import org.springmill.transport.EventLoop;
 
 /**
- * This controller's share of the changes that the state service takes. The leader writes the rounds
- * of all and so has the largest share; it lends what it does not need to controllers that accept
- * many submissions, for a short time each. The shares of all controllers never add up to more than
- * one (docs/admission.md, claims A.1 and A.2).
+ * This controller's share of the changes that the key-value store takes. The leader writes the
+ * rounds of all and so has the largest share; it lends what it does not need to controllers that
+ * accept many submissions, for a short time each. The shares of all controllers never add up to
+ * more than one (docs/admission.md, claims A.1 and A.2).
  */
-public final class StateShares implements StateStore.Share {
+public final class StoreRateShares implements KeyValueStoreClient.RateShare {
     /** Of the leader's share, what it may lend at most. */
     static final double LENDABLE = 0.5;
 
     /** What a lender adds to its own need before it lends, as a factor. */
     private static final double RESERVE = 1.25;
 
-    /** Over this time the use of the state service is averaged, as a ratio to a loan's validity. */
+    /**
+     * Over this time the use of the key-value store is averaged, as a ratio to a loan's validity.
+     */
     private static final double VALIDITIES_AVERAGED = 1.5;
 
-    private final Loop loop;
+    private final EventLoop loop;
     private final LongSupplier validTerm;
     private final double leaderShare;
     private final double otherShare;
@@ -55,10 +57,10 @@
      * @param controllers how many there are; those that do not lead share the rest evenly
      * @param validitySeconds how long a loan counts, from the question on that it answers
      * @param clockDrift factor by which the clocks of two controllers may differ
-     * @param changesPerSecond what the state service takes from all controllers together
+     * @param changesPerSecond what the key-value store takes from all controllers together
      */
-    public StateShares(
-            Loop loop,
+    public StoreRateShares(
+            EventLoop loop,
             LongSupplier validTerm,
             double leaderShare,
             int controllers,
--- a/src/main/java/org/springmill/control/borrowing/HoldDown.java
+++ b/src/main/java/org/springmill/control/borrowing/HoldDown.java
@@ -22,10 +22,10 @@
     /** Short work may go in at once if it takes no more of the expected gap than this share. */
     private static final double SHORT_WORK_SHARE = 0.5;
 
-    private final double halfLifeS;
+    private final double halfLifeSeconds;
     private final double ratio;
-    private final double maxS;
-    private final double waveS;
+    private final double maxSeconds;
+    private final double waveSeconds;
     private final Map<String, Estimate> estimates = new HashMap<>();
 
     private static final class Estimate {
@@ -34,44 +34,44 @@
         private double recalledAt = Double.NEGATIVE_INFINITY;
         private double beforeWave;
         private double addedByWave;
-        private double gapS = Double.NaN;
+        private double gapSeconds = Double.NaN;
     }
 
     /**
-     * @param halfLifeS time in which half of what a recall added decays
+     * @param halfLifeSeconds time in which half of what a recall added decays
      * @param ratio factor on the measured cost; 0 switches the hold-down off
-     * @param maxS the longest hold-down
-     * @param waveS recalls less than this apart belong to one wave, which counts by the costliest
-     *     of them
+     * @param maxSeconds the longest hold-down
+     * @param waveSeconds recalls less than this apart belong to one wave, which counts by the
+     *     costliest of them
      */
-    public HoldDown(double halfLifeS, double ratio, double maxS, double waveS) {
-        this.waveS = waveS;
-        this.maxS = maxS;
-        this.halfLifeS = halfLifeS;
+    public HoldDown(double halfLifeSeconds, double ratio, double maxSeconds, double waveSeconds) {
+        this.waveSeconds = waveSeconds;
+        this.maxSeconds = maxSeconds;
+        this.halfLifeSeconds = halfLifeSeconds;
         this.ratio = ratio;
     }
 
     /**
      * Notes what a recall cost.
      *
-     * @param costS seconds of lost work and of waiting, for each unit that was recalled
-     * @param loanS how long what was recalled had been lent
+     * @param costSeconds seconds of lost work and of waiting, for each unit that was recalled
+     * @param loanSeconds how long what was recalled had been lent
      */
-    public void recalled(String machineType, double costS, double loanS, double now) {
+    public void recalled(String machineType, double costSeconds, double loanSeconds, double now) {
         Estimate estimate = estimates.computeIfAbsent(machineType, t -> new Estimate());
         double decayed = decayed(estimate, now);
-        boolean newWave = now - estimate.recalledAt > waveS;
+        boolean newWave = now - estimate.recalledAt > waveSeconds;
         if (newWave) {
             estimate.beforeWave = decayed;
             estimate.addedByWave = 0;
         }
-        double added = ratio * costS;
-        if (loanS < estimate.beforeWave) {
+        double added = ratio * costSeconds;
+        if (loanSeconds < estimate.beforeWave) {
             // It was lent too soon: the hold-down doubles, as in exponential backoff.
             added = Math.max(added, estimate.beforeWave);
         }
         estimate.addedByWave = Math.max(estimate.addedByWave, added);
-        estimate.seconds = Math.min(maxS, estimate.beforeWave + estimate.addedByWave);
+        estimate.seconds = Math.min(maxSeconds, estimate.beforeWave + estimate.addedByWave);
         estimate.recalledAt = now;
         estimate.at = now;
     }
@@ -80,19 +80,20 @@
      * Notes that work of the kind that recalls is placed where room was held for it: lent, that
      * room would have been recalled, so the estimate stands as if it had been made now.
      *
-     * @param gapS for how long the room was held
+     * @param gapSeconds for how long the room was held
      */
-    public void wasOfUse(String machineType, double heldAt, double gapS, double now) {
+    public void wasOfUse(String machineType, double heldAt, double gapSeconds, double now) {
         Estimate estimate = estimates.get(machineType);
         if (estimate == null) {
             return;
         }
         estimate.seconds = decayed(estimate, heldAt);
         estimate.at = now;
-        estimate.gapS =
-                Double.isNaN(estimate.gapS)
-                        ? gapS
-                        : LATEST_GAP_WEIGHT * gapS + (1 - LATEST_GAP_WEIGHT) * estimate.gapS;
+        estimate.gapSeconds =
+                Double.isNaN(estimate.gapSeconds)
+                        ? gapSeconds
+                        : LATEST_GAP_WEIGHT * gapSeconds
+                                + (1 - LATEST_GAP_WEIGHT) * estimate.gapSeconds;
     }
 
     /** For how long resources that come back now stay unlent. */
@@ -103,16 +104,16 @@
     }
 
     /** Whether work is so short that it should be over before the room is needed again. */
-    public boolean admits(String machineType, double workS, double heldForS) {
+    public boolean admits(String machineType, double workSeconds, double heldForSeconds) {
         Estimate estimate = estimates.get(machineType);
         if (estimate == null) {
             return true;
         }
-        double left = estimate.gapS - heldForS;
-        return workS > 0 && workS <= SHORT_WORK_SHARE * left;
+        double left = estimate.gapSeconds - heldForSeconds;
+        return workSeconds > 0 && workSeconds <= SHORT_WORK_SHARE * left;
     }
 
     private double decayed(Estimate estimate, double now) {
-        return estimate.seconds * Math.pow(0.5, (now - estimate.at) / halfLifeS);
+        return estimate.seconds * Math.pow(0.5, (now - estimate.at) / halfLifeSeconds);
     }
 }
--- a/src/main/java/org/springmill/control/borrowing/RecallLog.java
+++ b/src/main/java/org/springmill/control/borrowing/RecallLog.java
@@ -10,17 +10,17 @@
 import java.util.TreeMap;
 import java.util.function.Consumer;
 import java.util.stream.Collectors;
+import org.springmill.control.storage.KeyValueStoreClient;
 import org.springmill.control.storage.RoundLog;
-import org.springmill.control.storage.StateStore;
+import org.springmill.protocol.KeyValueStoreMessages.Page;
+import org.springmill.protocol.KeyValueStoreMessages.Write;
 import org.springmill.protocol.Settings;
-import org.springmill.protocol.StateMessages.Page;
-import org.springmill.protocol.StateMessages.Write;
 
 /**
- * The recalls under way in the state service, under {@code recall/<round>}. Their changes are part
- * of the transaction of a round, so they hold under the round's conditions: the leader's own record
- * and the absence of the round's key. The recalls of one round share a value, which also takes over
- * what is left of earlier values, so that there are few of them.
+ * The recalls under way in the key-value store, under {@code recall/<round>}. Their changes are
+ * part of the transaction of a round, so they hold under the round's conditions: the leader's own
+ * record and the absence of the round's key. The recalls of one round share a value, which also
+ * takes over what is left of earlier values, so that there are few of them.
  */
 public final class RecallLog {
     /** A value is filled to this share of its limit, like those of rounds. */
@@ -36,7 +36,7 @@
 
     private static final int VALUE_OVERHEAD_BYTES = 24;
 
-    private final StateStore store;
+    private final KeyValueStoreClient store;
 
     /** Sizes of decided recalls, encoded once each: every new one is held against all of them. */
     private final Map<String, Integer> bytesByKey = new HashMap<>();
@@ -46,29 +46,29 @@
     /** The records as they will be once the transaction under way is committed. */
     private Map<String, List<Recall>> staged = records;
 
-    public RecallLog(StateStore store) {
+    public RecallLog(KeyValueStoreClient store) {
         this.store = store;
     }
 
     /** What rounds leave of each transaction for recalls. */
-    public static RoundLog.Reserve reserve(Settings.State limits) {
+    public static RoundLog.Reserve reserve(Settings.StoreLimits limits) {
         int records = mostRecords(limits) + 1;
         return new RoundLog.Reserve(records, records * recordBytes(limits));
     }
 
-    private static int mostRecords(Settings.State limits) {
+    private static int mostRecords(Settings.StoreLimits limits) {
         int byWrites = limits.writesPerCommit() / WRITES_PER_RECORD;
         return Math.max(1, Math.min(MAX_RECORDS, byWrites));
     }
 
-    private static int recordBytes(Settings.State limits) {
+    private static int recordBytes(Settings.StoreLimits limits) {
         return (int) Math.min(MAX_RECORD_BYTES, limits.valueBytes() * FILL_RATIO);
     }
 
     /**
      * Reads all recalls that earlier leaders left. Complete once the leadership is held.
      *
-     * @param done takes null if the state service could not be read
+     * @param done takes null if the key-value store could not be read
      */
     public void load(Consumer<Collection<Recall>> done) {
         store.list(RecallCodec.PREFIX, page -> done.accept(page == null ? null : read(page)));
--- a/src/main/java/org/springmill/control/borrowing/VictimChoice.java
+++ b/src/main/java/org/springmill/control/borrowing/VictimSelection.java
@@ -12,8 +12,8 @@
  * priority first, and among these the ones that cost least for what they free. What turns out not
  * to be needed, because a larger task chosen later frees enough alone, is left out again.
  */
-public final class VictimChoice {
-    private VictimChoice() {}
+public final class VictimSelection {
+    private VictimSelection() {}
 
     /**
      * A task that may be stopped.
--- a/src/main/java/org/springmill/control/coordination/SettledJobs.java
+++ b/src/main/java/org/springmill/control/coordination/ArchivableJobs.java
@@ -1,21 +1,21 @@
 package org.springmill.control.coordination;
 
-import org.springmill.control.history.HistoryMover;
-import org.springmill.control.storage.EndedJob;
+import org.springmill.control.history.HistoryArchiver;
+import org.springmill.control.storage.ArchivedJob;
 import org.springmill.control.storage.JobRecord;
-import org.springmill.protocol.StateMessages.Condition;
+import org.springmill.protocol.KeyValueStoreMessages.Condition;
 
 /**
  * What a leader knows of ended jobs: whether anything still needs their records, so that they may
  * not be moved to the history yet.
  */
-final class SettledJobs implements HistoryMover.Jobs {
+final class ArchivableJobs implements HistoryArchiver.Jobs {
     private final JobDirectory directory;
     private final ClusterState clusterState;
     private final Leadership leadership;
     private final Metrics metrics;
 
-    SettledJobs(
+    ArchivableJobs(
             JobDirectory directory,
             ClusterState clusterState,
             Leadership leadership,
@@ -28,7 +28,7 @@
 
     @Override
     public Condition leadership() {
-        return leadership.condition();
+        return leadership.termCondition();
     }
 
     @Override
@@ -59,7 +59,7 @@
      * have been read yet, and would bring it back.
      */
     @Override
-    public void moved(EndedJob job) {
+    public void moved(ArchivedJob job) {
         metrics.recordMoved();
     }
 }
--- a/src/main/java/org/springmill/control/coordination/MovedDependencies.java
+++ b/src/main/java/org/springmill/control/coordination/ArchivedDependencies.java
@@ -5,34 +5,34 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.function.Function;
-import org.springmill.control.storage.EndedJob;
+import org.springmill.control.storage.ArchivedJob;
 
 /**
  * Final states of jobs whose records have been moved to the history while records in memory still
  * name them as dependencies. Until the state of such a job has been read, nothing is concluded from
  * it: the jobs that name it are neither eligible nor cancelled.
  */
-final class MovedDependencies {
-    private final Function<String, EndedJob> kept;
-    private final Map<String, EndedJob> found = new HashMap<>();
+final class ArchivedDependencies {
+    private final Function<String, ArchivedJob> kept;
+    private final Map<String, ArchivedJob> found = new HashMap<>();
     private final Set<String> missing = new LinkedHashSet<>();
 
     /**
      * @param kept the final state of a moved job if it is in memory anyway, else null
      */
-    MovedDependencies(Function<String, EndedJob> kept) {
+    ArchivedDependencies(Function<String, ArchivedJob> kept) {
         this.kept = kept;
     }
 
     /** The final state of a moved job, as far as it is known; else null. */
-    EndedJob of(String id) {
-        EndedJob needed = found.get(id);
+    ArchivedJob of(String id) {
+        ArchivedJob needed = found.get(id);
         return needed != null ? needed : kept.apply(id);
     }
 
     /** A record in memory names a job that has none there. */
     void require(String id) {
-        EndedJob known = of(id);
+        ArchivedJob known = of(id);
         if (known == null) {
             missing.add(id);
         } else {
@@ -41,7 +41,7 @@
     }
 
     /** Takes in a final state that a record in memory needs. */
-    void learn(EndedJob job) {
+    void learn(ArchivedJob job) {
         missing.remove(job.id());
         found.put(job.id(), job);
     }
--- a/src/main/java/org/springmill/control/coordination/Demand.java
+++ b/src/main/java/org/springmill/control/coordination/ArrivalRateEstimator.java
@@ -15,7 +15,7 @@
 /**
  * Measures how fast tasks of each class arrive, to know how much room has to stand ready for them.
  */
-final class Demand {
+final class ArrivalRateEstimator {
     /**
      * Arrivals are counted over this many boots: long enough to be steady, short enough to follow a
      * burst. The boot time is that of the machines: taken from the workers' lease, which is not
@@ -38,7 +38,7 @@
 
     private record Arrival(double at, int tasks) {}
 
-    Demand(Settings settings, double now) {
+    ArrivalRateEstimator(Settings settings, double now) {
         this.settings = settings;
         this.startedAt = now;
     }
@@ -51,7 +51,7 @@
         // What comes in the first moments of a term has mostly been waiting for it and says nothing
         // of the rate: at the
         // start of a fleet it had machines rented for as much again, which then never stood empty.
-        if (counted && now - startedAt > settings.workers().leaseS() / 2) {
+        if (counted && now - startedAt > settings.workers().leaseSeconds() / 2) {
             arrivals.computeIfAbsent(job.jobClass(), c -> new ArrayDeque<>())
                     .add(new Arrival(now, Math.min(job.tasks(), MOST_TASKS)));
         }
@@ -61,13 +61,13 @@
      * Classes that have to start sooner than a machine boots, or to be finished within so few boots
      * that none of them may go by in waiting; each with a job to stand for it.
      */
-    List<Submission> urgent(double bootS) {
+    List<Submission> urgent(double bootSeconds) {
         Set<String> classes = new HashSet<>();
         for (Settings.Objective objective : settings.objectives()) {
             boolean tight =
-                    (objective.kind().equals("wait") && objective.withinS() < bootS)
+                    (objective.kind().equals("wait") && objective.withinSeconds() < bootSeconds)
                             || (objective.kind().equals("finished")
-                                    && objective.withinS() < TIGHT_BOOTS * bootS);
+                                    && objective.withinSeconds() < TIGHT_BOOTS * bootSeconds);
             if (tight && objective.jobClass() != null) {
                 classes.add(objective.jobClass());
             }
@@ -93,7 +93,8 @@
                     objective.kind().equals("wait") ? latest.get(objective.jobClass()) : null;
             if (job != null
                     && type.fits(job)
-                    && job.imageGb() * SLOW_FETCH > objective.withinS() * type.fetchGbPerS()) {
+                    && job.imageGb() * SLOW_FETCH
+                            > objective.withinSeconds() * type.fetchGbPerSecond()) {
                 return true;
             }
         }
@@ -105,24 +106,26 @@
      * come at random, but each brings all of its tasks at once, so chance is as large as the jobs
      * are.
      */
-    int expected(String jobClass, double bootS, double now) {
+    int expected(String jobClass, double bootSeconds, double now) {
         Deque<Arrival> jobs = arrivals.get(jobClass);
         if (jobs == null) {
             return 1;
         }
-        double windowSeconds = WINDOW_BOOTS * bootS;
+        double windowSeconds = WINDOW_BOOTS * bootSeconds;
         while (!jobs.isEmpty() && jobs.peek().at() < now - windowSeconds) {
             jobs.poll();
         }
         double over =
                 Math.max(
-                        bootS,
-                        Math.min(windowSeconds, now - startedAt - settings.workers().leaseS() / 2));
-        double mean = jobs.stream().mapToDouble(Arrival::tasks).sum() / over * bootS;
+                        bootSeconds,
+                        Math.min(
+                                windowSeconds,
+                                now - startedAt - settings.workers().leaseSeconds() / 2));
+        double mean = jobs.stream().mapToDouble(Arrival::tasks).sum() / over * bootSeconds;
         double variance =
                 jobs.stream().mapToDouble(job -> (double) job.tasks() * job.tasks()).sum()
                         / over
-                        * bootS;
+                        * bootSeconds;
         return (int) Math.ceil((mean + Math.sqrt(variance)) * settings.operator().reserve());
     }
 }
--- a/src/main/java/org/springmill/control/coordination/Rentals.java
+++ b/src/main/java/org/springmill/control/coordination/Autoscaler.java
@@ -1,47 +1,47 @@
 package org.springmill.control.coordination;
 
 import org.springmill.protocol.Settings;
+import org.springmill.transport.EventLoop;
 import org.springmill.transport.HttpClient;
-import org.springmill.transport.Loop;
 
 /**
  * Keeps the fleet of one leader's term at the size that its work needs: rents machines for what
  * waits and what is to be expected, and deletes those that fail or that nobody needs. The parts
  * that decide and act are wired up here.
  */
-final class Rentals {
-    private final Loop loop;
+final class Autoscaler {
+    private final EventLoop loop;
     private final CloudClient cloud;
     private final MachineDeletion deletion;
     private final MachineListing listing;
-    private final ReportSilence silence;
+    private final HeartbeatSilence silence;
     private final PartitionedZones partitions;
-    private final LateMachines lateMachines;
+    private final OverdueBoots lateMachines;
     private final MachineHealth health;
-    private final RentalRequests requests;
-    private final RentalPlanner planner;
+    private final ScaleOutRequests requests;
+    private final ScaleOutPlanner planner;
 
     /**
      * @param changed run when machines were listed or deleted
      */
-    Rentals(
+    Autoscaler(
             Fleet fleet,
             Placement placement,
-            Demand demand,
+            ArrivalRateEstimator demand,
             Peers peers,
             HttpClient http,
-            Loop loop,
+            EventLoop loop,
             Settings settings,
-            Timing timing,
+            Timeouts timing,
             Runnable changed) {
         this.loop = loop;
         double now = loop.now();
         cloud = new CloudClient(http, loop, settings, timing);
         deletion = new MachineDeletion(fleet, cloud, loop, changed);
         listing = new MachineListing(fleet, cloud, deletion, loop, settings, changed);
-        silence = new ReportSilence(listing, timing, now);
+        silence = new HeartbeatSilence(listing, timing, now);
         partitions = new PartitionedZones(fleet, peers, silence, timing, now);
-        lateMachines = new LateMachines(fleet, partitions, timing);
+        lateMachines = new OverdueBoots(fleet, partitions, timing);
         health =
                 new MachineHealth(
                         fleet,
@@ -53,9 +53,9 @@
                         settings,
                         timing,
                         now);
-        requests = new RentalRequests(fleet, cloud, lateMachines, loop);
+        requests = new ScaleOutRequests(fleet, cloud, lateMachines, loop);
         planner =
-                new RentalPlanner(
+                new ScaleOutPlanner(
                         fleet,
                         placement,
                         listing,
@@ -91,7 +91,7 @@
     }
 
     /** Notes that for some time nothing was read or done here. */
-    void stoodStill() {
+    void resumed() {
         silence.restart(loop.now());
     }
 
@@ -114,7 +114,7 @@
      *
      * @param reason for the log
      */
-    void giveBack(Machine machine, String reason) {
+    void release(Machine machine, String reason) {
         deletion.delete(machine, reason);
     }
 }
--- a/src/main/java/org/springmill/control/coordination/BootTimes.java
+++ b/src/main/java/org/springmill/control/coordination/BootTimes.java
@@ -30,12 +30,12 @@
     /** By type and zone, and by type alone. */
     private final Map<String, Estimate> estimates = new HashMap<>();
 
-    private record Estimate(double meanS, double deviationS) {
+    private record Estimate(double meanSeconds, double deviationSeconds) {
         Estimate with(double seconds) {
-            double error = seconds - meanS;
+            double error = seconds - meanSeconds;
             return new Estimate(
-                    meanS + MEAN_GAIN * error,
-                    deviationS + DEVIATION_GAIN * (Math.abs(error) - deviationS));
+                    meanSeconds + MEAN_GAIN * error,
+                    deviationSeconds + DEVIATION_GAIN * (Math.abs(error) - deviationSeconds));
         }
     }
 
@@ -69,9 +69,10 @@
     double lateAfterSeconds(MachineType type, String zone) {
         Estimate ofType = estimates.get(type.name());
         Estimate known = estimates.getOrDefault(key(type, zone), ofType);
-        double measured = known == null ? 0 : known.meanS() + DEVIATIONS * known.deviationS();
-        double most = MAX_PATIENCES * patienceBoots * type.bootS();
-        return Math.min(most, Math.max(LEAST_BOOTS * type.bootS(), measured));
+        double measured =
+                known == null ? 0 : known.meanSeconds() + DEVIATIONS * known.deviationSeconds();
+        double most = MAX_PATIENCES * patienceBoots * type.bootSeconds();
+        return Math.min(most, Math.max(LEAST_BOOTS * type.bootSeconds(), measured));
     }
 
     /** Spot machines boot like others. */
--- a/src/main/java/org/springmill/control/coordination/CancellationFreshness.java
+++ b/src/main/java/org/springmill/control/coordination/CancellationFreshness.java
@@ -2,7 +2,7 @@
 
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import org.springmill.transport.Loop;
+import org.springmill.transport.EventLoop;
 
 /**
  * Bounds the staleness of the cancellations that this controller knows. Whoever renews a worker's
@@ -15,17 +15,17 @@
 
     private final JobDirectory directory;
     private final Peers peers;
-    private final Loop loop;
-    private final Timing timing;
+    private final EventLoop loop;
+    private final Timeouts timing;
     private final double presumedAt;
     private boolean covered = true;
 
-    CancellationFreshness(JobDirectory directory, Peers peers, Loop loop, Timing timing) {
+    CancellationFreshness(JobDirectory directory, Peers peers, EventLoop loop, Timeouts timing) {
         this.directory = directory;
         this.peers = peers;
         this.loop = loop;
         this.timing = timing;
-        presumedAt = loop.now() - timing.unknowingS() / 2;
+        presumedAt = loop.now() - timing.cancellationKnowledgeValiditySeconds() / 2;
     }
 
     /**
@@ -33,17 +33,17 @@
      * controller read them and the peers' confirmations are not recent enough.
      */
     void start() {
-        loop.after(timing.renewS(), this::start);
-        if (age() > timing.leaseS() / 4) {
+        loop.after(timing.leaderRenewIntervalSeconds(), this::start);
+        if (ageSeconds() > timing.workerLeaseSeconds() / 4) {
             directory.barrier(current -> {});
         }
-        if (covered != covers()) {
+        if (covered != isFresh()) {
             covered = !covered;
             LOG.warn(
                     covered
                             ? "cancellations are known again: reports are answered"
                             : "cancellations of the last {} s may be unknown here: no report is answered",
-                    Math.round(age()));
+                    Math.round(ageSeconds()));
         }
     }
 
@@ -51,23 +51,24 @@
      * Whether a lease renewed now ends before a cancellation not known here has to have taken
      * effect.
      */
-    boolean covers() {
-        return age() < timing.unknowingS();
+    boolean isFresh() {
+        return ageSeconds() < timing.cancellationKnowledgeValiditySeconds();
     }
 
     /**
      * For how many seconds a cancellation may have been committed without being known here. Known
-     * is what a read of the state service has brought, or what all peers have confirmed, each of
+     * is what a read of the key-value store has brought, or what all peers have confirmed, each of
      * which has read the job records since it was started.
      *
-     * <p>A process that has just started, and may not reach the state service yet, presumes that
+     * <p>A process that has just started, and may not reach the key-value store yet, presumes that
      * what was cancelled some time before is dealt with: whoever committed it told the others
      * first, and the leader stops tasks at once. Only some time before, since the last
      * cancellations were told to nobody if all controllers crashed while one of them alone was
      * refused.
      */
-    double age() {
-        double confirmedAt = directory.loaded() ? peers.toldUntil() : Double.NEGATIVE_INFINITY;
+    double ageSeconds() {
+        double confirmedAt =
+                directory.loaded() ? peers.cancellationsKnownUntil() : Double.NEGATIVE_INFINITY;
         double knownAt = Math.max(directory.currentAt(), confirmedAt);
         return loop.now() - Math.max(presumedAt, knownAt);
     }
--- a/src/main/java/org/springmill/control/coordination/WithdrawalHandler.java
+++ b/src/main/java/org/springmill/control/coordination/CancellationHandler.java
@@ -4,42 +4,42 @@
 import java.util.function.Consumer;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import org.springmill.control.history.EndedJobs.Lookup;
+import org.springmill.control.history.ArchivedJobLookup.Lookup;
 import org.springmill.control.storage.JobRecord;
-import org.springmill.control.storage.StateStore;
-import org.springmill.control.storage.StateStore.CommitResult;
-import org.springmill.control.storage.StateStore.Outcome;
+import org.springmill.control.storage.KeyValueStoreClient;
+import org.springmill.control.storage.KeyValueStoreClient.CommitOutcome;
+import org.springmill.control.storage.KeyValueStoreClient.CommitResult;
+import org.springmill.protocol.KeyValueStoreMessages.Condition;
+import org.springmill.protocol.KeyValueStoreMessages.Write;
 import org.springmill.protocol.PeerMessages.Cancellation;
-import org.springmill.protocol.StateMessages.Condition;
-import org.springmill.protocol.StateMessages.Write;
 import org.springmill.protocol.Submission;
-import org.springmill.protocol.UserMessages.Phase;
+import org.springmill.protocol.UserMessages.JobPhase;
+import org.springmill.transport.EventLoop;
 import org.springmill.transport.HttpHandler.Call;
-import org.springmill.transport.Loop;
 
 /**
  * Cancels jobs for users. The write is conditional on the version of the job's record, so that of
  * done and cancelled the first stays; the user is answered only after the commit.
  */
-final class WithdrawalHandler {
-    private static final Logger LOG = LoggerFactory.getLogger(WithdrawalHandler.class);
+final class CancellationHandler {
+    private static final Logger LOG = LoggerFactory.getLogger(CancellationHandler.class);
 
     private final JobDirectory directory;
-    private final StateStore store;
-    private final Loop loop;
-    private final Timing timing;
-    private final JobAnswers answers;
+    private final KeyValueStoreClient store;
+    private final EventLoop loop;
+    private final Timeouts timing;
+    private final JobStatusResponses answers;
     private final Consumer<Cancellation> announce;
 
     /**
      * @param announce told of each cancellation committed here, before its user is
      */
-    WithdrawalHandler(
+    CancellationHandler(
             JobDirectory directory,
-            StateStore store,
-            Loop loop,
-            Timing timing,
-            JobAnswers answers,
+            KeyValueStoreClient store,
+            EventLoop loop,
+            Timeouts timing,
+            JobStatusResponses answers,
             Consumer<Cancellation> announce) {
         this.directory = directory;
         this.store = store;
@@ -52,10 +52,10 @@
     /** Cancels a job that may be over already or may never have been submitted. */
     void withdraw(Call call, String id) {
         if (!Submission.validId(id)) {
-            JobAnswers.notFound(call);
+            JobStatusResponses.notFound(call);
             return;
         }
-        withdraw(call, id, loop.now() + JobAnswers.ANSWER_WITHIN_S);
+        withdraw(call, id, loop.now() + JobStatusResponses.ANSWER_WITHIN_SECONDS);
     }
 
     private void withdraw(Call call, String id, double answerBy) {
@@ -70,17 +70,21 @@
                     if (job != null) {
                         cancel(call, job, answerBy);
                     } else if (current) {
-                        directory.findMoved(id, lookup -> answerMoved(call, lookup));
+                        directory.findArchived(id, lookup -> answerMoved(call, lookup));
                     } else {
-                        JobAnswers.unavailable(call, JobAnswers.STATE_SERVICE_SILENT);
+                        JobStatusResponses.unavailable(
+                                call, JobStatusResponses.STATE_SERVICE_SILENT);
                     }
                 });
     }
 
     /** A job that was moved is over: its cancellation, if it was cancelled, is known to all. */
     private static void answerMoved(Call call, Lookup lookup) {
-        JobAnswers.lookedUp(
-                call, lookup, job -> JobAnswers.phase(call, job), () -> JobAnswers.notFound(call));
+        JobStatusResponses.lookedUp(
+                call,
+                lookup,
+                job -> JobStatusResponses.phase(call, job),
+                () -> JobStatusResponses.notFound(call));
     }
 
     private void cancel(Call call, JobRecord job, double answerBy) {
@@ -88,12 +92,12 @@
             answerEnded(call, job);
             return;
         }
-        JobRecord cancelled = job.ended(Phase.CANCELLED, loop.timeOfDay());
-        store.commit(
+        JobRecord cancelled = job.ended(JobPhase.CANCELLED, loop.timeOfDay());
+        store.compareAndSwap(
                 List.of(new Condition(job.key(), job.version())),
                 List.of(Write.put(job.key(), cancelled.encode(store.limits().valueBytes()))),
                 result -> {
-                    if (result.outcome() == Outcome.COMMITTED) {
+                    if (result.outcome() == CommitOutcome.COMMITTED) {
                         committed(call, cancelled.committed(result.revision()));
                     } else {
                         notCommitted(call, job.id(), answerBy, result);
@@ -126,13 +130,13 @@
      * the barrier tells whether the write was applied.
      */
     private void notCommitted(Call call, String id, double answerBy, CommitResult result) {
-        boolean outage = result.outcome() == Outcome.NOT_NOW && !store.reachable();
-        if (outage || loop.now() + timing.stateTimeoutS() > answerBy) {
-            JobAnswers.unavailable(call, JobAnswers.STATE_SERVICE_SILENT);
+        boolean outage = result.outcome() == CommitOutcome.RETRYABLE && !store.reachable();
+        if (outage || loop.now() + timing.storeRequestTimeoutSeconds() > answerBy) {
+            JobStatusResponses.unavailable(call, JobStatusResponses.STATE_SERVICE_SILENT);
             return;
         }
         loop.after(
-                timing.pingS() / 4,
+                timing.peerPollIntervalSeconds() / 4,
                 () -> directory.barrier(current -> withdraw(call, id, answerBy)));
     }
 }
--- a/src/main/java/org/springmill/control/coordination/CancellationPersister.java
+++ b/src/main/java/org/springmill/control/coordination/CancellationPersister.java
@@ -5,11 +5,11 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 import org.springmill.control.storage.JobRecord;
-import org.springmill.control.storage.StateStore;
-import org.springmill.control.storage.StateStore.CommitResult;
-import org.springmill.protocol.StateMessages.Condition;
-import org.springmill.protocol.StateMessages.Write;
-import org.springmill.transport.Loop;
+import org.springmill.control.storage.KeyValueStoreClient;
+import org.springmill.control.storage.KeyValueStoreClient.CommitResult;
+import org.springmill.protocol.KeyValueStoreMessages.Condition;
+import org.springmill.protocol.KeyValueStoreMessages.Write;
+import org.springmill.transport.EventLoop;
 
 /**
  * Persists derived cancellations: the records of jobs that were cancelled with one of their
@@ -23,20 +23,23 @@
 final class CancellationPersister {
     private static final Logger LOG = LoggerFactory.getLogger(CancellationPersister.class);
 
-    /** Share of the changes that the state service takes. */
+    /** Share of the changes that the key-value store takes. */
     private static final double WRITE_SHARE = 0.1;
 
-    private final StateStore store;
+    private final KeyValueStoreClient store;
     private final JobDirectory directory;
     private final Leadership leadership;
-    private final Loop loop;
+    private final EventLoop loop;
     private boolean closed;
 
     /** How many of the records that come next are to be written alone. */
     private int singleWrites;
 
     CancellationPersister(
-            StateStore store, JobDirectory directory, Leadership leadership, Loop loop) {
+            KeyValueStoreClient store,
+            JobDirectory directory,
+            Leadership leadership,
+            EventLoop loop) {
         this.store = store;
         this.directory = directory;
         this.leadership = leadership;
@@ -66,20 +69,20 @@
 
     /** Waits for as long as a batch of that size uses up the share of the changes. */
     private void runAfter(List<JobRecord> batch) {
-        double changesPerS = WRITE_SHARE * store.limits().writesPerS();
-        loop.after(Math.max(1, batch.size()) / changesPerS, this::run);
+        double changesPerSecond = WRITE_SHARE * store.limits().writesPerSecond();
+        loop.after(Math.max(1, batch.size()) / changesPerSecond, this::run);
     }
 
     private void write(List<JobRecord> batch) {
         int valueBytes = store.limits().valueBytes();
         List<Condition> conditions = new ArrayList<>();
-        conditions.add(leadership.condition());
+        conditions.add(leadership.termCondition());
         List<Write> writes = new ArrayList<>();
         for (JobRecord job : batch) {
             conditions.add(new Condition(job.key(), job.version()));
             writes.add(Write.put(job.key(), job.encode(valueBytes)));
         }
-        store.commit(
+        store.compareAndSwap(
                 conditions,
                 writes,
                 result -> {
@@ -91,9 +94,9 @@
     private void written(List<JobRecord> batch, int valueBytes, CommitResult result) {
         switch (result.outcome()) {
             case COMMITTED -> committed(batch, result.revision());
-            case REFUSED -> {
+            case REJECTED -> {
                 // A leader that has been replaced leaves the records to the next one.
-                if (!result.failed().contains(leadership.condition().key())) {
+                if (!result.failed().contains(leadership.termCondition().key())) {
                     refused(batch);
                 }
             }
@@ -102,7 +105,7 @@
                     refused(batch);
                 }
             }
-            case NOT_NOW, UNKNOWN -> {}
+            case RETRYABLE, UNKNOWN -> {}
         }
     }
 
--- a/src/main/java/org/springmill/control/coordination/Cancellations.java
+++ b/src/main/java/org/springmill/control/coordination/Cancellations.java
@@ -6,7 +6,7 @@
 import java.util.Map;
 import java.util.TreeMap;
 import org.springmill.protocol.PeerMessages.Cancellation;
-import org.springmill.protocol.PeerMessages.News;
+import org.springmill.protocol.PeerMessages.CancellationDelta;
 
 /**
  * The cancellations that this process knows of, in the order in which it learned of them, so that
@@ -78,23 +78,23 @@
      * @param known what that one says of itself in its question
      * @param informed whether this process has read the job records, and so forgotten nothing
      */
-    News lackedBy(News known, boolean informed) {
+    CancellationDelta deltaFor(CancellationDelta known, boolean informed) {
         if (known.revision() < 0) {
             // A controller of the version before this: it would be told everything again in every
             // answer.
-            return News.NONE;
+            return CancellationDelta.NONE;
         }
-        boolean mine = (known.bookmark() & -(1L << INDEX_BITS)) == tag;
-        long from = mine ? Math.min(nextIndex, known.bookmark() & 0xffff_ffffL) : 0;
+        boolean mine = (known.cursor() & -(1L << INDEX_BITS)) == tag;
+        long from = mine ? Math.min(nextIndex, known.cursor() & 0xffff_ffffL) : 0;
         List<Cancellation> lacked = new ArrayList<>();
         for (Map.Entry<Long, Cancellation> entry : learned.tailMap(from).entrySet()) {
-            if (lacked.size() == News.MOST) {
-                return new News(0, tag | entry.getKey(), false, informed, lacked);
+            if (lacked.size() == CancellationDelta.MAX_CANCELLATIONS) {
+                return new CancellationDelta(0, tag | entry.getKey(), false, informed, lacked);
             }
             if (entry.getValue().revision() > known.revision()) {
                 lacked.add(entry.getValue());
             }
         }
-        return new News(0, tag | nextIndex, true, informed, lacked);
+        return new CancellationDelta(0, tag | nextIndex, true, informed, lacked);
     }
 }
--- a/src/main/java/org/springmill/control/coordination/WithheldRoom.java
+++ b/src/main/java/org/springmill/control/coordination/CapacityFilter.java
@@ -4,24 +4,24 @@
 import org.springmill.protocol.Resources;
 
 /** Free room on machines that some jobs may not use. */
-interface WithheldRoom {
+interface CapacityFilter {
     /** Nothing is withheld. */
-    WithheldRoom NONE =
-            new WithheldRoom() {
+    CapacityFilter NONE =
+            new CapacityFilter() {
                 @Override
-                public Resources from(Job job, Machine machine) {
+                public Resources withheldFrom(Job job, Machine machine) {
                     return Resources.NONE;
                 }
 
                 @Override
-                public Set<Job> jobsWithOwnRoom() {
+                public Set<Job> jobsWithReservedCapacity() {
                     return Set.of();
                 }
             };
 
     /** What a job may not use of a machine's free room. */
-    Resources from(Job job, Machine machine);
+    Resources withheldFrom(Job job, Machine machine);
 
     /** Jobs that may use room which others of their shape may not. */
-    Set<Job> jobsWithOwnRoom();
+    Set<Job> jobsWithReservedCapacity();
 }
--- a/src/main/java/org/springmill/control/coordination/CloudClient.java
+++ b/src/main/java/org/springmill/control/coordination/CloudClient.java
@@ -3,10 +3,10 @@
 import java.util.function.Consumer;
 import org.springmill.control.storage.RateLimit;
 import org.springmill.protocol.Settings;
+import org.springmill.transport.EventLoop;
 import org.springmill.transport.HttpClient;
 import org.springmill.transport.HttpClient.Reply;
 import org.springmill.transport.HttpClient.Request;
-import org.springmill.transport.Loop;
 
 /**
  * Sends one leader's requests to the cloud at no more than the agreed rate. It is closed at the end
@@ -22,18 +22,18 @@
     private static final double REQUESTS_PER_REPEAT = 2;
 
     private final HttpClient http;
-    private final Loop loop;
+    private final EventLoop loop;
     private final Settings settings;
-    private final Timing timing;
+    private final Timeouts timing;
     private final RateLimit rateLimit;
     private boolean closed;
 
-    CloudClient(HttpClient http, Loop loop, Settings settings, Timing timing) {
+    CloudClient(HttpClient http, EventLoop loop, Settings settings, Timeouts timing) {
         this.http = http;
         this.loop = loop;
         this.settings = settings;
         this.timing = timing;
-        this.rateLimit = new RateLimit(settings.cloud().requestsPerS(), loop.now());
+        this.rateLimit = new RateLimit(settings.cloudLimits().requestsPerSecond(), loop.now());
     }
 
     /** Ends the leader's term: no request is scheduled any more, and answers may be ignored. */
@@ -48,7 +48,8 @@
     /** The pause before a request is repeated, be it a regular one or one that failed. */
     double repeatSeconds() {
         return Math.max(
-                timing.reportS() / 2, REQUESTS_PER_REPEAT / settings.cloud().requestsPerS());
+                timing.heartbeatIntervalSeconds() / 2,
+                REQUESTS_PER_REPEAT / settings.cloudLimits().requestsPerSecond());
     }
 
     /** Seconds until the rate allows so many requests. */
@@ -78,7 +79,7 @@
     }
 
     private Request request(String method, String path, byte[] body) {
-        double timeoutSeconds = timing.leaseS() / ATTEMPTS_PER_LEASE;
+        double timeoutSeconds = timing.workerLeaseSeconds() / ATTEMPTS_PER_LEASE;
         return new Request(settings.cloudAddress(), method, path, body, timeoutSeconds);
     }
 }
--- a/src/main/java/org/springmill/control/coordination/ClusterState.java
+++ b/src/main/java/org/springmill/control/coordination/ClusterState.java
@@ -22,7 +22,7 @@
 
     private final Map<String, Job> jobs = new LinkedHashMap<>();
     private final Map<String, TeamUsage> teams = new HashMap<>();
-    private final Set<Attempt> ended = new LinkedHashSet<>();
+    private final Set<TaskAttempt> ended = new LinkedHashSet<>();
     private final Map<Priority, Integer> attempts = new EnumMap<>(Priority.class);
 
     ClusterState(Settings settings) {
@@ -61,14 +61,14 @@
                 team, name -> new TeamUsage(new Settings.Team(name, 0, 1e-9, 0, 1e-9)));
     }
 
-    void add(Attempt attempt) {
+    void add(TaskAttempt attempt) {
         attempt.job().add(attempt);
         attempt.machine().add(attempt);
         charge(attempt, 1);
     }
 
     /** Takes an attempt out: its end is committed, or its claim never was to be. */
-    void remove(Attempt attempt, double now) {
+    void remove(TaskAttempt attempt, double now) {
         ended.remove(attempt);
         attempt.job().remove(attempt);
         attempt.machine().remove(attempt, now);
@@ -79,32 +79,32 @@
     }
 
     /** Notes that an attempt was told to stop: it still counts, but gives nothing more back. */
-    void noteLeaving(Attempt attempt) {
+    void noteLeaving(TaskAttempt attempt) {
         if (attempt.markLeaving(true)) {
             usage(attempt.job().spec().team()).leaving(attempt.job().spec(), 1);
         }
     }
 
     /** Takes back that an attempt is to stop; false if it was told already, or is over. */
-    boolean noteStaying(Attempt attempt) {
+    boolean noteStaying(TaskAttempt attempt) {
         boolean told =
-                attempt.state() == Attempt.State.STOPPING
-                        || attempt.state() == Attempt.State.ENDED
-                        || attempt.state() == Attempt.State.GONE;
+                attempt.state() == TaskAttempt.State.STOPPING
+                        || attempt.state() == TaskAttempt.State.ENDED
+                        || attempt.state() == TaskAttempt.State.CLOSED;
         if (!told && attempt.markLeaving(false)) {
             usage(attempt.job().spec().team()).leaving(attempt.job().spec(), -1);
         }
         return !told;
     }
 
-    private void charge(Attempt attempt, int sign) {
+    private void charge(TaskAttempt attempt, int sign) {
         Submission spec = attempt.job().spec();
         usage(spec.team()).charge(spec, sign);
         attempts.merge(attempt.job().priority(), sign, Integer::sum);
     }
 
     /** Whether anything at all may be stopped for a job: most find at a glance that nothing may. */
-    boolean mayStopAnyFor(Job job) {
+    boolean mayPreemptFor(Job job) {
         String team = job.spec().team();
         return runsBelow(job.priority())
                 || (usage(team).guaranteedFor(job.spec()) && otherAboveGuarantee(team));
@@ -125,13 +125,13 @@
         teams.values().forEach(TeamUsage::releaseHeld);
     }
 
-    void noteEnded(Attempt attempt) {
+    void noteEnded(TaskAttempt attempt) {
         ended.add(attempt);
     }
 
-    List<Attempt> takeEnded(int most) {
-        List<Attempt> taken = new ArrayList<>();
-        for (Attempt attempt : ended) {
+    List<TaskAttempt> drainEnded(int most) {
+        List<TaskAttempt> taken = new ArrayList<>();
+        for (TaskAttempt attempt : ended) {
             if (taken.size() == most) {
                 break;
             }
@@ -142,7 +142,7 @@
     }
 
     /** Attempts known to have ended whose end is not yet committed, the earliest first. */
-    Collection<Attempt> ended() {
+    Collection<TaskAttempt> ended() {
         return Collections.unmodifiableSet(ended);
     }
 
--- a/src/main/java/org/springmill/control/coordination/ClusterRebuild.java
+++ b/src/main/java/org/springmill/control/coordination/ClusterStateRecovery.java
@@ -8,24 +8,24 @@
 import org.springmill.control.storage.Claim;
 import org.springmill.control.storage.JobRecord;
 import org.springmill.control.storage.RoundLog;
-import org.springmill.transport.Loop;
+import org.springmill.transport.EventLoop;
 
 /** Makes a new leader's jobs and attempts of what earlier leaders have committed. */
-final class ClusterRebuild {
-    private static final Logger LOG = LoggerFactory.getLogger(ClusterRebuild.class);
+final class ClusterStateRecovery {
+    private static final Logger LOG = LoggerFactory.getLogger(ClusterStateRecovery.class);
 
     private final JobDirectory directory;
     private final ClusterState clusterState;
     private final Fleet fleet;
-    private final JobEnds jobEnds;
-    private final Loop loop;
+    private final JobCompletion jobEnds;
+    private final EventLoop loop;
 
-    ClusterRebuild(
+    ClusterStateRecovery(
             JobDirectory directory,
             ClusterState clusterState,
             Fleet fleet,
-            JobEnds jobEnds,
-            Loop loop) {
+            JobCompletion jobEnds,
+            EventLoop loop) {
         this.directory = directory;
         this.clusterState = clusterState;
         this.fleet = fleet;
@@ -66,10 +66,10 @@
         }
         Job job = known == null ? jobEnds.endedJob(claim.task().job()) : known;
         Machine machine = fleet.machine(claim.machine());
-        Attempt attempt = new Attempt(claim, job, machine, loop.now());
-        attempt.exposed(machine.token() - 1, 0);
+        TaskAttempt attempt = new TaskAttempt(claim, job, machine, loop.now());
+        attempt.recordStartSent(machine.fencingToken() - 1, 0);
         clusterState.add(attempt);
-        attempt.transition(Attempt.State.UNKNOWN, loop.now());
+        attempt.transition(TaskAttempt.State.UNKNOWN, loop.now());
         if (!job.active()) {
             fleet.stop(attempt, 0);
         }
--- a/src/main/java/org/springmill/control/coordination/CommandDispatcher.java
+++ b/src/main/java/org/springmill/control/coordination/CommandDispatcher.java
@@ -5,15 +5,15 @@
 import java.util.List;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import org.springmill.protocol.BadMessageException;
+import org.springmill.protocol.MalformedMessageException;
 import org.springmill.protocol.WorkerMessages;
 import org.springmill.protocol.WorkerMessages.Command;
 import org.springmill.protocol.WorkerMessages.Forget;
-import org.springmill.protocol.WorkerMessages.Report;
+import org.springmill.protocol.WorkerMessages.Heartbeat;
 import org.springmill.protocol.WorkerMessages.Start;
 import org.springmill.protocol.WorkerMessages.Stop;
-import org.springmill.protocol.WorkerMessages.TaskReport;
 import org.springmill.protocol.WorkerMessages.TaskState;
+import org.springmill.protocol.WorkerMessages.TaskStatus;
 import org.springmill.transport.HttpClient;
 import org.springmill.transport.HttpClient.Reply;
 
@@ -48,23 +48,23 @@
     private static final int CONFLICT = 409;
 
     /** Takes a worker's report. */
-    interface ReportTaker {
+    interface HeartbeatConsumer {
         /** Takes the report that a machine answered to a request. */
-        void accept(Machine machine, Report report);
+        void accept(Machine machine, Heartbeat report);
     }
 
     private final Fleet fleet;
     private final HttpClient http;
-    private final Timing timing;
-    private final ReportTaker reports;
+    private final Timeouts timing;
+    private final HeartbeatConsumer heartbeats;
     private int probes;
     private boolean closed;
 
-    CommandDispatcher(Fleet fleet, HttpClient http, Timing timing, ReportTaker reports) {
+    CommandDispatcher(Fleet fleet, HttpClient http, Timeouts timing, HeartbeatConsumer reports) {
         this.fleet = fleet;
         this.http = http;
         this.timing = timing;
-        this.reports = reports;
+        this.heartbeats = reports;
     }
 
     /** Sends nothing more, and takes no more answers. */
@@ -73,38 +73,38 @@
     }
 
     private double resendIntervalSeconds() {
-        return timing.reportS() / RESENDS_PER_REPORT;
+        return timing.heartbeatIntervalSeconds() / RESENDS_PER_REPORT;
     }
 
     /** Sends what is due to a machine, if anything is. */
-    void poke(Machine machine) {
+    void requestSend(Machine machine) {
         if (closed || !canBeAsked(machine)) {
             return;
         }
-        List<Command> due = machine.session() == 0 ? List.of() : due(machine);
-        boolean probe = due.isEmpty() && machine.session() == 0;
-        boolean nothingToAsk = due.isEmpty() && !machine.askAgain;
+        List<Command> due = machine.epoch() == 0 ? List.of() : due(machine);
+        boolean probe = due.isEmpty() && machine.epoch() == 0;
+        boolean nothingToAsk = due.isEmpty() && !machine.statusRequested;
         if (nothingToAsk || (probe && probes >= maxProbes())) {
             return;
         }
-        machine.askAgain = false;
+        machine.statusRequested = false;
         machine.commandsInFlight = true;
         probes += probe ? 1 : 0;
         // A worker that has not reported yet is most likely in its first session; if not, its
         // refusal tells.
-        long session = Math.max(1, machine.session());
-        byte[] body = WorkerMessages.orders(machine.token(), session, due);
-        LOG.debug("{} <- {} token {}", machine.name(), due, machine.token());
+        long session = Math.max(1, machine.epoch());
+        byte[] body = WorkerMessages.encodeCommands(machine.fencingToken(), session, due);
+        LOG.debug("{} <- {} token {}", machine.name(), due, machine.fencingToken());
         http.send(
                 new HttpClient.Request(
                         machine.address(),
                         "POST",
-                        WorkerMessages.ORDERS,
+                        WorkerMessages.COMMANDS_PATH,
                         body,
-                        timing.orderTimeoutS()),
+                        timing.commandTimeoutSeconds()),
                 reply -> {
                     probes -= probe ? 1 : 0;
-                    answered(machine, reply);
+                    responseReceived(machine, reply);
                 });
     }
 
@@ -114,41 +114,42 @@
 
     private boolean canBeAsked(Machine machine) {
         boolean mayRun =
-                machine.state() == Machine.State.UP || machine.state() == Machine.State.EXPECTED;
+                machine.state() == Machine.State.UP
+                        || machine.state() == Machine.State.PROVISIONING;
         return mayRun
                 && !machine.commandsInFlight
-                && fleet.now() >= machine.nextOrders
+                && fleet.now() >= machine.nextCommandsAt
                 && !machine.address().isEmpty();
     }
 
-    private void answered(Machine machine, Reply reply) {
+    private void responseReceived(Machine machine, Reply reply) {
         machine.commandsInFlight = false;
         if (closed) {
             return;
         }
         if (reply.status() != OK && reply.status() != CONFLICT) {
             LOG.debug("{} gives no answer to orders ({})", machine.name(), reply.status());
-            machine.ordersFailed();
-            machine.askAgain = true;
-            machine.nextOrders = fleet.now() + resendIntervalSeconds();
+            machine.commandsFailed();
+            machine.statusRequested = true;
+            machine.nextCommandsAt = fleet.now() + resendIntervalSeconds();
             return;
         }
-        machine.ordersWorked();
-        takeReport(machine, reply);
+        machine.commandsSucceeded();
+        acceptHeartbeat(machine, reply);
         if (reply.status() == CONFLICT) {
             double pauseSeconds = resendIntervalSeconds() / SOONER_AFTER_REFUSAL_RATIO;
-            machine.nextOrders = fleet.now() + pauseSeconds;
+            machine.nextCommandsAt = fleet.now() + pauseSeconds;
         }
-        poke(machine);
+        requestSend(machine);
     }
 
-    private void takeReport(Machine machine, Reply reply) {
+    private void acceptHeartbeat(Machine machine, Reply reply) {
         try {
-            Report report = WorkerMessages.report(reply.body());
+            Heartbeat report = WorkerMessages.decodeHeartbeat(reply.body());
             if (report.machine().equals(machine.name())) {
-                reports.accept(machine, report);
+                heartbeats.accept(machine, report);
             }
-        } catch (BadMessageException e) {
+        } catch (MalformedMessageException e) {
             LOG.warn("{}: {}", machine.name(), e.getMessage());
         }
     }
@@ -159,11 +160,11 @@
      */
     List<Command> due(Machine machine) {
         double now = fleet.now();
-        List<Attempt> starts = new ArrayList<>();
+        List<TaskAttempt> starts = new ArrayList<>();
         List<Command> commands = new ArrayList<>();
         boolean raiseToken = false;
-        for (Attempt attempt : machine.attempts()) {
-            if (now < attempt.nextSend()) {
+        for (TaskAttempt attempt : machine.attempts()) {
+            if (now < attempt.nextSendAt()) {
                 continue;
             }
             switch (attempt.state()) {
@@ -173,13 +174,13 @@
                     }
                 }
                 case STOPPING -> {
-                    attempt.sendAgainAt(now + resendIntervalSeconds());
+                    attempt.scheduleResend(now + resendIntervalSeconds());
                     commands.add(stop(attempt));
                     raiseToken |= startMayBeOnTheWay(machine, attempt);
                 }
                 case UNKNOWN -> {
-                    attempt.sendAgainAt(now + resendIntervalSeconds());
-                    machine.askAgain = true;
+                    attempt.scheduleResend(now + resendIntervalSeconds());
+                    machine.statusRequested = true;
                     raiseToken |= startMayBeOnTheWay(machine, attempt);
                 }
                 default -> {}
@@ -187,33 +188,33 @@
         }
         raiseToken |= removeUnknownTasks(machine, now, commands);
         if (raiseToken) {
-            machine.worker().raiseToken();
+            machine.workerEpoch().raiseFencingToken();
         }
         addStarts(machine, starts, commands);
         return commands;
     }
 
-    private boolean startIsDue(Machine machine, Attempt attempt, double now) {
+    private boolean startIsDue(Machine machine, TaskAttempt attempt, double now) {
         boolean sentToEarlierSession =
-                attempt.session() != 0 && attempt.session() != machine.session();
+                attempt.startEpoch() != 0 && attempt.startEpoch() != machine.epoch();
         if (sentToEarlierSession) {
             // Not to be started anew under the same key.
             return false;
         }
-        if (attempt.state() == Attempt.State.CLAIMED) {
-            attempt.transition(Attempt.State.SENT, now);
+        if (attempt.state() == TaskAttempt.State.CLAIMED) {
+            attempt.transition(TaskAttempt.State.SENT, now);
         }
-        attempt.sendAgainAt(now + resendIntervalSeconds());
+        attempt.scheduleResend(now + resendIntervalSeconds());
         return true;
     }
 
-    private static Stop stop(Attempt attempt) {
-        return new Stop(attempt.claim().task(), attempt.claim().round(), attempt.graceS());
+    private static Stop stop(TaskAttempt attempt) {
+        return new Stop(attempt.claim().task(), attempt.claim().round(), attempt.graceSeconds());
     }
 
     /** If so, the attempt's absence proves something only under a higher token. */
-    private static boolean startMayBeOnTheWay(Machine machine, Attempt attempt) {
-        return attempt.exposedToken() >= machine.token();
+    private static boolean startMayBeOnTheWay(Machine machine, TaskAttempt attempt) {
+        return attempt.highestStartToken() >= machine.fencingToken();
     }
 
     /**
@@ -224,17 +225,17 @@
      *     up by the network would run anew, so it is made void first
      */
     private boolean removeUnknownTasks(Machine machine, double now, List<Command> commands) {
-        if (now < machine.nextStray || machine.allReportedKnown()) {
+        if (now < machine.nextUnknownTaskCleanupAt || machine.reportedTasksAllKnown()) {
             return false;
         }
         boolean raiseToken = false;
         boolean allKnown = true;
-        for (TaskReport task : machine.reported()) {
+        for (TaskStatus task : machine.reportedTasks()) {
             if (machine.find(task) != null) {
                 continue;
             }
             allKnown = false;
-            machine.nextStray = now + resendIntervalSeconds();
+            machine.nextUnknownTaskCleanupAt = now + resendIntervalSeconds();
             if (task.state() == TaskState.EXITED) {
                 commands.add(new Forget(task.task(), task.attempt()));
                 raiseToken = true;
@@ -243,16 +244,17 @@
             }
         }
         if (allKnown) {
-            machine.noteAllReportedKnown();
+            machine.markReportedTasksKnown();
         }
         return raiseToken;
     }
 
     /** A machine fetches images in the order of the starts: a small one hardly delays a large. */
-    private static void addStarts(Machine machine, List<Attempt> starts, List<Command> commands) {
+    private static void addStarts(
+            Machine machine, List<TaskAttempt> starts, List<Command> commands) {
         starts.sort(Comparator.comparingDouble(attempt -> attempt.job().spec().imageGb()));
-        for (Attempt attempt : starts) {
-            attempt.exposed(machine.token(), machine.session());
+        for (TaskAttempt attempt : starts) {
+            attempt.recordStartSent(machine.fencingToken(), machine.epoch());
             commands.add(new Start(attempt.claim().task(), attempt.claim().round()));
         }
     }
--- a/src/main/java/org/springmill/control/coordination/EndBatching.java
+++ b/src/main/java/org/springmill/control/coordination/CompletionBatching.java
@@ -3,20 +3,20 @@
 import java.util.Collection;
 import java.util.HashMap;
 import java.util.Map;
-import org.springmill.protocol.WorkerMessages.Cause;
+import org.springmill.protocol.WorkerMessages.ExitCause;
 
 /**
  * Decides whether ended attempts may wait for a later round. Every round costs writes of the state
  * service, and at a low limit a round for each single end kept the claims of new work waiting for
  * the budget. An end that nothing depends on is committed together with later ones.
  */
-final class EndBatching {
+final class CompletionBatching {
     /** Longest wait, in gaps between rounds: short against what a start may take. */
     private static final double MAX_WAIT_GAPS = 4;
 
     private final double maxWaitSeconds;
 
-    EndBatching(double roundGapSeconds) {
+    CompletionBatching(double roundGapSeconds) {
         this.maxWaitSeconds = MAX_WAIT_GAPS * roundGapSeconds;
     }
 
@@ -26,16 +26,16 @@
      *
      * @param workWaits whether any task waits to be placed, perhaps for the room that an end frees
      */
-    double postponeSeconds(Collection<Attempt> ended, boolean workWaits, double now) {
+    double postponeSeconds(Collection<TaskAttempt> ended, boolean workWaits, double now) {
         if (workWaits) {
             return 0;
         }
         Map<Job, Integer> finishedTasks = new HashMap<>();
         double firstEnd = now;
-        for (Attempt attempt : ended) {
+        for (TaskAttempt attempt : ended) {
             Job job = attempt.job();
-            firstEnd = Math.min(firstEnd, attempt.since());
-            if (job.active() && attempt.cause() != Cause.DONE) {
+            firstEnd = Math.min(firstEnd, attempt.stateSince());
+            if (job.active() && attempt.cause() != ExitCause.DONE) {
                 return 0;
             }
             int finished = finishedTasks.merge(job, 1, Integer::sum);
--- a/src/main/java/org/springmill/control/coordination/Controller.java
+++ b/src/main/java/org/springmill/control/coordination/Controller.java
@@ -6,25 +6,25 @@
 import java.util.function.ToDoubleFunction;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
+import org.springmill.control.admission.ActiveJobs;
 import org.springmill.control.admission.AdmissionControl;
 import org.springmill.control.admission.AdmissionReason;
 import org.springmill.control.admission.Congestion;
-import org.springmill.control.admission.LiveWork;
-import org.springmill.control.admission.StateShares;
-import org.springmill.control.history.HistoryMembers;
+import org.springmill.control.admission.StoreRateShares;
+import org.springmill.control.history.HistoryMembership;
 import org.springmill.control.storage.JobRecord;
-import org.springmill.control.storage.StateStore;
-import org.springmill.protocol.BadMessageException;
+import org.springmill.control.storage.KeyValueStoreClient;
+import org.springmill.protocol.MalformedMessageException;
+import org.springmill.protocol.PeerMessages.CancellationDelta;
 import org.springmill.protocol.PeerMessages.JobProgress;
-import org.springmill.protocol.PeerMessages.News;
-import org.springmill.protocol.PeerMessages.Status;
+import org.springmill.protocol.PeerMessages.PeerStatus;
 import org.springmill.protocol.Settings;
 import org.springmill.protocol.UserMessages;
 import org.springmill.protocol.WorkerMessages;
-import org.springmill.protocol.WorkerMessages.Report;
+import org.springmill.protocol.WorkerMessages.Heartbeat;
+import org.springmill.transport.EventLoop;
 import org.springmill.transport.HttpClient;
 import org.springmill.transport.HttpHandler;
-import org.springmill.transport.Loop;
 import org.springmill.transport.PeerLink;
 
 /**
@@ -44,11 +44,11 @@
     private static final double EXPECTED_WAIT_SHARE = 0.8;
 
     private final HttpClient http;
-    private final Loop loop;
+    private final EventLoop loop;
     private final Settings settings;
-    private final Timing timing;
-    private final StateStore store;
-    private final PauseDetector pauses;
+    private final Timeouts timing;
+    private final KeyValueStoreClient store;
+    private final ProcessPauseDetector pauses;
     private final JobDirectory directory;
     private final MachineTypeCatalog catalog;
     private final Peers peers;
@@ -58,14 +58,14 @@
     private final UserApi userApi;
     private final Metrics metrics;
     private final RemoteProgress remoteProgress;
-    private final UnservedWorkers unservedWorkers;
-    private final StateShares shares;
-    private final LiveWork live;
+    private final RedirectedWorkers unservedWorkers;
+    private final StoreRateShares shares;
+    private final ActiveJobs live;
     private final Congestion congestion;
     private final AdmissionControl admission;
 
     /** Empty unless the operators have switched the bounded history on. */
-    private final Optional<HistoryMembers> historyMembers;
+    private final Optional<HistoryMembership> historyMembers;
 
     private double resumedAt = Double.NEGATIVE_INFINITY;
 
@@ -79,25 +79,25 @@
      */
     public Controller(
             Settings settings,
-            Loop bareLoop,
+            EventLoop bareLoop,
             HttpClient bareHttp,
             PeerLink bareLink,
             SplittableRandom random,
             double heapBytes) {
         this.settings = settings;
-        timing = Timing.of(settings);
-        pauses = new PauseDetector(bareLoop, timing.pauseSeconds());
-        loop = pauses.watch(bareLoop);
-        http = pauses.watch(bareHttp);
-        PeerLink link = pauses.watch(bareLink);
+        timing = Timeouts.of(settings);
+        pauses = new ProcessPauseDetector(bareLoop, timing.pauseThresholdSeconds());
+        loop = pauses.wrap(bareLoop);
+        http = pauses.wrap(bareHttp);
+        PeerLink link = pauses.wrap(bareLink);
         metrics = new Metrics(loop);
         remoteProgress = new RemoteProgress(loop, timing);
-        unservedWorkers = new UnservedWorkers(loop, timing);
-        store = new StateStore(http, loop, settings, timing.stateTimeoutS());
+        unservedWorkers = new RedirectedWorkers(loop, timing);
+        store = new KeyValueStoreClient(http, loop, settings, timing.storeRequestTimeoutSeconds());
         directory = new JobDirectory(store, loop, timing, random.nextInt());
         catalog = new MachineTypeCatalog(http, loop, settings);
         shares = stateShares();
-        store.keepTo(shares);
+        store.useShare(shares);
         peers = new Peers(link, loop, settings, timing, directory, shares, this::status);
         cancellationFreshness = new CancellationFreshness(directory, peers, loop, timing);
         String incarnation = Long.toHexString(random.nextLong());
@@ -106,13 +106,13 @@
                         store, loop, settings, timing, peers, incarnation, new TermListener());
         leaseKeepalive =
                 new LeaseKeepalive(store, peers, leadership, cancellationFreshness, loop, timing);
-        live = new LiveWork(loop.now());
-        congestion = new Congestion(timing.reportS() * CONGESTION_VALID_INTERVALS);
+        live = new ActiveJobs(loop.now());
+        congestion = new Congestion(timing.heartbeatIntervalSeconds() * CONGESTION_VALID_INTERVALS);
         admission = admission(random, heapBytes);
         userApi = userApi();
 
         historyMembers =
-                settings.operator().historyRetentionS().isPresent()
+                settings.operator().historyRetentionSeconds().isPresent()
                         ? Optional.of(historyMembers())
                         : Optional.empty();
 
@@ -120,22 +120,22 @@
         directory.onChange(this::jobChanged);
         directory.onForget(id -> live.ended(id, loop.now()));
         peers.onProgress(remoteProgress::receive);
-        peers.onCongested(congested -> congestion.told(congested.queues(), loop.now()));
-        peers.onSilentRefusal(leadership::leaderRefuses);
+        peers.onCongested(congested -> congestion.update(congested.queues(), loop.now()));
+        peers.onUnresponsiveLeader(leadership::leaderRefusedConnection);
         store.onCommit(metrics::commitAnswered);
         addGauges();
     }
 
-    private StateShares stateShares() {
+    private StoreRateShares stateShares() {
         double leaderShare = settings.operator().leaderShare();
-        return new StateShares(
+        return new StoreRateShares(
                 loop,
                 this::validTerm,
                 leaderShare,
                 settings.controllers(),
-                timing.renewS(),
-                Timing.DRIFT,
-                settings.state().writesPerS());
+                timing.leaderRenewIntervalSeconds(),
+                Timeouts.DRIFT,
+                settings.storeLimits().writesPerSecond());
     }
 
     /** The term that this controller leads, sure of its lease; 0 if there is none. */
@@ -144,7 +144,8 @@
     }
 
     private AdmissionControl admission(SplittableRandom random, double heapBytes) {
-        double answerWithin = JobAnswers.ANSWER_WITHIN_S - timing.stateTimeoutS();
+        double answerWithin =
+                JobStatusResponses.ANSWER_WITHIN_SECONDS - timing.storeRequestTimeoutSeconds();
         return new AdmissionControl(
                 loop,
                 settings,
@@ -157,7 +158,7 @@
     }
 
     private UserApi userApi() {
-        JobAnswers answers = new JobAnswers(this::progressOf);
+        JobStatusResponses answers = new JobStatusResponses(this::progressOf);
         SubmissionHandler submissions =
                 new SubmissionHandler(
                         directory,
@@ -170,39 +171,40 @@
                         admission,
                         live,
                         settings.operator().pendingSubmissions());
-        return new UserApi(directory, store, loop, timing, answers, peers::tell, submissions);
+        return new UserApi(
+                directory, store, loop, timing, answers, peers::broadcastCancellation, submissions);
     }
 
-    private HistoryMembers historyMembers() {
-        return new HistoryMembers(
+    private HistoryMembership historyMembers() {
+        return new HistoryMembership(
                 store,
                 loop,
                 settings.node(),
                 settings.peers().keySet(),
                 peers::anyWithoutHistory,
-                timing.leaseS());
+                timing.workerLeaseSeconds());
     }
 
     private void addGauges() {
         metrics.gauge("leading", leadership, l -> l.mayPlace() ? 1 : 0);
         metrics.gauge("state_service_up", store, s -> s.reachable() ? 1 : 0);
-        metrics.gauge("state_service_queued_requests", store, StateStore::backlog);
+        metrics.gauge("state_service_queued_requests", store, KeyValueStoreClient::backlog);
         metrics.gauge(
                 "cancellation_staleness_seconds",
                 cancellationFreshness,
-                CancellationFreshness::age);
+                CancellationFreshness::ageSeconds);
         metrics.gauge("jobs", directory, d -> d.all().size());
-        metrics.gauge("live_jobs", live, LiveWork::jobs);
+        metrics.gauge("live_jobs", live, ActiveJobs::jobs);
         metrics.gauge("job_memory_bytes", admission, AdmissionControl::usedBytes);
         metrics.gauge("job_memory_bound_bytes", admission, AdmissionControl::boundBytes);
         metrics.gauge("congested_queues", congestion, c -> c.queues(loop.now()));
-        metrics.gauge("state_service_share", shares, StateShares::current);
+        metrics.gauge("state_service_share", shares, StoreRateShares::current);
         for (AdmissionReason reason : AdmissionReason.values()) {
             String name = "submissions_refused_" + reason.name().toLowerCase(Locale.ROOT);
             metrics.counter(name, admission, a -> a.refused(reason));
         }
         metrics.gauge("cancellations", directory, JobDirectory::cancellationCount);
-        metrics.gauge("moved_jobs_in_memory", directory, JobDirectory::movedInMemory);
+        metrics.gauge("moved_jobs_in_memory", directory, JobDirectory::archivedInMemory);
         addLeaderGauge("job_records_to_move", Leader::recordsToMove);
         addLeaderGauge("tasks_waiting", Leader::waitingTasks);
         addLeaderGauge("tasks_running", Leader::runningTasks);
@@ -220,7 +222,7 @@
                         controller.leader == null ? 0 : value.applyAsDouble(controller.leader));
     }
 
-    /** Begins to talk to the state service, the cloud and the other controllers. */
+    /** Begins to talk to the key-value store, the cloud and the other controllers. */
     public void start() {
         LOG.info("controller {} in {} starts", settings.node(), settings.zone());
         pauses.start();
@@ -230,7 +232,7 @@
         catalog.start();
         directory.start();
         cancellationFreshness.start();
-        historyMembers.ifPresent(HistoryMembers::register);
+        historyMembers.ifPresent(HistoryMembership::register);
     }
 
     /** This controller stood still: nothing that it knew of others before is known still. */
@@ -247,13 +249,13 @@
 
     @Override
     public void handle(Call call) {
-        pauses.turn();
+        pauses.beginLoopTurn();
         String path = call.path();
-        if (path.equals(WorkerMessages.REPORT)) {
+        if (path.equals(WorkerMessages.HEARTBEAT_PATH)) {
             handleReport(call);
             return;
         }
-        leaseKeepalive.reachedByUsers();
+        leaseKeepalive.recordUserRequest();
         if (path.equals(UserMessages.READY)) {
             handleReady(call);
         } else if (isSubmissionPath(path)) {
@@ -299,13 +301,13 @@
         if (!directory.loaded() || !catalog.known()) {
             return false;
         }
-        boolean othersAreServed = peers.someReachState();
+        boolean othersAreServed = peers.anyReachesStore();
         return !lacksStateService() || !(othersAreServed || isolated());
     }
 
     private boolean lacksStateService() {
         double lastServed = Math.max(store.lastServed(), resumedAt);
-        return !store.reachable() && loop.now() - lastServed > timing.leaderTtlS() / 2;
+        return !store.reachable() && loop.now() - lastServed > timing.leaderLeaseSeconds() / 2;
     }
 
     /**
@@ -314,24 +316,24 @@
      * is, while all others are served.
      */
     private boolean isolated() {
-        double lastHeard = Math.max(store.lastServed(), peers.lastHeard());
-        return loop.now() - Math.max(lastHeard, resumedAt) > timing.leaseS();
+        double lastHeard = Math.max(store.lastServed(), peers.lastHeardAt());
+        return loop.now() - Math.max(lastHeard, resumedAt) > timing.workerLeaseSeconds();
     }
 
     /** What this controller tells the others of itself; {@link Peers} fills in the numbers. */
-    private Status status() {
-        return new Status(
+    private PeerStatus status() {
+        return new PeerStatus(
                 settings.node(),
                 0,
                 0,
                 store.reachable(),
-                leadership.mayAnswer(),
-                leadership.informed(),
+                leadership.mayRespondToWorkers(),
+                leadership.hasReadLeaderRecord(),
                 unservedWorkers.count(),
                 false,
                 0,
                 leadership.knownTerm(),
-                News.NONE,
+                CancellationDelta.NONE,
                 historyMembers.isPresent(),
                 0);
     }
@@ -341,17 +343,17 @@
             reply(call, 405);
             return;
         }
-        Report report;
+        Heartbeat report;
         try {
-            report = WorkerMessages.report(call.body());
-        } catch (BadMessageException e) {
+            report = WorkerMessages.decodeHeartbeat(call.body());
+        } catch (MalformedMessageException e) {
             call.reply(400, UserMessages.error(e.getMessage()), 0);
             return;
         }
-        boolean mayLead = leader != null && leadership.mayAnswer();
-        if (mayLead && cancellationFreshness.covers()) {
+        boolean mayLead = leader != null && leadership.mayRespondToWorkers();
+        if (mayLead && cancellationFreshness.isFresh()) {
             leader.report(call, report);
-        } else if (leaseKeepalive.keeps(report, leader != null)) {
+        } else if (leaseKeepalive.mayRenewLease(report, leader != null)) {
             renewLease(call, report);
         } else {
             sendAway(call, report);
@@ -362,12 +364,14 @@
      * Renews a worker's lease under its own token. The only commands are stops of cancelled tasks,
      * for whoever renews a lease may not leave those running.
      */
-    private void renewLease(Call call, Report report) {
-        byte[] answer = WorkerMessages.reportAnswer(report.token(), directory.stopsFor(report));
+    private void renewLease(Call call, Heartbeat report) {
+        byte[] answer =
+                WorkerMessages.encodeHeartbeatResponse(
+                        report.fencingToken(), directory.stopCommandsFor(report));
         call.reply(200, answer, 0);
     }
 
-    private void sendAway(Call call, Report report) {
+    private void sendAway(Call call, Heartbeat report) {
         // Only workers sent away count. With those whose lease was just renewed, a leader that
         // could
         // not be reached during a partition would seem to have lost them once it is over.
@@ -376,7 +380,7 @@
         if (leadingNode == null || leadingNode.equals(settings.node())) {
             reply(call, 503);
         } else {
-            call.reply(421, WorkerMessages.redirect(leadingNode), 0);
+            call.reply(421, WorkerMessages.encodeRedirect(leadingNode), 0);
         }
     }
 
--- a/src/main/java/org/springmill/control/coordination/DemandPacking.java
+++ b/src/main/java/org/springmill/control/coordination/DemandPacking.java
@@ -18,7 +18,7 @@
      * A plan rents no more machines than can be asked for in so many requests. A bound on all
      * machines together would end rentals for good in a fleet that has grown past it.
      */
-    private static final int MAX_PLANNED = CloudMessages.MAX_RENT * 4;
+    private static final int MAX_PLANNED = CloudMessages.MAX_RENTALS * 4;
 
     /**
      * Per task of the job in a zone: less than any difference in price that matters, so that among
@@ -44,7 +44,7 @@
     private int planned;
 
     /** The first bin that may have room for a shape: those before it were found to have none. */
-    private final Map<TaskShape, Integer> firstOpenBin = new HashMap<>();
+    private final Map<EquivalenceClass, Integer> firstOpenBin = new HashMap<>();
 
     /**
      * @param types all types that the cloud offers
--- a/src/main/java/org/springmill/control/coordination/DependencyPriority.java
+++ b/src/main/java/org/springmill/control/coordination/DependencyPriority.java
@@ -92,7 +92,7 @@
 
     /** A pipeline may have a single job, which then has the deadline. */
     private static boolean hasRankOfItsOwn(Job job) {
-        return job.spec().deadlineS() != null || !job.spec().dependencies().isEmpty();
+        return job.spec().deadlineSeconds() != null || !job.spec().dependencies().isEmpty();
     }
 
     private void queue(Job job) {
@@ -109,16 +109,16 @@
             priority = ranks.highestPriority(priority);
             due = Math.min(due, ranks.earliestLatestStart());
         }
-        return new Rank(priority, due - job.spec().estimateS());
+        return new Rank(priority, due - job.spec().estimatedRunSeconds());
     }
 
     /** Time of day; infinite without a deadline, or if it is not known since when it counts. */
     private double ownDeadline(Job job) {
         JobRecord record = directory.get(job.id());
-        Double deadlineS = job.spec().deadlineS();
-        return deadlineS == null || record.acceptedAt() == 0
+        Double deadlineSeconds = job.spec().deadlineSeconds();
+        return deadlineSeconds == null || record.acceptedAt() == 0
                 ? Double.POSITIVE_INFINITY
-                : record.acceptedAt() + deadlineS;
+                : record.acceptedAt() + deadlineSeconds;
     }
 
     private void apply(Job job, Rank rank) {
--- a/src/main/java/org/springmill/control/coordination/ExhaustedShapes.java
+++ b/src/main/java/org/springmill/control/coordination/ExhaustedEquivalenceClasses.java
@@ -9,27 +9,27 @@
  * during a pass, so later jobs of these shapes need not look. Ranking all machines for each of some
  * hundred one-task jobs, in every round, took a leader all of its processor time.
  */
-final class ExhaustedShapes {
-    private final Set<TaskShape> shapes = new HashSet<>();
+final class ExhaustedEquivalenceClasses {
+    private final Set<EquivalenceClass> classes = new HashSet<>();
 
     /** Jobs for which some machine keeps room that others of their shape do not have. */
-    private final Set<Job> jobsWithOwnRoom;
+    private final Set<Job> jobsWithReservedCapacity;
 
-    ExhaustedShapes(Set<Job> jobsWithOwnRoom) {
-        this.jobsWithOwnRoom = jobsWithOwnRoom;
+    ExhaustedEquivalenceClasses(Set<Job> jobsWithOwnRoom) {
+        this.jobsWithReservedCapacity = jobsWithOwnRoom;
     }
 
     /** Notes that no machine has room for one more task of a job. */
     void add(Job job) {
-        TaskShape.of(job).ifPresent(shapes::add);
+        EquivalenceClass.of(job).ifPresent(classes::add);
     }
 
     /** Whether it is known without a look that no machine has room for a job. */
     boolean cover(Job job) {
-        if (shapes.isEmpty() || jobsWithOwnRoom.contains(job)) {
+        if (classes.isEmpty() || jobsWithReservedCapacity.contains(job)) {
             return false;
         }
-        Optional<TaskShape> shape = TaskShape.of(job);
-        return shape.isPresent() && shapes.contains(shape.get());
+        Optional<EquivalenceClass> shape = EquivalenceClass.of(job);
+        return shape.isPresent() && classes.contains(shape.get());
     }
 }
--- a/src/main/java/org/springmill/control/coordination/Fleet.java
+++ b/src/main/java/org/springmill/control/coordination/Fleet.java
@@ -7,9 +7,9 @@
 import java.util.Map;
 import org.springmill.control.storage.ImageLocations;
 import org.springmill.protocol.Submission;
-import org.springmill.protocol.WorkerMessages.Cause;
-import org.springmill.protocol.WorkerMessages.Report;
-import org.springmill.transport.Loop;
+import org.springmill.protocol.WorkerMessages.ExitCause;
+import org.springmill.protocol.WorkerMessages.Heartbeat;
+import org.springmill.transport.EventLoop;
 
 /**
  * The machines that a leader knows of, with what every part of it needs to act on them. A machine
@@ -29,7 +29,7 @@
     private final Map<String, Machine> machines = new LinkedHashMap<>();
     private final ClusterState clusterState;
     private final MachineTypeCatalog catalog;
-    private final Loop loop;
+    private final EventLoop loop;
     private final long term;
     private final double reportSeconds;
     private final double rememberDeletedSeconds;
@@ -46,17 +46,17 @@
     Fleet(
             ClusterState clusterState,
             MachineTypeCatalog catalog,
-            Loop loop,
-            Timing timing,
+            EventLoop loop,
+            Timeouts timing,
             long term,
             double bootPatience) {
         this.clusterState = clusterState;
         this.catalog = catalog;
         this.loop = loop;
         this.term = term;
-        this.reportSeconds = timing.reportS();
+        this.reportSeconds = timing.heartbeatIntervalSeconds();
         this.bootTimes = new BootTimes(bootPatience);
-        rememberDeletedSeconds = LEASES_TO_REMEMBER_DELETED * timing.leaseS();
+        rememberDeletedSeconds = LEASES_TO_REMEMBER_DELETED * timing.workerLeaseSeconds();
     }
 
     /** A live view of all machines, in the order in which they were first heard of. */
@@ -86,7 +86,7 @@
     }
 
     /** Returns the machine of a report, described by it if it was not yet. */
-    Machine machine(Report report) {
+    Machine machine(Heartbeat report) {
         Machine machine = machine(report.machine());
         if (machine.type() == null || machine.address().isEmpty()) {
             machine.describe(
@@ -161,14 +161,14 @@
     }
 
     /** Notes that an attempt is known to be over; the next round commits it. */
-    void end(Attempt attempt, Cause cause) {
+    void end(TaskAttempt attempt, ExitCause cause) {
         if (!attempt.end(cause, now())) {
             return;
         }
         clusterState.noteLeaving(attempt);
         clusterState.noteEnded(attempt);
-        if (attempt.job().spec().gang() && cause != Cause.DONE) {
-            stopGang(attempt.job());
+        if (attempt.job().spec().gang() && cause != ExitCause.DONE) {
+            abortGang(attempt.job());
         }
     }
 
@@ -176,36 +176,36 @@
      * A gang without one of its members gets nowhere: the others stop too, and all are claimed anew
      * together.
      */
-    private void stopGang(Job gang) {
-        double graceSeconds = gang.spec().saveS() * GANG_SAVE_TIMES;
+    private void abortGang(Job gang) {
+        double graceSeconds = gang.spec().checkpointSaveSeconds() * GANG_SAVE_TIMES;
         gang.attempts().forEach(attempt -> stop(attempt, graceSeconds));
     }
 
     /** Has an attempt stopped to make way, with time to save what it can and to be told of it. */
-    void stopSaving(Attempt attempt) {
+    void stopWithCheckpoint(TaskAttempt attempt) {
         Submission spec = attempt.job().spec();
-        stop(attempt, spec.checkpoints() ? spec.saveS() + reportSeconds : 0);
+        stop(attempt, spec.checkpoints() ? spec.checkpointSaveSeconds() + reportSeconds : 0);
     }
 
     /**
      * Has an attempt stopped; what never was sent ends at once. The grace of one that is stopping
      * already is only ever shortened.
      */
-    void stop(Attempt attempt, double graceSeconds) {
+    void stop(TaskAttempt attempt, double graceSeconds) {
         switch (attempt.state()) {
-            case CLAIMED -> end(attempt, Cause.STOPPED);
+            case CLAIMED -> end(attempt, ExitCause.STOPPED);
             case SENT, FETCHING, RUNNING, UNKNOWN -> {
-                attempt.transition(Attempt.State.STOPPING, now());
+                attempt.transition(TaskAttempt.State.STOPPING, now());
                 clusterState.noteLeaving(attempt);
-                attempt.grace(graceSeconds);
+                attempt.setGraceSeconds(graceSeconds);
             }
             case STOPPING -> {
-                if (graceSeconds < attempt.graceS()) {
-                    attempt.grace(graceSeconds);
+                if (graceSeconds < attempt.graceSeconds()) {
+                    attempt.setGraceSeconds(graceSeconds);
                 }
             }
             // While its round is being committed it can only be dropped afterwards; see Rounds.
-            case CLAIMING, ENDED, GONE -> {}
+            case CLAIMING, ENDED, CLOSED -> {}
         }
     }
 }
--- a/src/main/java/org/springmill/control/coordination/Headroom.java
+++ b/src/main/java/org/springmill/control/coordination/Headroom.java
@@ -21,10 +21,10 @@
     private static final double LEAST_PRICE = 1e-6;
 
     private final Fleet fleet;
-    private final Demand demand;
+    private final ArrivalRateEstimator demand;
     private final Settings settings;
 
-    Headroom(Fleet fleet, Demand demand, Settings settings) {
+    Headroom(Fleet fleet, ArrivalRateEstimator demand, Settings settings) {
         this.fleet = fleet;
         this.demand = demand;
         this.settings = settings;
--- a/src/main/java/org/springmill/control/coordination/WorkerReports.java
+++ b/src/main/java/org/springmill/control/coordination/HeartbeatHandler.java
@@ -3,18 +3,18 @@
 import java.util.List;
 import org.springmill.protocol.WorkerMessages;
 import org.springmill.protocol.WorkerMessages.Command;
-import org.springmill.protocol.WorkerMessages.Report;
+import org.springmill.protocol.WorkerMessages.Heartbeat;
+import org.springmill.transport.EventLoop;
 import org.springmill.transport.HttpHandler.Call;
-import org.springmill.transport.Loop;
 
 /** Answers the reports of workers for a leader, from the first moment of its term. */
-final class WorkerReports {
+final class HeartbeatHandler {
     private final Fleet fleet;
     private final Reconciliation reconciliation;
     private final CommandDispatcher dispatcher;
     private final JobDirectory directory;
-    private final Loop loop;
-    private final Timing timing;
+    private final EventLoop loop;
+    private final Timeouts timing;
     private final Term term;
 
     /** How far the leader's term is. */
@@ -26,13 +26,13 @@
         boolean closed();
     }
 
-    WorkerReports(
+    HeartbeatHandler(
             Fleet fleet,
             Reconciliation reconciliation,
             CommandDispatcher dispatcher,
             JobDirectory directory,
-            Loop loop,
-            Timing timing,
+            EventLoop loop,
+            Timeouts timing,
             Term term) {
         this.fleet = fleet;
         this.reconciliation = reconciliation;
@@ -44,39 +44,40 @@
     }
 
     /** Answers a worker's report. */
-    void answer(Call call, Report report) {
+    void respond(Call call, Heartbeat report) {
         if (fleet.wasDeleted(report.machine())) {
             // A late copy. The machine that it seemed to bring back was given work, which waited
             // until it was missed.
-            call.reply(503, WorkerMessages.redirect(null), 0);
+            call.reply(503, WorkerMessages.encodeRedirect(null), 0);
             return;
         }
         Machine machine = fleet.machine(report);
-        if (!machine.worker().isLatestReport(report)) {
+        if (!machine.workerEpoch().isLatestHeartbeat(report)) {
             // A late copy: whoever sent it waits no longer, and its answer must not count as a
             // renewal.
-            call.reply(503, WorkerMessages.redirect(null), 0);
+            call.reply(503, WorkerMessages.encodeRedirect(null), 0);
             return;
         }
         if (term.rebuilt()) {
             reconciliation.accept(machine, report);
         }
         if (term.closed()) {
-            call.reply(421, WorkerMessages.redirect(null), 0);
+            call.reply(421, WorkerMessages.encodeRedirect(null), 0);
             return;
         }
-        machine.worker().tookReport(report);
-        machine.answered(loop.now(), timing.leaseS());
-        List<Command> commands = term.rebuilt() ? List.of() : directory.stopsFor(report);
+        machine.workerEpoch().recordHeartbeat(report);
+        machine.heartbeatAnswered(loop.now(), timing.workerLeaseSeconds());
+        List<Command> commands = term.rebuilt() ? List.of() : directory.stopCommandsFor(report);
         if (term.rebuilt()
                 && machine.commandsFailing()
                 && !machine.commandsInFlight
-                && report.session() == machine.session()) {
+                && report.epoch() == machine.epoch()) {
             commands = dispatcher.due(machine);
         }
-        call.reply(200, WorkerMessages.reportAnswer(machine.token(), commands), 0);
+        call.reply(
+                200, WorkerMessages.encodeHeartbeatResponse(machine.fencingToken(), commands), 0);
         if (term.rebuilt()) {
-            dispatcher.poke(machine);
+            dispatcher.requestSend(machine);
         }
     }
 }
--- a/src/main/java/org/springmill/control/coordination/ReportSilence.java
+++ b/src/main/java/org/springmill/control/coordination/HeartbeatSilence.java
@@ -1,12 +1,12 @@
 package org.springmill.control.coordination;
 
 /** Tells how long the machines that should report have been silent. */
-final class ReportSilence {
+final class HeartbeatSilence {
     private final MachineListing listing;
-    private final Timing timing;
+    private final Timeouts timing;
     private double listeningSince;
 
-    ReportSilence(MachineListing listing, Timing timing, double now) {
+    HeartbeatSilence(MachineListing listing, Timeouts timing, double now) {
         this.listing = listing;
         this.timing = timing;
         this.listeningSince = now;
@@ -24,7 +24,7 @@
     /** Whether a machine is one whose worker has to report. */
     boolean shouldReport(Machine machine) {
         return machine.state() == Machine.State.UP
-                || (machine.state() == Machine.State.EXPECTED && !machine.attempts().isEmpty());
+                || (machine.state() == Machine.State.PROVISIONING && !machine.attempts().isEmpty());
     }
 
     /**
@@ -33,7 +33,7 @@
      * might be deleted.
      */
     boolean isOverdue(Machine machine, double now) {
-        return silentSeconds(machine, now) > timing.probeS() && !isUnlisted(machine);
+        return silentSeconds(machine, now) > timing.probeAfterSeconds() && !isUnlisted(machine);
     }
 
     /**
@@ -44,13 +44,13 @@
         if (!shouldReport(machine)) {
             return 0;
         }
-        double listenedSince = listeningSince + timing.silentS() / 2;
-        return now - Math.max(machine.lastHeard(), listenedSince);
+        double listenedSince = listeningSince + timing.deadAfterSeconds() / 2;
+        return now - Math.max(machine.lastHeartbeatAt(), listenedSince);
     }
 
     /** Whether the cloud has stopped listing a machine for longer than its list may lag. */
     boolean isUnlisted(Machine machine) {
-        double unheardSeconds = listing.listedAt() - machine.lastHeard();
+        double unheardSeconds = listing.listedAt() - machine.lastHeartbeatAt();
         return machine.listedAt() < listing.listedAt()
                 && unheardSeconds > listing.longestLagSeconds();
     }
--- a/src/main/java/org/springmill/control/coordination/ReturnedRoom.java
+++ b/src/main/java/org/springmill/control/coordination/HoldDownCapacity.java
@@ -13,7 +13,7 @@
  * Room that came back from work for which others were recalled, and that is not lent again before
  * the hold-down is over. A new leader begins without: what it forgets costs one recall at most.
  */
-final class ReturnedRoom {
+final class HoldDownCapacity {
     private final ClusterState clusterState;
     private final HoldDown holdDown;
     private final Metrics metrics;
@@ -25,7 +25,7 @@
     /** Room on one machine. */
     private record Held(Resources amount, double since, double until) {}
 
-    ReturnedRoom(ClusterState clusterState, HoldDown holdDown, Metrics metrics) {
+    HoldDownCapacity(ClusterState clusterState, HoldDown holdDown, Metrics metrics) {
         this.metrics = metrics;
         this.clusterState = clusterState;
         this.holdDown = holdDown;
@@ -63,7 +63,7 @@
     }
 
     /** A task has left a machine. */
-    void left(Attempt attempt, double now) {
+    void taskLeft(TaskAttempt attempt, double now) {
         Machine machine = attempt.machine();
         if (machine.type() == null || !recalls(attempt.job())) {
             return;
@@ -77,7 +77,7 @@
     }
 
     /** A task takes room on a machine: what is held there may have been held for it. */
-    void taken(Attempt attempt, double now) {
+    void taskPlaced(TaskAttempt attempt, double now) {
         List<Held> here = held.get(attempt.machine());
         if (here == null || !recalls(attempt.job())) {
             return;
@@ -117,13 +117,13 @@
     }
 
     /** What a job may not use of the room on a machine. */
-    Resources from(Job job, Machine machine, double now) {
+    Resources withheldFrom(Job job, Machine machine, double now) {
         List<Held> here = held.get(machine);
         if (here == null || !borrows(job)) {
             return Resources.NONE;
         }
         Resources sum = Resources.NONE;
-        double seconds = job.spec().service() ? 0 : job.spec().estimateS();
+        double seconds = job.spec().service() ? 0 : job.spec().estimatedRunSeconds();
         for (Held room : here) {
             boolean admitted = holdDown.admits(machine.type().name(), seconds, now - room.since());
             if (now < room.until() && !admitted) {
--- a/src/main/java/org/springmill/control/coordination/IdleMachines.java
+++ b/src/main/java/org/springmill/control/coordination/IdleMachines.java
@@ -12,10 +12,10 @@
     private static final double LEAST_CHARGED_SECONDS = 60;
 
     private final MachineDeletion deletion;
-    private final LateMachines lateMachines;
+    private final OverdueBoots lateMachines;
     private final Settings settings;
 
-    IdleMachines(MachineDeletion deletion, LateMachines lateMachines, Settings settings) {
+    IdleMachines(MachineDeletion deletion, OverdueBoots lateMachines, Settings settings) {
         this.deletion = deletion;
         this.lateMachines = lateMachines;
         this.settings = settings;
@@ -46,7 +46,7 @@
         if (!isIdle(machine)) {
             return false;
         }
-        double patienceSeconds = settings.operator().idleBoots() * machine.type().bootS();
+        double patienceSeconds = settings.operator().idleBoots() * machine.type().bootSeconds();
         return now - machine.idleSince() >= patienceSeconds
                 && now - machine.firstSeen() >= LEAST_CHARGED_SECONDS;
     }
@@ -54,6 +54,6 @@
     private static boolean isIdle(Machine machine) {
         return machine.state() == Machine.State.UP
                 && machine.attempts().isEmpty()
-                && machine.reported().isEmpty();
+                && machine.reportedTasks().isEmpty();
     }
 }
--- a/src/main/java/org/springmill/control/coordination/ImageCache.java
+++ b/src/main/java/org/springmill/control/coordination/ImageCache.java
@@ -14,11 +14,11 @@
      * Notes that a task needs an image. One that is missing is fetched after those that are being
      * fetched already.
      */
-    void need(String image, double gb, double capacityGb, double gbPerS, double now) {
+    void need(String image, double gb, double capacityGb, double gbPerSecond, double now) {
         Image held = images.get(image);
         put(
                 image,
-                new Image(gb, now, held == null ? freeAt(now) + gb / gbPerS : held.readyAt()),
+                new Image(gb, now, held == null ? freeAt(now) + gb / gbPerSecond : held.readyAt()),
                 capacityGb);
     }
 
@@ -42,9 +42,11 @@
      * which a machine fetches: one that fetched several large ones kept small services, sent there
      * since it had room, waiting for half a minute.
      */
-    double waitS(String image, double gb, double gbPerS, double now) {
+    double waitSeconds(String image, double gb, double gbPerSecond, double now) {
         Image held = images.get(image);
-        return held == null ? freeAt(now) - now + gb / gbPerS : Math.max(0, held.readyAt() - now);
+        return held == null
+                ? freeAt(now) - now + gb / gbPerSecond
+                : Math.max(0, held.readyAt() - now);
     }
 
     /**
--- a/src/main/java/org/springmill/control/coordination/ImageLocationNotes.java
+++ b/src/main/java/org/springmill/control/coordination/ImageLocationPersister.java
@@ -3,28 +3,28 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import java.util.List;
 import org.springmill.control.storage.ImageLocations;
-import org.springmill.control.storage.StateStore;
-import org.springmill.protocol.StateMessages.Write;
-import org.springmill.transport.Loop;
+import org.springmill.control.storage.KeyValueStoreClient;
+import org.springmill.protocol.KeyValueStoreMessages.Write;
+import org.springmill.transport.EventLoop;
 
 /**
  * Notes which machines hold which images for the next leader, once in a while and only if nothing
  * else has to be written. Only start times depend on it.
  */
-final class ImageLocationNotes {
-    private final StateStore store;
+final class ImageLocationPersister {
+    private final KeyValueStoreClient store;
     private final Fleet fleet;
     private final Leadership leadership;
-    private final Loop loop;
+    private final EventLoop loop;
     private final double intervalSeconds;
     private JsonNode lastNotes;
     private boolean closed;
 
-    ImageLocationNotes(
-            StateStore store,
+    ImageLocationPersister(
+            KeyValueStoreClient store,
             Fleet fleet,
             Leadership leadership,
-            Loop loop,
+            EventLoop loop,
             double intervalSeconds) {
         this.store = store;
         this.fleet = fleet;
@@ -57,8 +57,8 @@
         JsonNode notes = fleet.imageLocations().encode(store.limits().valueBytes());
         if (leadership.mayPlace() && !notes.equals(lastNotes) && store.backlog() == 0) {
             lastNotes = notes;
-            store.commit(
-                    List.of(leadership.condition()),
+            store.compareAndSwap(
+                    List.of(leadership.termCondition()),
                     List.of(Write.put(ImageLocations.KEY, notes)),
                     result -> {});
         }
--- a/src/main/java/org/springmill/control/coordination/Preemption.java
+++ b/src/main/java/org/springmill/control/coordination/ImmediatePreemption.java
@@ -7,20 +7,20 @@
 import java.util.Map;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
+import org.springmill.protocol.KeyValueStoreMessages.Write;
 import org.springmill.protocol.Priority;
 import org.springmill.protocol.Resources;
-import org.springmill.protocol.StateMessages.Write;
 import org.springmill.protocol.Submission;
 
 /** Chooses what is stopped for waiting jobs that find no place otherwise. */
-final class Preemption implements RoomMaking {
-    private static final Logger LOG = LoggerFactory.getLogger(Preemption.class);
+final class ImmediatePreemption implements PreemptionPolicy {
+    private static final Logger LOG = LoggerFactory.getLogger(ImmediatePreemption.class);
 
     private final Fleet fleet;
     private final Placement placement;
-    private final Timing timing;
+    private final Timeouts timing;
 
-    Preemption(Fleet fleet, Placement placement, Timing timing) {
+    ImmediatePreemption(Fleet fleet, Placement placement, Timeouts timing) {
         this.fleet = fleet;
         this.placement = placement;
         this.timing = timing;
@@ -32,7 +32,7 @@
 
     /** Stops work of lower right at once where a waiting job finds no place otherwise. */
     @Override
-    public List<Write> decide(long round, List<Attempt> claimed) {
+    public List<Write> decide(long round, List<TaskAttempt> claimed) {
         makeRoomForWaiting();
         return List.of();
     }
@@ -41,13 +41,14 @@
         double now = fleet.now();
         List<Job> waiting = placement.waiting();
         waiting.removeIf(job -> now < job.failures().notBefore());
-        if (waiting.stream().noneMatch(fleet.clusterState()::mayStopAnyFor)) {
+        if (waiting.stream().noneMatch(fleet.clusterState()::mayPreemptFor)) {
             return;
         }
         List<Machine> open = placement.open(now);
         Map<Machine, Resources> promised = new HashMap<>();
         fleet.clusterState().releaseHeld();
-        ExhaustedShapes exhausted = new ExhaustedShapes(placement.jobsWithOwnRoom(open, now));
+        ExhaustedEquivalenceClasses exhausted =
+                new ExhaustedEquivalenceClasses(placement.jobsWithReservedCapacity(open, now));
         for (Job job : waiting) {
             // By the same measure as placement: tasks gave way, without end, to a job whose part of
             // its team's limit was held for an earlier one.
@@ -57,7 +58,7 @@
             }
             if (wanted <= 0
                     || placement.unreached(job)
-                    || !fleet.clusterState().mayStopAnyFor(job)
+                    || !fleet.clusterState().mayPreemptFor(job)
                     || exhausted.cover(job)) {
                 continue;
             }
@@ -85,12 +86,12 @@
             Machine machine,
             Map<Machine, Resources> promised,
             double now) {
-        List<Attempt> victims = victims(job, guaranteed, machine, promised.get(machine), now);
+        List<TaskAttempt> victims = victims(job, guaranteed, machine, promised.get(machine), now);
         promised.put(machine, promised.getOrDefault(machine, Resources.NONE).plus(job.spec()));
         double savingSeconds = 0;
-        for (Attempt victim : victims) {
+        for (TaskAttempt victim : victims) {
             Submission spec = victim.job().spec();
-            savingSeconds = Math.max(savingSeconds, spec.saveS());
+            savingSeconds = Math.max(savingSeconds, spec.checkpointSaveSeconds());
             LOG.debug(
                     "{} of {} gives way to {} of {} on {}",
                     victim.claim().task(),
@@ -98,9 +99,10 @@
                     job.id(),
                     job.spec().team(),
                     machine.name());
-            fleet.stopSaving(victim);
+            fleet.stopWithCheckpoint(victim);
         }
-        machine.room().keepFor(job, now + savingSeconds + timing.reportS());
+        machine.allocation()
+                .reserveFor(job, now + savingSeconds + timing.heartbeatIntervalSeconds());
     }
 
     /** What it costs to make room for one task on a machine; infinite if it cannot be done. */
@@ -113,13 +115,13 @@
         if (!Placement.eligible(job, machine, now)) {
             return Double.POSITIVE_INFINITY;
         }
-        List<Attempt> victims = victims(job, guaranteed, machine, promised.get(machine), now);
+        List<TaskAttempt> victims = victims(job, guaranteed, machine, promised.get(machine), now);
         if (victims == null) {
             return Double.POSITIVE_INFINITY;
         }
         double cost = placement.score().of(job, machine, now);
-        for (Attempt victim : victims) {
-            cost += VICTIM_SECONDS + lostWork(victim, now);
+        for (TaskAttempt victim : victims) {
+            cost += VICTIM_COST_SECONDS + lostWork(victim, now);
         }
         return cost;
     }
@@ -129,17 +131,17 @@
      *
      * @param promised what is being freed there for other tasks, or null
      */
-    private List<Attempt> victims(
+    private List<TaskAttempt> victims(
             Job job, boolean guaranteed, Machine machine, Resources promised, double now) {
         Resources free = machine.free();
         if (promised != null) {
             free = free.minus(promised);
         }
-        List<Attempt> candidates = new ArrayList<>();
-        for (Attempt attempt : machine.attempts()) {
+        List<TaskAttempt> candidates = new ArrayList<>();
+        for (TaskAttempt attempt : machine.attempts()) {
             if (isLeaving(attempt)) {
                 free = free.plus(attempt.job().spec());
-            } else if (attempt.state() != Attempt.State.CLAIMING) {
+            } else if (attempt.state() != TaskAttempt.State.CLAIMING) {
                 candidates.add(attempt);
             }
         }
@@ -147,11 +149,11 @@
             return List.of();
         }
         candidates.sort(
-                Comparator.comparing((Attempt a) -> a.job().priority())
+                Comparator.comparing((TaskAttempt a) -> a.job().priority())
                         .reversed()
                         .thenComparingDouble(a -> lostWork(a, now)));
-        List<Attempt> victims = new ArrayList<>();
-        for (Attempt victim : candidates) {
+        List<TaskAttempt> victims = new ArrayList<>();
+        for (TaskAttempt victim : candidates) {
             if (free.hold(job.spec())) {
                 break;
             }
@@ -163,14 +165,15 @@
         return free.hold(job.spec()) ? victims : null;
     }
 
-    private static boolean isLeaving(Attempt attempt) {
-        return attempt.state() == Attempt.State.STOPPING || attempt.state() == Attempt.State.ENDED;
+    private static boolean isLeaving(TaskAttempt attempt) {
+        return attempt.state() == TaskAttempt.State.STOPPING
+                || attempt.state() == TaskAttempt.State.ENDED;
     }
 
-    private static double lostWork(Attempt attempt, double now) {
+    private static double lostWork(TaskAttempt attempt, double now) {
         Submission spec = attempt.job().spec();
         double ran = attempt.ranSeconds(now);
-        return spec.checkpoints() ? Math.min(ran, spec.saveS()) : ran;
+        return spec.checkpoints() ? Math.min(ran, spec.checkpointSaveSeconds()) : ran;
     }
 
     /**
@@ -179,7 +182,8 @@
      * nothing of a higher priority: else the team that gave way was itself owed its guarantee, or
      * stood first in line again, and the two stopped each other's tasks several times a second.
      */
-    private boolean mayStop(Attempt victim, Job job, boolean guaranteed, List<Attempt> before) {
+    private boolean mayStop(
+            TaskAttempt victim, Job job, boolean guaranteed, List<TaskAttempt> before) {
         Submission loser = victim.job().spec();
         Priority right = job.priority();
         if (right.above(victim.job().priority())) {
@@ -191,7 +195,7 @@
             return false;
         }
         Resources loss = Resources.of(loser);
-        for (Attempt other : before) {
+        for (TaskAttempt other : before) {
             if (other.job().spec().team().equals(loser.team())) {
                 loss = loss.plus(other.job().spec());
             }
--- a/src/main/java/org/springmill/control/coordination/Job.java
+++ b/src/main/java/org/springmill/control/coordination/Job.java
@@ -10,7 +10,7 @@
 import org.springmill.protocol.PeerMessages.JobProgress;
 import org.springmill.protocol.Priority;
 import org.springmill.protocol.Submission;
-import org.springmill.protocol.UserMessages.Phase;
+import org.springmill.protocol.UserMessages.JobPhase;
 
 /** A job as its leader sees it: which tasks are done, which are claimed, which wait. */
 final class Job {
@@ -22,7 +22,7 @@
     private Priority priority;
     private double latestStart = Double.POSITIVE_INFINITY;
     private final BitSet done = new BitSet();
-    private final Int2ObjectHashMap<Attempt> live = new Int2ObjectHashMap<>();
+    private final Int2ObjectHashMap<TaskAttempt> live = new Int2ObjectHashMap<>();
     private final ArrayDeque<Integer> returned = new ArrayDeque<>();
     private final JobFailures failures;
 
@@ -31,7 +31,7 @@
 
     private int fresh;
     private State state;
-    private Phase phase = Phase.QUEUED;
+    private JobPhase phase = JobPhase.QUEUED;
     private long version;
     private double endedAt;
     private boolean ending;
@@ -107,7 +107,7 @@
         return version;
     }
 
-    Phase phase() {
+    JobPhase phase() {
         return phase;
     }
 
@@ -141,7 +141,7 @@
         return state == State.ELIGIBLE;
     }
 
-    void end(Phase terminal, long newVersion, double now) {
+    void end(JobPhase terminal, long newVersion, double now) {
         if (!transition(State.ENDED)) {
             return;
         }
@@ -154,7 +154,7 @@
         return state != State.ENDED;
     }
 
-    List<Attempt> attempts() {
+    List<TaskAttempt> attempts() {
         return new ArrayList<>(live.values());
     }
 
@@ -169,8 +169,8 @@
     /** How many tasks are done and how many run, for display. */
     JobProgress progress() {
         int running = 0;
-        for (Attempt attempt : attempts()) {
-            if (attempt.state() == Attempt.State.RUNNING) {
+        for (TaskAttempt attempt : attempts()) {
+            if (attempt.state() == TaskAttempt.State.RUNNING) {
                 running++;
             }
         }
@@ -220,7 +220,7 @@
 
     private int liveNotDone() {
         int count = 0;
-        for (Attempt attempt : live.values()) {
+        for (TaskAttempt attempt : live.values()) {
             if (!done.get(attempt.claim().task().index())) {
                 count++;
             }
@@ -228,12 +228,12 @@
         return count;
     }
 
-    void add(Attempt attempt) {
+    void add(TaskAttempt attempt) {
         live.put(attempt.claim().task().index(), attempt);
         recalledFrom.remove(attempt.claim().task().index());
     }
 
-    void remove(Attempt attempt) {
+    void remove(TaskAttempt attempt) {
         int task = attempt.claim().task().index();
         if (live.remove(task) != null) {
             returned.add(task);
@@ -253,7 +253,7 @@
         return recalledFrom.get(task);
     }
 
-    Attempt attempt(int task) {
+    TaskAttempt attempt(int task) {
         return live.get(task);
     }
 
@@ -269,7 +269,7 @@
             return true;
         }
         int here = 0;
-        for (Attempt attempt : live.values()) {
+        for (TaskAttempt attempt : live.values()) {
             String other = attempt.machine().zone();
             if (other.isEmpty() || other.equals(zone)) {
                 here++;
@@ -283,7 +283,7 @@
 
     int inZone(String zone) {
         int here = 0;
-        for (Attempt attempt : live.values()) {
+        for (TaskAttempt attempt : live.values()) {
             if (attempt.machine().zone().equals(zone)) {
                 here++;
             }
--- a/src/main/java/org/springmill/control/coordination/JobEnds.java
+++ b/src/main/java/org/springmill/control/coordination/JobCompletion.java
@@ -4,37 +4,37 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 import org.springmill.control.storage.JobRecord;
-import org.springmill.control.storage.StateStore;
-import org.springmill.control.storage.StateStore.CommitResult;
-import org.springmill.control.storage.StateStore.Outcome;
-import org.springmill.protocol.StateMessages.Condition;
-import org.springmill.protocol.StateMessages.Write;
-import org.springmill.protocol.UserMessages.Phase;
-import org.springmill.transport.Loop;
+import org.springmill.control.storage.KeyValueStoreClient;
+import org.springmill.control.storage.KeyValueStoreClient.CommitOutcome;
+import org.springmill.control.storage.KeyValueStoreClient.CommitResult;
+import org.springmill.protocol.KeyValueStoreMessages.Condition;
+import org.springmill.protocol.KeyValueStoreMessages.Write;
+import org.springmill.protocol.UserMessages.JobPhase;
+import org.springmill.transport.EventLoop;
 
 /** Ends the jobs of one leader's term: records that they are done, and drops what is over. */
-final class JobEnds {
-    private static final Logger LOG = LoggerFactory.getLogger(JobEnds.class);
+final class JobCompletion {
+    private static final Logger LOG = LoggerFactory.getLogger(JobCompletion.class);
 
-    private final StateStore store;
+    private final KeyValueStoreClient store;
     private final JobDirectory directory;
     private final ClusterState clusterState;
     private final Leadership leadership;
-    private final Loop loop;
-    private final Timing timing;
+    private final EventLoop loop;
+    private final Timeouts timing;
     private final double skewSeconds;
     private boolean closed;
 
     /**
      * @param skewSeconds bound on how far the time of day may be off
      */
-    JobEnds(
-            StateStore store,
+    JobCompletion(
+            KeyValueStoreClient store,
             JobDirectory directory,
             ClusterState clusterState,
             Leadership leadership,
-            Loop loop,
-            Timing timing,
+            EventLoop loop,
+            Timeouts timing,
             double skewSeconds) {
         this.store = store;
         this.directory = directory;
@@ -71,7 +71,13 @@
         // allows: counting from the takeover, each new leader gave up a cut zone's machines with
         // all that ran on them.
         double ago = loop.timeOfDay() - record.endedAt() + 2 * skewSeconds;
-        return loop.now() - Math.max(0, Math.min(ago, timing.cancelDeleteS() - timing.reportS()));
+        return loop.now()
+                - Math.max(
+                        0,
+                        Math.min(
+                                ago,
+                                timing.cancellationDeletionTimeoutSeconds()
+                                        - timing.heartbeatIntervalSeconds()));
     }
 
     /**
@@ -82,10 +88,10 @@
         double now = loop.now();
         return clusterState.jobs().values().stream()
                 .filter(job -> !job.active() && job.liveCount() > 0)
-                .filter(job -> now - job.endedAt() > timing.cancelDeleteS())
+                .filter(job -> now - job.endedAt() > timing.cancellationDeletionTimeoutSeconds())
                 .flatMap(job -> job.attempts().stream())
-                .filter(attempt -> attempt.state() == Attempt.State.STOPPING)
-                .map(Attempt::machine)
+                .filter(attempt -> attempt.state() == TaskAttempt.State.STOPPING)
+                .map(TaskAttempt::machine)
                 .toList();
     }
 
@@ -108,9 +114,9 @@
         if (closed || !job.active()) {
             return;
         }
-        JobRecord done = directory.get(job.id()).ended(Phase.DONE, loop.timeOfDay());
-        store.commit(
-                List.of(leadership.condition(), new Condition(done.key(), job.version())),
+        JobRecord done = directory.get(job.id()).ended(JobPhase.DONE, loop.timeOfDay());
+        store.compareAndSwap(
+                List.of(leadership.termCondition(), new Condition(done.key(), job.version())),
                 List.of(Write.put(done.key(), done.encode(store.limits().valueBytes()))),
                 result -> answered(job, done, result));
     }
@@ -119,22 +125,22 @@
         if (closed) {
             return;
         }
-        if (result.outcome() == Outcome.COMMITTED) {
+        if (result.outcome() == CommitOutcome.COMMITTED) {
             directory.learn(done.committed(result.revision()));
-        } else if (result.outcome() == Outcome.REFUSED && result.failed().isEmpty()) {
+        } else if (result.outcome() == CommitOutcome.REJECTED && result.failed().isEmpty()) {
             // The same again would be refused for ever. A later leader tries once more.
             LOG.error("{} is done, but its record is refused by the state service", job.id());
-        } else if (result.outcome() == Outcome.REFUSED) {
+        } else if (result.outcome() == CommitOutcome.REJECTED) {
             // Cancelled meanwhile, or an earlier copy of this write was applied: the record tells.
             directory.barrier(read -> writeDoneAgain(job));
         } else {
-            loop.after(timing.pingS(), () -> writeDone(job));
+            loop.after(timing.peerPollIntervalSeconds(), () -> writeDone(job));
         }
     }
 
     private void writeDoneAgain(Job job) {
         if (job.active()) {
-            loop.after(timing.renewS(), () -> writeDone(job));
+            loop.after(timing.leaderRenewIntervalSeconds(), () -> writeDone(job));
         }
     }
 }
--- a/src/main/java/org/springmill/control/coordination/JobDependencies.java
+++ b/src/main/java/org/springmill/control/coordination/JobDependencies.java
@@ -10,10 +10,10 @@
 import java.util.function.Function;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import org.springmill.control.storage.EndedJob;
+import org.springmill.control.storage.ArchivedJob;
 import org.springmill.control.storage.JobRecord;
 import org.springmill.protocol.Submission;
-import org.springmill.protocol.UserMessages.Phase;
+import org.springmill.protocol.UserMessages.JobPhase;
 
 /**
  * The dependency graph of all jobs, and the cancellations derived from it. A job is cancelled if
@@ -34,7 +34,7 @@
     private static final Logger LOG = LoggerFactory.getLogger(JobDependencies.class);
 
     private final Map<String, JobRecord> jobs;
-    private final MovedDependencies moved;
+    private final ArchivedDependencies moved;
     private final Map<String, Set<String>> dependents = new HashMap<>();
 
     /** Ids of jobs whose cancellation is derived and not yet in their own records. */
@@ -44,9 +44,9 @@
      * @param jobs the directory's records as they are in effect; kept up here
      * @param kept the final state of a job whose record has been moved, if it is in memory
      */
-    JobDependencies(Map<String, JobRecord> jobs, Function<String, EndedJob> kept) {
+    JobDependencies(Map<String, JobRecord> jobs, Function<String, ArchivedJob> kept) {
         this.jobs = jobs;
-        moved = new MovedDependencies(kept);
+        moved = new ArchivedDependencies(kept);
     }
 
     /**
@@ -69,7 +69,7 @@
      * Takes in the final state of a job whose record was moved before its dependents' were read.
      * Returns those in which something may follow from it, as they now are in effect.
      */
-    List<JobRecord> learnMoved(EndedJob job) {
+    List<JobRecord> learnArchived(ArchivedJob job) {
         if (jobs.containsKey(job.id()) || !dependents.containsKey(job.id())) {
             return List.of();
         }
@@ -99,7 +99,7 @@
             if (job.active()) {
                 moved.require(id);
             } else {
-                moved.learn(EndedJob.of(job));
+                moved.learn(ArchivedJob.of(job));
             }
         }
     }
@@ -127,7 +127,7 @@
      *
      * @param revision of its latest change, and so of its end if it has ended
      */
-    private record Dependency(Phase phase, boolean service, double endedAt, long revision) {}
+    private record Dependency(JobPhase phase, boolean service, double endedAt, long revision) {}
 
     /** Null if neither record is known here. */
     private Dependency dependency(String id) {
@@ -136,7 +136,7 @@
             return new Dependency(
                     job.phase(), job.submission().service(), job.endedAt(), job.version());
         }
-        EndedJob gone = moved.of(id);
+        ArchivedJob gone = moved.of(id);
         return gone == null
                 ? null
                 : new Dependency(gone.phase(), gone.service(), gone.endedAt(), gone.endRevision());
@@ -148,7 +148,7 @@
         }
         for (String id : stored.submission().dependencies()) {
             Dependency needed = dependency(id);
-            if (needed != null && needed.phase() == Phase.CANCELLED) {
+            if (needed != null && needed.phase() == JobPhase.CANCELLED) {
                 return cancelledWith(stored, id, needed.endedAt());
             }
         }
@@ -180,12 +180,12 @@
     }
 
     private JobRecord cancelledWith(JobRecord job, String cause, double endedAt) {
-        if (job.phase() == Phase.DONE) {
+        if (job.phase() == JobPhase.DONE) {
             LOG.error("{} is done although {}, which it needs, is cancelled", job.id(), cause);
         } else {
             pendingPersistence.add(job.id());
         }
-        return job.ended(Phase.CANCELLED, endedAt);
+        return job.ended(JobPhase.CANCELLED, endedAt);
     }
 
     /** Jobs that a submission names and of which nothing is in memory. */
@@ -207,7 +207,7 @@
      * Whether the state in effect of a job is certain. While the final state of a moved dependency
      * is being read, any job that waits for others may turn out to be cancelled.
      */
-    boolean certain(JobRecord job) {
+    boolean isStatusCertain(JobRecord job) {
         return !job.active() || job.submission().dependencies().isEmpty() || !moved.anyMissing();
     }
 
@@ -245,7 +245,7 @@
     boolean ready(Submission submission) {
         for (String id : submission.dependencies()) {
             Dependency needed = dependency(id);
-            if (needed == null || needed.phase() != Phase.DONE) {
+            if (needed == null || needed.phase() != JobPhase.DONE) {
                 return false;
             }
         }
--- a/src/main/java/org/springmill/control/coordination/JobDirectory.java
+++ b/src/main/java/org/springmill/control/coordination/JobDirectory.java
@@ -8,22 +8,22 @@
 import java.util.function.Consumer;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import org.springmill.control.history.EndedJobs;
-import org.springmill.control.history.EndedJobs.Lookup;
-import org.springmill.control.history.EndedJobs.Outcome;
-import org.springmill.control.storage.EndedJob;
+import org.springmill.control.history.ArchivedJobLookup;
+import org.springmill.control.history.ArchivedJobLookup.Lookup;
+import org.springmill.control.history.ArchivedJobLookup.Outcome;
+import org.springmill.control.storage.ArchivedJob;
 import org.springmill.control.storage.JobRecord;
-import org.springmill.control.storage.StateStore;
-import org.springmill.protocol.BadMessageException;
+import org.springmill.control.storage.KeyValueStoreClient;
+import org.springmill.protocol.KeyValueStoreMessages.Change;
+import org.springmill.protocol.MalformedMessageException;
 import org.springmill.protocol.PeerMessages.Cancellation;
-import org.springmill.protocol.PeerMessages.News;
-import org.springmill.protocol.StateMessages.Change;
-import org.springmill.protocol.UserMessages.Phase;
+import org.springmill.protocol.PeerMessages.CancellationDelta;
+import org.springmill.protocol.UserMessages.JobPhase;
 import org.springmill.protocol.WorkerMessages.Command;
-import org.springmill.protocol.WorkerMessages.Report;
+import org.springmill.protocol.WorkerMessages.Heartbeat;
 import org.springmill.protocol.WorkerMessages.Stop;
 import org.springmill.protocol.WorkerMessages.TaskState;
-import org.springmill.transport.Loop;
+import org.springmill.transport.EventLoop;
 
 /**
  * Every controller's copy of the records of live and recent jobs, as they are in effect, and the
@@ -36,15 +36,15 @@
     private static final Logger LOG = LoggerFactory.getLogger(JobDirectory.class);
 
     private final Map<String, JobRecord> jobs = new HashMap<>();
-    private final EndedJobs endedJobs;
+    private final ArchivedJobLookup endedJobs;
     private final JobDependencies dependencies;
     private final Cancellations cancellations;
 
     /** Cancellations of which no record was read yet, by job; told by other controllers. */
     private final Map<String, Cancellation> unread = new HashMap<>();
 
-    private final JobRecordFeed feed;
-    private final Loop loop;
+    private final JobRecordWatch watch;
+    private final EventLoop loop;
     private final double retryLookupSeconds;
     private Consumer<JobRecord> listener = job -> {};
     private Consumer<String> forgetListener = id -> {};
@@ -53,16 +53,16 @@
     /**
      * @param tag tells this process from earlier ones of the same controller
      */
-    JobDirectory(StateStore store, Loop loop, Timing timing, int tag) {
+    JobDirectory(KeyValueStoreClient store, EventLoop loop, Timeouts timing, int tag) {
         this.loop = loop;
-        retryLookupSeconds = timing.renewS();
-        endedJobs = new EndedJobs(store, loop);
+        retryLookupSeconds = timing.leaderRenewIntervalSeconds();
+        endedJobs = new ArchivedJobLookup(store, loop);
         dependencies = new JobDependencies(jobs, endedJobs::kept);
         cancellations = new Cancellations(tag);
-        feed = new JobRecordFeed(store, loop, timing, new FeedListener());
+        watch = new JobRecordWatch(store, loop, timing, new RecordListener());
     }
 
-    private final class FeedListener implements JobRecordFeed.Listener {
+    private final class RecordListener implements JobRecordWatch.Listener {
         @Override
         public void changed(Change change) {
             apply(change);
@@ -74,7 +74,7 @@
         }
 
         @Override
-        public void readAgain(Set<String> keys, long revision) {
+        public void reloaded(Set<String> keys, long revision) {
             List<String> gone =
                     jobs.values().stream()
                             .filter(job -> job.version() <= revision && !keys.contains(job.key()))
@@ -85,24 +85,24 @@
 
         @Override
         public void caughtUp() {
-            dropUnreadOfMovedJobs();
+            dropUnreadOfArchivedJobs();
             lookUpDependencies();
         }
     }
 
     /** Begins to read the records, and to follow their changes. */
     void start() {
-        feed.start();
+        watch.start();
     }
 
-    /** Notes that this controller stood still; see {@link JobRecordFeed#resumed}. */
+    /** Notes that this controller stood still; see {@link JobRecordWatch#resumed}. */
     void resumed() {
-        feed.resumed();
+        watch.resumed();
     }
 
     /** Whether all records were read once. */
     boolean loaded() {
-        return feed.loaded();
+        return watch.loaded();
     }
 
     /** Has a listener told of every record that is new or has changed in effect. */
@@ -129,7 +129,7 @@
     }
 
     /** The final state of a job whose record has been moved, if it is in memory; else null. */
-    EndedJob moved(String id) {
+    ArchivedJob archived(String id) {
         return endedJobs.kept(id);
     }
 
@@ -138,18 +138,18 @@
      * finds no record after a {@link #barrier}, and nothing here either, asks for a job that was
      * not accepted when the question came.
      */
-    void findMoved(String id, Consumer<Lookup> done) {
+    void findArchived(String id, Consumer<Lookup> done) {
         endedJobs.find(id, done);
     }
 
     /**
-     * Reads the final states of jobs that have been moved, so that {@link #moved} has them. Stops
-     * at the first that was not moved, for whoever asks needs all of them.
+     * Reads the final states of jobs that have been moved, so that {@link #archived} has them.
+     * Stops at the first that was not moved, for whoever asks needs all of them.
      *
      * @param done takes false if one could not be read, or not in time; what was read is kept, so
      *     that the same asked again gets further
      */
-    void findAllMoved(List<String> ids, double until, Consumer<Boolean> done) {
+    void findAllArchived(List<String> ids, double until, Consumer<Boolean> done) {
         if (ids.isEmpty()) {
             done.accept(true);
             return;
@@ -158,7 +158,7 @@
                 ids.get(0),
                 lookup -> {
                     if (lookup.outcome() == Outcome.FOUND && loop.now() < until) {
-                        findAllMoved(ids.subList(1, ids.size()), until, done);
+                        findAllArchived(ids.subList(1, ids.size()), until, done);
                     } else {
                         done.accept(lookup.outcome() == Outcome.ABSENT);
                     }
@@ -172,7 +172,7 @@
             return;
         }
         if (!job.active()) {
-            endedJobs.keep(EndedJob.of(job));
+            endedJobs.keep(ArchivedJob.of(job));
         }
         cancellations.drop(id);
         dependencies.forget(id);
@@ -183,7 +183,7 @@
     /** One at a time: there are hardly ever any, and a takeover must not wait for them. */
     private void lookUpDependencies() {
         String id = dependencies.firstMissing();
-        if (lookingUp || !feed.loaded() || id == null) {
+        if (lookingUp || !watch.loaded() || id == null) {
             return;
         }
         lookingUp = true;
@@ -193,7 +193,7 @@
     private void dependencyLookedUp(String id, Lookup lookup) {
         if (lookup.outcome() == Outcome.FOUND) {
             lookingUp = false;
-            dependencies.learnMoved(lookup.job()).forEach(listener);
+            dependencies.learnArchived(lookup.job()).forEach(listener);
             lookUpDependencies();
         } else {
             // Its record may just not have been read yet; the feed brings it then. Others must not
@@ -209,18 +209,18 @@
     }
 
     /** Of jobs whose records were moved before this controller learned of their cancellations. */
-    private void dropUnreadOfMovedJobs() {
-        if (unread.isEmpty() || !feed.loaded()) {
+    private void dropUnreadOfArchivedJobs() {
+        if (unread.isEmpty() || !watch.loaded()) {
             return;
         }
-        unread.values().removeIf(this::readOrMoved);
+        unread.values().removeIf(this::isReadOrArchived);
     }
 
-    private boolean readOrMoved(Cancellation reported) {
+    private boolean isReadOrArchived(Cancellation reported) {
         if (jobs.containsKey(reported.job())) {
             return true;
         }
-        boolean moved = reported.revision() <= feed.cursor();
+        boolean moved = reported.revision() <= watch.cursor();
         if (moved) {
             cancellations.drop(reported.job());
         }
@@ -234,7 +234,7 @@
 
     /** Takes in a record that this controller has just written or read itself. */
     void learn(JobRecord job) {
-        boolean seenByFeed = feed.loaded() && job.version() <= feed.cursor();
+        boolean seenByFeed = watch.loaded() && job.version() <= watch.cursor();
         if (seenByFeed && !jobs.containsKey(job.id())) {
             // The commit's answer came so late that the record has been moved meanwhile.
             return;
@@ -272,14 +272,14 @@
     }
 
     private void learnEnd(JobRecord active, Cancellation reported) {
-        learn(active.ended(Phase.CANCELLED, reported.askedAt()).committed(reported.revision()));
+        learn(active.ended(JobPhase.CANCELLED, reported.askedAt()).committed(reported.revision()));
     }
 
     /**
      * Whether users may be told the state of a job that is in memory; see {@link JobDependencies}.
      */
-    boolean certain(JobRecord job) {
-        return dependencies.certain(job);
+    boolean isStatusCertain(JobRecord job) {
+        return dependencies.isStatusCertain(job);
     }
 
     /** Cancellations in memory, with those whose records were not read yet. */
@@ -288,7 +288,7 @@
     }
 
     /** Final states of moved jobs in memory. */
-    int movedInMemory() {
+    int archivedInMemory() {
         return endedJobs.keptCount();
     }
 
@@ -298,7 +298,7 @@
     }
 
     /** Stops what a worker still has of cancelled jobs. */
-    List<Command> stopsFor(Report report) {
+    List<Command> stopCommandsFor(Heartbeat report) {
         return report.tasks().stream()
                 .filter(task -> task.state() != TaskState.EXITED)
                 .filter(task -> cancelled(task.task().job()))
@@ -309,18 +309,18 @@
     /**
      * What this controller tells of itself when it asks another one, which handed out the bookmark.
      */
-    News known(long bookmark) {
-        return new News(feed.cursor(), bookmark, false, feed.loaded(), List.of());
+    CancellationDelta deltaRequest(long bookmark) {
+        return new CancellationDelta(watch.cursor(), bookmark, false, watch.loaded(), List.of());
     }
 
     /** What another controller lacks, going by its question. */
-    News lackedBy(News known) {
-        return cancellations.lackedBy(known, feed.loaded());
+    CancellationDelta deltaFor(CancellationDelta known) {
+        return cancellations.deltaFor(known, watch.loaded());
     }
 
     /** Everything that was committed before this moment is known here. */
     double currentAt() {
-        return feed.currentAt();
+        return watch.currentAt();
     }
 
     /**
@@ -328,7 +328,7 @@
      * that cannot be had.
      */
     void barrier(Consumer<Boolean> done) {
-        feed.barrier(done);
+        watch.barrier(done);
     }
 
     private void apply(Change change) {
@@ -338,7 +338,7 @@
         }
         try {
             learnStored(JobRecord.decode(change.key(), change.value(), change.version()));
-        } catch (BadMessageException e) {
+        } catch (MalformedMessageException e) {
             LOG.error("{} cannot be read: {}", change.key(), e.getMessage());
         }
     }
--- a/src/main/java/org/springmill/control/coordination/JobFailures.java
+++ b/src/main/java/org/springmill/control/coordination/JobFailures.java
@@ -51,11 +51,11 @@
      * the same trial and lengthen no pause.
      *
      * @param placedAt when the task was placed
-     * @param stepS the shortest pause
+     * @param stepSeconds the shortest pause
      */
-    void failed(String machine, double placedAt, double now, double stepS) {
+    void failed(String machine, double placedAt, double now, double stepSeconds) {
         failedOn.add(machine);
-        excludedUntil.put(machine, now + EXCLUSION_STEPS * stepS);
+        excludedUntil.put(machine, now + EXCLUSION_STEPS * stepSeconds);
         if (!isSuspect()) {
             return;
         }
@@ -64,7 +64,7 @@
             return;
         }
         int steps = Math.min(MAX_PAUSE_STEPS, 1 << Math.min(MAX_DOUBLINGS, failedTrials));
-        notBefore = now + stepS * steps * jitter;
+        notBefore = now + stepSeconds * steps * jitter;
         trialFailedAt = now;
         failedTrials++;
     }
--- a/src/main/java/org/springmill/control/coordination/JobQueryHandler.java
+++ b/src/main/java/org/springmill/control/coordination/JobQueryHandler.java
@@ -1,7 +1,7 @@
 package org.springmill.control.coordination;
 
-import org.springmill.control.history.EndedJobs.Lookup;
-import org.springmill.control.storage.EndedJob;
+import org.springmill.control.history.ArchivedJobLookup.Lookup;
+import org.springmill.control.storage.ArchivedJob;
 import org.springmill.control.storage.JobRecord;
 import org.springmill.protocol.Submission;
 import org.springmill.transport.HttpHandler.Call;
@@ -12,9 +12,9 @@
  */
 final class JobQueryHandler {
     private final JobDirectory directory;
-    private final JobAnswers answers;
+    private final JobStatusResponses answers;
 
-    JobQueryHandler(JobDirectory directory, JobAnswers answers) {
+    JobQueryHandler(JobDirectory directory, JobStatusResponses answers) {
         this.directory = directory;
         this.answers = answers;
     }
@@ -22,15 +22,15 @@
     /** Answers a question about a job that may never have been submitted. */
     void query(Call call, String id) {
         if (!Submission.validId(id)) {
-            JobAnswers.notFound(call);
+            JobStatusResponses.notFound(call);
             return;
         }
         JobRecord known = directory.get(id);
-        EndedJob moved = directory.moved(id);
+        ArchivedJob moved = directory.archived(id);
         if (known != null && known.phase().terminal()) {
             answers.progress(call, known);
         } else if (known == null && moved != null) {
-            JobAnswers.progress(call, moved);
+            JobStatusResponses.progress(call, moved);
         } else {
             directory.barrier(current -> answer(call, id, current));
         }
@@ -39,21 +39,21 @@
     private void answer(Call call, String id, boolean current) {
         JobRecord job = directory.get(id);
         if (!current) {
-            JobAnswers.unavailable(call, JobAnswers.STATE_SERVICE_SILENT);
+            JobStatusResponses.unavailable(call, JobStatusResponses.STATE_SERVICE_SILENT);
         } else if (job == null) {
-            directory.findMoved(id, lookup -> answerMoved(call, lookup));
-        } else if (directory.certain(job)) {
+            directory.findArchived(id, lookup -> answerMoved(call, lookup));
+        } else if (directory.isStatusCertain(job)) {
             answers.progress(call, job);
         } else {
-            JobAnswers.unavailable(call, JobAnswers.DEPENDENCY_BEING_READ);
+            JobStatusResponses.unavailable(call, JobStatusResponses.DEPENDENCY_BEING_READ);
         }
     }
 
     private static void answerMoved(Call call, Lookup lookup) {
-        JobAnswers.lookedUp(
+        JobStatusResponses.lookedUp(
                 call,
                 lookup,
-                job -> JobAnswers.progress(call, job),
-                () -> JobAnswers.notFound(call));
+                job -> JobStatusResponses.progress(call, job),
+                () -> JobStatusResponses.notFound(call));
     }
 }
--- a/src/main/java/org/springmill/control/coordination/JobRecordFeed.java
+++ b/src/main/java/org/springmill/control/coordination/JobRecordWatch.java
@@ -6,26 +6,26 @@
 import java.util.Set;
 import java.util.function.Consumer;
 import org.springmill.control.storage.JobRecord;
-import org.springmill.control.storage.StateStore;
-import org.springmill.control.storage.StateStore.ChangesResult;
-import org.springmill.protocol.StateMessages.Change;
-import org.springmill.protocol.StateMessages.Changes;
-import org.springmill.protocol.StateMessages.Entry;
-import org.springmill.transport.Loop;
+import org.springmill.control.storage.KeyValueStoreClient;
+import org.springmill.control.storage.KeyValueStoreClient.ChangesResult;
+import org.springmill.protocol.KeyValueStoreMessages.Change;
+import org.springmill.protocol.KeyValueStoreMessages.Changes;
+import org.springmill.protocol.KeyValueStoreMessages.Entry;
+import org.springmill.transport.EventLoop;
 
 /**
- * Reads the job records from the state service: all of them once, and from then on their changes by
- * a watch and by barriers.
+ * Reads the job records from the key-value store: all of them once, and from then on their changes
+ * by a watch and by barriers.
  *
  * <p>A barrier reads the changes up to a revision that was current after it was asked for. One read
  * serves all barriers that wait.
  */
-final class JobRecordFeed {
-    private final StateStore store;
-    private final Loop loop;
-    private final Timing timing;
+final class JobRecordWatch {
+    private final KeyValueStoreClient store;
+    private final EventLoop loop;
+    private final Timeouts timing;
     private final Listener listener;
-    private final double barrierIntervalS;
+    private final double barrierIntervalSeconds;
     private List<Consumer<Boolean>> waitingBarriers = new ArrayList<>();
     private boolean reading;
     private boolean loaded;
@@ -48,18 +48,18 @@
          * @param keys of the records that were there
          * @param revision of which the read is complete
          */
-        void readAgain(Set<String> keys, long revision);
+        void reloaded(Set<String> keys, long revision);
 
         /** Every change up to the cursor was passed on. */
         void caughtUp();
     }
 
-    JobRecordFeed(StateStore store, Loop loop, Timing timing, Listener listener) {
+    JobRecordWatch(KeyValueStoreClient store, EventLoop loop, Timeouts timing, Listener listener) {
         this.store = store;
         this.loop = loop;
         this.timing = timing;
         this.listener = listener;
-        barrierIntervalS = 1 / store.barriersPerS();
+        barrierIntervalSeconds = 1 / store.barriersPerSecond();
     }
 
     /**
@@ -74,7 +74,7 @@
                 entries -> takePage(entries, keys),
                 revision -> {
                     if (revision < 0) {
-                        loop.after(timing.renewS(), this::start);
+                        loop.after(timing.leaderRenewIntervalSeconds(), this::start);
                         return;
                     }
                     takenAll(keys, revision, askedAt);
@@ -96,7 +96,7 @@
         cursor = Math.max(cursor, revision);
         currentAt = Math.max(currentAt, askedAt);
         if (loaded) {
-            listener.readAgain(keys, revision);
+            listener.reloaded(keys, revision);
         } else {
             loaded = true;
             listener.loaded();
@@ -163,7 +163,7 @@
                     } else {
                         served.forEach(barrier -> barrier.accept(read));
                     }
-                    loop.after(barrierIntervalS, this::readForWaitingBarriers);
+                    loop.after(barrierIntervalSeconds, this::readForWaitingBarriers);
                 });
     }
 
@@ -175,7 +175,7 @@
     }
 
     private void watch() {
-        store.changes(JobRecord.PREFIX, cursor, timing.leaseS(), this::watched);
+        store.changes(JobRecord.PREFIX, cursor, timing.workerLeaseSeconds(), this::watched);
     }
 
     private void watched(ChangesResult result) {
@@ -185,7 +185,7 @@
         } else if (result.tooOld()) {
             start();
         } else {
-            loop.after(timing.renewS(), this::watch);
+            loop.after(timing.leaderRenewIntervalSeconds(), this::watch);
         }
     }
 
--- a/src/main/java/org/springmill/control/coordination/JobAnswers.java
+++ b/src/main/java/org/springmill/control/coordination/JobStatusResponses.java
@@ -3,31 +3,31 @@
 import java.util.function.Consumer;
 import java.util.function.Function;
 import org.springmill.control.admission.AdmissionRefusal;
-import org.springmill.control.history.EndedJobs.Lookup;
-import org.springmill.control.storage.EndedJob;
+import org.springmill.control.history.ArchivedJobLookup.Lookup;
+import org.springmill.control.storage.ArchivedJob;
 import org.springmill.control.storage.JobRecord;
 import org.springmill.protocol.PeerMessages.JobProgress;
 import org.springmill.protocol.UserMessages;
-import org.springmill.protocol.UserMessages.Phase;
+import org.springmill.protocol.UserMessages.JobPhase;
 import org.springmill.transport.HttpHandler.Call;
 
 /** The answers that users get about a job, from its record and the progress of its tasks. */
-final class JobAnswers {
+final class JobStatusResponses {
     /** Users wait 5 s for an answer; by then they have to have one. */
-    static final double ANSWER_WITHIN_S = 3.5;
+    static final double ANSWER_WITHIN_SECONDS = 3.5;
 
     static final String DEPENDENCY_BEING_READ = "the end of a job that it needs is being read";
 
     static final String STATE_SERVICE_SILENT = "the state service does not answer";
 
-    private static final int RETRY_AFTER_S = 1;
+    private static final int RETRY_AFTER_SECONDS = 1;
 
     private final Function<String, JobProgress> progress;
 
     /**
      * @param progress of an active job by its id, as far as it is known here; null if it is not
      */
-    JobAnswers(Function<String, JobProgress> progress) {
+    JobStatusResponses(Function<String, JobProgress> progress) {
         this.progress = progress;
     }
 
@@ -41,7 +41,7 @@
         JobProgress known = progress.apply(job.id());
         int done = known == null ? 0 : known.done();
         int running = known == null ? 0 : known.running();
-        if (job.phase() == Phase.DONE) {
+        if (job.phase() == JobPhase.DONE) {
             done = job.submission().tasks();
         }
         if (job.phase().terminal()) {
@@ -51,26 +51,26 @@
     }
 
     /** Answers 200 with the final phase of a job whose record has been moved to the history. */
-    static void phase(Call call, EndedJob job) {
+    static void phase(Call call, ArchivedJob job) {
         call.reply(200, UserMessages.phase(job.id(), job.phase()), 0);
     }
 
     /** Answers 200 with the final phase and counts of a job whose record has been moved. */
-    static void progress(Call call, EndedJob job) {
+    static void progress(Call call, ArchivedJob job) {
         int done = job.cancelled() ? 0 : job.tasks();
         call.reply(200, UserMessages.progress(job.id(), job.phase(), done, 0), 0);
     }
 
-    private Phase phaseOf(JobRecord job) {
+    private JobPhase phaseOf(JobRecord job) {
         if (job.phase().terminal()) {
             return job.phase();
         }
         JobProgress known = progress.apply(job.id());
-        return known != null && known.running() > 0 ? Phase.RUNNING : Phase.QUEUED;
+        return known != null && known.running() > 0 ? JobPhase.RUNNING : JobPhase.QUEUED;
     }
 
     /** Answers from a lookup of a moved job; 503 if that was not served. */
-    static void lookedUp(Call call, Lookup lookup, Consumer<EndedJob> found, Runnable absent) {
+    static void lookedUp(Call call, Lookup lookup, Consumer<ArchivedJob> found, Runnable absent) {
         switch (lookup.outcome()) {
             case FOUND -> found.accept(lookup.job());
             case ABSENT -> absent.run();
@@ -85,7 +85,7 @@
 
     /** Answers 503: what was asked for cannot be decided now. */
     static void unavailable(Call call, String reason) {
-        call.reply(503, UserMessages.error(reason), RETRY_AFTER_S);
+        call.reply(503, UserMessages.error(reason), RETRY_AFTER_SECONDS);
     }
 
     /** Answers 422: the job can never run. */
--- a/src/main/java/org/springmill/control/coordination/Leader.java
+++ b/src/main/java/org/springmill/control/coordination/Leader.java
@@ -9,18 +9,18 @@
 import org.springmill.control.admission.Congestion;
 import org.springmill.control.admission.QueueWaits;
 import org.springmill.control.borrowing.RecallLog;
-import org.springmill.control.history.HistoryMembers;
-import org.springmill.control.history.HistoryMover;
+import org.springmill.control.history.HistoryArchiver;
+import org.springmill.control.history.HistoryMembership;
 import org.springmill.control.storage.JobRecord;
+import org.springmill.control.storage.KeyValueStoreClient;
 import org.springmill.control.storage.RoundLog;
-import org.springmill.control.storage.StateStore;
 import org.springmill.protocol.PeerMessages.JobProgress;
 import org.springmill.protocol.Settings;
-import org.springmill.protocol.UserMessages.Phase;
-import org.springmill.protocol.WorkerMessages.Report;
+import org.springmill.protocol.UserMessages.JobPhase;
+import org.springmill.protocol.WorkerMessages.Heartbeat;
+import org.springmill.transport.EventLoop;
 import org.springmill.transport.HttpClient;
 import org.springmill.transport.HttpHandler.Call;
-import org.springmill.transport.Loop;
 
 /**
  * One term of leadership: everything a leader knows, rebuilt at its start and thrown away at its
@@ -29,10 +29,10 @@
 final class Leader {
     private static final Logger LOG = LoggerFactory.getLogger(Leader.class);
 
-    private final StateStore store;
-    private final Loop loop;
+    private final KeyValueStoreClient store;
+    private final EventLoop loop;
     private final Settings settings;
-    private final Timing timing;
+    private final Timeouts timing;
     private final Leadership leadership;
     private final JobDirectory directory;
     private final Peers peers;
@@ -42,36 +42,36 @@
     private final RoundLog log;
     private final CommandDispatcher dispatcher;
     private final Reconciliation reconciliation;
-    private final RoomMaking roomMaking;
-    private final Rounds rounds;
-    private final Rentals rentals;
-    private final Demand demand;
+    private final PreemptionPolicy preemption;
+    private final PlacementRounds rounds;
+    private final Autoscaler rentals;
+    private final ArrivalRateEstimator demand;
     private final CancellationPersister cancellations;
-    private final DependencyPriority order;
+    private final DependencyPriority dependencyPriority;
     private final WorkloadBroadcast broadcast;
-    private final ImageLocationNotes imageLocations;
-    private final JobEnds jobEnds;
-    private final WorkerReports workerReports;
+    private final ImageLocationPersister imageLocations;
+    private final JobCompletion jobEnds;
+    private final HeartbeatHandler workerReports;
 
     /** Empty unless the operators have switched the bounded history on. */
-    private final Optional<HistoryMover> history;
+    private final Optional<HistoryArchiver> history;
 
     private boolean rebuilt;
     private boolean closed;
 
     Leader(
-            StateStore store,
+            KeyValueStoreClient store,
             HttpClient http,
-            Loop loop,
+            EventLoop loop,
             Settings settings,
-            Timing timing,
+            Timeouts timing,
             Leadership leadership,
             JobDirectory directory,
             Peers peers,
             MachineTypeCatalog catalog,
             Metrics metrics,
             Congestion congestion,
-            Optional<HistoryMembers> historyMembers) {
+            Optional<HistoryMembership> historyMembers) {
         this.store = store;
         this.loop = loop;
         this.settings = settings;
@@ -93,24 +93,25 @@
                 new RoundLog(
                         store,
                         loop,
-                        leadership.condition(),
+                        leadership.termCondition(),
                         id -> clusterState.job(id) != null && clusterState.job(id).active(),
                         settings.limits().cpuShare(),
                         settings.operator().borrowing().isPresent()
-                                ? RecallLog.reserve(settings.state())
+                                ? RecallLog.reserve(settings.storeLimits())
                                 : RoundLog.Reserve.NONE);
         reconciliation =
-                new Reconciliation(fleet, timing, peers, metrics, this::wake, leadership::deposed);
+                new Reconciliation(
+                        fleet, timing, peers, metrics, this::requestRound, leadership::stepDown);
         dispatcher = new CommandDispatcher(fleet, http, timing, reconciliation::accept);
         workerReports =
-                new WorkerReports(
+                new HeartbeatHandler(
                         fleet,
                         reconciliation,
                         dispatcher,
                         directory,
                         loop,
                         timing,
-                        new WorkerReports.Term() {
+                        new HeartbeatHandler.Term() {
                             @Override
                             public boolean rebuilt() {
                                 return rebuilt;
@@ -130,32 +131,35 @@
                         fleet,
                         timing,
                         borrowing
-                                .<WithheldRoom>map(RecallSetup::withheld)
-                                .orElse(WithheldRoom.NONE));
-        roomMaking =
+                                .<CapacityFilter>map(RecallSetup::withheld)
+                                .orElse(CapacityFilter.NONE));
+        preemption =
                 borrowing
-                        .<RoomMaking>map(setup -> setup.recalls(store, placement, dispatcher::poke))
-                        .orElseGet(() -> new Preemption(fleet, placement, timing));
+                        .<PreemptionPolicy>map(
+                                setup -> setup.recalls(store, placement, dispatcher::requestSend))
+                        .orElseGet(() -> new ImmediatePreemption(fleet, placement, timing));
         rounds =
-                new Rounds(
+                new PlacementRounds(
                         fleet,
                         placement,
-                        roomMaking,
+                        preemption,
                         log,
                         leadership,
                         loop,
-                        4 / settings.state().writesPerS(),
-                        new Rounds.Listener() {
+                        4 / settings.storeLimits().writesPerSecond(),
+                        new PlacementRounds.Listener() {
                             @Override
                             public void committed(
-                                    List<Attempt> claimed, List<Attempt> ended, double since) {
+                                    List<TaskAttempt> claimed,
+                                    List<TaskAttempt> ended,
+                                    double since) {
                                 metrics.roundCommitted(since, claimed.size(), ended.size());
                                 roundCommitted(claimed, ended);
                             }
 
                             @Override
                             public void lost() {
-                                leadership.deposed("a round was refused");
+                                leadership.stepDown("a round was refused");
                             }
                         });
         broadcast =
@@ -167,40 +171,56 @@
                         loop,
                         settings.node(),
                         fleet.term(),
-                        timing.reportS());
-        imageLocations = new ImageLocationNotes(store, fleet, leadership, loop, timing.leaseS());
+                        timing.heartbeatIntervalSeconds());
+        imageLocations =
+                new ImageLocationPersister(
+                        store, fleet, leadership, loop, timing.workerLeaseSeconds());
         jobEnds =
-                new JobEnds(
-                        store, directory, clusterState, leadership, loop, timing, settings.skewS());
-        demand = new Demand(settings, loop.now());
-        order = new DependencyPriority(directory, clusterState);
+                new JobCompletion(
+                        store,
+                        directory,
+                        clusterState,
+                        leadership,
+                        loop,
+                        timing,
+                        settings.skewSeconds());
+        demand = new ArrivalRateEstimator(settings, loop.now());
+        dependencyPriority = new DependencyPriority(directory, clusterState);
         cancellations = new CancellationPersister(store, directory, leadership, loop);
         history = historyMembers.map(members -> historyMover(members, metrics));
         rentals =
-                new Rentals(
-                        fleet, placement, demand, peers, http, loop, settings, timing, this::wake);
+                new Autoscaler(
+                        fleet,
+                        placement,
+                        demand,
+                        peers,
+                        http,
+                        loop,
+                        settings,
+                        timing,
+                        this::requestRound);
     }
 
     private static Optional<QueueWaits> queueWaits(Settings settings) {
-        OptionalDouble maxWait = settings.operator().maxWaitS();
+        OptionalDouble maxWait = settings.operator().maxWaitSeconds();
         return maxWait.isPresent()
                 ? Optional.of(new QueueWaits(maxWait.getAsDouble()))
                 : Optional.empty();
     }
 
-    private HistoryMover historyMover(HistoryMembers members, Metrics metrics) {
-        return new HistoryMover(
+    private HistoryArchiver historyMover(HistoryMembership members, Metrics metrics) {
+        return new HistoryArchiver(
                 store,
                 loop,
                 members,
-                new SettledJobs(directory, clusterState, leadership, metrics),
-                settings.operator().historyRetentionS().getAsDouble(),
-                timing.leaseS());
+                new ArchivableJobs(directory, clusterState, leadership, metrics),
+                settings.operator().historyRetentionSeconds().getAsDouble(),
+                timing.workerLeaseSeconds());
     }
 
     void close() {
         closed = true;
-        history.ifPresent(HistoryMover::close);
+        history.ifPresent(HistoryArchiver::close);
         log.close();
         dispatcher.close();
         rounds.close();
@@ -222,7 +242,7 @@
                         return;
                     }
                     if (!current || !catalog.known()) {
-                        loop.after(timing.pingS(), this::start);
+                        loop.after(timing.peerPollIntervalSeconds(), this::start);
                         return;
                     }
                     log.load(
@@ -231,7 +251,7 @@
                                     return;
                                 }
                                 if (found == null) {
-                                    loop.after(timing.pingS(), this::start);
+                                    loop.after(timing.peerPollIntervalSeconds(), this::start);
                                     return;
                                 }
                                 loadRecalls(found);
@@ -240,13 +260,13 @@
     }
 
     private void loadRecalls(RoundLog.Rebuilt found) {
-        roomMaking.load(
+        preemption.load(
                 read -> {
                     if (closed) {
                         return;
                     }
                     if (!read) {
-                        loop.after(timing.pingS(), this::start);
+                        loop.after(timing.peerPollIntervalSeconds(), this::start);
                         return;
                     }
                     rebuild(found);
@@ -254,12 +274,13 @@
     }
 
     private void rebuild(RoundLog.Rebuilt found) {
-        ClusterRebuild rebuild = new ClusterRebuild(directory, clusterState, fleet, jobEnds, loop);
+        ClusterStateRecovery rebuild =
+                new ClusterStateRecovery(directory, clusterState, fleet, jobEnds, loop);
         List<JobRecord> active = rebuild.activeJobs();
         rebuild.endedJobs().forEach(record -> history.ifPresent(mover -> mover.ended(record)));
         active.forEach(record -> admit(rebuild.job(record, found), false));
         found.live().forEach(rebuild::adopt);
-        roomMaking.rebuilt();
+        preemption.stateRecovered();
         rebuilt = true;
         LOG.info(
                 "term {}: {} active jobs, {} claims in {} rounds",
@@ -269,8 +290,8 @@
                 log.kept());
         rentals.start(log.kept() == 0);
         for (Machine machine : fleet.machinesNow()) {
-            machine.askAgain = true;
-            dispatcher.poke(machine);
+            machine.statusRequested = true;
+            dispatcher.requestSend(machine);
         }
         for (Job job : new ArrayList<>(clusterState.jobs().values())) {
             jobEnds.finishIfComplete(job);
@@ -279,7 +300,7 @@
         tick();
         broadcast.start();
         cancellations.run();
-        history.ifPresent(HistoryMover::start);
+        history.ifPresent(HistoryArchiver::start);
         imageLocations.start();
     }
 
@@ -287,7 +308,7 @@
         if (closed) {
             return;
         }
-        loop.after(timing.reportS() / 8, this::tick);
+        loop.after(timing.heartbeatIntervalSeconds() / 8, this::tick);
         leadership.state();
         if (closed) {
             return;
@@ -295,9 +316,9 @@
         // Whoever holds the term, sure of it or not, may be the only one who knows where cancelled
         // tasks are.
         for (Machine machine : jobEnds.machinesWithOverdueTasks()) {
-            rentals.giveBack(machine, "a cancelled task on it cannot be stopped");
+            rentals.release(machine, "a cancelled task on it cannot be stopped");
         }
-        if (!leadership.mayAnswer()) {
+        if (!leadership.mayRespondToWorkers()) {
             return;
         }
         resignIfCutOff();
@@ -305,14 +326,14 @@
             return;
         }
         reconciliation.tick();
-        order.settle();
+        dependencyPriority.settle();
         for (Machine machine : fleet.machinesNow()) {
             if (machine.state() == Machine.State.UP
-                    && loop.now() - machine.lastHeard() > timing.probeS()) {
-                machine.askAgain = true;
+                    && loop.now() - machine.lastHeartbeatAt() > timing.probeAfterSeconds()) {
+                machine.statusRequested = true;
             }
-            dispatcher.poke(machine);
-            if (machine.state() == Machine.State.GONE && machine.attempts().isEmpty()) {
+            dispatcher.requestSend(machine);
+            if (machine.state() == Machine.State.TERMINATED && machine.attempts().isEmpty()) {
                 fleet.forget(machine);
             }
         }
@@ -324,32 +345,33 @@
 
     /**
      * A leader that no longer hears many of its workers, while another controller does, is the one
-     * that is cut off: their leases would run out under it although the state service sees nothing
-     * wrong with it. Machines that never heard it are none that it has lost: while some were deaf,
-     * wandering from one controller to the next, each new leader gave way in its turn, and none was
-     * in office for long enough to replace them.
+     * that is cut off: their leases would run out under it although the key-value store sees
+     * nothing wrong with it. Machines that never heard it are none that it has lost: while some
+     * were deaf, wandering from one controller to the next, each new leader gave way in its turn,
+     * and none was in office for long enough to replace them.
      */
     private void resignIfCutOff() {
         double now = loop.now();
         int up = 0;
         int silent = 0;
         for (Machine machine : fleet.machines()) {
-            if (machine.state() == Machine.State.UP && machine.hearsThisTerm()) {
+            if (machine.state() == Machine.State.UP && machine.hasSeenCurrentTerm()) {
                 up++;
-                silent += now - machine.lastHeard() > timing.quietS() ? 1 : 0;
+                silent += now - machine.lastHeartbeatAt() > timing.suspectAfterSeconds() ? 1 : 0;
             }
         }
-        if (silent >= Math.max(2, up / 4) && peers.workersElsewhere() >= Math.max(2, silent / 2)) {
+        if (silent >= Math.max(2, up / 4)
+                && peers.workersRedirectedByPeers() >= Math.max(2, silent / 2)) {
             leadership.resign(silent + " of " + up + " workers report elsewhere");
         }
     }
 
     /** Notes that this controller stood still: what it did not read meanwhile was no silence. */
     void resumed() {
-        rentals.stoodStill();
+        rentals.resumed();
     }
 
-    private void wake() {
+    private void requestRound() {
         if (!closed && rebuilt) {
             rounds.request();
         }
@@ -360,7 +382,7 @@
         if (closed || !rebuilt) {
             return;
         }
-        if (record.phase() == Phase.DONE) {
+        if (record.phase() == JobPhase.DONE) {
             releaseDependents(record);
         }
         if (!record.active()) {
@@ -379,10 +401,10 @@
         }
         if (!record.active() && job.active()) {
             job.end(record.phase(), record.version(), jobEnds.endedSince(record));
-            order.changed(job);
-            for (Attempt attempt : job.attempts()) {
+            dependencyPriority.changed(job);
+            for (TaskAttempt attempt : job.attempts()) {
                 fleet.stop(attempt, 0);
-                dispatcher.poke(attempt.machine());
+                dispatcher.requestSend(attempt.machine());
             }
             jobEnds.dropIfOver(job);
             rounds.request();
@@ -394,7 +416,7 @@
      */
     private void admit(Job job, boolean counted) {
         clusterState.add(job);
-        order.changed(job);
+        dependencyPriority.changed(job);
         if (job.waitsForOthers() && directory.dependencies().ready(job.spec())) {
             job.becomeEligible(directory.dependencies().readySince(job.spec()));
         }
@@ -425,21 +447,21 @@
         }
     }
 
-    private void roundCommitted(List<Attempt> claimed, List<Attempt> ended) {
+    private void roundCommitted(List<TaskAttempt> claimed, List<TaskAttempt> ended) {
         broadcast.placed(claimed);
-        for (Attempt attempt : claimed) {
-            dispatcher.poke(attempt.machine());
+        for (TaskAttempt attempt : claimed) {
+            dispatcher.requestSend(attempt.machine());
         }
-        for (Attempt attempt : ended) {
-            dispatcher.poke(attempt.machine());
+        for (TaskAttempt attempt : ended) {
+            dispatcher.requestSend(attempt.machine());
             jobEnds.finishIfComplete(attempt.job());
             jobEnds.dropIfOver(attempt.job());
         }
     }
 
     /** Answers a worker's report. */
-    void report(Call call, Report report) {
-        workerReports.answer(call, report);
+    void report(Call call, Heartbeat report) {
+        workerReports.respond(call, report);
     }
 
     /** Phase and counts of an active job, as its leader knows them; null if it is not known. */
@@ -467,7 +489,7 @@
     }
 
     int recordsToMove() {
-        return history.map(HistoryMover::waiting).orElse(0);
+        return history.map(HistoryArchiver::waiting).orElse(0);
     }
 
     int roundsKept() {
--- a/src/main/java/org/springmill/control/coordination/LeaderRecord.java
+++ b/src/main/java/org/springmill/control/coordination/LeaderRecord.java
@@ -5,7 +5,7 @@
 import org.springmill.protocol.Settings;
 
 /**
- * The stored record of the leader, attached to its lease in the state service.
+ * The stored record of the leader, attached to its lease in the key-value store.
  *
  * @param node the controller that leads
  * @param incarnation random name of its process: a restarted one does not inherit the leadership
--- a/src/main/java/org/springmill/control/coordination/LeaderRecordWatch.java
+++ b/src/main/java/org/springmill/control/coordination/LeaderRecordWatch.java
@@ -1,23 +1,24 @@
 package org.springmill.control.coordination;
 
 import java.util.function.Consumer;
-import org.springmill.control.storage.StateStore;
-import org.springmill.control.storage.StateStore.ChangesResult;
-import org.springmill.protocol.StateMessages.Change;
-import org.springmill.protocol.StateMessages.Page;
-import org.springmill.transport.Loop;
+import org.springmill.control.storage.KeyValueStoreClient;
+import org.springmill.control.storage.KeyValueStoreClient.ChangesResult;
+import org.springmill.protocol.KeyValueStoreMessages.Change;
+import org.springmill.protocol.KeyValueStoreMessages.Page;
+import org.springmill.transport.EventLoop;
 
 /** Follows the changes of the leader's record for as long as the process runs. */
 final class LeaderRecordWatch {
-    private final StateStore store;
-    private final Loop loop;
-    private final Timing timing;
+    private final KeyValueStoreClient store;
+    private final EventLoop loop;
+    private final Timeouts timing;
     private final Consumer<Change> onChange;
 
     /** Revision up to which changes are known; 0 if it has to be read first. */
     private long knownRevision;
 
-    LeaderRecordWatch(StateStore store, Loop loop, Timing timing, Consumer<Change> onChange) {
+    LeaderRecordWatch(
+            KeyValueStoreClient store, EventLoop loop, Timeouts timing, Consumer<Change> onChange) {
         this.store = store;
         this.loop = loop;
         this.timing = timing;
@@ -28,7 +29,11 @@
         if (knownRevision == 0) {
             store.list(LeaderRecord.KEY, this::revisionRead);
         } else {
-            store.changes(LeaderRecord.KEY, knownRevision, timing.leaseS(), this::changesRead);
+            store.changes(
+                    LeaderRecord.KEY,
+                    knownRevision,
+                    timing.workerLeaseSeconds(),
+                    this::changesRead);
         }
     }
 
@@ -53,6 +58,6 @@
     }
 
     private void startLater() {
-        loop.after(timing.renewS(), this::start);
+        loop.after(timing.leaderRenewIntervalSeconds(), this::start);
     }
 }
--- a/src/main/java/org/springmill/control/coordination/Leadership.java
+++ b/src/main/java/org/springmill/control/coordination/Leadership.java
@@ -4,22 +4,22 @@
 import java.util.List;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import org.springmill.control.storage.StateStore;
-import org.springmill.control.storage.StateStore.CommitResult;
-import org.springmill.control.storage.StateStore.Outcome;
-import org.springmill.control.storage.StateStore.ReadResult;
-import org.springmill.control.storage.StateStore.Renewal;
-import org.springmill.protocol.PeerMessages.Status;
+import org.springmill.control.storage.KeyValueStoreClient;
+import org.springmill.control.storage.KeyValueStoreClient.CommitOutcome;
+import org.springmill.control.storage.KeyValueStoreClient.CommitResult;
+import org.springmill.control.storage.KeyValueStoreClient.LeaseRenewal;
+import org.springmill.control.storage.KeyValueStoreClient.ReadResult;
+import org.springmill.protocol.KeyValueStoreMessages.Change;
+import org.springmill.protocol.KeyValueStoreMessages.Condition;
+import org.springmill.protocol.KeyValueStoreMessages.Entry;
+import org.springmill.protocol.KeyValueStoreMessages.Write;
+import org.springmill.protocol.PeerMessages.PeerStatus;
 import org.springmill.protocol.Settings;
-import org.springmill.protocol.StateMessages.Change;
-import org.springmill.protocol.StateMessages.Condition;
-import org.springmill.protocol.StateMessages.Entry;
-import org.springmill.protocol.StateMessages.Write;
-import org.springmill.transport.Loop;
+import org.springmill.transport.EventLoop;
 
 /**
  * Election and state of the leadership. The leader is whoever's {@link LeaderRecord} stands in the
- * state service, attached to a lease there; the revision at which it was written is the term.
+ * key-value store, attached to a lease there; the revision at which it was written is the term.
  */
 final class Leadership {
     private static final Logger LOG = LoggerFactory.getLogger(Leadership.class);
@@ -37,7 +37,7 @@
         /** Leading, and the lease is known to hold. */
         LEADING,
         /** Leading, but the lease may have run out: nothing is placed. */
-        DOUBTING
+        LEASE_UNCERTAIN
     }
 
     /** Takes notice of gained and lost leadership. */
@@ -49,10 +49,10 @@
         void lost();
     }
 
-    private final StateStore store;
-    private final Loop loop;
+    private final KeyValueStoreClient store;
+    private final EventLoop loop;
     private final Settings settings;
-    private final Timing timing;
+    private final Timeouts timing;
     private final Peers peers;
     private final String incarnation;
     private final Listener listener;
@@ -67,7 +67,7 @@
      * Revision at which the record was last found missing: every term up to it is over. 0 if it is
      * there.
      */
-    private long vacantAt;
+    private long vacantAtRevision;
 
     /** When the last renewal that was answered had been sent. */
     private double provenAt = Double.NEGATIVE_INFINITY;
@@ -80,13 +80,13 @@
     private long endedTerm;
 
     /** After resigning, this controller does not stand before this time. */
-    private double standsFrom;
+    private double standsForElectionFrom;
 
     Leadership(
-            StateStore store,
-            Loop loop,
+            KeyValueStoreClient store,
+            EventLoop loop,
             Settings settings,
-            Timing timing,
+            Timeouts timing,
             Peers peers,
             String incarnation,
             Listener listener) {
@@ -127,7 +127,7 @@
     }
 
     /** Whether the leader's record was read since this process started. */
-    boolean informed() {
+    boolean hasReadLeaderRecord() {
         return recordRead;
     }
 
@@ -138,16 +138,18 @@
      * those in which leases run out.
      */
     boolean vacant() {
-        return vacantAt > 0 && !holdsTerm() && Math.max(knownTerm, peers.highestTerm()) <= vacantAt;
+        return vacantAtRevision > 0
+                && !holdsTerm()
+                && Math.max(knownTerm, peers.highestTerm()) <= vacantAtRevision;
     }
 
-    /** Holds in the state service for as long as nobody else has led since this term began. */
-    Condition condition() {
+    /** Holds in the key-value store for as long as nobody else has led since this term began. */
+    Condition termCondition() {
         return new Condition(LeaderRecord.KEY, term);
     }
 
     private boolean holdsTerm() {
-        return state == State.LEADING || state == State.DOUBTING;
+        return state == State.LEADING || state == State.LEASE_UNCERTAIN;
     }
 
     /** Whether placements may be committed and commands given. */
@@ -160,7 +162,7 @@
      * that only while a quorum of controllers, or all of them, confirm an outage of the state
      * service.
      */
-    boolean mayAnswer() {
+    boolean mayRespondToWorkers() {
         check();
         return holdsTerm() && ((withinGrace() && !unproven()) || outageConfirmed());
     }
@@ -178,21 +180,21 @@
         resumedAt = loop.now();
         check();
         if (holdsTerm()) {
-            transition(State.DOUBTING);
+            transition(State.LEASE_UNCERTAIN);
             renew();
         }
     }
 
     private boolean withinGrace() {
-        return loop.now() < validUntil + timing.graceS();
+        return loop.now() < validUntil + timing.leaderGraceSeconds();
     }
 
     private boolean outageConfirmed() {
-        return peers.mostConfirmOutage(term) || peers.allConfirmOutage(term);
+        return peers.quorumConfirmsOutage(term) || peers.allConfirmOutage(term);
     }
 
     /** A message showed a token of a later term: someone else leads. */
-    void deposed(String why) {
+    void stepDown(String why) {
         if (holdsTerm()) {
             LOG.warn("term {} is over: {}", term, why);
             transition(State.FOLLOWING);
@@ -202,8 +204,9 @@
     /** Gives the leadership up so that another controller can take it. */
     void resign(String why) {
         long given = lease;
-        standsFrom = loop.now() + LEASES_BEFORE_STANDING_AGAIN * timing.leaderTtlS();
-        deposed(why);
+        standsForElectionFrom =
+                loop.now() + LEASES_BEFORE_STANDING_AGAIN * timing.leaderLeaseSeconds();
+        stepDown(why);
         if (given != 0) {
             store.revoke(given, () -> {});
         }
@@ -214,7 +217,7 @@
      * is no proof of the leader's end and need not be one: taking a lease away early is safe, since
      * a new leader allows its predecessor a whole lease and the grace from its own beginning on.
      */
-    void leaderRefuses(Status lastStatus) {
+    void leaderRefusedConnection(PeerStatus lastStatus) {
         String node = lastStatus.from();
         boolean leadsNow = node.equals(knownLeader) && lastStatus.term() >= knownTerm;
         if (state == State.FOLLOWING && leadsNow && endedTerm != knownTerm) {
@@ -247,7 +250,7 @@
                     case FOLLOWING -> true;
                     case CAMPAIGNING -> state == State.FOLLOWING;
                     case LEADING -> true;
-                    case DOUBTING -> state == State.LEADING;
+                    case LEASE_UNCERTAIN -> state == State.LEADING;
                 };
         if (!legal) {
             LOG.error("leadership cannot go from {} to {}", state, next);
@@ -266,10 +269,10 @@
 
     private void check() {
         if (state == State.LEADING && loop.now() >= validUntil) {
-            transition(State.DOUBTING);
+            transition(State.LEASE_UNCERTAIN);
         }
         if (holdsTerm() && peers.highestTerm() > term) {
-            deposed("a peer knows a later term");
+            stepDown("a peer knows a later term");
         }
     }
 
@@ -280,7 +283,7 @@
         } else if (state == State.FOLLOWING) {
             readRecord();
         }
-        loop.after(timing.renewS(), this::tick);
+        loop.after(timing.leaderRenewIntervalSeconds(), this::tick);
     }
 
     private void renew() {
@@ -293,22 +296,22 @@
         store.renew(renewedLease, result -> renewalAnswered(result, renewedLease, sentAt));
     }
 
-    private void renewalAnswered(Renewal result, long renewedLease, double sentAt) {
+    private void renewalAnswered(LeaseRenewal result, long renewedLease, double sentAt) {
         renewing = false;
         if (!holdsTerm() || lease != renewedLease) {
             return;
         }
         switch (result) {
             case RENEWED -> {
-                validUntil = Math.max(validUntil, sentAt + timing.leaderTtlS());
+                validUntil = Math.max(validUntil, sentAt + timing.leaderLeaseSeconds());
                 provenAt = sentAt;
                 if (unproven()) {
                     renew();
-                } else if (state == State.DOUBTING && loop.now() < validUntil) {
+                } else if (state == State.LEASE_UNCERTAIN && loop.now() < validUntil) {
                     transition(State.LEADING);
                 }
             }
-            case ENDED -> deposed("its lease has ended");
+            case ENDED -> stepDown("its lease has ended");
             case UNKNOWN -> LOG.debug("renewal without answer");
         }
     }
@@ -320,10 +323,10 @@
         recordRead = true;
         if (read.entry() == null) {
             knownLeader = null;
-            vacantAt = read.revision();
+            vacantAtRevision = read.revision();
             // Having just given the leadership up, this controller stands again only if nobody else
             // does.
-            if (loop.now() >= standsFrom) {
+            if (loop.now() >= standsForElectionFrom) {
                 campaign();
             }
         } else {
@@ -335,7 +338,7 @@
         LeaderRecord leader = LeaderRecord.decode(entry.value());
         knownTerm = Math.max(knownTerm, entry.version());
         knownLeader = leader.node();
-        vacantAt = 0;
+        vacantAtRevision = 0;
         if (!leader.node().equals(settings.node())) {
             return;
         }
@@ -354,7 +357,7 @@
     private void campaign() {
         transition(State.CAMPAIGNING);
         double askedAt = loop.now();
-        store.grant(timing.leaderTtlS(), granted -> leaseAnswered(granted, askedAt));
+        store.grant(timing.leaderLeaseSeconds(), granted -> leaseAnswered(granted, askedAt));
     }
 
     private void leaseAnswered(long granted, double askedAt) {
@@ -363,19 +366,19 @@
             return;
         }
         lease = granted;
-        validUntil = askedAt + timing.leaderTtlS();
+        validUntil = askedAt + timing.leaderLeaseSeconds();
         provenAt = askedAt;
         Condition noLeader = new Condition(LeaderRecord.KEY, 0);
         JsonNode record = LeaderRecord.encode(settings, incarnation);
         Write takeOffice = new Write(LeaderRecord.KEY, record, granted);
-        store.commit(List.of(noLeader), List.of(takeOffice), this::campaignAnswered);
+        store.compareAndSwap(List.of(noLeader), List.of(takeOffice), this::campaignAnswered);
     }
 
     private void campaignAnswered(CommitResult result) {
         if (state != State.CAMPAIGNING) {
             return;
         }
-        if (result.outcome() == Outcome.COMMITTED) {
+        if (result.outcome() == CommitOutcome.COMMITTED) {
             won(result.revision());
         } else {
             transition(State.FOLLOWING);
@@ -392,10 +395,10 @@
         term = revision;
         knownTerm = Math.max(knownTerm, revision);
         knownLeader = settings.node();
-        vacantAt = 0;
+        vacantAtRevision = 0;
         transition(State.LEADING);
         if (unproven()) {
-            transition(State.DOUBTING);
+            transition(State.LEASE_UNCERTAIN);
             renew();
         }
     }
@@ -403,18 +406,18 @@
     private void changed(Change change) {
         if (change.value() == null) {
             if (holdsTerm() && change.version() > term) {
-                deposed("its record is gone");
+                stepDown("its record is gone");
             }
             knownLeader = null;
-            vacantAt = change.version();
+            vacantAtRevision = change.version();
             if (state == State.FOLLOWING) {
                 readRecord();
             }
         } else if (change.version() > term && holdsTerm()) {
-            deposed("another controller has taken over");
+            stepDown("another controller has taken over");
         } else if (state == State.FOLLOWING && change.version() > knownTerm) {
             knownTerm = change.version();
-            vacantAt = 0;
+            vacantAtRevision = 0;
             knownLeader = LeaderRecord.decode(change.value()).node();
         }
     }
