--- a/src/main/java/org/springmill/control/coordination/LeaseKeepalive.java
+++ b/src/main/java/org/springmill/control/coordination/LeaseKeepalive.java
@@ -4,9 +4,9 @@
 import java.util.HashSet;
 import java.util.Map;
 import java.util.Set;
-import org.springmill.control.storage.StateStore;
-import org.springmill.protocol.WorkerMessages.Report;
-import org.springmill.transport.Loop;
+import org.springmill.control.storage.KeyValueStoreClient;
+import org.springmill.protocol.WorkerMessages.Heartbeat;
+import org.springmill.transport.EventLoop;
 
 /**
  * Decides whether a controller that does not lead keeps a worker's lease all the same, without
@@ -14,11 +14,11 @@
  * for its silence. Leaders elsewhere allow for it; docs/design.md has the argument.
  */
 final class LeaseKeepalive {
-    private final StateStore store;
+    private final KeyValueStoreClient store;
     private final Peers peers;
     private final Leadership leadership;
-    private final Loop loop;
-    private final Timing timing;
+    private final EventLoop loop;
+    private final Timeouts timing;
     private final CancellationFreshness freshness;
 
     /** Tokens with which workers first came here while this controller has been isolated. */
@@ -34,12 +34,12 @@
     private double reachedByUsersAt = Double.NEGATIVE_INFINITY;
 
     LeaseKeepalive(
-            StateStore store,
+            KeyValueStoreClient store,
             Peers peers,
             Leadership leadership,
             CancellationFreshness freshness,
-            Loop loop,
-            Timing timing) {
+            EventLoop loop,
+            Timeouts timing) {
         this.store = store;
         this.peers = peers;
         this.leadership = leadership;
@@ -53,7 +53,7 @@
      *
      * @param holdsTerm whether this controller was elected and has not yet learned of a later term
      */
-    boolean keeps(Report report, boolean holdsTerm) {
+    boolean mayRenewLease(Heartbeat report, boolean holdsTerm) {
         boolean isolated = !store.reachable() && isIsolated();
         if (isolated) {
             zones.add(report.zone());
@@ -65,13 +65,13 @@
                         || (isolated && isUnclaimed(report));
         boolean keeps = entitled && noCancelledTaskIsKept(isolated);
         if (keeps) {
-            peers.noteLeaseKept();
+            peers.recordLeaseRenewal();
         }
         return keeps;
     }
 
     private boolean keepsForNewLeader(boolean holdsTerm) {
-        return !holdsTerm && peers.helps();
+        return !holdsTerm && peers.keepsLeasesForNewLeader();
     }
 
     private boolean keepsInConfirmedOutage(boolean holdsTerm) {
@@ -80,21 +80,22 @@
 
     private boolean outageIsConfirmed() {
         long term = leadership.knownTerm();
-        boolean confirmedByQuorum = leadership.informed() && peers.quorumMissesLeader(term);
+        boolean confirmedByQuorum =
+                leadership.hasReadLeaderRecord() && peers.quorumMissesLeader(term);
         return confirmedByQuorum || peers.allConfirmOutage(term);
     }
 
     /** Either its cancellations are known here, or a leader outside removes them by the cloud. */
     private boolean noCancelledTaskIsKept(boolean isolated) {
-        return freshness.covers() || (isolated && zoneIsPartitioned());
+        return freshness.isFresh() || (isolated && zoneIsPartitioned());
     }
 
     /**
-     * Whether this controller hears neither the state service nor any other controller, as is so
+     * Whether this controller hears neither the key-value store nor any other controller, as is so
      * for all in a partitioned zone.
      */
     private boolean isIsolated() {
-        double lastHeardAt = Math.max(peers.lastHeard(), store.lastServed());
+        double lastHeardAt = Math.max(peers.lastHeardAt(), store.lastServed());
         if (lastHeardAt != isolatedSince) {
             // Tokens remembered from an earlier partition made every worker that a leader had since
             // commanded seem to be within a leader's reach: in a second partition of the zone all
@@ -104,7 +105,7 @@
             zones.clear();
         }
         double silentSince = Math.max(lastHeardAt, resumedAt);
-        return loop.now() - silentSince > timing.confirmationValiditySeconds();
+        return loop.now() - silentSince > timing.peerConfirmationValidityOnAnyClockSeconds();
     }
 
     /** Notes that this controller stood still, so that it could have heard nobody. */
@@ -113,7 +114,7 @@
     }
 
     /** Users, or the load balancer, reached this controller. */
-    void reachedByUsers() {
+    void recordUserRequest() {
         reachedByUsersAt = loop.now();
     }
 
@@ -126,15 +127,17 @@
      */
     private boolean zoneIsPartitioned() {
         boolean reachedByUsers =
-                reachedByUsersAt >= isolatedSince + timing.confirmationValiditySeconds();
-        return zones.size() == 1 && !reachedByUsers && !store.refuses();
+                reachedByUsersAt
+                        >= isolatedSince + timing.peerConfirmationValidityOnAnyClockSeconds();
+        return zones.size() == 1 && !reachedByUsers && !store.isRefusing();
     }
 
     /** A worker whose token has risen is within some leader's reach and should report there. */
-    private boolean isUnclaimed(Report report) {
-        long firstToken = firstTokens.computeIfAbsent(report.machine(), m -> report.token());
+    private boolean isUnclaimed(Heartbeat report) {
+        long firstToken = firstTokens.computeIfAbsent(report.machine(), m -> report.fencingToken());
         long knownTerm = leadership.knownTerm();
-        boolean ofLaterTerm = knownTerm > 0 && WorkerSession.termOf(report.token()) > knownTerm;
-        return report.token() <= firstToken && !ofLaterTerm;
+        boolean ofLaterTerm =
+                knownTerm > 0 && WorkerEpoch.termOf(report.fencingToken()) > knownTerm;
+        return report.fencingToken() <= firstToken && !ofLaterTerm;
     }
 }
--- a/src/main/java/org/springmill/control/coordination/Machine.java
+++ b/src/main/java/org/springmill/control/coordination/Machine.java
@@ -14,8 +14,8 @@
 import org.springmill.protocol.Resources;
 import org.springmill.protocol.Submission;
 import org.springmill.protocol.TaskId;
-import org.springmill.protocol.WorkerMessages.Report;
-import org.springmill.protocol.WorkerMessages.TaskReport;
+import org.springmill.protocol.WorkerMessages.Heartbeat;
+import org.springmill.protocol.WorkerMessages.TaskStatus;
 
 /** A rented machine with its worker, its attempts and what this leader's messages with it prove. */
 final class Machine {
@@ -26,51 +26,51 @@
 
     enum State {
         /** Rented or listed; its worker has not reported to this leader. */
-        EXPECTED,
+        PROVISIONING,
         UP,
         /** No lease of its worker can still hold: whatever it ran is gone. */
-        LOST,
+        LEASE_EXPIRED,
         /** Its deletion was asked for. */
-        RETURNING,
+        TERMINATING,
         /** Deleted, or failed on its own. */
-        GONE
+        TERMINATED
     }
 
     private final String name;
-    private final Map<TaskId, Attempt> attempts = new LinkedHashMap<>();
+    private final Map<TaskId, TaskAttempt> attempts = new LinkedHashMap<>();
     private final ImageCache images = new ImageCache();
     private final Set<Job> failedJobs = new HashSet<>();
-    private State state = State.EXPECTED;
+    private State state = State.PROVISIONING;
     private String address = "";
     private MachineType type;
     private String zone = "";
     private boolean spot;
-    private final WorkerSession worker;
-    private final MachineRoom room = new MachineRoom();
-    private double lastAnswered = Double.NEGATIVE_INFINITY;
+    private final WorkerEpoch workerEpoch;
+    private final MachineAllocation allocation = new MachineAllocation();
+    private double lastHeartbeatAnsweredAt = Double.NEGATIVE_INFINITY;
     private double answeredSince;
-    private double lastHeard = Double.NEGATIVE_INFINITY;
+    private double lastHeartbeatAt = Double.NEGATIVE_INFINITY;
     private double firstSeen;
     private double rentedAt;
     private boolean listedAsRunning;
     private double listedAt = Double.NEGATIVE_INFINITY;
     private double idleSince;
-    private double noticeAt = Double.POSITIVE_INFINITY;
+    private double preemptionAt = Double.POSITIVE_INFINITY;
     private boolean commandsFailing;
-    private double avoidUntil = Double.NEGATIVE_INFINITY;
-    private List<TaskReport> reported = List.of();
-    private boolean allReportedKnown = true;
+    private double cordonUntil = Double.NEGATIVE_INFINITY;
+    private List<TaskStatus> reportedTasks = List.of();
+    private boolean reportedTasksAllKnown = true;
     private boolean draining;
 
     // The sending of commands; see CommandDispatcher.
     boolean commandsInFlight;
-    boolean askAgain;
-    double nextOrders;
-    double nextStray;
+    boolean statusRequested;
+    double nextCommandsAt;
+    double nextUnknownTaskCleanupAt;
 
     Machine(String name, long term, double now) {
         this.name = name;
-        worker = new WorkerSession(term);
+        workerEpoch = new WorkerEpoch(term);
         this.firstSeen = now;
         this.rentedAt = now;
         this.idleSince = now;
@@ -88,11 +88,11 @@
     void transition(State next) {
         boolean legal =
                 switch (next) {
-                    case EXPECTED -> false;
-                    case UP -> state == State.EXPECTED || state == State.LOST;
-                    case LOST -> state == State.UP || state == State.EXPECTED;
-                    case RETURNING -> state != State.GONE;
-                    case GONE -> true;
+                    case PROVISIONING -> false;
+                    case UP -> state == State.PROVISIONING || state == State.LEASE_EXPIRED;
+                    case LEASE_EXPIRED -> state == State.UP || state == State.PROVISIONING;
+                    case TERMINATING -> state != State.TERMINATED;
+                    case TERMINATED -> true;
                 };
         if (state == next) {
             return;
@@ -118,7 +118,7 @@
     void describe(String newAddress, MachineType newType, String newZone, boolean newSpot) {
         address = newAddress;
         type = newType;
-        room.size(newType);
+        allocation.size(newType);
         zone = newZone;
         spot = newSpot;
     }
@@ -150,7 +150,7 @@
 
     /** Whether it has not come up as far as the cloud's lists and its worker tell. */
     boolean isBooting() {
-        return state == State.EXPECTED && !listedAsRunning && attempts.isEmpty();
+        return state == State.PROVISIONING && !listedAsRunning && attempts.isEmpty();
     }
 
     void listed(double now) {
@@ -176,90 +176,93 @@
     }
 
     /** How far the messages exchanged with its worker have come. */
-    WorkerSession worker() {
-        return worker;
+    WorkerEpoch workerEpoch() {
+        return workerEpoch;
     }
 
-    long token() {
-        return worker.token();
+    long fencingToken() {
+        return workerEpoch.fencingToken();
     }
 
-    long session() {
-        return worker.number();
+    long epoch() {
+        return workerEpoch.epoch();
     }
 
     /** Takes in a worker's message that is newer than any before. */
-    void take(Report report, double now) {
-        worker.take(report, now);
-        if (state == State.EXPECTED) {
+    void acceptHeartbeat(Heartbeat report, double now) {
+        workerEpoch.accept(report, now);
+        if (state == State.PROVISIONING) {
             // Commands of a new leader failed while it booted. Counted against it once it was up,
             // they had another machine rented in its place.
             commandsFailing = false;
         }
-        lastHeard = now;
-        reported = report.tasks();
-        allReportedKnown = false;
-        noticeAt = report.noticeS() == null ? Double.POSITIVE_INFINITY : now + report.noticeS();
+        lastHeartbeatAt = now;
+        reportedTasks = report.tasks();
+        reportedTasksAllKnown = false;
+        preemptionAt =
+                report.preemptionNoticeSeconds() == null
+                        ? Double.POSITIVE_INFINITY
+                        : now + report.preemptionNoticeSeconds();
     }
 
-    List<TaskReport> reported() {
-        return reported;
+    List<TaskStatus> reportedTasks() {
+        return reportedTasks;
     }
 
     /**
      * Whether every reported task was found to have an attempt, and neither has changed since.
      * Looking again would find nothing new.
      */
-    boolean allReportedKnown() {
-        return allReportedKnown;
+    boolean reportedTasksAllKnown() {
+        return reportedTasksAllKnown;
     }
 
     /** Notes that every reported task has an attempt here. */
-    void noteAllReportedKnown() {
-        allReportedKnown = true;
+    void markReportedTasksKnown() {
+        reportedTasksAllKnown = true;
     }
 
     /**
-     * @param leaseS after a longer silence its worker begins anew with this leader
+     * @param leaseSeconds after a longer silence its worker begins anew with this leader
      */
-    void answered(double now, double leaseS) {
-        if (now - lastAnswered > 2 * leaseS) {
+    void heartbeatAnswered(double now, double leaseSeconds) {
+        if (now - lastHeartbeatAnsweredAt > 2 * leaseSeconds) {
             answeredSince = now;
         }
-        lastAnswered = now;
+        lastHeartbeatAnsweredAt = now;
     }
 
     /**
      * Whether it was answered again and again for so long and has shown no token of this term: it
      * does not hear.
      */
-    boolean isDeaf(double now, double forS) {
-        return !hearsThisTerm()
-                && lastAnswered > Double.NEGATIVE_INFINITY
-                && now - answeredSince > forS;
+    boolean missesResponses(double now, double forSeconds) {
+        return !hasSeenCurrentTerm()
+                && lastHeartbeatAnsweredAt > Double.NEGATIVE_INFINITY
+                && now - answeredSince > forSeconds;
     }
 
-    double lastAnswered() {
-        return lastAnswered;
+    double lastHeartbeatAnsweredAt() {
+        return lastHeartbeatAnsweredAt;
     }
 
-    double lastHeard() {
-        return lastHeard;
+    double lastHeartbeatAt() {
+        return lastHeartbeatAt;
     }
 
-    boolean noticed() {
-        return noticeAt < Double.POSITIVE_INFINITY;
+    boolean hasPreemptionNotice() {
+        return preemptionAt < Double.POSITIVE_INFINITY;
     }
 
-    double noticeAt() {
-        return noticeAt;
+    double preemptionAt() {
+        return preemptionAt;
     }
 
-    void ordersFailed() {
+    void commandsFailed() {
         commandsFailing = true;
     }
 
-    void ordersWorked() {
+    void commandsSucceeded() {
         commandsFailing = false;
     }
 
@@ -267,8 +270,8 @@
         return commandsFailing;
     }
 
-    void avoidUntil(double time) {
-        avoidUntil = Math.max(avoidUntil, time);
+    void cordonUntil(double time) {
+        cordonUntil = Math.max(cordonUntil, time);
     }
 
     /**
@@ -291,50 +294,50 @@
     }
 
     /** Notes that a task of a job failed here. */
-    void failed(Job job) {
+    void taskFailed(Job job) {
         failedJobs.add(job);
     }
 
     /** Notes that a task succeeded here. */
-    void worked() {
+    void taskSucceeded() {
         failedJobs.clear();
     }
 
-    Collection<Attempt> attempts() {
+    Collection<TaskAttempt> attempts() {
         return attempts.values();
     }
 
-    List<Attempt> attemptsNow() {
+    List<TaskAttempt> attemptsNow() {
         return new ArrayList<>(attempts.values());
     }
 
-    Attempt find(TaskReport task) {
-        Attempt attempt = attempts.get(task.task());
+    TaskAttempt find(TaskStatus task) {
+        TaskAttempt attempt = attempts.get(task.task());
         return attempt != null && attempt.claim().round() == task.attempt() ? attempt : null;
     }
 
-    void add(Attempt attempt) {
-        allReportedKnown = false;
+    void add(TaskAttempt attempt) {
+        reportedTasksAllKnown = false;
         attempts.put(attempt.claim().task(), attempt);
-        room.charge(attempt.job().spec(), 1);
+        allocation.charge(attempt.job().spec(), 1);
     }
 
     /**
      * Counts the room of an attempt as free from now on, since one transaction commits its end and
      * the claims that use its room.
      */
-    void release(Attempt attempt) {
+    void release(TaskAttempt attempt) {
         if (!attempt.released() && attempts.get(attempt.claim().task()) == attempt) {
             attempt.markReleased();
-            room.charge(attempt.job().spec(), -1);
+            allocation.charge(attempt.job().spec(), -1);
         }
     }
 
-    void remove(Attempt attempt, double now) {
+    void remove(TaskAttempt attempt, double now) {
         if (attempts.remove(attempt.claim().task(), attempt)) {
-            allReportedKnown = false;
+            reportedTasksAllKnown = false;
             if (!attempt.released()) {
-                room.charge(attempt.job().spec(), -1);
+                allocation.charge(attempt.job().spec(), -1);
             }
             String image = attempt.job().spec().image();
             if (attempt.runningSince() == 0
@@ -344,7 +347,7 @@
             }
             if (attempts.isEmpty()) {
                 idleSince = now;
-                room.reset();
+                allocation.reset();
             }
         }
     }
@@ -359,22 +362,22 @@
 
     /** What no task here takes. */
     Resources free() {
-        return room.free();
+        return allocation.free();
     }
 
     /** What of it is kept, and for whom. */
-    MachineRoom room() {
-        return room;
+    MachineAllocation allocation() {
+        return allocation;
     }
 
     /** Whether a task fits in beside room that is withheld from it. */
-    boolean hasRoomBeside(Resources withheld, Submission spec) {
+    boolean fitsBeside(Resources withheld, Submission spec) {
         Resources left = withheld.equals(Resources.NONE) ? free() : free().minus(withheld);
         return left.hold(spec);
     }
 
     /** Whether this kind of machine is one that the job may run on. */
-    boolean suits(Submission spec) {
+    boolean isAllowedFor(Submission spec) {
         return type != null
                 && type.fits(spec)
                 && (!spot || spec.spot())
@@ -382,28 +385,28 @@
     }
 
     /** Whether new work may be sent here at all. */
-    boolean takesWork(double now, double quietS) {
+    boolean isSchedulable(double now, double quietSeconds) {
         return state == State.UP
-                && !noticed()
+                && !hasPreemptionNotice()
                 && !quarantined()
                 && !draining
                 && !commandsFailing()
-                && now - lastHeard < quietS
-                && now >= avoidUntil
-                && hearsThisTerm();
+                && now - lastHeartbeatAt < quietSeconds
+                && now >= cordonUntil
+                && hasSeenCurrentTerm();
     }
 
     /**
      * Whether it reports in its first session and has not yet heard any leader: it will take work
      * in a moment. One that hears nobody begins its next session within a lease.
      */
-    boolean hasJustComeUp() {
-        return state == State.UP && worker.isNew() && !commandsFailing();
+    boolean hasJustBooted() {
+        return state == State.UP && workerEpoch.isNew() && !commandsFailing();
     }
 
     /** Whether its worker has shown a token of this term. */
-    boolean hearsThisTerm() {
-        return worker.hearsThisTerm();
+    boolean hasSeenCurrentTerm() {
+        return workerEpoch.hasSeenCurrentTerm();
     }
 
     /** Notes that a task that is to start here needs its image. */
@@ -412,7 +415,7 @@
                 spec.image(),
                 spec.imageGb(),
                 type == null ? 0 : type.cacheGb(),
-                fetchGbPerS(),
+                fetchGbPerSecond(),
                 now);
     }
 
@@ -428,13 +431,13 @@
      * How long a task would have to wait here for its image; what a start costs besides is within
      * the second.
      */
-    double fetchS(Submission spec, double now) {
+    double imageFetchSeconds(Submission spec, double now) {
         return (images.holds(spec.image()) ? 0 : 1)
-                + images.waitS(spec.image(), spec.imageGb(), fetchGbPerS(), now);
+                + images.waitSeconds(spec.image(), spec.imageGb(), fetchGbPerSecond(), now);
     }
 
-    private double fetchGbPerS() {
-        return type == null ? 1 : Math.max(1e-3, type.fetchGbPerS());
+    private double fetchGbPerSecond() {
+        return type == null ? 1 : Math.max(1e-3, type.fetchGbPerSecond());
     }
 
     boolean holdsImage(String image) {
--- a/src/main/java/org/springmill/control/coordination/MachineRoom.java
+++ b/src/main/java/org/springmill/control/coordination/MachineAllocation.java
@@ -7,7 +7,7 @@
 import org.springmill.protocol.Submission;
 
 /** What of one machine is taken, what is counted on for work to come, and for whom room is kept. */
-final class MachineRoom {
+final class MachineAllocation {
     private Resources size = Resources.NONE;
     private Resources used = Resources.NONE;
 
@@ -15,8 +15,8 @@
     private Resources free = Resources.NONE;
 
     private Resources headroom = Resources.NONE;
-    private final Set<Job> keptFor = new HashSet<>();
-    private double keptUntil;
+    private final Set<Job> reservedFor = new HashSet<>();
+    private double reservedUntil;
 
     /** Notes what a machine of its type has. */
     void size(MachineType type) {
@@ -59,24 +59,24 @@
      * whatever found room between them, mostly the one just stopped, had to be stopped again,
      * dozens of times a second.
      */
-    void keepFor(Job job, double until) {
-        keptFor.add(job);
-        keptUntil = Math.max(keptUntil, until);
+    void reserveFor(Job job, double until) {
+        reservedFor.add(job);
+        reservedUntil = Math.max(reservedUntil, until);
     }
 
     /** Whether room is kept for other jobs than this one. */
-    boolean keptFrom(Job job, double now) {
-        Set<Job> kept = keptFor(now);
+    boolean isReservedForOthers(Job job, double now) {
+        Set<Job> kept = reservedFor(now);
         return !kept.isEmpty() && !kept.contains(job);
     }
 
     /** The jobs for which room is being made. */
-    Set<Job> keptFor(double now) {
-        if (now >= keptUntil) {
-            keptFor.clear();
+    Set<Job> reservedFor(double now) {
+        if (now >= reservedUntil) {
+            reservedFor.clear();
         } else {
-            keptFor.removeIf(other -> !other.active() || other.nextTask() < 0);
+            reservedFor.removeIf(other -> !other.active() || other.nextTask() < 0);
         }
-        return keptFor;
+        return reservedFor;
     }
 }
--- a/src/main/java/org/springmill/control/coordination/MachineDeletion.java
+++ b/src/main/java/org/springmill/control/coordination/MachineDeletion.java
@@ -5,9 +5,9 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 import org.springmill.protocol.CloudMessages;
-import org.springmill.protocol.WorkerMessages.Cause;
+import org.springmill.protocol.WorkerMessages.ExitCause;
+import org.springmill.transport.EventLoop;
 import org.springmill.transport.HttpClient.Reply;
-import org.springmill.transport.Loop;
 
 /**
  * Deletes machines through the cloud. The cloud's confirmation, and nothing before it, proves that
@@ -19,14 +19,14 @@
 
     private final Fleet fleet;
     private final CloudClient cloud;
-    private final Loop loop;
+    private final EventLoop loop;
     private final Runnable changed;
     private final List<Machine> queue = new ArrayList<>();
 
     /**
      * @param changed run once a deletion is confirmed
      */
-    MachineDeletion(Fleet fleet, CloudClient cloud, Loop loop, Runnable changed) {
+    MachineDeletion(Fleet fleet, CloudClient cloud, EventLoop loop, Runnable changed) {
         this.fleet = fleet;
         this.cloud = cloud;
         this.loop = loop;
@@ -48,19 +48,20 @@
             return;
         }
         LOG.info("giving back {}: {}", machine.name(), reason);
-        machine.transition(Machine.State.RETURNING);
+        machine.transition(Machine.State.TERMINATING);
         enqueue(machine);
     }
 
     /** Ends all attempts of a machine that is known to be gone with everything on it. */
     void declareLost(Machine machine) {
-        for (Attempt attempt : machine.attemptsNow()) {
-            fleet.end(attempt, Cause.NONE);
+        for (TaskAttempt attempt : machine.attemptsNow()) {
+            fleet.end(attempt, ExitCause.NONE);
         }
     }
 
     private static boolean isDeletionRequested(Machine machine) {
-        return machine.state() == Machine.State.RETURNING || machine.state() == Machine.State.GONE;
+        return machine.state() == Machine.State.TERMINATING
+                || machine.state() == Machine.State.TERMINATED;
     }
 
     private void enqueue(Machine machine) {
@@ -80,12 +81,12 @@
             // One request is for this batch, the other for the next.
             loop.after(cloud.secondsUntil(2), this::sendQueued);
         }
-        byte[] body = CloudMessages.giveBack(batch.stream().map(Machine::name).toList());
-        cloud.send(cloud.post(CloudMessages.RETURN, body), reply -> answered(batch, reply));
+        byte[] body = CloudMessages.encodeDeletion(batch.stream().map(Machine::name).toList());
+        cloud.send(cloud.post(CloudMessages.DELETIONS_PATH, body), reply -> answered(batch, reply));
     }
 
     private List<Machine> takeBatch() {
-        int size = Math.min(queue.size(), CloudMessages.MAX_RETURN);
+        int size = Math.min(queue.size(), CloudMessages.MAX_DELETIONS);
         List<Machine> batch = new ArrayList<>(queue.subList(0, size));
         queue.removeAll(batch);
         return batch;
@@ -106,6 +107,6 @@
     private void confirmDeleted(Machine machine) {
         fleet.deleted(machine);
         declareLost(machine);
-        machine.transition(Machine.State.GONE);
+        machine.transition(Machine.State.TERMINATED);
     }
 }
--- a/src/main/java/org/springmill/control/coordination/MachineDraining.java
+++ b/src/main/java/org/springmill/control/coordination/MachineDraining.java
@@ -34,13 +34,18 @@
     private static final double LEASES_RUNNING = 3;
 
     private final Fleet fleet;
-    private final Demand demand;
-    private final ReportSilence silence;
-    private final Timing timing;
+    private final ArrivalRateEstimator demand;
+    private final HeartbeatSilence silence;
+    private final Timeouts timing;
     private final double startedAt;
     private double drainedAt = Double.NEGATIVE_INFINITY;
 
-    MachineDraining(Fleet fleet, Demand demand, ReportSilence silence, Timing timing, double now) {
+    MachineDraining(
+            Fleet fleet,
+            ArrivalRateEstimator demand,
+            HeartbeatSilence silence,
+            Timeouts timing,
+            double now) {
         this.fleet = fleet;
         this.demand = demand;
         this.silence = silence;
@@ -83,13 +88,13 @@
         LOG.info("draining {}: {} tasks move", machine.name(), machine.attempts().size());
         drainedAt = now;
         machine.drain();
-        machine.attemptsNow().forEach(fleet::stopSaving);
+        machine.attemptsNow().forEach(fleet::stopWithCheckpoint);
     }
 
     /** Whether nothing is to be rented, no machine is silent, and none is being drained. */
     private boolean isCalm(List<Bin> bins, double now) {
-        return now - startedAt > LEASES_AFTER_START * timing.leaseS()
-                && now - drainedAt > REPORTS_BETWEEN * timing.reportS()
+        return now - startedAt > LEASES_AFTER_START * timing.workerLeaseSeconds()
+                && now - drainedAt > REPORTS_BETWEEN * timing.heartbeatIntervalSeconds()
                 && bins.stream().noneMatch(Bin::isPlanned)
                 && fleet.machines().stream().noneMatch(machine -> isUnsettled(machine, now));
     }
@@ -125,8 +130,8 @@
         return machine.attempts().stream().allMatch(attempt -> mayMove(attempt, now));
     }
 
-    private boolean mayMove(Attempt attempt, double now) {
-        return attempt.ranSeconds(now) > LEASES_RUNNING * timing.leaseS()
+    private boolean mayMove(TaskAttempt attempt, double now) {
+        return attempt.ranSeconds(now) > LEASES_RUNNING * timing.workerLeaseSeconds()
                 && !losesMostOfItsWork(attempt, now);
     }
 
@@ -134,15 +139,15 @@
      * Whether a task that cannot save has done as much as it has left. It is over sooner than it
      * would be anywhere else; some were moved again and again a few seconds before their end.
      */
-    private static boolean losesMostOfItsWork(Attempt attempt, double now) {
+    private static boolean losesMostOfItsWork(TaskAttempt attempt, double now) {
         Submission spec = attempt.job().spec();
         boolean losesItsWork = !spec.service() && !spec.checkpoints();
-        return losesItsWork && attempt.ranSeconds(now) > spec.estimateS() / 2;
+        return losesItsWork && attempt.ranSeconds(now) > spec.estimatedRunSeconds() / 2;
     }
 
     /** Whether everything on a machine finds room on others; packs it there. */
     private static boolean fitElsewhere(Bin from, List<Bin> bins) {
-        for (Attempt attempt : from.machine().attempts()) {
+        for (TaskAttempt attempt : from.machine().attempts()) {
             Submission spec = attempt.job().spec();
             boolean packed =
                     bins.stream()
--- a/src/main/java/org/springmill/control/coordination/MachineHealth.java
+++ b/src/main/java/org/springmill/control/coordination/MachineHealth.java
@@ -22,23 +22,23 @@
 
     private final Fleet fleet;
     private final MachineListing listing;
-    private final ReportSilence silence;
+    private final HeartbeatSilence silence;
     private final PartitionedZones partitions;
-    private final LateMachines lateMachines;
+    private final OverdueBoots lateMachines;
     private final MachineDeletion deletion;
     private final Settings settings;
-    private final Timing timing;
+    private final Timeouts timing;
     private final double startedAt;
 
     MachineHealth(
             Fleet fleet,
             MachineListing listing,
-            ReportSilence silence,
+            HeartbeatSilence silence,
             PartitionedZones partitions,
-            LateMachines lateMachines,
+            OverdueBoots lateMachines,
             MachineDeletion deletion,
             Settings settings,
-            Timing timing,
+            Timeouts timing,
             double now) {
         this.fleet = fleet;
         this.listing = listing;
@@ -86,13 +86,13 @@
                     : Optional.empty();
         }
         return switch (machine.state()) {
-            case EXPECTED -> reasonToDeleteExpected(machine, fewSilent, now);
+            case PROVISIONING -> reasonToDeleteExpected(machine, fewSilent, now);
             case UP -> reasonToDeleteUp(machine, fewSilent, now);
-            case LOST ->
+            case LEASE_EXPIRED ->
                     machine.attempts().isEmpty()
                             ? Optional.of(DeletionReason.WORKER_LOST)
                             : Optional.empty();
-            case RETURNING, GONE -> Optional.empty();
+            case TERMINATING, TERMINATED -> Optional.empty();
         };
     }
 
@@ -152,7 +152,7 @@
      * ran.
      */
     private boolean isUnresponsive(Machine machine, boolean fewSilent, double now) {
-        return silence.silentSeconds(machine, now) > timing.silentS()
+        return silence.silentSeconds(machine, now) > timing.deadAfterSeconds()
                 && machine.commandsFailing()
                 && !machine.attempts().isEmpty()
                 && isSilenceItsOwn(machine, fewSilent);
@@ -177,14 +177,15 @@
      * no sooner.
      */
     private boolean isBootOverdue(Machine machine, double now) {
-        double nominalSeconds = machine.type().bootS() * settings.operator().bootPatience();
+        double nominalSeconds = machine.type().bootSeconds() * settings.operator().bootPatience();
         double measuredSeconds = fleet.bootTimes().lateAfterSeconds(machine.type(), machine.zone());
         double patienceSeconds =
                 lateMachines.isFailing(machine.type(), machine.zone())
                         ? FAILING_PATIENCES * nominalSeconds
                         : Math.max(nominalSeconds, measuredSeconds);
         double since = machine.isBooting() ? machine.rentedAt() : machine.firstSeen();
-        return now - since > patienceSeconds && now - machine.firstSeen() > timing.leaseS();
+        return now - since > patienceSeconds
+                && now - machine.firstSeen() > timing.workerLeaseSeconds();
     }
 
     /**
@@ -198,14 +199,16 @@
         return isEstablished(now)
                 && !partitions.contains(machine.zone())
                 && !machine.attempts().isEmpty()
-                && machine.isDeaf(now, timing.leaseS());
+                && machine.missesResponses(now, timing.workerLeaseSeconds());
     }
 
     /**
      * Whether a worker that obeyed an earlier leader has had more than its lease to find this one.
      */
     private boolean isEstablished(double now) {
-        double neededSeconds = timing.othersS() + LEASES_TO_FIND_LEADER * timing.leaseS();
+        double neededSeconds =
+                timing.followerRenewalLimitSeconds()
+                        + LEASES_TO_FIND_LEADER * timing.workerLeaseSeconds();
         return now - startedAt > neededSeconds;
     }
 }
--- a/src/main/java/org/springmill/control/coordination/MachineListing.java
+++ b/src/main/java/org/springmill/control/coordination/MachineListing.java
@@ -4,14 +4,14 @@
 import java.util.List;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import org.springmill.protocol.BadMessageException;
 import org.springmill.protocol.CloudMessages;
 import org.springmill.protocol.CloudMessages.ListedMachine;
 import org.springmill.protocol.CloudMessages.MachinePage;
 import org.springmill.protocol.CloudMessages.MachinePhase;
+import org.springmill.protocol.MalformedMessageException;
 import org.springmill.protocol.Settings;
+import org.springmill.transport.EventLoop;
 import org.springmill.transport.HttpClient.Reply;
-import org.springmill.transport.Loop;
 
 /**
  * Reads the cloud's list of machines at regular intervals, page by page, and brings the fleet up to
@@ -29,7 +29,7 @@
     private final Fleet fleet;
     private final CloudClient cloud;
     private final MachineDeletion deletion;
-    private final Loop loop;
+    private final EventLoop loop;
     private final Settings settings;
     private final Runnable changed;
     private double listedAt = Double.NEGATIVE_INFINITY;
@@ -41,7 +41,7 @@
             Fleet fleet,
             CloudClient cloud,
             MachineDeletion deletion,
-            Loop loop,
+            EventLoop loop,
             Settings settings,
             Runnable changed) {
         this.fleet = fleet;
@@ -79,7 +79,7 @@
 
     /** By how much a list may lag behind the fleet. */
     double longestLagSeconds() {
-        return NOMINAL_LAGS * settings.cloud().listLagS();
+        return NOMINAL_LAGS * settings.cloudLimits().listLagSeconds();
     }
 
     /**
@@ -115,7 +115,7 @@
         }
         try {
             return CloudMessages.list(reply.body());
-        } catch (BadMessageException e) {
+        } catch (MalformedMessageException e) {
             LOG.warn("cloud: {}", e.getMessage());
             return null;
         }
@@ -140,7 +140,7 @@
     private void update(ListedMachine listed, boolean first) {
         Machine machine = fleet.machine(listed.name());
         machine.listed(listedAt);
-        machine.rentedAt(listedAt - listed.ageS());
+        machine.rentedAt(listedAt - listed.ageSeconds());
         if (listed.phase() != MachinePhase.BOOTING) {
             machine.listedAsRunning();
         }
@@ -149,11 +149,11 @@
             if (first) {
                 // A new leader's token goes out at once, so that the worker stops obeying the old
                 // one.
-                machine.askAgain = true;
+                machine.statusRequested = true;
             }
         }
         boolean failed = listed.phase() == MachinePhase.FAILED;
-        if (failed && machine.state() != Machine.State.RETURNING) {
+        if (failed && machine.state() != Machine.State.TERMINATING) {
             deletion.declareLost(machine);
             deletion.delete(machine, DeletionReason.FAILED);
         }
--- a/src/main/java/org/springmill/control/coordination/MachineScore.java
+++ b/src/main/java/org/springmill/control/coordination/MachineScore.java
@@ -32,13 +32,13 @@
     /** Reports come at most a quarter of their interval late. */
     private static final double REPORTS_UNTIL_QUIET = 1.3;
 
-    private final Timing timing;
+    private final Timeouts timing;
     private final Submission largest;
 
     /**
      * @param largest the largest replica of any job, for which room should stay whole, or null
      */
-    MachineScore(Timing timing, Submission largest) {
+    MachineScore(Timeouts timing, Submission largest) {
         this.timing = timing;
         this.largest = largest;
     }
@@ -64,9 +64,10 @@
     /** Seconds that a task of a job waits on a machine, and what its place there is worth. */
     double of(Job job, Machine machine, double now) {
         Submission spec = job.spec();
-        double score = machine.fetchS(spec, now);
+        double score = machine.imageFetchSeconds(spec, now);
         // Late reports are the first sign of trouble.
-        if (now - machine.lastHeard() > timing.reportS() * REPORTS_UNTIL_QUIET) {
+        if (now - machine.lastHeartbeatAt()
+                > timing.heartbeatIntervalSeconds() * REPORTS_UNTIL_QUIET) {
             score += QUIET_SECONDS;
         }
         if (spec.spot() && !machine.spot() && !usesStrandedCpus(spec, machine, largest)) {
@@ -108,7 +109,7 @@
 
     /** How many of the largest replicas fit a machine once so much more of it is taken. */
     private int slots(Machine machine, double cpus, double gpus, double memory) {
-        if (!machine.suits(largest)) {
+        if (!machine.isAllowedFor(largest)) {
             return 0;
         }
         double byCpus =
--- a/src/main/java/org/springmill/control/coordination/MachineTypeCatalog.java
+++ b/src/main/java/org/springmill/control/coordination/MachineTypeCatalog.java
@@ -6,13 +6,13 @@
 import java.util.Map;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import org.springmill.protocol.BadMessageException;
 import org.springmill.protocol.CloudMessages;
 import org.springmill.protocol.CloudMessages.MachineType;
+import org.springmill.protocol.MalformedMessageException;
 import org.springmill.protocol.Settings;
 import org.springmill.protocol.Submission;
+import org.springmill.transport.EventLoop;
 import org.springmill.transport.HttpClient;
-import org.springmill.transport.Loop;
 
 /** The machine types that the cloud offers. Unknown until it has answered once. */
 final class MachineTypeCatalog {
@@ -27,11 +27,11 @@
     private static final double TIMEOUTS_PER_LEASE = 5;
 
     private final HttpClient http;
-    private final Loop loop;
+    private final EventLoop loop;
     private final Settings settings;
     private Map<String, MachineType> types = Map.of();
 
-    MachineTypeCatalog(HttpClient http, Loop loop, Settings settings) {
+    MachineTypeCatalog(HttpClient http, EventLoop loop, Settings settings) {
         this.http = http;
         this.loop = loop;
         this.settings = settings;
@@ -39,12 +39,12 @@
 
     /** Asks until there is an answer, and now and then after that, for prices move. */
     void start() {
-        double leaseSeconds = settings.workers().leaseS();
+        double leaseSeconds = settings.workers().leaseSeconds();
         http.send(
                 new HttpClient.Request(
                         settings.cloudAddress(),
                         "GET",
-                        CloudMessages.TYPES,
+                        CloudMessages.MACHINE_TYPES_PATH,
                         new byte[0],
                         leaseSeconds / TIMEOUTS_PER_LEASE),
                 reply -> {
@@ -70,7 +70,7 @@
                 }
                 types = byName;
             }
-        } catch (BadMessageException e) {
+        } catch (MalformedMessageException e) {
             LOG.warn("cloud: {}", e.getMessage());
         }
     }
@@ -103,7 +103,7 @@
     double slowestBootSeconds() {
         double slowest = 0;
         for (MachineType type : types.values()) {
-            slowest = Math.max(slowest, type.bootS());
+            slowest = Math.max(slowest, type.bootSeconds());
         }
         return slowest;
     }
--- a/src/main/java/org/springmill/control/coordination/Metrics.java
+++ b/src/main/java/org/springmill/control/coordination/Metrics.java
@@ -18,7 +18,7 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.ToDoubleFunction;
 import org.springmill.control.borrowing.RecallProgress.Outcome;
-import org.springmill.transport.Loop;
+import org.springmill.transport.EventLoop;
 
 /**
  * The metrics of one controller, in the text format that Prometheus reads. The number of series is
@@ -45,7 +45,7 @@
     private static final int INITIAL_TEXT_LENGTH = 2048;
 
     private final SimpleMeterRegistry registry;
-    private final Loop loop;
+    private final EventLoop loop;
     private final Timer acceptance;
     private final Timer placementRound;
     private final Timer stateServiceCommit;
@@ -61,7 +61,7 @@
     private final Map<Outcome, Counter> recallsSettled = new EnumMap<>(Outcome.class);
     private double lastReadAt = Double.NEGATIVE_INFINITY;
 
-    Metrics(Loop loop) {
+    Metrics(EventLoop loop) {
         this.loop = loop;
         registry = new SimpleMeterRegistry(SimpleConfig.DEFAULT, new LoopClock(loop));
         acceptance = timer("acceptance", "from a submission's arrival to its 201");
@@ -104,7 +104,7 @@
         attemptsEnded.increment(endedAttempts);
     }
 
-    /** Records a commit that the state service answered, and that was sent at the given time. */
+    /** Records a commit that the key-value store answered, and that was sent at the given time. */
     void commitAnswered(double sentAt) {
         recordSince(stateServiceCommit, sentAt);
     }
@@ -216,9 +216,9 @@
 
     /** Lets the histograms age by the event loop's clock, which tests can control. */
     private static final class LoopClock implements Clock {
-        private final Loop loop;
+        private final EventLoop loop;
 
-        LoopClock(Loop loop) {
+        LoopClock(EventLoop loop) {
             this.loop = loop;
         }
 
--- a/src/main/java/org/springmill/control/coordination/LateMachines.java
+++ b/src/main/java/org/springmill/control/coordination/OverdueBoots.java
@@ -18,7 +18,7 @@
  * they fail in every zone, only a part of the late ones is replaced at a time, so that a general
  * delay does not have everything rented twice.
  */
-final class LateMachines {
+final class OverdueBoots {
     /** Fewer machines of a type that are late at once say nothing of others. */
     private static final int FAILING_FROM = 2;
 
@@ -30,7 +30,7 @@
 
     private final Fleet fleet;
     private final PartitionedZones partitions;
-    private final Timing timing;
+    private final Timeouts timing;
 
     /** The late machines of each type, the earliest rented first. */
     private final Map<MachineType, List<Machine>> late = new HashMap<>();
@@ -46,7 +46,7 @@
 
     private final Set<Machine> replaced = new HashSet<>();
 
-    LateMachines(Fleet fleet, PartitionedZones partitions, Timing timing) {
+    OverdueBoots(Fleet fleet, PartitionedZones partitions, Timeouts timing) {
         this.fleet = fleet;
         this.partitions = partitions;
         this.timing = timing;
@@ -88,7 +88,7 @@
     private boolean isLate(Machine machine, double now) {
         double patience = fleet.bootTimes().lateAfterSeconds(machine.type(), machine.zone());
         return !partitions.contains(machine.zone())
-                && now - machine.firstSeen() > timing.leaseS()
+                && now - machine.firstSeen() > timing.workerLeaseSeconds()
                 && now - machine.rentedAt() > patience;
     }
 
@@ -129,7 +129,9 @@
         }
         String key = BootTimes.key(kind.type(), kind.zone());
         double interval =
-                TRIAL_INTERVAL_BOOTS * kind.type().bootS() * (1 + booting.getOrDefault(key, 0));
+                TRIAL_INTERVAL_BOOTS
+                        * kind.type().bootSeconds()
+                        * (1 + booting.getOrDefault(key, 0));
         return now - lastRented.getOrDefault(key, Double.NEGATIVE_INFINITY) > interval;
     }
 
--- a/src/main/java/org/springmill/control/coordination/PackingRequest.java
+++ b/src/main/java/org/springmill/control/coordination/PackingRequest.java
@@ -21,7 +21,7 @@
         int tasks,
         Supplier<ZoneCounts> tasksPerZone,
         Predicate<Machine> excluded,
-        Optional<TaskShape> shape,
+        Optional<EquivalenceClass> shape,
         boolean expected,
         double maxPriceRatio) {
 
@@ -51,7 +51,7 @@
     }
 
     /** The same, where all tasks of a shape find room on the same machines. */
-    PackingRequest withShape(TaskShape newShape) {
+    PackingRequest withShape(EquivalenceClass newShape) {
         return new PackingRequest(
                 spec,
                 tasks,
--- a/src/main/java/org/springmill/control/coordination/PartitionedZones.java
+++ b/src/main/java/org/springmill/control/coordination/PartitionedZones.java
@@ -25,8 +25,8 @@
 
     private final Fleet fleet;
     private final Peers peers;
-    private final ReportSilence silence;
-    private final Timing timing;
+    private final HeartbeatSilence silence;
+    private final Timeouts timing;
 
     /**
      * The zones that the latest update found. They cannot be read from {@link #lastPartitionedAt}:
@@ -38,7 +38,8 @@
     private double allPeersHeardAt;
     private double peerMissedAt = Double.NEGATIVE_INFINITY;
 
-    PartitionedZones(Fleet fleet, Peers peers, ReportSilence silence, Timing timing, double now) {
+    PartitionedZones(
+            Fleet fleet, Peers peers, HeartbeatSilence silence, Timeouts timing, double now) {
         this.fleet = fleet;
         this.peers = peers;
         this.silence = silence;
@@ -48,7 +49,7 @@
 
     /** Judges all zones anew. */
     void update(double now) {
-        if (peers.allHeard()) {
+        if (peers.allPeersResponded()) {
             allPeersHeardAt = now;
         } else {
             peerMissedAt = now;
@@ -78,12 +79,12 @@
      */
     boolean wasRecently(String zone, double now) {
         double since = now - lastPartitionedAt.getOrDefault(zone, Double.NEGATIVE_INFINITY);
-        return since < timing.leaseS();
+        return since < timing.workerLeaseSeconds();
     }
 
     private boolean mayBePartitioned(double now) {
-        return now - peerMissedAt < RETURN_LEASES * timing.leaseS()
-                && now - allPeersHeardAt < MOST_LEASES * timing.leaseS();
+        return now - peerMissedAt < RETURN_LEASES * timing.workerLeaseSeconds()
+                && now - allPeersHeardAt < MOST_LEASES * timing.workerLeaseSeconds();
     }
 
     private Map<String, ZoneReports> reportsByZone(double now) {
--- a/src/main/java/org/springmill/control/coordination/PeerCancellations.java
+++ b/src/main/java/org/springmill/control/coordination/PeerCancellations.java
@@ -3,13 +3,13 @@
 import java.util.HashMap;
 import java.util.Map;
 import java.util.Set;
-import org.springmill.protocol.PeerMessages.Status;
-import org.springmill.transport.Loop;
+import org.springmill.protocol.PeerMessages.PeerStatus;
+import org.springmill.transport.EventLoop;
 
 /** How far each peer has told the cancellations that it knows of. */
 final class PeerCancellations {
-    private final Loop loop;
-    private final Timing timing;
+    private final EventLoop loop;
+    private final Timeouts timing;
     private final Set<String> nodes;
 
     /** Where each peer goes on telling; only it can read its own bookmark. */
@@ -26,49 +26,51 @@
     /**
      * @param nodes all other controllers
      */
-    PeerCancellations(Loop loop, Timing timing, Set<String> nodes) {
+    PeerCancellations(EventLoop loop, Timeouts timing, Set<String> nodes) {
         this.loop = loop;
         this.timing = timing;
         this.nodes = nodes;
     }
 
     /** The bookmark that a peer handed out last; 0 if none. */
-    long bookmark(String node) {
+    long cursor(String node) {
         return bookmarks.getOrDefault(node, 0L);
     }
 
-    void bookmarkReceived(Status answer) {
-        bookmarks.put(answer.from(), answer.news().bookmark());
+    void cursorReceived(PeerStatus answer) {
+        bookmarks.put(answer.from(), answer.cancellationDelta().cursor());
     }
 
     /** Notes an answer to a question of the time given. */
-    void answered(double askedAt, Status answer) {
-        boolean remembers = answer.news().informed() || confirmedNothingSince(answer, askedAt);
-        if (answer.news().complete() && remembers) {
-            toldByNode.put(answer.from(), new Told(askedAt, answer.stateReachable()));
+    void answered(double askedAt, PeerStatus answer) {
+        boolean remembers =
+                answer.cancellationDelta().hasReadJobRecords()
+                        || confirmedNothingSince(answer, askedAt);
+        if (answer.cancellationDelta().complete() && remembers) {
+            toldByNode.put(answer.from(), new Told(askedAt, answer.storeReachable()));
         }
     }
 
     /**
      * Whether a peer that was started in an outage, and has read nothing since, can be taken to
-     * have confirmed nothing untold in its earlier life: it could not reach the state service when
-     * last heard then, nor can it now, and there was little time between. Otherwise a crash in a
-     * long outage would end the leases of the whole fleet.
+     * have confirmed nothing untold in its earlier life: it could not reach the key-value store
+     * when last heard then, nor can it now, and there was little time between. Otherwise a crash in
+     * a long outage would end the leases of the whole fleet.
      */
-    private boolean confirmedNothingSince(Status answer, double askedAt) {
+    private boolean confirmedNothingSince(PeerStatus answer, double askedAt) {
         Told before = toldByNode.get(answer.from());
         return before != null
                 && !before.reachedState()
-                && !answer.stateReachable()
-                && askedAt - before.until() < timing.unknowingS() / 2;
+                && !answer.storeReachable()
+                && askedAt - before.until() < timing.cancellationKnowledgeValiditySeconds() / 2;
     }
 
     /** Whatever peers confirmed to their users before this moment, they have told here. */
-    double toldUntil() {
-        return nodes.stream().mapToDouble(this::toldUntil).min().orElse(loop.now());
+    double cancellationsKnownUntil() {
+        return nodes.stream().mapToDouble(this::cancellationsKnownUntil).min().orElse(loop.now());
     }
 
-    private double toldUntil(String node) {
+    private double cancellationsKnownUntil(String node) {
         Told told = toldByNode.get(node);
         return told == null ? Double.NEGATIVE_INFINITY : told.until();
     }
--- a/src/main/java/org/springmill/control/coordination/PeerConfirmations.java
+++ b/src/main/java/org/springmill/control/coordination/PeerConfirmations.java
@@ -4,8 +4,8 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.function.Predicate;
-import org.springmill.protocol.PeerMessages.Status;
-import org.springmill.transport.Loop;
+import org.springmill.protocol.PeerMessages.PeerStatus;
+import org.springmill.transport.EventLoop;
 
 /**
  * The latest answer of each peer, and what follows from all of them together. An answer is dated by
@@ -21,25 +21,25 @@
 
     private static final double MILLISECONDS_PER_SECOND = 1000;
 
-    private final Loop loop;
-    private final Timing timing;
+    private final EventLoop loop;
+    private final Timeouts timing;
     private final Set<String> nodes;
     private final Map<String, Answer> answers = new HashMap<>();
     private double countFrom = Double.NEGATIVE_INFINITY;
 
     /** A peer's answer, with the time of the question and that of the answer on this clock. */
-    record Answer(double askedAt, double receivedAt, Status status) {}
+    record Answer(double askedAt, double receivedAt, PeerStatus status) {}
 
     /**
      * @param nodes all other controllers
      */
-    PeerConfirmations(Loop loop, Timing timing, Set<String> nodes) {
+    PeerConfirmations(EventLoop loop, Timeouts timing, Set<String> nodes) {
         this.loop = loop;
         this.timing = timing;
         this.nodes = nodes;
     }
 
-    void answered(double askedAt, Status status) {
+    void answered(double askedAt, PeerStatus status) {
         answers.put(status.from(), new Answer(askedAt, loop.now(), status));
     }
 
@@ -49,8 +49,8 @@
     }
 
     /**
-     * Whether every peer lately confirmed that it cannot reach the state service and knows no newer
-     * leader.
+     * Whether every peer lately confirmed that it cannot reach the key-value store and knows no
+     * newer leader.
      */
     boolean allConfirmOutage(long term) {
         return nodes.stream().allMatch(node -> confirmsOutage(node, term));
@@ -78,13 +78,13 @@
     private boolean confirmsOutage(String node, long term) {
         Answer answer = answers.get(node);
         return isRecent(answer)
-                && !answer.status().stateReachable()
+                && !answer.status().storeReachable()
                 && answer.status().term() <= term;
     }
 
     /** Whether a peer that has answered has read the leader's record since it was started. */
     private boolean remembers(String node) {
-        return answers.get(node).status().informed();
+        return answers.get(node).status().hasReadLeaderRecord();
     }
 
     /** Whether a quorum knows of a term. Terms only rise, so that answers of any age count. */
@@ -107,9 +107,9 @@
         return nodes.stream().allMatch(node -> isRecent(answers.get(node)));
     }
 
-    boolean anyReachesState() {
+    boolean anyReachesStore() {
         return answers.values().stream()
-                .anyMatch(answer -> isRecent(answer) && answer.status().stateReachable());
+                .anyMatch(answer -> isRecent(answer) && answer.status().storeReachable());
     }
 
     /** Whether a peer's latest answer, however old, lacks that it takes part in the history. */
@@ -127,7 +127,7 @@
     int maxWorkers() {
         return answers.values().stream()
                 .filter(this::isRecent)
-                .mapToInt(answer -> answer.status().workers())
+                .mapToInt(answer -> answer.status().redirectedWorkers())
                 .max()
                 .orElse(0);
     }
@@ -144,7 +144,7 @@
     }
 
     private static double lastConfirmation(Answer answer) {
-        double agoSeconds = answer.status().witnessAgoMs() / MILLISECONDS_PER_SECOND;
+        double agoSeconds = answer.status().confirmedMillisecondsAgo() / MILLISECONDS_PER_SECOND;
         double maxDriftSeconds = Math.abs(agoSeconds) * CLOCK_DRIFT_RATIO;
         return answer.receivedAt() - agoSeconds + maxDriftSeconds;
     }
@@ -157,6 +157,6 @@
     private boolean isRecent(Answer answer) {
         return answer != null
                 && answer.askedAt() >= countFrom
-                && loop.now() - answer.askedAt() < timing.confirmS();
+                && loop.now() - answer.askedAt() < timing.peerConfirmationValiditySeconds();
     }
 }
--- a/src/main/java/org/springmill/control/coordination/Peers.java
+++ b/src/main/java/org/springmill/control/coordination/Peers.java
@@ -8,19 +8,19 @@
 import java.util.function.Supplier;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import org.springmill.control.admission.StateShares;
+import org.springmill.control.admission.StoreRateShares;
 import org.springmill.control.coordination.PeerConfirmations.Answer;
-import org.springmill.protocol.BadMessageException;
+import org.springmill.protocol.MalformedMessageException;
 import org.springmill.protocol.PeerMessages;
 import org.springmill.protocol.PeerMessages.Cancellation;
-import org.springmill.protocol.PeerMessages.Cancelled;
-import org.springmill.protocol.PeerMessages.Congested;
-import org.springmill.protocol.PeerMessages.News;
+import org.springmill.protocol.PeerMessages.CancellationDelta;
+import org.springmill.protocol.PeerMessages.CancellationNotice;
+import org.springmill.protocol.PeerMessages.CongestionNotice;
 import org.springmill.protocol.PeerMessages.PeerRecord;
-import org.springmill.protocol.PeerMessages.Progress;
-import org.springmill.protocol.PeerMessages.Status;
+import org.springmill.protocol.PeerMessages.PeerStatus;
+import org.springmill.protocol.PeerMessages.ProgressUpdate;
 import org.springmill.protocol.Settings;
-import org.springmill.transport.Loop;
+import org.springmill.transport.EventLoop;
 import org.springmill.transport.PeerLink;
 
 /**
@@ -41,22 +41,22 @@
     private static final int MAX_UNANSWERED_QUESTIONS = 2;
 
     private final PeerLink link;
-    private final Loop loop;
+    private final EventLoop loop;
     private final Settings settings;
-    private final Timing timing;
-    private final Supplier<Status> ownStatus;
+    private final Timeouts timing;
+    private final Supplier<PeerStatus> ownStatus;
     private final JobDirectory directory;
     private final Set<String> nodes;
     private final PeerConfirmations confirmations;
     private final PeerCancellations cancellations;
-    private final StateShares shares;
+    private final StoreRateShares shares;
 
     /** When each recent question was asked. */
     private final Map<Long, Double> askedAtByQuestion = new HashMap<>();
 
-    private Consumer<Progress> onProgress = progress -> {};
-    private Consumer<Congested> onCongested = congested -> {};
-    private Consumer<Status> onSilentRefusal = status -> {};
+    private Consumer<ProgressUpdate> onProgress = progress -> {};
+    private Consumer<CongestionNotice> onCongested = congested -> {};
+    private Consumer<PeerStatus> onUnresponsiveLeader = status -> {};
 
     /** When this controller last confirmed an outage, or kept a worker's lease as a follower. */
     private double lastConfirmationAt;
@@ -74,12 +74,12 @@
      */
     Peers(
             PeerLink link,
-            Loop loop,
+            EventLoop loop,
             Settings settings,
-            Timing timing,
+            Timeouts timing,
             JobDirectory directory,
-            StateShares shares,
-            Supplier<Status> ownStatus) {
+            StoreRateShares shares,
+            Supplier<PeerStatus> ownStatus) {
         this.link = link;
         this.loop = loop;
         this.settings = settings;
@@ -104,16 +104,16 @@
      */
     void start() {
         link.onRecord(this);
-        ask();
+        pollPeers();
     }
 
     /** Takes the progress of running jobs as the leader tells it. */
-    void onProgress(Consumer<Progress> taker) {
+    void onProgress(Consumer<ProgressUpdate> taker) {
         onProgress = taker;
     }
 
     /** Takes the queues that wait too long as the leader tells them. */
-    void onCongested(Consumer<Congested> taker) {
+    void onCongested(Consumer<CongestionNotice> taker) {
         onCongested = taker;
     }
 
@@ -133,16 +133,16 @@
      * behind a packet filter: deposing every leader that refuses let a filter between controllers
      * end term after term.
      */
-    void onSilentRefusal(Consumer<Status> taker) {
-        onSilentRefusal = taker;
+    void onUnresponsiveLeader(Consumer<PeerStatus> taker) {
+        onUnresponsiveLeader = taker;
     }
 
     /**
      * Tells of a cancellation committed here, before its user is told: a leader may be unable to
      * read of it.
      */
-    void tell(Cancellation cancellation) {
-        Cancelled message = new Cancelled(settings.node(), List.of(cancellation));
+    void broadcastCancellation(Cancellation cancellation) {
+        CancellationNotice message = new CancellationNotice(settings.node(), List.of(cancellation));
         nodes.forEach(node -> send(node, message));
     }
 
@@ -155,27 +155,30 @@
         link.send(node, PeerMessages.encode(message));
     }
 
-    private void ask() {
+    private void pollPeers() {
         lastQuestion++;
         askedAtByQuestion.put(lastQuestion, loop.now());
-        askedAtByQuestion.values().removeIf(askedAt -> askedAt < loop.now() - timing.confirmS());
-        Status status = ownStatus.get();
+        askedAtByQuestion
+                .values()
+                .removeIf(
+                        askedAt -> askedAt < loop.now() - timing.peerConfirmationValiditySeconds());
+        PeerStatus status = ownStatus.get();
         for (String node : nodes) {
-            News known = directory.known(cancellations.bookmark(node));
+            CancellationDelta known = directory.deltaRequest(cancellations.cursor(node));
             send(node, message(status, lastQuestion, NO_QUESTION, known, shares.wanted()));
         }
-        loop.after(timing.pingS(), this::ask);
+        loop.after(timing.peerPollIntervalSeconds(), this::pollPeers);
     }
 
-    private void answer(Status question) {
-        Status status = ownStatus.get();
+    private void answer(PeerStatus question) {
+        PeerStatus status = ownStatus.get();
         // While this controller hears a leader, its confirmation is of use only together with that
         // leader's own, which the leader remembers itself.
-        if (!status.stateReachable() && (leaderSilent() || status.leading())) {
+        if (!status.storeReachable() && (leaderSilent() || status.leading())) {
             lastConfirmationAt = loop.now();
         }
-        News lacking = directory.lackedBy(question.news());
-        double lent = shares.lend(question.from(), question.stateShare());
+        CancellationDelta lacking = directory.deltaFor(question.cancellationDelta());
+        double lent = shares.lend(question.from(), question.storeShare());
         send(question.from(), message(status, NO_QUESTION, question.question(), lacking, lent));
     }
 
@@ -183,16 +186,20 @@
      * The term told never falls behind one that was heard: an answer that names a term is a promise
      * to know it from then on.
      */
-    private Status message(
-            Status status, long question, long answeredQuestion, News news, double stateShare) {
-        return new Status(
+    private PeerStatus message(
+            PeerStatus status,
+            long question,
+            long answeredQuestion,
+            CancellationDelta news,
+            double stateShare) {
+        return new PeerStatus(
                 settings.node(),
                 question,
                 answeredQuestion,
-                status.stateReachable(),
+                status.storeReachable(),
                 status.leading(),
-                status.informed(),
-                status.workers(),
+                status.hasReadLeaderRecord(),
+                status.redirectedWorkers(),
                 leaderSilent(),
                 millisecondsSinceConfirmation(),
                 Math.max(highestTerm, status.term()),
@@ -213,52 +220,52 @@
         try {
             PeerRecord message = PeerMessages.decode(bytes);
             boolean fromPeer = nodes.contains(message.from());
-            if (message instanceof Status status && fromPeer) {
+            if (message instanceof PeerStatus status && fromPeer) {
                 statusReceived(status);
-            } else if (message instanceof Cancelled cancelled && fromPeer) {
+            } else if (message instanceof CancellationNotice cancelled && fromPeer) {
                 cancelled.cancellations().forEach(directory::learn);
-            } else if (message instanceof Progress progress) {
+            } else if (message instanceof ProgressUpdate progress) {
                 onProgress.accept(progress);
-            } else if (message instanceof Congested congested && fromPeer) {
+            } else if (message instanceof CongestionNotice congested && fromPeer) {
                 congestedReceived(congested);
             }
-        } catch (BadMessageException e) {
+        } catch (MalformedMessageException e) {
             LOG.warn("{}", e.getMessage());
         }
     }
 
     /** What a leader of an earlier term says is out of date. */
-    private void congestedReceived(Congested congested) {
+    private void congestedReceived(CongestionNotice congested) {
         if (congested.term() >= highestTerm) {
             onCongested.accept(congested);
         }
     }
 
-    private void statusReceived(Status status) {
+    private void statusReceived(PeerStatus status) {
         if (status.term() > highestTerm) {
             highestTerm = status.term();
-            keepsLeasesForNewLeaderUntil = loop.now() + timing.keepaliveForNewLeaderSeconds();
+            keepsLeasesForNewLeaderUntil = loop.now() + timing.newLeaderKeepaliveSeconds();
         }
         lastHeardAt = loop.now();
         if (status.leading()) {
             lastLeaderHeardAt = loop.now();
         }
-        status.news().cancellations().forEach(directory::learn);
-        if (status.echo() == NO_QUESTION) {
+        status.cancellationDelta().cancellations().forEach(directory::learn);
+        if (status.answeredQuestion() == NO_QUESTION) {
             answer(status);
         } else {
             answerReceived(status);
         }
     }
 
-    private void answerReceived(Status answer) {
-        cancellations.bookmarkReceived(answer);
-        Double askedAt = askedAtByQuestion.get(answer.echo());
+    private void answerReceived(PeerStatus answer) {
+        cancellations.cursorReceived(answer);
+        Double askedAt = askedAtByQuestion.get(answer.answeredQuestion());
         if (askedAt != null) {
             confirmations.answered(askedAt, answer);
             cancellations.answered(askedAt, answer);
-            if (answer.stateShare() > 0) {
-                shares.borrow(answer.echo(), askedAt, answer.stateShare());
+            if (answer.storeShare() > 0) {
+                shares.borrow(answer.answeredQuestion(), askedAt, answer.storeShare());
             }
         }
     }
@@ -267,13 +274,13 @@
     public void refused(String node) {
         Answer latest = confirmations.latest(node);
         if (latest != null && latest.status().leading() && isOverdue(latest)) {
-            onSilentRefusal.accept(latest.status());
+            onUnresponsiveLeader.accept(latest.status());
         }
     }
 
     private boolean isOverdue(Answer latest) {
         double since = Math.max(latest.askedAt(), resumedAt);
-        return loop.now() - since > MAX_UNANSWERED_QUESTIONS * timing.pingS();
+        return loop.now() - since > MAX_UNANSWERED_QUESTIONS * timing.peerPollIntervalSeconds();
     }
 
     /** See {@link PeerConfirmations#allConfirmOutage}. */
@@ -282,7 +289,7 @@
     }
 
     /** See {@link PeerConfirmations#quorumConfirmsOutage}. */
-    boolean mostConfirmOutage(long term) {
+    boolean quorumConfirmsOutage(long term) {
         return confirmations.quorumConfirmsOutage(term);
     }
 
@@ -295,7 +302,7 @@
     }
 
     private boolean leaderSilent() {
-        return loop.now() - lastLeaderHeardAt > timing.leaderSilenceSeconds();
+        return loop.now() - lastLeaderHeardAt > timing.leaderSuspectAfterSeconds();
     }
 
     /** See {@link PeerConfirmations#quorumKnows}. */
@@ -303,23 +310,23 @@
         return confirmations.quorumKnows(term);
     }
 
-    /** See {@link PeerCancellations#toldUntil}. */
-    double toldUntil() {
-        return cancellations.toldUntil();
+    /** See {@link PeerCancellations#cancellationsKnownUntil}. */
+    double cancellationsKnownUntil() {
+        return cancellations.cancellationsKnownUntil();
     }
 
     /** When any other controller was last heard of. */
-    double lastHeard() {
+    double lastHeardAt() {
         return lastHeardAt;
     }
 
     /** Whether every other controller has lately answered this one. */
-    boolean allHeard() {
+    boolean allPeersResponded() {
         return confirmations.allAnswered();
     }
 
     /** Notes that a worker's lease was renewed by this controller, which does not lead. */
-    void noteLeaseKept() {
+    void recordLeaseRenewal() {
         lastConfirmationAt = loop.now();
     }
 
@@ -328,13 +335,13 @@
      * leader: the workers that come here stay, rather than all be sent on to one controller that
      * has just begun. Its answers say until when.
      */
-    boolean helps() {
+    boolean keepsLeasesForNewLeader() {
         return loop.now() < keepsLeasesForNewLeaderUntil;
     }
 
-    /** See {@link PeerConfirmations#anyReachesState}. */
-    boolean someReachState() {
-        return confirmations.anyReachesState();
+    /** See {@link PeerConfirmations#anyReachesStore}. */
+    boolean anyReachesStore() {
+        return confirmations.anyReachesStore();
     }
 
     /** See {@link PeerConfirmations#anyWithoutHistory}. */
@@ -348,7 +355,7 @@
     }
 
     /** See {@link PeerConfirmations#maxWorkers}. */
-    int workersElsewhere() {
+    int workersRedirectedByPeers() {
         return confirmations.maxWorkers();
     }
 
@@ -364,10 +371,10 @@
      * keep their leases for as long as the partition lasts.
      */
     double othersMayRenewUntil() {
-        if (!allHeard()) {
+        if (!allPeersResponded()) {
             return Double.POSITIVE_INFINITY;
         }
         double latest = Math.max(lastConfirmationAt, confirmations.lastConfirmationOfPeers());
-        return latest + timing.confirmationValiditySeconds();
+        return latest + timing.peerConfirmationValidityOnAnyClockSeconds();
     }
 }
--- a/src/main/java/org/springmill/control/coordination/Placement.java
+++ b/src/main/java/org/springmill/control/coordination/Placement.java
@@ -17,19 +17,19 @@
     private static final double AVOIDED_SECONDS = 1e4;
 
     private final Fleet fleet;
-    private final Timing timing;
+    private final Timeouts timing;
 
     /** Jobs that the last round was full before it came to. */
     private final Set<Job> unreached = new HashSet<>();
 
     private final Reservations reservations;
-    private final WithheldRoom withheld;
+    private final CapacityFilter withheld;
     private MachineScore score;
 
     /**
      * @param withheld free room that some jobs may not use
      */
-    Placement(Fleet fleet, Timing timing, WithheldRoom withheld) {
+    Placement(Fleet fleet, Timeouts timing, CapacityFilter withheld) {
         this.withheld = withheld;
         this.fleet = fleet;
         this.timing = timing;
@@ -85,9 +85,9 @@
      * Places waiting tasks, at most so many; adds the attempts to the clusterState and returns
      * them.
      */
-    List<Attempt> place(long round, int most) {
+    List<TaskAttempt> place(long round, int most) {
         double now = fleet.now();
-        List<Attempt> placed = new ArrayList<>();
+        List<TaskAttempt> placed = new ArrayList<>();
         fleet.clusterState().releaseHeld();
         unreached.clear();
         List<Job> waiting = waiting();
@@ -99,7 +99,8 @@
                 new MachineScore(
                         timing, MachineScore.largestReplica(fleet.clusterState().jobs().values()));
         List<Machine> open = open(now);
-        ExhaustedShapes exhausted = new ExhaustedShapes(jobsWithOwnRoom(open, now));
+        ExhaustedEquivalenceClasses exhausted =
+                new ExhaustedEquivalenceClasses(jobsWithReservedCapacity(open, now));
         for (Job job : waiting) {
             if (now < job.failures().notBefore()) {
                 continue;
@@ -134,10 +135,10 @@
     }
 
     /** The jobs for which machines keep room that other jobs do not get. */
-    Set<Job> jobsWithOwnRoom(List<Machine> open, double now) {
+    Set<Job> jobsWithReservedCapacity(List<Machine> open, double now) {
         Set<Job> jobs = new HashSet<>(reservations.holders());
-        jobs.addAll(withheld.jobsWithOwnRoom());
-        open.forEach(machine -> jobs.addAll(machine.room().keptFor(now)));
+        jobs.addAll(withheld.jobsWithReservedCapacity());
+        open.forEach(machine -> jobs.addAll(machine.allocation().reservedFor(now)));
         return jobs;
     }
 
@@ -156,7 +157,8 @@
         return unreached.contains(job);
     }
 
-    private boolean placeNext(Job job, MachineRanking ranking, long round, List<Attempt> placed) {
+    private boolean placeNext(
+            Job job, MachineRanking ranking, long round, List<TaskAttempt> placed) {
         Machine machine = machineOfRecalledTask(job);
         if (machine == null) {
             machine = ranking.best();
@@ -165,7 +167,7 @@
             return false;
         }
         Claim claim = Claim.decide(new TaskId(job.id(), job.nextTask()), machine.name(), round);
-        Attempt attempt = new Attempt(claim, job, machine, fleet.now());
+        TaskAttempt attempt = new TaskAttempt(claim, job, machine, fleet.now());
         fleet.clusterState().add(attempt);
         machine.needsImage(job.spec(), fleet.now());
         placed.add(attempt);
@@ -180,7 +182,7 @@
         Machine machine = job.recalledFrom(job.nextTask());
         boolean usable =
                 machine != null
-                        && machine.takesWork(fleet.now(), timing.quietS())
+                        && machine.isSchedulable(fleet.now(), timing.suspectAfterSeconds())
                         && machine.holdsImage(job.spec().image())
                         && placingCost(job, machine, fleet.now()) < AVOIDED_SECONDS;
         return usable ? machine : null;
@@ -188,11 +190,11 @@
 
     /** A gang is claimed in one round, and only when all of its members find a place. */
     private void placeGang(
-            Job job, MachineRanking ranking, long round, int most, List<Attempt> placed) {
+            Job job, MachineRanking ranking, long round, int most, List<TaskAttempt> placed) {
         if (job.liveCount() > 0 || (!placed.isEmpty() && job.waiting() > most - placed.size())) {
             return;
         }
-        List<Attempt> members = new ArrayList<>();
+        List<TaskAttempt> members = new ArrayList<>();
         boolean all = true;
         while (all && job.nextTask() >= 0) {
             all = usage(job).allows(job.spec()) && placeNext(job, ranking, round, members);
@@ -208,7 +210,7 @@
     List<Machine> open(double now) {
         List<Machine> open = new ArrayList<>();
         for (Machine machine : fleet.machines()) {
-            if (machine.takesWork(now, timing.quietS())) {
+            if (machine.isSchedulable(now, timing.suspectAfterSeconds())) {
                 open.add(machine);
             }
         }
@@ -217,7 +219,7 @@
 
     /** Whether a job may run on a machine, if there is room. */
     static boolean eligible(Job job, Machine machine, double now) {
-        return machine.suits(job.spec())
+        return machine.isAllowedFor(job.spec())
                 && !job.failures().excludes(machine.name(), now)
                 && job.zoneAllows(machine.zone());
     }
@@ -231,11 +233,11 @@
      * others: they would wait until it had given way, longer than many may wait for a start.
      */
     private boolean hasRoom(Job job, Machine machine) {
-        Resources kept = withheld.from(job, machine);
+        Resources kept = withheld.withheldFrom(job, machine);
         if (!usage(job).hasGuarantee()) {
-            kept = kept.plus(machine.room().headroom());
+            kept = kept.plus(machine.allocation().headroom());
         }
-        return machine.hasRoomBeside(kept, job.spec());
+        return machine.fitsBeside(kept, job.spec());
     }
 
     /**
@@ -245,7 +247,7 @@
     private double placingCost(Job job, Machine machine, double now) {
         return hasRoom(job, machine)
                         && eligible(job, machine, now)
-                        && !machine.room().keptFrom(job, now)
+                        && !machine.allocation().isReservedForOthers(job, now)
                         && !reservations.reservedFrom(job, machine)
                 ? score.of(job, machine, now) + avoidanceCost(job, machine, now)
                 : Double.POSITIVE_INFINITY;
--- a/src/main/java/org/springmill/control/coordination/Rounds.java
+++ b/src/main/java/org/springmill/control/coordination/PlacementRounds.java
@@ -7,32 +7,32 @@
 import org.springmill.control.storage.Claim;
 import org.springmill.control.storage.RoundLog;
 import org.springmill.control.storage.RoundLog.End;
-import org.springmill.protocol.StateMessages.Write;
-import org.springmill.protocol.WorkerMessages.Cause;
-import org.springmill.transport.Loop;
+import org.springmill.protocol.KeyValueStoreMessages.Write;
+import org.springmill.protocol.WorkerMessages.ExitCause;
+import org.springmill.transport.EventLoop;
 
 /**
  * Runs rounds: placement and ends are committed together, one commit at a time, before anything is
  * sent.
  */
-final class Rounds {
-    private static final Logger LOG = LoggerFactory.getLogger(Rounds.class);
+final class PlacementRounds {
+    private static final Logger LOG = LoggerFactory.getLogger(PlacementRounds.class);
 
     /** What follows from a committed round. */
     interface Listener {
-        void committed(List<Attempt> claimed, List<Attempt> ended, double since);
+        void committed(List<TaskAttempt> claimed, List<TaskAttempt> ended, double since);
 
         void lost();
     }
 
     private final Fleet fleet;
     private final Placement placement;
-    private final RoomMaking roomMaking;
+    private final PreemptionPolicy roomMaking;
     private final RoundLog log;
     private final Leadership leadership;
-    private final Loop loop;
-    private final double gapS;
-    private final EndBatching endBatching;
+    private final EventLoop loop;
+    private final double gapSeconds;
+    private final CompletionBatching endBatching;
     private final Listener listener;
     private boolean committing;
     private boolean wanted;
@@ -41,14 +41,14 @@
     private boolean closed;
     private double lastRound = Double.NEGATIVE_INFINITY;
 
-    Rounds(
+    PlacementRounds(
             Fleet fleet,
             Placement placement,
-            RoomMaking roomMaking,
+            PreemptionPolicy roomMaking,
             RoundLog log,
             Leadership leadership,
-            Loop loop,
-            double gapS,
+            EventLoop loop,
+            double gapSeconds,
             Listener listener) {
         this.fleet = fleet;
         this.placement = placement;
@@ -56,8 +56,8 @@
         this.log = log;
         this.leadership = leadership;
         this.loop = loop;
-        this.gapS = gapS;
-        this.endBatching = new EndBatching(gapS);
+        this.gapSeconds = gapSeconds;
+        this.endBatching = new CompletionBatching(gapSeconds);
         this.listener = listener;
     }
 
@@ -73,7 +73,7 @@
         wanted = true;
         if (!scheduled && !committing && !closed) {
             scheduled = true;
-            loop.after(Math.max(0, lastRound + gapS - loop.now()), this::run);
+            loop.after(Math.max(0, lastRound + gapSeconds - loop.now()), this::run);
         }
     }
 
@@ -87,9 +87,9 @@
         }
         wanted = false;
         lastRound = loop.now();
-        List<Attempt> ended = fleet.clusterState().takeEnded(log.endsPerRound());
+        List<TaskAttempt> ended = fleet.clusterState().drainEnded(log.endsPerRound());
         roomMaking.release(ended);
-        List<Attempt> claimed = placement.place(log.next(), log.claimsBeside(ended.size()));
+        List<TaskAttempt> claimed = placement.place(log.next(), log.claimsBeside(ended.size()));
         List<Write> attached = roomMaking.decide(log.next(), claimed);
         if (ended.isEmpty() && claimed.isEmpty() && attached.isEmpty()) {
             return;
@@ -97,7 +97,8 @@
         List<Claim> claims = new ArrayList<>();
         claimed.forEach(attempt -> claims.add(attempt.claim()));
         List<End> ends = new ArrayList<>();
-        ended.forEach(attempt -> ends.add(new End(attempt.claim(), attempt.cause() == Cause.DONE)));
+        ended.forEach(
+                attempt -> ends.add(new End(attempt.claim(), attempt.cause() == ExitCause.DONE)));
         committing = true;
         long number = log.next();
         double since = loop.now();
@@ -136,22 +137,23 @@
         request();
     }
 
-    private void committed(List<Attempt> claimed, List<Attempt> ended, double since) {
+    private void committed(List<TaskAttempt> claimed, List<TaskAttempt> ended, double since) {
         double now = loop.now();
-        for (Attempt attempt : ended) {
-            if (attempt.cause() == Cause.DONE) {
+        for (TaskAttempt attempt : ended) {
+            if (attempt.cause() == ExitCause.DONE) {
                 attempt.job().markDone(attempt.claim().task().index());
             }
-            attempt.transition(Attempt.State.GONE, now);
+            attempt.transition(TaskAttempt.State.CLOSED, now);
             fleet.clusterState().remove(attempt, now);
         }
-        for (Attempt attempt : claimed) {
-            attempt.transition(Attempt.State.CLAIMED, now);
+        for (TaskAttempt attempt : claimed) {
+            attempt.transition(TaskAttempt.State.CLAIMED, now);
             boolean machineThere =
-                    attempt.machine().state() == Machine.State.UP && !attempt.machine().noticed();
+                    attempt.machine().state() == Machine.State.UP
+                            && !attempt.machine().hasPreemptionNotice();
             if (!attempt.job().active() || !machineThere) {
                 // Overtaken while the round was committed: nothing was sent, so it is over.
-                fleet.end(attempt, Cause.STOPPED);
+                fleet.end(attempt, ExitCause.STOPPED);
             }
         }
         roomMaking.committed();
--- a/src/main/java/org/springmill/control/coordination/RoomMaking.java
+++ b/src/main/java/org/springmill/control/coordination/PreemptionPolicy.java
@@ -2,12 +2,12 @@
 
 import java.util.List;
 import java.util.function.Consumer;
-import org.springmill.protocol.StateMessages.Write;
+import org.springmill.protocol.KeyValueStoreMessages.Write;
 
 /** Makes room for waiting jobs that find no place otherwise, by stopping work of lower right. */
-interface RoomMaking {
+interface PreemptionPolicy {
     /** What stopping a task costs beside its lost work, so that few large ones are preferred. */
-    double VICTIM_SECONDS = 10;
+    double VICTIM_COST_SECONDS = 10;
 
     /** Reads what earlier leaders decided; tells whether that could be done. */
     default void load(Consumer<Boolean> done) {
@@ -15,13 +15,13 @@
     }
 
     /** The jobs and attempts of earlier leaders are known now. */
-    default void rebuilt() {}
+    default void stateRecovered() {}
 
     /**
      * Takes back the room of attempts whose ends this round commits, before it places anything, if
      * one transaction may hold the end of one task and the claim of the next in its room.
      */
-    default void release(List<Attempt> ended) {}
+    default void release(List<TaskAttempt> ended) {}
 
     /**
      * Decides what is stopped, after a round has placed what finds room.
@@ -30,7 +30,7 @@
      * @param claimed what the round places
      * @return changes that have to be part of the round's transaction
      */
-    List<Write> decide(long round, List<Attempt> claimed);
+    List<Write> decide(long round, List<TaskAttempt> claimed);
 
     /** The round is committed, with the changes that were decided. */
     default void committed() {}
--- a/src/main/java/org/springmill/control/coordination/PauseDetector.java
+++ b/src/main/java/org/springmill/control/coordination/ProcessPauseDetector.java
@@ -4,8 +4,8 @@
 import java.util.List;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
+import org.springmill.transport.EventLoop;
 import org.springmill.transport.HttpClient;
-import org.springmill.transport.Loop;
 import org.springmill.transport.PeerLink;
 
 /**
@@ -14,13 +14,13 @@
  * was nobody's silence. Every turn of the event loop passes through here first, so that nothing
  * that came in during a pause is looked at before the listeners know of the pause.
  */
-final class PauseDetector {
-    private static final Logger LOG = LoggerFactory.getLogger(PauseDetector.class);
+final class ProcessPauseDetector {
+    private static final Logger LOG = LoggerFactory.getLogger(ProcessPauseDetector.class);
 
     /** A timer keeps turns coming; it may fire late without that being taken for a pause. */
     private static final double TURNS_PER_BOUND = 4;
 
-    private final Loop loop;
+    private final EventLoop loop;
     private final double boundSeconds;
     private final List<Runnable> listeners = new ArrayList<>();
     private double lastTurnAt;
@@ -28,7 +28,7 @@
     /**
      * @param boundSeconds a longer time without a turn is a pause
      */
-    PauseDetector(Loop loop, double boundSeconds) {
+    ProcessPauseDetector(EventLoop loop, double boundSeconds) {
         this.loop = loop;
         this.boundSeconds = boundSeconds;
         lastTurnAt = loop.now();
@@ -46,12 +46,12 @@
     }
 
     private void beat() {
-        turn();
+        beginLoopTurn();
         loop.after(boundSeconds / TURNS_PER_BOUND, this::beat);
     }
 
     /** Called at the beginning of each turn of the event loop. */
-    void turn() {
+    void beginLoopTurn() {
         double now = loop.now();
         double gap = now - lastTurnAt;
         lastTurnAt = now;
@@ -62,8 +62,8 @@
     }
 
     /** A loop whose tasks begin with a look for a pause. */
-    Loop watch(Loop watched) {
-        return new Loop() {
+    EventLoop wrap(EventLoop watched) {
+        return new EventLoop() {
             @Override
             public double now() {
                 return watched.now();
@@ -79,7 +79,7 @@
                 return watched.after(
                         seconds,
                         () -> {
-                            turn();
+                            beginLoopTurn();
                             task.run();
                         });
             }
@@ -87,18 +87,18 @@
     }
 
     /** A client whose answers begin with a look for a pause. */
-    HttpClient watch(HttpClient watched) {
+    HttpClient wrap(HttpClient watched) {
         return (request, done) ->
                 watched.send(
                         request,
                         reply -> {
-                            turn();
+                            beginLoopTurn();
                             done.accept(reply);
                         });
     }
 
     /** A link whose records begin with a look for a pause. */
-    PeerLink watch(PeerLink watched) {
+    PeerLink wrap(PeerLink watched) {
         return new PeerLink() {
             @Override
             public void send(String node, byte[] record) {
@@ -107,22 +107,22 @@
 
             @Override
             public void onRecord(Listener listener) {
-                watched.onRecord(watch(listener));
+                watched.onRecord(wrap(listener));
             }
         };
     }
 
-    private PeerLink.Listener watch(PeerLink.Listener watched) {
+    private PeerLink.Listener wrap(PeerLink.Listener watched) {
         return new PeerLink.Listener() {
             @Override
             public void received(byte[] record) {
-                turn();
+                beginLoopTurn();
                 watched.received(record);
             }
 
             @Override
             public void refused(String node) {
-                turn();
+                beginLoopTurn();
                 watched.refused(node);
             }
         };
--- a/src/main/java/org/springmill/control/coordination/RecallPlanner.java
+++ b/src/main/java/org/springmill/control/coordination/RecallPlanner.java
@@ -9,8 +9,8 @@
 import java.util.Map;
 import java.util.Optional;
 import java.util.Set;
-import org.springmill.control.borrowing.VictimChoice;
-import org.springmill.control.borrowing.VictimChoice.Candidate;
+import org.springmill.control.borrowing.VictimSelection;
+import org.springmill.control.borrowing.VictimSelection.Candidate;
 import org.springmill.protocol.Priority;
 import org.springmill.protocol.Resources;
 import org.springmill.protocol.Submission;
@@ -35,21 +35,21 @@
 
     private final Fleet fleet;
     private final Placement placement;
-    private final PromisedRoom promises;
+    private final RecallReservations promises;
     private final GracePeriods grace;
 
     /** A task that no report has named for this long may not run any more. */
-    private final double silentS;
+    private final double silentSeconds;
 
-    private final double intervalS;
+    private final double intervalSeconds;
     private double plannedAt = Double.NEGATIVE_INFINITY;
     private int evaluationsLeft;
-    private final double leaseS;
+    private final double leaseSeconds;
     private final Map<Job, Double> fruitlessUntil = new HashMap<>();
     private final Map<Machine, Double> avoidedUntil = new HashMap<>();
 
     /** Tasks that are to be stopped by what is planned so far, and what their teams lose. */
-    private final Set<Attempt> chosen = new HashSet<>();
+    private final Set<TaskAttempt> chosen = new HashSet<>();
 
     private final Map<String, Resources> lossByTeam = new HashMap<>();
 
@@ -65,16 +65,16 @@
      * @param victims what is stopped on the machine; empty if that of others suffices
      * @param roomComes whether nothing has to be stopped, since enough is leaving already
      */
-    record Plan(Job beneficiary, Machine machine, List<Attempt> victims, boolean roomComes) {}
+    record Plan(Job beneficiary, Machine machine, List<TaskAttempt> victims, boolean roomComes) {}
 
     /** Tasks that can only be stopped together: one task, or the members of a gang. */
-    private record Unit(Job job, List<Attempt> onMachine, Resources loss) {}
+    private record Unit(Job job, List<TaskAttempt> onMachine, Resources loss) {}
 
     /** What one machine has for a beneficiary, whatever the number of its tasks. */
     private record Offer(Resources free, List<Candidate<Unit>> candidates) {}
 
     /** Room for a number of tasks of a job on one machine. */
-    private record Batch(int tasks, List<Attempt> victims, double costSeconds) {
+    private record Batch(int tasks, List<TaskAttempt> victims, double costSeconds) {
         double costPerTask() {
             return costSeconds / tasks;
         }
@@ -83,12 +83,12 @@
     RecallPlanner(
             Fleet fleet,
             Placement placement,
-            PromisedRoom promises,
+            RecallReservations promises,
             GracePeriods grace,
-            Timing timing) {
-        silentS = timing.silentS();
-        leaseS = timing.leaseS();
-        intervalS = timing.reportS() / PLANS_PER_REPORT;
+            Timeouts timing) {
+        silentSeconds = timing.deadAfterSeconds();
+        leaseSeconds = timing.workerLeaseSeconds();
+        intervalSeconds = timing.heartbeatIntervalSeconds() / PLANS_PER_REPORT;
         this.fleet = fleet;
         this.placement = placement;
         this.promises = promises;
@@ -101,12 +101,12 @@
 
     /** Recalls nobody on a machine for a lease: somebody who was to go there did not. */
     void avoid(Machine machine) {
-        avoidedUntil.put(machine, fleet.now() + leaseS);
+        avoidedUntil.put(machine, fleet.now() + leaseSeconds);
     }
 
     /** Whether the last plan is long enough ago for another. */
     boolean isDue() {
-        return fleet.now() - plannedAt >= intervalS;
+        return fleet.now() - plannedAt >= intervalSeconds;
     }
 
     /** The recalls that are worth deciding now, the best right first. */
@@ -121,11 +121,12 @@
         waiting.removeIf(job -> now < job.failures().notBefore());
         List<Plan> plans = new ArrayList<>();
         fleet.clusterState().releaseHeld();
-        if (waiting.stream().noneMatch(fleet.clusterState()::mayStopAnyFor)) {
+        if (waiting.stream().noneMatch(fleet.clusterState()::mayPreemptFor)) {
             return plans;
         }
         List<Machine> open = placement.open(now);
-        ExhaustedShapes exhausted = new ExhaustedShapes(placement.jobsWithOwnRoom(open, now));
+        ExhaustedEquivalenceClasses exhausted =
+                new ExhaustedEquivalenceClasses(placement.jobsWithReservedCapacity(open, now));
         for (Job job : waiting) {
             int wanted = wanted(job);
             if (job.spec().service() && job.startable() > 0) {
@@ -134,7 +135,7 @@
             if (wanted <= 0
                     || evaluationsLeft <= 0
                     || placement.unreached(job)
-                    || !fleet.clusterState().mayStopAnyFor(job)
+                    || !fleet.clusterState().mayPreemptFor(job)
                     || fruitlessUntil.containsKey(job)
                     || exhausted.cover(job)) {
                 continue;
@@ -142,7 +143,7 @@
             List<Plan> ofJob = planFor(job, wanted, open, now);
             if (ofJob.size() < wanted && evaluationsLeft > 0) {
                 exhausted.add(job);
-                fruitlessUntil.put(job, now + FRUITLESS_INTERVALS * intervalS);
+                fruitlessUntil.put(job, now + FRUITLESS_INTERVALS * intervalSeconds);
             }
             plans.addAll(ofJob);
         }
@@ -165,7 +166,8 @@
     }
 
     private Resources promisedToTeam(String team) {
-        return promises.ofTeam(team).plus(plannedForTeam.getOrDefault(team, Resources.NONE));
+        return promises.reservedForTeam(team)
+                .plus(plannedForTeam.getOrDefault(team, Resources.NONE));
     }
 
     private int guaranteedRoom(Job job) {
@@ -257,15 +259,16 @@
         List<Candidate<Unit>> candidates = new ArrayList<>();
         Resources free =
                 machine.free()
-                        .minus(promises.on(machine))
+                        .minus(promises.reservedOn(machine))
                         .minus(plannedOn.getOrDefault(machine, Resources.NONE));
-        Map<Job, List<Attempt>> gangs = new LinkedHashMap<>();
-        for (Attempt attempt : machine.attempts()) {
+        Map<Job, List<TaskAttempt>> gangs = new LinkedHashMap<>();
+        for (TaskAttempt attempt : machine.attempts()) {
             if (isLeaving(attempt)) {
                 free = comesFree(attempt, now) ? free.plus(attempt.job().spec()) : free;
-            } else if (attempt.state() != Attempt.State.CLAIMING && attempt.job().spec().gang()) {
+            } else if (attempt.state() != TaskAttempt.State.CLAIMING
+                    && attempt.job().spec().gang()) {
                 gangs.computeIfAbsent(attempt.job(), g -> new ArrayList<>()).add(attempt);
-            } else if (attempt.state() != Attempt.State.CLAIMING) {
+            } else if (attempt.state() != TaskAttempt.State.CLAIMING) {
                 Resources size = Resources.of(attempt.job().spec());
                 candidates.add(candidate(new Unit(attempt.job(), List.of(attempt), size), now));
             }
@@ -276,7 +279,7 @@
 
     private Optional<Batch> batch(
             Job job, int tasks, Offer offer, boolean guaranteed, double scoreSeconds) {
-        return VictimChoice.choose(
+        return VictimSelection.choose(
                         offer.free(),
                         Resources.of(job.spec()).times(tasks),
                         offer.candidates(),
@@ -284,14 +287,14 @@
                 .map(choice -> batch(tasks, choice, scoreSeconds));
     }
 
-    private Batch batch(int tasks, VictimChoice.Choice<Unit> choice, double scoreSeconds) {
-        List<Attempt> victims = new ArrayList<>();
+    private Batch batch(int tasks, VictimSelection.Choice<Unit> choice, double scoreSeconds) {
+        List<TaskAttempt> victims = new ArrayList<>();
         choice.victims().forEach(unit -> victims.addAll(unit.onMachine()));
         double cost = tasks * (scoreSeconds + grace.longestSaveSeconds(victims));
         return new Batch(tasks, victims, cost + choice.costSeconds());
     }
 
-    private static Unit gangUnit(Job gang, List<Attempt> members) {
+    private static Unit gangUnit(Job gang, List<TaskAttempt> members) {
         Resources all = Resources.of(gang.spec()).times(gang.liveCount());
         return new Unit(gang, members, all);
     }
@@ -299,28 +302,28 @@
     /** Stopping one member of a gang costs what all of its members have done. */
     private Candidate<Unit> candidate(Unit unit, double now) {
         Submission spec = unit.job().spec();
-        List<Attempt> stopped = spec.gang() ? unit.job().attempts() : unit.onMachine();
+        List<TaskAttempt> stopped = spec.gang() ? unit.job().attempts() : unit.onMachine();
         double cost = 0;
-        for (Attempt attempt : stopped) {
-            cost += RoomMaking.VICTIM_SECONDS + grace.lostWork(attempt, now);
+        for (TaskAttempt attempt : stopped) {
+            cost += PreemptionPolicy.VICTIM_COST_SECONDS + grace.lostWork(attempt, now);
         }
         Resources frees = Resources.of(spec).times(unit.onMachine().size());
         return new Candidate<>(unit, unit.job().priority(), frees, cost);
     }
 
     /** Whether the room of a task that leaves can be counted on. */
-    private boolean comesFree(Attempt attempt, double now) {
+    private boolean comesFree(TaskAttempt attempt, double now) {
         boolean overdue =
-                attempt.state() == Attempt.State.STOPPING
-                        && now - attempt.since() > grace.boundOnLeaving(attempt);
+                attempt.state() == TaskAttempt.State.STOPPING
+                        && now - attempt.stateSince() > grace.boundOnLeaving(attempt);
         return !attempt.released() && !overdue;
     }
 
-    private boolean isLeaving(Attempt attempt) {
+    private boolean isLeaving(TaskAttempt attempt) {
         return attempt.recalled()
                 || chosen.contains(attempt)
-                || attempt.state() == Attempt.State.STOPPING
-                || attempt.state() == Attempt.State.ENDED;
+                || attempt.state() == TaskAttempt.State.STOPPING
+                || attempt.state() == TaskAttempt.State.ENDED;
     }
 
     /**
@@ -355,10 +358,10 @@
      * them. Told apart from the choice because a commit may take long, and what a team runs changes
      * meanwhile.
      */
-    boolean keepsEntitlements(Job beneficiary, List<Attempt> victims) {
+    boolean keepsEntitlements(Job beneficiary, List<TaskAttempt> victims) {
         forgetLastPlan();
         Map<String, Resources> losses = new HashMap<>();
-        for (Attempt victim : victims) {
+        for (TaskAttempt victim : victims) {
             String team = victim.job().spec().team();
             if (!team.equals(beneficiary.spec().team()) && isConfirmed(victim)) {
                 losses.merge(team, Resources.of(victim.job().spec()), Resources::plus);
@@ -382,7 +385,7 @@
         if (confirmedByTeam == null) {
             confirmedByTeam = new HashMap<>();
             for (Machine machine : fleet.machines()) {
-                for (Attempt attempt : machine.attempts()) {
+                for (TaskAttempt attempt : machine.attempts()) {
                     if (isConfirmed(attempt) && !attempt.recalled()) {
                         Submission spec = attempt.job().spec();
                         confirmedByTeam.merge(spec.team(), Resources.of(spec), Resources::plus);
@@ -393,11 +396,11 @@
         return confirmedByTeam.getOrDefault(team, Resources.NONE);
     }
 
-    private boolean isConfirmed(Attempt attempt) {
+    private boolean isConfirmed(TaskAttempt attempt) {
         boolean seen =
-                attempt.state() == Attempt.State.RUNNING
-                        || attempt.state() == Attempt.State.FETCHING;
-        return seen && fleet.now() - attempt.lastReported() < silentS;
+                attempt.state() == TaskAttempt.State.RUNNING
+                        || attempt.state() == TaskAttempt.State.FETCHING;
+        return seen && fleet.now() - attempt.lastReported() < silentSeconds;
     }
 
     /** Takes a batch into account and splits it into plans for single tasks. */
@@ -407,11 +410,11 @@
         plannedForTeam.merge(job.spec().team(), each.times(batch.tasks()), Resources::plus);
         batch.victims().forEach(victim -> noteVictim(victim, 1));
         List<Plan> plans = new ArrayList<>();
-        List<Attempt> left = new ArrayList<>(batch.victims());
+        List<TaskAttempt> left = new ArrayList<>(batch.victims());
         for (int i = batch.tasks(); i > 0; i--) {
             // Each has its part of the victims, so that less is stopped if the demand falls.
             int part = (left.size() + i - 1) / i;
-            List<Attempt> victims = new ArrayList<>(left.subList(0, part));
+            List<TaskAttempt> victims = new ArrayList<>(left.subList(0, part));
             left.subList(0, part).clear();
             plans.add(new Plan(job, machine, victims, batch.victims().isEmpty()));
         }
@@ -426,10 +429,10 @@
         plan.victims().forEach(victim -> noteVictim(victim, -1));
     }
 
-    private void noteVictim(Attempt victim, int sign) {
+    private void noteVictim(TaskAttempt victim, int sign) {
         Submission spec = victim.job().spec();
-        List<Attempt> stopped = spec.gang() ? victim.job().attempts() : List.of(victim);
-        for (Attempt attempt : stopped) {
+        List<TaskAttempt> stopped = spec.gang() ? victim.job().attempts() : List.of(victim);
+        for (TaskAttempt attempt : stopped) {
             boolean change = sign > 0 ? chosen.add(attempt) : chosen.remove(attempt);
             if (change) {
                 lossByTeam.merge(spec.team(), Resources.of(spec).times(sign), Resources::plus);
--- a/src/main/java/org/springmill/control/coordination/Recalls.java
+++ b/src/main/java/org/springmill/control/coordination/RecallPreemption.java
@@ -15,27 +15,27 @@
 import org.springmill.control.borrowing.RecallProgress;
 import org.springmill.control.borrowing.RecallProgress.Outcome;
 import org.springmill.control.borrowing.RecallProgress.State;
-import org.springmill.control.coordination.PromisedRoom.ActiveRecall;
+import org.springmill.control.coordination.RecallReservations.ActiveRecall;
+import org.springmill.protocol.KeyValueStoreMessages.Write;
 import org.springmill.protocol.Resources;
-import org.springmill.protocol.StateMessages.Write;
 import org.springmill.protocol.TaskId;
-import org.springmill.transport.Loop;
+import org.springmill.transport.EventLoop;
 
 /**
  * Carries recalls out: decides them with a round, has the victims stopped once the round is
  * committed, keeps the room for the beneficiary, and settles each with the round that claims its
  * task, or when it is of no more use. docs/borrowing.md has the argument.
  */
-final class Recalls implements RoomMaking {
-    private static final Logger LOG = LoggerFactory.getLogger(Recalls.class);
+final class RecallPreemption implements PreemptionPolicy {
+    private static final Logger LOG = LoggerFactory.getLogger(RecallPreemption.class);
 
     private final Fleet fleet;
-    private final Loop loop;
-    private final Timing timing;
+    private final EventLoop loop;
+    private final Timeouts timing;
     private final RecallLog log;
     private final RecallPlanner planner;
-    private final PromisedRoom promises;
-    private final ReturnedRoom returned;
+    private final RecallReservations promises;
+    private final HoldDownCapacity returned;
     private final GracePeriods grace;
     private final Metrics metrics;
     private final Consumer<Machine> poke;
@@ -50,14 +50,14 @@
     /**
      * @param poke sends a machine the commands that are due
      */
-    Recalls(
+    RecallPreemption(
             Fleet fleet,
-            Loop loop,
-            Timing timing,
+            EventLoop loop,
+            Timeouts timing,
             RecallLog log,
             RecallPlanner planner,
-            PromisedRoom promises,
-            ReturnedRoom returned,
+            RecallReservations promises,
+            HoldDownCapacity returned,
             GracePeriods grace,
             Metrics metrics,
             Consumer<Machine> poke) {
@@ -84,7 +84,7 @@
 
     /** Carries on with what earlier leaders committed. */
     @Override
-    public void rebuilt() {
+    public void stateRecovered() {
         inherited.forEach(this::adopt);
         inherited = List.of();
     }
@@ -102,7 +102,7 @@
             settled.add(recall.key());
             return;
         }
-        List<Attempt> victims = victims(recall, machine);
+        List<TaskAttempt> victims = victims(recall, machine);
         double saving = grace.boundOnSaving(grace.longestSaveSeconds(victims));
         double graceLeft = recall.graceEndsAt() - loop.timeOfDay();
         RecallProgress progress = new RecallProgress(recall, saving, grace.boundOnEnding());
@@ -120,7 +120,7 @@
                                         && attempt.claim().round() > recall.round());
     }
 
-    private List<Attempt> victims(Recall recall, Machine machine) {
+    private List<TaskAttempt> victims(Recall recall, Machine machine) {
         Set<TaskId> tasks = new HashSet<>(recall.victims());
         return machine.attemptsNow().stream()
                 .filter(attempt -> tasks.contains(attempt.claim().task()))
@@ -129,19 +129,19 @@
     }
 
     @Override
-    public void release(List<Attempt> ended) {
+    public void release(List<TaskAttempt> ended) {
         double now = loop.now();
-        for (Attempt attempt : ended) {
+        for (TaskAttempt attempt : ended) {
             attempt.machine().release(attempt);
-            returned.left(attempt, now);
+            returned.taskLeft(attempt, now);
         }
     }
 
     @Override
-    public List<Write> decide(long round, List<Attempt> claimed) {
+    public List<Write> decide(long round, List<TaskAttempt> claimed) {
         double now = loop.now();
         returned.expire(now);
-        claimed.forEach(attempt -> returned.taken(attempt, now));
+        claimed.forEach(attempt -> returned.taskPlaced(attempt, now));
         claimed.forEach(this::fulfil);
         promises.all().forEach(recall -> advance(recall, now));
         pokeMachines();
@@ -153,8 +153,8 @@
     }
 
     /** The claim of a beneficiary and the end of its promise are one transaction. */
-    private void fulfil(Attempt claimed) {
-        promises.of(claimed.job()).stream()
+    private void fulfil(TaskAttempt claimed) {
+        promises.recallsFor(claimed.job()).stream()
                 .filter(recall -> recall.machine() == claimed.machine())
                 .findFirst()
                 .ifPresent(recall -> settle(recall, Outcome.FULFILLED));
@@ -162,7 +162,8 @@
 
     /** Applies the bounds on each step of a recall. */
     private void advance(ActiveRecall recall, double now) {
-        if (!recall.machine().takesWork(now, timing.quietS()) && isKnown(recall.machine())) {
+        if (!recall.machine().isSchedulable(now, timing.suspectAfterSeconds())
+                && isKnown(recall.machine())) {
             giveUp(recall);
         } else if (recall.progress().state() == State.COMMITTING) {
             carryOn(recall, now);
@@ -170,7 +171,7 @@
             if (recall.progress().state() == State.SAVING) {
                 recall.progress().graceEnded(now);
                 recall.victims().stream()
-                        .filter(victim -> victim.state() == Attempt.State.STOPPING)
+                        .filter(victim -> victim.state() == TaskAttempt.State.STOPPING)
                         .forEach(victim -> fleet.stop(victim, 0));
                 toPoke.add(recall.machine());
             } else {
@@ -184,7 +185,7 @@
     private void carryOn(ActiveRecall recall, double now) {
         boolean known =
                 recall.victims().stream()
-                        .noneMatch(victim -> victim.state() == Attempt.State.UNKNOWN);
+                        .noneMatch(victim -> victim.state() == TaskAttempt.State.UNKNOWN);
         if (known) {
             tellVictims(recall, now);
         } else if (recall.progress().overdue(now)) {
@@ -200,12 +201,12 @@
 
     /** A new leader hears of machines one by one: none is out of use before it was heard. */
     private static boolean isKnown(Machine machine) {
-        return machine.state() != Machine.State.EXPECTED;
+        return machine.state() != Machine.State.PROVISIONING;
     }
 
     /** Ends what is promised to a job beyond what it still waits for, the latest first. */
     private void withdrawSurplus(Job job) {
-        List<ActiveRecall> recalls = promises.of(job);
+        List<ActiveRecall> recalls = promises.recallsFor(job);
         int waiting = job.active() ? job.startable() : 0;
         for (int i = recalls.size(); i > waiting; i--) {
             settle(recalls.get(i - 1), Outcome.WITHDRAWN);
@@ -262,11 +263,12 @@
             promises.add(active);
             decided.add(active);
         }
-        promises.roomComes(coming);
+        promises.setExpectedCapacity(coming);
         return decided;
     }
 
-    private static double average(List<Attempt> victims, ToDoubleFunction<Attempt> seconds) {
+    private static double average(
+            List<TaskAttempt> victims, ToDoubleFunction<TaskAttempt> seconds) {
         return victims.stream().mapToDouble(seconds).average().orElse(0);
     }
 
@@ -284,7 +286,7 @@
                 graceEndsAt);
     }
 
-    private void markRecalled(Attempt victim) {
+    private void markRecalled(TaskAttempt victim) {
         victim.markRecalled(true);
         fleet.clusterState().noteLeaving(victim);
     }
@@ -319,17 +321,17 @@
 
     private boolean isStillWanted(ActiveRecall recall) {
         Job job = recall.beneficiary();
-        return job.active() && promises.of(job).indexOf(recall) < job.startable();
+        return job.active() && promises.recallsFor(job).indexOf(recall) < job.startable();
     }
 
-    private void unmarkRecalled(Attempt victim) {
+    private void unmarkRecalled(TaskAttempt victim) {
         if (fleet.clusterState().noteStaying(victim)) {
             victim.markRecalled(false);
         }
     }
 
     private void halt(ActiveRecall recall) {
-        for (Attempt victim : recall.victims()) {
+        for (TaskAttempt victim : recall.victims()) {
             metrics.taskRecalled();
             LOG.debug(
                     "{} gives way to {} on {}",
--- a/src/main/java/org/springmill/control/coordination/PromisedRoom.java
+++ b/src/main/java/org/springmill/control/coordination/RecallReservations.java
@@ -13,7 +13,7 @@
 import org.springmill.protocol.Resources;
 
 /** The recalls under way on a leader, by machine, by beneficiary and by the beneficiary's team. */
-final class PromisedRoom {
+final class RecallReservations {
     private final Map<String, ActiveRecall> byKey = new LinkedHashMap<>();
     private final Map<Machine, List<ActiveRecall>> byMachine = new HashMap<>();
     private final Map<Job, List<ActiveRecall>> byJob = new LinkedHashMap<>();
@@ -24,7 +24,7 @@
      * not committed, since nobody is stopped for it. Piece by piece it would go to work of lower
      * right, which then had to be stopped.
      */
-    private Map<Machine, List<RecallPlanner.Plan>> coming = Map.of();
+    private Map<Machine, List<RecallPlanner.Plan>> expectedCapacity = Map.of();
 
     /**
      * A recall with what it is about.
@@ -37,7 +37,7 @@
             RecallProgress progress,
             Job beneficiary,
             Machine machine,
-            List<Attempt> victims,
+            List<TaskAttempt> victims,
             double lostSeconds,
             double loanSeconds,
             double decidedAt) {
@@ -85,7 +85,7 @@
     }
 
     /** The recalls for a job, the earliest first. */
-    List<ActiveRecall> of(Job job) {
+    List<ActiveRecall> recallsFor(Job job) {
         return List.copyOf(byJob.getOrDefault(job, List.of()));
     }
 
@@ -95,24 +95,25 @@
     }
 
     /** What is promised to a team's jobs. */
-    Resources ofTeam(String team) {
+    Resources reservedForTeam(String team) {
         return byTeam.getOrDefault(team, Resources.NONE);
     }
 
     /** What is promised on a machine. */
-    Resources on(Machine machine) {
+    Resources reservedOn(Machine machine) {
         return sum(machine, null);
     }
 
     /** Replaces what is known of room that comes by itself. */
-    void roomComes(List<RecallPlanner.Plan> plans) {
-        coming = plans.stream().collect(Collectors.groupingBy(RecallPlanner.Plan::machine));
+    void setExpectedCapacity(List<RecallPlanner.Plan> plans) {
+        expectedCapacity =
+                plans.stream().collect(Collectors.groupingBy(RecallPlanner.Plan::machine));
     }
 
     /** What is promised on a machine to other jobs than this one. */
-    Resources onToOthers(Machine machine, Job job) {
+    Resources reservedForOthersOn(Machine machine, Job job) {
         Resources sum = sum(machine, job);
-        for (RecallPlanner.Plan plan : coming.getOrDefault(machine, List.of())) {
+        for (RecallPlanner.Plan plan : expectedCapacity.getOrDefault(machine, List.of())) {
             if (plan.beneficiary() != job) {
                 sum = sum.plus(plan.beneficiary().spec());
             }
@@ -121,9 +122,11 @@
     }
 
     /** The jobs that may use room which is kept from others. */
-    Set<Job> jobsWithOwnRoom() {
+    Set<Job> jobsWithReservedCapacity() {
         Set<Job> jobs = new HashSet<>(byJob.keySet());
-        coming.values().forEach(plans -> plans.forEach(plan -> jobs.add(plan.beneficiary())));
+        expectedCapacity
+                .values()
+                .forEach(plans -> plans.forEach(plan -> jobs.add(plan.beneficiary())));
         return jobs;
     }
 
--- a/src/main/java/org/springmill/control/coordination/RecallSetup.java
+++ b/src/main/java/org/springmill/control/coordination/RecallSetup.java
@@ -4,10 +4,10 @@
 import java.util.function.Consumer;
 import org.springmill.control.borrowing.HoldDown;
 import org.springmill.control.borrowing.RecallLog;
-import org.springmill.control.storage.StateStore;
+import org.springmill.control.storage.KeyValueStoreClient;
 import org.springmill.protocol.OperatorSettings;
 import org.springmill.protocol.Resources;
-import org.springmill.transport.Loop;
+import org.springmill.transport.EventLoop;
 
 /** Puts together what a leader needs to carry recalls out. */
 final class RecallSetup {
@@ -18,17 +18,17 @@
     private static final double WAVES_PER_LEASE = 2;
 
     private final Fleet fleet;
-    private final Loop loop;
-    private final Timing timing;
+    private final EventLoop loop;
+    private final Timeouts timing;
     private final Metrics metrics;
     private final GracePeriods grace;
-    private final PromisedRoom promises = new PromisedRoom();
-    private final ReturnedRoom returned;
+    private final RecallReservations promises = new RecallReservations();
+    private final HoldDownCapacity returned;
 
     RecallSetup(
             Fleet fleet,
-            Loop loop,
-            Timing timing,
+            EventLoop loop,
+            Timeouts timing,
             OperatorSettings.Borrowing terms,
             Metrics metrics) {
         this.metrics = metrics;
@@ -38,25 +38,25 @@
         grace = new GracePeriods(timing, terms);
         HoldDown holdDown =
                 new HoldDown(
-                        terms.holdDownHalfLifeLeases() * timing.leaseS(),
+                        terms.holdDownHalfLifeLeases() * timing.workerLeaseSeconds(),
                         terms.holdDownRatio(),
-                        MAX_HOLD_DOWN_LEASES * timing.leaseS(),
-                        timing.leaseS() / WAVES_PER_LEASE);
-        returned = new ReturnedRoom(fleet.clusterState(), holdDown, metrics);
+                        MAX_HOLD_DOWN_LEASES * timing.workerLeaseSeconds(),
+                        timing.workerLeaseSeconds() / WAVES_PER_LEASE);
+        returned = new HoldDownCapacity(fleet.clusterState(), holdDown, metrics);
     }
 
     /** Room that is promised to others, or not lent again yet. */
-    WithheldRoom withheld() {
-        return new WithheldRoom() {
+    CapacityFilter withheld() {
+        return new CapacityFilter() {
             @Override
-            public Resources from(Job job, Machine machine) {
-                Resources promised = promises.onToOthers(machine, job);
-                return promised.plus(returned.from(job, machine, loop.now()));
+            public Resources withheldFrom(Job job, Machine machine) {
+                Resources promised = promises.reservedForOthersOn(machine, job);
+                return promised.plus(returned.withheldFrom(job, machine, loop.now()));
             }
 
             @Override
-            public Set<Job> jobsWithOwnRoom() {
-                return promises.jobsWithOwnRoom();
+            public Set<Job> jobsWithReservedCapacity() {
+                return promises.jobsWithReservedCapacity();
             }
         };
     }
@@ -66,8 +66,9 @@
      *
      * @param poke sends a machine the commands that are due
      */
-    Recalls recalls(StateStore store, Placement placement, Consumer<Machine> poke) {
-        return new Recalls(
+    RecallPreemption recalls(
+            KeyValueStoreClient store, Placement placement, Consumer<Machine> poke) {
+        return new RecallPreemption(
                 fleet,
                 loop,
                 timing,
--- a/src/main/java/org/springmill/control/coordination/Reconciliation.java
+++ b/src/main/java/org/springmill/control/coordination/Reconciliation.java
@@ -5,9 +5,9 @@
 import java.util.function.Consumer;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import org.springmill.protocol.WorkerMessages.Cause;
-import org.springmill.protocol.WorkerMessages.Report;
-import org.springmill.protocol.WorkerMessages.TaskReport;
+import org.springmill.protocol.WorkerMessages.ExitCause;
+import org.springmill.protocol.WorkerMessages.Heartbeat;
+import org.springmill.protocol.WorkerMessages.TaskStatus;
 
 /**
  * Decides from workers' messages, and from their silence, which attempts stand and which are proven
@@ -24,7 +24,7 @@
     private static final int FIRST_MESSAGES = 4;
 
     private final Fleet fleet;
-    private final Timing timing;
+    private final Timeouts timing;
     private final Peers peers;
     private final Metrics metrics;
     private final double tookOverAt;
@@ -41,7 +41,7 @@
      */
     Reconciliation(
             Fleet fleet,
-            Timing timing,
+            Timeouts timing,
             Peers peers,
             Metrics metrics,
             Runnable onChange,
@@ -58,86 +58,87 @@
     /**
      * Takes in a worker's message, unless a newer one was seen before: late copies prove nothing.
      */
-    void accept(Machine machine, Report report) {
-        if (WorkerSession.termOf(report.token()) > fleet.term()) {
+    void accept(Machine machine, Heartbeat report) {
+        if (WorkerEpoch.termOf(report.fencingToken()) > fleet.term()) {
             onLaterTerm.accept(machine.name() + " has seen a later term");
             return;
         }
-        if (!machine.worker().isNews(report)) {
+        if (!machine.workerEpoch().isNewerThanSeen(report)) {
             return;
         }
         double now = fleet.now();
-        boolean tookWork = machine.takesWork(now, timing.quietS());
-        machine.worker().adoptToken(report.token());
-        machine.take(report, now);
-        boolean wasExpected = machine.state() == Machine.State.EXPECTED;
+        boolean tookWork = machine.isSchedulable(now, timing.suspectAfterSeconds());
+        machine.workerEpoch().adoptFencingToken(report.fencingToken());
+        machine.acceptHeartbeat(report, now);
+        boolean wasExpected = machine.state() == Machine.State.PROVISIONING;
         if (wasExpected && machine.type() != null && isFirstOfItsWorker(report)) {
             fleet.bootTimes().cameUp(machine, now);
         }
-        if (wasExpected || machine.state() == Machine.State.LOST) {
+        if (wasExpected || machine.state() == Machine.State.LEASE_EXPIRED) {
             machine.transition(Machine.State.UP);
         }
-        Set<Attempt> present = takeReportedTasks(machine, report, now);
-        for (Attempt attempt : machine.attemptsNow()) {
+        Set<TaskAttempt> present = takeReportedTasks(machine, report, now);
+        for (TaskAttempt attempt : machine.attemptsNow()) {
             if (!present.contains(attempt) && provenGone(attempt, report)) {
-                fleet.end(attempt, Cause.NONE);
+                fleet.end(attempt, ExitCause.NONE);
             }
         }
-        if (machine.noticed()) {
-            vacate(machine);
+        if (machine.hasPreemptionNotice()) {
+            evacuate(machine);
         }
         // Hundreds of workers report every few seconds, mostly that nothing has changed: no reason
         // for a round.
-        boolean takesWorkAgain = !tookWork && machine.takesWork(now, timing.quietS());
+        boolean takesWorkAgain =
+                !tookWork && machine.isSchedulable(now, timing.suspectAfterSeconds());
         if (fleet.clusterState().hasEnded() || takesWorkAgain) {
             onChange.run();
         }
     }
 
     /** Whether a worker has only just begun to send messages. */
-    private static boolean isFirstOfItsWorker(Report report) {
-        return report.session() <= 1 && report.seq() <= FIRST_MESSAGES;
+    private static boolean isFirstOfItsWorker(Heartbeat report) {
+        return report.epoch() <= 1 && report.sequence() <= FIRST_MESSAGES;
     }
 
-    private Set<Attempt> takeReportedTasks(Machine machine, Report report, double now) {
-        Set<Attempt> present = new HashSet<>();
-        for (TaskReport task : report.tasks()) {
-            Attempt attempt = machine.find(task);
+    private Set<TaskAttempt> takeReportedTasks(Machine machine, Heartbeat report, double now) {
+        Set<TaskAttempt> present = new HashSet<>();
+        for (TaskStatus task : report.tasks()) {
+            TaskAttempt attempt = machine.find(task);
             if (attempt != null) {
                 present.add(attempt);
-                attempt.reported(now);
+                attempt.recordReported(now);
                 seen(machine, attempt, task, now);
             }
         }
         return present;
     }
 
-    private void seen(Machine machine, Attempt attempt, TaskReport task, double now) {
+    private void seen(Machine machine, TaskAttempt attempt, TaskStatus task, double now) {
         switch (task.state()) {
             case FETCHING -> {
-                if (attempt.state() == Attempt.State.SENT
-                        || attempt.state() == Attempt.State.UNKNOWN) {
-                    attempt.transition(Attempt.State.FETCHING, now);
+                if (attempt.state() == TaskAttempt.State.SENT
+                        || attempt.state() == TaskAttempt.State.UNKNOWN) {
+                    attempt.transition(TaskAttempt.State.FETCHING, now);
                     machine.needsImage(attempt.job().spec(), now);
                 }
             }
             case RUNNING -> {
-                if (attempt.state() == Attempt.State.SENT
-                        || attempt.state() == Attempt.State.UNKNOWN
-                        || attempt.state() == Attempt.State.FETCHING) {
-                    if (attempt.state() != Attempt.State.UNKNOWN) {
+                if (attempt.state() == TaskAttempt.State.SENT
+                        || attempt.state() == TaskAttempt.State.UNKNOWN
+                        || attempt.state() == TaskAttempt.State.FETCHING) {
+                    if (attempt.state() != TaskAttempt.State.UNKNOWN) {
                         metrics.started(attempt.claimedAt());
                     }
-                    attempt.transition(Attempt.State.RUNNING, now);
+                    attempt.transition(TaskAttempt.State.RUNNING, now);
                     machine.usesImage(attempt.job().spec(), now);
                     if (attempt.job().spec().service()) {
-                        machine.worked();
+                        machine.taskSucceeded();
                     }
                 }
             }
             case SAVING -> {
-                if (attempt.state() == Attempt.State.UNKNOWN) {
-                    attempt.transition(Attempt.State.STOPPING, now);
+                if (attempt.state() == TaskAttempt.State.UNKNOWN) {
+                    attempt.transition(TaskAttempt.State.STOPPING, now);
                     fleet.clusterState().noteLeaving(attempt);
                 }
             }
@@ -145,27 +146,28 @@
         }
     }
 
-    private void exited(Machine machine, Attempt attempt, Cause cause, double now) {
-        if (attempt.state() == Attempt.State.ENDED || attempt.state() == Attempt.State.CLAIMING) {
+    private void exited(Machine machine, TaskAttempt attempt, ExitCause cause, double now) {
+        if (attempt.state() == TaskAttempt.State.ENDED
+                || attempt.state() == TaskAttempt.State.CLAIMING) {
             return;
         }
         Job job = attempt.job();
         switch (cause) {
             case DONE -> {
-                machine.worked();
+                machine.taskSucceeded();
                 job.failures().succeeded();
             }
             case ERROR -> failed(machine, attempt, now);
             case NO_ROOM, BUSY, UNKNOWN_JOB -> {
                 LOG.info("{} refused on {}: {}", attempt.claim().task(), machine.name(), cause);
-                machine.avoidUntil(now + timing.reportS());
+                machine.cordonUntil(now + timing.heartbeatIntervalSeconds());
             }
             default -> {}
         }
         fleet.end(attempt, cause);
     }
 
-    private void failed(Machine machine, Attempt attempt, double now) {
+    private void failed(Machine machine, TaskAttempt attempt, double now) {
         LOG.info("{} failed on {}", attempt.claim().task(), machine.name());
         Job job = attempt.job();
         JobFailures failures = job.failures();
@@ -174,22 +176,28 @@
         }
         boolean wasSuspect = failures.isSuspect();
         failures.failed(
-                machine.name(), attempt.claimedAt(), now, timing.leaseS() / PAUSES_PER_LEASE);
+                machine.name(),
+                attempt.claimedAt(),
+                now,
+                timing.workerLeaseSeconds() / PAUSES_PER_LEASE);
         if (!wasSuspect && failures.isSuspect()) {
             metrics.jobSuspected();
             LOG.warn("{} fails wherever it runs: tried with few tasks, after pauses", job.id());
         }
         boolean wasQuarantined = machine.quarantined();
-        machine.failed(job);
+        machine.taskFailed(job);
         if (!wasQuarantined && machine.quarantined()) {
             LOG.warn("machine {} fails what it starts: no new work for it", machine.name());
         }
     }
 
     /** A replica that has run for a whole lease shows that the job itself is in order. */
-    private boolean anotherRunsWell(Job job, Attempt failed, double now) {
+    private boolean anotherRunsWell(Job job, TaskAttempt failed, double now) {
         return job.attempts().stream()
-                .anyMatch(other -> other != failed && other.ranSeconds(now) > timing.leaseS());
+                .anyMatch(
+                        other ->
+                                other != failed
+                                        && other.ranSeconds(now) > timing.workerLeaseSeconds());
     }
 
     /**
@@ -197,21 +205,21 @@
      * token above every one its start was sent with, or has since begun a new session; otherwise a
      * start may still be on the way.
      */
-    private boolean provenGone(Attempt attempt, Report report) {
+    private boolean provenGone(TaskAttempt attempt, Heartbeat report) {
         return switch (attempt.state()) {
-            case CLAIMING, CLAIMED, ENDED, GONE -> false;
+            case CLAIMING, CLAIMED, ENDED, CLOSED -> false;
             default ->
-                    report.token() > attempt.exposedToken()
-                            || (attempt.session() != 0 && report.session() > attempt.session());
+                    report.fencingToken() > attempt.highestStartToken()
+                            || (attempt.startEpoch() != 0 && report.epoch() > attempt.startEpoch());
         };
     }
 
     /** When the last lease that anyone may have granted to a machine's worker has run out. */
     private double leaseGoneAt(Machine machine, double othersUntil) {
-        double lastRenewal = Math.max(machine.lastAnswered(), othersUntil);
+        double lastRenewal = Math.max(machine.lastHeartbeatAnsweredAt(), othersUntil);
         double lastUnderEarlierTerm =
-                Math.min(machine.worker().ownTokenSeen(), earlierLeaderUntil());
-        return Math.max(lastRenewal, lastUnderEarlierTerm) + timing.leaseS();
+                Math.min(machine.workerEpoch().currentTermSeenAt(), earlierLeaderUntil());
+        return Math.max(lastRenewal, lastUnderEarlierTerm) + timing.workerLeaseSeconds();
     }
 
     /**
@@ -221,8 +229,9 @@
      * quorum confirms may go on until a quorum knows this term.
      */
     private double earlierLeaderUntil() {
-        double afterTakeover = tookOverAt + timing.othersS();
-        double afterQuorumKnew = quorumKnewTermAt + timing.confirmationValiditySeconds();
+        double afterTakeover = tookOverAt + timing.followerRenewalLimitSeconds();
+        double afterQuorumKnew =
+                quorumKnewTermAt + timing.peerConfirmationValidityOnAnyClockSeconds();
         return Math.max(afterTakeover, afterQuorumKnew);
     }
 
@@ -234,7 +243,7 @@
         }
         double othersUntil = peers.othersMayRenewUntil();
         for (Machine machine : fleet.machinesNow()) {
-            if (machine.state() == Machine.State.GONE) {
+            if (machine.state() == Machine.State.TERMINATED) {
                 continue;
             }
             if (now > leaseGoneAt(machine, othersUntil)) {
@@ -247,15 +256,15 @@
 
     /** All attempts on a machine have ended with its worker's lease. */
     private void leaseExpired(Machine machine) {
-        for (Attempt attempt : machine.attemptsNow()) {
-            if (attempt.state() != Attempt.State.CLAIMING) {
+        for (TaskAttempt attempt : machine.attemptsNow()) {
+            if (attempt.state() != TaskAttempt.State.CLAIMING) {
                 metrics.lost();
-                fleet.end(attempt, Cause.NONE);
+                fleet.end(attempt, ExitCause.NONE);
             }
         }
         if (machine.state() == Machine.State.UP) {
             LOG.warn("machine {} was silent for a whole lease", machine.name());
-            machine.transition(Machine.State.LOST);
+            machine.transition(Machine.State.LEASE_EXPIRED);
             machine.images().clear();
             onChange.run();
         }
@@ -263,11 +272,11 @@
 
     /** A start that no report has confirmed within the window is unknown from then on. */
     private void checkClaimWindows(Machine machine, double now) {
-        for (Attempt attempt : machine.attemptsNow()) {
-            boolean overdue = now - attempt.since() > timing.claimWindowS();
-            if (attempt.state() == Attempt.State.SENT && overdue) {
-                attempt.transition(Attempt.State.UNKNOWN, now);
-                attempt.sendAgainAt(now);
+        for (TaskAttempt attempt : machine.attemptsNow()) {
+            boolean overdue = now - attempt.stateSince() > timing.claimConfirmationTimeoutSeconds();
+            if (attempt.state() == TaskAttempt.State.SENT && overdue) {
+                attempt.transition(TaskAttempt.State.UNKNOWN, now);
+                attempt.scheduleResend(now);
             }
         }
     }
@@ -276,12 +285,15 @@
      * Moves everything off a machine that is about to be taken: what ends in time is known to be
      * gone.
      */
-    private void vacate(Machine machine) {
-        double left = machine.noticeAt() - fleet.now();
-        for (Attempt attempt : machine.attemptsNow()) {
-            if (!attempt.moving()) {
-                attempt.markMoving();
-                double save = attempt.job().spec().checkpoints() ? attempt.job().spec().saveS() : 0;
+    private void evacuate(Machine machine) {
+        double left = machine.preemptionAt() - fleet.now();
+        for (TaskAttempt attempt : machine.attemptsNow()) {
+            if (!attempt.isMigrating()) {
+                attempt.markMigrating();
+                double save =
+                        attempt.job().spec().checkpoints()
+                                ? attempt.job().spec().checkpointSaveSeconds()
+                                : 0;
                 fleet.stop(attempt, save < left ? left : 0);
             }
         }
--- a/src/main/java/org/springmill/control/coordination/UnservedWorkers.java
+++ b/src/main/java/org/springmill/control/coordination/RedirectedWorkers.java
@@ -2,20 +2,20 @@
 
 import java.util.HashMap;
 import java.util.Map;
-import org.springmill.transport.Loop;
+import org.springmill.transport.EventLoop;
 
 /**
  * Workers that reported to this controller lately and were sent away. Their number tells a leader
  * that lost them that it is cut off from its workers.
  */
-final class UnservedWorkers {
-    private final Loop loop;
+final class RedirectedWorkers {
+    private final EventLoop loop;
     private final double maxAgeSeconds;
     private final Map<String, Double> lastReportAt = new HashMap<>();
 
-    UnservedWorkers(Loop loop, Timing timing) {
+    RedirectedWorkers(EventLoop loop, Timeouts timing) {
         this.loop = loop;
-        maxAgeSeconds = 2 * timing.quietS();
+        maxAgeSeconds = 2 * timing.suspectAfterSeconds();
     }
 
     void add(String machine) {
--- a/src/main/java/org/springmill/control/coordination/RemoteProgress.java
+++ b/src/main/java/org/springmill/control/coordination/RemoteProgress.java
@@ -5,8 +5,8 @@
 import java.util.Map;
 import java.util.Set;
 import org.springmill.protocol.PeerMessages.JobProgress;
-import org.springmill.protocol.PeerMessages.Progress;
-import org.springmill.transport.Loop;
+import org.springmill.protocol.PeerMessages.ProgressUpdate;
+import org.springmill.transport.EventLoop;
 
 /**
  * How far the tasks of active jobs are, as the leader last broadcast it, for a controller that does
@@ -16,7 +16,7 @@
     /** After this many report intervals without a broadcast, what was known before is dropped. */
     private static final double MAX_AGE_REPORT_INTERVALS = 4;
 
-    private final Loop loop;
+    private final EventLoop loop;
     private final double maxAgeSeconds;
 
     /** What was broadcast since {@link #currentSince}. */
@@ -27,13 +27,13 @@
 
     private double currentSince;
 
-    RemoteProgress(Loop loop, Timing timing) {
+    RemoteProgress(EventLoop loop, Timeouts timing) {
         this.loop = loop;
-        maxAgeSeconds = timing.reportS() * MAX_AGE_REPORT_INTERVALS;
+        maxAgeSeconds = timing.heartbeatIntervalSeconds() * MAX_AGE_REPORT_INTERVALS;
     }
 
     /** Takes in a broadcast; a broadcast may be spread over several messages. */
-    void receive(Progress received) {
+    void receive(ProgressUpdate received) {
         double age = loop.now() - currentSince;
         if (age > maxAgeSeconds) {
             previous = age > 2 * maxAgeSeconds ? new HashMap<>() : current;
--- a/src/main/java/org/springmill/control/coordination/Reservations.java
+++ b/src/main/java/org/springmill/control/coordination/Reservations.java
@@ -27,7 +27,7 @@
     private static final double RESERVED_SHARE = 1 / 8.0;
 
     private final Fleet fleet;
-    private final Timing timing;
+    private final Timeouts timing;
 
     /**
      * Since when each job has waited for its first place, or a service for room for all of its
@@ -38,7 +38,7 @@
     /** Machines that run empty for a job that waited too long. */
     private final Map<Machine, Job> reserved = new LinkedHashMap<>();
 
-    Reservations(Fleet fleet, Timing timing) {
+    Reservations(Fleet fleet, Timeouts timing) {
         this.fleet = fleet;
         this.timing = timing;
     }
@@ -76,7 +76,8 @@
     private boolean mayWaitOn(Job job, double now) {
         return begun(job)
                 || job.failures().isSuspect()
-                || now - waitsSince.get(job) < LEASES_BEFORE_RESERVATION * timing.leaseS();
+                || now - waitsSince.get(job)
+                        < LEASES_BEFORE_RESERVATION * timing.workerLeaseSeconds();
     }
 
     /**
@@ -114,15 +115,15 @@
      */
     private static double secondsUntilRoom(Job job, Machine machine, double now) {
         Resources free = machine.free();
-        List<Attempt> ending = new ArrayList<>();
-        for (Attempt attempt : machine.attempts()) {
-            if (!attempt.job().spec().service() || attempt.state() == Attempt.State.STOPPING) {
+        List<TaskAttempt> ending = new ArrayList<>();
+        for (TaskAttempt attempt : machine.attempts()) {
+            if (!attempt.job().spec().service() || attempt.state() == TaskAttempt.State.STOPPING) {
                 ending.add(attempt);
             }
         }
         ending.sort(Comparator.comparingDouble(attempt -> secondsUntilEnd(attempt, now)));
         double seconds = 0;
-        for (Attempt attempt : ending) {
+        for (TaskAttempt attempt : ending) {
             if (free.hold(job.spec())) {
                 break;
             }
@@ -132,11 +133,11 @@
         return free.hold(job.spec()) ? seconds : Double.POSITIVE_INFINITY;
     }
 
-    private static double secondsUntilEnd(Attempt attempt, double now) {
+    private static double secondsUntilEnd(TaskAttempt attempt, double now) {
         double ran = attempt.ranSeconds(now);
-        return attempt.state() == Attempt.State.STOPPING
+        return attempt.state() == TaskAttempt.State.STOPPING
                 ? 0
-                : Math.max(0, attempt.job().spec().estimateS() - ran);
+                : Math.max(0, attempt.job().spec().estimatedRunSeconds() - ran);
     }
 
     /**
@@ -144,7 +145,7 @@
      * idle.
      */
     private boolean isOfUse(Machine machine, Job job, double now) {
-        return machine.takesWork(now, timing.quietS())
+        return machine.isSchedulable(now, timing.suspectAfterSeconds())
                 && Placement.eligible(job, machine, now)
                 && now >= job.failures().notBefore()
                 && usage(job).allows(job.spec());
--- a/src/main/java/org/springmill/control/coordination/RentalPlanner.java
+++ b/src/main/java/org/springmill/control/coordination/ScaleOutPlanner.java
@@ -10,7 +10,7 @@
  * Weighs once in a while what waits and what is to be expected against the fleet: rents machines
  * for what finds no room, has idle ones deleted, and drains one that is mostly free.
  */
-final class RentalPlanner {
+final class ScaleOutPlanner {
     /** The fullest first, so that what is free gathers on few machines that can be returned. */
     private static final Comparator<Bin> FILLING_ORDER =
             Comparator.comparing(Bin::activity)
@@ -27,28 +27,28 @@
     private final Placement placement;
     private final MachineListing listing;
     private final PartitionedZones partitions;
-    private final LateMachines lateMachines;
-    private final RentalRequests requests;
+    private final OverdueBoots lateMachines;
+    private final ScaleOutRequests requests;
     private final Headroom headroom;
     private final IdleMachines idleMachines;
     private final MachineDraining draining;
     private final Settings settings;
-    private final Timing timing;
+    private final Timeouts timing;
     private final double startedAt;
     private boolean firstTerm;
 
-    RentalPlanner(
+    ScaleOutPlanner(
             Fleet fleet,
             Placement placement,
             MachineListing listing,
             PartitionedZones partitions,
-            LateMachines lateMachines,
-            RentalRequests requests,
+            OverdueBoots lateMachines,
+            ScaleOutRequests requests,
             Headroom headroom,
             IdleMachines idleMachines,
             MachineDraining draining,
             Settings settings,
-            Timing timing,
+            Timeouts timing,
             double now) {
         this.fleet = fleet;
         this.placement = placement;
@@ -96,7 +96,7 @@
     private static void noteHeadroom(List<Bin> bins) {
         for (Bin bin : bins) {
             if (!bin.isPlanned()) {
-                bin.machine().room().headroom(bin.expected());
+                bin.machine().allocation().headroom(bin.expected());
             }
         }
     }
@@ -141,16 +141,18 @@
             return false;
         }
         return switch (machine.state()) {
-            case EXPECTED ->
+            case PROVISIONING ->
                     !partitions.contains(machine.zone()) && !lateMachines.isReplaced(machine);
             // Of a fleet that comes up at once, many have reported and not heard the leader yet.
-            case UP -> machine.takesWork(now, timing.leaseS()) || machine.hasJustComeUp();
-            case LOST, RETURNING, GONE -> false;
+            case UP ->
+                    machine.isSchedulable(now, timing.workerLeaseSeconds())
+                            || machine.hasJustBooted();
+            case LEASE_EXPIRED, TERMINATING, TERMINATED -> false;
         };
     }
 
     private static boolean isToBeEmptied(Machine machine) {
-        return machine.quarantined() || machine.draining() || machine.noticed();
+        return machine.quarantined() || machine.draining() || machine.hasPreemptionNotice();
     }
 
     /**
@@ -177,7 +179,9 @@
 
     private PackingRequest withShape(Job job, PackingRequest request) {
         boolean hasOwnRoom = placement.reservations().holders().contains(job);
-        return hasOwnRoom ? request : TaskShape.of(job).map(request::withShape).orElse(request);
+        return hasOwnRoom
+                ? request
+                : EquivalenceClass.of(job).map(request::withShape).orElse(request);
     }
 
     /**
@@ -188,12 +192,14 @@
     private int slots(Job job, int waiting) {
         Submission spec = job.spec();
         double bootSeconds = fleet.catalog().slowestBootSeconds();
-        boolean isShort = spec.estimateS() > 0 && spec.estimateS() < SHORT_BOOTS * bootSeconds;
+        boolean isShort =
+                spec.estimatedRunSeconds() > 0
+                        && spec.estimatedRunSeconds() < SHORT_BOOTS * bootSeconds;
         if (spec.service() || spec.gang() || !isShort) {
             return waiting;
         }
         int running = job.liveCount();
-        double atOnce = (waiting + running) * spec.estimateS() / bootSeconds;
+        double atOnce = (waiting + running) * spec.estimatedRunSeconds() / bootSeconds;
         return Math.max(0, Math.min(waiting, (int) Math.ceil(atOnce) - running));
     }
 
@@ -211,7 +217,7 @@
      * if none runs, where most of them find room.
      */
     private static Submission inOneZone(Job job, int tasks, DemandPacking packing) {
-        for (Attempt attempt : job.attempts()) {
+        for (TaskAttempt attempt : job.attempts()) {
             String zone = attempt.machine().zone();
             if (!zone.isEmpty()) {
                 return job.spec().inZone(zone);
--- a/src/main/java/org/springmill/control/coordination/RentalRequests.java
+++ b/src/main/java/org/springmill/control/coordination/ScaleOutRequests.java
@@ -7,19 +7,19 @@
 import java.util.Map;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import org.springmill.protocol.BadMessageException;
 import org.springmill.protocol.CloudMessages;
+import org.springmill.protocol.MalformedMessageException;
+import org.springmill.transport.EventLoop;
 import org.springmill.transport.HttpClient.Reply;
 import org.springmill.transport.HttpClient.Request;
-import org.springmill.transport.Loop;
 
 /**
  * Rents machines from the cloud. A request without an answer may have been carried out, so it is
  * repeated under the same name until it is answered, and nothing else is rented before that. A kind
  * of machine that the cloud refused is not asked for again for some time.
  */
-final class RentalRequests {
-    private static final Logger LOG = LoggerFactory.getLogger(RentalRequests.class);
+final class ScaleOutRequests {
+    private static final Logger LOG = LoggerFactory.getLogger(ScaleOutRequests.class);
 
     private static final int NO_CAPACITY = 503;
     private static final int MALFORMED = 400;
@@ -32,8 +32,8 @@
 
     private final Fleet fleet;
     private final CloudClient cloud;
-    private final LateMachines lateMachines;
-    private final Loop loop;
+    private final OverdueBoots lateMachines;
+    private final EventLoop loop;
 
     /** By the kind's label. */
     private final Map<String, Double> refusedUntil = new HashMap<>();
@@ -44,7 +44,7 @@
     /** A request for so many machines of a kind. */
     private record Rental(MachineKind kind, int count, Request request) {}
 
-    RentalRequests(Fleet fleet, CloudClient cloud, LateMachines lateMachines, Loop loop) {
+    ScaleOutRequests(Fleet fleet, CloudClient cloud, OverdueBoots lateMachines, EventLoop loop) {
         this.fleet = fleet;
         this.cloud = cloud;
         this.lateMachines = lateMachines;
@@ -68,7 +68,7 @@
         }
         for (List<MachineKind> machines : groupByLabel(planned)) {
             MachineKind kind = machines.get(0);
-            int most = Math.min(CloudMessages.MAX_RENT, lateMachines.mostAtOnce(kind));
+            int most = Math.min(CloudMessages.MAX_RENTALS, lateMachines.mostAtOnce(kind));
             rent(kind, Math.min(machines.size(), most));
         }
     }
@@ -85,9 +85,9 @@
     private void rent(MachineKind kind, int count) {
         LOG.info("renting {} of {}", count, kind.label());
         byte[] body =
-                CloudMessages.rent(
+                CloudMessages.encodeRental(
                         nextRequestName(), kind.type().name(), kind.zone(), kind.spot(), count);
-        Rental rental = new Rental(kind, count, cloud.post(CloudMessages.RENT, body));
+        Rental rental = new Rental(kind, count, cloud.post(CloudMessages.RENTALS_PATH, body));
         unanswered.add(rental);
         send(rental);
     }
@@ -126,12 +126,12 @@
 
     private void rented(Rental rental, Reply reply) {
         try {
-            List<String> names = CloudMessages.rented(reply.body());
+            List<String> names = CloudMessages.decodeRental(reply.body());
             names.forEach(name -> describe(name, rental.kind()));
             if (names.size() < rental.count()) {
                 refuse(rental.kind());
             }
-        } catch (BadMessageException e) {
+        } catch (MalformedMessageException e) {
             LOG.warn("cloud: {}", e.getMessage());
         }
     }
@@ -142,7 +142,7 @@
     }
 
     private void refuse(MachineKind kind) {
-        double forSeconds = REFUSAL_BOOTS * kind.type().bootS();
+        double forSeconds = REFUSAL_BOOTS * kind.type().bootSeconds();
         refusedUntil.put(kind.label(), loop.now() + forSeconds);
     }
 }
--- a/src/main/java/org/springmill/control/coordination/SubmissionHandler.java
+++ b/src/main/java/org/springmill/control/coordination/SubmissionHandler.java
@@ -6,23 +6,23 @@
 import java.util.Set;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
+import org.springmill.control.admission.ActiveJobs;
 import org.springmill.control.admission.AdmissionControl;
 import org.springmill.control.admission.AdmissionRefusal;
-import org.springmill.control.admission.LiveWork;
-import org.springmill.control.history.EndedJobs.Lookup;
-import org.springmill.control.storage.EndedJob;
+import org.springmill.control.history.ArchivedJobLookup.Lookup;
+import org.springmill.control.storage.ArchivedJob;
 import org.springmill.control.storage.JobRecord;
-import org.springmill.control.storage.StateStore;
-import org.springmill.control.storage.StateStore.CommitResult;
-import org.springmill.control.storage.StateStore.Outcome;
-import org.springmill.protocol.BadMessageException;
+import org.springmill.control.storage.KeyValueStoreClient;
+import org.springmill.control.storage.KeyValueStoreClient.CommitOutcome;
+import org.springmill.control.storage.KeyValueStoreClient.CommitResult;
 import org.springmill.protocol.Json;
-import org.springmill.protocol.StateMessages.Condition;
-import org.springmill.protocol.StateMessages.Write;
+import org.springmill.protocol.KeyValueStoreMessages.Condition;
+import org.springmill.protocol.KeyValueStoreMessages.Write;
+import org.springmill.protocol.MalformedMessageException;
 import org.springmill.protocol.Submission;
 import org.springmill.protocol.UserMessages;
+import org.springmill.transport.EventLoop;
 import org.springmill.transport.HttpHandler.Call;
-import org.springmill.transport.Loop;
 
 /**
  * Accepts jobs. A job is accepted by creating its record on condition that there is none, and its
@@ -32,17 +32,17 @@
     private static final Logger LOG = LoggerFactory.getLogger(SubmissionHandler.class);
 
     private final JobDirectory directory;
-    private final StateStore store;
+    private final KeyValueStoreClient store;
     private final MachineTypeCatalog catalog;
-    private final Loop loop;
-    private final Timing timing;
-    private final JobAnswers answers;
+    private final EventLoop loop;
+    private final Timeouts timing;
+    private final JobStatusResponses answers;
     private final Metrics metrics;
     private final AdmissionControl admission;
-    private final LiveWork live;
+    private final ActiveJobs live;
     private final int maxPending;
 
-    /** Submissions whose records are on their way to the state service, the oldest first. */
+    /** Submissions whose records are on their way to the key-value store, the oldest first. */
     private final Set<Pending> pending = new LinkedHashSet<>();
 
     /**
@@ -55,19 +55,19 @@
 
     /**
      * @param live the account of jobs that are accepted and not over
-     * @param maxPending submissions whose records may be on their way to the state service at a
+     * @param maxPending submissions whose records may be on their way to the key-value store at a
      *     time
      */
     SubmissionHandler(
             JobDirectory directory,
-            StateStore store,
+            KeyValueStoreClient store,
             MachineTypeCatalog catalog,
-            Loop loop,
-            Timing timing,
-            JobAnswers answers,
+            EventLoop loop,
+            Timeouts timing,
+            JobStatusResponses answers,
             Metrics metrics,
             AdmissionControl admission,
-            LiveWork live,
+            ActiveJobs live,
             int maxPending) {
         this.directory = directory;
         this.store = store;
@@ -85,7 +85,7 @@
     void submit(Call call) {
         try {
             submit(call, Submission.parse(Json.object(call.body())));
-        } catch (BadMessageException e) {
+        } catch (MalformedMessageException e) {
             call.reply(400, UserMessages.error(e.getMessage()), 0);
         }
     }
@@ -96,7 +96,7 @@
             return;
         }
         if (!catalog.known() || !directory.loaded()) {
-            JobAnswers.unavailable(call, "not ready yet");
+            JobStatusResponses.unavailable(call, "not ready yet");
             return;
         }
         JobRecord job = JobRecord.accepted(submission, loop.timeOfDay());
@@ -138,8 +138,11 @@
     private void readMovedDependencies(Pending submitted, boolean current) {
         List<String> unknown = directory.dependencies().unknown(submitted.job().submission());
         if (current && unknown(submitted)) {
-            double until = submitted.since() + JobAnswers.ANSWER_WITHIN_S - timing.stateTimeoutS();
-            directory.findAllMoved(unknown, until, read -> decide(submitted, read));
+            double until =
+                    submitted.since()
+                            + JobStatusResponses.ANSWER_WITHIN_SECONDS
+                            - timing.storeRequestTimeoutSeconds();
+            directory.findAllArchived(unknown, until, read -> decide(submitted, read));
         } else {
             decide(submitted, current);
         }
@@ -161,7 +164,7 @@
 
         /** The same while it is not certain that the job was not accepted before. */
         default void replyUncertain(Call call) {
-            JobAnswers.unavailable(call, JobAnswers.STATE_SERVICE_SILENT);
+            JobStatusResponses.unavailable(call, JobStatusResponses.STATE_SERVICE_SILENT);
         }
     }
 
@@ -172,7 +175,7 @@
     private record NotNow(AdmissionRefusal refusal) implements RefusalAnswer {
         @Override
         public void reply(Call call) {
-            JobAnswers.refused(call, refusal);
+            JobStatusResponses.refused(call, refusal);
         }
 
         @Override
@@ -182,7 +185,7 @@
     }
 
     private static RefusalAnswer impossible(String reason) {
-        return call -> JobAnswers.impossible(call, reason);
+        return call -> JobStatusResponses.impossible(call, reason);
     }
 
     /** Refuses a job, unless it turns out to have been accepted before. */
@@ -197,14 +200,14 @@
             answer.replyUncertain(submitted.call());
         } else {
             String id = submitted.job().id();
-            directory.findMoved(id, lookup -> refuse(submitted.call(), lookup, answer));
+            directory.findArchived(id, lookup -> refuse(submitted.call(), lookup, answer));
         }
     }
 
     /** A repeated submission of an accepted job is never refused, however long ago it ended. */
     private static void refuse(Call call, Lookup lookup, RefusalAnswer answer) {
         switch (lookup.outcome()) {
-            case FOUND -> JobAnswers.phase(call, lookup.job());
+            case FOUND -> JobStatusResponses.phase(call, lookup.job());
             case ABSENT -> answer.reply(call);
             case UNAVAILABLE -> answer.replyUncertain(call);
         }
@@ -215,7 +218,7 @@
     }
 
     private boolean unknown(String id) {
-        return directory.get(id) == null && directory.moved(id) == null;
+        return directory.get(id) == null && directory.archived(id) == null;
     }
 
     private void accept(Pending submitted) {
@@ -229,7 +232,8 @@
 
     private void acceptNearBound(Pending submitted, boolean current) {
         if (!current) {
-            JobAnswers.unavailable(submitted.call(), JobAnswers.STATE_SERVICE_SILENT);
+            JobStatusResponses.unavailable(
+                    submitted.call(), JobStatusResponses.STATE_SERVICE_SILENT);
         } else if (unknown(submitted)) {
             admit(submitted);
         } else {
@@ -252,8 +256,8 @@
     }
 
     /**
-     * How long one more record would wait for the state service: by this controller's share of its
-     * limits, and at least as long as the oldest that is on its way has waited.
+     * How long one more record would wait for the key-value store: by this controller's share of
+     * its limits, and at least as long as the oldest that is on its way has waited.
      */
     private double expectedWaitSeconds() {
         if (pending.size() >= maxPending) {
@@ -270,39 +274,43 @@
     private void create(Pending submitted) {
         JobRecord job = submitted.job();
         // A job whose record has been moved was accepted before, and has ended.
-        store.commitAcceptance(
-                List.of(new Condition(job.key(), 0), new Condition(EndedJob.key(job.id()), 0)),
+        store.compareAndSwapAcceptance(
+                List.of(new Condition(job.key(), 0), new Condition(ArchivedJob.key(job.id()), 0)),
                 List.of(Write.put(job.key(), job.encode())),
-                submitted.since() + JobAnswers.ANSWER_WITHIN_S - timing.stateTimeoutS(),
+                submitted.since()
+                        + JobStatusResponses.ANSWER_WITHIN_SECONDS
+                        - timing.storeRequestTimeoutSeconds(),
                 result -> answered(submitted, result));
     }
 
     private void answered(Pending submitted, CommitResult result) {
         if (mayRetry(submitted, result)) {
-            loop.after(timing.pingS() / 4, () -> create(submitted));
+            loop.after(timing.peerPollIntervalSeconds() / 4, () -> create(submitted));
             return;
         }
         pending.remove(submitted);
-        if (result.outcome() != Outcome.COMMITTED && unknown(submitted)) {
+        if (result.outcome() != CommitOutcome.COMMITTED && unknown(submitted)) {
             live.dropped(submitted.job().id());
         }
         switch (result.outcome()) {
             case COMMITTED -> created(submitted, result.revision());
-            case REFUSED -> refused(submitted, result);
+            case REJECTED -> refused(submitted, result);
             case TOO_LARGE -> decideAfterBarrier(submitted);
-            case NOT_NOW -> notSent(submitted);
+            case RETRYABLE -> notSent(submitted);
             case UNKNOWN ->
-                    JobAnswers.unavailable(submitted.call(), JobAnswers.STATE_SERVICE_SILENT);
+                    JobStatusResponses.unavailable(
+                            submitted.call(), JobStatusResponses.STATE_SERVICE_SILENT);
         }
     }
 
-    /** Its turn did not come in time, or the state service serves nothing. */
+    /** Its turn did not come in time, or the key-value store serves nothing. */
     private void notSent(Pending submitted) {
         if (store.reachable()) {
             AdmissionRefusal refusal = admission.givenUp(expectedWaitSeconds());
-            JobAnswers.refused(submitted.call(), refusal);
+            JobStatusResponses.refused(submitted.call(), refusal);
         } else {
-            JobAnswers.unavailable(submitted.call(), JobAnswers.STATE_SERVICE_SILENT);
+            JobStatusResponses.unavailable(
+                    submitted.call(), JobStatusResponses.STATE_SERVICE_SILENT);
         }
     }
 
@@ -311,11 +319,12 @@
      * applied once at most.
      */
     private boolean mayRetry(Pending submitted, CommitResult result) {
-        boolean outage = result.outcome() == Outcome.NOT_NOW && !store.reachable();
+        boolean outage = result.outcome() == CommitOutcome.RETRYABLE && !store.reachable();
         boolean undecided =
-                result.outcome() == Outcome.NOT_NOW || result.outcome() == Outcome.UNKNOWN;
-        double answerBy = submitted.since() + JobAnswers.ANSWER_WITHIN_S;
-        return undecided && !outage && loop.now() + timing.stateTimeoutS() < answerBy;
+                result.outcome() == CommitOutcome.RETRYABLE
+                        || result.outcome() == CommitOutcome.UNKNOWN;
+        double answerBy = submitted.since() + JobStatusResponses.ANSWER_WITHIN_SECONDS;
+        return undecided && !outage && loop.now() + timing.storeRequestTimeoutSeconds() < answerBy;
     }
 
     private void created(Pending submitted, long revision) {
@@ -330,7 +339,7 @@
                 job.submission().team());
         // Cancelled already if it names a cancelled one.
         JobRecord inEffect = directory.get(job.id());
-        if (inEffect == null || !directory.certain(inEffect)) {
+        if (inEffect == null || !directory.isStatusCertain(inEffect)) {
             answerKnown(submitted.call(), job.id());
             return;
         }
@@ -349,11 +358,11 @@
     /** Answers for a job that exists, with a state no older than the question. */
     private void answerKnown(Call call, String id) {
         JobRecord known = directory.get(id);
-        EndedJob moved = directory.moved(id);
+        ArchivedJob moved = directory.archived(id);
         if (known != null && known.phase().terminal()) {
             answers.phase(call, known);
         } else if (known == null && moved != null) {
-            JobAnswers.phase(call, moved);
+            JobStatusResponses.phase(call, moved);
         } else {
             directory.barrier(current -> answerKnown(call, id, current));
         }
@@ -362,21 +371,23 @@
     private void answerKnown(Call call, String id, boolean current) {
         JobRecord job = directory.get(id);
         if (!current) {
-            JobAnswers.unavailable(call, JobAnswers.STATE_SERVICE_SILENT);
+            JobStatusResponses.unavailable(call, JobStatusResponses.STATE_SERVICE_SILENT);
         } else if (job == null) {
-            directory.findMoved(id, lookup -> answerMoved(call, lookup));
-        } else if (directory.certain(job)) {
+            directory.findArchived(id, lookup -> answerMoved(call, lookup));
+        } else if (directory.isStatusCertain(job)) {
             answers.phase(call, job);
         } else {
-            JobAnswers.unavailable(call, JobAnswers.DEPENDENCY_BEING_READ);
+            JobStatusResponses.unavailable(call, JobStatusResponses.DEPENDENCY_BEING_READ);
         }
     }
 
     private static void answerMoved(Call call, Lookup lookup) {
-        JobAnswers.lookedUp(
+        JobStatusResponses.lookedUp(
                 call,
                 lookup,
-                job -> JobAnswers.phase(call, job),
-                () -> JobAnswers.unavailable(call, JobAnswers.STATE_SERVICE_SILENT));
+                job -> JobStatusResponses.phase(call, job),
+                () ->
+                        JobStatusResponses.unavailable(
+                                call, JobStatusResponses.STATE_SERVICE_SILENT));
     }
 }
--- a/src/main/java/org/springmill/control/coordination/Attempt.java
+++ b/src/main/java/org/springmill/control/coordination/TaskAttempt.java
@@ -3,13 +3,13 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 import org.springmill.control.storage.Claim;
-import org.springmill.protocol.WorkerMessages.Cause;
+import org.springmill.protocol.WorkerMessages.ExitCause;
 
 /**
  * One decision to run a task on a machine, from the claim to the committed proof that it is gone.
  */
-final class Attempt {
-    private static final Logger LOG = LoggerFactory.getLogger(Attempt.class);
+final class TaskAttempt {
+    private static final Logger LOG = LoggerFactory.getLogger(TaskAttempt.class);
 
     enum State {
         /** Placed; the round that claims it is not yet committed. */
@@ -27,7 +27,7 @@
         /** Known to have ended, or to be gone; the round that says so is not yet committed. */
         ENDED,
         /** The end is committed. */
-        GONE;
+        CLOSED;
 
         private boolean mayBecome(State next) {
             return switch (next) {
@@ -45,8 +45,8 @@
                                 || this == RUNNING
                                 || this == UNKNOWN;
                 case UNKNOWN -> this == CLAIMING || this == SENT;
-                case ENDED -> this != CLAIMING && this != GONE && this != ENDED;
-                case GONE -> this == ENDED;
+                case ENDED -> this != CLAIMING && this != CLOSED && this != ENDED;
+                case CLOSED -> this == ENDED;
             };
         }
     }
@@ -55,26 +55,26 @@
     private final Job job;
     private final Machine machine;
     private State state = State.CLAIMING;
-    private Cause cause = Cause.NONE;
-    private long exposedToken;
-    private long session;
+    private ExitCause cause = ExitCause.NONE;
+    private long highestStartToken;
+    private long startEpoch;
     private final double claimedAt;
-    private double since;
-    private double nextSend;
+    private double stateSince;
+    private double nextSendAt;
     private double runningSince;
-    private double graceS;
-    private boolean moving;
+    private double graceSeconds;
+    private boolean isMigrating;
     private boolean leaving;
     private boolean recalled;
     private double lastReported = Double.NEGATIVE_INFINITY;
     private boolean released;
 
-    Attempt(Claim claim, Job job, Machine machine, double now) {
+    TaskAttempt(Claim claim, Job job, Machine machine, double now) {
         this.claim = claim;
         this.job = job;
         this.machine = machine;
         this.claimedAt = now;
-        this.since = now;
+        this.stateSince = now;
     }
 
     Claim claim() {
@@ -93,12 +93,12 @@
         return state;
     }
 
-    Cause cause() {
+    ExitCause cause() {
         return cause;
     }
 
-    double since() {
-        return since;
+    double stateSince() {
+        return stateSince;
     }
 
     double claimedAt() {
@@ -110,7 +110,7 @@
         return lastReported;
     }
 
-    void reported(double now) {
+    void recordReported(double now) {
         lastReported = now;
     }
 
@@ -144,14 +144,14 @@
                 state,
                 next);
         state = next;
-        since = now;
+        stateSince = now;
         if (next == State.RUNNING) {
             runningSince = now;
         }
         return true;
     }
 
-    boolean end(Cause why, double now) {
+    boolean end(ExitCause why, double now) {
         if (!transition(State.ENDED, now)) {
             return false;
         }
@@ -163,35 +163,35 @@
      * The highest token that a command to start it may have carried; it cannot start under a higher
      * one.
      */
-    long exposedToken() {
-        return exposedToken;
+    long highestStartToken() {
+        return highestStartToken;
     }
 
-    void exposed(long token, long toSession) {
-        exposedToken = Math.max(exposedToken, token);
-        session = toSession;
+    void recordStartSent(long token, long toSession) {
+        highestStartToken = Math.max(highestStartToken, token);
+        startEpoch = toSession;
     }
 
     /** The worker's session its starts were sent to; 0 if an earlier leader sent them. */
-    long session() {
-        return session;
+    long startEpoch() {
+        return startEpoch;
     }
 
-    double nextSend() {
-        return nextSend;
+    double nextSendAt() {
+        return nextSendAt;
     }
 
-    void sendAgainAt(double at) {
-        nextSend = at;
+    void scheduleResend(double at) {
+        nextSendAt = at;
     }
 
-    double graceS() {
-        return graceS;
+    double graceSeconds() {
+        return graceSeconds;
     }
 
-    void grace(double seconds) {
-        graceS = seconds;
-        nextSend = 0;
+    void setGraceSeconds(double seconds) {
+        graceSeconds = seconds;
+        nextSendAt = 0;
     }
 
     /** Notes whether its team's usage counts it as leaving; true if that is a change. */
@@ -220,11 +220,11 @@
     }
 
     /** Stopped to run elsewhere, so that it should not be stopped for anything else again. */
-    boolean moving() {
-        return moving;
+    boolean isMigrating() {
+        return isMigrating;
     }
 
-    void markMoving() {
-        moving = true;
+    void markMigrating() {
+        isMigrating = true;
     }
 }
--- a/src/main/java/org/springmill/control/coordination/UserApi.java
+++ b/src/main/java/org/springmill/control/coordination/UserApi.java
@@ -1,11 +1,11 @@
 package org.springmill.control.coordination;
 
 import java.util.function.Consumer;
-import org.springmill.control.storage.StateStore;
+import org.springmill.control.storage.KeyValueStoreClient;
 import org.springmill.protocol.PeerMessages.Cancellation;
 import org.springmill.protocol.UserMessages;
+import org.springmill.transport.EventLoop;
 import org.springmill.transport.HttpHandler.Call;
-import org.springmill.transport.Loop;
 
 /** The user API, which is the same at every controller: submissions, queries and withdrawals. */
 final class UserApi {
@@ -13,7 +13,7 @@
 
     private final SubmissionHandler submissions;
     private final JobQueryHandler queries;
-    private final WithdrawalHandler withdrawals;
+    private final CancellationHandler withdrawals;
 
     /**
      * @param announce told of each cancellation committed here, before its user is
@@ -21,15 +21,15 @@
      */
     UserApi(
             JobDirectory directory,
-            StateStore store,
-            Loop loop,
-            Timing timing,
-            JobAnswers answers,
+            KeyValueStoreClient store,
+            EventLoop loop,
+            Timeouts timing,
+            JobStatusResponses answers,
             Consumer<Cancellation> announce,
             SubmissionHandler submissions) {
         this.submissions = submissions;
         queries = new JobQueryHandler(directory, answers);
-        withdrawals = new WithdrawalHandler(directory, store, loop, timing, answers, announce);
+        withdrawals = new CancellationHandler(directory, store, loop, timing, answers, announce);
     }
 
     /** Answers a request whose path is that of the submissions or below it. */
--- /dev/null
+++ b/src/main/java/org/springmill/control/coordination/WorkerEpoch.java
@@ -0,0 +1,100 @@
+package org.springmill.control.coordination;
+
+import org.springmill.protocol.WorkerMessages.Heartbeat;
+
+/**
+ * How far the messages exchanged with one worker have come: its session, the number of its latest
+ * message, and the fencing tokens that it was sent and has shown. docs/design.md, section 5, has
+ * the argument.
+ */
+final class WorkerEpoch {
+    private static final int COUNTER_BITS = 20;
+
+    private long fencingToken;
+    private long highestSeenToken;
+    private long epoch;
+    private long sequence;
+    private long lastHeartbeatSequence;
+    private double currentTermSeenAt = Double.POSITIVE_INFINITY;
+
+    WorkerEpoch(long term) {
+        fencingToken = (term << COUNTER_BITS) + 1;
+    }
+
+    /** The term that a token belongs to. */
+    static long termOf(long token) {
+        return token >>> COUNTER_BITS;
+    }
+
+    long fencingToken() {
+        return fencingToken;
+    }
+
+    /**
+     * From now on every command still held up by the network is void once the worker has seen the
+     * new token.
+     */
+    void raiseFencingToken() {
+        fencingToken++;
+    }
+
+    /** Another copy of this term's tokens is out: never fall behind it. */
+    void adoptFencingToken(long seen) {
+        fencingToken = Math.max(fencingToken, seen);
+    }
+
+    long epoch() {
+        return epoch;
+    }
+
+    boolean isNewerThanSeen(Heartbeat report) {
+        return report.isNewerThan(epoch, sequence);
+    }
+
+    /**
+     * Whether the worker may be waiting for the answer: it never sends a report before it is done
+     * with the last.
+     */
+    boolean isLatestHeartbeat(Heartbeat report) {
+        return report.epoch() > epoch
+                || (report.epoch() == epoch && report.sequence() > lastHeartbeatSequence);
+    }
+
+    void recordHeartbeat(Heartbeat report) {
+        if (report.epoch() > epoch) {
+            lastHeartbeatSequence = report.sequence();
+        } else {
+            lastHeartbeatSequence = Math.max(lastHeartbeatSequence, report.sequence());
+        }
+    }
+
+    void accept(Heartbeat report, double now) {
+        if (report.epoch() > epoch) {
+            lastHeartbeatSequence = 0;
+        }
+        epoch = report.epoch();
+        sequence = report.sequence();
+        highestSeenToken = Math.max(highestSeenToken, report.fencingToken());
+        if (hasSeenCurrentTerm()) {
+            currentTermSeenAt = Math.min(currentTermSeenAt, now);
+        }
+    }
+
+    /**
+     * When a message first showed a token of this term; up to then an earlier leader may have
+     * renewed its lease.
+     */
+    double currentTermSeenAt() {
+        return currentTermSeenAt;
+    }
+
+    /** Whether the worker has shown a token of this term. */
+    boolean hasSeenCurrentTerm() {
+        return termOf(highestSeenToken) == termOf(fencingToken);
+    }
+
+    /** Whether it reports in its first session and has not yet heard any leader. */
+    boolean isNew() {
+        return epoch <= 1 && highestSeenToken == 0;
+    }
+}
--- a/src/main/java/org/springmill/control/coordination/WorkloadBroadcast.java
+++ b/src/main/java/org/springmill/control/coordination/WorkloadBroadcast.java
@@ -5,11 +5,11 @@
 import java.util.Optional;
 import org.springmill.control.admission.Congestion;
 import org.springmill.control.admission.QueueWaits;
-import org.springmill.protocol.PeerMessages.Congested;
 import org.springmill.protocol.PeerMessages.CongestedQueue;
+import org.springmill.protocol.PeerMessages.CongestionNotice;
 import org.springmill.protocol.PeerMessages.JobProgress;
-import org.springmill.protocol.PeerMessages.Progress;
-import org.springmill.transport.Loop;
+import org.springmill.protocol.PeerMessages.ProgressUpdate;
+import org.springmill.transport.EventLoop;
 
 /**
  * Tells all controllers, once in each report interval, how far running jobs are and which queues
@@ -21,7 +21,7 @@
     private final Peers peers;
     private final Congestion congestion;
     private final Optional<QueueWaits> queueWaits;
-    private final Loop loop;
+    private final EventLoop loop;
     private final String node;
     private final long term;
     private final double intervalSeconds;
@@ -38,7 +38,7 @@
             Peers peers,
             Congestion congestion,
             Optional<QueueWaits> queueWaits,
-            Loop loop,
+            EventLoop loop,
             String node,
             long term,
             double intervalSeconds) {
@@ -67,11 +67,11 @@
     }
 
     /** Notes that these attempts were placed. */
-    void placed(List<Attempt> claimed) {
+    void placed(List<TaskAttempt> claimed) {
         queueWaits.ifPresent(waits -> claimed.forEach(attempt -> placed(waits, attempt)));
     }
 
-    private void placed(QueueWaits waits, Attempt attempt) {
+    private void placed(QueueWaits waits, TaskAttempt attempt) {
         Job job = attempt.job();
         waits.started(job.spec().team(), job.priority(), 1, loop.now());
     }
@@ -83,16 +83,17 @@
                 jobs.add(job.progress());
             }
         }
-        int parts = (jobs.size() + Progress.MOST - 1) / Progress.MOST;
+        int parts = (jobs.size() + ProgressUpdate.MAX_JOBS - 1) / ProgressUpdate.MAX_JOBS;
         for (int part = 0; part < parts; part++) {
-            int from = part * Progress.MOST;
-            int to = Math.min(jobs.size(), from + Progress.MOST);
-            Progress progress = new Progress(node, term, List.copyOf(jobs.subList(from, to)));
+            int from = part * ProgressUpdate.MAX_JOBS;
+            int to = Math.min(jobs.size(), from + ProgressUpdate.MAX_JOBS);
+            ProgressUpdate progress =
+                    new ProgressUpdate(node, term, List.copyOf(jobs.subList(from, to)));
             loop.after(intervalSeconds * part / parts, () -> send(progress));
         }
     }
 
-    private void send(Progress progress) {
+    private void send(ProgressUpdate progress) {
         if (!closed) {
             peers.broadcast(progress);
         }
@@ -106,9 +107,9 @@
             }
         }
         List<CongestedQueue> queues = waits.endCount(loop.now());
-        congestion.told(queues, loop.now());
+        congestion.update(queues, loop.now());
         if (toldCongestion || !queues.isEmpty()) {
-            peers.broadcast(new Congested(node, term, queues));
+            peers.broadcast(new CongestionNotice(node, term, queues));
         }
         toldCongestion = !queues.isEmpty();
     }
--- a/src/main/java/org/springmill/control/history/HistoryMover.java
+++ b/src/main/java/org/springmill/control/history/HistoryArchiver.java
@@ -4,13 +4,13 @@
 import java.util.List;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import org.springmill.control.storage.EndedJob;
+import org.springmill.control.storage.ArchivedJob;
 import org.springmill.control.storage.JobRecord;
-import org.springmill.control.storage.StateStore;
-import org.springmill.control.storage.StateStore.CommitResult;
-import org.springmill.protocol.StateMessages.Condition;
-import org.springmill.protocol.StateMessages.Write;
-import org.springmill.transport.Loop;
+import org.springmill.control.storage.KeyValueStoreClient;
+import org.springmill.control.storage.KeyValueStoreClient.CommitResult;
+import org.springmill.protocol.KeyValueStoreMessages.Condition;
+import org.springmill.protocol.KeyValueStoreMessages.Write;
+import org.springmill.transport.EventLoop;
 
 /**
  * Moves the records of ended jobs from {@code job/} to {@code ended/}, each in one transaction that
@@ -21,10 +21,10 @@
  * take a small share of the changes, none while anything else waits, and pause when the state
  * service refuses or does not answer.
  */
-public final class HistoryMover {
-    private static final Logger LOG = LoggerFactory.getLogger(HistoryMover.class);
+public final class HistoryArchiver {
+    private static final Logger LOG = LoggerFactory.getLogger(HistoryArchiver.class);
 
-    /** Share of the changes that the state service takes. */
+    /** Share of the changes that the key-value store takes. */
     private static final double WRITE_SHARE = 0.1;
 
     /** A move deletes one key and creates another. */
@@ -33,12 +33,12 @@
     /** A job that cannot be moved yet is looked at again after this share of the retention. */
     private static final double RETRY_SHARE = 0.25;
 
-    private final StateStore store;
-    private final Loop loop;
-    private final HistoryMembers members;
+    private final KeyValueStoreClient store;
+    private final EventLoop loop;
+    private final HistoryMembership members;
     private final Jobs jobs;
-    private final double retentionS;
-    private final double pauseS;
+    private final double retentionSeconds;
+    private final double pauseSeconds;
     private final RetentionQueue queue = new RetentionQueue();
     private int singleMoves;
     private boolean closed;
@@ -61,33 +61,34 @@
         boolean settled(JobRecord record);
 
         /** The move of a record was committed. */
-        void moved(EndedJob job);
+        void moved(ArchivedJob job);
     }
 
     /**
-     * @param retentionS how long after its end a record stays where it is
-     * @param pauseS for how long to write nothing after the state service refused or fell silent
+     * @param retentionSeconds how long after its end a record stays where it is
+     * @param pauseSeconds for how long to write nothing after the key-value store refused or fell
+     *     silent
      */
-    public HistoryMover(
-            StateStore store,
-            Loop loop,
-            HistoryMembers members,
+    public HistoryArchiver(
+            KeyValueStoreClient store,
+            EventLoop loop,
+            HistoryMembership members,
             Jobs jobs,
-            double retentionS,
-            double pauseS) {
+            double retentionSeconds,
+            double pauseSeconds) {
         this.store = store;
         this.loop = loop;
         this.members = members;
         this.jobs = jobs;
-        this.retentionS = retentionS;
-        this.pauseS = pauseS;
+        this.retentionSeconds = retentionSeconds;
+        this.pauseSeconds = pauseSeconds;
     }
 
     /** Takes note of a job that has ended; it is moved once its retention is over. */
     public void ended(JobRecord record) {
         // A job that was cancelled by a lagging clock, or whose end is not dated, is due at once.
         double age = loop.timeOfDay() - record.endedAt();
-        queue.add(record.id(), loop.now() + Math.max(0, retentionS - age));
+        queue.add(record.id(), loop.now() + Math.max(0, retentionSeconds - age));
     }
 
     /** Jobs that wait for their retention to end. */
@@ -98,7 +99,7 @@
     /** Begins to move records, and goes on until closed. */
     public void start() {
         // The others have to be heard first, and a takeover has better things to write.
-        loop.after(pauseS, this::run);
+        loop.after(pauseSeconds, this::run);
     }
 
     /** Moves nothing more. */
@@ -121,8 +122,8 @@
 
     /** Waits for as long as so many moves use up the share of the changes. */
     private void runAfter(int moves) {
-        double changesPerS = WRITE_SHARE * store.limits().writesPerS();
-        loop.after(moves * WRITES_PER_MOVE / changesPerS, this::run);
+        double changesPerSecond = WRITE_SHARE * store.limits().writesPerSecond();
+        loop.after(moves * WRITES_PER_MOVE / changesPerSecond, this::run);
     }
 
     private int batchSize() {
@@ -147,7 +148,7 @@
     }
 
     private void putBack(JobRecord record) {
-        queue.add(record.id(), loop.now() + RETRY_SHARE * retentionS);
+        queue.add(record.id(), loop.now() + RETRY_SHARE * retentionSeconds);
     }
 
     private void move(List<JobRecord> batch) {
@@ -155,13 +156,13 @@
         conditions.add(jobs.leadership());
         List<Write> writes = new ArrayList<>();
         for (JobRecord record : batch) {
-            EndedJob ended = EndedJob.of(record);
+            ArchivedJob ended = ArchivedJob.of(record);
             conditions.add(new Condition(record.key(), record.version()));
             conditions.add(new Condition(ended.key(), 0));
             writes.add(Write.delete(record.key()));
             writes.add(Write.put(ended.key(), ended.encode()));
         }
-        store.commit(conditions, writes, result -> answered(batch, result));
+        store.compareAndSwap(conditions, writes, result -> answered(batch, result));
     }
 
     private void answered(List<JobRecord> batch, CommitResult result) {
@@ -171,10 +172,10 @@
         singleMoves = Math.max(0, singleMoves - batch.size());
         switch (result.outcome()) {
             case COMMITTED -> {
-                batch.forEach(record -> jobs.moved(EndedJob.of(record)));
+                batch.forEach(record -> jobs.moved(ArchivedJob.of(record)));
                 runAfter(batch.size());
             }
-            case REFUSED -> {
+            case REJECTED -> {
                 refused(batch, result.failed());
                 runAfter(batch.size());
             }
@@ -182,11 +183,11 @@
                 tooLarge(batch);
                 runAfter(batch.size());
             }
-            case NOT_NOW, UNKNOWN -> {
+            case RETRYABLE, UNKNOWN -> {
                 // It may have been applied, or be applied later: the feed of records tells. Tried
                 // again it fails on the record's version, and so does a late copy.
                 batch.forEach(this::putBackNow);
-                loop.after(pauseS, this::run);
+                loop.after(pauseSeconds, this::run);
             }
         }
     }
@@ -197,7 +198,7 @@
 
     private void refused(List<JobRecord> batch, List<String> failed) {
         for (JobRecord record : batch) {
-            if (failed.contains(EndedJob.key(record.id()))) {
+            if (failed.contains(ArchivedJob.key(record.id()))) {
                 // Moving it would overwrite the state that users were told. Its record stays.
                 LOG.error(
                         "{} has ended a second time: a version that does not know the history"
@@ -214,7 +215,7 @@
         }
     }
 
-    /** A transaction that the state service does not take as a whole goes record by record. */
+    /** A transaction that the key-value store does not take as a whole goes record by record. */
     private void retrySingly(List<JobRecord> batch, JobRecord record) {
         if (batch.size() > 1) {
             singleMoves = batch.size();
--- a/src/main/java/org/springmill/control/history/HistoryMembers.java
+++ b/src/main/java/org/springmill/control/history/HistoryMembership.java
@@ -6,33 +6,33 @@
 import java.util.stream.Collectors;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import org.springmill.control.storage.StateStore;
-import org.springmill.control.storage.StateStore.CommitResult;
-import org.springmill.control.storage.StateStore.Outcome;
-import org.springmill.control.storage.StateStore.ReadResult;
+import org.springmill.control.storage.KeyValueStoreClient;
+import org.springmill.control.storage.KeyValueStoreClient.CommitOutcome;
+import org.springmill.control.storage.KeyValueStoreClient.CommitResult;
+import org.springmill.control.storage.KeyValueStoreClient.ReadResult;
 import org.springmill.protocol.Json;
-import org.springmill.protocol.StateMessages.Page;
-import org.springmill.protocol.StateMessages.Write;
-import org.springmill.transport.Loop;
+import org.springmill.protocol.KeyValueStoreMessages.Page;
+import org.springmill.protocol.KeyValueStoreMessages.Write;
+import org.springmill.transport.EventLoop;
 
 /**
  * Which controllers take part in the history. A version that does not know of moved jobs accepts
  * them anew, so records may be moved only once every controller is known to look at both places. A
- * controller that runs with the history switched on registers that in the state service, where it
+ * controller that runs with the history switched on registers that in the key-value store, where it
  * stays while the controller is down, and says the same on the link between controllers. A process
  * of an earlier version says nothing there, and stops the moves of whoever hears it.
  */
-public final class HistoryMembers {
-    private static final Logger LOG = LoggerFactory.getLogger(HistoryMembers.class);
+public final class HistoryMembership {
+    private static final Logger LOG = LoggerFactory.getLogger(HistoryMembership.class);
     private static final String PREFIX = "history-member/";
     private static final int FORMAT = 1;
 
-    private final StateStore store;
-    private final Loop loop;
+    private final KeyValueStoreClient store;
+    private final EventLoop loop;
     private final String node;
     private final Set<String> nodes;
     private final BooleanSupplier opposed;
-    private final double retryS;
+    private final double retrySeconds;
     private boolean allRegistered;
     private boolean wasOpposed;
 
@@ -40,21 +40,21 @@
      * @param node this controller
      * @param others names of all other controllers
      * @param opposed whether some controller was last heard without taking part
-     * @param retryS after which registration and check are tried again
+     * @param retrySeconds after which registration and check are tried again
      */
-    public HistoryMembers(
-            StateStore store,
-            Loop loop,
+    public HistoryMembership(
+            KeyValueStoreClient store,
+            EventLoop loop,
             String node,
             Set<String> others,
             BooleanSupplier opposed,
-            double retryS) {
+            double retrySeconds) {
         this.store = store;
         this.loop = loop;
         this.node = node;
         this.opposed = opposed;
-        this.retryS = retryS;
-        nodes = others.stream().map(HistoryMembers::key).collect(Collectors.toSet());
+        this.retrySeconds = retrySeconds;
+        nodes = others.stream().map(HistoryMembership::key).collect(Collectors.toSet());
     }
 
     private static String key(String node) {
@@ -68,20 +68,20 @@
 
     private void ownRead(ReadResult read) {
         if (!read.served()) {
-            loop.after(retryS, this::register);
+            loop.after(retrySeconds, this::register);
         } else if (read.entry() == null) {
             Write write = Write.put(key(node), Json.newObject().put("v", FORMAT));
-            store.commit(List.of(), List.of(write), this::registered);
+            store.compareAndSwap(List.of(), List.of(write), this::registered);
         } else {
             checkOthers();
         }
     }
 
     private void registered(CommitResult result) {
-        if (result.outcome() == Outcome.COMMITTED) {
+        if (result.outcome() == CommitOutcome.COMMITTED) {
             checkOthers();
         } else {
-            loop.after(retryS, this::register);
+            loop.after(retrySeconds, this::register);
         }
     }
 
@@ -98,7 +98,7 @@
         if (allRegistered) {
             LOG.info("every controller keeps the bounded history: records may be moved");
         } else {
-            loop.after(retryS, this::checkOthers);
+            loop.after(retrySeconds, this::checkOthers);
         }
     }
 
--- a/src/main/java/org/springmill/control/storage/EndedJob.java
+++ b/src/main/java/org/springmill/control/storage/ArchivedJob.java
@@ -3,21 +3,21 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import org.springmill.protocol.Json;
-import org.springmill.protocol.UserMessages.Phase;
+import org.springmill.protocol.UserMessages.JobPhase;
 
 /**
  * What is kept for good of a job whose record has left {@code job/}: its final state and what later
  * questions and submissions need of it. Stored under {@code ended/<id>}, a prefix that no
- * controller ever lists or watches, so nothing but the state service grows with it.
+ * controller ever lists or watches, so nothing but the key-value store grows with it.
  *
  * @param phase done or cancelled
  * @param tasks number of its tasks
  * @param service whether it was a service, on which no job may wait
  * @param endedAt time of day at which its end was asked for; 0 if not known
- * @param endRevision revision of the state service at which its end was committed
+ * @param endRevision revision of the key-value store at which its end was committed
  */
-public record EndedJob(
-        String id, Phase phase, int tasks, boolean service, double endedAt, long endRevision) {
+public record ArchivedJob(
+        String id, JobPhase phase, int tasks, boolean service, double endedAt, long endRevision) {
     public static final String PREFIX = "ended/";
 
     private static final int FORMAT = 1;
@@ -35,11 +35,11 @@
      *
      * @throws IllegalArgumentException if the job has not ended
      */
-    public static EndedJob of(JobRecord record) {
+    public static ArchivedJob of(JobRecord record) {
         if (record.active()) {
             throw new IllegalArgumentException(record.id() + " has not ended");
         }
-        return new EndedJob(
+        return new ArchivedJob(
                 record.id(),
                 record.phase(),
                 record.submission().tasks(),
@@ -53,7 +53,7 @@
     }
 
     public boolean cancelled() {
-        return phase == Phase.CANCELLED;
+        return phase == JobPhase.CANCELLED;
     }
 
     public JsonNode encode() {
@@ -65,10 +65,10 @@
     }
 
     /** Reads the stored form. */
-    public static EndedJob decode(String key, JsonNode value) {
-        return new EndedJob(
+    public static ArchivedJob decode(String key, JsonNode value) {
+        return new ArchivedJob(
                 key.substring(PREFIX.length()),
-                value.path("end").asText().equals(DONE) ? Phase.DONE : Phase.CANCELLED,
+                value.path("end").asText().equals(DONE) ? JobPhase.DONE : JobPhase.CANCELLED,
                 value.path("tasks").asInt(),
                 value.path(SERVICE).asBoolean(),
                 value.path("at").asDouble(),
--- a/src/main/java/org/springmill/control/storage/JobRecord.java
+++ b/src/main/java/org/springmill/control/storage/JobRecord.java
@@ -2,15 +2,15 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import org.springmill.protocol.BadMessageException;
 import org.springmill.protocol.Json;
+import org.springmill.protocol.MalformedMessageException;
 import org.springmill.protocol.Submission;
-import org.springmill.protocol.UserMessages.Phase;
+import org.springmill.protocol.UserMessages.JobPhase;
 
 /**
- * A job in the state service, under {@code job/<id>}: the submission as accepted, and how it ended
- * once it has. The submission stays, for a later leader has to count what an ended job's tasks
- * still hold.
+ * A job in the key-value store, under {@code job/<id>}: the submission as accepted, and how it
+ * ended once it has. The submission stays, for a later leader has to count what an ended job's
+ * tasks still hold.
  *
  * <p>A job with a deadline or with dependencies holds the time at which it was accepted, from which
  * the deadline counts; dependencies are stored only where there are any. Every other record has the
@@ -24,7 +24,7 @@
 public record JobRecord(
         String id,
         Submission submission,
-        Phase phase,
+        JobPhase phase,
         long version,
         double endedAt,
         double acceptedAt) {
@@ -36,11 +36,12 @@
 
     /** A job that is being accepted; it has no version before it is committed. */
     public static JobRecord accepted(Submission submission, double now) {
-        boolean timed = submission.deadlineS() != null || !submission.dependencies().isEmpty();
-        return new JobRecord(submission.id(), submission, Phase.QUEUED, 0, 0, timed ? now : 0);
+        boolean timed =
+                submission.deadlineSeconds() != null || !submission.dependencies().isEmpty();
+        return new JobRecord(submission.id(), submission, JobPhase.QUEUED, 0, 0, timed ? now : 0);
     }
 
-    public JobRecord ended(Phase end, double at) {
+    public JobRecord ended(JobPhase end, double at) {
         return new JobRecord(id, submission, end, version, at, acceptedAt);
     }
 
@@ -57,21 +58,21 @@
     }
 
     public boolean cancelled() {
-        return phase == Phase.CANCELLED;
+        return phase == JobPhase.CANCELLED;
     }
 
     /**
-     * What the record takes in the state service once it has ended, which is when it is largest.
+     * What the record takes in the key-value store once it has ended, which is when it is largest.
      */
     public int mostBytes(double now) {
-        return Json.bytes(ended(Phase.CANCELLED, now).encode()).length;
+        return Json.bytes(ended(JobPhase.CANCELLED, now).encode()).length;
     }
 
     public JsonNode encode() {
         ObjectNode json = Json.newObject();
         json.put("v", 1);
         if (phase.terminal()) {
-            json.put("end", phase == Phase.DONE ? "done" : "cancelled").put("at", endedAt);
+            json.put("end", phase == JobPhase.DONE ? "done" : "cancelled").put("at", endedAt);
         }
         if (acceptedAt > 0) {
             json.put("accepted", acceptedAt);
@@ -95,12 +96,12 @@
     }
 
     public static JobRecord decode(String key, JsonNode value, long version)
-            throws BadMessageException {
-        Phase phase =
+            throws MalformedMessageException {
+        JobPhase phase =
                 switch (value.path("end").asText()) {
-                    case "" -> Phase.QUEUED;
-                    case "done" -> Phase.DONE;
-                    default -> Phase.CANCELLED;
+                    case "" -> JobPhase.QUEUED;
+                    case "done" -> JobPhase.DONE;
+                    default -> JobPhase.CANCELLED;
                 };
         return new JobRecord(
                 key.substring(PREFIX.length()),
