--- a/src/main/java/org/springmill/control/storage/StateStore.java
+++ b/src/main/java/org/springmill/control/storage/KeyValueStoreClient.java
@@ -8,26 +8,26 @@
 import java.util.function.LongConsumer;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import org.springmill.protocol.BadMessageException;
 import org.springmill.protocol.Json;
+import org.springmill.protocol.KeyValueStoreMessages;
+import org.springmill.protocol.KeyValueStoreMessages.Changes;
+import org.springmill.protocol.KeyValueStoreMessages.Condition;
+import org.springmill.protocol.KeyValueStoreMessages.Entry;
+import org.springmill.protocol.KeyValueStoreMessages.Page;
+import org.springmill.protocol.KeyValueStoreMessages.Write;
+import org.springmill.protocol.MalformedMessageException;
 import org.springmill.protocol.Settings;
-import org.springmill.protocol.StateMessages;
-import org.springmill.protocol.StateMessages.Changes;
-import org.springmill.protocol.StateMessages.Condition;
-import org.springmill.protocol.StateMessages.Entry;
-import org.springmill.protocol.StateMessages.Page;
-import org.springmill.protocol.StateMessages.Write;
+import org.springmill.transport.EventLoop;
 import org.springmill.transport.HttpClient;
 import org.springmill.transport.HttpClient.Reply;
 import org.springmill.transport.HttpClient.Request;
-import org.springmill.transport.Loop;
 
 /**
- * The state service, with this controller's share of its limits: transactions wait for their turn
+ * The key-value store, with this controller's share of its limits: transactions wait for their turn
  * in a queue, everything else is sent at once.
  */
-public final class StateStore {
-    private static final Logger LOG = LoggerFactory.getLogger(StateStore.class);
+public final class KeyValueStoreClient {
+    private static final Logger LOG = LoggerFactory.getLogger(KeyValueStoreClient.class);
     private static final byte[] EMPTY = new byte[0];
     private static final long FIRST_PAGE = -1;
     private static final long NOT_READ = -1;
@@ -49,37 +49,37 @@
     private static final double LOOKUP_REQUEST_SHARE = 0.15;
 
     private final HttpClient http;
-    private final Loop loop;
+    private final EventLoop loop;
     private final Settings settings;
-    private final double timeoutS;
+    private final double timeoutSeconds;
     private final RateLimit requests;
     private final RateLimit writes;
 
     /** Transactions on which work that was accepted depends. */
-    private final ArrayDeque<Waiting> workQueue = new ArrayDeque<>();
+    private final ArrayDeque<QueuedCommit> workQueue = new ArrayDeque<>();
 
     /** Transactions that accept new work. */
-    private final ArrayDeque<Waiting> acceptanceQueue = new ArrayDeque<>();
+    private final ArrayDeque<QueuedCommit> acceptanceQueue = new ArrayDeque<>();
 
     /** The queue that the latest transaction came from. */
-    private ArrayDeque<Waiting> servedQueue = acceptanceQueue;
+    private ArrayDeque<QueuedCommit> servedQueue = acceptanceQueue;
 
-    private Share share = Share.WHOLE;
-    private Settings.State limits;
+    private RateShare share = RateShare.WHOLE;
+    private Settings.StoreLimits limits;
     private int queuedWrites;
-    private boolean pumping;
+    private boolean draining;
     private boolean reachable;
-    private boolean refuses;
+    private boolean isRefusing;
     private double lastServed = Double.NEGATIVE_INFINITY;
     private DoubleConsumer onCommit = since -> {};
 
-    private record Waiting(Request request, int writes, Consumer<Reply> done) {}
+    private record QueuedCommit(Request request, int writes, Consumer<Reply> done) {}
 
-    /** This controller's share of what the state service takes from all of them. */
-    public interface Share {
+    /** This controller's share of what the key-value store takes from all of them. */
+    public interface RateShare {
         /** All of it, for as long as nothing else is said. */
-        Share WHOLE =
-                new Share() {
+        RateShare WHOLE =
+                new RateShare() {
                     @Override
                     public double current() {
                         return 1;
@@ -103,20 +103,20 @@
     }
 
     /** How a commit ended. */
-    public enum Outcome {
+    public enum CommitOutcome {
         COMMITTED,
         /**
          * A condition did not hold, the lease named has ended, or the form is wrong; nothing was
          * changed.
          */
-        REFUSED,
+        REJECTED,
         /**
          * Larger than the service takes; nothing was changed. From now on smaller limits are kept
          * to.
          */
         TOO_LARGE,
         /** Nothing was changed, but the same may be tried again. */
-        NOT_NOW,
+        RETRYABLE,
         /** No answer: it may have been applied, or may yet be. */
         UNKNOWN
     }
@@ -127,10 +127,10 @@
      * @param revision of the commit, when it was applied
      * @param failed keys whose conditions did not hold
      */
-    public record CommitResult(Outcome outcome, long revision, List<String> failed) {}
+    public record CommitResult(CommitOutcome outcome, long revision, List<String> failed) {}
 
     /** How a renewal ended. */
-    public enum Renewal {
+    public enum LeaseRenewal {
         RENEWED,
         ENDED,
         UNKNOWN
@@ -139,29 +139,30 @@
     /** A read: served or not, and if served the entry, or its absence at a revision. */
     public record ReadResult(boolean served, Entry entry, long revision) {}
 
-    public StateStore(HttpClient http, Loop loop, Settings settings, double timeoutS) {
+    public KeyValueStoreClient(
+            HttpClient http, EventLoop loop, Settings settings, double timeoutSeconds) {
         this.http = http;
         this.loop = loop;
         this.settings = settings;
-        this.timeoutS = timeoutS;
-        limits = settings.state();
-        double commitsPerS = settings.state().requestsPerS() * COMMIT_REQUEST_SHARE;
-        requests = new RateLimit(commitsPerS, loop.now());
-        writes = new RateLimit(settings.state().writesPerS(), loop.now());
+        this.timeoutSeconds = timeoutSeconds;
+        limits = settings.storeLimits();
+        double commitsPerSecond = settings.storeLimits().requestsPerSecond() * COMMIT_REQUEST_SHARE;
+        requests = new RateLimit(commitsPerSecond, loop.now());
+        writes = new RateLimit(settings.storeLimits().writesPerSecond(), loop.now());
     }
 
     /** From now on keeps to a share of the limits. */
-    public void keepTo(Share newShare) {
+    public void useShare(RateShare newShare) {
         share = newShare;
         applyShare();
     }
 
     private void applyShare() {
         double current = share.current();
-        double commitsPerS = settings.state().requestsPerS() * COMMIT_REQUEST_SHARE;
-        double writesPerS = settings.state().writesPerS();
-        requests.setRate(commitsPerS * current, commitsPerS * BURST_SHARE, loop.now());
-        writes.setRate(writesPerS * current, writesPerS * BURST_SHARE, loop.now());
+        double commitsPerSecond = settings.storeLimits().requestsPerSecond() * COMMIT_REQUEST_SHARE;
+        double writesPerSecond = settings.storeLimits().writesPerSecond();
+        requests.setRate(commitsPerSecond * current, commitsPerSecond * BURST_SHARE, loop.now());
+        writes.setRate(writesPerSecond * current, writesPerSecond * BURST_SHARE, loop.now());
     }
 
     /** Whether the last request that came to an end was served. */
@@ -173,8 +174,8 @@
      * Whether its last answer was that it serves nothing: it, or the way to it, was there to say
      * so.
      */
-    public boolean refuses() {
-        return refuses;
+    public boolean isRefusing() {
+        return isRefusing;
     }
 
     public double lastServed() {
@@ -187,13 +188,17 @@
     }
 
     /** Read barriers that this controller may ask for in a second. */
-    public double barriersPerS() {
-        return settings.state().requestsPerS() * BARRIER_REQUEST_SHARE / settings.controllers();
+    public double barriersPerSecond() {
+        return settings.storeLimits().requestsPerSecond()
+                * BARRIER_REQUEST_SHARE
+                / settings.controllers();
     }
 
     /** Lookups of moved records that this controller may ask for in a second. */
-    public double lookupsPerS() {
-        return settings.state().requestsPerS() * LOOKUP_REQUEST_SHARE / settings.controllers();
+    public double lookupsPerSecond() {
+        return settings.storeLimits().requestsPerSecond()
+                * LOOKUP_REQUEST_SHARE
+                / settings.controllers();
     }
 
     /** Transactions that wait for their turn; a measure of overload. */
@@ -210,19 +215,19 @@
     }
 
     public void get(String key, Consumer<ReadResult> done) {
-        now(
+        sendNow(
                 "GET",
-                StateMessages.keyPath(key),
+                KeyValueStoreMessages.keyPath(key),
                 EMPTY,
-                timeoutS,
+                timeoutSeconds,
                 reply -> {
                     if (reply.ok()) {
-                        Entry entry = parse(reply, StateMessages::entry);
+                        Entry entry = parse(reply, KeyValueStoreMessages::entry);
                         done.accept(new ReadResult(entry != null, entry, 0));
                     } else {
                         Long revision =
                                 reply.status() == 404
-                                        ? parse(reply, StateMessages::revision)
+                                        ? parse(reply, KeyValueStoreMessages::revision)
                                         : null;
                         done.accept(
                                 new ReadResult(
@@ -257,13 +262,13 @@
             long firstRevision,
             Consumer<List<Entry>> taker,
             LongConsumer done) {
-        now(
+        sendNow(
                 "GET",
-                StateMessages.listPath(prefix, after),
+                KeyValueStoreMessages.listPath(prefix, after),
                 EMPTY,
-                timeoutS * 4,
+                timeoutSeconds * 4,
                 reply -> {
-                    Page page = reply.ok() ? parse(reply, StateMessages::page) : null;
+                    Page page = reply.ok() ? parse(reply, KeyValueStoreMessages::page) : null;
                     if (page == null) {
                         done.accept(NOT_READ);
                         return;
@@ -280,77 +285,88 @@
     }
 
     /** Commits changes on which work that was accepted depends. */
-    public void commit(
+    public void compareAndSwap(
             List<Condition> conditions, List<Write> changes, Consumer<CommitResult> done) {
         enqueue(workQueue, waiting(conditions, changes, done));
     }
 
     /**
-     * Commits changes that accept new work, in turns with those of {@link #commit}. What has not
-     * been sent by the given time never is: {@link Outcome#NOT_NOW}.
+     * Commits changes that accept new work, in turns with those of {@link #compareAndSwap}. What
+     * has not been sent by the given time never is: {@link CommitOutcome#RETRYABLE}.
      */
-    public void commitAcceptance(
+    public void compareAndSwapAcceptance(
             List<Condition> conditions,
             List<Write> changes,
             double sendBy,
             Consumer<CommitResult> done) {
-        Waiting waiting = waiting(conditions, changes, done);
+        QueuedCommit waiting = waiting(conditions, changes, done);
         enqueue(acceptanceQueue, waiting);
         if (acceptanceQueue.contains(waiting)) {
-            loop.after(sendBy - loop.now(), () -> giveUp(waiting));
+            loop.after(sendBy - loop.now(), () -> abandon(waiting));
         }
     }
 
-    private void giveUp(Waiting waiting) {
+    private void abandon(QueuedCommit waiting) {
         if (acceptanceQueue.remove(waiting)) {
             queued(-waiting.writes());
             waiting.done().accept(Reply.NOT_SENT);
         }
     }
 
-    private Waiting waiting(
+    private QueuedCommit waiting(
             List<Condition> conditions, List<Write> changes, Consumer<CommitResult> done) {
-        byte[] body = StateMessages.commit(conditions, changes);
+        byte[] body = KeyValueStoreMessages.commit(conditions, changes);
         Request request =
-                new Request(settings.stateAddress(), "POST", StateMessages.COMMIT, body, timeoutS);
+                new Request(
+                        settings.storeAddress(),
+                        "POST",
+                        KeyValueStoreMessages.COMMIT,
+                        body,
+                        timeoutSeconds);
         double since = loop.now();
-        Settings.State under = limits;
-        return new Waiting(
+        Settings.StoreLimits under = limits;
+        return new QueuedCommit(
                 request,
                 changes.size(),
                 reply -> {
                     CommitResult result = commitResult(reply, changes, under);
-                    if (result.outcome() != Outcome.UNKNOWN) {
+                    if (result.outcome() != CommitOutcome.UNKNOWN) {
                         onCommit.accept(since);
                     }
                     done.accept(result);
                 });
     }
 
-    private CommitResult commitResult(Reply reply, List<Write> changes, Settings.State under) {
+    private CommitResult commitResult(
+            Reply reply, List<Write> changes, Settings.StoreLimits under) {
         try {
             return switch (reply.status()) {
                 case 200 ->
                         new CommitResult(
-                                Outcome.COMMITTED, StateMessages.revision(reply.body()), List.of());
+                                CommitOutcome.COMMITTED,
+                                KeyValueStoreMessages.revision(reply.body()),
+                                List.of());
                 case 409 ->
-                        new CommitResult(Outcome.REFUSED, 0, StateMessages.failed(reply.body()));
+                        new CommitResult(
+                                CommitOutcome.REJECTED,
+                                0,
+                                KeyValueStoreMessages.failed(reply.body()));
                 case 400 -> {
                     LOG.debug(
                             "commit refused: {}",
                             new String(reply.body(), java.nio.charset.StandardCharsets.UTF_8));
                     boolean size =
-                            !StateMessages.leaseEnded(reply.body())
+                            !KeyValueStoreMessages.leaseEnded(reply.body())
                                     && mayBeTooLarge(changes, under);
                     yield new CommitResult(
-                            size ? Outcome.TOO_LARGE : Outcome.REFUSED, 0, List.of());
+                            size ? CommitOutcome.TOO_LARGE : CommitOutcome.REJECTED, 0, List.of());
                 }
-                case 429, 503, -1 -> new CommitResult(Outcome.NOT_NOW, 0, List.of());
-                default -> new CommitResult(Outcome.UNKNOWN, 0, List.of());
+                case 429, 503, -1 -> new CommitResult(CommitOutcome.RETRYABLE, 0, List.of());
+                default -> new CommitResult(CommitOutcome.UNKNOWN, 0, List.of());
             };
-        } catch (BadMessageException e) {
+        } catch (MalformedMessageException e) {
             LOG.warn("state service: {}", e.getMessage());
-            return new CommitResult(Outcome.UNKNOWN, 0, List.of());
+            return new CommitResult(CommitOutcome.UNKNOWN, 0, List.of());
         }
     }
 
@@ -359,13 +375,13 @@
      * it would be smaller under half the limits that it was made under. Those limits are halved
      * then, so that this ends.
      */
-    private boolean mayBeTooLarge(List<Write> changes, Settings.State under) {
+    private boolean mayBeTooLarge(List<Write> changes, Settings.StoreLimits under) {
         int largest = 0;
         for (Write write : changes) {
             largest =
                     Math.max(largest, write.value() == null ? 0 : Json.bytes(write.value()).length);
         }
-        Settings.State half = under.halved();
+        Settings.StoreLimits half = under.halved();
         if (largest <= half.valueBytes() && changes.size() <= half.writesPerCommit()) {
             return false;
         }
@@ -380,44 +396,53 @@
     }
 
     /** Takes a lease; 0 if none was given. */
-    public void grant(double ttlS, LongConsumer done) {
-        now(
+    public void grant(double ttlSeconds, LongConsumer done) {
+        sendNow(
                 "POST",
-                StateMessages.LEASES,
-                StateMessages.grant(Math.round(ttlS * 1000)),
-                timeoutS,
+                KeyValueStoreMessages.LEASES,
+                KeyValueStoreMessages.grant(Math.round(ttlSeconds * 1000)),
+                timeoutSeconds,
                 reply -> {
-                    Long lease = reply.ok() ? parse(reply, StateMessages::granted) : null;
+                    Long lease = reply.ok() ? parse(reply, KeyValueStoreMessages::granted) : null;
                     done.accept(lease == null ? 0 : lease);
                 });
     }
 
-    public void renew(long lease, Consumer<Renewal> done) {
-        now(
+    public void renew(long lease, Consumer<LeaseRenewal> done) {
+        sendNow(
                 "POST",
-                StateMessages.renewPath(lease),
+                KeyValueStoreMessages.renewPath(lease),
                 EMPTY,
-                timeoutS,
+                timeoutSeconds,
                 reply ->
                         done.accept(
                                 reply.ok()
-                                        ? Renewal.RENEWED
-                                        : reply.status() == 404 ? Renewal.ENDED : Renewal.UNKNOWN));
+                                        ? LeaseRenewal.RENEWED
+                                        : reply.status() == 404
+                                                ? LeaseRenewal.ENDED
+                                                : LeaseRenewal.UNKNOWN));
     }
 
     public void revoke(long lease, Runnable done) {
-        now("DELETE", StateMessages.leasePath(lease), EMPTY, timeoutS, reply -> done.run());
+        sendNow(
+                "DELETE",
+                KeyValueStoreMessages.leasePath(lease),
+                EMPTY,
+                timeoutSeconds,
+                reply -> done.run());
     }
 
     /** Changes since a revision. */
-    public void changes(String prefix, long from, double waitS, Consumer<ChangesResult> done) {
-        now(
+    public void changes(
+            String prefix, long from, double waitSeconds, Consumer<ChangesResult> done) {
+        sendNow(
                 "GET",
-                StateMessages.changesPath(prefix, from, Math.round(waitS * 1000)),
+                KeyValueStoreMessages.changesPath(prefix, from, Math.round(waitSeconds * 1000)),
                 EMPTY,
-                timeoutS + waitS,
+                timeoutSeconds + waitSeconds,
                 reply -> {
-                    Changes changes = reply.ok() ? parse(reply, StateMessages::changes) : null;
+                    Changes changes =
+                            reply.ok() ? parse(reply, KeyValueStoreMessages::changes) : null;
                     done.accept(new ChangesResult(changes, reply.status() == 410));
                 });
     }
@@ -431,16 +456,16 @@
     public record ChangesResult(Changes changes, boolean tooOld) {}
 
     /** Sends past the queue. Reads and renewals are few and others wait for them. */
-    private void now(
-            String method, String path, byte[] body, double timeoutS, Consumer<Reply> done) {
-        send(new Request(settings.stateAddress(), method, path, body, timeoutS), done);
+    private void sendNow(
+            String method, String path, byte[] body, double timeoutSeconds, Consumer<Reply> done) {
+        send(new Request(settings.storeAddress(), method, path, body, timeoutSeconds), done);
     }
 
-    private void enqueue(ArrayDeque<Waiting> queue, Waiting waiting) {
+    private void enqueue(ArrayDeque<QueuedCommit> queue, QueuedCommit waiting) {
         queue.add(waiting);
         queued(waiting.writes());
-        if (!pumping || queue == workQueue) {
-            pump();
+        if (!draining || queue == workQueue) {
+            drainQueues();
         }
     }
 
@@ -449,11 +474,11 @@
         share.queued(queuedWrites);
     }
 
-    private void pump() {
+    private void drainQueues() {
         while (backlog() > 0) {
             applyShare();
-            ArrayDeque<Waiting> queue = nextQueue();
-            Waiting next = queue.peek();
+            ArrayDeque<QueuedCommit> queue = nextQueue();
+            QueuedCommit next = queue.peek();
             double wait =
                     Math.max(
                             requests.waitFor(1, loop.now()),
@@ -476,7 +501,7 @@
      * The queues take turns. Where work always went first, submissions at a leader with many rounds
      * waited for seconds; in turns each waits for one round, which has many more changes than it.
      */
-    private ArrayDeque<Waiting> nextQueue() {
+    private ArrayDeque<QueuedCommit> nextQueue() {
         if (workQueue.isEmpty()) {
             return acceptanceQueue;
         }
@@ -486,13 +511,13 @@
 
     /** The share may grow meanwhile, so a long wait is cut into parts. */
     private void pumpAfter(double seconds) {
-        if (!pumping) {
-            pumping = true;
+        if (!draining) {
+            draining = true;
             loop.after(
-                    Math.min(seconds, timeoutS / 4),
+                    Math.min(seconds, timeoutSeconds / 4),
                     () -> {
-                        pumping = false;
-                        pump();
+                        draining = false;
+                        drainQueues();
                     });
         }
     }
@@ -503,11 +528,11 @@
                 reply -> {
                     if (reply.answered() && reply.status() != 503) {
                         reachable = true;
-                        refuses = false;
+                        isRefusing = false;
                         lastServed = loop.now();
                     } else {
                         reachable = false;
-                        refuses |= reply.answered();
+                        isRefusing |= reply.answered();
                     }
                     done.accept(reply);
                 });
@@ -515,20 +540,20 @@
 
     @FunctionalInterface
     private interface Parser<T> {
-        T parse(byte[] body) throws BadMessageException;
+        T parse(byte[] body) throws MalformedMessageException;
     }
 
     private static <T> T parse(Reply reply, Parser<T> parser) {
         try {
             return parser.parse(reply.body());
-        } catch (BadMessageException e) {
+        } catch (MalformedMessageException e) {
             LOG.warn("state service: {}", e.getMessage());
             return null;
         }
     }
 
     /** The limits that records and transactions have to keep to now. */
-    public Settings.State limits() {
+    public Settings.StoreLimits limits() {
         return limits;
     }
 }
--- a/src/main/java/org/springmill/control/storage/RoundCompactor.java
+++ b/src/main/java/org/springmill/control/storage/RoundCompactor.java
@@ -32,14 +32,14 @@
      */
     private static final int MIN_STORED_TO_NEEDED_RATIO = 2;
 
-    private final StateStore store;
+    private final KeyValueStoreClient store;
     private final RoundIndex index;
     private final Predicate<String> jobActive;
 
     /**
      * @param jobActive whether a job has not ended, so that its completed tasks are still needed
      */
-    RoundCompactor(StateStore store, RoundIndex index, Predicate<String> jobActive) {
+    RoundCompactor(KeyValueStoreClient store, RoundIndex index, Predicate<String> jobActive) {
         this.store = store;
         this.index = index;
         this.jobActive = jobActive;
--- a/src/main/java/org/springmill/control/storage/RoundEncoder.java
+++ b/src/main/java/org/springmill/control/storage/RoundEncoder.java
@@ -39,7 +39,7 @@
     }
 
     /**
-     * @param valueBytes largest value that the state service takes
+     * @param valueBytes largest value that the key-value store takes
      */
     RoundEncoder(long number, int valueBytes) {
         this.number = number;
--- a/src/main/java/org/springmill/control/storage/RoundIndex.java
+++ b/src/main/java/org/springmill/control/storage/RoundIndex.java
@@ -9,7 +9,7 @@
 import java.util.Map;
 import org.springmill.control.storage.RoundCodec.RoundValue;
 import org.springmill.control.storage.RoundLog.Rebuilt;
-import org.springmill.protocol.StateMessages.Entry;
+import org.springmill.protocol.KeyValueStoreMessages.Entry;
 
 /**
  * The stored values of all rounds, oldest first, and in which of them each live claim stands. Built
@@ -38,7 +38,7 @@
         return values;
     }
 
-    /** Takes in a value that was read from the state service. */
+    /** Takes in a value that was read from the key-value store. */
     void replay(Entry entry) {
         long number = RoundCodec.number(entry.key());
         RoundValue content = RoundCodec.decode(entry.value(), number);
--- a/src/main/java/org/springmill/control/storage/RoundLog.java
+++ b/src/main/java/org/springmill/control/storage/RoundLog.java
@@ -6,15 +6,15 @@
 import java.util.Map;
 import java.util.function.Consumer;
 import java.util.function.Predicate;
+import org.springmill.protocol.KeyValueStoreMessages.Condition;
+import org.springmill.protocol.KeyValueStoreMessages.Entry;
+import org.springmill.protocol.KeyValueStoreMessages.Page;
+import org.springmill.protocol.KeyValueStoreMessages.Write;
 import org.springmill.protocol.Settings;
-import org.springmill.protocol.StateMessages.Condition;
-import org.springmill.protocol.StateMessages.Entry;
-import org.springmill.protocol.StateMessages.Page;
-import org.springmill.protocol.StateMessages.Write;
-import org.springmill.transport.Loop;
+import org.springmill.transport.EventLoop;
 
 /**
- * The rounds in the state service, under {@code round/<number>.<part>}: append-only, with numbers
+ * The rounds in the key-value store, under {@code round/<number>.<part>}: append-only, with numbers
  * that strictly rise across leaders.
  *
  * <p>A round holds its claims, the ends of earlier claims and completed tasks, in one transaction
@@ -31,7 +31,7 @@
 public final class RoundLog {
     /**
      * A round of a controller with half a core or less has at most so many claims and ends, so that
-     * it keeps up. With more of a core it has more: where the state service is far away, rounds a
+     * it keeps up. With more of a core it has more: where the key-value store is far away, rounds a
      * second are few.
      */
     private static final int MIN_ITEMS_PER_ROUND = 96;
@@ -47,7 +47,7 @@
     /** Writes of a transaction that are left for replacing older values. */
     private static final int WRITES_FOR_COMPACTION = 2;
 
-    private final StateStore store;
+    private final KeyValueStoreClient store;
     private final RoundIndex index = new RoundIndex();
     private final RoundWriter writer;
     private final int maxItemsPerRound;
@@ -77,8 +77,8 @@
      * @param reserve what is left of each transaction for changes of other records
      */
     public RoundLog(
-            StateStore store,
-            Loop loop,
+            KeyValueStoreClient store,
+            EventLoop loop,
             Condition leadership,
             Predicate<String> jobActive,
             double cpuShare,
@@ -112,7 +112,7 @@
     }
 
     private int roundBytes() {
-        Settings.State limits = store.limits();
+        Settings.StoreLimits limits = store.limits();
         int values =
                 Math.max(1, limits.writesPerCommit() - WRITES_FOR_COMPACTION - reserve.writes());
         double fillableBytes = values * limits.valueBytes() * RoundCodec.FILL_RATIO;
@@ -134,7 +134,7 @@
      * Reads all rounds. Complete once the leadership is held: transactions of earlier leaders can
      * then no longer be applied.
      *
-     * @param done takes null if the state service could not be read
+     * @param done takes null if the key-value store could not be read
      */
     public void load(Consumer<Rebuilt> done) {
         store.list(RoundCodec.PREFIX, page -> loaded(page, done));
@@ -160,7 +160,7 @@
      * @param attached changes of other records that are part of the round's transaction
      * @param done called once the round is known to be committed, and never if the leadership has
      *     ended
-     * @param lost called instead when the state service shows that the leadership is over
+     * @param lost called instead when the key-value store shows that the leadership is over
      */
     public void append(
             List<Claim> claims,
--- a/src/main/java/org/springmill/control/storage/RoundWriter.java
+++ b/src/main/java/org/springmill/control/storage/RoundWriter.java
@@ -10,13 +10,13 @@
 import java.util.Set;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
+import org.springmill.control.storage.KeyValueStoreClient.CommitOutcome;
+import org.springmill.control.storage.KeyValueStoreClient.CommitResult;
+import org.springmill.control.storage.KeyValueStoreClient.ReadResult;
 import org.springmill.control.storage.RoundLog.End;
-import org.springmill.control.storage.StateStore.CommitResult;
-import org.springmill.control.storage.StateStore.Outcome;
-import org.springmill.control.storage.StateStore.ReadResult;
-import org.springmill.protocol.StateMessages.Condition;
-import org.springmill.protocol.StateMessages.Write;
-import org.springmill.transport.Loop;
+import org.springmill.protocol.KeyValueStoreMessages.Condition;
+import org.springmill.protocol.KeyValueStoreMessages.Write;
+import org.springmill.transport.EventLoop;
 
 /**
  * Appends rounds, each in one transaction, and splits those that are too large for one.
@@ -32,16 +32,16 @@
     /** A transaction is repeated after the time in which so many writes are allowed. */
     private static final double RETRY_AFTER_WRITES = 2;
 
-    private final StateStore store;
-    private final Loop loop;
+    private final KeyValueStoreClient store;
+    private final EventLoop loop;
     private final Condition leadership;
     private final RoundIndex index;
     private final RoundCompactor compactor;
     private boolean closed;
 
     RoundWriter(
-            StateStore store,
-            Loop loop,
+            KeyValueStoreClient store,
+            EventLoop loop,
             Condition leadership,
             RoundIndex index,
             RoundCompactor compactor) {
@@ -72,7 +72,7 @@
     }
 
     private double retryDelaySeconds() {
-        return RETRY_AFTER_WRITES / store.limits().writesPerS();
+        return RETRY_AFTER_WRITES / store.limits().writesPerSecond();
     }
 
     /** One transaction until its fate is known. */
@@ -172,7 +172,7 @@
                 split();
                 return;
             }
-            store.commit(conditions, writes, this::answered);
+            store.compareAndSwap(conditions, writes, this::answered);
         }
 
         private void answered(CommitResult result) {
@@ -181,11 +181,11 @@
             }
             switch (result.outcome()) {
                 case COMMITTED -> applied();
-                case REFUSED -> refused(result);
+                case REJECTED -> refused(result);
                 case TOO_LARGE -> split();
                 // The same transaction again. It cannot be applied twice.
-                case NOT_NOW, UNKNOWN -> {
-                    unanswered |= result.outcome() == Outcome.UNKNOWN;
+                case RETRYABLE, UNKNOWN -> {
+                    unanswered |= result.outcome() == CommitOutcome.UNKNOWN;
                     loop.after(retryDelaySeconds(), this::send);
                 }
             }
--- a/src/main/java/org/springmill/emulator/ControllerGroup.java
+++ b/src/main/java/org/springmill/emulator/ControllerGroup.java
@@ -11,9 +11,9 @@
 import org.springmill.emulator.ControllerSettings.Node;
 import org.springmill.emulator.EmulationResult.ControllerUse;
 import org.springmill.protocol.UserMessages;
+import org.springmill.transport.EventLoop;
 import org.springmill.transport.HttpClient;
 import org.springmill.transport.HttpClient.Request;
-import org.springmill.transport.Loop;
 
 /** The controllers' processes: started, probed, killed and started again. */
 final class ControllerGroup {
@@ -23,7 +23,7 @@
     private static final double PROBE_SECONDS = 1;
     private static final byte[] EMPTY = new byte[0];
 
-    private final Loop loop;
+    private final EventLoop loop;
     private final HttpClient client;
     private final Scenario scenario;
     private final List<Node> nodes;
@@ -34,7 +34,7 @@
     private boolean closed;
 
     ControllerGroup(
-            Loop loop,
+            EventLoop loop,
             HttpClient client,
             Scenario scenario,
             List<Node> nodes,
@@ -115,7 +115,7 @@
     }
 
     private void startAgain(int controller) {
-        loop.after(scenario.controllers().restartS(), () -> start(controller));
+        loop.after(scenario.controllers().restartSeconds(), () -> start(controller));
     }
 
     private void kill(int controller) {
--- a/src/main/java/org/springmill/emulator/ControllerSettings.java
+++ b/src/main/java/org/springmill/emulator/ControllerSettings.java
@@ -74,7 +74,7 @@
             Scenario.Teams teams = scenario.teams();
             text.append(
                     TEAM.formatted(
-                            HollowUsers.teamName(team),
+                            EmulatedUsers.teamName(team),
                             teams.cpus(),
                             teams.cpusMax(),
                             teams.gpus(),
@@ -88,15 +88,15 @@
         Scenario.StateLimits state = scenario.state();
         Scenario.Controllers controllers = scenario.controllers();
         return LIMITS.formatted(
-                scenario.workers().reportS(),
-                scenario.workers().leaseS(),
-                scenario.workers().cancelS(),
-                state.requestsPerS(),
-                state.writesPerS(),
+                scenario.workers().reportSeconds(),
+                scenario.workers().leaseSeconds(),
+                scenario.workers().cancelSeconds(),
+                state.requestsPerSecond(),
+                state.writesPerSecond(),
                 state.valueKb(),
                 state.writesPerCommit(),
-                scenario.cloud().requestsPerS(),
-                scenario.cloud().listLagS(),
+                scenario.cloud().requestsPerSecond(),
+                scenario.cloud().listLagSeconds(),
                 controllers.cpuShare(),
                 controllers.memoryMb(),
                 controllers.maxSockets());
--- a/src/main/java/org/springmill/emulator/HollowCloud.java
+++ b/src/main/java/org/springmill/emulator/EmulatedCloud.java
@@ -6,25 +6,25 @@
 import java.util.Map;
 import java.util.TreeMap;
 import org.springmill.emulator.Scenario.MachineGroup;
-import org.springmill.protocol.BadMessageException;
 import org.springmill.protocol.CloudMessages;
 import org.springmill.protocol.CloudMessages.ListedMachine;
 import org.springmill.protocol.CloudMessages.MachinePhase;
 import org.springmill.protocol.CloudMessages.MachineType;
+import org.springmill.protocol.MalformedMessageException;
 import org.springmill.protocol.counterpart.CloudSideMessages;
 import org.springmill.protocol.counterpart.CloudSideMessages.Rental;
-import org.springmill.protocol.counterpart.StateServiceMessages;
+import org.springmill.protocol.counterpart.KeyValueStoreServerMessages;
+import org.springmill.transport.EventLoop;
 import org.springmill.transport.HttpHandler.Call;
-import org.springmill.transport.Loop;
 
 /**
  * A cloud by the published protocol: rents, lists and deletes hollow machines, as many of each type
  * as the scenario has. Its list lags.
  */
-final class HollowCloud {
-    private static final int LIST_LIMIT = CloudMessages.MAX_LIST;
+final class EmulatedCloud {
+    private static final int LIST_LIMIT = CloudMessages.MAX_LISTED;
 
-    private final Loop loop;
+    private final EventLoop loop;
     private final Scenario scenario;
     private final Machines machines;
     private final Map<String, MachineGroup> types = new HashMap<>();
@@ -36,7 +36,7 @@
     /** Makes and ends the machines that are rented. */
     interface Machines {
         /** Makes a machine that is up after some time, and returns its address. */
-        String create(String name, MachineGroup type, String zone, double bootS);
+        String create(String name, MachineGroup type, String zone, double bootSeconds);
 
         void destroy(String name);
     }
@@ -58,7 +58,7 @@
         }
     }
 
-    HollowCloud(Loop loop, Scenario scenario, Machines machines) {
+    EmulatedCloud(EventLoop loop, Scenario scenario, Machines machines) {
         this.loop = loop;
         this.scenario = scenario;
         this.machines = machines;
@@ -76,12 +76,12 @@
         }
     }
 
-    private String rent(MachineGroup group, String zone, double bootS) {
+    private String rent(MachineGroup group, String zone, double bootSeconds) {
         String name = String.format("host-%06d", ++numbers);
-        String address = machines.create(name, group, zone, bootS);
+        String address = machines.create(name, group, zone, bootSeconds);
         free.merge(group.type(), -1, Integer::sum);
         double now = loop.now();
-        rented.put(name, new Rented(group, zone, address, now, now + bootS));
+        rented.put(name, new Rented(group, zone, address, now, now + bootSeconds));
         return name;
     }
 
@@ -92,18 +92,18 @@
 
     void handle(Call call) {
         try {
-            if (call.path().equals(CloudMessages.TYPES)) {
+            if (call.path().equals(CloudMessages.MACHINE_TYPES_PATH)) {
                 call.reply(200, CloudSideMessages.types(machineTypes()), 0);
-            } else if (call.path().equals(CloudMessages.RETURN)) {
+            } else if (call.path().equals(CloudMessages.DELETIONS_PATH)) {
                 CloudSideMessages.deletion(call.body()).forEach(this::delete);
-                call.reply(200, StateServiceMessages.revision(0), 0);
+                call.reply(200, KeyValueStoreServerMessages.revision(0), 0);
             } else if (call.method().equals("POST")) {
                 rent(call, CloudSideMessages.rental(call.body()));
             } else {
                 list(call);
             }
-        } catch (BadMessageException e) {
-            call.reply(400, StateServiceMessages.error(e.getMessage()), 0);
+        } catch (MalformedMessageException e) {
+            call.reply(400, KeyValueStoreServerMessages.error(e.getMessage()), 0);
         }
     }
 
@@ -117,10 +117,10 @@
                                         group.gpus(),
                                         group.memoryGb(),
                                         1000,
-                                        group.fetchGbPerS(),
+                                        group.fetchGbPerSecond(),
                                         group.cpus() + 3 * group.gpus(),
                                         group.cpus() + 3 * group.gpus(),
-                                        group.bootS(),
+                                        group.bootSeconds(),
                                         scenario.zoneNames()))
                 .toList();
     }
@@ -142,7 +142,7 @@
         }
         List<String> names = new ArrayList<>();
         for (int i = 0; i < count; i++) {
-            names.add(rent(group, rental.zone(), group.bootS()));
+            names.add(rent(group, rental.zone(), group.bootSeconds()));
         }
         answeredRentals.put(rental.request(), names);
         call.reply(200, CloudSideMessages.rented(names), 0);
@@ -159,7 +159,7 @@
 
     /** As things stood a lag ago; what was there at the beginning is always listed. */
     private void list(Call call) {
-        double then = loop.now() - scenario.cloud().listLagS();
+        double then = loop.now() - scenario.cloud().listLagSeconds();
         List<ListedMachine> page = new ArrayList<>();
         boolean more = false;
         String after = CloudSideMessages.listedAfter(call.query());
--- a/src/main/java/org/springmill/emulator/HollowFleet.java
+++ b/src/main/java/org/springmill/emulator/EmulatedFleet.java
@@ -8,7 +8,7 @@
 import java.util.Set;
 import java.util.SplittableRandom;
 import java.util.function.Consumer;
-import org.springmill.emulator.HollowWorker.Environment;
+import org.springmill.emulator.EmulatedWorker.Environment;
 import org.springmill.emulator.Scenario.MachineGroup;
 import org.springmill.transport.Transport;
 
@@ -16,7 +16,7 @@
  * All hollow workers, spread over a few event loops, each with an address of its own on loopback.
  * Called from one thread; each worker then lives on its loop.
  */
-final class HollowFleet implements HollowCloud.Machines {
+final class EmulatedFleet implements EmulatedCloud.Machines {
     private static final int LOOPS = 3;
     private static final int PORT = 9000;
     private static final int ANY_PORT = 0;
@@ -35,13 +35,13 @@
     private final Consumer<IOException> onFailure;
     private int numbers;
 
-    private record Placed(HollowWorker worker, Transport transport) {}
+    private record Placed(EmulatedWorker worker, Transport transport) {}
 
     /**
      * @param network second number of the addresses on loopback
      * @param onFailure told, on a worker's loop, of a worker that cannot listen
      */
-    HollowFleet(
+    EmulatedFleet(
             Environment environment,
             SplittableRandom random,
             int network,
@@ -57,7 +57,7 @@
     }
 
     @Override
-    public String create(String name, MachineGroup type, String zone, double bootS) {
+    public String create(String name, MachineGroup type, String zone, double bootSeconds) {
         Transport transport = transports.get(numbers % LOOPS);
         String host =
                 "127."
@@ -69,23 +69,23 @@
                         + ":";
         String address = host + PORT;
         numbers++;
-        HollowWorker worker =
-                new HollowWorker(
+        EmulatedWorker worker =
+                new EmulatedWorker(
                         name,
                         address,
                         zone,
                         type,
                         environment,
                         transport.loop(),
-                        transport.newClient(HollowWorker.sockets()),
+                        transport.newClient(EmulatedWorker.sockets()),
                         handler -> host + transport.serve(host + ANY_PORT, handler),
                         random.split());
         workers.put(name, new Placed(worker, transport));
-        transport.loop().after(bootS, () -> boot(transport, address, worker));
+        transport.loop().after(bootSeconds, () -> boot(transport, address, worker));
         return address;
     }
 
-    private void boot(Transport transport, String address, HollowWorker worker) {
+    private void boot(Transport transport, String address, EmulatedWorker worker) {
         try {
             transport.serve(address, worker);
             worker.start();
--- a/src/main/java/org/springmill/emulator/StateService.java
+++ b/src/main/java/org/springmill/emulator/EmulatedKeyValueStore.java
@@ -10,36 +10,37 @@
 import java.util.Set;
 import java.util.TreeMap;
 import java.util.function.Consumer;
-import org.springmill.protocol.BadMessageException;
 import org.springmill.protocol.Json;
-import org.springmill.protocol.StateMessages.Change;
-import org.springmill.protocol.StateMessages.Condition;
-import org.springmill.protocol.StateMessages.Entry;
-import org.springmill.protocol.StateMessages.Write;
-import org.springmill.protocol.counterpart.StateServiceMessages;
-import org.springmill.protocol.counterpart.StateServiceMessages.Commit;
-import org.springmill.protocol.counterpart.StateServiceMessages.Get;
-import org.springmill.protocol.counterpart.StateServiceMessages.Grant;
-import org.springmill.protocol.counterpart.StateServiceMessages.ListKeys;
-import org.springmill.protocol.counterpart.StateServiceMessages.Renew;
-import org.springmill.protocol.counterpart.StateServiceMessages.Revoke;
-import org.springmill.protocol.counterpart.StateServiceMessages.StateRequest;
-import org.springmill.protocol.counterpart.StateServiceMessages.Watch;
+import org.springmill.protocol.KeyValueStoreMessages.Change;
+import org.springmill.protocol.KeyValueStoreMessages.Condition;
+import org.springmill.protocol.KeyValueStoreMessages.Entry;
+import org.springmill.protocol.KeyValueStoreMessages.Write;
+import org.springmill.protocol.MalformedMessageException;
+import org.springmill.protocol.counterpart.KeyValueStoreServerMessages;
+import org.springmill.protocol.counterpart.KeyValueStoreServerMessages.Commit;
+import org.springmill.protocol.counterpart.KeyValueStoreServerMessages.Get;
+import org.springmill.protocol.counterpart.KeyValueStoreServerMessages.Grant;
+import org.springmill.protocol.counterpart.KeyValueStoreServerMessages.ListKeys;
+import org.springmill.protocol.counterpart.KeyValueStoreServerMessages.Renew;
+import org.springmill.protocol.counterpart.KeyValueStoreServerMessages.Revoke;
+import org.springmill.protocol.counterpart.KeyValueStoreServerMessages.StateRequest;
+import org.springmill.protocol.counterpart.KeyValueStoreServerMessages.Watch;
+import org.springmill.transport.EventLoop;
 import org.springmill.transport.HttpClient.Reply;
-import org.springmill.transport.Loop;
 
 /**
- * A state service by the published protocol: keys with versions, transactions, leases and watches,
- * with its limits of size and its outages. Limits of rate are kept by whoever passes requests on.
+ * A key-value store by the published protocol: keys with versions, transactions, leases and
+ * watches, with its limits of size and its outages. Limits of rate are kept by whoever passes
+ * requests on.
  */
-public final class StateService {
+public final class EmulatedKeyValueStore {
     private static final int MOST_CHANGES_KEPT = 10_000;
     private static final int MAX_COMMIT_BYTES = 64 * 1024;
     private static final int MAX_PAGE_BYTES = 512 * 1024;
     private static final int CONDITIONS_PER_WRITE = 4;
     private static final double EXPIRY_INTERVAL_SECONDS = 0.05;
 
-    private final Loop loop;
+    private final EventLoop loop;
     private int valueBytes;
     private int writesPerCommit;
     private final TreeMap<String, Entry> keys = new TreeMap<>();
@@ -54,16 +55,16 @@
     private boolean down;
 
     private static final class Lease {
-        private final double ttlS;
+        private final double ttlSeconds;
         private double endsAt;
 
-        Lease(double ttlS, double now) {
-            this.ttlS = ttlS;
+        Lease(double ttlSeconds, double now) {
+            this.ttlSeconds = ttlSeconds;
             renew(now);
         }
 
         void renew(double now) {
-            endsAt = now + ttlS;
+            endsAt = now + ttlSeconds;
         }
     }
 
@@ -82,7 +83,7 @@
         }
     }
 
-    public StateService(Loop loop, int valueBytes, int writesPerCommit) {
+    public EmulatedKeyValueStore(EventLoop loop, int valueBytes, int writesPerCommit) {
         this.loop = loop;
         this.valueBytes = valueBytes;
         this.writesPerCommit = writesPerCommit;
@@ -176,9 +177,9 @@
     public void handle(
             String node, String method, String target, byte[] body, Consumer<Reply> done) {
         try {
-            handle(node, StateServiceMessages.request(method, target, body), done);
-        } catch (BadMessageException e) {
-            done.accept(new Reply(400, StateServiceMessages.error(e.getMessage())));
+            handle(node, KeyValueStoreServerMessages.request(method, target, body), done);
+        } catch (MalformedMessageException e) {
+            done.accept(new Reply(400, KeyValueStoreServerMessages.error(e.getMessage())));
         }
     }
 
@@ -186,7 +187,7 @@
     public void handle(String node, StateRequest request, Consumer<Reply> done) {
         expire();
         if (!serves(node)) {
-            done.accept(new Reply(503, StateServiceMessages.error("trouble")));
+            done.accept(new Reply(503, KeyValueStoreServerMessages.error("trouble")));
         } else if (request instanceof Watch watch) {
             watch(node, watch, done);
         } else {
@@ -200,23 +201,23 @@
         } else if (request instanceof Get get) {
             Entry entry = keys.get(get.key());
             return entry == null
-                    ? new Reply(404, StateServiceMessages.revision(revision))
-                    : new Reply(200, StateServiceMessages.entry(entry));
+                    ? new Reply(404, KeyValueStoreServerMessages.revision(revision))
+                    : new Reply(200, KeyValueStoreServerMessages.entry(entry));
         } else if (request instanceof ListKeys list) {
             return list(list);
         } else if (request instanceof Grant grant) {
-            leases.put(nextLease, new Lease(grant.ttlS(), loop.now()));
-            return new Reply(200, StateServiceMessages.granted(nextLease++));
+            leases.put(nextLease, new Lease(grant.ttlSeconds(), loop.now()));
+            return new Reply(200, KeyValueStoreServerMessages.granted(nextLease++));
         } else if (request instanceof Renew renew) {
             Lease lease = leases.get(renew.lease());
             if (lease == null) {
-                return new Reply(404, StateServiceMessages.revision(revision));
+                return new Reply(404, KeyValueStoreServerMessages.revision(revision));
             }
             lease.renew(loop.now());
         } else if (request instanceof Revoke revoke) {
             end(revoke.lease());
         }
-        return new Reply(200, StateServiceMessages.revision(revision));
+        return new Reply(200, KeyValueStoreServerMessages.revision(revision));
     }
 
     private Reply list(ListKeys list) {
@@ -235,20 +236,20 @@
             entries.add(entry);
             bytes += Json.bytes(entry.value()).length + entry.key().length();
         }
-        return new Reply(200, StateServiceMessages.page(entries, more, revision));
+        return new Reply(200, KeyValueStoreServerMessages.page(entries, more, revision));
     }
 
     private Reply commit(Commit commit) {
         String malformed = whyMalformed(commit);
         if (malformed != null) {
-            return new Reply(400, StateServiceMessages.error(malformed));
+            return new Reply(400, KeyValueStoreServerMessages.error(malformed));
         }
         boolean leaseEnded =
                 commit.writes().stream()
                         .anyMatch(
                                 write -> write.lease() != 0 && !leases.containsKey(write.lease()));
         if (leaseEnded) {
-            return new Reply(400, StateServiceMessages.noSuchLease());
+            return new Reply(400, KeyValueStoreServerMessages.noSuchLease());
         }
         List<String> failed =
                 commit.conditions().stream()
@@ -256,14 +257,14 @@
                         .map(Condition::key)
                         .toList();
         if (!failed.isEmpty()) {
-            return new Reply(409, StateServiceMessages.failed(failed, revision));
+            return new Reply(409, KeyValueStoreServerMessages.failed(failed, revision));
         }
         if (!commit.writes().isEmpty()) {
             revision++;
             commit.writes().forEach(this::apply);
             serveWatches();
         }
-        return new Reply(200, StateServiceMessages.revision(revision));
+        return new Reply(200, KeyValueStoreServerMessages.revision(revision));
     }
 
     private String whyMalformed(Commit commit) {
@@ -341,12 +342,12 @@
 
     private void watch(String node, Watch request, Consumer<Reply> done) {
         OpenWatch watch = new OpenWatch(node, request, done);
-        if (serve(watch, request.waitS() == 0)) {
+        if (serve(watch, request.waitSeconds() == 0)) {
             return;
         }
         watches.add(watch);
         loop.after(
-                request.waitS(),
+                request.waitSeconds(),
                 () -> {
                     watch.overdue = true;
                     if (serve(watch, true)) {
@@ -370,7 +371,7 @@
         Watch watch = open.watch;
         if (watch.from() < oldestKept) {
             open.over = true;
-            open.done.accept(new Reply(410, StateServiceMessages.revision(revision)));
+            open.done.accept(new Reply(410, KeyValueStoreServerMessages.revision(revision)));
             return true;
         }
         List<Change> found = changesAfter(watch.from(), watch.prefix());
@@ -378,7 +379,7 @@
             return false;
         }
         open.over = true;
-        open.done.accept(new Reply(200, StateServiceMessages.changes(found, revision)));
+        open.done.accept(new Reply(200, KeyValueStoreServerMessages.changes(found, revision)));
         return true;
     }
 
--- a/src/main/java/org/springmill/emulator/StateServiceFront.java
+++ b/src/main/java/org/springmill/emulator/EmulatedKeyValueStoreServer.java
@@ -4,25 +4,25 @@
 import org.springmill.emulator.Measurements.Latency;
 import org.springmill.emulator.Measurements.Message;
 import org.springmill.emulator.Scenario.StateLimits;
-import org.springmill.protocol.BadMessageException;
-import org.springmill.protocol.counterpart.StateServiceMessages;
-import org.springmill.protocol.counterpart.StateServiceMessages.Commit;
-import org.springmill.protocol.counterpart.StateServiceMessages.Get;
-import org.springmill.protocol.counterpart.StateServiceMessages.ListKeys;
-import org.springmill.protocol.counterpart.StateServiceMessages.StateRequest;
-import org.springmill.protocol.counterpart.StateServiceMessages.Watch;
+import org.springmill.protocol.MalformedMessageException;
+import org.springmill.protocol.counterpart.KeyValueStoreServerMessages;
+import org.springmill.protocol.counterpart.KeyValueStoreServerMessages.Commit;
+import org.springmill.protocol.counterpart.KeyValueStoreServerMessages.Get;
+import org.springmill.protocol.counterpart.KeyValueStoreServerMessages.ListKeys;
+import org.springmill.protocol.counterpart.KeyValueStoreServerMessages.StateRequest;
+import org.springmill.protocol.counterpart.KeyValueStoreServerMessages.Watch;
+import org.springmill.transport.EventLoop;
 import org.springmill.transport.HttpClient.Reply;
 import org.springmill.transport.HttpHandler;
-import org.springmill.transport.Loop;
 
-/** Serves the emulated state service over HTTP, with its latency and its limits of rate. */
-final class StateServiceFront implements HttpHandler {
+/** Serves the emulated key-value store over HTTP, with its latency and its limits of rate. */
+final class EmulatedKeyValueStoreServer implements HttpHandler {
     private static final String ANYBODY = "";
 
-    private final Loop loop;
-    private final StateService service;
+    private final EventLoop loop;
+    private final EmulatedKeyValueStore service;
     private final Measurements measurements;
-    private final double latencyS;
+    private final double latencySeconds;
     private final Bucket requests;
     private final Bucket writes;
     private long served;
@@ -52,23 +52,26 @@
         }
     }
 
-    StateServiceFront(
-            Loop loop, StateService service, StateLimits limits, Measurements measurements) {
+    EmulatedKeyValueStoreServer(
+            EventLoop loop,
+            EmulatedKeyValueStore service,
+            StateLimits limits,
+            Measurements measurements) {
         this.loop = loop;
         this.service = service;
         this.measurements = measurements;
-        latencyS = limits.latencyS();
-        requests = new Bucket(limits.requestsPerS(), loop.now());
-        writes = new Bucket(limits.writesPerS(), loop.now());
+        latencySeconds = limits.latencySeconds();
+        requests = new Bucket(limits.requestsPerSecond(), loop.now());
+        writes = new Bucket(limits.writesPerSecond(), loop.now());
     }
 
     @Override
     public void handle(Call call) {
         String target = call.query().isEmpty() ? call.path() : call.path() + "?" + call.query();
         try {
-            handle(call, StateServiceMessages.request(call.method(), target, call.body()));
-        } catch (BadMessageException e) {
-            call.reply(400, StateServiceMessages.error(e.getMessage()), 0);
+            handle(call, KeyValueStoreServerMessages.request(call.method(), target, call.body()));
+        } catch (MalformedMessageException e) {
+            call.reply(400, KeyValueStoreServerMessages.error(e.getMessage()), 0);
         }
     }
 
@@ -80,10 +83,10 @@
         Consumer<Reply> done = reply -> answer(call, request, reply, since);
         boolean allowed = requests.take(1, since) && writes.take(writesHere, since);
         if (allowed || service.down()) {
-            loop.after(latencyS, () -> service.handle(ANYBODY, request, done));
+            loop.after(latencySeconds, () -> service.handle(ANYBODY, request, done));
         } else {
             refusedForRate++;
-            done.accept(new Reply(429, StateServiceMessages.error("too many requests")));
+            done.accept(new Reply(429, KeyValueStoreServerMessages.error("too many requests")));
         }
     }
 
--- a/src/main/java/org/springmill/emulator/HollowUsers.java
+++ b/src/main/java/org/springmill/emulator/EmulatedUsers.java
@@ -10,22 +10,22 @@
 import org.springmill.emulator.Measurements.Latency;
 import org.springmill.emulator.Measurements.Message;
 import org.springmill.emulator.Scenario.JobClass;
-import org.springmill.protocol.BadMessageException;
 import org.springmill.protocol.Json;
+import org.springmill.protocol.MalformedMessageException;
 import org.springmill.protocol.Submission;
 import org.springmill.protocol.UserMessages;
-import org.springmill.protocol.UserMessages.Phase;
+import org.springmill.protocol.UserMessages.JobPhase;
 import org.springmill.protocol.counterpart.UserSideMessages;
+import org.springmill.transport.EventLoop;
 import org.springmill.transport.HttpClient;
 import org.springmill.transport.HttpClient.Reply;
 import org.springmill.transport.HttpClient.Request;
-import org.springmill.transport.Loop;
 
 /**
  * Users by the published protocol: submit jobs, ask about each until it is over, cancel services.
  * They reach the controllers that answer the balancer's probes.
  */
-final class HollowUsers {
+final class EmulatedUsers {
     private static final double SUBMIT_TIMEOUT_SECONDS = 5;
     private static final double POLL_TIMEOUT_SECONDS = 2;
     private static final double RETRY_SECONDS = 1;
@@ -33,7 +33,7 @@
     private static final double GIVE_UP_SECONDS = 60;
     private static final byte[] EMPTY = new byte[0];
 
-    private final Loop loop;
+    private final EventLoop loop;
     private final List<HttpClient> clients;
     private final List<String> controllers;
     private final Scenario scenario;
@@ -53,14 +53,14 @@
     /** A job from its submission to its end, as its user sees it. */
     private final class Order {
         private final Submission spec;
-        private final double lifeS;
+        private final double lifeSeconds;
         private final double since = loop.now();
         private boolean accepted;
         private boolean cancelled;
 
-        Order(Submission spec, double lifeS) {
+        Order(Submission spec, double lifeSeconds) {
             this.spec = spec;
-            this.lifeS = lifeS;
+            this.lifeSeconds = lifeSeconds;
         }
 
         /** Calls the job off, once it is accepted. */
@@ -89,18 +89,18 @@
                     Message.SUBMISSION, Json.bytes(spec.toJson()).length, reply.body().length);
             if (reply.status() != 200 && reply.status() != 201) {
                 countRefusal(reply);
-                loop.after(Math.max(RETRY_SECONDS, reply.retryAfterS()), this::submit);
+                loop.after(Math.max(RETRY_SECONDS, reply.retryAfterSeconds()), this::submit);
                 return;
             }
             accepted = true;
             acceptedCount++;
             acceptedAt.put(spec.id(), loop.now());
             measurements.latency(Latency.ACCEPTANCE, loop.now() - since);
-            loop.after(scenario.users().pollS() * random.nextDouble(), this::poll);
+            loop.after(scenario.users().pollSeconds() * random.nextDouble(), this::poll);
             if (cancelled) {
                 withdraw();
             } else if (spec.service()) {
-                loop.after(vary(lifeS), this::withdraw);
+                loop.after(vary(lifeSeconds), this::withdraw);
             }
         }
 
@@ -129,17 +129,17 @@
                 measurements.latency(Latency.QUESTION, loop.now() - askedAt);
                 told(reply.body(), askedAt);
             }
-            loop.after(scenario.users().pollS(), this::poll);
+            loop.after(scenario.users().pollSeconds(), this::poll);
         }
 
         private void told(byte[] body, double askedAt) {
             try {
-                Phase phase = UserSideMessages.phase(body);
+                JobPhase phase = UserSideMessages.phase(body);
                 rules.told(spec.id(), phase, askedAt);
                 if (phase.terminal()) {
                     acceptedAt.remove(spec.id());
                 }
-            } catch (BadMessageException e) {
+            } catch (MalformedMessageException e) {
                 rules.forgotten(spec.id());
             }
         }
@@ -164,8 +164,8 @@
         }
     }
 
-    HollowUsers(
-            Loop loop,
+    EmulatedUsers(
+            EventLoop loop,
             List<HttpClient> clients,
             List<String> controllers,
             Scenario scenario,
@@ -212,7 +212,7 @@
     void start() {
         for (JobClass jobClass : scenario.jobs()) {
             for (int i = 0; i < jobClass.initial(); i++) {
-                loop.after(random.nextDouble() * jobClass.rampS(), () -> submit(jobClass));
+                loop.after(random.nextDouble() * jobClass.rampSeconds(), () -> submit(jobClass));
             }
             if (jobClass.perMinute() > 0) {
                 submitOnAndOn(jobClass, loop.now() + interval(jobClass));
@@ -248,9 +248,9 @@
 
     private void submit(JobClass jobClass) {
         Submission spec = describe(jobClass);
-        double runS = spec.service() ? Double.POSITIVE_INFINITY : vary(jobClass.runS());
-        jobs.upload(new EmulatedJob(spec, runS));
-        new Order(spec, jobClass.lifeS()).submit();
+        double runSeconds = spec.service() ? Double.POSITIVE_INFINITY : vary(jobClass.runSeconds());
+        jobs.upload(new EmulatedJob(spec, runSeconds));
+        new Order(spec, jobClass.lifeSeconds()).submit();
     }
 
     /** The id of a further job. */
@@ -298,9 +298,9 @@
                 false,
                 false,
                 false,
-                jobClass.runS(),
-                jobClass.checkpointS(),
-                jobClass.saveS(),
+                jobClass.runSeconds(),
+                jobClass.checkpointSeconds(),
+                jobClass.saveSeconds(),
                 null,
                 List.of());
     }
--- a/src/main/java/org/springmill/emulator/HollowWorker.java
+++ b/src/main/java/org/springmill/emulator/EmulatedWorker.java
@@ -14,32 +14,32 @@
 import org.springmill.emulator.Measurements.Latency;
 import org.springmill.emulator.Measurements.Message;
 import org.springmill.emulator.Scenario.MachineGroup;
-import org.springmill.protocol.BadMessageException;
+import org.springmill.protocol.MalformedMessageException;
 import org.springmill.protocol.Submission;
 import org.springmill.protocol.TaskId;
 import org.springmill.protocol.WorkerMessages;
-import org.springmill.protocol.WorkerMessages.Cause;
 import org.springmill.protocol.WorkerMessages.Command;
+import org.springmill.protocol.WorkerMessages.ExitCause;
 import org.springmill.protocol.WorkerMessages.Forget;
-import org.springmill.protocol.WorkerMessages.Report;
+import org.springmill.protocol.WorkerMessages.Heartbeat;
 import org.springmill.protocol.WorkerMessages.Start;
 import org.springmill.protocol.WorkerMessages.Stop;
-import org.springmill.protocol.WorkerMessages.TaskReport;
 import org.springmill.protocol.WorkerMessages.TaskState;
+import org.springmill.protocol.WorkerMessages.TaskStatus;
 import org.springmill.protocol.counterpart.WorkerSideMessages;
 import org.springmill.protocol.counterpart.WorkerSideMessages.Orders;
+import org.springmill.transport.EventLoop;
 import org.springmill.transport.HttpClient;
 import org.springmill.transport.HttpClient.Reply;
 import org.springmill.transport.HttpClient.Request;
 import org.springmill.transport.HttpHandler;
-import org.springmill.transport.Loop;
 
 /**
  * A worker by the published protocol, whose tasks take time and nothing else: reports, obeys
  * tokens, keeps its lease, fetches images, and starts, ends and loses tasks.
  */
-final class HollowWorker implements HttpHandler {
-    private static final Logger LOG = LoggerFactory.getLogger(HollowWorker.class);
+final class EmulatedWorker implements HttpHandler {
+    private static final Logger LOG = LoggerFactory.getLogger(EmulatedWorker.class);
     private static final double REPORT_TIMEOUT_SECONDS = 4;
     private static final double NEXT_CONTROLLER_SECONDS = 1;
     private static final double MIN_REPORT_INTERVAL_SECONDS = 0.5;
@@ -52,7 +52,7 @@
     private final String zone;
     private final MachineGroup type;
     private final Environment environment;
-    private final Loop loop;
+    private final EventLoop loop;
     private final HttpClient client;
     private final Ports ports;
     private final SplittableRandom random;
@@ -106,7 +106,7 @@
         private final Submission spec;
         private final double commandedAt;
         private TaskState state = TaskState.FETCHING;
-        private Cause cause = Cause.NONE;
+        private ExitCause cause = ExitCause.NONE;
         private double runningSince;
 
         /** Answers requests if the task is a replica of a model; null otherwise. */
@@ -133,13 +133,13 @@
         String listen(HttpHandler handler) throws IOException;
     }
 
-    HollowWorker(
+    EmulatedWorker(
             String name,
             String address,
             String zone,
             MachineGroup type,
             Environment environment,
-            Loop loop,
+            EventLoop loop,
             HttpClient client,
             Ports ports,
             SplittableRandom random) {
@@ -170,7 +170,8 @@
     /** The machine is up from now on. */
     void start() {
         renewedAt = loop.now();
-        loop.after(random.nextDouble() * environment.scenario().workers().reportS(), this::tick);
+        loop.after(
+                random.nextDouble() * environment.scenario().workers().reportSeconds(), this::tick);
     }
 
     /** The machine falls silent with all that runs on it, or comes back with nothing. */
@@ -206,23 +207,23 @@
             report();
         }
         double jitter = 1 + REPORT_JITTER * (2 * random.nextDouble() - 1);
-        loop.after(environment.scenario().workers().reportS() * jitter, this::tick);
+        loop.after(environment.scenario().workers().reportSeconds() * jitter, this::tick);
     }
 
     private void checkLease() {
-        if (loop.now() - renewedAt > environment.scenario().workers().leaseS()) {
+        if (loop.now() - renewedAt > environment.scenario().workers().leaseSeconds()) {
             clear();
             session++;
             renewedAt = loop.now();
         }
     }
 
-    private Report describe() {
-        List<TaskReport> listed = new ArrayList<>(tasks.size());
+    private Heartbeat describe() {
+        List<TaskStatus> listed = new ArrayList<>(tasks.size());
         for (Task task : tasks.values()) {
-            listed.add(new TaskReport(task.key.task(), task.key.attempt(), task.state, task.cause));
+            listed.add(new TaskStatus(task.key.task(), task.key.attempt(), task.state, task.cause));
         }
-        return new Report(
+        return new Heartbeat(
                 name, address, type.type(), zone, false, session, ++sequence, token, null, listed);
     }
 
@@ -254,7 +255,8 @@
         byte[] body = WorkerSideMessages.report(describe());
         String to = environment.controllerAddresses().get(controller);
         Request request =
-                new Request(to, "POST", WorkerMessages.REPORT, body, REPORT_TIMEOUT_SECONDS);
+                new Request(
+                        to, "POST", WorkerMessages.HEARTBEAT_PATH, body, REPORT_TIMEOUT_SECONDS);
         client.send(request, reply -> answered(reply, sentAt, sentSession, body.length));
     }
 
@@ -295,13 +297,13 @@
     private static Orders parse(byte[] body) {
         try {
             return WorkerSideMessages.orders(body);
-        } catch (BadMessageException e) {
+        } catch (MalformedMessageException e) {
             return null;
         }
     }
 
     private void raise(long shown) {
-        double half = environment.scenario().workers().leaseS() / 2;
+        double half = environment.scenario().workers().leaseSeconds() / 2;
         if (shown > token) {
             token = shown;
             if (loop.now() - tokenReportedAt > half) {
@@ -316,7 +318,7 @@
         try {
             String node = WorkerSideMessages.redirect(body);
             leader = node == null ? null : environment.controllerNumbers().get(node);
-        } catch (BadMessageException e) {
+        } catch (MalformedMessageException e) {
             // Taken as an answer that names nobody.
         }
         if (leader == null || leader == controller) {
@@ -340,7 +342,7 @@
             return;
         }
         checkLease();
-        if (!call.path().equals(WorkerMessages.ORDERS)) {
+        if (!call.path().equals(WorkerMessages.COMMANDS_PATH)) {
             call.reply(200, WorkerSideMessages.report(describe()), 0);
             return;
         }
@@ -379,7 +381,7 @@
             }
         } else if (command instanceof Stop stop) {
             if (task != null) {
-                stop(task, stop.graceS());
+                stop(task, stop.graceSeconds());
             }
         } else if (command instanceof Forget && task != null && !task.holdsResources()) {
             tasks.remove(key);
@@ -390,21 +392,21 @@
         EmulatedJob job = environment.jobs().find(key.task().job());
         environment.observer().commanded(key.task());
         Task task = new Task(key, job == null ? null : job.spec(), loop.now());
-        Cause refusal = refusal(task);
+        ExitCause refusal = refusal(task);
         tasks.put(key, task);
-        if (refusal != Cause.NONE) {
+        if (refusal != ExitCause.NONE) {
             end(task, refusal);
             return;
         }
         boolean cached = images.contains(job.spec().image());
-        double fetchS = cached ? 0 : job.spec().imageGb() / type.fetchGbPerS();
-        loop.after(fetchS, () -> run(task, job));
+        double fetchSeconds = cached ? 0 : job.spec().imageGb() / type.fetchGbPerSecond();
+        loop.after(fetchSeconds, () -> run(task, job));
         reportChange();
     }
 
-    private Cause refusal(Task task) {
+    private ExitCause refusal(Task task) {
         if (task.spec == null) {
-            return Cause.UNKNOWN_JOB;
+            return ExitCause.UNKNOWN_JOB;
         }
         double cpus = type.cpus() - task.spec.cpus();
         double gpus = type.gpus() - task.spec.gpus();
@@ -412,14 +414,16 @@
         for (Task other : tasks.values()) {
             if (other.holdsResources()) {
                 if (other.key.task().equals(task.key.task())) {
-                    return Cause.BUSY;
+                    return ExitCause.BUSY;
                 }
                 cpus -= other.spec.cpus();
                 gpus -= other.spec.gpus();
                 memory -= other.spec.memoryGb();
             }
         }
-        return Math.min(cpus, Math.min(gpus, memory)) < -TOLERANCE ? Cause.NO_ROOM : Cause.NONE;
+        return Math.min(cpus, Math.min(gpus, memory)) < -TOLERANCE
+                ? ExitCause.NO_ROOM
+                : ExitCause.NONE;
     }
 
     private boolean holds(Task task) {
@@ -451,11 +455,11 @@
 
     private void finish(Task task) {
         if (holds(task) && task.state == TaskState.RUNNING) {
-            end(task, Cause.DONE);
+            end(task, ExitCause.DONE);
         }
     }
 
-    private void stop(Task task, double graceS) {
+    private void stop(Task task, double graceSeconds) {
         if (!task.holdsResources()) {
             return;
         }
@@ -465,23 +469,23 @@
         boolean saves =
                 task.state == TaskState.RUNNING
                         && task.spec.checkpoints()
-                        && graceS >= task.spec.saveS();
+                        && graceSeconds >= task.spec.checkpointSaveSeconds();
         if (saves) {
             task.state = TaskState.SAVING;
             double stoppedAt = loop.now();
-            loop.after(task.spec.saveS(), () -> saved(task, stoppedAt));
-        } else if (holds(task) && !(task.state == TaskState.SAVING && graceS > 0)) {
+            loop.after(task.spec.checkpointSaveSeconds(), () -> saved(task, stoppedAt));
+        } else if (holds(task) && !(task.state == TaskState.SAVING && graceSeconds > 0)) {
             if (task.onMachine()) {
                 noteKilled(task);
             }
-            end(task, Cause.STOPPED);
+            end(task, ExitCause.STOPPED);
         }
     }
 
     private void saved(Task task, double stoppedAt) {
         if (holds(task) && task.state == TaskState.SAVING) {
             environment.jobs().progress().saved(task.key.task(), stoppedAt - task.runningSince);
-            end(task, Cause.STOPPED);
+            end(task, ExitCause.STOPPED);
         }
     }
 
@@ -498,12 +502,12 @@
         }
     }
 
-    private void end(Task task, Cause cause) {
+    private void end(Task task, ExitCause cause) {
         boolean wasOnMachine = task.onMachine();
         task.state = TaskState.EXITED;
         task.cause = cause;
         if (wasOnMachine) {
-            environment.observer().ended(task.key.task(), name, cause == Cause.DONE);
+            environment.observer().ended(task.key.task(), name, cause == ExitCause.DONE);
         }
         reportChange();
     }
--- a/src/main/java/org/springmill/emulator/Emulation.java
+++ b/src/main/java/org/springmill/emulator/Emulation.java
@@ -12,22 +12,22 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.function.Consumer;
 import org.springmill.emulator.ControllerSettings.Node;
+import org.springmill.emulator.EmulatedWorker.Environment;
 import org.springmill.emulator.EmulationResult.Point;
 import org.springmill.emulator.EmulationResult.Size;
 import org.springmill.emulator.EmulationResult.StateUse;
 import org.springmill.emulator.EmulationResult.Work;
-import org.springmill.emulator.HollowWorker.Environment;
 import org.springmill.emulator.Measurements.Latency;
 import org.springmill.emulator.Measurements.Message;
 import org.springmill.emulator.Measurements.Rates;
 import org.springmill.protocol.TaskId;
+import org.springmill.transport.EventLoop;
 import org.springmill.transport.HttpClient;
-import org.springmill.transport.Loop;
 import org.springmill.transport.Transport;
 
 /**
- * One run of a scenario at wall-clock speed. Cloud, state service, users and the check of the rules
- * share one event loop; workers have others.
+ * One run of a scenario at wall-clock speed. Cloud, key-value store, users and the check of the
+ * rules share one event loop; workers have others.
  */
 public final class Emulation implements AutoCloseable {
     private static final int MAX_SOCKETS = 20_000;
@@ -51,15 +51,15 @@
     private final String host;
     private final Consumer<String> progress;
     private final Transport transport;
-    private final Loop loop;
+    private final EventLoop loop;
     private final Measurements measurements = new Measurements();
     private final JobRegistry jobs = new JobRegistry();
     private final RuleChecker rules;
-    private final StateService state;
-    private final StateServiceFront stateFront;
-    private final HollowFleet fleet;
-    private final HollowCloud cloud;
-    private final HollowUsers users;
+    private final EmulatedKeyValueStore state;
+    private final EmulatedKeyValueStoreServer stateFront;
+    private final EmulatedFleet fleet;
+    private final EmulatedCloud cloud;
+    private final EmulatedUsers users;
     private final ControllerGroup controllers;
     private final FaultInjector faults;
 
@@ -95,23 +95,23 @@
         loop = transport.loop();
         rules = new RuleChecker(loop, scenario, jobs);
         int valueBytes = (int) (scenario.state().valueKb() * 1024);
-        state = new StateService(loop, valueBytes, scenario.state().writesPerCommit());
-        stateFront = new StateServiceFront(loop, state, scenario.state(), measurements);
+        state = new EmulatedKeyValueStore(loop, valueBytes, scenario.state().writesPerCommit());
+        stateFront = new EmulatedKeyValueStoreServer(loop, state, scenario.state(), measurements);
         List<Node> nodes = nodes();
         List<String> addresses = nodes.stream().map(Node::api).toList();
         fleet =
-                new HollowFleet(
+                new EmulatedFleet(
                         environment(nodes, addresses),
                         random.split(),
                         network + 1,
                         result::completeExceptionally);
-        cloud = new HollowCloud(loop, scenario, fleet);
+        cloud = new EmulatedCloud(loop, scenario, fleet);
         List<HttpClient> clients = new ArrayList<>();
         for (int i = 0; i < scenario.users().clients(); i++) {
             clients.add(transport.newClient(USER_SOCKETS));
         }
         users =
-                new HollowUsers(
+                new EmulatedUsers(
                         loop,
                         clients,
                         addresses,
@@ -174,7 +174,7 @@
     }
 
     /** Passes on what happens on workers to the loop that checks the rules. */
-    private final class ObserverOnLoop implements HollowWorker.Observer {
+    private final class ObserverOnLoop implements EmulatedWorker.Observer {
         @Override
         public void commanded(TaskId task) {
             loop.after(
@@ -267,8 +267,8 @@
         users.start();
         serving.ifPresent(ServingEmulation::start);
         faults.start();
-        loop.after(scenario.warmUpS(), this::startMeasuring);
-        loop.after(scenario.durationS(), this::finish);
+        loop.after(scenario.warmUpSeconds(), this::startMeasuring);
+        loop.after(scenario.durationSeconds(), this::finish);
         tick();
     }
 
@@ -342,7 +342,7 @@
                         measurements.refusals(),
                         controllers.use(seconds),
                         (emulatorSeconds() - emulatorSecondsBefore) / seconds,
-                        workerBytesPerS(rates),
+                        workerBytesPerSecond(rates),
                         new StateUse(
                                 (stateFront.served() - servedBefore) / seconds,
                                 (stateFront.written() - writtenBefore) / seconds,
@@ -369,7 +369,7 @@
                 users.gaveUp());
     }
 
-    private double workerBytesPerS(Map<String, Rates> rates) {
+    private double workerBytesPerSecond(Map<String, Rates> rates) {
         double bytes = 0;
         for (Message kind : List.of(Message.REPORT, Message.COMMANDS)) {
             Rates rate = rates.get(kind.name().toLowerCase(java.util.Locale.ROOT));
--- a/src/main/java/org/springmill/emulator/EmulationResult.java
+++ b/src/main/java/org/springmill/emulator/EmulationResult.java
@@ -56,7 +56,7 @@
             int unexpectedEnds,
             double secondsUntilReady) {}
 
-    /** What the state service was asked for. */
+    /** What the key-value store was asked for. */
     public record StateUse(
             double requestsPerS,
             double writesPerS,
--- a/src/main/java/org/springmill/emulator/FaultInjector.java
+++ b/src/main/java/org/springmill/emulator/FaultInjector.java
@@ -9,7 +9,7 @@
 import org.slf4j.LoggerFactory;
 import org.springmill.emulator.EmulationResult.FaultRecord;
 import org.springmill.emulator.Scenario.Fault;
-import org.springmill.transport.Loop;
+import org.springmill.transport.EventLoop;
 
 /** Brings about the failures of a scenario, and follows what comes of each. */
 final class FaultInjector {
@@ -18,10 +18,10 @@
     /** Of the tasks that ran before, so many have to run again for a failure to be over. */
     private static final double RECOVERED_SHARE = 0.98;
 
-    private final Loop loop;
+    private final EventLoop loop;
     private final Scenario scenario;
-    private final HollowFleet fleet;
-    private final StateService state;
+    private final EmulatedFleet fleet;
+    private final EmulatedKeyValueStore state;
     private final ControllerGroup controllers;
     private final RuleChecker rules;
     private final List<Followed> followed = new ArrayList<>();
@@ -32,7 +32,7 @@
         private final double since;
         private final int runningBefore;
         private int lowestRunning;
-        private double recoveredS = -1;
+        private double recoveredSeconds = -1;
 
         Followed(Fault fault, double since, int runningBefore) {
             this.fault = fault;
@@ -43,10 +43,10 @@
     }
 
     FaultInjector(
-            Loop loop,
+            EventLoop loop,
             Scenario scenario,
-            HollowFleet fleet,
-            StateService state,
+            EmulatedFleet fleet,
+            EmulatedKeyValueStore state,
             ControllerGroup controllers,
             RuleChecker rules) {
         this.loop = loop;
@@ -59,7 +59,7 @@
 
     /** Failures happen at their times from now on. */
     void start() {
-        scenario.faults().forEach(fault -> loop.after(fault.atS(), () -> begin(fault)));
+        scenario.faults().forEach(fault -> loop.after(fault.atSeconds(), () -> begin(fault)));
     }
 
     private void begin(Fault fault) {
@@ -97,8 +97,8 @@
     }
 
     private void endAfter(Fault fault, Runnable end) {
-        if (fault.forS() > 0) {
-            loop.after(fault.forS(), end);
+        if (fault.forSeconds() > 0) {
+            loop.after(fault.forSeconds(), end);
         }
     }
 
@@ -106,11 +106,11 @@
     void follow() {
         int running = rules.running();
         for (Followed one : followed) {
-            if (one.recoveredS < 0) {
+            if (one.recoveredSeconds < 0) {
                 one.lowestRunning = Math.min(one.lowestRunning, running);
                 boolean fell = one.lowestRunning < RECOVERED_SHARE * one.runningBefore;
                 if (fell && running >= RECOVERED_SHARE * one.runningBefore) {
-                    one.recoveredS = loop.now() - one.since;
+                    one.recoveredSeconds = loop.now() - one.since;
                 }
             }
         }
@@ -125,10 +125,10 @@
                     new FaultRecord(
                             one.fault.name(),
                             one.fault.kind().name().toLowerCase(Locale.ROOT),
-                            one.fault.atS(),
+                            one.fault.atSeconds(),
                             one.runningBefore,
                             one.lowestRunning,
-                            fell ? one.recoveredS : 0));
+                            fell ? one.recoveredSeconds : 0));
         }
         return records;
     }
--- a/src/main/java/org/springmill/emulator/JobRegistry.java
+++ b/src/main/java/org/springmill/emulator/JobRegistry.java
@@ -15,9 +15,9 @@
     /**
      * A job with what only its user knows.
      *
-     * @param runS of each task; infinite for a service
+     * @param runSeconds of each task; infinite for a service
      */
-    record EmulatedJob(Submission spec, double runS) {}
+    record EmulatedJob(Submission spec, double runSeconds) {}
 
     void upload(EmulatedJob job) {
         jobs.put(job.spec().id(), job);
@@ -31,7 +31,7 @@
     /** A task starts to run: returns how long it still has to. */
     double secondsLeft(TaskId task, EmulatedJob job) {
         boolean ranBefore = !started.add(task);
-        return Math.max(0, job.runS() - progress.resume(task, ranBefore));
+        return Math.max(0, job.runSeconds() - progress.resume(task, ranBefore));
     }
 
     /** Null if no such job was uploaded. */
--- a/src/main/java/org/springmill/emulator/LoanCounters.java
+++ b/src/main/java/org/springmill/emulator/LoanCounters.java
@@ -5,9 +5,9 @@
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
+import org.springmill.transport.EventLoop;
 import org.springmill.transport.HttpClient;
 import org.springmill.transport.HttpClient.Request;
-import org.springmill.transport.Loop;
 
 /** Adds up what the controllers count of recalls, over processes that are killed and restarted. */
 final class LoanCounters {
@@ -25,13 +25,13 @@
                     "tasks_recalled_total",
                     "held_gpu_seconds_total");
 
-    private final Loop loop;
+    private final EventLoop loop;
     private final HttpClient client;
     private final List<String> controllers;
     private final Map<String, Double> lastRead = new HashMap<>();
     private final Map<String, Double> sums = new TreeMap<>();
 
-    LoanCounters(Loop loop, HttpClient client, List<String> controllers) {
+    LoanCounters(EventLoop loop, HttpClient client, List<String> controllers) {
         this.loop = loop;
         this.client = client;
         this.controllers = controllers;
--- a/src/main/java/org/springmill/emulator/LoanSampler.java
+++ b/src/main/java/org/springmill/emulator/LoanSampler.java
@@ -8,7 +8,7 @@
 import org.springmill.emulator.JobRegistry.EmulatedJob;
 import org.springmill.protocol.Submission;
 import org.springmill.protocol.TaskId;
-import org.springmill.transport.Loop;
+import org.springmill.transport.EventLoop;
 
 /**
  * Looks every 50 ms at what the teams have on machines: whether one was pushed below its
@@ -19,7 +19,7 @@
     private static final double INTERVAL_SECONDS = 0.05;
     private static final double TOLERANCE = 1e-6;
 
-    private final Loop loop;
+    private final EventLoop loop;
     private final Scenario scenario;
     private final JobRegistry jobs;
     private final Map<TaskId, Submission> onMachines = new HashMap<>();
@@ -37,7 +37,7 @@
     private double batchTaskSeconds;
     private boolean counting;
 
-    LoanSampler(Loop loop, Scenario scenario, JobRegistry jobs) {
+    LoanSampler(EventLoop loop, Scenario scenario, JobRegistry jobs) {
         this.loop = loop;
         this.scenario = scenario;
         this.jobs = jobs;
@@ -106,7 +106,7 @@
                     }
                 });
         for (int team = 0; team < scenario.teams().number(); team++) {
-            lookAt(HollowUsers.teamName(team), staying, used);
+            lookAt(EmulatedUsers.teamName(team), staying, used);
         }
         batchTaskSeconds += INTERVAL_SECONDS * batchTasks();
         samples += counting ? 1 : 0;
--- a/src/main/java/org/springmill/emulator/Measurements.java
+++ b/src/main/java/org/springmill/emulator/Measurements.java
@@ -36,7 +36,7 @@
         SERVING,
         /** A request to a model that was answered. */
         REQUEST,
-        /** A transaction at the state service, as its user sees it without the network. */
+        /** A transaction at the key-value store, as its user sees it without the network. */
         COMMIT
     }
 
--- a/src/main/java/org/springmill/emulator/ModelServer.java
+++ b/src/main/java/org/springmill/emulator/ModelServer.java
@@ -1,7 +1,7 @@
 package org.springmill.emulator;
 
+import org.springmill.transport.EventLoop;
 import org.springmill.transport.HttpHandler;
-import org.springmill.transport.Loop;
 
 /**
  * A stand-in for the model server of one replica: loads for some time, then answers requests one
@@ -12,18 +12,18 @@
     private static final int UNAVAILABLE = 503;
     private static final byte[] EMPTY = new byte[0];
 
-    private final Loop loop;
+    private final EventLoop loop;
     private final double secondsPerRequest;
     private final double longestQueueSeconds;
     private double loadedAt;
     private double busyUntil;
     private boolean stopped;
 
-    ModelServer(Loop loop, Scenario.Serving serving) {
+    ModelServer(EventLoop loop, Scenario.Serving serving) {
         this.loop = loop;
-        secondsPerRequest = 1 / serving.requestsPerS();
+        secondsPerRequest = 1 / serving.requestsPerSecond();
         longestQueueSeconds = serving.queue() * secondsPerRequest;
-        loadedAt = loop.now() + serving.loadS();
+        loadedAt = loop.now() + serving.loadSeconds();
     }
 
     /** Nothing is answered any more. */
--- a/src/main/java/org/springmill/emulator/RuleChecker.java
+++ b/src/main/java/org/springmill/emulator/RuleChecker.java
@@ -9,8 +9,8 @@
 import org.springmill.emulator.JobRegistry.EmulatedJob;
 import org.springmill.protocol.Submission;
 import org.springmill.protocol.TaskId;
-import org.springmill.protocol.UserMessages.Phase;
-import org.springmill.transport.Loop;
+import org.springmill.protocol.UserMessages.JobPhase;
+import org.springmill.transport.EventLoop;
 
 /**
  * Watches from outside that the protocol's rules hold: by what is on machines and by what users are
@@ -21,14 +21,14 @@
     private static final double TOLERANCE = 1e-6;
     private static final double CHECK_SECONDS = 1;
 
-    private final Loop loop;
+    private final EventLoop loop;
     private final Scenario scenario;
     private final JobRegistry jobs;
     private final Map<TaskId, String> machineByTask = new HashMap<>();
     private final Map<String, Set<TaskId>> tasksByMachine = new HashMap<>();
     private final Map<String, double[]> usage = new HashMap<>();
     private final Map<String, Double> cancelledAt = new HashMap<>();
-    private final Map<String, Phase> finalPhases = new HashMap<>();
+    private final Map<String, JobPhase> finalPhases = new HashMap<>();
     private final Map<String, Double> finalSince = new HashMap<>();
     private final Map<String, Integer> doneTasks = new HashMap<>();
     private final List<String> violations = new ArrayList<>();
@@ -37,7 +37,7 @@
     private long ends;
     private long lost;
 
-    RuleChecker(Loop loop, Scenario scenario, JobRegistry jobs) {
+    RuleChecker(EventLoop loop, Scenario scenario, JobRegistry jobs) {
         this.loop = loop;
         this.scenario = scenario;
         this.jobs = jobs;
@@ -62,7 +62,7 @@
             return;
         }
         charge(job.spec(), 1);
-        if (finalPhases.get(task.job()) == Phase.DONE) {
+        if (finalPhases.get(task.job()) == JobPhase.DONE) {
             violated("went_back", task + " starts although its job was called done");
         }
     }
@@ -118,8 +118,8 @@
      *
      * @param askedAt when the question was sent
      */
-    void told(String job, Phase phase, double askedAt) {
-        Phase before = finalPhases.get(job);
+    void told(String job, JobPhase phase, double askedAt) {
+        JobPhase before = finalPhases.get(job);
         boolean askedLater = before != null && askedAt >= finalSince.get(job);
         boolean differs = before != null && before != phase;
         if (differs && (phase.terminal() || askedLater)) {
@@ -128,7 +128,7 @@
         if (before == null && phase.terminal()) {
             finalPhases.put(job, phase);
             finalSince.put(job, loop.now());
-            if (phase == Phase.CANCELLED) {
+            if (phase == JobPhase.CANCELLED) {
                 cancelledAt.put(job, loop.now());
             } else {
                 checkDone(job);
@@ -149,7 +149,7 @@
     }
 
     private void checkCancelled() {
-        double latest = loop.now() - scenario.workers().cancelS();
+        double latest = loop.now() - scenario.workers().cancelSeconds();
         machineByTask.forEach(
                 (task, machine) -> {
                     if (cancelledAt.getOrDefault(task.job(), Double.MAX_VALUE) < latest) {
--- a/src/main/java/org/springmill/emulator/Scenario.java
+++ b/src/main/java/org/springmill/emulator/Scenario.java
@@ -2,21 +2,21 @@
 
 import java.util.List;
 import java.util.Optional;
+import org.springmill.protocol.JobKind;
 import org.springmill.protocol.Priority;
-import org.springmill.protocol.Shape;
 
 /**
  * What is emulated, for how long, and what fails. Durations are in seconds.
  *
  * @param seed of everything that is random
- * @param durationS how long the emulation runs once the controllers are ready
- * @param warmUpS time at the start that no latency, rate or share is counted for
+ * @param durationSeconds how long the emulation runs once the controllers are ready
+ * @param warmUpSeconds time at the start that no latency, rate or share is counted for
  */
 public record Scenario(
         String name,
         long seed,
-        double durationS,
-        double warmUpS,
+        double durationSeconds,
+        double warmUpSeconds,
         Controllers controllers,
         int regions,
         int zones,
@@ -34,7 +34,7 @@
      * The controllers.
      *
      * @param run program and arguments, to which the path of the settings is added
-     * @param restartS after which one that has ended is started again
+     * @param restartSeconds after which one that has ended is started again
      */
     public record Controllers(
             int number,
@@ -42,7 +42,7 @@
             double cpuShare,
             double memoryMb,
             int maxSockets,
-            double restartS) {}
+            double restartSeconds) {}
 
     /** Machines of one type, spread evenly over all zones, up from the beginning. */
     public record MachineGroup(
@@ -51,8 +51,8 @@
             double cpus,
             double gpus,
             double memoryGb,
-            double fetchGbPerS,
-            double bootS) {}
+            double fetchGbPerSecond,
+            double bootSeconds) {}
 
     /** Equal teams, with the guarantee and the limit of each. */
     public record Teams(int number, double cpus, double cpusMax, double gpus, double gpusMax) {}
@@ -61,20 +61,20 @@
      * Jobs of one class, with the properties of their tasks.
      *
      * @param initial jobs that users submit at the beginning
-     * @param rampS during which they do so
+     * @param rampSeconds during which they do so
      * @param perMinute jobs a minute from then on
-     * @param runS mean run time of a task, which varies by half; 0 for services
-     * @param lifeS mean time after which the user cancels a service
-     * @param checkpointS progress after which tasks save a checkpoint; 0 if they never save
-     * @param saveS how long a save takes
+     * @param runSeconds mean run time of a task, which varies by half; 0 for services
+     * @param lifeSeconds mean time after which the user cancels a service
+     * @param checkpointSeconds progress after which tasks save a checkpoint; 0 if they never save
+     * @param saveSeconds how long a save takes
      * @param team number of the team that submits them; negative for any
      */
     public record JobClass(
             String name,
-            Shape shape,
+            JobKind shape,
             Priority priority,
             int initial,
-            double rampS,
+            double rampSeconds,
             double perMinute,
             int minTasks,
             int maxTasks,
@@ -83,21 +83,21 @@
             double memoryGb,
             int images,
             double imageGb,
-            double runS,
-            double lifeS,
-            double checkpointS,
-            double saveS,
+            double runSeconds,
+            double lifeSeconds,
+            double checkpointSeconds,
+            double saveSeconds,
             int team) {}
 
     /**
      * A model that is served on replicas, whose number follows its requests.
      *
      * @param team number of the team whose replicas they are
-     * @param loadS how long a replica loads the model once it runs
-     * @param requestsPerS requests that a replica answers in a second
+     * @param loadSeconds how long a replica loads the model once it runs
+     * @param requestsPerSecond requests that a replica answers in a second
      * @param queue requests that may wait at a replica
-     * @param demandPerS requests a second, but for the surge
-     * @param surgeAtS when the rate rises at once, from the readiness of the controllers on
+     * @param demandPerSecond requests a second, but for the surge
+     * @param surgeAtSeconds when the rate rises at once, from the readiness of the controllers on
      */
     public record Serving(
             int team,
@@ -105,35 +105,35 @@
             double gpus,
             double memoryGb,
             double imageGb,
-            double loadS,
-            double requestsPerS,
+            double loadSeconds,
+            double requestsPerSecond,
             double queue,
-            double demandPerS,
+            double demandPerSecond,
             double surgeFactor,
-            double surgeAtS,
-            double surgeForS) {}
+            double surgeAtSeconds,
+            double surgeForSeconds) {}
 
     /**
      * The users.
      *
-     * @param pollS interval in which each unfinished job is asked about
+     * @param pollSeconds interval in which each unfinished job is asked about
      * @param clients connection pools that they share
      */
-    public record Users(double pollS, int clients) {}
+    public record Users(double pollSeconds, int clients) {}
 
     /** Times of the workers, as in the platform's settings. */
-    public record Workers(double reportS, double leaseS, double cancelS) {}
+    public record Workers(double reportSeconds, double leaseSeconds, double cancelSeconds) {}
 
-    /** Limits and latency of the state service. */
+    /** Limits and latency of the key-value store. */
     public record StateLimits(
-            double requestsPerS,
-            double writesPerS,
+            double requestsPerSecond,
+            double writesPerSecond,
             double valueKb,
             int writesPerCommit,
-            double latencyS) {}
+            double latencySeconds) {}
 
     /** Limits of the cloud. */
-    public record CloudLimits(double requestsPerS, double listLagS) {}
+    public record CloudLimits(double requestsPerSecond, double listLagSeconds) {}
 
     /** What fails. */
     public enum FaultKind {
@@ -147,18 +147,19 @@
         LEADER_KILLED,
         /** All controllers are killed. */
         CONTROLLERS_KILLED,
-        /** The state service answers nobody. */
+        /** The key-value store answers nobody. */
         STATE_SERVICE_DOWN
     }
 
     /**
      * A failure.
      *
-     * @param atS when it begins
-     * @param forS how long it lasts, where it ends by itself
+     * @param atSeconds when it begins
+     * @param forSeconds how long it lasts, where it ends by itself
      * @param machines how many machines a rack has
      */
-    public record Fault(String name, FaultKind kind, double atS, double forS, int machines) {}
+    public record Fault(
+            String name, FaultKind kind, double atSeconds, double forSeconds, int machines) {}
 
     /** Names of all zones, each with its region in front. */
     public List<String> zoneNames() {
--- a/src/main/java/org/springmill/emulator/ScenarioFile.java
+++ b/src/main/java/org/springmill/emulator/ScenarioFile.java
@@ -25,9 +25,9 @@
 import org.springmill.emulator.Scenario.Teams;
 import org.springmill.emulator.Scenario.Users;
 import org.springmill.emulator.Scenario.Workers;
+import org.springmill.protocol.JobKind;
 import org.springmill.protocol.Priority;
 import org.springmill.protocol.SettingsException;
-import org.springmill.protocol.Shape;
 
 /**
  * Reads and checks a scenario, which is HCL. Since people write it by hand, what is not known is
@@ -91,7 +91,7 @@
                         cloud(root.block("cloud")),
                         faults(root),
                         serving(root));
-        if (scenario.warmUpS() >= scenario.durationS()) {
+        if (scenario.warmUpSeconds() >= scenario.durationSeconds()) {
             throw new SettingsException(
                     file, "warm_up_s", "must be below duration_s, or nothing is measured");
         }
@@ -169,7 +169,7 @@
         int minTasks = (int) job.number("min_tasks", 1, 1, 100_000);
         return new JobClass(
                 job.label(),
-                job.oneOf("kind", Shape.class),
+                job.oneOf("kind", JobKind.class),
                 job.oneOf("priority", Priority.class),
                 (int) job.number("initial", 0, 0, MANY),
                 job.number("ramp_s", 0, 0, 86_400),
--- a/src/main/java/org/springmill/emulator/ServingEmulation.java
+++ b/src/main/java/org/springmill/emulator/ServingEmulation.java
@@ -6,14 +6,14 @@
 import org.springmill.emulator.EmulationResult.Serving;
 import org.springmill.emulator.EmulationResult.ServingPoint;
 import org.springmill.protocol.TaskId;
+import org.springmill.transport.EventLoop;
 import org.springmill.transport.HttpClient;
-import org.springmill.transport.Loop;
 
 /** The part of an emulation that serves a model on capacity which other work borrows. */
 final class ServingEmulation {
     private static final double CHECK_SECONDS = 0.05;
 
-    private final Loop loop;
+    private final EventLoop loop;
     private final Scenario.Serving serving;
     private final JobRegistry jobs;
     private final ServingUsers users;
@@ -26,11 +26,11 @@
     private long refusedBefore;
 
     ServingEmulation(
-            Loop loop,
+            EventLoop loop,
             HttpClient client,
             Scenario scenario,
             Scenario.Serving serving,
-            HollowUsers users,
+            EmulatedUsers users,
             JobRegistry jobs,
             Measurements measurements,
             List<String> controllers,
@@ -49,7 +49,7 @@
         users.start();
         loans.start();
         counters.start();
-        loop.after(serving.surgeAtS(), this::surgeBegins);
+        loop.after(serving.surgeAtSeconds(), this::surgeBegins);
     }
 
     void stop() {
@@ -68,7 +68,7 @@
     private void awaitCapacity() {
         if (users.capacity() >= users.demand()) {
             secondsToCapacity = loop.now() - surgeBegan;
-        } else if (loop.now() - surgeBegan < serving.surgeForS()) {
+        } else if (loop.now() - surgeBegan < serving.surgeForSeconds()) {
             loop.after(CHECK_SECONDS, this::awaitCapacity);
         }
     }
--- a/src/main/java/org/springmill/emulator/ServingUsers.java
+++ b/src/main/java/org/springmill/emulator/ServingUsers.java
@@ -7,14 +7,14 @@
 import java.util.Map;
 import java.util.SplittableRandom;
 import org.springmill.emulator.Measurements.Latency;
+import org.springmill.protocol.JobKind;
 import org.springmill.protocol.Priority;
-import org.springmill.protocol.Shape;
 import org.springmill.protocol.Submission;
 import org.springmill.protocol.TaskId;
+import org.springmill.transport.EventLoop;
 import org.springmill.transport.HttpClient;
 import org.springmill.transport.HttpClient.Reply;
 import org.springmill.transport.HttpClient.Request;
-import org.springmill.transport.Loop;
 
 /**
  * Stand-in users of a model: they send it requests at a rate that rises at once and falls again,
@@ -32,10 +32,10 @@
 
     private static final byte[] EMPTY = new byte[0];
 
-    private final Loop loop;
+    private final EventLoop loop;
     private final HttpClient client;
     private final Scenario.Serving serving;
-    private final HollowUsers users;
+    private final EmulatedUsers users;
     private final Measurements measurements;
     private final SplittableRandom random;
 
@@ -52,10 +52,10 @@
     private boolean stopped;
 
     ServingUsers(
-            Loop loop,
+            EventLoop loop,
             HttpClient client,
             Scenario.Serving serving,
-            HollowUsers users,
+            EmulatedUsers users,
             Measurements measurements,
             SplittableRandom random) {
         this.loop = loop;
@@ -82,8 +82,9 @@
     double demand() {
         double second = loop.now() - startedAt;
         boolean surge =
-                second >= serving.surgeAtS() && second < serving.surgeAtS() + serving.surgeForS();
-        return serving.demandPerS() * (surge ? serving.surgeFactor() : 1);
+                second >= serving.surgeAtSeconds()
+                        && second < serving.surgeAtSeconds() + serving.surgeForSeconds();
+        return serving.demandPerSecond() * (surge ? serving.surgeFactor() : 1);
     }
 
     /** Requests a second that the replicas which have loaded can answer. */
@@ -93,7 +94,7 @@
                 running.keySet().stream()
                         .filter(task -> loadedAt.getOrDefault(task.job(), now + 1) <= now)
                         .count();
-        return loaded * serving.requestsPerS();
+        return loaded * serving.requestsPerSecond();
     }
 
     long answered() {
@@ -117,10 +118,10 @@
             return;
         }
         running.put(task, address);
-        double loaded = loop.now() + serving.loadS();
+        double loaded = loop.now() + serving.loadSeconds();
         if (loadedAt.put(task.job(), loaded) == null) {
             loop.after(
-                    serving.loadS(),
+                    serving.loadSeconds(),
                     () -> measurements.latency(Latency.SERVING, loop.now() - asked));
         }
     }
@@ -148,7 +149,7 @@
     }
 
     private int wanted() {
-        double perReplica = serving.requestsPerS() * TARGET_UTILISATION;
+        double perReplica = serving.requestsPerSecond() * TARGET_UTILISATION;
         return (int) Math.ceil(demand() / perReplica);
     }
 
@@ -156,8 +157,8 @@
         return new Submission(
                 users.nextId(),
                 "serving",
-                HollowUsers.teamName(serving.team()),
-                Shape.SERVICE,
+                EmulatedUsers.teamName(serving.team()),
+                JobKind.SERVICE,
                 Priority.PRODUCTION,
                 1,
                 serving.cpus(),
--- a/src/main/java/org/springmill/emulator/TaskProgress.java
+++ b/src/main/java/org/springmill/emulator/TaskProgress.java
@@ -41,8 +41,9 @@
         double before = savedSeconds.getOrDefault(task, 0.0);
         double kept = 0;
         if (spec.checkpoints()) {
-            double checkpoints = Math.floor((before + ranSeconds) / spec.checkpointS());
-            kept = Math.max(0, checkpoints * spec.checkpointS() - before);
+            double checkpoints =
+                    Math.floor((before + ranSeconds) / spec.checkpointIntervalSeconds());
+            kept = Math.max(0, checkpoints * spec.checkpointIntervalSeconds() - before);
             savedSeconds.merge(task, kept, Double::sum);
         }
         lostSeconds.add(ranSeconds - kept);
--- a/src/main/java/org/springmill/protocol/ArchiveTrainingMessages.java
+++ b/src/main/java/org/springmill/protocol/ArchiveTrainingMessages.java
@@ -9,7 +9,7 @@
 import java.util.Map;
 
 /**
- * What a state service, a cloud and one worker would say in the rehearsal of a build (see {@code
+ * What a key-value store, a cloud and one worker would say in the rehearsal of a build (see {@code
  * cli}): just enough for a controller to lead, to place a task and to stop it.
  */
 public final class ArchiveTrainingMessages {
@@ -33,24 +33,24 @@
         this.address = address;
     }
 
-    public Answer answer(String method, String path, byte[] body) throws BadMessageException {
+    public Answer answer(String method, String path, byte[] body) throws MalformedMessageException {
         if (path.startsWith("/store/")) {
             return new Answer(404, text("{\"ledgerRev\":" + revision + "}"));
         } else if (path.equals("/store")) {
             return ok("{\"pairs\":[],\"truncated\":false,\"ledgerRev\":" + revision + "}");
         } else if (path.equals("/changes")) {
             return ok("{\"ledgerRev\":" + revision + ",\"news\":[]}");
-        } else if (path.startsWith(StateMessages.LEASES)) {
+        } else if (path.startsWith(KeyValueStoreMessages.LEASES)) {
             return ok("{\"tenancy\":1}");
-        } else if (path.equals(StateMessages.COMMIT)) {
+        } else if (path.equals(KeyValueStoreMessages.COMMIT)) {
             return ok("{\"ledgerRev\":" + ++revision + "}");
-        } else if (path.equals(CloudMessages.TYPES)) {
+        } else if (path.equals(CloudMessages.MACHINE_TYPES_PATH)) {
             return ok(
                     "{\"frames\":[{\"sku\":\"m\",\"vcpus\":4,\"cards\":1,\"memGb\":8,\"localGb\":9,\"pullGbPerS\":1.0,"
                             + "\"price\":1.0,\"marketPrice\":0.5,\"bootS\":1,\"yards\":[\"here\"]}]}");
-        } else if (path.equals(CloudMessages.RENT) && method.equals("POST")) {
+        } else if (path.equals(CloudMessages.RENTALS_PATH) && method.equals("POST")) {
             return ok("{\"stones\":[]}");
-        } else if (path.equals(CloudMessages.RENT)) {
+        } else if (path.equals(CloudMessages.RENTALS_PATH)) {
             return ok(
                     "{\"stones\":[{\"nameId\":\""
                             + MACHINE
@@ -58,7 +58,7 @@
                             + address
                             + "\",\"frame\":\"m\","
                             + "\"yard\":\"here\",\"loaner\":false,\"phase\":\"running\",\"heldS\":1.5}],\"truncated\":false}");
-        } else if (path.equals(WorkerMessages.ORDERS)) {
+        } else if (path.equals(WorkerMessages.COMMANDS_PATH)) {
             obey(Json.object(body));
             return new Answer(200, report());
         }
@@ -110,7 +110,7 @@
                                 id,
                                 "c",
                                 "t",
-                                service ? Shape.SERVICE : Shape.ARRAY,
+                                service ? JobKind.SERVICE : JobKind.ARRAY,
                                 Priority.PRODUCTION,
                                 2,
                                 1,
--- a/src/main/java/org/springmill/protocol/CloudMessages.java
+++ b/src/main/java/org/springmill/protocol/CloudMessages.java
@@ -10,22 +10,22 @@
  */
 public final class CloudMessages {
     /** Path that lists the machine types. */
-    public static final String TYPES = "/machine_types";
+    public static final String MACHINE_TYPES_PATH = "/machine_types";
 
     /** Path that rents machines (POST) and lists them (GET). */
-    public static final String RENT = "/rentals";
+    public static final String RENTALS_PATH = "/rentals";
 
     /** Path that deletes machines. */
-    public static final String RETURN = "/rentals/delete";
+    public static final String DELETIONS_PATH = "/rentals/delete";
 
     /** Most machines in one rental request. */
-    public static final int MAX_RENT = 50;
+    public static final int MAX_RENTALS = 50;
 
     /** Most machines in one deletion request. */
-    public static final int MAX_RETURN = 100;
+    public static final int MAX_DELETIONS = 100;
 
     /** Most machines on one page of the list. */
-    public static final int MAX_LIST = 500;
+    public static final int MAX_LISTED = 500;
 
     /** Stands for an amount of 0 where one divides by it. */
     private static final double MIN_AMOUNT = 1e-6;
@@ -36,10 +36,10 @@
      * A type of machine that the cloud offers.
      *
      * @param cacheGb room for images
-     * @param fetchGbPerS rate at which a machine fetches images, shared by all fetches
+     * @param fetchGbPerSecond rate at which a machine fetches images, shared by all fetches
      * @param price present price of an ordinary machine, per hour
      * @param spotPrice present price of a spot machine, per hour
-     * @param bootS nominal boot time in seconds
+     * @param bootSeconds nominal boot time in seconds
      * @param zones zones in which the type is offered
      */
     public record MachineType(
@@ -48,10 +48,10 @@
             double gpus,
             double memoryGb,
             double cacheGb,
-            double fetchGbPerS,
+            double fetchGbPerSecond,
             double price,
             double spotPrice,
-            double bootS,
+            double bootSeconds,
             List<String> zones) {
 
         /** Whether a task of the job may run on an empty machine of this type. */
@@ -97,7 +97,7 @@
     /**
      * One machine of the cloud's list.
      *
-     * @param ageS seconds since its rental, as of the moment that the list describes
+     * @param ageSeconds seconds since its rental, as of the moment that the list describes
      */
     public record ListedMachine(
             String name,
@@ -106,7 +106,7 @@
             String zone,
             boolean spot,
             MachinePhase phase,
-            double ageS) {}
+            double ageSeconds) {}
 
     /**
      * One page of the cloud's list of machines, in the order of their names.
@@ -115,8 +115,8 @@
      */
     public record MachinePage(List<ListedMachine> machines, boolean more) {}
 
-    /** Decodes the answer to {@link #TYPES}. */
-    public static List<MachineType> types(byte[] body) throws BadMessageException {
+    /** Decodes the answer to {@link #MACHINE_TYPES_PATH}. */
+    public static List<MachineType> types(byte[] body) throws MalformedMessageException {
         List<MachineType> types = new ArrayList<>();
         for (JsonNode type : Json.object(body).path("frames")) {
             types.add(machineType(type));
@@ -142,9 +142,10 @@
      * Encodes a rental request.
      *
      * @param request name of the request, never used for another one
-     * @param count at most {@link #MAX_RENT}
+     * @param count at most {@link #MAX_RENTALS}
      */
-    public static byte[] rent(String request, String type, String zone, boolean spot, int count) {
+    public static byte[] encodeRental(
+            String request, String type, String zone, boolean spot, int count) {
         return Json.write(
                 json -> {
                     json.writeStringField("hire", request);
@@ -156,12 +157,12 @@
     }
 
     /** Decodes the answer to a rental request: the names of the machines rented. */
-    public static List<String> rented(byte[] body) throws BadMessageException {
+    public static List<String> decodeRental(byte[] body) throws MalformedMessageException {
         return texts(Json.object(body).path("stones"));
     }
 
-    /** Encodes the deletion of at most {@link #MAX_RETURN} machines. */
-    public static byte[] giveBack(List<String> machines) {
+    /** Encodes the deletion of at most {@link #MAX_DELETIONS} machines. */
+    public static byte[] encodeDeletion(List<String> machines) {
         return Json.write(
                 json -> {
                     json.writeArrayFieldStart("stones");
@@ -179,11 +180,11 @@
      */
     public static String listPath(String after) {
         String from = after == null ? "" : "from=" + after + "&";
-        return RENT + "?" + from + "limit=" + MAX_LIST;
+        return RENTALS_PATH + "?" + from + "limit=" + MAX_LISTED;
     }
 
     /** Decodes one page of the cloud's list. */
-    public static MachinePage list(byte[] body) throws BadMessageException {
+    public static MachinePage list(byte[] body) throws MalformedMessageException {
         JsonNode json = Json.object(body);
         List<ListedMachine> machines = new ArrayList<>();
         for (JsonNode machine : json.path("stones")) {
--- a/src/main/java/org/springmill/protocol/Shape.java
+++ b/src/main/java/org/springmill/protocol/JobKind.java
@@ -1,7 +1,7 @@
 package org.springmill.protocol;
 
 /** How the tasks of a job belong together. */
-public enum Shape {
+public enum JobKind {
     /** Independent tasks, each of which runs to completion. */
     ARRAY("sweep"),
     /** Replicas, which run until the job is cancelled. */
@@ -11,18 +11,18 @@
 
     private final String wire;
 
-    Shape(String wire) {
+    JobKind(String wire) {
         this.wire = wire;
     }
 
     /** The shape with that name on the wire. */
-    static Shape of(String wire) throws BadMessageException {
-        for (Shape shape : values()) {
+    static JobKind of(String wire) throws MalformedMessageException {
+        for (JobKind shape : values()) {
             if (shape.wire.equals(wire)) {
                 return shape;
             }
         }
-        throw new BadMessageException("shape is not one of sweep, service, group");
+        throw new MalformedMessageException("shape is not one of sweep, service, group");
     }
 
     /** The name on the wire. */
--- a/src/main/java/org/springmill/protocol/Json.java
+++ b/src/main/java/org/springmill/protocol/Json.java
@@ -29,20 +29,20 @@
      *
      * @param body the body, or null if it was too large to be read
      */
-    public static JsonNode object(byte[] body) throws BadMessageException {
+    public static JsonNode object(byte[] body) throws MalformedMessageException {
         if (body == null) {
-            throw new BadMessageException("body too large");
+            throw new MalformedMessageException("body too large");
         }
         JsonNode node;
         try {
             node = MAPPER.readTree(body);
         } catch (JsonProcessingException e) {
-            throw new BadMessageException("not JSON");
+            throw new MalformedMessageException("not JSON");
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
         if (node == null || !node.isObject()) {
-            throw new BadMessageException("not an object");
+            throw new MalformedMessageException("not an object");
         }
         return node;
     }
--- a/src/main/java/org/springmill/protocol/StateMessages.java
+++ b/src/main/java/org/springmill/protocol/KeyValueStoreMessages.java
@@ -4,15 +4,15 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Messages between controllers and the state service. */
-public final class StateMessages {
+/** Messages between controllers and the key-value store. */
+public final class KeyValueStoreMessages {
     /** Path of transactions. */
     public static final String COMMIT = "/commit";
 
     /** Path of leases. */
     public static final String LEASES = "/grants";
 
-    private StateMessages() {}
+    private KeyValueStoreMessages() {}
 
     /**
      * A key with its value.
@@ -26,7 +26,7 @@
      * One page of a read of several keys.
      *
      * @param more whether further keys follow
-     * @param revision of the state service as the page was read
+     * @param revision of the key-value store as the page was read
      */
     public record Page(List<Entry> entries, boolean more, long revision) {}
 
@@ -110,7 +110,7 @@
     }
 
     /** The lease that was granted. */
-    public static long granted(byte[] body) throws BadMessageException {
+    public static long granted(byte[] body) throws MalformedMessageException {
         return Json.object(body).path("tenancy").longValue();
     }
 
@@ -148,8 +148,8 @@
                 });
     }
 
-    /** The revision of the state service, which most of its answers hold. */
-    public static long revision(byte[] body) throws BadMessageException {
+    /** The revision of the key-value store, which most of its answers hold. */
+    public static long revision(byte[] body) throws MalformedMessageException {
         return Json.object(body).path("ledgerRev").longValue();
     }
 
@@ -157,24 +157,24 @@
      * Whether a transaction was refused for a lease that has ended, rather than for its form or
      * size.
      */
-    public static boolean leaseEnded(byte[] body) throws BadMessageException {
+    public static boolean leaseEnded(byte[] body) throws MalformedMessageException {
         return Json.object(body).path("error").asText().equals("no such lease");
     }
 
     /** The keys whose conditions did not hold. */
-    public static List<String> failed(byte[] body) throws BadMessageException {
+    public static List<String> failed(byte[] body) throws MalformedMessageException {
         List<String> keys = new ArrayList<>();
         Json.object(body).path("failed").forEach(k -> keys.add(k.asText()));
         return keys;
     }
 
     /** The answer to a read of one key. */
-    public static Entry entry(byte[] body) throws BadMessageException {
+    public static Entry entry(byte[] body) throws MalformedMessageException {
         return entry(Json.object(body));
     }
 
     /** The answer to a read of several keys. */
-    public static Page page(byte[] body) throws BadMessageException {
+    public static Page page(byte[] body) throws MalformedMessageException {
         JsonNode json = Json.object(body);
         List<Entry> entries = new ArrayList<>();
         for (JsonNode e : json.path("pairs")) {
@@ -185,7 +185,7 @@
     }
 
     /** The answer to a watch. */
-    public static Changes changes(byte[] body) throws BadMessageException {
+    public static Changes changes(byte[] body) throws MalformedMessageException {
         JsonNode json = Json.object(body);
         List<Change> changes = new ArrayList<>();
         for (JsonNode c : json.path("news")) {
--- a/src/main/java/org/springmill/protocol/BadMessageException.java
+++ b/src/main/java/org/springmill/protocol/MalformedMessageException.java
@@ -1,10 +1,10 @@
 package org.springmill.protocol;
 
 /** A message that does not keep to the protocol. */
-public final class BadMessageException extends Exception {
+public final class MalformedMessageException extends Exception {
     private static final long serialVersionUID = 1L;
 
-    public BadMessageException(String message) {
+    public MalformedMessageException(String message) {
         super(message);
     }
 }
--- a/src/main/java/org/springmill/protocol/OperatorSettings.java
+++ b/src/main/java/org/springmill/protocol/OperatorSettings.java
@@ -12,13 +12,13 @@
  * @param reserve factor on the headroom for classes that must start sooner than a machine boots
  * @param unguaranteedPriceRatio how many times the least price per task a machine may cost that is
  *     rented for a team without a guarantee
- * @param pendingSubmissions how many submissions may wait for the state service before users are
+ * @param pendingSubmissions how many submissions may wait for the key-value store before users are
  *     told to come back; what they would have to wait bounds them in any case
- * @param historyRetentionS how long after its end a job's record stays among those that every
+ * @param historyRetentionSeconds how long after its end a job's record stays among those that every
  *     controller holds in memory; empty if records are never moved to the history
- * @param maxWaitS the longest expected wait for a start into which submissions are accepted; empty
- *     if the wait is not bounded
- * @param leaderShare the leader's share of the changes that the state service takes
+ * @param maxWaitSeconds the longest expected wait for a start into which submissions are accepted;
+ *     empty if the wait is not bounded
+ * @param leaderShare the leader's share of the changes that the key-value store takes
  * @param borrowing terms of loans between teams; empty if tasks are preempted without recalls
  */
 public record OperatorSettings(
@@ -27,8 +27,8 @@
         double reserve,
         double unguaranteedPriceRatio,
         int pendingSubmissions,
-        OptionalDouble historyRetentionS,
-        OptionalDouble maxWaitS,
+        OptionalDouble historyRetentionSeconds,
+        OptionalDouble maxWaitSeconds,
         double leaderShare,
         Optional<Borrowing> borrowing) {
 
--- a/src/main/java/org/springmill/protocol/OperatorSettingsFile.java
+++ b/src/main/java/org/springmill/protocol/OperatorSettingsFile.java
@@ -40,9 +40,9 @@
     private static final double MAX_HALF_LIFE_LEASES = 1000;
 
     /** Starts are counted over a quarter of it, which has to be long enough to mean something. */
-    private static final double MIN_MAX_WAIT_S = 20;
+    private static final double MIN_MAX_WAIT_SECONDS = 20;
 
-    private static final double MAX_MAX_WAIT_S = 7 * 86_400.0;
+    private static final double MAX_MAX_WAIT_SECONDS = 7 * 86_400.0;
 
     /** The leader writes the rounds of all, and lends half of its share. */
     private static final double MIN_LEADER_SHARE = 0.4;
@@ -51,9 +51,9 @@
     private static final double MAX_LEADER_SHARE = 0.9;
 
     /** Users poll until they have been told the end of their job, which takes seconds. */
-    private static final double MIN_RETENTION_S = 30;
+    private static final double MIN_RETENTION_SECONDS = 30;
 
-    private static final double MAX_RETENTION_S = 30 * 86_400.0;
+    private static final double MAX_RETENTION_SECONDS = 30 * 86_400.0;
 
     private static final Map<String, Set<String>> FIELDS_BY_BLOCK =
             Map.of(
@@ -166,7 +166,8 @@
 
     /** Unless it is given, the wait is not bounded. */
     private OptionalDouble maxWait() throws SettingsException {
-        double maxWait = number(ADMISSION, MAX_WAIT, Double.NaN, MIN_MAX_WAIT_S, MAX_MAX_WAIT_S);
+        double maxWait =
+                number(ADMISSION, MAX_WAIT, Double.NaN, MIN_MAX_WAIT_SECONDS, MAX_MAX_WAIT_SECONDS);
         return Double.isNaN(maxWait) ? OptionalDouble.empty() : OptionalDouble.of(maxWait);
     }
 
@@ -175,7 +176,13 @@
         if (!blocks.containsKey(HISTORY)) {
             return OptionalDouble.empty();
         }
-        double retention = number(HISTORY, RETENTION, Double.NaN, MIN_RETENTION_S, MAX_RETENTION_S);
+        double retention =
+                number(
+                        HISTORY,
+                        RETENTION,
+                        Double.NaN,
+                        MIN_RETENTION_SECONDS,
+                        MAX_RETENTION_SECONDS);
         if (Double.isNaN(retention)) {
             throw new SettingsException(
                     file,
--- a/src/main/java/org/springmill/protocol/PeerMessages.java
+++ b/src/main/java/org/springmill/protocol/PeerMessages.java
@@ -30,42 +30,44 @@
      * that whoever asked can date it by its own clock.
      *
      * @param question number of the sender's own question
-     * @param echo number of the question that is answered; 0 for none
-     * @param stateReachable whether the sender's last request to the state service was served
+     * @param answeredQuestion number of the question that is answered; 0 for none
+     * @param storeReachable whether the sender's last request to the key-value store was served
      * @param leading whether it answers workers as the leader
-     * @param informed whether it has read the leader's record since it was started, so that its
-     *     term means something
-     * @param workers how many workers lately came to it with reports although it does not lead
+     * @param hasReadLeaderRecord whether it has read the leader's record since it was started, so
+     *     that its term means something
+     * @param redirectedWorkers how many workers lately came to it with reports although it does not
+     *     lead
      * @param leaderSilent whether it has not heard from a leading controller for some time
-     * @param witnessAgoMs how long ago it last confirmed an outage, or renewed a worker's lease
-     *     although it does not lead; negative while it may go on renewing them for so long
+     * @param confirmedMillisecondsAgo how long ago it last confirmed an outage, or renewed a
+     *     worker's lease although it does not lead; negative while it may go on renewing them for
+     *     so long
      * @param term the highest leadership term it knows of
-     * @param news what it knows of cancelled jobs; {@link News#NONE} from a version that does not
-     *     tell
+     * @param cancellationDelta what it knows of cancelled jobs; {@link CancellationDelta#NONE} from
+     *     a version that does not tell
      * @param keepsHistory whether it takes part in the bounded history
-     * @param stateShare share of the state service's changes: in a question what the asker needs
+     * @param storeShare share of the key-value store's changes: in a question what the asker needs
      *     beyond its own, in an answer what it is lent; 0 from a version that does not lend
      */
-    public record Status(
+    public record PeerStatus(
             String from,
             long question,
-            long echo,
-            boolean stateReachable,
+            long answeredQuestion,
+            boolean storeReachable,
             boolean leading,
-            boolean informed,
-            int workers,
+            boolean hasReadLeaderRecord,
+            int redirectedWorkers,
             boolean leaderSilent,
-            int witnessAgoMs,
+            int confirmedMillisecondsAgo,
             long term,
-            News news,
+            CancellationDelta cancellationDelta,
             boolean keepsHistory,
-            double stateShare)
+            double storeShare)
             implements PeerRecord {
 
         /**
          * The status of a controller that takes no part in the bounded history and lends nothing.
          */
-        public Status(
+        public PeerStatus(
                 String from,
                 long question,
                 long echo,
@@ -76,7 +78,7 @@
                 boolean leaderSilent,
                 int witnessAgoMs,
                 long term,
-                News news) {
+                CancellationDelta news) {
             this(
                     from,
                     question,
@@ -103,34 +105,37 @@
      *
      * @param revision in a question: the asker has read all job records up to it; negative if it
      *     takes no news
-     * @param bookmark how far the asker has been told; handed out by whoever answers, which alone
-     *     can read it
+     * @param cursor how far the asker has been told; handed out by whoever answers, which alone can
+     *     read it
      * @param complete in an answer: nothing of what the sender knows remains to be told
-     * @param informed whether the sender has read the job records since it was started, and so has
-     *     forgotten nothing
+     * @param hasReadJobRecords whether the sender has read the job records since it was started,
+     *     and so has forgotten nothing
      */
-    public record News(
+    public record CancellationDelta(
             long revision,
-            long bookmark,
+            long cursor,
             boolean complete,
-            boolean informed,
+            boolean hasReadJobRecords,
             List<Cancellation> cancellations) {
         /** So many cancellations go into one record. */
-        public static final int MOST = 100;
+        public static final int MAX_CANCELLATIONS = 100;
 
-        public static final News NONE = new News(-1, 0, false, false, List.of());
+        public static final CancellationDelta NONE =
+                new CancellationDelta(-1, 0, false, false, List.of());
     }
 
     /** Cancellations that the sender has just committed, told before its user is. */
-    public record Cancelled(String from, List<Cancellation> cancellations) implements PeerRecord {}
+    public record CancellationNotice(String from, List<Cancellation> cancellations)
+            implements PeerRecord {}
 
     /** How far one job is, for display. */
     public record JobProgress(String job, int done, int running) {}
 
     /** The leader's account of running jobs. */
-    public record Progress(String from, long term, List<JobProgress> jobs) implements PeerRecord {
+    public record ProgressUpdate(String from, long term, List<JobProgress> jobs)
+            implements PeerRecord {
         /** So many jobs go into one record. */
-        public static final int MOST = 400;
+        public static final int MAX_JOBS = 400;
     }
 
     /**
@@ -146,10 +151,10 @@
     }
 
     /** The queues that the leader finds to wait too long, those that wait longest first. */
-    public record Congested(String from, long term, List<CongestedQueue> queues)
+    public record CongestionNotice(String from, long term, List<CongestedQueue> queues)
             implements PeerRecord {
         /** So many queues go into one record. */
-        public static final int MOST = 1000;
+        public static final int MAX_QUEUES = 1000;
     }
 
     /** Writes a record; lists that are longer than their bound are cut short. */
@@ -157,15 +162,15 @@
         ByteArrayOutputStream bytes = new ByteArrayOutputStream(64);
         try (DataOutputStream out = new DataOutputStream(bytes)) {
             out.writeByte(VERSION);
-            if (message instanceof Status status) {
+            if (message instanceof PeerStatus status) {
                 write(out, status);
-            } else if (message instanceof Cancelled cancelled) {
+            } else if (message instanceof CancellationNotice cancelled) {
                 out.writeByte(CANCELLED);
                 out.writeUTF(cancelled.from);
                 write(out, cancelled.cancellations);
-            } else if (message instanceof Progress progress) {
+            } else if (message instanceof ProgressUpdate progress) {
                 write(out, progress);
-            } else if (message instanceof Congested congested) {
+            } else if (message instanceof CongestionNotice congested) {
                 write(out, congested);
             }
         } catch (IOException e) {
@@ -174,39 +179,39 @@
         return bytes.toByteArray();
     }
 
-    private static void write(DataOutputStream out, Status status) throws IOException {
+    private static void write(DataOutputStream out, PeerStatus status) throws IOException {
         out.writeByte(STATUS);
         out.writeUTF(status.from);
         out.writeLong(status.question);
-        out.writeLong(status.echo);
-        out.writeBoolean(status.stateReachable);
+        out.writeLong(status.answeredQuestion);
+        out.writeBoolean(status.storeReachable);
         out.writeBoolean(status.leading);
-        out.writeBoolean(status.informed);
-        out.writeInt(status.workers);
+        out.writeBoolean(status.hasReadLeaderRecord);
+        out.writeInt(status.redirectedWorkers);
         out.writeBoolean(status.leaderSilent);
-        out.writeInt(status.witnessAgoMs);
+        out.writeInt(status.confirmedMillisecondsAgo);
         out.writeLong(status.term);
         // Fields of later versions come after these: earlier ones leave unread what they do not
         // know. The last ones are left out where they say nothing, as earlier versions do.
-        out.writeLong(status.news.revision);
-        out.writeLong(status.news.bookmark);
-        out.writeBoolean(status.news.complete);
-        out.writeBoolean(status.news.informed);
-        write(out, status.news.cancellations);
-        boolean lends = status.stateShare != 0;
+        out.writeLong(status.cancellationDelta.revision);
+        out.writeLong(status.cancellationDelta.cursor);
+        out.writeBoolean(status.cancellationDelta.complete);
+        out.writeBoolean(status.cancellationDelta.hasReadJobRecords);
+        write(out, status.cancellationDelta.cancellations);
+        boolean lends = status.storeShare != 0;
         if (status.keepsHistory || lends) {
             out.writeBoolean(status.keepsHistory);
         }
         if (lends) {
-            out.writeDouble(status.stateShare);
+            out.writeDouble(status.storeShare);
         }
     }
 
-    private static void write(DataOutputStream out, Progress progress) throws IOException {
+    private static void write(DataOutputStream out, ProgressUpdate progress) throws IOException {
         out.writeByte(PROGRESS);
         out.writeUTF(progress.from);
         out.writeLong(progress.term);
-        int count = Math.min(Progress.MOST, progress.jobs.size());
+        int count = Math.min(ProgressUpdate.MAX_JOBS, progress.jobs.size());
         out.writeShort(count);
         for (JobProgress job : progress.jobs.subList(0, count)) {
             out.writeUTF(job.job);
@@ -215,11 +220,11 @@
         }
     }
 
-    private static void write(DataOutputStream out, Congested congested) throws IOException {
+    private static void write(DataOutputStream out, CongestionNotice congested) throws IOException {
         out.writeByte(CONGESTED);
         out.writeUTF(congested.from);
         out.writeLong(congested.term);
-        int count = Math.min(Congested.MOST, congested.queues.size());
+        int count = Math.min(CongestionNotice.MAX_QUEUES, congested.queues.size());
         out.writeShort(count);
         for (CongestedQueue queue : congested.queues.subList(0, count)) {
             out.writeUTF(queue.team);
@@ -231,29 +236,30 @@
     /**
      * Reads a record.
      *
-     * @throws BadMessageException if it is cut short or of an unknown version or kind
+     * @throws MalformedMessageException if it is cut short or of an unknown version or kind
      */
-    public static PeerRecord decode(byte[] bytes) throws BadMessageException {
+    public static PeerRecord decode(byte[] bytes) throws MalformedMessageException {
         try (DataInputStream in = new DataInputStream(new ByteArrayInputStream(bytes))) {
             int version = in.readUnsignedByte();
             if (version != VERSION) {
-                throw new BadMessageException("peer record of version " + version);
+                throw new MalformedMessageException("peer record of version " + version);
             }
             int kind = in.readUnsignedByte();
             return switch (kind) {
                 case STATUS -> readStatus(in);
-                case CANCELLED -> new Cancelled(in.readUTF(), readCancellations(in));
+                case CANCELLED -> new CancellationNotice(in.readUTF(), readCancellations(in));
                 case PROGRESS -> readProgress(in);
                 case CONGESTED -> readCongested(in);
-                default -> throw new BadMessageException("peer record of kind " + kind);
+                default -> throw new MalformedMessageException("peer record of kind " + kind);
             };
         } catch (IOException e) {
-            throw new BadMessageException("peer record cut short");
+            throw new MalformedMessageException("peer record cut short");
         }
     }
 
-    private static Status readStatus(DataInputStream in) throws IOException, BadMessageException {
-        return new Status(
+    private static PeerStatus readStatus(DataInputStream in)
+            throws IOException, MalformedMessageException {
+        return new PeerStatus(
                 in.readUTF(),
                 in.readLong(),
                 in.readLong(),
@@ -264,13 +270,14 @@
                 in.readBoolean(),
                 in.readInt(),
                 in.readLong(),
-                in.available() == 0 ? News.NONE : readNews(in),
+                in.available() == 0 ? CancellationDelta.NONE : readNews(in),
                 in.available() > 0 && in.readBoolean(),
                 in.available() > 0 ? in.readDouble() : 0);
     }
 
-    private static News readNews(DataInputStream in) throws IOException, BadMessageException {
-        return new News(
+    private static CancellationDelta readNews(DataInputStream in)
+            throws IOException, MalformedMessageException {
+        return new CancellationDelta(
                 in.readLong(),
                 in.readLong(),
                 in.readBoolean(),
@@ -278,42 +285,42 @@
                 readCancellations(in));
     }
 
-    private static Progress readProgress(DataInputStream in)
-            throws IOException, BadMessageException {
+    private static ProgressUpdate readProgress(DataInputStream in)
+            throws IOException, MalformedMessageException {
         String from = in.readUTF();
         long term = in.readLong();
-        int count = readCount(in, Progress.MOST, "jobs");
+        int count = readCount(in, ProgressUpdate.MAX_JOBS, "jobs");
         List<JobProgress> jobs = new ArrayList<>(count);
         for (int i = 0; i < count; i++) {
             jobs.add(new JobProgress(in.readUTF(), in.readInt(), in.readInt()));
         }
-        return new Progress(from, term, jobs);
+        return new ProgressUpdate(from, term, jobs);
     }
 
-    private static Congested readCongested(DataInputStream in)
-            throws IOException, BadMessageException {
+    private static CongestionNotice readCongested(DataInputStream in)
+            throws IOException, MalformedMessageException {
         String from = in.readUTF();
         long term = in.readLong();
-        int count = readCount(in, Congested.MOST, "queues");
+        int count = readCount(in, CongestionNotice.MAX_QUEUES, "queues");
         List<CongestedQueue> queues = new ArrayList<>(count);
         for (int i = 0; i < count; i++) {
             queues.add(new CongestedQueue(in.readUTF(), Priority.of(in.readUTF()), in.readFloat()));
         }
-        return new Congested(from, term, queues);
+        return new CongestionNotice(from, term, queues);
     }
 
     private static int readCount(DataInputStream in, int most, String things)
-            throws IOException, BadMessageException {
+            throws IOException, MalformedMessageException {
         int count = in.readUnsignedShort();
         if (count > most) {
-            throw new BadMessageException("peer record of " + count + " " + things);
+            throw new MalformedMessageException("peer record of " + count + " " + things);
         }
         return count;
     }
 
     private static void write(DataOutputStream out, List<Cancellation> cancellations)
             throws IOException {
-        int count = Math.min(News.MOST, cancellations.size());
+        int count = Math.min(CancellationDelta.MAX_CANCELLATIONS, cancellations.size());
         out.writeShort(count);
         for (Cancellation cancellation : cancellations.subList(0, count)) {
             out.writeUTF(cancellation.job);
@@ -323,8 +330,8 @@
     }
 
     private static List<Cancellation> readCancellations(DataInputStream in)
-            throws IOException, BadMessageException {
-        int count = readCount(in, News.MOST, "cancellations");
+            throws IOException, MalformedMessageException {
+        int count = readCount(in, CancellationDelta.MAX_CANCELLATIONS, "cancellations");
         List<Cancellation> cancellations = new ArrayList<>(count);
         for (int i = 0; i < count; i++) {
             cancellations.add(new Cancellation(in.readUTF(), in.readLong(), in.readDouble()));
--- a/src/main/java/org/springmill/protocol/Priority.java
+++ b/src/main/java/org/springmill/protocol/Priority.java
@@ -13,13 +13,14 @@
         this.wire = wire;
     }
 
-    static Priority of(String wire) throws BadMessageException {
+    static Priority of(String wire) throws MalformedMessageException {
         for (Priority p : values()) {
             if (p.wire.equals(wire)) {
                 return p;
             }
         }
-        throw new BadMessageException("urgency is not one of prod, urgent, normal, best_effort");
+        throw new MalformedMessageException(
+                "urgency is not one of prod, urgent, normal, best_effort");
     }
 
     String wire() {
--- a/src/main/java/org/springmill/protocol/Settings.java
+++ b/src/main/java/org/springmill/protocol/Settings.java
@@ -13,7 +13,7 @@
  * @param peerListen address on which the other controllers reach this one
  * @param peers addresses of the other controllers' links, by node
  * @param zones all zones of the deployment
- * @param skewS bound on how far the time of day may be off
+ * @param skewSeconds bound on how far the time of day may be off
  * @param operator the operators' own settings, or their defaults
  */
 public record Settings(
@@ -23,14 +23,14 @@
         String peerListen,
         Map<String, String> peers,
         String cloudAddress,
-        String stateAddress,
+        String storeAddress,
         List<String> zones,
-        double skewS,
+        double skewSeconds,
         List<Team> teams,
         List<Objective> objectives,
         Workers workers,
-        State state,
-        Cloud cloud,
+        StoreLimits storeLimits,
+        CloudLimits cloudLimits,
         Limits limits,
         OperatorSettings operator) {
 
@@ -64,28 +64,32 @@
      *
      * @param jobClass the class, or null for all work within guarantees
      */
-    public record Objective(String kind, String jobClass, double withinS, double share) {}
+    public record Objective(String kind, String jobClass, double withinSeconds, double share) {}
 
     /**
      * Times of the workers.
      *
-     * @param reportS interval of their reports
-     * @param leaseS how long a worker keeps its tasks after it sent the last report that was
+     * @param heartbeatIntervalSeconds interval of their reports
+     * @param leaseSeconds how long a worker keeps its tasks after it sent the last report that was
      *     answered
-     * @param cancelS within this time every task of a cancelled job must be gone
+     * @param cancellationDeadlineSeconds within this time every task of a cancelled job must be
+     *     gone
      */
-    public record Workers(double reportS, double leaseS, double cancelS) {}
+    public record Workers(
+            double heartbeatIntervalSeconds,
+            double leaseSeconds,
+            double cancellationDeadlineSeconds) {}
 
     /**
-     * Limits of the state service.
+     * Limits of the key-value store.
      *
-     * @param requestsPerS requests a second, of all controllers together
-     * @param writesPerS puts and deletes a second, of all controllers together
+     * @param requestsPerSecond requests a second, of all controllers together
+     * @param writesPerSecond puts and deletes a second, of all controllers together
      * @param valueBytes largest value
      * @param writesPerCommit most puts and deletes in one transaction
      */
-    public record State(
-            double requestsPerS, double writesPerS, int valueBytes, int writesPerCommit) {
+    public record StoreLimits(
+            double requestsPerSecond, double writesPerSecond, int valueBytes, int writesPerCommit) {
         /** An ordinary job's record fits. */
         private static final int MIN_HALVED_VALUE_BYTES = 1024;
 
@@ -99,16 +103,16 @@
          * Bounds a transaction by the rate limit. Bursts are worth one second: a transaction larger
          * than that, less what others write, would never be accepted.
          */
-        public State {
-            int writesPerBurst = (int) (writesPerS * COMMIT_SHARE_OF_SECOND);
+        public StoreLimits {
+            int writesPerBurst = (int) (writesPerSecond * COMMIT_SHARE_OF_SECOND);
             writesPerCommit = Math.max(1, Math.min(writesPerCommit, writesPerBurst));
         }
 
         /** The limits that keep to both sets: the smaller of each pair. */
-        State within(State other) {
-            return new State(
-                    Math.min(requestsPerS, other.requestsPerS),
-                    Math.min(writesPerS, other.writesPerS),
+        StoreLimits within(StoreLimits other) {
+            return new StoreLimits(
+                    Math.min(requestsPerSecond, other.requestsPerSecond),
+                    Math.min(writesPerSecond, other.writesPerSecond),
                     Math.min(valueBytes, other.valueBytes),
                     Math.min(writesPerCommit, other.writesPerCommit));
         }
@@ -117,10 +121,10 @@
          * The limits to try once the service has refused a transaction for its size although it
          * kept to these.
          */
-        public State halved() {
-            return new State(
-                    requestsPerS,
-                    writesPerS,
+        public StoreLimits halved() {
+            return new StoreLimits(
+                    requestsPerSecond,
+                    writesPerSecond,
                     Math.max(MIN_HALVED_VALUE_BYTES, valueBytes / 2),
                     Math.max(MIN_HALVED_WRITES, writesPerCommit / 2));
         }
@@ -129,9 +133,9 @@
     /**
      * The cloud's limit of requests, and by how much its list of machines is late.
      *
-     * @param listLagS nominal lag; it may be twice as long
+     * @param listLagSeconds nominal lag; it may be twice as long
      */
-    public record Cloud(double requestsPerS, double listLagS) {}
+    public record CloudLimits(double requestsPerSecond, double listLagSeconds) {}
 
     /**
      * What this controller may use of its host.
--- a/src/main/java/org/springmill/protocol/SettingsFile.java
+++ b/src/main/java/org/springmill/protocol/SettingsFile.java
@@ -136,8 +136,8 @@
         return new Settings.Workers(reportSeconds, leaseSeconds, workers.positive("cancel_s"));
     }
 
-    private static Settings.Cloud cloud(SettingsTable cloud) throws SettingsException {
-        return new Settings.Cloud(cloud.positive("rps"), cloud.number("list_lag_s"));
+    private static Settings.CloudLimits cloud(SettingsTable cloud) throws SettingsException {
+        return new Settings.CloudLimits(cloud.positive("rps"), cloud.number("list_lag_s"));
     }
 
     private static Settings.Limits machineLimits(SettingsTable limits) throws SettingsException {
@@ -157,8 +157,8 @@
      * moment on. What is written keeps to both from the start, so that the moment need not be
      * known.
      */
-    private static Settings.State stateLimits(SettingsTable state) throws SettingsException {
-        Settings.State current = stateLimits(state, state);
+    private static Settings.StoreLimits stateLimits(SettingsTable state) throws SettingsException {
+        Settings.StoreLimits current = stateLimits(state, state);
         SettingsTable next = state.optionalTable("next", "next = { write_rps = 15.0 }");
         return next == null ? current : current.within(stateLimits(next, state));
     }
@@ -168,7 +168,7 @@
      *
      * @param defaults the table that holds a limit which the set itself lacks
      */
-    private static Settings.State stateLimits(SettingsTable limits, SettingsTable defaults)
+    private static Settings.StoreLimits stateLimits(SettingsTable limits, SettingsTable defaults)
             throws SettingsException {
         double requestsPerSecond = tableWith("rps", limits, defaults).positive("rps");
         double writesPerSecond =
@@ -186,7 +186,7 @@
                                 "txn_ops",
                                 MIN_WRITES_PER_COMMIT,
                                 "for a round that replaces older ones");
-        return new Settings.State(
+        return new Settings.StoreLimits(
                 requestsPerSecond,
                 writesPerSecond,
                 (int) (valueKb * BYTES_PER_KB),
--- a/src/main/java/org/springmill/protocol/SettingsWarnings.java
+++ b/src/main/java/org/springmill/protocol/SettingsWarnings.java
@@ -35,23 +35,23 @@
     }
 
     private static void addTimes(Settings.Workers workers, List<String> warnings) {
-        if (workers.reportS() * REPORTS_PER_LEASE > workers.leaseS()) {
+        if (workers.heartbeatIntervalSeconds() * REPORTS_PER_LEASE > workers.leaseSeconds()) {
             warnings.add(
                     "cluster.workers.report_s is "
-                            + workers.reportS()
+                            + workers.heartbeatIntervalSeconds()
                             + ", so one lost report can end a lease of "
-                            + workers.leaseS()
+                            + workers.leaseSeconds()
                             + " s; set it to "
-                            + workers.leaseS() / REPORTS_PER_LEASE
+                            + workers.leaseSeconds() / REPORTS_PER_LEASE
                             + " or less");
         }
-        if (workers.cancelS() <= workers.leaseS()) {
+        if (workers.cancellationDeadlineSeconds() <= workers.leaseSeconds()) {
             warnings.add(
                     "cluster.workers.cancel_s is "
-                            + workers.cancelS()
+                            + workers.cancellationDeadlineSeconds()
                             + ", not above lease_s, so that a cancelled task out of reach is only"
                             + " removed by deleting its machine; set it above "
-                            + workers.leaseS());
+                            + workers.leaseSeconds());
         }
     }
 
--- a/src/main/java/org/springmill/protocol/Submission.java
+++ b/src/main/java/org/springmill/protocol/Submission.java
@@ -14,7 +14,7 @@
  *
  * @param types the allowed machine types; null for any
  * @param zone the only allowed zone; null for any
- * @param deadlineS from the submission on; null if the job has none
+ * @param deadlineSeconds from the submission on; null if the job has none
  * @param dependencies ids of the jobs that have to be done before any task of this one starts, each
  *     once; empty for none
  */
@@ -22,7 +22,7 @@
         String id,
         String jobClass,
         String team,
-        Shape shape,
+        JobKind shape,
         Priority priority,
         int tasks,
         double cpus,
@@ -35,10 +35,10 @@
         boolean oneZone,
         boolean spread,
         boolean spot,
-        double estimateS,
-        double checkpointS,
-        double saveS,
-        Double deadlineS,
+        double estimatedRunSeconds,
+        double checkpointIntervalSeconds,
+        double checkpointSaveSeconds,
+        Double deadlineSeconds,
         List<String> dependencies) {
 
     private static final Pattern ID = Pattern.compile("run-[0-9]{1,18}");
@@ -50,23 +50,24 @@
         return ID.matcher(id).matches();
     }
 
-    public static Submission parse(JsonNode json) throws BadMessageException {
+    public static Submission parse(JsonNode json) throws MalformedMessageException {
         String id = text(json, "nameId");
         if (!validId(id)) {
-            throw new BadMessageException("nameId has not the form run-000412");
+            throw new MalformedMessageException("nameId has not the form run-000412");
         }
         JsonNode count = json.path("sacks");
         if (!count.isIntegralNumber()
                 || !count.canConvertToInt()
                 || count.intValue() < 1
                 || count.intValue() > MAX_TASKS) {
-            throw new BadMessageException("sacks is not a whole number from 1 to " + MAX_TASKS);
+            throw new MalformedMessageException(
+                    "sacks is not a whole number from 1 to " + MAX_TASKS);
         }
         return new Submission(
                 id,
                 text(json, "grist"),
                 text(json, "crew"),
-                Shape.of(text(json, "shape")),
+                JobKind.of(text(json, "shape")),
                 Priority.of(text(json, "urgency")),
                 count.intValue(),
                 amount(json, "vcpus"),
@@ -86,7 +87,7 @@
                 dependencies(json.path(DEPENDENCIES), id));
     }
 
-    /** The same form that {@link #parse} takes; also how a job is kept in the state service. */
+    /** The same form that {@link #parse} takes; also how a job is kept in the key-value store. */
     public ObjectNode toJson() {
         ObjectNode json = Json.newObject();
         json.put("nameId", id)
@@ -103,9 +104,9 @@
                 .put("samePlace", oneZone)
                 .put("apart", spread)
                 .put("loaner", spot)
-                .put("expectS", estimateS)
-                .put("stashEveryS", checkpointS)
-                .put("stashS", saveS);
+                .put("expectS", estimatedRunSeconds)
+                .put("stashEveryS", checkpointIntervalSeconds)
+                .put("stashS", checkpointSaveSeconds);
         if (types != null) {
             ArrayNode array = json.putArray("frames");
             types.forEach(array::add);
@@ -113,8 +114,8 @@
         if (zone != null) {
             json.put("yard", zone);
         }
-        if (deadlineS != null) {
-            json.put("dueS", deadlineS);
+        if (deadlineSeconds != null) {
+            json.put("dueS", deadlineSeconds);
         }
         // Only where used, so that every other record keeps the form that the version before this
         // field reads and writes.
@@ -127,12 +128,12 @@
 
     /** Whether the tasks are replicas that run until the job is cancelled. */
     public boolean service() {
-        return shape == Shape.SERVICE;
+        return shape == JobKind.SERVICE;
     }
 
     /** Whether the tasks run only all together. */
     public boolean gang() {
-        return shape == Shape.GANG;
+        return shape == JobKind.GANG;
     }
 
     /** The same job as if it were allowed in one zone only. */
@@ -154,10 +155,10 @@
                 oneZone,
                 spread,
                 spot,
-                estimateS,
-                checkpointS,
-                saveS,
-                deadlineS,
+                estimatedRunSeconds,
+                checkpointIntervalSeconds,
+                checkpointSaveSeconds,
+                deadlineSeconds,
                 dependencies);
     }
 
@@ -180,10 +181,10 @@
                 oneZone,
                 spread,
                 spot,
-                estimateS,
-                checkpointS,
-                saveS,
-                deadlineS,
+                estimatedRunSeconds,
+                checkpointIntervalSeconds,
+                checkpointSaveSeconds,
+                deadlineSeconds,
                 dependencies);
     }
 
@@ -193,52 +194,52 @@
     }
 
     public boolean checkpoints() {
-        return checkpointS > 0;
+        return checkpointIntervalSeconds > 0;
     }
 
     private static boolean isAbsent(JsonNode node) {
         return node.isMissingNode() || node.isNull();
     }
 
-    private static String text(JsonNode json, String field) throws BadMessageException {
+    private static String text(JsonNode json, String field) throws MalformedMessageException {
         JsonNode node = json.path(field);
         if (!node.isTextual()
                 || node.textValue().isEmpty()
                 || node.textValue().length() > MAX_NAME) {
-            throw new BadMessageException(
+            throw new MalformedMessageException(
                     field + " is not a text of 1 to " + MAX_NAME + " characters");
         }
         return node.textValue();
     }
 
-    private static double amount(JsonNode json, String field) throws BadMessageException {
+    private static double amount(JsonNode json, String field) throws MalformedMessageException {
         JsonNode node = json.path(field);
         double value = node.doubleValue();
         if (!node.isNumber() || !Double.isFinite(value) || value < 0) {
-            throw new BadMessageException(field + " is not a number of at least 0");
+            throw new MalformedMessageException(field + " is not a number of at least 0");
         }
         return value;
     }
 
-    private static boolean flag(JsonNode json, String field) throws BadMessageException {
+    private static boolean flag(JsonNode json, String field) throws MalformedMessageException {
         JsonNode node = json.path(field);
         if (!node.isBoolean()) {
-            throw new BadMessageException(field + " is neither true nor false");
+            throw new MalformedMessageException(field + " is neither true nor false");
         }
         return node.booleanValue();
     }
 
-    private static List<String> types(JsonNode node) throws BadMessageException {
+    private static List<String> types(JsonNode node) throws MalformedMessageException {
         if (isAbsent(node)) {
             return null;
         }
         if (!node.isArray()) {
-            throw new BadMessageException("frames is not a list");
+            throw new MalformedMessageException("frames is not a list");
         }
         List<String> types = new ArrayList<>();
         for (JsonNode type : node) {
             if (!type.isTextual()) {
-                throw new BadMessageException("frames holds something that is not a text");
+                throw new MalformedMessageException("frames holds something that is not a text");
             }
             types.add(type.textValue());
         }
@@ -247,21 +248,21 @@
 
     /** Each job counts once, however often it is named. */
     private static List<String> dependencies(JsonNode node, String self)
-            throws BadMessageException {
+            throws MalformedMessageException {
         if (isAbsent(node)) {
             return List.of();
         }
         if (!node.isArray()) {
-            throw new BadMessageException(DEPENDENCIES + " is not a list");
+            throw new MalformedMessageException(DEPENDENCIES + " is not a list");
         }
         Set<String> ids = new LinkedHashSet<>();
         for (JsonNode id : node) {
             if (!id.isTextual() || !validId(id.textValue())) {
-                throw new BadMessageException(
+                throw new MalformedMessageException(
                         DEPENDENCIES + " holds something that is no job's id");
             }
             if (id.textValue().equals(self)) {
-                throw new BadMessageException(DEPENDENCIES + " names the job itself");
+                throw new MalformedMessageException(DEPENDENCIES + " names the job itself");
             }
             ids.add(id.textValue());
         }
--- a/src/main/java/org/springmill/protocol/TaskId.java
+++ b/src/main/java/org/springmill/protocol/TaskId.java
@@ -9,14 +9,14 @@
 public record TaskId(String job, int index) {
 
     /** Reads the form that {@link #toString} writes. */
-    public static TaskId parse(String text) throws BadMessageException {
+    public static TaskId parse(String text) throws MalformedMessageException {
         int slash = text.lastIndexOf('/');
         try {
             String job = text.substring(0, slash);
             int index = Integer.parseInt(text.substring(slash + 1));
             return new TaskId(job, index);
         } catch (IndexOutOfBoundsException | NumberFormatException e) {
-            throw new BadMessageException("task id " + text);
+            throw new MalformedMessageException("task id " + text);
         }
     }
 
--- a/src/main/java/org/springmill/protocol/UserMessages.java
+++ b/src/main/java/org/springmill/protocol/UserMessages.java
@@ -9,7 +9,7 @@
     private UserMessages() {}
 
     /** What a user is told of a job. */
-    public enum Phase {
+    public enum JobPhase {
         QUEUED,
         RUNNING,
         DONE,
@@ -24,7 +24,7 @@
         }
     }
 
-    public static byte[] phase(String id, Phase phase) {
+    public static byte[] phase(String id, JobPhase phase) {
         return Json.write(
                 json -> {
                     json.writeStringField("nameId", id);
@@ -32,7 +32,7 @@
                 });
     }
 
-    public static byte[] progress(String id, Phase phase, int done, int running) {
+    public static byte[] progress(String id, JobPhase phase, int done, int running) {
         return Json.write(
                 json -> {
                     json.writeStringField("nameId", id);
--- a/src/main/java/org/springmill/protocol/WorkerMessages.java
+++ b/src/main/java/org/springmill/protocol/WorkerMessages.java
@@ -12,10 +12,10 @@
  */
 public final class WorkerMessages {
     /** Path of a controller to which workers report. */
-    public static final String REPORT = "/v1/report";
+    public static final String HEARTBEAT_PATH = "/v1/report";
 
     /** Path of a worker that takes commands. */
-    public static final String ORDERS = "/orders";
+    public static final String COMMANDS_PATH = "/orders";
 
     private WorkerMessages() {}
 
@@ -30,7 +30,7 @@
     }
 
     /** Why a task has ended. */
-    public enum Cause {
+    public enum ExitCause {
         /** It has not ended, or nothing is known but that it is gone. */
         NONE,
         /** Completed; the result is kept. */
@@ -52,31 +52,32 @@
      *
      * @param attempt number of the attempt, which is the placement round that claimed it
      */
-    public record TaskReport(TaskId task, long attempt, TaskState state, Cause cause) {}
+    public record TaskStatus(TaskId task, long attempt, TaskState state, ExitCause cause) {}
 
     /**
      * A worker's state as it reports it.
      *
-     * @param session begins at 1 and rises whenever the worker's lease has expired
-     * @param seq rises with every message of the worker
-     * @param token highest token that the worker has seen
-     * @param noticeS seconds until the cloud takes the machine away; null without notice
+     * @param epoch begins at 1 and rises whenever the worker's lease has expired
+     * @param sequence rises with every message of the worker
+     * @param fencingToken highest token that the worker has seen
+     * @param preemptionNoticeSeconds seconds until the cloud takes the machine away; null without
+     *     notice
      */
-    public record Report(
+    public record Heartbeat(
             String machine,
             String address,
             String type,
             String zone,
             boolean spot,
-            long session,
-            long seq,
-            long token,
-            Double noticeS,
-            List<TaskReport> tasks) {
+            long epoch,
+            long sequence,
+            long fencingToken,
+            Double preemptionNoticeSeconds,
+            List<TaskStatus> tasks) {
 
         /** Whether this report was made after another message of the same worker. */
-        public boolean newerThan(long otherSession, long otherSeq) {
-            return session > otherSession || (session == otherSession && seq > otherSeq);
+        public boolean isNewerThan(long otherSession, long otherSeq) {
+            return epoch > otherSession || (epoch == otherSession && sequence > otherSeq);
         }
     }
 
@@ -95,9 +96,9 @@
     /**
      * Stops an attempt.
      *
-     * @param graceS seconds that a task which can save its progress has for that
+     * @param graceSeconds seconds that a task which can save its progress has for that
      */
-    public record Stop(TaskId task, long attempt, double graceS) implements Command {}
+    public record Stop(TaskId task, long attempt, double graceSeconds) implements Command {}
 
     /**
      * Removes an attempt that has ended from the reports. The worker then forgets it: a start that
@@ -106,15 +107,15 @@
     public record Forget(TaskId task, long attempt) implements Command {}
 
     /** Decodes a report, or the answer to a command, which has the same form. */
-    public static Report report(byte[] body) throws BadMessageException {
+    public static Heartbeat decodeHeartbeat(byte[] body) throws MalformedMessageException {
         JsonNode json = Json.object(body);
-        List<TaskReport> tasks = taskReports(json.path("sacks"));
+        List<TaskStatus> tasks = taskReports(json.path("sacks"));
         JsonNode notice = json.path("warningS");
         String machine = json.path("stone").asText();
         if (machine.isEmpty()) {
-            throw new BadMessageException("stone is missing");
+            throw new MalformedMessageException("stone is missing");
         }
-        return new Report(
+        return new Heartbeat(
                 machine,
                 json.path("addr").asText(),
                 json.path("frame").asText(),
@@ -127,11 +128,11 @@
                 tasks);
     }
 
-    private static List<TaskReport> taskReports(JsonNode array) throws BadMessageException {
-        List<TaskReport> tasks = new ArrayList<>(array.size());
+    private static List<TaskStatus> taskReports(JsonNode array) throws MalformedMessageException {
+        List<TaskStatus> tasks = new ArrayList<>(array.size());
         for (JsonNode task : array) {
             tasks.add(
-                    new TaskReport(
+                    new TaskStatus(
                             TaskId.parse(task.path("sack").asText()),
                             whole(task, "try"),
                             state(task.path("phase").asText()),
@@ -141,7 +142,7 @@
     }
 
     /** Encodes the answer to a report, which renews the worker's lease. */
-    public static byte[] reportAnswer(long token, List<Command> commands) {
+    public static byte[] encodeHeartbeatResponse(long token, List<Command> commands) {
         return Json.write(
                 json -> {
                     json.writeNumberField("baton", token);
@@ -150,7 +151,7 @@
     }
 
     /** Encodes commands that are sent straight to a worker; they do not renew its lease. */
-    public static byte[] orders(long token, long session, List<Command> commands) {
+    public static byte[] encodeCommands(long token, long session, List<Command> commands) {
         return Json.write(
                 json -> {
                     json.writeNumberField("baton", token);
@@ -160,7 +161,7 @@
     }
 
     /** Sends a worker on to the controller that leads; null if that is not known. */
-    public static byte[] redirect(String node) {
+    public static byte[] encodeRedirect(String node) {
         return Json.write(
                 json -> {
                     if (node != null) {
@@ -178,7 +179,7 @@
             json.writeStringField("sack", command.task().toString());
             json.writeNumberField("try", command.attempt());
             if (command instanceof Stop stop) {
-                json.writeNumberField("windDownS", stop.graceS());
+                json.writeNumberField("windDownS", stop.graceSeconds());
             }
             json.writeEndObject();
         }
@@ -195,10 +196,10 @@
         return "clear";
     }
 
-    private static long whole(JsonNode json, String field) throws BadMessageException {
+    private static long whole(JsonNode json, String field) throws MalformedMessageException {
         JsonNode node = json.path(field);
         if (!node.isIntegralNumber()) {
-            throw new BadMessageException(field + " is not a whole number");
+            throw new MalformedMessageException(field + " is not a whole number");
         }
         return node.longValue();
     }
@@ -213,15 +214,15 @@
         };
     }
 
-    private static Cause cause(String wire) {
+    private static ExitCause cause(String wire) {
         return switch (wire) {
-            case "" -> Cause.NONE;
-            case "done" -> Cause.DONE;
-            case "stopped" -> Cause.STOPPED;
-            case "no_room" -> Cause.NO_ROOM;
-            case "busy" -> Cause.BUSY;
-            case "no_such" -> Cause.UNKNOWN_JOB;
-            default -> Cause.ERROR;
+            case "" -> ExitCause.NONE;
+            case "done" -> ExitCause.DONE;
+            case "stopped" -> ExitCause.STOPPED;
+            case "no_room" -> ExitCause.NO_ROOM;
+            case "busy" -> ExitCause.BUSY;
+            case "no_such" -> ExitCause.UNKNOWN_JOB;
+            default -> ExitCause.ERROR;
         };
     }
 }
--- a/src/main/java/org/springmill/protocol/counterpart/CloudSideMessages.java
+++ b/src/main/java/org/springmill/protocol/counterpart/CloudSideMessages.java
@@ -3,11 +3,11 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import java.util.ArrayList;
 import java.util.List;
-import org.springmill.protocol.BadMessageException;
 import org.springmill.protocol.CloudMessages.ListedMachine;
 import org.springmill.protocol.CloudMessages.MachinePhase;
 import org.springmill.protocol.CloudMessages.MachineType;
 import org.springmill.protocol.Json;
+import org.springmill.protocol.MalformedMessageException;
 
 /** Requests to the cloud as it reads them, and its answers. */
 public final class CloudSideMessages {
@@ -16,7 +16,7 @@
     /** A rental request. */
     public record Rental(String request, String type, String zone, boolean spot, int count) {}
 
-    public static Rental rental(byte[] body) throws BadMessageException {
+    public static Rental rental(byte[] body) throws MalformedMessageException {
         JsonNode json = Json.object(body);
         return new Rental(
                 json.path("hire").asText(),
@@ -27,7 +27,7 @@
     }
 
     /** Names in a deletion request. */
-    public static List<String> deletion(byte[] body) throws BadMessageException {
+    public static List<String> deletion(byte[] body) throws MalformedMessageException {
         List<String> names = new ArrayList<>();
         Json.object(body).path("stones").forEach(name -> names.add(name.asText()));
         return names;
@@ -57,7 +57,7 @@
 
     /** Writes the answer to a rental request that finds nothing to rent. */
     public static byte[] noCapacity() {
-        return StateServiceMessages.error("no capacity");
+        return KeyValueStoreServerMessages.error("no capacity");
     }
 
     /** Writes the machine types. */
@@ -72,10 +72,10 @@
                         json.writeNumberField("cards", type.gpus());
                         json.writeNumberField("memGb", type.memoryGb());
                         json.writeNumberField("localGb", type.cacheGb());
-                        json.writeNumberField("pullGbPerS", type.fetchGbPerS());
+                        json.writeNumberField("pullGbPerS", type.fetchGbPerSecond());
                         json.writeNumberField("price", type.price());
                         json.writeNumberField("marketPrice", type.spotPrice());
-                        json.writeNumberField("bootS", type.bootS());
+                        json.writeNumberField("bootS", type.bootSeconds());
                         json.writeArrayFieldStart("yards");
                         for (String zone : type.zones()) {
                             json.writeString(zone);
@@ -100,7 +100,7 @@
                         json.writeStringField("yard", machine.zone());
                         json.writeBooleanField("loaner", machine.spot());
                         json.writeStringField("phase", wire(machine.phase()));
-                        json.writeNumberField("heldS", machine.ageS());
+                        json.writeNumberField("heldS", machine.ageSeconds());
                         json.writeEndObject();
                     }
                     json.writeEndArray();
--- a/src/main/java/org/springmill/protocol/counterpart/StateServiceMessages.java
+++ b/src/main/java/org/springmill/protocol/counterpart/KeyValueStoreServerMessages.java
@@ -8,22 +8,22 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import org.springmill.protocol.BadMessageException;
 import org.springmill.protocol.Json;
-import org.springmill.protocol.StateMessages;
-import org.springmill.protocol.StateMessages.Change;
-import org.springmill.protocol.StateMessages.Condition;
-import org.springmill.protocol.StateMessages.Entry;
-import org.springmill.protocol.StateMessages.Write;
-
-/** Requests to the state service as it reads them, and its answers. */
-public final class StateServiceMessages {
+import org.springmill.protocol.KeyValueStoreMessages;
+import org.springmill.protocol.KeyValueStoreMessages.Change;
+import org.springmill.protocol.KeyValueStoreMessages.Condition;
+import org.springmill.protocol.KeyValueStoreMessages.Entry;
+import org.springmill.protocol.KeyValueStoreMessages.Write;
+import org.springmill.protocol.MalformedMessageException;
+
+/** Requests to the key-value store as it reads them, and its answers. */
+public final class KeyValueStoreServerMessages {
     private static final String STORE = "/store";
     private static final String CHANGES = "/changes";
     private static final int DEFAULT_LIMIT = 1000;
     private static final double MS_PER_SECOND = 1000;
 
-    private StateServiceMessages() {}
+    private KeyValueStoreServerMessages() {}
 
     /** Any request. */
     public sealed interface StateRequest {}
@@ -35,7 +35,7 @@
     public record ListKeys(String prefix, String after, int limit) implements StateRequest {}
 
     /** Waits for changes of keys with a prefix. */
-    public record Watch(String prefix, long from, double waitS) implements StateRequest {}
+    public record Watch(String prefix, long from, double waitSeconds) implements StateRequest {}
 
     /**
      * A transaction.
@@ -46,7 +46,7 @@
             implements StateRequest {}
 
     /** Asks for a lease. */
-    public record Grant(double ttlS) implements StateRequest {}
+    public record Grant(double ttlSeconds) implements StateRequest {}
 
     /** Renews a lease. */
     public record Renew(long lease) implements StateRequest {}
@@ -60,17 +60,17 @@
      * @param target path and query
      */
     public static StateRequest request(String method, String target, byte[] body)
-            throws BadMessageException {
+            throws MalformedMessageException {
         int mark = target.indexOf('?');
         String path = mark < 0 ? target : target.substring(0, mark);
         Map<String, String> query = mark < 0 ? Map.of() : query(target.substring(mark + 1));
-        if (path.equals(StateMessages.COMMIT)) {
+        if (path.equals(KeyValueStoreMessages.COMMIT)) {
             return commit(body);
         }
-        if (path.equals(StateMessages.LEASES)) {
+        if (path.equals(KeyValueStoreMessages.LEASES)) {
             return new Grant(Json.object(body).path("ttlMs").asDouble() / MS_PER_SECOND);
         }
-        if (path.startsWith(StateMessages.LEASES + "/")) {
+        if (path.startsWith(KeyValueStoreMessages.LEASES + "/")) {
             long lease = Long.parseLong(path.split("/")[2]);
             return method.equals("DELETE") ? new Revoke(lease) : new Renew(lease);
         }
@@ -87,7 +87,7 @@
         if (path.startsWith(STORE + "/")) {
             return new Get(path.substring(STORE.length() + 1));
         }
-        throw new BadMessageException("no such path");
+        throw new MalformedMessageException("no such path");
     }
 
     private static Map<String, String> query(String text) {
@@ -99,7 +99,7 @@
         return query;
     }
 
-    private static Commit commit(byte[] body) throws BadMessageException {
+    private static Commit commit(byte[] body) throws MalformedMessageException {
         JsonNode json = Json.object(body);
         List<Condition> conditions = new ArrayList<>();
         for (JsonNode condition : json.path("when")) {
--- a/src/main/java/org/springmill/protocol/counterpart/UserSideMessages.java
+++ b/src/main/java/org/springmill/protocol/counterpart/UserSideMessages.java
@@ -1,21 +1,21 @@
 package org.springmill.protocol.counterpart;
 
 import java.util.Locale;
-import org.springmill.protocol.BadMessageException;
 import org.springmill.protocol.Json;
-import org.springmill.protocol.UserMessages.Phase;
+import org.springmill.protocol.MalformedMessageException;
+import org.springmill.protocol.UserMessages.JobPhase;
 
 /** Answers to users, as they read them. */
 public final class UserSideMessages {
     private UserSideMessages() {}
 
     /** The phase of a job that an answer tells. */
-    public static Phase phase(byte[] body) throws BadMessageException {
+    public static JobPhase phase(byte[] body) throws MalformedMessageException {
         String phase = Json.object(body).path("phase").asText();
         try {
-            return Phase.valueOf(phase.toUpperCase(Locale.ROOT));
+            return JobPhase.valueOf(phase.toUpperCase(Locale.ROOT));
         } catch (IllegalArgumentException e) {
-            throw new BadMessageException("no phase");
+            throw new MalformedMessageException("no phase");
         }
     }
 
@@ -23,7 +23,7 @@
     public static String reason(byte[] body) {
         try {
             return Json.object(body).path("error").asText();
-        } catch (BadMessageException e) {
+        } catch (MalformedMessageException e) {
             return "";
         }
     }
--- a/src/main/java/org/springmill/protocol/counterpart/WorkerSideMessages.java
+++ b/src/main/java/org/springmill/protocol/counterpart/WorkerSideMessages.java
@@ -3,17 +3,17 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import java.util.ArrayList;
 import java.util.List;
-import org.springmill.protocol.BadMessageException;
 import org.springmill.protocol.Json;
+import org.springmill.protocol.MalformedMessageException;
 import org.springmill.protocol.TaskId;
-import org.springmill.protocol.WorkerMessages.Cause;
 import org.springmill.protocol.WorkerMessages.Command;
+import org.springmill.protocol.WorkerMessages.ExitCause;
 import org.springmill.protocol.WorkerMessages.Forget;
-import org.springmill.protocol.WorkerMessages.Report;
+import org.springmill.protocol.WorkerMessages.Heartbeat;
 import org.springmill.protocol.WorkerMessages.Start;
 import org.springmill.protocol.WorkerMessages.Stop;
-import org.springmill.protocol.WorkerMessages.TaskReport;
 import org.springmill.protocol.WorkerMessages.TaskState;
+import org.springmill.protocol.WorkerMessages.TaskStatus;
 
 /** What a worker writes, and reads of what controllers send to it. */
 public final class WorkerSideMessages {
@@ -38,7 +38,7 @@
     }
 
     /** Reads the answer to a report, or commands that were sent directly. */
-    public static Orders orders(byte[] body) throws BadMessageException {
+    public static Orders orders(byte[] body) throws MalformedMessageException {
         JsonNode json = Json.object(body);
         List<Command> commands = new ArrayList<>();
         for (JsonNode order : json.path("orders")) {
@@ -51,7 +51,7 @@
         return json.path(field).isIntegralNumber() ? json.path(field).longValue() : ABSENT;
     }
 
-    private static Command command(JsonNode order) throws BadMessageException {
+    private static Command command(JsonNode order) throws MalformedMessageException {
         TaskId task = TaskId.parse(order.path("sack").asText());
         long attempt = order.path("try").longValue();
         return switch (order.path("verb").asText()) {
@@ -62,13 +62,13 @@
     }
 
     /** The controller to which a worker is sent on; null if none is named. */
-    public static String redirect(byte[] body) throws BadMessageException {
+    public static String redirect(byte[] body) throws MalformedMessageException {
         JsonNode node = Json.object(body).path("foreman");
         return node.isTextual() ? node.asText() : null;
     }
 
     /** Writes a worker's report. */
-    public static byte[] report(Report report) {
+    public static byte[] report(Heartbeat report) {
         return Json.write(
                 json -> {
                     json.writeStringField("stone", report.machine());
@@ -76,19 +76,19 @@
                     json.writeStringField("frame", report.type());
                     json.writeStringField("yard", report.zone());
                     json.writeBooleanField("loaner", report.spot());
-                    json.writeNumberField("shift", report.session());
-                    json.writeNumberField("tally", report.seq());
-                    json.writeNumberField("baton", report.token());
-                    if (report.noticeS() != null) {
-                        json.writeNumberField("warningS", report.noticeS());
+                    json.writeNumberField("shift", report.epoch());
+                    json.writeNumberField("tally", report.sequence());
+                    json.writeNumberField("baton", report.fencingToken());
+                    if (report.preemptionNoticeSeconds() != null) {
+                        json.writeNumberField("warningS", report.preemptionNoticeSeconds());
                     }
                     json.writeArrayFieldStart("sacks");
-                    for (TaskReport task : report.tasks()) {
+                    for (TaskStatus task : report.tasks()) {
                         json.writeStartObject();
                         json.writeStringField("sack", task.task().toString());
                         json.writeNumberField("try", task.attempt());
                         json.writeStringField("phase", wire(task.state()));
-                        if (task.cause() != Cause.NONE) {
+                        if (task.cause() != ExitCause.NONE) {
                             json.writeStringField("cause", wire(task.cause()));
                         }
                         json.writeEndObject();
@@ -106,7 +106,7 @@
         };
     }
 
-    private static String wire(Cause cause) {
+    private static String wire(ExitCause cause) {
         return switch (cause) {
             case NONE -> "";
             case DONE -> "done";
--- a/src/main/java/org/springmill/transport/Loop.java
+++ b/src/main/java/org/springmill/transport/EventLoop.java
@@ -4,7 +4,7 @@
  * The event loop that owns all state of a controller: a steady clock and timers whose tasks run one
  * at a time. Timers may fire late and every user has to tolerate that.
  */
-public interface Loop {
+public interface EventLoop {
 
     /** Seconds on the steady clock, from an arbitrary start. */
     double now();
--- a/src/main/java/org/springmill/transport/HttpClient.java
+++ b/src/main/java/org/springmill/transport/HttpClient.java
@@ -13,7 +13,8 @@
      *
      * @param body may be empty
      */
-    record Request(String address, String method, String path, byte[] body, double timeoutS) {}
+    record Request(
+            String address, String method, String path, byte[] body, double timeoutSeconds) {}
 
     /**
      * What came of a request.
@@ -22,9 +23,9 @@
      * #NOT_SENT} can never be executed, one that was {@link #LOST} may have been executed, or may
      * yet be, minutes later.
      *
-     * @param retryAfterS from {@code Retry-After}; 0 if there is none
+     * @param retryAfterSeconds from {@code Retry-After}; 0 if there is none
      */
-    record Reply(int status, byte[] body, int retryAfterS) {
+    record Reply(int status, byte[] body, int retryAfterSeconds) {
         public static final Reply NOT_SENT = new Reply(-1, new byte[0]);
         public static final Reply LOST = new Reply(0, new byte[0]);
 
--- a/src/main/java/org/springmill/transport/HttpHandler.java
+++ b/src/main/java/org/springmill/transport/HttpHandler.java
@@ -22,8 +22,8 @@
         /**
          * Answers the request.
          *
-         * @param retryAfterS sent as {@code Retry-After} when positive
+         * @param retryAfterSeconds sent as {@code Retry-After} when positive
          */
-        void reply(int status, byte[] body, int retryAfterS);
+        void reply(int status, byte[] body, int retryAfterSeconds);
     }
 }
--- a/src/main/java/org/springmill/transport/Transport.java
+++ b/src/main/java/org/springmill/transport/Transport.java
@@ -27,7 +27,7 @@
     private final XnioWorker worker;
     private final XnioIoThread thread;
     private final ByteBufferPool buffers = new DefaultByteBufferPool(true, BUFFER_BYTES, 256, 4);
-    private final XnioLoop loop;
+    private final XnioEventLoop loop;
     private final UndertowClients client;
     private final int serverSockets;
 
@@ -48,7 +48,7 @@
                                         .set(Options.THREAD_DAEMON, false)
                                         .getMap());
         thread = worker.getIoThread();
-        loop = new XnioLoop(thread);
+        loop = new XnioEventLoop(thread);
         client =
                 new UndertowClients(
                         thread,
@@ -60,7 +60,7 @@
     }
 
     /** The loop on which all callbacks run. */
-    public Loop loop() {
+    public EventLoop loop() {
         return loop;
     }
 
--- a/src/main/java/org/springmill/transport/UndertowClients.java
+++ b/src/main/java/org/springmill/transport/UndertowClients.java
@@ -43,7 +43,7 @@
     private static final int MIN_PER_ADDRESS = 8;
 
     /** While a connection attempt hangs, no other is begun to that address for this long. */
-    private static final double CONNECT_AGAIN_S = 5.0;
+    private static final double CONNECT_AGAIN_SECONDS = 5.0;
 
     private static final OptionMap OPTIONS =
             OptionMap.builder()
@@ -53,7 +53,7 @@
 
     private final XnioIoThread thread;
     private final ByteBufferPool buffers;
-    private final Loop loop;
+    private final EventLoop loop;
     private final int limit;
     private final Set<String> preferred;
     private final int perPreferredAddress;
@@ -76,7 +76,7 @@
     UndertowClients(
             XnioIoThread thread,
             ByteBufferPool buffers,
-            Loop loop,
+            EventLoop loop,
             int limit,
             Set<String> preferred,
             int perPreferredAddress) {
@@ -154,7 +154,7 @@
                     waiting.poll().start(connection);
                 }
             }
-            boolean stuck = connecting > 0 && loop.now() - lastConnect > CONNECT_AGAIN_S;
+            boolean stuck = connecting > 0 && loop.now() - lastConnect > CONNECT_AGAIN_SECONDS;
             if (waiting.size() > connecting
                     && open + connecting < mostOpen
                     && (connecting < 2 || stuck)) {
@@ -239,7 +239,7 @@
         private final Pool pool;
         private final Request request;
         private final Consumer<Reply> done;
-        private final Loop.Timer timer;
+        private final EventLoop.Timer timer;
         private ClientConnection connection;
         private boolean finished;
 
@@ -247,7 +247,7 @@
             this.pool = pool;
             this.request = request;
             this.done = done;
-            this.timer = loop.after(request.timeoutS(), this::timeOut);
+            this.timer = loop.after(request.timeoutSeconds(), this::timeOut);
         }
 
         private void timeOut() {
@@ -272,7 +272,7 @@
             }
             finished = true;
             timer.cancel();
-            XnioLoop.runGuarded(() -> done.accept(reply));
+            XnioEventLoop.runGuarded(() -> done.accept(reply));
         }
 
         private void broken(IOException e) {
--- a/src/main/java/org/springmill/transport/UndertowServer.java
+++ b/src/main/java/org/springmill/transport/UndertowServer.java
@@ -44,7 +44,7 @@
     static int start(
             XnioWorker worker,
             ByteBufferPool buffers,
-            Loop loop,
+            EventLoop loop,
             InetSocketAddress address,
             int most,
             HttpHandler handler)
@@ -61,7 +61,7 @@
                                 .getMap());
         // Connections past the high mark wait in the backlog: a flood must not take the sockets
         // that this
-        // controller needs for the state service, the cloud and the workers' commands.
+        // controller needs for the key-value store, the cloud and the workers' commands.
         Admission admission = new Admission(most - most / 8);
         listener.setRootHandler(
                 exchange ->
@@ -97,7 +97,7 @@
         return channel.getLocalAddress(InetSocketAddress.class).getPort();
     }
 
-    private static void receive(HttpServerExchange exchange, Loop loop, HttpHandler handler) {
+    private static void receive(HttpServerExchange exchange, EventLoop loop, HttpHandler handler) {
         if (exchange.getRequestContentLength() > MAX_BODY_BYTES) {
             exchange.setPersistent(false);
             deliver(exchange, null, handler);
@@ -107,7 +107,7 @@
             deliver(exchange, new byte[0], handler);
             return;
         }
-        Loop.Timer limit =
+        EventLoop.Timer limit =
                 loop.after(REQUEST_MS / 1000.0, () -> IoUtils.safeClose(exchange.getConnection()));
         // The limit for bodies of undeclared length has to be set before the request's channel is
         // taken.
@@ -174,14 +174,14 @@
         }
 
         @Override
-        public void reply(int status, byte[] answer, int retryAfterS) {
+        public void reply(int status, byte[] answer, int retryAfterSeconds) {
             if (replied || exchange.isComplete()) {
                 return;
             }
             replied = true;
             exchange.setStatusCode(status);
-            if (retryAfterS > 0) {
-                exchange.getResponseHeaders().put(Headers.RETRY_AFTER, retryAfterS);
+            if (retryAfterSeconds > 0) {
+                exchange.getResponseHeaders().put(Headers.RETRY_AFTER, retryAfterSeconds);
             }
             if (answer.length > 0) {
                 exchange.getResponseHeaders()
--- a/src/main/java/org/springmill/transport/XnioLoop.java
+++ b/src/main/java/org/springmill/transport/XnioEventLoop.java
@@ -7,12 +7,12 @@
 import org.xnio.XnioIoThread;
 
 /** The loop on XNIO's only I/O thread. */
-final class XnioLoop implements Loop {
-    private static final Logger LOG = LoggerFactory.getLogger(XnioLoop.class);
+final class XnioEventLoop implements EventLoop {
+    private static final Logger LOG = LoggerFactory.getLogger(XnioEventLoop.class);
 
     private final XnioIoThread thread;
 
-    XnioLoop(XnioIoThread thread) {
+    XnioEventLoop(XnioIoThread thread) {
         this.thread = thread;
     }
 
--- a/src/main/java/org/springmill/transport/XnioPeerLink.java
+++ b/src/main/java/org/springmill/transport/XnioPeerLink.java
@@ -30,11 +30,11 @@
 
     private static final int MAX_RECORD_BYTES = 32 * 1024;
     private static final int MAX_QUEUED = 16;
-    private static final double CONNECT_TIMEOUT_S = 2.0;
+    private static final double CONNECT_TIMEOUT_SECONDS = 2.0;
     private static final OptionMap OPTIONS = OptionMap.create(Options.TCP_NODELAY, true);
 
     private final XnioIoThread thread;
-    private final Loop loop;
+    private final EventLoop loop;
     private final Map<String, Outgoing> outgoing = new HashMap<>();
     private Listener listener =
             new Listener() {
@@ -52,7 +52,7 @@
     XnioPeerLink(
             XnioWorker worker,
             XnioIoThread thread,
-            Loop loop,
+            EventLoop loop,
             InetSocketAddress listen,
             Map<String, String> peers)
             throws IOException {
@@ -132,7 +132,7 @@
             buffer.getInt();
             byte[] record = new byte[length];
             buffer.get(record);
-            XnioLoop.runGuarded(() -> listener.received(record));
+            XnioEventLoop.runGuarded(() -> listener.received(record));
         }
         buffer.compact();
         return true;
@@ -172,7 +172,7 @@
                     thread.openStreamConnection(address, this::opened, OPTIONS);
             attempt = started;
             loop.after(
-                    CONNECT_TIMEOUT_S,
+                    CONNECT_TIMEOUT_SECONDS,
                     () -> {
                         if (attempt == started) {
                             attempt = null;
@@ -185,7 +185,7 @@
                         if (future.getStatus() == IoFuture.Status.FAILED && attempt == started) {
                             attempt = null;
                             queue.clear();
-                            XnioLoop.runGuarded(() -> listener.refused(node));
+                            XnioEventLoop.runGuarded(() -> listener.refused(node));
                         }
                     },
                     null);
--- a/src/test/java/org/springmill/cli/SettingsTest.java
+++ b/src/test/java/org/springmill/cli/SettingsTest.java
@@ -220,12 +220,12 @@
         if (kept != null) {
             String[] limits = kept.split(", ");
             assertEquals(
-                    new Settings.State(
+                    new Settings.StoreLimits(
                             Double.parseDouble(limits[0]),
                             Double.parseDouble(limits[1]),
                             Integer.parseInt(limits[2]),
                             Integer.parseInt(limits[3])),
-                    SettingsFile.read(file, null).state());
+                    SettingsFile.read(file, null).storeLimits());
         }
     }
 
--- a/src/test/java/org/springmill/control/admission/AdmissionFixture.java
+++ b/src/test/java/org/springmill/control/admission/AdmissionFixture.java
@@ -1,8 +1,8 @@
 package org.springmill.control.admission;
 
 import java.util.List;
+import org.springmill.protocol.JobKind;
 import org.springmill.protocol.Priority;
-import org.springmill.protocol.Shape;
 import org.springmill.protocol.Submission;
 
 /** Submissions for the tests of this package. */
@@ -17,7 +17,7 @@
                 "run-" + ++numbers,
                 "sweep",
                 team,
-                Shape.ARRAY,
+                JobKind.ARRAY,
                 priority,
                 tasks,
                 1,
