--- a/src/test/java/org/springmill/control/admission/MemoryBoundTest.java
+++ b/src/test/java/org/springmill/control/admission/MemoryBoundTest.java
@@ -19,10 +19,10 @@
 class MemoryBoundTest {
     private static final int JOBS = 1000;
     private static final double HEAP_BYTES =
-            JOBS * LiveWork.bytesOf(job("red", Priority.LOW, 1, 0)) / MemoryBound.HEAP_SHARE;
+            JOBS * ActiveJobs.bytesOf(job("red", Priority.LOW, 1, 0)) / MemoryBound.HEAP_SHARE;
 
     private final MemoryBound bound = new MemoryBound(HEAP_BYTES);
-    private final LiveWork live = new LiveWork(0);
+    private final ActiveJobs live = new ActiveJobs(0);
 
     private void fill(int jobs, Priority priority) {
         for (int i = 0; i < jobs; i++) {
@@ -95,7 +95,7 @@
     @Property(tries = 200, seed = "20261204")
     void theAccountIsThatOfTheJobsThatLive(
             @ForAll @Size(max = 200) java.util.List<@IntRange(min = 0, max = 59) Integer> events) {
-        LiveWork account = new LiveWork(0);
+        ActiveJobs account = new ActiveJobs(0);
         java.util.Map<Integer, Submission> expected = new java.util.HashMap<>();
         Submission[] jobs = new Submission[20];
         for (int i = 0; i < jobs.length; i++) {
@@ -120,11 +120,11 @@
         }
         assertEquals(expected.size(), account.jobs());
         assertEquals(
-                expected.values().stream().mapToLong(LiveWork::bytesOf).sum(), account.bytes());
+                expected.values().stream().mapToLong(ActiveJobs::bytesOf).sum(), account.bytes());
         assertEquals(
                 expected.values().stream()
                         .filter(job -> job.team().equals("team-1"))
-                        .mapToLong(LiveWork::bytesOf)
+                        .mapToLong(ActiveJobs::bytesOf)
                         .sum(),
                 account.bytes("team-1"));
     }
--- a/src/test/java/org/springmill/control/admission/QueueWaitsTest.java
+++ b/src/test/java/org/springmill/control/admission/QueueWaitsTest.java
@@ -9,8 +9,8 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
-import org.springmill.protocol.PeerMessages.Congested;
 import org.springmill.protocol.PeerMessages.CongestedQueue;
+import org.springmill.protocol.PeerMessages.CongestionNotice;
 import org.springmill.protocol.Priority;
 
 /** How long work is expected to wait, from what waits and what has started. */
@@ -86,7 +86,7 @@
     /** A record between controllers holds so many; those that wait longest are told. */
     @Test
     void theWorstQueuesAreToldWhenThereAreTooMany() {
-        int teams = Congested.MOST;
+        int teams = CongestionNotice.MAX_QUEUES;
         for (int second = 0; second <= WINDOW_SECONDS; second++) {
             now++;
             waits.beginCount();
@@ -95,7 +95,7 @@
             waits.endCount(now);
         }
         List<CongestedQueue> congested = waits.endCount(now);
-        assertEquals(Congested.MOST, congested.size());
+        assertEquals(CongestionNotice.MAX_QUEUES, congested.size());
         for (int i = 1; i < congested.size(); i++) {
             double before = congested.get(i - 1).excessSeconds();
             assertTrue(before + TOLERANCE_SECONDS >= congested.get(i).excessSeconds());
--- a/src/test/java/org/springmill/control/admission/StateSharesPropertyTest.java
+++ b/src/test/java/org/springmill/control/admission/StoreRateSharesPropertyTest.java
@@ -17,7 +17,7 @@
  * Shares of several controllers under random demand, lost and late messages and changes of leader:
  * at no sampled moment do they add up to more than one.
  */
-class StateSharesPropertyTest {
+class StoreRateSharesPropertyTest {
     private static final double VALIDITY_SECONDS = 0.7;
     private static final double DRIFT = 1.002;
     private static final double CHANGES_PER_SECOND = 60;
@@ -63,7 +63,7 @@
     /** Controllers that exchange questions and answers by hand. */
     private static final class Group {
         private final VirtualClock clock = new VirtualClock();
-        private final List<StateShares> shares = new ArrayList<>();
+        private final List<StoreRateShares> shares = new ArrayList<>();
         private final List<Runnable> heldAnswers = new ArrayList<>();
         private int leader;
         private boolean leaseValid = true;
@@ -74,7 +74,7 @@
             for (int i = 0; i < controllers; i++) {
                 int number = i;
                 shares.add(
-                        new StateShares(
+                        new StoreRateShares(
                                 clock,
                                 () -> number == leader && leaseValid ? term : 0,
                                 0.6,
@@ -86,7 +86,7 @@
         }
 
         double sum() {
-            return shares.stream().mapToDouble(StateShares::current).sum();
+            return shares.stream().mapToDouble(StoreRateShares::current).sum();
         }
 
         void play(Step step) {
@@ -110,14 +110,14 @@
             }
         }
 
-        private void load(StateShares ofOne, int changes) {
+        private void load(StoreRateShares ofOne, int changes) {
             ofOne.queued(changes);
             ofOne.sent(changes);
         }
 
         /** The leader's answer to a question, still to be delivered. */
         private Runnable ask(int controller) {
-            StateShares asking = shares.get(controller);
+            StoreRateShares asking = shares.get(controller);
             double askedAt = clock.now();
             long number = ++question;
             if (controller == leader) {
--- a/src/test/java/org/springmill/control/admission/StateSharesTest.java
+++ b/src/test/java/org/springmill/control/admission/StoreRateSharesTest.java
@@ -8,23 +8,23 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.springmill.sim.VirtualClock;
 
-/** What a controller may use of the state service, alone and with loans. */
-class StateSharesTest {
+/** What a controller may use of the key-value store, alone and with loans. */
+class StoreRateSharesTest {
     private static final double VALIDITY_SECONDS = 0.7;
     private static final double TOLERANCE = 1e-9;
 
     private final VirtualClock clock = new VirtualClock();
     private long leaderTerm = 1;
 
-    private StateShares shares(int controllers, boolean leads) {
-        return new StateShares(
+    private StoreRateShares shares(int controllers, boolean leads) {
+        return new StoreRateShares(
                 clock, () -> leads ? leaderTerm : 0, 0.6, controllers, VALIDITY_SECONDS, 1.002, 60);
     }
 
     @ParameterizedTest
     @CsvSource({"1, 1.0", "2, 0.3", "3, 0.2", "5, 0.1", "6, 0.08"})
     void theRestIsSharedEvenlyByThoseThatDoNotLead(int controllers, double share) {
-        StateShares ofOne = shares(controllers, controllers == 1);
+        StoreRateShares ofOne = shares(controllers, controllers == 1);
         clock.run(1);
         assertEquals(share, ofOne.current(), TOLERANCE);
     }
@@ -32,7 +32,7 @@
     /** What an earlier leader has lent may be in use: it ends before the new leader uses it. */
     @Test
     void aNewLeaderLeavesOutWhatMayBeLentUntilThatHasEnded() {
-        StateShares leader = shares(3, true);
+        StoreRateShares leader = shares(3, true);
         assertEquals(0.3, leader.current(), TOLERANCE);
         clock.run(VALIDITY_SECONDS * 1.01);
         assertEquals(0.6, leader.current(), TOLERANCE);
@@ -40,8 +40,8 @@
 
     @Test
     void aLoanIsTakenFromTheLendersShareAndEnds() {
-        StateShares leader = shares(3, true);
-        StateShares other = shares(3, false);
+        StoreRateShares leader = shares(3, true);
+        StoreRateShares other = shares(3, false);
         leader.current();
         clock.run(1);
         other.queued(30);
@@ -58,7 +58,7 @@
     /** Rounds and renewals come first. */
     @Test
     void aLeaderThatNeedsItsShareLendsNothing() {
-        StateShares leader = shares(3, true);
+        StoreRateShares leader = shares(3, true);
         leader.current();
         clock.run(1);
         leader.queued(40);
@@ -68,7 +68,7 @@
 
     @Test
     void loansToSeveralControllersTogetherKeepToWhatMayBeLent() {
-        StateShares leader = shares(5, true);
+        StoreRateShares leader = shares(5, true);
         leader.current();
         clock.run(1);
         double lent = leader.lend("n-1", 0.2) + leader.lend("n-2", 0.2) + leader.lend("n-3", 0.2);
@@ -78,7 +78,7 @@
 
     @Test
     void anAnswerToAnEarlierQuestionIsIgnored() {
-        StateShares other = shares(3, false);
+        StoreRateShares other = shares(3, false);
         clock.run(1);
         other.borrow(2, clock.now(), 0.1);
         other.borrow(1, clock.now(), 0.3);
--- a/src/test/java/org/springmill/control/borrowing/VictimChoiceTest.java
+++ b/src/test/java/org/springmill/control/borrowing/VictimSelectionTest.java
@@ -12,13 +12,13 @@
 import net.jqwik.api.constraints.IntRange;
 import net.jqwik.api.constraints.Size;
 import org.junit.jupiter.api.Test;
-import org.springmill.control.borrowing.VictimChoice.Candidate;
-import org.springmill.control.borrowing.VictimChoice.Choice;
+import org.springmill.control.borrowing.VictimSelection.Candidate;
+import org.springmill.control.borrowing.VictimSelection.Choice;
 import org.springmill.protocol.Priority;
 import org.springmill.protocol.Resources;
 
 /** Which tasks of one machine are stopped. */
-class VictimChoiceTest {
+class VictimSelectionTest {
     private static Resources gpus(double gpus) {
         return new Resources(0, gpus, 0);
     }
@@ -29,7 +29,7 @@
     }
 
     private static Optional<Choice<String>> choose(double need, List<Candidate<String>> tasks) {
-        return VictimChoice.choose(gpus(0), gpus(need), tasks, (victim, others) -> true);
+        return VictimSelection.choose(gpus(0), gpus(need), tasks, (victim, others) -> true);
     }
 
     @Test
@@ -64,7 +64,8 @@
         List<Candidate<String>> tasks = List.of(task("only", Priority.LOW, 1, 1));
         assertTrue(choose(2, tasks).isEmpty());
         assertTrue(
-                VictimChoice.choose(gpus(0), gpus(1), tasks, (victim, others) -> false).isEmpty());
+                VictimSelection.choose(gpus(0), gpus(1), tasks, (victim, others) -> false)
+                        .isEmpty());
     }
 
     /**
--- a/src/test/java/org/springmill/control/coordination/AdmissionTest.java
+++ b/src/test/java/org/springmill/control/coordination/AdmissionTest.java
@@ -20,7 +20,7 @@
 
 /**
  * Three controllers that hold acceptance back: at the bound of their memory, with queues that wait
- * too long, and while the state service takes less than users ask for.
+ * too long, and while the key-value store takes less than users ask for.
  */
 class AdmissionTest extends ClusterFixture {
     /**
@@ -30,7 +30,7 @@
 
     private static final double SMALL_HEAP = LOW_JOBS / 0.7 * 1600 / 0.4;
 
-    /** The state service takes so many changes a second from all controllers. */
+    /** The key-value store takes so many changes a second from all controllers. */
     private static final double CHANGES_PER_SECOND = 20;
 
     /** Records that were checked against the bound and not yet known to the other controllers. */
@@ -95,7 +95,7 @@
         double before = cluster.clock().now();
         Reply answer = submit(follower(), refused);
         assertEquals(503, answer.status());
-        assertTrue(answer.retryAfterS() >= 1 && answer.retryAfterS() <= 30);
+        assertTrue(answer.retryAfterSeconds() >= 1 && answer.retryAfterSeconds() <= 30);
         assertTrue(cluster.clock().now() - before < 0.5, "at once");
         assertEquals(404, cluster.ask(0, "GET", "/submissions/" + idOf(refused), "").status());
         assertTrue(metric(follower(), "submissions_refused_memory_total") > 0);
@@ -269,7 +269,7 @@
                 duringBurst + " accepted during the burst");
         cluster.run(70);
         assertEquals(burst, users.accepted() + users.gaveUp());
-        // Goodput stays: what is refused costs the state service nothing.
+        // Goodput stays: what is refused costs the key-value store nothing.
         double drainSeconds = cluster.clock().now() - burstStart;
         assertTrue(
                 users.accepted() >= 0.5 * CHANGES_PER_SECOND * Math.min(drainSeconds, 80),
@@ -318,7 +318,7 @@
         }
         cluster.run(5);
         assertTrue(refused.size() > 300, refused.size() + " refused");
-        long early = refused.stream().filter(reply -> reply.retryAfterS() < 2).count();
+        long early = refused.stream().filter(reply -> reply.retryAfterSeconds() < 2).count();
         assertEquals(0, early, "told to come back within a second");
         long reasons = refused.stream().map(AdmissionTest::textOf).distinct().count();
         assertEquals(1, reasons, "one reason for all");
@@ -328,7 +328,7 @@
         return new String(reply.body(), StandardCharsets.UTF_8);
     }
 
-    /** A slow state service: what cannot be committed while its user waits is refused at once. */
+    /** A slow key-value store: what cannot be committed while its user waits is refused at once. */
     @Test
     void whileTheStateServiceIsSlowSubmissionsAreRefusedRatherThanHeld() {
         startCluster(1);
--- a/src/test/java/org/springmill/control/coordination/MovedDependenciesTest.java
+++ b/src/test/java/org/springmill/control/coordination/ArchivedDependenciesTest.java
@@ -5,14 +5,14 @@
 import static org.junit.jupiter.api.Assertions.assertNull;
 
 import org.junit.jupiter.api.Test;
-import org.springmill.control.storage.EndedJob;
-import org.springmill.protocol.UserMessages.Phase;
+import org.springmill.control.storage.ArchivedJob;
+import org.springmill.protocol.UserMessages.JobPhase;
 
-class MovedDependenciesTest {
+class ArchivedDependenciesTest {
     private static final String FIRST = "run-000001";
     private static final String SECOND = "run-000002";
 
-    private final MovedDependencies moved = new MovedDependencies(id -> null);
+    private final ArchivedDependencies moved = new ArchivedDependencies(id -> null);
 
     /** One that is never found, such as a record that cannot be read, kept all others waiting. */
     @Test
@@ -22,7 +22,7 @@
         assertEquals(FIRST, moved.firstMissing());
         moved.postpone(FIRST);
         assertEquals(SECOND, moved.firstMissing());
-        moved.learn(new EndedJob(SECOND, Phase.DONE, 1, false, 0, 1));
+        moved.learn(new ArchivedJob(SECOND, JobPhase.DONE, 1, false, 0, 1));
         assertEquals(FIRST, moved.firstMissing());
     }
 
--- a/src/test/java/org/springmill/control/coordination/DemandTest.java
+++ b/src/test/java/org/springmill/control/coordination/ArrivalRateEstimatorTest.java
@@ -8,7 +8,7 @@
 import org.springmill.protocol.Submission;
 
 /** How many tasks of a class are expected while a machine boots. */
-class DemandTest {
+class ArrivalRateEstimatorTest {
     private static final double BOOT_SECONDS = 45;
     private static final double FIRST_ARRIVAL = 100;
     private static final double LAST_ARRIVAL = 295;
@@ -27,7 +27,7 @@
         "the whole window after the last,         431, 0",
     })
     void arrivalsOfThreeBootsCount(String situation, double now, int expected) {
-        Demand demand = new Demand(SettingsFixtures.small(), 0);
+        ArrivalRateEstimator demand = new ArrivalRateEstimator(SettingsFixtures.small(), 0);
         Submission job = PackingFixtures.job(1).build();
         for (double at = FIRST_ARRIVAL; at <= LAST_ARRIVAL; at += ARRIVAL_INTERVAL) {
             demand.arrived(job, at, true);
--- a/src/test/java/org/springmill/control/coordination/MachineRentalTest.java
+++ b/src/test/java/org/springmill/control/coordination/AutoscalerTest.java
@@ -11,7 +11,7 @@
 import org.springmill.sim.SimulatedCluster;
 
 /** Machines are rented, left before they are taken away, drained and returned. */
-class MachineRentalTest extends SingleFailureFixture {
+class AutoscalerTest extends SingleFailureFixture {
     @Test
     void replicaLeavesAMachineWithTerminationNoticeInTime() {
         submitService(0, JOB, "red", 1, 1);
--- a/src/test/java/org/springmill/control/coordination/BorrowingFailureTest.java
+++ b/src/test/java/org/springmill/control/coordination/BorrowingFailureTest.java
@@ -23,10 +23,10 @@
 import org.springmill.transport.HttpClient.Request;
 
 /**
- * Recalls while controllers, the state service and machines fail. The fleet is full of fine-tuning
- * work of red and blue, 16 tasks each, of which 8 each are on loan; then amber asks for 8 replicas,
- * which it is guaranteed. In the end these run, and the work that gave way goes on from its
- * checkpoints.
+ * Recalls while controllers, the key-value store and machines fail. The fleet is full of
+ * fine-tuning work of red and blue, 16 tasks each, of which 8 each are on loan; then amber asks for
+ * 8 replicas, which it is guaranteed. In the end these run, and the work that gave way goes on from
+ * its checkpoints.
  */
 class BorrowingFailureTest extends BorrowingFixture {
     private static final int REPLICAS = 8;
@@ -232,7 +232,7 @@
         servingRunsAndWorkGoesOn();
     }
 
-    /** For some seconds the state service refuses all commits for their rate. */
+    /** For some seconds the key-value store refuses all commits for their rate. */
     private void spendWriteBudget() {
         double until = cluster.clock().now() + 6;
         cluster.network()
--- a/src/test/java/org/springmill/control/coordination/CancellationPersisterTest.java
+++ b/src/test/java/org/springmill/control/coordination/CancellationPersisterTest.java
@@ -17,7 +17,7 @@
 import org.springmill.sim.SimulatedCluster;
 import org.springmill.transport.HttpClient.Request;
 
-/** Which derived cancellations reach the state service when some of them are refused. */
+/** Which derived cancellations reach the key-value store when some of them are refused. */
 class CancellationPersisterTest {
     private static final int FIRST = 1;
     private static final int LAST = 9;
--- a/src/test/java/org/springmill/control/coordination/EndBatchingTest.java
+++ b/src/test/java/org/springmill/control/coordination/CompletionBatchingTest.java
@@ -8,19 +8,19 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import org.springmill.control.storage.Claim;
-import org.springmill.protocol.BadMessageException;
 import org.springmill.protocol.Json;
+import org.springmill.protocol.MalformedMessageException;
 import org.springmill.protocol.Submission;
 import org.springmill.protocol.TaskId;
-import org.springmill.protocol.UserMessages.Phase;
-import org.springmill.protocol.WorkerMessages.Cause;
+import org.springmill.protocol.UserMessages.JobPhase;
+import org.springmill.protocol.WorkerMessages.ExitCause;
 
 /** Which ends are committed at once and which may share a later round. */
-class EndBatchingTest {
+class CompletionBatchingTest {
     private static final double GAP_SECONDS = 0.25;
     private static final double NOW = 100;
 
-    private static Job job(int tasks) throws BadMessageException {
+    private static Job job(int tasks) throws MalformedMessageException {
         String body =
                 """
                 {"nameId":"run-000001","grist":"batch","crew":"red","shape":"sweep","urgency":"normal",
@@ -31,10 +31,10 @@
         return new Job(Submission.parse(Json.object(body.getBytes(StandardCharsets.UTF_8))), 1);
     }
 
-    private static Attempt ended(Job job, int task, Cause cause, double at) {
+    private static TaskAttempt ended(Job job, int task, ExitCause cause, double at) {
         Claim claim = Claim.decide(new TaskId(job.id(), task), "host-000001", 1);
-        Attempt attempt = new Attempt(claim, job, null, at);
-        attempt.transition(Attempt.State.CLAIMED, at);
+        TaskAttempt attempt = new TaskAttempt(claim, job, null, at);
+        attempt.transition(TaskAttempt.State.CLAIMED, at);
         attempt.end(cause, at);
         return attempt;
     }
@@ -53,21 +53,21 @@
             String situation,
             int tasks,
             int endedTasks,
-            Cause cause,
+            ExitCause cause,
             double secondsAgo,
             boolean cancelled,
             boolean workWaits,
             double expectedSeconds)
-            throws BadMessageException {
+            throws MalformedMessageException {
         Job job = job(tasks);
         if (cancelled) {
-            job.end(Phase.CANCELLED, 2, NOW);
+            job.end(JobPhase.CANCELLED, 2, NOW);
         }
-        List<Attempt> ended = new ArrayList<>();
+        List<TaskAttempt> ended = new ArrayList<>();
         for (int task = 0; task < endedTasks; task++) {
             ended.add(ended(job, task, cause, NOW - secondsAgo));
         }
-        EndBatching batching = new EndBatching(GAP_SECONDS);
+        CompletionBatching batching = new CompletionBatching(GAP_SECONDS);
         assertEquals(
                 expectedSeconds, batching.postponeSeconds(ended, workWaits, NOW), 1e-9, situation);
     }
--- a/src/test/java/org/springmill/control/coordination/CompoundCancellationTest.java
+++ b/src/test/java/org/springmill/control/coordination/CompoundCancellationTest.java
@@ -154,7 +154,7 @@
         assertEquals(0, cluster.running(JOB));
     }
 
-    /** Every response of the state service is delayed, some past the timeout of the request. */
+    /** Every response of the key-value store is delayed, some past the timeout of the request. */
     @ParameterizedTest
     @ValueSource(doubles = {0.3, 0.8, 1.5})
     void cancellationsWithASlowStateServiceAndAnOutageBreakNoInvariant(double maxDelaySeconds) {
--- a/src/test/java/org/springmill/control/coordination/ControllerPauseTest.java
+++ b/src/test/java/org/springmill/control/coordination/ControllerPauseTest.java
@@ -128,7 +128,7 @@
         assertEquals(TASKS, cluster.running(JOB));
     }
 
-    /** A pause of the leader while the state service is out. */
+    /** A pause of the leader while the key-value store is out. */
     @ParameterizedTest
     @ValueSource(doubles = {2, 5, 9})
     void leaderMayStandStillInAnOutageOfTheStateService(double seconds) {
--- a/src/test/java/org/springmill/control/coordination/DeletedMachinesTest.java
+++ b/src/test/java/org/springmill/control/coordination/DeletedMachinesTest.java
@@ -18,7 +18,7 @@
     void aDeletedMachineIsRememberedForLongerThanLateReportsTakeAndThenForgotten() {
         Settings settings = SettingsFixtures.small();
         Fleet fleet =
-                new Fleet(new ClusterState(settings), null, clock, Timing.of(settings), 1, 3.5);
+                new Fleet(new ClusterState(settings), null, clock, Timeouts.of(settings), 1, 3.5);
         fleet.deleted(new Machine("host-000001", 1, clock.now()));
         clock.run(10 * LEASE_SECONDS);
         fleet.deleted(new Machine("host-000002", 1, clock.now()));
--- a/src/test/java/org/springmill/control/coordination/DemandPackingTest.java
+++ b/src/test/java/org/springmill/control/coordination/DemandPackingTest.java
@@ -139,7 +139,7 @@
     @Test
     void jobsOfOneShapeFillBinsAsOneJobWould() {
         Submission job = PackingFixtures.job(1).size(30, 0, 1).build();
-        TaskShape shape = TaskShape.of(new Job(job, 1)).get();
+        EquivalenceClass shape = EquivalenceClass.of(new Job(job, 1)).get();
         DemandPacking packing = packing(Objects::nonNull);
         for (int i = 0; i < 7; i++) {
             packing.pack(
--- a/src/test/java/org/springmill/control/coordination/DependencyPriorityWorkTest.java
+++ b/src/test/java/org/springmill/control/coordination/DependencyPriorityWorkTest.java
@@ -11,19 +11,19 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 import org.springmill.control.storage.JobRecord;
-import org.springmill.control.storage.StateStore;
-import org.springmill.protocol.BadMessageException;
+import org.springmill.control.storage.KeyValueStoreClient;
 import org.springmill.protocol.Json;
+import org.springmill.protocol.MalformedMessageException;
 import org.springmill.protocol.Priority;
 import org.springmill.protocol.Settings;
 import org.springmill.protocol.SettingsFixtures;
 import org.springmill.protocol.Submission;
-import org.springmill.protocol.UserMessages.Phase;
+import org.springmill.protocol.UserMessages.JobPhase;
 import org.springmill.sim.VirtualClock;
 
 /** What is derived for each job, and how much work that takes, counted in steps. */
 class DependencyPriorityWorkTest {
-    private static final double ESTIMATE_S = 10;
+    private static final double ESTIMATE_SECONDS = 10;
 
     /** One call may go on to the end of the list of the job that it looks at last. */
     private static final int MOST_STEPS_OF_A_CALL = 6_000;
@@ -41,9 +41,13 @@
 
     private static JobDirectory directory() {
         VirtualClock clock = new VirtualClock();
-        Timing timing = Timing.of(SETTINGS);
-        StateStore store =
-                new StateStore((request, done) -> {}, clock, SETTINGS, timing.stateTimeoutS());
+        Timeouts timing = Timeouts.of(SETTINGS);
+        KeyValueStoreClient store =
+                new KeyValueStoreClient(
+                        (request, done) -> {},
+                        clock,
+                        SETTINGS,
+                        timing.storeRequestTimeoutSeconds());
         return new JobDirectory(store, clock, timing, 1);
     }
 
@@ -52,25 +56,34 @@
     }
 
     private static JobRecord record(
-            int number, String urgency, Double dueS, List<Integer> dependencies, long version) {
+            int number,
+            String urgency,
+            Double dueSeconds,
+            List<Integer> dependencies,
+            long version) {
         List<String> ids = dependencies.stream().map(n -> '"' + id(n) + '"').toList();
         String body =
                 """
                 {"nameId":"%s","grist":"c","crew":"t","shape":"sweep","urgency":"%s","sacks":1,"vcpus":1,
                  "cards":0,"memGb":1,"mould":"i","pullGb":1,"samePlace":false,"apart":false,"loaner":false,
                  "expectS":%s,"stashEveryS":0,"stashS":0,"dueS":%s,"waitsOn":[%s]}"""
-                        .formatted(id(number), urgency, ESTIMATE_S, dueS, String.join(",", ids));
+                        .formatted(
+                                id(number),
+                                urgency,
+                                ESTIMATE_SECONDS,
+                                dueSeconds,
+                                String.join(",", ids));
         try {
             Submission submission =
                     Submission.parse(Json.object(body.getBytes(StandardCharsets.UTF_8)));
-            return new JobRecord(submission.id(), submission, Phase.QUEUED, version, 0, 1);
-        } catch (BadMessageException e) {
+            return new JobRecord(submission.id(), submission, JobPhase.QUEUED, version, 0, 1);
+        } catch (MalformedMessageException e) {
             throw new AssertionError(e);
         }
     }
 
-    private Job accept(int number, String urgency, Double dueS, List<Integer> dependencies) {
-        JobRecord record = record(number, urgency, dueS, dependencies, ++version);
+    private Job accept(int number, String urgency, Double dueSeconds, List<Integer> dependencies) {
+        JobRecord record = record(number, urgency, dueSeconds, dependencies, ++version);
         directory.learn(record);
         return admit(record);
     }
@@ -83,7 +96,7 @@
     }
 
     private void end(Job job) {
-        job.end(Phase.DONE, ++version, 0);
+        job.end(JobPhase.DONE, ++version, 0);
         count(order.changed(job));
         clusterState.dropJob(job);
     }
@@ -114,7 +127,7 @@
             dependents.add(accept(2 + i, "normal", 100_000.0 - i, List.of(1)));
         }
         settle();
-        assertEquals(1 + 100_000.0 - (wide - 1) - 2 * ESTIMATE_S, common.latestStart());
+        assertEquals(1 + 100_000.0 - (wide - 1) - 2 * ESTIMATE_SECONDS, common.latestStart());
         assertTrue(steps <= 8L * wide, steps + " steps to accept " + wide);
         steps = 0;
         // The one that decides ends first each time.
@@ -147,11 +160,11 @@
         int ticks = settle();
         assertTrue(ticks <= TICKS_OF_A_SECOND, ticks + " ticks");
         assertTrue(steps <= 2L * firsts * middles, steps + " steps");
-        assertEquals(1 + 1_000.0 - ESTIMATE_S, last.latestStart());
+        assertEquals(1 + 1_000.0 - ESTIMATE_SECONDS, last.latestStart());
         for (Job job : jobs) {
             assertEquals(Priority.HIGH, job.priority(), job.id());
         }
-        assertEquals(1 + 1_000.0 - 3 * ESTIMATE_S, jobs.get(0).latestStart());
+        assertEquals(1 + 1_000.0 - 3 * ESTIMATE_SECONDS, jobs.get(0).latestStart());
     }
 
     @Test
@@ -166,7 +179,7 @@
         accept(deep, "urgent", 1_000_000.0, List.of(deep - 1));
         int ticks = settle();
         assertEquals(Priority.HIGH, first.priority());
-        assertEquals(1 + 1_000_000.0 - deep * ESTIMATE_S, first.latestStart());
+        assertEquals(1 + 1_000_000.0 - deep * ESTIMATE_SECONDS, first.latestStart());
         assertTrue(steps <= 3L * deep, steps + " steps");
         assertTrue(ticks <= 2 * TICKS_OF_A_SECOND, ticks + " ticks");
     }
@@ -186,7 +199,8 @@
             accept(deep + 1 + i, "normal", 1_000_000.0 - i, List.of(deep));
         }
         settle();
-        assertEquals(1 + 1_000_000.0 - (wide - 1) - (deep + 1) * ESTIMATE_S, first.latestStart());
+        assertEquals(
+                1 + 1_000_000.0 - (wide - 1) - (deep + 1) * ESTIMATE_SECONDS, first.latestStart());
         assertTrue(steps <= 300L * wide, steps + " steps");
     }
 
@@ -199,7 +213,7 @@
         Job late = admit(needed);
         settle();
         assertEquals(Priority.HIGH, late.priority());
-        assertEquals(1 + 100.0 - 2 * ESTIMATE_S, late.latestStart());
+        assertEquals(1 + 100.0 - 2 * ESTIMATE_SECONDS, late.latestStart());
     }
 
     @ParameterizedTest
@@ -213,8 +227,8 @@
             for (int n = random.nextInt(4); n > 0 && i > 0; n--) {
                 dependencies.add(random.nextInt(i));
             }
-            Double dueS = random.nextInt(3) == 0 ? 100.0 + random.nextInt(1000) : null;
-            jobs.add(accept(i, urgencies[random.nextInt(4)], dueS, dependencies));
+            Double dueSeconds = random.nextInt(3) == 0 ? 100.0 + random.nextInt(1000) : null;
+            jobs.add(accept(i, urgencies[random.nextInt(4)], dueSeconds, dependencies));
             if (random.nextInt(3) == 0) {
                 Job ended = jobs.get(random.nextInt(jobs.size()));
                 if (ended.active()) {
@@ -240,12 +254,12 @@
         if (!job.active()) {
             return 0;
         }
-        Double dueS = job.spec().deadlineS();
-        double due = dueS == null ? Double.POSITIVE_INFINITY : 1 + dueS;
+        Double dueSeconds = job.spec().deadlineSeconds();
+        double due = dueSeconds == null ? Double.POSITIVE_INFINITY : 1 + dueSeconds;
         for (Job dependent : activeDependents(job, jobs)) {
             due = Math.min(due, dependent.latestStart());
         }
-        return due - ESTIMATE_S;
+        return due - ESTIMATE_SECONDS;
     }
 
     private static Priority priority(Job job, List<Job> jobs) {
--- a/src/test/java/org/springmill/control/coordination/FourThousandMachinesTest.java
+++ b/src/test/java/org/springmill/control/coordination/FourThousandMachinesTest.java
@@ -26,8 +26,9 @@
     private static final String ARRAY = "run-900000";
     private static final String ARRAY_AFTER_TAKEOVER = "run-900001";
 
-    /** What the state service of a fleet of this size has to take. */
-    private static final Settings.State STATE_LIMITS = new Settings.State(1100, 550, 8192, 32);
+    /** What the key-value store of a fleet of this size has to take. */
+    private static final Settings.StoreLimits STATE_LIMITS =
+            new Settings.StoreLimits(1100, 550, 8192, 32);
 
     /** The cloud takes four requests a second, each for fifty machines. */
     private static final double RENTAL_SECONDS = MACHINES / 200.0;
--- a/src/test/java/org/springmill/control/coordination/FullRoundTest.java
+++ b/src/test/java/org/springmill/control/coordination/FullRoundTest.java
@@ -10,13 +10,13 @@
 import org.springmill.protocol.Settings;
 import org.springmill.protocol.SettingsFixtures;
 import org.springmill.protocol.Submission;
-import org.springmill.protocol.WorkerMessages.Report;
+import org.springmill.protocol.WorkerMessages.Heartbeat;
 import org.springmill.sim.VirtualClock;
 
 /**
  * Which jobs a round that is full has not come to. A leader that ranked thousands of machines for
  * each of a thousand such jobs, and looked for work to preempt, stood still for seconds and lost
- * its lease, again and again: after an outage of the state service at the target size.
+ * its lease, again and again: after an outage of the key-value store at the target size.
  */
 class FullRoundTest {
     private static final Settings SETTINGS = SettingsFixtures.small();
@@ -26,19 +26,19 @@
     private static final long TOKEN = 1L << 20;
 
     private final VirtualClock clock = new VirtualClock();
-    private final Timing timing = Timing.of(SETTINGS);
+    private final Timeouts timing = Timeouts.of(SETTINGS);
     private final ClusterState clusterState = new ClusterState(SETTINGS);
     private final Fleet fleet = new Fleet(clusterState, null, clock, timing, 1, 3.5);
-    private final Placement placement = new Placement(fleet, timing, WithheldRoom.NONE);
+    private final Placement placement = new Placement(fleet, timing, CapacityFilter.NONE);
     private final List<Job> jobs = new ArrayList<>();
 
     private void machineIsUp() {
         Machine machine = fleet.machine("host-000001");
         machine.describe("a:1", PackingFixtures.type("t", 1, "a"), "a", false);
         machine.transition(Machine.State.UP);
-        Report report =
-                new Report("host-000001", "a:1", "t", "a", false, 1, 1, TOKEN, null, List.of());
-        machine.take(report, clock.now());
+        Heartbeat report =
+                new Heartbeat("host-000001", "a:1", "t", "a", false, 1, 1, TOKEN, null, List.of());
+        machine.acceptHeartbeat(report, clock.now());
     }
 
     private void jobsWait() {
@@ -68,10 +68,10 @@
                 like.oneZone(),
                 like.spread(),
                 like.spot(),
-                like.estimateS(),
-                like.checkpointS(),
-                like.saveS(),
-                like.deadlineS(),
+                like.estimatedRunSeconds(),
+                like.checkpointIntervalSeconds(),
+                like.checkpointSaveSeconds(),
+                like.deadlineSeconds(),
                 like.dependencies());
     }
 
--- a/src/test/java/org/springmill/control/coordination/HistoryMoveTest.java
+++ b/src/test/java/org/springmill/control/coordination/HistoryArchivingTest.java
@@ -11,7 +11,7 @@
 import org.springmill.sim.SimulatedCluster;
 
 /** Records of ended jobs leave every controller's memory, and their ends are told for good. */
-class HistoryMoveTest extends HistoryFixture {
+class HistoryArchivingTest extends HistoryFixture {
     private static final int DONE = 1;
     private static final int CANCELLED = 2;
 
--- a/src/test/java/org/springmill/control/coordination/HistoryOutageTest.java
+++ b/src/test/java/org/springmill/control/coordination/HistoryOutageTest.java
@@ -5,7 +5,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** Moves while the state service fails in some way, or takes less than before. */
+/** Moves while the key-value store fails in some way, or takes less than before. */
 class HistoryOutageTest extends HistoryFixture {
     private static final int JOBS = 8;
 
@@ -65,7 +65,7 @@
         assertAllMovedAndAnswered();
     }
 
-    /** A slow state service delays moves; leadership and acceptance go on. */
+    /** A slow key-value store delays moves; leadership and acceptance go on. */
     @Test
     void aSlowStateServiceKeepsItsTimeForLeadershipAndAcceptance() {
         endJobs();
--- a/src/test/java/org/springmill/control/coordination/HistoryPropertyTest.java
+++ b/src/test/java/org/springmill/control/coordination/HistoryPropertyTest.java
@@ -25,10 +25,10 @@
 import org.springmill.sim.SimulatedCluster;
 
 /**
- * Random interleavings of what users, controllers, state service and network do, with records moved
- * all along. No job is accepted twice, no final state is lost or changed, and nothing stays in
- * memory. The simulated cluster checks the protocol's invariants meanwhile: no task runs twice, no
- * accepted job is forgotten, no answer goes back.
+ * Random interleavings of what users, controllers, key-value store and network do, with records
+ * moved all along. No job is accepted twice, no final state is lost or changed, and nothing stays
+ * in memory. The simulated cluster checks the protocol's invariants meanwhile: no task runs twice,
+ * no accepted job is forgotten, no answer goes back.
  */
 class HistoryPropertyTest {
     private static final int CONTROLLERS = 3;
--- a/src/test/java/org/springmill/control/coordination/ImageCacheTest.java
+++ b/src/test/java/org/springmill/control/coordination/ImageCacheTest.java
@@ -36,15 +36,15 @@
         "large, 60, 60, 0"
     })
     void aFetchWaitsForThoseBeforeIt(String image, double gb, double now, double waits) {
-        assertEquals(waits, images.waitS(image, gb, 2, now), 1e-9);
+        assertEquals(waits, images.waitSeconds(image, gb, 2, now), 1e-9);
     }
 
     @Test
     void aRunningTaskShowsThatItsImageIsThere() {
         images.use("large", 60, 100, 15);
         images.use("small", 2, 100, 15);
-        assertEquals(0, images.waitS("large", 60, 2, 15));
-        assertEquals(2, images.waitS("other", 4, 2, 15));
+        assertEquals(0, images.waitSeconds("large", 60, 2, 15));
+        assertEquals(2, images.waitSeconds("other", 4, 2, 15));
     }
 
     @Test
@@ -52,7 +52,7 @@
         images.abandon("large", 20);
         assertFalse(images.holds("large"));
         images.abandon("small", 50);
-        assertEquals(0, images.waitS("small", 2, 2, 50), "it was there already");
+        assertEquals(0, images.waitSeconds("small", 2, 2, 50), "it was there already");
     }
 
     @Test
--- a/src/test/java/org/springmill/control/coordination/IsolatedLeaderCancellationTest.java
+++ b/src/test/java/org/springmill/control/coordination/IsolatedLeaderCancellationTest.java
@@ -12,8 +12,9 @@
 import org.springmill.sim.SimulatedCluster;
 
 /**
- * The state service refuses the leader alone while other controllers confirm cancellations; then it
- * is down for all of them for longer than the cancellation deadline, while workers keep reporting.
+ * The key-value store refuses the leader alone while other controllers confirm cancellations; then
+ * it is down for all of them for longer than the cancellation deadline, while workers keep
+ * reporting.
  */
 class IsolatedLeaderCancellationTest extends SingleFailureFixture {
     private int leader;
--- a/src/test/java/org/springmill/control/coordination/JobChainCancellationTest.java
+++ b/src/test/java/org/springmill/control/coordination/JobChainCancellationTest.java
@@ -69,7 +69,7 @@
         assertPhaseEverywhere("cancelled", 2, 31, 59);
         long before = storedEnds();
         cluster.run(10);
-        // A tenth of the 20 changes a second that the state service takes, in steps of half a
+        // A tenth of the 20 changes a second that the key-value store takes, in steps of half a
         // transaction.
         assertTrue(storedEnds() - before <= 0.1 * 20 * 10 + 6, storedEnds() + " after " + before);
         cluster.run(30);
@@ -102,8 +102,8 @@
     }
 
     /**
-     * The state service refuses the leader alone, a job is cancelled through another controller,
-     * and then the state service is down for longer than users wait.
+     * The key-value store refuses the leader alone, a job is cancelled through another controller,
+     * and then the key-value store is down for longer than users wait.
      */
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
@@ -210,7 +210,8 @@
         "LOSE_ANSWER, 0.004",
         "LOSE_ANSWER, 0.05"
     })
-    void aDependentFollowsWhicheverOfDoneAndCancelledIsCommittedFirst(Fate fate, double laterS) {
+    void aDependentFollowsWhicheverOfDoneAndCancelledIsCommittedFirst(
+            Fate fate, double laterSeconds) {
         submit(0, 4, job(1, 2));
         submit(1, 1, job(2, 1, 1));
         cluster.network()
@@ -224,7 +225,7 @@
         while (cluster.running(id(1)) > 0) {
             cluster.run(0.001);
         }
-        cluster.run(laterS);
+        cluster.run(laterSeconds);
         String answer = cluster.withdraw(follower(), id(1));
         assertTrue(answer.equals("cancelled") || answer.equals("done"), answer);
         deliverAllMessages();
--- a/src/test/java/org/springmill/control/coordination/JobChainFixture.java
+++ b/src/test/java/org/springmill/control/coordination/JobChainFixture.java
@@ -102,7 +102,7 @@
         return JOB_RECORD.formatted(front, id(number), field);
     }
 
-    /** Writes a record to the state service as some other process would. */
+    /** Writes a record to the key-value store as some other process would. */
     final void store(String key, String value) {
         String commit =
                 "{\"when\":[],\"writes\":[{\"write\":\"" + key + "\",\"value\":" + value + "}]}";
--- a/src/test/java/org/springmill/control/coordination/JobChainSubmissionTest.java
+++ b/src/test/java/org/springmill/control/coordination/JobChainSubmissionTest.java
@@ -63,7 +63,7 @@
 
     /**
      * Another controller may have accepted the dependency a moment ago, which only a read of the
-     * state service can tell.
+     * key-value store can tell.
      */
     @Test
     void anUnknownDependencyGetsNoFinalAnswerWithoutAReadOfTheStateService() {
--- a/src/test/java/org/springmill/control/coordination/JobDependenciesTest.java
+++ b/src/test/java/org/springmill/control/coordination/JobDependenciesTest.java
@@ -16,17 +16,17 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import org.springmill.control.storage.JobRecord;
-import org.springmill.protocol.BadMessageException;
 import org.springmill.protocol.Json;
+import org.springmill.protocol.MalformedMessageException;
 import org.springmill.protocol.Submission;
-import org.springmill.protocol.UserMessages.Phase;
+import org.springmill.protocol.UserMessages.JobPhase;
 
 class JobDependenciesTest {
     private final Map<String, JobRecord> jobs = new HashMap<>();
     private final JobDependencies dependencies = new JobDependencies(jobs, id -> null);
 
     /** From a line such as "3<1,2": job 3 needs 1 and 2. */
-    private static Submission job(String line) throws BadMessageException {
+    private static Submission job(String line) throws MalformedMessageException {
         String[] parts = line.split("<");
         String body =
                 """
@@ -41,8 +41,8 @@
         return Submission.parse(Json.object(body.getBytes(StandardCharsets.UTF_8)));
     }
 
-    private static JobRecord record(String line, Phase phase, long version)
-            throws BadMessageException {
+    private static JobRecord record(String line, JobPhase phase, long version)
+            throws MalformedMessageException {
         return new JobRecord("run-" + line.split("<")[0], job(line), phase, version, 7, 0);
     }
 
@@ -76,15 +76,15 @@
             })
     void cancellationFollowsFromTheRecordsAlone(
             String graph, String cancelled, String done, String expected)
-            throws BadMessageException {
+            throws MalformedMessageException {
         List<JobRecord> records = new ArrayList<>();
         for (String line : graph.split(" ")) {
             String id = line.split("<")[0];
-            records.add(record(line, Phase.QUEUED, Long.parseLong(id)));
+            records.add(record(line, JobPhase.QUEUED, Long.parseLong(id)));
             if (List.of(cancelled.split(" ")).contains(id)) {
-                records.add(record(line, Phase.CANCELLED, 100 + Long.parseLong(id)));
+                records.add(record(line, JobPhase.CANCELLED, 100 + Long.parseLong(id)));
             } else if (List.of(done.split(" ")).contains(id)) {
-                records.add(record(line, Phase.DONE, 100 + Long.parseLong(id)));
+                records.add(record(line, JobPhase.DONE, 100 + Long.parseLong(id)));
             }
         }
         Random random = new Random(5);
@@ -103,31 +103,31 @@
     }
 
     @Test
-    void aCancellationReachesAllOfADeepAndWideGraph() throws BadMessageException {
+    void aCancellationReachesAllOfADeepAndWideGraph() throws MalformedMessageException {
         int deep = 50_000;
-        dependencies.learn(record("1", Phase.QUEUED, 1));
+        dependencies.learn(record("1", JobPhase.QUEUED, 1));
         for (int i = 2; i <= deep; i++) {
-            dependencies.learn(record(i + "<" + (i % 2 == 0 ? 1 : i - 1), Phase.QUEUED, i));
+            dependencies.learn(record(i + "<" + (i % 2 == 0 ? 1 : i - 1), JobPhase.QUEUED, i));
         }
-        assertEquals(deep, dependencies.learn(record("1", Phase.CANCELLED, deep + 1)).size());
+        assertEquals(deep, dependencies.learn(record("1", JobPhase.CANCELLED, deep + 1)).size());
         assertEquals(deep - 1, dependencies.pendingPersistence(deep).size());
         // Written down, a record is a change no more, and only the others are still to be written.
-        assertEquals(1, dependencies.learn(record("2<1", Phase.CANCELLED, deep + 2)).size());
+        assertEquals(1, dependencies.learn(record("2<1", JobPhase.CANCELLED, deep + 2)).size());
         assertEquals(deep - 2, dependencies.pendingPersistence(deep).size());
     }
 
     @Test
-    void aJobIsReadyOnceEveryRecordSaysDone() throws BadMessageException {
+    void aJobIsReadyOnceEveryRecordSaysDone() throws MalformedMessageException {
         Submission last = job("4<1,2,3");
         assertEquals("needs run-1, which was never accepted", dependencies.refusal(last));
         for (int i = 1; i <= 3; i++) {
-            dependencies.learn(record(Integer.toString(i), Phase.QUEUED, i));
+            dependencies.learn(record(Integer.toString(i), JobPhase.QUEUED, i));
         }
         assertEquals(null, dependencies.refusal(last));
-        dependencies.learn(record("1", Phase.DONE, 11));
-        dependencies.learn(record("3", Phase.DONE, 13));
+        dependencies.learn(record("1", JobPhase.DONE, 11));
+        dependencies.learn(record("3", JobPhase.DONE, 13));
         assertFalse(dependencies.ready(last));
-        dependencies.learn(record("2", Phase.DONE, 12));
+        dependencies.learn(record("2", JobPhase.DONE, 12));
         assertTrue(dependencies.ready(last));
         assertEquals(13, dependencies.readySince(last));
     }
--- a/src/test/java/org/springmill/control/coordination/JobRecordFeedTest.java
+++ b/src/test/java/org/springmill/control/coordination/JobRecordWatchTest.java
@@ -8,16 +8,16 @@
 import java.util.Set;
 import java.util.function.Consumer;
 import org.junit.jupiter.api.Test;
-import org.springmill.control.storage.StateStore;
+import org.springmill.control.storage.KeyValueStoreClient;
+import org.springmill.protocol.KeyValueStoreMessages.Change;
 import org.springmill.protocol.Settings;
 import org.springmill.protocol.SettingsFixtures;
-import org.springmill.protocol.StateMessages.Change;
 import org.springmill.sim.VirtualClock;
 import org.springmill.transport.HttpClient.Reply;
 import org.springmill.transport.HttpClient.Request;
 
 /** In which order the feed passes records and deletions on, with answers that cross. */
-class JobRecordFeedTest {
+class JobRecordWatchTest {
     private static final String EMPTY_LIST = "{\"pairs\":[],\"truncated\":false,\"ledgerRev\":5}";
     private static final String CREATED = "{\"write\":\"job/run-1\",\"value\":{},\"stamp\":6}";
     private static final String ENDED = "{\"write\":\"job/run-1\",\"value\":{},\"stamp\":8}";
@@ -27,24 +27,24 @@
     private final List<Request> requests = new ArrayList<>();
     private final List<Consumer<Reply>> replies = new ArrayList<>();
     private final List<String> passedOn = new ArrayList<>();
-    private final JobRecordFeed feed = feed();
+    private final JobRecordWatch feed = feed();
 
-    private JobRecordFeed feed() {
+    private JobRecordWatch feed() {
         Settings settings = SettingsFixtures.small();
-        Timing timing = Timing.of(settings);
-        StateStore store =
-                new StateStore(
+        Timeouts timing = Timeouts.of(settings);
+        KeyValueStoreClient store =
+                new KeyValueStoreClient(
                         (request, done) -> {
                             requests.add(request);
                             replies.add(done);
                         },
                         clock,
                         settings,
-                        timing.stateTimeoutS());
-        return new JobRecordFeed(store, clock, timing, new Notes());
+                        timing.storeRequestTimeoutSeconds());
+        return new JobRecordWatch(store, clock, timing, new Notes());
     }
 
-    private final class Notes implements JobRecordFeed.Listener {
+    private final class Notes implements JobRecordWatch.Listener {
         @Override
         public void changed(Change change) {
             passedOn.add((change.value() == null ? "deleted " : "put ") + change.version());
@@ -56,7 +56,7 @@
         }
 
         @Override
-        public void readAgain(Set<String> keys, long revision) {
+        public void reloaded(Set<String> keys, long revision) {
             passedOn.add("read again " + keys + " at " + revision);
         }
 
--- a/src/test/java/org/springmill/control/coordination/StateServiceLimitsTest.java
+++ b/src/test/java/org/springmill/control/coordination/KeyValueStoreLimitsTest.java
@@ -14,9 +14,9 @@
 import org.springmill.sim.SimNetwork.Fate;
 import org.springmill.sim.SimulatedCluster;
 
-/** A state service that takes less than it did, with and without having said so. */
-class StateServiceLimitsTest {
-    private static final Settings.State SMALLER = new Settings.State(120, 15, 2048, 4);
+/** A key-value store that takes less than it did, with and without having said so. */
+class KeyValueStoreLimitsTest {
+    private static final Settings.StoreLimits SMALLER = new Settings.StoreLimits(120, 15, 2048, 4);
     private final SimulatedCluster cluster = new SimulatedCluster();
 
     @AfterEach
--- a/src/test/java/org/springmill/control/coordination/StateServiceOutageTest.java
+++ b/src/test/java/org/springmill/control/coordination/KeyValueStoreOutageTest.java
@@ -13,8 +13,8 @@
 import org.springmill.sim.SimWorker;
 import org.springmill.sim.SimulatedCluster;
 
-/** The state service is down, for all controllers or for one of them. */
-class StateServiceOutageTest extends SingleFailureFixture {
+/** The key-value store is down, for all controllers or for one of them. */
+class KeyValueStoreOutageTest extends SingleFailureFixture {
     @ParameterizedTest
     @ValueSource(doubles = {5, 25})
     void followersKeepWorkerLeasesWhenTheLeaderIsPartitionedInAnOutage(double partitionSeconds) {
--- a/src/test/java/org/springmill/control/coordination/LargeFleetTest.java
+++ b/src/test/java/org/springmill/control/coordination/LargeFleetTest.java
@@ -77,7 +77,8 @@
     void lostRackAndThenTheLeaderAreReplacedWithBoundedRequests() {
         int machines = 1600;
         int jobs = machines / 4;
-        // Jobs are accepted no faster than the state service takes them, so that the last ones come
+        // Jobs are accepted no faster than the key-value store takes them, so that the last ones
+        // come
         // when machines that stood idle would have been returned.
         startFleet(machines, SimOptions.DEFAULTS.withIdleBoots(100));
         submitServices(jobs);
--- a/src/test/java/org/springmill/control/coordination/MachineDrainingTest.java
+++ b/src/test/java/org/springmill/control/coordination/MachineDrainingTest.java
@@ -9,7 +9,7 @@
 import org.springmill.protocol.CloudMessages.MachineType;
 import org.springmill.protocol.Submission;
 import org.springmill.protocol.TaskId;
-import org.springmill.protocol.WorkerMessages.Report;
+import org.springmill.protocol.WorkerMessages.Heartbeat;
 
 /** Which machine is drained, by where its tasks would find room. */
 class MachineDrainingTest {
@@ -21,12 +21,13 @@
     private static Machine running(String name, double cpus) {
         Machine machine = new Machine(name, 1, NOW);
         machine.describe("10.1.0.1:9000", TYPE, ZONE, false);
-        machine.take(new Report(name, "", "large", ZONE, false, 1, 1, 0, null, List.of()), NOW);
+        machine.acceptHeartbeat(
+                new Heartbeat(name, "", "large", ZONE, false, 1, 1, 0, null, List.of()), NOW);
         machine.transition(Machine.State.UP);
         Submission spec = PackingFixtures.job(1).size(cpus, 0, 1).build();
         machine.usesImage(spec, NOW);
         Claim claim = Claim.decide(new TaskId(spec.id(), 0), name, 1);
-        machine.add(new Attempt(claim, new Job(spec, 1), machine, NOW));
+        machine.add(new TaskAttempt(claim, new Job(spec, 1), machine, NOW));
         return machine;
     }
 
--- a/src/test/java/org/springmill/control/coordination/NetworkPartitionTest.java
+++ b/src/test/java/org/springmill/control/coordination/NetworkPartitionTest.java
@@ -16,7 +16,7 @@
 import org.springmill.sim.SimWorker;
 import org.springmill.transport.HttpClient.Request;
 
-/** Partitions between the leader, the other controllers, the workers and the state service. */
+/** Partitions between the leader, the other controllers, the workers and the key-value store. */
 class NetworkPartitionTest extends SingleFailureFixture {
     /** The leader loses its connections to one or several kinds of components for some time. */
     @ParameterizedTest
--- a/src/test/java/org/springmill/control/coordination/LateMachineTest.java
+++ b/src/test/java/org/springmill/control/coordination/OverdueBootTest.java
@@ -12,7 +12,7 @@
  * New machines that come up late, never, or at once. The cluster has four machines with 8 GPUs; a
  * new one boots in 20 s, and operators wait 3.5 times as long for one.
  */
-class LateMachineTest extends ClusterFixture {
+class OverdueBootTest extends ClusterFixture {
     private static final double BOOT_SECONDS = 20;
     private static final int MACHINES = 4;
     private static final int GPUS = 8;
--- a/src/test/java/org/springmill/control/coordination/PackingFixtures.java
+++ b/src/test/java/org/springmill/control/coordination/PackingFixtures.java
@@ -2,8 +2,8 @@
 
 import java.util.List;
 import org.springmill.protocol.CloudMessages.MachineType;
+import org.springmill.protocol.JobKind;
 import org.springmill.protocol.Priority;
-import org.springmill.protocol.Shape;
 import org.springmill.protocol.Submission;
 
 /** Machine types and jobs for the tests of packing. */
@@ -61,7 +61,7 @@
                     "run-000001",
                     "class",
                     "team",
-                    Shape.ARRAY,
+                    JobKind.ARRAY,
                     Priority.NORMAL,
                     tasks,
                     cpus,
--- a/src/test/java/org/springmill/control/coordination/PeersTest.java
+++ b/src/test/java/org/springmill/control/coordination/PeersTest.java
@@ -9,21 +9,21 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
-import org.springmill.control.admission.StateShares;
-import org.springmill.control.storage.StateStore;
+import org.springmill.control.admission.StoreRateShares;
+import org.springmill.control.storage.KeyValueStoreClient;
 import org.springmill.protocol.PeerMessages;
-import org.springmill.protocol.PeerMessages.News;
-import org.springmill.protocol.PeerMessages.Status;
+import org.springmill.protocol.PeerMessages.CancellationDelta;
+import org.springmill.protocol.PeerMessages.PeerStatus;
 import org.springmill.protocol.Settings;
 import org.springmill.protocol.SettingsFixtures;
 import org.springmill.sim.VirtualClock;
 import org.springmill.transport.PeerLink;
 
 class PeersTest {
-    private static final double LEASE_S = 14;
+    private static final double LEASE_SECONDS = 14;
 
     private final VirtualClock clock = new VirtualClock();
-    private final List<Status> sent = new ArrayList<>();
+    private final List<PeerStatus> sent = new ArrayList<>();
     private PeerLink.Listener listener;
 
     private Peers peers(boolean leading, long term) throws Exception {
@@ -33,7 +33,7 @@
                     @Override
                     public void send(String node, byte[] record) {
                         try {
-                            sent.add((Status) PeerMessages.decode(record));
+                            sent.add((PeerStatus) PeerMessages.decode(record));
                         } catch (Exception e) {
                             throw new AssertionError(e);
                         }
@@ -44,9 +44,13 @@
                         listener = taker;
                     }
                 };
-        Timing timing = Timing.of(settings);
-        StateStore store =
-                new StateStore((request, done) -> {}, clock, settings, timing.stateTimeoutS());
+        Timeouts timing = Timeouts.of(settings);
+        KeyValueStoreClient store =
+                new KeyValueStoreClient(
+                        (request, done) -> {},
+                        clock,
+                        settings,
+                        timing.storeRequestTimeoutSeconds());
         Peers peers =
                 new Peers(
                         link,
@@ -54,16 +58,32 @@
                         settings,
                         timing,
                         new JobDirectory(store, clock, timing, 1),
-                        new StateShares(clock, () -> 0, 0.6, 3, timing.renewS(), 1.002, 20),
+                        new StoreRateShares(
+                                clock,
+                                () -> 0,
+                                0.6,
+                                3,
+                                timing.leaderRenewIntervalSeconds(),
+                                1.002,
+                                20),
                         () ->
-                                new Status(
-                                        "n-0", 0, 0, true, leading, true, 0, false, 0, term,
-                                        News.NONE));
+                                new PeerStatus(
+                                        "n-0",
+                                        0,
+                                        0,
+                                        true,
+                                        leading,
+                                        true,
+                                        0,
+                                        false,
+                                        0,
+                                        term,
+                                        CancellationDelta.NONE));
         peers.start();
         return peers;
     }
 
-    private void hear(Status status) {
+    private void hear(PeerStatus status) {
         listener.received(PeerMessages.encode(status));
     }
 
@@ -73,23 +93,47 @@
      */
     @ParameterizedTest
     @CsvSource({"0.0, true", "1.0, true", "3.0, true", "4.0, false", "30.0, false"})
-    void aFollowerHelpsANewLeaderForAWhileAndTellsItUntilWhen(double afterS, boolean helps)
+    void aFollowerHelpsANewLeaderForAWhileAndTellsItUntilWhen(double afterSeconds, boolean helps)
             throws Exception {
         Peers follower = peers(false, 0);
         clock.run(60);
-        hear(new Status("n-1", 1, 0, true, true, true, 0, false, 60_000, 7, News.NONE));
-        clock.run(afterS);
-        assertEquals(helps, follower.helps());
+        hear(
+                new PeerStatus(
+                        "n-1",
+                        1,
+                        0,
+                        true,
+                        true,
+                        true,
+                        0,
+                        false,
+                        60_000,
+                        7,
+                        CancellationDelta.NONE));
+        clock.run(afterSeconds);
+        assertEquals(helps, follower.keepsLeasesForNewLeader());
         sent.clear();
-        hear(new Status("n-1", 2, 0, true, true, true, 0, false, 60_000, 7, News.NONE));
-        int told = sent.get(sent.size() - 1).witnessAgoMs();
+        hear(
+                new PeerStatus(
+                        "n-1",
+                        2,
+                        0,
+                        true,
+                        true,
+                        true,
+                        0,
+                        false,
+                        60_000,
+                        7,
+                        CancellationDelta.NONE));
+        int told = sent.get(sent.size() - 1).confirmedMillisecondsAgo();
         assertEquals(helps, told < 0);
 
         Peers leader = peers(true, 7);
         clock.run(60);
-        Status asked = sent.get(sent.size() - 1);
+        PeerStatus asked = sent.get(sent.size() - 1);
         hear(
-                new Status(
+                new PeerStatus(
                         "n-1",
                         0,
                         asked.question(),
@@ -100,10 +144,11 @@
                         false,
                         told,
                         7,
-                        News.NONE));
+                        CancellationDelta.NONE));
         double until = leader.othersMayRenewUntil() - clock.now();
-        assertTrue(until >= -told / 1000.0 + LEASE_S / 10, "counts on silence after " + until);
-        clock.run(LEASE_S / 5);
+        assertTrue(
+                until >= -told / 1000.0 + LEASE_SECONDS / 10, "counts on silence after " + until);
+        clock.run(LEASE_SECONDS / 5);
         assertEquals(Double.POSITIVE_INFINITY, leader.othersMayRenewUntil(), "an old word is none");
     }
 
@@ -116,11 +161,23 @@
         clock.run(0.2);
         Peers returned = peers(true, 7);
         clock.run(3);
-        hear(new Status("n-1", 0, earlier, false, false, true, 0, false, 60_000, 7, News.NONE));
-        assertFalse(returned.mostConfirmOutage(7));
-        assertFalse(returned.allHeard());
         hear(
-                new Status(
+                new PeerStatus(
+                        "n-1",
+                        0,
+                        earlier,
+                        false,
+                        false,
+                        true,
+                        0,
+                        false,
+                        60_000,
+                        7,
+                        CancellationDelta.NONE));
+        assertFalse(returned.quorumConfirmsOutage(7));
+        assertFalse(returned.allPeersResponded());
+        hear(
+                new PeerStatus(
                         "n-1",
                         0,
                         sent.get(sent.size() - 1).question(),
@@ -131,7 +188,7 @@
                         false,
                         60_000,
                         7,
-                        News.NONE));
-        assertTrue(returned.mostConfirmOutage(7));
+                        CancellationDelta.NONE));
+        assertTrue(returned.quorumConfirmsOutage(7));
     }
 }
--- a/src/test/java/org/springmill/control/coordination/RecallCostMeasurement.java
+++ b/src/test/java/org/springmill/control/coordination/RecallCostMeasurement.java
@@ -6,16 +6,16 @@
 import org.HdrHistogram.Histogram;
 import org.springmill.control.storage.Claim;
 import org.springmill.protocol.CloudMessages.MachineType;
+import org.springmill.protocol.JobKind;
 import org.springmill.protocol.OperatorSettings;
 import org.springmill.protocol.Priority;
 import org.springmill.protocol.Settings;
-import org.springmill.protocol.Shape;
 import org.springmill.protocol.Submission;
 import org.springmill.protocol.TaskId;
-import org.springmill.protocol.WorkerMessages.Cause;
-import org.springmill.protocol.WorkerMessages.Report;
-import org.springmill.protocol.WorkerMessages.TaskReport;
+import org.springmill.protocol.WorkerMessages.ExitCause;
+import org.springmill.protocol.WorkerMessages.Heartbeat;
 import org.springmill.protocol.WorkerMessages.TaskState;
+import org.springmill.protocol.WorkerMessages.TaskStatus;
 import org.springmill.sim.VirtualClock;
 
 /**
@@ -38,7 +38,7 @@
 
     private final VirtualClock clock = new VirtualClock();
     private final Settings settings;
-    private final Timing timing;
+    private final Timeouts timing;
     private final ClusterState clusterState;
     private final Fleet fleet;
     private final RecallPlanner planner;
@@ -46,15 +46,15 @@
 
     private RecallCostMeasurement(int machines) {
         settings = settings(machines);
-        timing = Timing.of(settings);
+        timing = Timeouts.of(settings);
         clusterState = new ClusterState(settings);
         fleet = new Fleet(clusterState, null, clock, timing, 1, 3.5);
         GracePeriods grace = new GracePeriods(timing, OperatorSettings.Borrowing.DEFAULTS);
         planner =
                 new RecallPlanner(
                         fleet,
-                        new Placement(fleet, timing, WithheldRoom.NONE),
-                        new PromisedRoom(),
+                        new Placement(fleet, timing, CapacityFilter.NONE),
+                        new RecallReservations(),
                         grace,
                         timing);
     }
@@ -108,8 +108,8 @@
                 teams,
                 List.of(),
                 new Settings.Workers(4, 20, 60),
-                new Settings.State(1100, 550, 8192, 32),
-                new Settings.Cloud(4, 6),
+                new Settings.StoreLimits(1100, 550, 8192, 32),
+                new Settings.CloudLimits(4, 6),
                 new Settings.Limits(1, 800, 10_000),
                 OperatorSettings.DEFAULTS);
     }
@@ -118,7 +118,8 @@
         MachineType type = PackingFixtures.type("g8", 1, "a", "b");
         List<Job> batch = new ArrayList<>();
         for (int i = 1; i < TEAMS; i++) {
-            Job job = new Job(spec("team-" + i, Shape.ARRAY, Priority.LOW, 10_000, 8.0 / tasks), i);
+            Job job =
+                    new Job(spec("team-" + i, JobKind.ARRAY, Priority.LOW, 10_000, 8.0 / tasks), i);
             clusterState.add(job);
             batch.add(job);
         }
@@ -126,36 +127,38 @@
             Machine machine = fleet.machine(String.format("host-%06d", i));
             machine.describe("a:1", type, i % 2 == 0 ? "a" : "b", false);
             machine.transition(Machine.State.UP);
-            List<TaskReport> reported = new ArrayList<>();
+            List<TaskStatus> reported = new ArrayList<>();
             for (int task = 0; task < tasks; task++) {
                 reported.add(start(batch.get((i * tasks + task) % batch.size()), machine));
             }
-            machine.take(report(machine, reported), clock.now());
+            machine.acceptHeartbeat(report(machine, reported), clock.now());
         }
     }
 
-    private TaskReport start(Job job, Machine machine) {
+    private TaskStatus start(Job job, Machine machine) {
         Claim claim = Claim.decide(new TaskId(job.id(), job.nextTask()), machine.name(), 1);
-        Attempt attempt = new Attempt(claim, job, machine, clock.now());
+        TaskAttempt attempt = new TaskAttempt(claim, job, machine, clock.now());
         clusterState.add(attempt);
-        attempt.transition(Attempt.State.CLAIMED, clock.now());
-        attempt.transition(Attempt.State.SENT, clock.now());
-        attempt.transition(Attempt.State.RUNNING, clock.now());
-        attempt.reported(clock.now());
-        return new TaskReport(claim.task(), 1, TaskState.RUNNING, Cause.NONE);
+        attempt.transition(TaskAttempt.State.CLAIMED, clock.now());
+        attempt.transition(TaskAttempt.State.SENT, clock.now());
+        attempt.transition(TaskAttempt.State.RUNNING, clock.now());
+        attempt.recordReported(clock.now());
+        return new TaskStatus(claim.task(), 1, TaskState.RUNNING, ExitCause.NONE);
     }
 
-    private static Report report(Machine machine, List<TaskReport> tasks) {
-        return new Report(
+    private static Heartbeat report(Machine machine, List<TaskStatus> tasks) {
+        return new Heartbeat(
                 machine.name(), "a:1", "g8", machine.zone(), false, 1, 1, TOKEN, null, tasks);
     }
 
     private void ask(int replicas, double gpus) {
         clusterState.add(
-                new Job(spec("team-0", Shape.SERVICE, Priority.PRODUCTION, replicas, gpus), 1000));
+                new Job(
+                        spec("team-0", JobKind.SERVICE, Priority.PRODUCTION, replicas, gpus),
+                        1000));
     }
 
-    private Submission spec(String team, Shape shape, Priority priority, int tasks, double gpus) {
+    private Submission spec(String team, JobKind shape, Priority priority, int tasks, double gpus) {
         return new Submission(
                 String.format("run-%06d", ++numbers),
                 "c",
--- a/src/test/java/org/springmill/control/coordination/RemoteProgressTest.java
+++ b/src/test/java/org/springmill/control/coordination/RemoteProgressTest.java
@@ -8,17 +8,18 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 import org.springmill.protocol.PeerMessages.JobProgress;
-import org.springmill.protocol.PeerMessages.Progress;
+import org.springmill.protocol.PeerMessages.ProgressUpdate;
 import org.springmill.protocol.SettingsFixtures;
 import org.springmill.sim.VirtualClock;
 
 class RemoteProgressTest {
     private final VirtualClock clock = new VirtualClock();
     private final RemoteProgress progress =
-            new RemoteProgress(clock, Timing.of(SettingsFixtures.small()));
+            new RemoteProgress(clock, Timeouts.of(SettingsFixtures.small()));
 
     private void broadcast(int job) {
-        progress.receive(new Progress("n-1", 5, List.of(new JobProgress("run-" + job, 1, 1))));
+        progress.receive(
+                new ProgressUpdate("n-1", 5, List.of(new JobProgress("run-" + job, 1, 1))));
     }
 
     /** In steady operation nothing was ever dropped, a few hundred bytes for each job that ran. */
@@ -36,7 +37,7 @@
     @Test
     void theLatestBroadcastCounts() {
         broadcast(1);
-        progress.receive(new Progress("n-1", 5, List.of(new JobProgress("run-1", 2, 0))));
+        progress.receive(new ProgressUpdate("n-1", 5, List.of(new JobProgress("run-1", 2, 0))));
         assertEquals(2, progress.of("run-1").done());
     }
 }
--- a/src/test/java/org/springmill/control/coordination/StrandedCpusTest.java
+++ b/src/test/java/org/springmill/control/coordination/StrandedCpusTest.java
@@ -24,7 +24,7 @@
         if (cpus > 0) {
             Submission spec = PackingFixtures.job(1).size(cpus, gpus, 100).build();
             Claim claim = Claim.decide(new TaskId(spec.id(), 0), machine.name(), 1);
-            machine.add(new Attempt(claim, new Job(spec, 1), machine, 0));
+            machine.add(new TaskAttempt(claim, new Job(spec, 1), machine, 0));
         }
         return machine;
     }
--- a/src/test/java/org/springmill/control/coordination/AttemptTest.java
+++ b/src/test/java/org/springmill/control/coordination/TaskAttemptTest.java
@@ -4,28 +4,28 @@
 
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
-import org.springmill.control.coordination.Attempt.State;
+import org.springmill.control.coordination.TaskAttempt.State;
 import org.springmill.control.storage.Claim;
 import org.springmill.protocol.TaskId;
 
-class AttemptTest {
+class TaskAttemptTest {
     @ParameterizedTest
     @CsvSource({
-        "CLAIMED SENT FETCHING RUNNING ENDED GONE, true",
-        "CLAIMED SENT RUNNING STOPPING ENDED GONE, true",
-        "CLAIMED SENT UNKNOWN RUNNING ENDED GONE,  true",
+        "CLAIMED SENT FETCHING RUNNING ENDED CLOSED, true",
+        "CLAIMED SENT RUNNING STOPPING ENDED CLOSED, true",
+        "CLAIMED SENT UNKNOWN RUNNING ENDED CLOSED,  true",
         "UNKNOWN FETCHING RUNNING STOPPING ENDED,  true",
-        "CLAIMED ENDED GONE,                       true",
+        "CLAIMED ENDED CLOSED,                       true",
         "SENT,                                     false",
         "CLAIMED SENT UNKNOWN SENT,                false",
         "CLAIMED SENT ENDED RUNNING,               false",
         "CLAIMED SENT STOPPING RUNNING,            false",
-        "CLAIMED GONE,                             false",
+        "CLAIMED CLOSED,                             false",
         "ENDED,                                    false",
     })
     void onlyLegalChangesAreMade(String path, boolean legal) {
         Claim claim = Claim.decide(new TaskId("run-000001", 0), "host-000001", 7);
-        Attempt attempt = new Attempt(claim, null, null, 0);
+        TaskAttempt attempt = new TaskAttempt(claim, null, null, 0);
         boolean all = true;
         for (String state : path.trim().split(" ")) {
             State before = attempt.state();
--- a/src/test/java/org/springmill/control/coordination/WaitingJobTest.java
+++ b/src/test/java/org/springmill/control/coordination/WaitingJobTest.java
@@ -25,18 +25,18 @@
         assertEquals(List.of(), cluster.broken());
     }
 
-    private void submit(double runS, ObjectNode job) {
-        assertEquals(201, cluster.submit(0, job, runS));
+    private void submit(double runSeconds, ObjectNode job) {
+        assertEquals(201, cluster.submit(0, job, runSeconds));
     }
 
     private static ObjectNode small(String id) {
         return SimulatedCluster.job(id, "blue", "sweep", 1, 1, 0);
     }
 
-    private static ObjectNode whole(String id, String needed, double dueS) {
+    private static ObjectNode whole(String id, String needed, double dueSeconds) {
         ObjectNode job = SimulatedCluster.job(id, "blue", "sweep", 8, 1, 1);
         job.putArray("waitsOn").add(needed);
-        return dueS < 0 ? job : job.put("dueS", dueS);
+        return dueSeconds < 0 ? job : job.put("dueS", dueSeconds);
     }
 
     /**
@@ -51,16 +51,16 @@
         "130, 90, ELIGIBLE",
     })
     void placeCountsFromTheLastEndAndDeadlineFromSubmission(
-            double firstDueS, double secondDueS, String winner) {
+            double firstDueSeconds, double secondDueSeconds, String winner) {
         cluster.machines("large", "a", 1).run(6);
         cluster.cloud().runOut();
         submit(50, small(SLOW));
         submit(1, small(QUICK));
-        submit(1e9, whole(ACCEPTED_FIRST, SLOW, firstDueS));
+        submit(1e9, whole(ACCEPTED_FIRST, SLOW, firstDueSeconds));
         cluster.run(20);
         submit(45, SimulatedCluster.job(OCCUPANT, "blue", "sweep", 8, 1, 1));
         cluster.run(5);
-        submit(1e9, whole(ELIGIBLE_FIRST, QUICK, secondDueS));
+        submit(1e9, whole(ELIGIBLE_FIRST, QUICK, secondDueSeconds));
         cluster.run(50);
         boolean accepted = cluster.running(ACCEPTED_FIRST) > 0;
         boolean eligible = cluster.running(ELIGIBLE_FIRST) > 0;
--- a/src/test/java/org/springmill/control/history/EndedJobsTest.java
+++ b/src/test/java/org/springmill/control/history/ArchivedJobLookupTest.java
@@ -9,18 +9,18 @@
 import java.util.List;
 import java.util.function.Consumer;
 import org.junit.jupiter.api.Test;
-import org.springmill.control.history.EndedJobs.Outcome;
-import org.springmill.control.storage.EndedJob;
-import org.springmill.control.storage.StateStore;
+import org.springmill.control.history.ArchivedJobLookup.Outcome;
+import org.springmill.control.storage.ArchivedJob;
+import org.springmill.control.storage.KeyValueStoreClient;
 import org.springmill.protocol.Settings;
 import org.springmill.protocol.SettingsFixtures;
-import org.springmill.protocol.UserMessages.Phase;
+import org.springmill.protocol.UserMessages.JobPhase;
 import org.springmill.sim.VirtualClock;
 import org.springmill.transport.HttpClient.Reply;
 import org.springmill.transport.HttpClient.Request;
 
 /** Lookups of moved jobs: shared, bounded, and kept only where the answer can never change. */
-class EndedJobsTest {
+class ArchivedJobLookupTest {
     private static final Settings SETTINGS = SettingsFixtures.small();
     private static final double TIMEOUT_SECONDS = 1;
 
@@ -28,9 +28,9 @@
     private final List<Request> requests = new ArrayList<>();
     private final List<Consumer<Reply>> replies = new ArrayList<>();
     private final List<Outcome> outcomes = new ArrayList<>();
-    private final EndedJobs endedJobs =
-            new EndedJobs(
-                    new StateStore(
+    private final ArchivedJobLookup endedJobs =
+            new ArchivedJobLookup(
+                    new KeyValueStoreClient(
                             (request, done) -> {
                                 requests.add(request);
                                 replies.add(done);
@@ -66,7 +66,7 @@
         assertEquals(List.of(Outcome.FOUND, Outcome.FOUND), outcomes);
         find("run-1");
         assertEquals(1, requests.size(), "a final state is kept");
-        EndedJob expected = new EndedJob("run-1", Phase.DONE, 3, false, 5, 7);
+        ArchivedJob expected = new ArchivedJob("run-1", JobPhase.DONE, 3, false, 5, 7);
         assertEquals(expected, endedJobs.kept("run-1"));
     }
 
@@ -87,13 +87,14 @@
         assertNull(endedJobs.kept("run-1"));
     }
 
-    /** A flood of questions about old jobs leaves the state service to others. */
+    /** A flood of questions about old jobs leaves the key-value store to others. */
     @Test
     void lookupsTakeABoundedShareAndAreRefusedAtOnceBeyondABuffer() {
         for (int i = 0; i < 1000; i++) {
             find("run-" + i);
         }
-        double perSecond = 0.15 * SETTINGS.state().requestsPerS() / SETTINGS.controllers();
+        double perSecond =
+                0.15 * SETTINGS.storeLimits().requestsPerSecond() / SETTINGS.controllers();
         assertEquals((int) perSecond, requests.size());
         assertTrue(outcomes.size() >= 1000 - 2 * perSecond - 1, outcomes.size() + " refused");
         clock.run(1);
@@ -106,9 +107,9 @@
 
     @Test
     void theAnswersKeptAreBounded() {
-        for (int i = 0; i < 2 * EndedJobs.MOST_KEPT; i++) {
-            endedJobs.keep(new EndedJob("run-" + i, Phase.DONE, 1, false, 0, i + 1));
+        for (int i = 0; i < 2 * ArchivedJobLookup.MOST_KEPT; i++) {
+            endedJobs.keep(new ArchivedJob("run-" + i, JobPhase.DONE, 1, false, 0, i + 1));
         }
-        assertEquals(EndedJobs.MOST_KEPT, endedJobs.keptCount());
+        assertEquals(ArchivedJobLookup.MOST_KEPT, endedJobs.keptCount());
     }
 }
--- a/src/test/java/org/springmill/control/history/HistoryMoverTest.java
+++ b/src/test/java/org/springmill/control/history/HistoryArchiverTest.java
@@ -14,22 +14,22 @@
 import java.util.function.Consumer;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
-import org.springmill.control.storage.EndedJob;
+import org.springmill.control.storage.ArchivedJob;
 import org.springmill.control.storage.JobRecord;
-import org.springmill.control.storage.StateStore;
-import org.springmill.protocol.BadMessageException;
+import org.springmill.control.storage.KeyValueStoreClient;
 import org.springmill.protocol.Json;
+import org.springmill.protocol.KeyValueStoreMessages.Condition;
+import org.springmill.protocol.MalformedMessageException;
 import org.springmill.protocol.Settings;
 import org.springmill.protocol.SettingsFixtures;
-import org.springmill.protocol.StateMessages.Condition;
 import org.springmill.protocol.Submission;
-import org.springmill.protocol.UserMessages.Phase;
+import org.springmill.protocol.UserMessages.JobPhase;
 import org.springmill.sim.VirtualClock;
 import org.springmill.transport.HttpClient.Reply;
 import org.springmill.transport.HttpClient.Request;
 
 /** When records are moved, how many at a time, and what follows from each answer. */
-class HistoryMoverTest {
+class HistoryArchiverTest {
     private static final Settings SETTINGS = SettingsFixtures.small();
     private static final double RETENTION_SECONDS = 60;
     private static final double PAUSE_SECONDS = 14;
@@ -43,14 +43,15 @@
     private final VirtualClock clock = new VirtualClock();
     private final List<Request> commits = new ArrayList<>();
     private final List<Consumer<Reply>> replies = new ArrayList<>();
-    private final StateStore store = new StateStore(this::send, clock, SETTINGS, 1);
+    private final KeyValueStoreClient store =
+            new KeyValueStoreClient(this::send, clock, SETTINGS, 1);
     private final Jobs jobs = new Jobs();
     private boolean opposed;
     private int answered;
-    private final HistoryMembers members =
-            new HistoryMembers(store, clock, "n-0", Set.of("n-1"), () -> opposed, PAUSE_SECONDS);
-    private final HistoryMover mover =
-            new HistoryMover(store, clock, members, jobs, RETENTION_SECONDS, PAUSE_SECONDS);
+    private final HistoryMembership members =
+            new HistoryMembership(store, clock, "n-0", Set.of("n-1"), () -> opposed, PAUSE_SECONDS);
+    private final HistoryArchiver mover =
+            new HistoryArchiver(store, clock, members, jobs, RETENTION_SECONDS, PAUSE_SECONDS);
 
     private void send(Request request, Consumer<Reply> done) {
         if (request.path().equals("/commit")) {
@@ -71,7 +72,7 @@
         return new Reply(status, body.getBytes(StandardCharsets.UTF_8));
     }
 
-    private static final class Jobs implements HistoryMover.Jobs {
+    private static final class Jobs implements HistoryArchiver.Jobs {
         private final Map<String, JobRecord> records = new HashMap<>();
         private final Set<String> unsettled = new HashSet<>();
         private final List<String> moved = new ArrayList<>();
@@ -98,21 +99,21 @@
         }
 
         @Override
-        public void moved(EndedJob job) {
+        public void moved(ArchivedJob job) {
             moved.add(job.id());
             records.remove(job.id());
         }
     }
 
     @BeforeEach
-    void jobsHaveEnded() throws BadMessageException {
+    void jobsHaveEnded() throws MalformedMessageException {
         members.register();
         for (int i = 1; i <= 20; i++) {
             String id = "run-" + i;
             byte[] json = RECORD.formatted(id).getBytes(StandardCharsets.UTF_8);
             JobRecord record =
                     JobRecord.accepted(Submission.parse(Json.object(json)), 1)
-                            .ended(Phase.DONE, clock.timeOfDay())
+                            .ended(JobPhase.DONE, clock.timeOfDay())
                             .committed(10 + i);
             jobs.records.put(id, record);
             mover.ended(record);
@@ -162,7 +163,7 @@
         assertEquals(6, jobs.moved.size());
     }
 
-    /** At most a tenth of the changes that the state service takes. */
+    /** At most a tenth of the changes that the key-value store takes. */
     @Test
     void movesKeepToTheirShareOfTheWrites() {
         runUntilDue();
@@ -171,7 +172,9 @@
             runAndCommit(1);
         }
         double writes = 2.0 * 12;
-        assertTrue(clock.now() - since >= writes / (0.1 * SETTINGS.state().writesPerS()) - 1);
+        assertTrue(
+                clock.now() - since
+                        >= writes / (0.1 * SETTINGS.storeLimits().writesPerSecond()) - 1);
     }
 
     @Test
@@ -181,7 +184,7 @@
         assertEquals(0, commits.size());
         jobs.leads = true;
         for (int i = 0; i < 100; i++) {
-            store.commit(List.of(), List.of(), result -> {});
+            store.compareAndSwap(List.of(), List.of(), result -> {});
         }
         int others = commits.size();
         clock.run(0.3);
@@ -204,7 +207,7 @@
         assertEquals(1, commits.size());
     }
 
-    /** 429, 503 or silence: the state service has others to serve first. */
+    /** 429, 503 or silence: the key-value store has others to serve first. */
     @Test
     void movesPauseWhenTheStateServiceRefusesAndAreTriedAgain() {
         runUntilDue();
--- a/src/test/java/org/springmill/control/storage/JobRecordTest.java
+++ b/src/test/java/org/springmill/control/storage/JobRecordTest.java
@@ -6,9 +6,9 @@
 import java.nio.charset.StandardCharsets;
 import java.util.List;
 import org.junit.jupiter.api.Test;
-import org.springmill.protocol.BadMessageException;
 import org.springmill.protocol.Json;
-import org.springmill.protocol.UserMessages.Phase;
+import org.springmill.protocol.MalformedMessageException;
+import org.springmill.protocol.UserMessages.JobPhase;
 
 /** Every generation of job records, from bytes as each version wrote them. */
 class JobRecordTest {
@@ -33,7 +33,7 @@
                     + REST
                     + ",\"waitsOn\":[\"run-000398\",\"run-000405\"]}}";
 
-    private static JobRecord read(String bytes) throws BadMessageException {
+    private static JobRecord read(String bytes) throws MalformedMessageException {
         return JobRecord.decode(
                 "job/run-000412", Json.object(bytes.getBytes(StandardCharsets.UTF_8)), 5);
     }
@@ -43,56 +43,56 @@
     }
 
     @Test
-    void aRecordOfTheFirstGenerationIsReadAndWrittenAsItWas() throws BadMessageException {
+    void aRecordOfTheFirstGenerationIsReadAndWrittenAsItWas() throws MalformedMessageException {
         JobRecord job = read(FIRST);
         assertEquals(List.of(), job.submission().dependencies());
-        assertEquals(Phase.QUEUED, job.phase());
+        assertEquals(JobPhase.QUEUED, job.phase());
         assertEquals(FIRST, written(job));
-        assertEquals(FIRST_ENDED, written(job.ended(Phase.DONE, 17.5)));
-        assertEquals(job.ended(Phase.DONE, 17.5), read(FIRST_ENDED));
+        assertEquals(FIRST_ENDED, written(job.ended(JobPhase.DONE, 17.5)));
+        assertEquals(job.ended(JobPhase.DONE, 17.5), read(FIRST_ENDED));
     }
 
     /** The versions before read and end it, and theirs is what every stored one looks like. */
     @Test
     void aNewRecordWithoutDeadlineOrDependenciesHasTheBytesOfTheFirstGeneration()
-            throws BadMessageException {
+            throws MalformedMessageException {
         JobRecord accepted = JobRecord.accepted(read(FIRST_WITHOUT_DEADLINE).submission(), 12.25);
         assertEquals(FIRST_WITHOUT_DEADLINE, written(accepted));
         assertEquals(
                 FIRST_ENDED.replace(",\"dueS\":900.0", ""),
-                written(accepted.ended(Phase.DONE, 17.5)));
+                written(accepted.ended(JobPhase.DONE, 17.5)));
     }
 
     @Test
     void aNewRecordWithADeadlineKeepsTheTimeItCountsFromThroughEveryRewrite()
-            throws BadMessageException {
+            throws MalformedMessageException {
         JobRecord job = read(TIMED);
         assertEquals(List.of(), job.submission().dependencies());
-        assertEquals(900.0, job.submission().deadlineS());
+        assertEquals(900.0, job.submission().deadlineSeconds());
         assertEquals(12.25, job.acceptedAt());
         assertEquals(TIMED, written(job));
         assertEquals(TIMED, written(JobRecord.accepted(job.submission(), 12.25)));
-        assertEquals(TIMED_ENDED, written(job.ended(Phase.DONE, 17.5).committed(9)));
-        assertEquals(job.ended(Phase.DONE, 17.5), read(TIMED_ENDED));
+        assertEquals(TIMED_ENDED, written(job.ended(JobPhase.DONE, 17.5).committed(9)));
+        assertEquals(job.ended(JobPhase.DONE, 17.5), read(TIMED_ENDED));
         // A version that does not know the field ends the job without it.
         assertEquals(0, read(FIRST_ENDED).acceptedAt());
     }
 
     @Test
     void aRecordOfTheSecondGenerationKeepsItsDependenciesThroughEveryRewrite()
-            throws BadMessageException {
+            throws MalformedMessageException {
         JobRecord job = read(SECOND);
         assertEquals(List.of("run-000398", "run-000405"), job.submission().dependencies());
         assertEquals(12.25, job.acceptedAt());
         assertEquals(SECOND, written(job));
         assertEquals(SECOND, written(JobRecord.accepted(job.submission(), 12.25)));
-        assertEquals(SECOND_ENDED, written(job.ended(Phase.CANCELLED, 17.5).committed(9)));
-        assertEquals(job.ended(Phase.CANCELLED, 17.5), read(SECOND_ENDED));
+        assertEquals(SECOND_ENDED, written(job.ended(JobPhase.CANCELLED, 17.5).committed(9)));
+        assertEquals(job.ended(JobPhase.CANCELLED, 17.5), read(SECOND_ENDED));
     }
 
     /** Else a job accepted under larger limits could not end, and its user would wait for ever. */
     @Test
-    void aRecordTooLargeForTheLimitsOfTodayCanEnd() throws BadMessageException {
+    void aRecordTooLargeForTheLimitsOfTodayCanEnd() throws MalformedMessageException {
         StringBuilder types = new StringBuilder("\"g8\"");
         for (int i = 0; i < 300; i++) {
             types.append(",\"type-").append(i).append('"');
@@ -101,7 +101,7 @@
         assertTrue(job.mostBytes(17.5) > 2048);
         String ended =
                 new String(
-                        Json.bytes(job.ended(Phase.DONE, 17.5).encode(2048)),
+                        Json.bytes(job.ended(JobPhase.DONE, 17.5).encode(2048)),
                         StandardCharsets.UTF_8);
         assertEquals(FIRST_ENDED.replace(",\"frames\":[\"g8\"]", ""), ended);
     }
--- a/src/test/java/org/springmill/control/storage/StateStoreQueueTest.java
+++ b/src/test/java/org/springmill/control/storage/KeyValueStoreClientQueueTest.java
@@ -7,31 +7,32 @@
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.api.Test;
-import org.springmill.control.storage.StateStore.Outcome;
+import org.springmill.control.storage.KeyValueStoreClient.CommitOutcome;
 import org.springmill.protocol.Json;
+import org.springmill.protocol.KeyValueStoreMessages.Write;
 import org.springmill.protocol.Settings;
 import org.springmill.protocol.SettingsFixtures;
-import org.springmill.protocol.StateMessages.Write;
 import org.springmill.sim.VirtualClock;
 import org.springmill.transport.HttpClient.Reply;
 
 /** The order in which transactions are sent, and those that never are. */
-class StateStoreQueueTest {
+class KeyValueStoreClientQueueTest {
     private static final double CHANGES_PER_SECOND = 10;
     private static final double TIMEOUT_SECONDS = 1;
 
     private final VirtualClock clock = new VirtualClock();
     private final List<String> sent = new ArrayList<>();
-    private final List<Outcome> outcomes = new ArrayList<>();
-    private final StateStore store =
-            new StateStore(
+    private final List<CommitOutcome> outcomes = new ArrayList<>();
+    private final KeyValueStoreClient store =
+            new KeyValueStoreClient(
                     (request, done) -> {
                         sent.add(new String(request.body(), StandardCharsets.UTF_8));
                         String committed = "{\"ledgerRev\":9}";
                         done.accept(new Reply(200, committed.getBytes(StandardCharsets.UTF_8)));
                     },
                     clock,
-                    SettingsFixtures.with(new Settings.State(100, CHANGES_PER_SECOND, 8192, 4)),
+                    SettingsFixtures.with(
+                            new Settings.StoreLimits(100, CHANGES_PER_SECOND, 8192, 4)),
                     TIMEOUT_SECONDS);
 
     private static List<Write> write(String key) {
@@ -40,12 +41,12 @@
 
     private void work(int count) {
         for (int i = 0; i < count; i++) {
-            store.commit(List.of(), write("work-" + i), result -> {});
+            store.compareAndSwap(List.of(), write("work-" + i), result -> {});
         }
     }
 
     private void accept(String key, double sendBy) {
-        store.commitAcceptance(
+        store.compareAndSwapAcceptance(
                 List.of(), write(key), sendBy, result -> outcomes.add(result.outcome()));
     }
 
@@ -79,7 +80,8 @@
             accept("job/run-" + i + "x", clock.now() + 2);
         }
         clock.run(20);
-        long unsent = outcomes.stream().filter(outcome -> outcome == Outcome.NOT_NOW).count();
+        long unsent =
+                outcomes.stream().filter(outcome -> outcome == CommitOutcome.RETRYABLE).count();
         assertEquals(40, outcomes.size(), "each is answered");
         assertEquals(40 - sent.size(), unsent);
         double most = CHANGES_PER_SECOND * 3 + 1;
--- a/src/test/java/org/springmill/control/storage/RecordGenerationsTest.java
+++ b/src/test/java/org/springmill/control/storage/RecordGenerationsTest.java
@@ -13,16 +13,16 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.springmill.control.storage.RoundLog.End;
 import org.springmill.control.storage.RoundLog.Rebuilt;
-import org.springmill.protocol.BadMessageException;
 import org.springmill.protocol.Json;
+import org.springmill.protocol.KeyValueStoreMessages.Condition;
+import org.springmill.protocol.MalformedMessageException;
 import org.springmill.protocol.Settings;
 import org.springmill.protocol.SettingsFixtures;
-import org.springmill.protocol.StateMessages.Condition;
 import org.springmill.protocol.Submission;
 import org.springmill.protocol.TaskId;
-import org.springmill.protocol.UserMessages.Phase;
+import org.springmill.protocol.UserMessages.JobPhase;
+import org.springmill.transport.EventLoop;
 import org.springmill.transport.HttpClient.Reply;
-import org.springmill.transport.Loop;
 
 /**
  * Stored records as three versions wrote them: the two that served before jobs could wait for
@@ -70,8 +70,8 @@
 
     private static final Settings SETTINGS = SettingsFixtures.small();
 
-    private static final Loop STILL =
-            new Loop() {
+    private static final EventLoop STILL =
+            new EventLoop() {
                 @Override
                 public double now() {
                     return 100;
@@ -88,7 +88,7 @@
                 }
             };
 
-    private static JsonNode json(String text) throws BadMessageException {
+    private static JsonNode json(String text) throws MalformedMessageException {
         return Json.object(text.getBytes(StandardCharsets.UTF_8));
     }
 
@@ -96,7 +96,7 @@
         return new String(Json.bytes(json), StandardCharsets.UTF_8);
     }
 
-    private static JobRecord read(String bytes) throws BadMessageException {
+    private static JobRecord read(String bytes) throws MalformedMessageException {
         JsonNode value = json(bytes);
         return JobRecord.decode("job/" + value.path("job").path("nameId").asText(), value, 5);
     }
@@ -112,11 +112,11 @@
         "sweep,   '\"accepted\":1.7000000005E9,', names"
     })
     void aJobsRecordKeepsItsBytes(String shape, String accepted, String names)
-            throws BadMessageException {
+            throws MalformedMessageException {
         String job = (shape.equals("sweep") ? SWEEP : SERVICE) + (names.isEmpty() ? "" : NAMES);
         String form = "{\"v\":1,%s" + accepted + "\"job\":{" + job + "}}";
         JobRecord active = read(form.formatted(""));
-        assertEquals(Phase.QUEUED, active.phase());
+        assertEquals(JobPhase.QUEUED, active.phase());
         assertEquals(
                 names.isEmpty() ? List.of() : List.of("run-000398", "run-000405"),
                 active.submission().dependencies());
@@ -126,25 +126,27 @@
         // from which a deadline counts.
         Submission sent = Submission.parse(json("{" + job + "}"));
         double acceptedAt = accepted.isEmpty() ? 3 : active.acceptedAt();
-        boolean timed = sent.deadlineS() != null || !names.isEmpty();
+        boolean timed = sent.deadlineSeconds() != null || !names.isEmpty();
         String stored = accepted.isEmpty() && timed ? "\"accepted\":3.0," : accepted;
         assertEquals(
                 "{\"v\":1," + stored + "\"job\":{" + job + "}}",
                 text(JobRecord.accepted(sent, acceptedAt).encode()));
         String done = form.formatted("\"end\":\"done\",\"at\":17.5,");
-        assertEquals(done, text(active.ended(Phase.DONE, 17.5).encode()));
-        assertEquals(Phase.DONE, read(done).phase());
+        assertEquals(done, text(active.ended(JobPhase.DONE, 17.5).encode()));
+        assertEquals(JobPhase.DONE, read(done).phase());
         assertEquals(done, text(read(done).encode()));
         String cancelled = form.formatted("\"end\":\"cancelled\",\"at\":1.7E9,");
-        assertEquals(cancelled, text(active.ended(Phase.CANCELLED, 1.7e9).encode()));
+        assertEquals(cancelled, text(active.ended(JobPhase.CANCELLED, 1.7e9).encode()));
         assertEquals(1.7e9, read(cancelled).endedAt());
         assertEquals(cancelled, text(read(cancelled).encode()));
     }
 
-    /** A state service that takes every transaction, and lists what it was given to begin with. */
+    /**
+     * A key-value store that takes every transaction, and lists what it was given to begin with.
+     */
     private static RoundLog rounds(List<String> stored, List<String> written) {
-        StateStore store =
-                new StateStore(
+        KeyValueStoreClient store =
+                new KeyValueStoreClient(
                         (request, done) -> {
                             String body = new String(request.body(), StandardCharsets.UTF_8);
                             if (request.method().equals("POST")) {
@@ -243,7 +245,7 @@
     }
 
     @Test
-    void imageLocationsKeepTheirBytes() throws BadMessageException {
+    void imageLocationsKeepTheirBytes() throws MalformedMessageException {
         ImageLocations locations = new ImageLocations();
         locations.add("host-000007", "img-07", 6.2);
         locations.add("host-000231", "img-07", 6.2);
--- a/src/test/java/org/springmill/control/storage/RoundRecordBytesTest.java
+++ b/src/test/java/org/springmill/control/storage/RoundRecordBytesTest.java
@@ -13,19 +13,19 @@
 import java.util.function.Consumer;
 import java.util.stream.IntStream;
 import org.junit.jupiter.api.Test;
-import org.springmill.protocol.BadMessageException;
 import org.springmill.protocol.Json;
+import org.springmill.protocol.KeyValueStoreMessages.Condition;
+import org.springmill.protocol.MalformedMessageException;
 import org.springmill.protocol.PeerMessages;
 import org.springmill.protocol.PeerMessages.Cancellation;
-import org.springmill.protocol.PeerMessages.Cancelled;
+import org.springmill.protocol.PeerMessages.CancellationDelta;
+import org.springmill.protocol.PeerMessages.CancellationNotice;
 import org.springmill.protocol.PeerMessages.JobProgress;
-import org.springmill.protocol.PeerMessages.News;
 import org.springmill.protocol.PeerMessages.PeerRecord;
-import org.springmill.protocol.PeerMessages.Progress;
-import org.springmill.protocol.PeerMessages.Status;
+import org.springmill.protocol.PeerMessages.PeerStatus;
+import org.springmill.protocol.PeerMessages.ProgressUpdate;
 import org.springmill.protocol.Settings;
 import org.springmill.protocol.SettingsFixtures;
-import org.springmill.protocol.StateMessages.Condition;
 import org.springmill.protocol.TaskId;
 import org.springmill.sim.VirtualClock;
 import org.springmill.transport.HttpClient;
@@ -43,15 +43,16 @@
 
     private final VirtualClock clock = new VirtualClock();
 
-    /** Bodies of the transactions that the state service was sent. */
+    /** Bodies of the transactions that the key-value store was sent. */
     private final List<String> transactions = new ArrayList<>();
 
-    /** What the state service answers to a read of all rounds. */
+    /** What the key-value store answers to a read of all rounds. */
     private String storedRounds = "{\"pairs\":[],\"truncated\":false,\"ledgerRev\":431}";
 
     private RoundLog roundLog(int valueBytes, int writesPerCommit) {
         Settings settings =
-                SettingsFixtures.with(new Settings.State(1200, 200, valueBytes, writesPerCommit));
+                SettingsFixtures.with(
+                        new Settings.StoreLimits(1200, 200, valueBytes, writesPerCommit));
         HttpClient stateService =
                 new HttpClient() {
                     @Override
@@ -59,7 +60,7 @@
                         done.accept(answer(request));
                     }
                 };
-        StateStore store = new StateStore(stateService, clock, settings, 1);
+        KeyValueStoreClient store = new KeyValueStoreClient(stateService, clock, settings, 1);
         return new RoundLog(
                 store,
                 clock,
@@ -232,7 +233,7 @@
     }
 
     @Test
-    void imageLocationsListMachinesOnceAndImagesWithTheirSize() throws BadMessageException {
+    void imageLocationsListMachinesOnceAndImagesWithTheirSize() throws MalformedMessageException {
         ImageLocations locations = new ImageLocations();
         locations.add("host-000231", "img-07", 6.2);
         locations.add("host-000232", "img-07", 6.2);
@@ -252,9 +253,9 @@
     }
 
     @Test
-    void statusRecordKeepsItsBytes() throws BadMessageException {
+    void statusRecordKeepsItsBytes() throws MalformedMessageException {
         assertPeerRecordBytes(
-                new Status(
+                new PeerStatus(
                         "n-2",
                         258,
                         7,
@@ -265,7 +266,7 @@
                         true,
                         -250,
                         99,
-                        new News(
+                        new CancellationDelta(
                                 41,
                                 5,
                                 true,
@@ -290,9 +291,9 @@
     }
 
     @Test
-    void cancelledRecordKeepsItsBytes() throws BadMessageException {
+    void cancelledRecordKeepsItsBytes() throws MalformedMessageException {
         assertPeerRecordBytes(
-                new Cancelled("n-1", List.of(new Cancellation("run-000001", 41, 1.5))),
+                new CancellationNotice("n-1", List.of(new Cancellation("run-000001", 41, 1.5))),
                 "0103"
                         + "00036e2d31"
                         + "0001"
@@ -302,9 +303,9 @@
     }
 
     @Test
-    void progressRecordKeepsItsBytes() throws BadMessageException {
+    void progressRecordKeepsItsBytes() throws MalformedMessageException {
         assertPeerRecordBytes(
-                new Progress("n-1", 5, List.of(new JobProgress("run-000001", 3, 9))),
+                new ProgressUpdate("n-1", 5, List.of(new JobProgress("run-000001", 3, 9))),
                 "0102"
                         + "00036e2d31"
                         + "0000000000000005"
@@ -315,7 +316,7 @@
     }
 
     private static void assertPeerRecordBytes(PeerRecord message, String hex)
-            throws BadMessageException {
+            throws MalformedMessageException {
         assertEquals(hex, HexFormat.of().formatHex(PeerMessages.encode(message)));
         assertEquals(message, PeerMessages.decode(HexFormat.of().parseHex(hex)));
     }
--- a/src/test/java/org/springmill/emulator/EmulationFailureTest.java
+++ b/src/test/java/org/springmill/emulator/EmulationFailureTest.java
@@ -14,7 +14,7 @@
 import java.util.concurrent.ExecutionException;
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
-import org.springmill.emulator.HollowWorker.Environment;
+import org.springmill.emulator.EmulatedWorker.Environment;
 import org.springmill.protocol.TaskId;
 import org.springmill.sim.VirtualClock;
 
@@ -24,7 +24,7 @@
 
     private final JobRegistry jobs = new JobRegistry();
 
-    private static final class NoObserver implements HollowWorker.Observer {
+    private static final class NoObserver implements EmulatedWorker.Observer {
         @Override
         public void commanded(TaskId task) {}
 
@@ -54,12 +54,12 @@
                         new Measurements(),
                         new NoObserver());
         CompletableFuture<Void> failed = new CompletableFuture<>();
-        List<HollowFleet> fleets = new ArrayList<>();
+        List<EmulatedFleet> fleets = new ArrayList<>();
         try {
             // Both fleets have the same addresses, so the second finds them taken.
             for (int i = 0; i < 2; i++) {
-                HollowFleet fleet =
-                        new HollowFleet(
+                EmulatedFleet fleet =
+                        new EmulatedFleet(
                                 environment,
                                 new SplittableRandom(1),
                                 NETWORK,
@@ -74,7 +74,7 @@
             String message = error.getCause().getMessage();
             assertTrue(message.startsWith("a worker cannot listen on 127." + NETWORK), message);
         } finally {
-            fleets.forEach(HollowFleet::close);
+            fleets.forEach(EmulatedFleet::close);
         }
     }
 
--- a/src/test/java/org/springmill/emulator/RuleCheckerTest.java
+++ b/src/test/java/org/springmill/emulator/RuleCheckerTest.java
@@ -8,11 +8,11 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import org.springmill.emulator.JobRegistry.EmulatedJob;
+import org.springmill.protocol.JobKind;
 import org.springmill.protocol.Priority;
-import org.springmill.protocol.Shape;
 import org.springmill.protocol.Submission;
 import org.springmill.protocol.TaskId;
-import org.springmill.protocol.UserMessages.Phase;
+import org.springmill.protocol.UserMessages.JobPhase;
 import org.springmill.sim.VirtualClock;
 
 /** The emulator's check of the rules: it finds each violation, and none where there is none. */
@@ -40,7 +40,7 @@
                         id,
                         "c",
                         "team-000",
-                        Shape.ARRAY,
+                        JobKind.ARRAY,
                         Priority.NORMAL,
                         tasks,
                         cpus,
@@ -75,10 +75,10 @@
 
     @Test
     void aJobThatRunsOnceAndIsDoneBreaksNothing() {
-        rules.told(JOB, Phase.QUEUED, clock.now());
+        rules.told(JOB, JobPhase.QUEUED, clock.now());
         runBothTasks();
-        rules.told(JOB, Phase.DONE, clock.now());
-        rules.told(JOB, Phase.DONE, clock.now());
+        rules.told(JOB, JobPhase.DONE, clock.now());
+        rules.told(JOB, JobPhase.DONE, clock.now());
         clock.run(100);
         assertEquals(0, rules.violationCount());
         assertEquals(2, rules.ends());
@@ -114,7 +114,7 @@
     @Test
     void aTaskThatOutlivesItsJobsCancellationIsFound() {
         rules.started(TASK, MACHINE);
-        rules.told(JOB, Phase.CANCELLED, clock.now());
+        rules.told(JOB, JobPhase.CANCELLED, clock.now());
         clock.run(43);
         assertEquals(0, rules.violationCount());
         clock.run(2);
@@ -125,14 +125,14 @@
     void aJobCalledDoneTooEarlyIsFound() {
         rules.started(TASK, MACHINE);
         rules.ended(TASK, MACHINE, true);
-        rules.told(JOB, Phase.DONE, clock.now());
+        rules.told(JOB, JobPhase.DONE, clock.now());
         assertViolated("not_done");
     }
 
     @Test
     void aFinalStateThatChangesIsFound() {
-        rules.told(JOB, Phase.CANCELLED, clock.now());
-        rules.told(JOB, Phase.QUEUED, clock.now());
+        rules.told(JOB, JobPhase.CANCELLED, clock.now());
+        rules.told(JOB, JobPhase.QUEUED, clock.now());
         assertViolated("went_back");
     }
 
@@ -141,17 +141,17 @@
     void anAnswerToAQuestionAskedBeforeTheEndWasToldIsNoViolation() {
         double askedAt = clock.now();
         clock.run(1);
-        rules.told(JOB, Phase.CANCELLED, clock.now());
-        rules.told(JOB, Phase.RUNNING, askedAt);
+        rules.told(JOB, JobPhase.CANCELLED, clock.now());
+        rules.told(JOB, JobPhase.RUNNING, askedAt);
         assertEquals(0, rules.violationCount());
-        rules.told(JOB, Phase.DONE, askedAt);
+        rules.told(JOB, JobPhase.DONE, askedAt);
         assertViolated("went_back");
     }
 
     @Test
     void aTaskThatStartsAfterItsJobWasCalledDoneIsFound() {
         runBothTasks();
-        rules.told(JOB, Phase.DONE, clock.now());
+        rules.told(JOB, JobPhase.DONE, clock.now());
         rules.started(TASK, MACHINE);
         assertViolated("went_back");
     }
--- a/src/test/java/org/springmill/emulator/ServingStandInsTest.java
+++ b/src/test/java/org/springmill/emulator/ServingStandInsTest.java
@@ -9,8 +9,8 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import org.springmill.emulator.JobRegistry.EmulatedJob;
+import org.springmill.protocol.JobKind;
 import org.springmill.protocol.Priority;
-import org.springmill.protocol.Shape;
 import org.springmill.protocol.Submission;
 import org.springmill.protocol.TaskId;
 import org.springmill.sim.VirtualClock;
@@ -30,12 +30,12 @@
         scenario = ScenarioFile.read(Path.of("scenarios/borrowing.hcl"));
     }
 
-    private static Submission job(String id, int team, double checkpointS) {
+    private static Submission job(String id, int team, double checkpointSeconds) {
         return new Submission(
                 id,
                 "c",
-                HollowUsers.teamName(team),
-                Shape.ARRAY,
+                EmulatedUsers.teamName(team),
+                JobKind.ARRAY,
                 Priority.NORMAL,
                 20,
                 1,
@@ -49,7 +49,7 @@
                 false,
                 false,
                 100,
-                checkpointS,
+                checkpointSeconds,
                 1,
                 null,
                 List.of());
@@ -78,7 +78,7 @@
                 }
 
                 @Override
-                public void reply(int status, byte[] body, int retryAfterS) {
+                public void reply(int status, byte[] body, int retryAfterSeconds) {
                     statuses.add(status);
                     times.add(clock.now());
                 }
@@ -93,7 +93,7 @@
         Answers answers = new Answers();
         server.handle(answers.call());
         assertEquals(List.of(503), answers.statuses, "it has not loaded");
-        clock.run(serving.loadS());
+        clock.run(serving.loadSeconds());
         double begin = clock.now();
         for (int i = 0; i < 20; i++) {
             server.handle(answers.call());
@@ -102,7 +102,7 @@
         int queue = (int) serving.queue();
         assertEquals(queue + 1, answers.statuses.stream().filter(s -> s == 200).count());
         double last = answers.times.stream().mapToDouble(time -> time).max().orElseThrow();
-        assertEquals((queue + 1) / serving.requestsPerS(), last - begin, 1e-6);
+        assertEquals((queue + 1) / serving.requestsPerSecond(), last - begin, 1e-6);
         server.stop();
         server.handle(answers.call());
         assertEquals(503, answers.statuses.get(answers.statuses.size() - 1));
--- a/src/test/java/org/springmill/measure/HistoryMeasurement.java
+++ b/src/test/java/org/springmill/measure/HistoryMeasurement.java
@@ -23,14 +23,14 @@
 import org.knowm.xchart.BitmapEncoder.BitmapFormat;
 import org.knowm.xchart.XYChart;
 import org.knowm.xchart.XYChartBuilder;
-import org.springmill.control.storage.EndedJob;
+import org.springmill.control.storage.ArchivedJob;
 import org.springmill.control.storage.JobRecord;
-import org.springmill.emulator.StateService;
+import org.springmill.emulator.EmulatedKeyValueStore;
 import org.springmill.protocol.Json;
-import org.springmill.protocol.StateMessages;
-import org.springmill.protocol.StateMessages.Write;
+import org.springmill.protocol.KeyValueStoreMessages;
+import org.springmill.protocol.KeyValueStoreMessages.Write;
 import org.springmill.protocol.Submission;
-import org.springmill.protocol.UserMessages.Phase;
+import org.springmill.protocol.UserMessages.JobPhase;
 import org.springmill.transport.HttpHandler.Call;
 import org.springmill.transport.Transport;
 
@@ -61,10 +61,10 @@
     /**
      * One controller that was started.
      *
-     * @param readyS negative if it was not ready in time or ended before
+     * @param readySeconds negative if it was not ready in time or ended before
      * @param heapMb in use after a collection
      */
-    public record Result(int jobs, boolean moved, double readyS, double heapMb) {}
+    public record Result(int jobs, boolean moved, double readySeconds, double heapMb) {}
 
     /**
      * Measures all counts.
@@ -97,7 +97,7 @@
 
     private static Result measure(int jobs, boolean moved, String run) throws Exception {
         try (Transport transport = new Transport(200, Set.of())) {
-            StateService state = new StateService(transport.loop(), 8192, BATCH);
+            EmulatedKeyValueStore state = new EmulatedKeyValueStore(transport.loop(), 8192, BATCH);
             int statePort = transport.serve(HOST + 0, call -> answer(state, call));
             CompletableFuture<Void> filled = new CompletableFuture<>();
             transport
@@ -115,7 +115,7 @@
         }
     }
 
-    private static void answer(StateService state, Call call) {
+    private static void answer(EmulatedKeyValueStore state, Call call) {
         String target = call.query().isEmpty() ? call.path() : call.path() + "?" + call.query();
         state.handle(
                 "",
@@ -133,14 +133,14 @@
         call.reply(200, text.getBytes(StandardCharsets.UTF_8), 0);
     }
 
-    private static void fill(StateService state, int jobs, boolean moved) {
+    private static void fill(EmulatedKeyValueStore state, int jobs, boolean moved) {
         for (int from = 0; from < jobs; from += BATCH) {
             List<Write> writes = new ArrayList<>();
             for (int i = from; i < Math.min(jobs, from + BATCH); i++) {
                 writes.add(write(i, moved));
             }
-            byte[] body = StateMessages.commit(List.of(), writes);
-            state.handle("", "POST", StateMessages.COMMIT, body, reply -> {});
+            byte[] body = KeyValueStoreMessages.commit(List.of(), writes);
+            state.handle("", "POST", KeyValueStoreMessages.COMMIT, body, reply -> {});
         }
     }
 
@@ -149,12 +149,12 @@
             byte[] text = RECORD.formatted(number).getBytes(StandardCharsets.UTF_8);
             JsonNode json = Json.object(text);
             JobRecord ended =
-                    JobRecord.accepted(Submission.parse(json), 1.7e9).ended(Phase.DONE, 1.7e9);
-            EndedJob kept = EndedJob.of(ended);
+                    JobRecord.accepted(Submission.parse(json), 1.7e9).ended(JobPhase.DONE, 1.7e9);
+            ArchivedJob kept = ArchivedJob.of(ended);
             return moved
                     ? Write.put(kept.key(), kept.encode())
                     : Write.put(ended.key(), ended.encode());
-        } catch (org.springmill.protocol.BadMessageException e) {
+        } catch (org.springmill.protocol.MalformedMessageException e) {
             throw new IllegalStateException(e);
         }
     }
@@ -173,9 +173,9 @@
                         .redirectOutput(ProcessBuilder.Redirect.DISCARD)
                         .start();
         try {
-            double readyS = awaitReady(process, api, startedAt);
-            double heapMb = readyS < 0 ? -1 : heapMb(process);
-            return new Result(jobs, moved, readyS, heapMb);
+            double readySeconds = awaitReady(process, api, startedAt);
+            double heapMb = readySeconds < 0 ? -1 : heapMb(process);
+            return new Result(jobs, moved, readySeconds, heapMb);
         } finally {
             process.destroyForcibly().waitFor(10, TimeUnit.SECONDS);
             Files.delete(settings);
--- a/src/test/java/org/springmill/protocol/PeerMessagesTest.java
+++ b/src/test/java/org/springmill/protocol/PeerMessagesTest.java
@@ -15,12 +15,12 @@
 import org.junit.jupiter.params.provider.Arguments;
 import org.junit.jupiter.params.provider.MethodSource;
 import org.springmill.protocol.PeerMessages.Cancellation;
-import org.springmill.protocol.PeerMessages.Cancelled;
+import org.springmill.protocol.PeerMessages.CancellationDelta;
+import org.springmill.protocol.PeerMessages.CancellationNotice;
 import org.springmill.protocol.PeerMessages.JobProgress;
-import org.springmill.protocol.PeerMessages.News;
 import org.springmill.protocol.PeerMessages.PeerRecord;
-import org.springmill.protocol.PeerMessages.Progress;
-import org.springmill.protocol.PeerMessages.Status;
+import org.springmill.protocol.PeerMessages.PeerStatus;
+import org.springmill.protocol.PeerMessages.ProgressUpdate;
 
 class PeerMessagesTest {
     /** A status as 880f457 wrote it, whole. */
@@ -41,7 +41,7 @@
 
     static Stream<PeerRecord> records() {
         return Stream.of(
-                new Status(
+                new PeerStatus(
                         "n-1",
                         7,
                         0,
@@ -52,8 +52,8 @@
                         false,
                         250,
                         99,
-                        new News(41, 7, false, true, List.of())),
-                new Status(
+                        new CancellationDelta(41, 7, false, true, List.of())),
+                new PeerStatus(
                         "n-2",
                         0,
                         7,
@@ -64,31 +64,32 @@
                         true,
                         9,
                         Long.MAX_VALUE,
-                        new News(
+                        new CancellationDelta(
                                 0,
                                 Long.MAX_VALUE,
                                 true,
                                 false,
                                 List.of(new Cancellation("run-000001", 41, 1.7e9)))),
-                new Cancelled("n-1", List.of(new Cancellation("run-000001", 41, 1.7e9))),
-                new Progress("n-1", 5, List.of()),
-                new Progress("n-1", 5, List.of(new JobProgress("run-000001", 3, 9))));
+                new CancellationNotice("n-1", List.of(new Cancellation("run-000001", 41, 1.7e9))),
+                new ProgressUpdate("n-1", 5, List.of()),
+                new ProgressUpdate("n-1", 5, List.of(new JobProgress("run-000001", 3, 9))));
     }
 
     @ParameterizedTest
     @MethodSource("records")
-    void recordsSurviveAndBrokenOnesAreRefused(PeerRecord message) throws BadMessageException {
+    void recordsSurviveAndBrokenOnesAreRefused(PeerRecord message)
+            throws MalformedMessageException {
         byte[] bytes = PeerMessages.encode(message);
         assertEquals(message, PeerMessages.decode(bytes));
         assertThrows(
-                BadMessageException.class,
+                MalformedMessageException.class,
                 () -> PeerMessages.decode(Arrays.copyOf(bytes, bytes.length - 1)));
         byte[] newer = bytes.clone();
         newer[0]++;
-        assertThrows(BadMessageException.class, () -> PeerMessages.decode(newer));
+        assertThrows(MalformedMessageException.class, () -> PeerMessages.decode(newer));
         byte[] strange = bytes.clone();
         strange[1] = 77;
-        assertThrows(BadMessageException.class, () -> PeerMessages.decode(strange));
+        assertThrows(MalformedMessageException.class, () -> PeerMessages.decode(strange));
     }
 
     /**
@@ -96,7 +97,8 @@
      * wrote and read.
      */
     @Test
-    void theFirstVersionsStatusIsUnderstoodAndUnderstandsThisOne() throws BadMessageException {
+    void theFirstVersionsStatusIsUnderstoodAndUnderstandsThisOne()
+            throws MalformedMessageException {
         byte[] first =
                 HexFormat.of()
                         .parseHex(
@@ -109,7 +111,9 @@
                                         + "00"
                                         + "000000fa"
                                         + "0000000000000063");
-        Status status = new Status("n-1", 7, 0, true, false, true, 3, false, 250, 99, News.NONE);
+        PeerStatus status =
+                new PeerStatus(
+                        "n-1", 7, 0, true, false, true, 3, false, 250, 99, CancellationDelta.NONE);
         assertEquals(status, PeerMessages.decode(first));
         byte[] now = PeerMessages.encode(status);
         assertArrayEquals(first, Arrays.copyOf(now, first.length), "new fields come last");
@@ -121,10 +125,12 @@
      * same bytes; to 880f457 a status with news is its own with a rest that it leaves unread.
      */
     static Stream<Arguments> bytesOfEarlierVersions() {
-        Status plain = new Status("n-1", 7, 3, true, false, true, 3, false, 250, 99, News.NONE);
+        PeerStatus plain =
+                new PeerStatus(
+                        "n-1", 7, 3, true, false, true, 3, false, 250, 99, CancellationDelta.NONE);
         Cancellation cancellation = new Cancellation("run-000412", 40, 1.7e9);
-        Status withNews =
-                new Status(
+        PeerStatus withNews =
+                new PeerStatus(
                         "n-1",
                         7,
                         3,
@@ -135,17 +141,17 @@
                         false,
                         250,
                         99,
-                        new News(41, 7, false, true, List.of(cancellation)));
+                        new CancellationDelta(41, 7, false, true, List.of(cancellation)));
         return Stream.of(
                 Arguments.of(plain, STATUS + "ffffffffffffffff000000000000000000000000"),
                 Arguments.of(
                         withNews,
                         STATUS + "0000000000000029" + "0000000000000007" + "0001" + CANCELLATIONS),
                 Arguments.of(
-                        new Cancelled("n-1", List.of(cancellation)),
+                        new CancellationNotice("n-1", List.of(cancellation)),
                         "0103" + "00036e2d31" + CANCELLATIONS),
                 Arguments.of(
-                        new Progress("n-1", 5, List.of(new JobProgress("run-000412", 3, 9))),
+                        new ProgressUpdate("n-1", 5, List.of(new JobProgress("run-000412", 3, 9))),
                         "0102"
                                 + "00036e2d31"
                                 + "0000000000000005"
@@ -158,12 +164,13 @@
     @ParameterizedTest
     @MethodSource("bytesOfEarlierVersions")
     void everyVersionsBytesAreReadAndWrittenAsTheyWere(PeerRecord message, String hex)
-            throws BadMessageException {
+            throws MalformedMessageException {
         assertEquals(message, PeerMessages.decode(HexFormat.of().parseHex(hex)));
         assertEquals(hex, HexFormat.of().formatHex(PeerMessages.encode(message)));
-        if (message instanceof Status status) {
-            Status withoutNews = (Status) PeerMessages.decode(HexFormat.of().parseHex(STATUS));
-            assertEquals(News.NONE, withoutNews.news());
+        if (message instanceof PeerStatus status) {
+            PeerStatus withoutNews =
+                    (PeerStatus) PeerMessages.decode(HexFormat.of().parseHex(STATUS));
+            assertEquals(CancellationDelta.NONE, withoutNews.cancellationDelta());
             assertEquals(status.term(), withoutNews.term());
             assertTrue(hex.startsWith(STATUS));
         }
@@ -171,10 +178,12 @@
 
     /** Told only by those who take part, so that every other status keeps its bytes. */
     @Test
-    void theBoundedHistoryIsOneByteAfterTheNews() throws BadMessageException {
-        News news = new News(41, 7, false, true, List.of());
-        Status without = new Status("n-1", 7, 3, true, false, true, 3, false, 250, 99, news);
-        Status with = new Status("n-1", 7, 3, true, false, true, 3, false, 250, 99, news, true, 0);
+    void theBoundedHistoryIsOneByteAfterTheNews() throws MalformedMessageException {
+        CancellationDelta news = new CancellationDelta(41, 7, false, true, List.of());
+        PeerStatus without =
+                new PeerStatus("n-1", 7, 3, true, false, true, 3, false, 250, 99, news);
+        PeerStatus with =
+                new PeerStatus("n-1", 7, 3, true, false, true, 3, false, 250, 99, news, true, 0);
         String hex = HexFormat.of().formatHex(PeerMessages.encode(without)) + "01";
         assertEquals(hex, HexFormat.of().formatHex(PeerMessages.encode(with)));
         assertEquals(with, PeerMessages.decode(HexFormat.of().parseHex(hex)));
@@ -185,7 +194,7 @@
     void aRecordIsBounded() {
         byte[] longer =
                 PeerMessages.encode(
-                        new Cancelled(
+                        new CancellationNotice(
                                 "n-1",
                                 Collections.nCopies(500, new Cancellation("run-000001", 41, 0))));
         assertTrue(longer.length < 4096);
--- a/src/test/java/org/springmill/protocol/SettingsFixtures.java
+++ b/src/test/java/org/springmill/protocol/SettingsFixtures.java
@@ -8,7 +8,8 @@
     private static final String ZONE = "a";
     private static final Settings.Workers WORKERS = new Settings.Workers(2, 14, 44);
     private static final Settings.Limits LIMITS = new Settings.Limits(0.2, 176, 700);
-    private static final Settings.State STATE_LIMITS = new Settings.State(120, 20, 8192, 12);
+    private static final Settings.StoreLimits STATE_LIMITS =
+            new Settings.StoreLimits(120, 20, 8192, 12);
 
     private SettingsFixtures() {}
 
@@ -17,8 +18,8 @@
         return settings(ZONE, WORKERS, STATE_LIMITS, LIMITS);
     }
 
-    /** Settings with other limits of the state service. */
-    public static Settings with(Settings.State stateLimits) {
+    /** Settings with other limits of the key-value store. */
+    public static Settings with(Settings.StoreLimits stateLimits) {
         return settings(ZONE, WORKERS, stateLimits, LIMITS);
     }
 
@@ -30,7 +31,7 @@
     private static Settings settings(
             String zone,
             Settings.Workers workers,
-            Settings.State stateLimits,
+            Settings.StoreLimits stateLimits,
             Settings.Limits limits) {
         return new Settings(
                 "n-0",
@@ -46,7 +47,7 @@
                 List.of(),
                 workers,
                 stateLimits,
-                new Settings.Cloud(4, 3),
+                new Settings.CloudLimits(4, 3),
                 limits,
                 OperatorSettings.DEFAULTS);
     }
--- a/src/test/java/org/springmill/protocol/SubmissionTest.java
+++ b/src/test/java/org/springmill/protocol/SubmissionTest.java
@@ -18,12 +18,12 @@
              "samePlace":true,"apart":false,"loaner":true,"expectS":240.0,"stashEveryS":30.0,"stashS":4.0,
              "dueS":900.0,"unheardOf":[1]}""";
 
-    private static Submission parse(String body) throws BadMessageException {
+    private static Submission parse(String body) throws MalformedMessageException {
         return Submission.parse(Json.object(body.getBytes(StandardCharsets.UTF_8)));
     }
 
     @Test
-    void whatIsStoredIsReadBackTheSame() throws BadMessageException {
+    void whatIsStoredIsReadBackTheSame() throws MalformedMessageException {
         Submission job = parse(GOOD);
         assertEquals(job, Submission.parse(job.toJson()));
         assertEquals(16, job.tasks());
@@ -57,8 +57,8 @@
             })
     void aWrongFieldIsNamed(String from, String to, String field) {
         assertTrue(GOOD.contains(from));
-        BadMessageException e =
-                assertThrows(BadMessageException.class, () -> parse(GOOD.replace(from, to)));
+        MalformedMessageException e =
+                assertThrows(MalformedMessageException.class, () -> parse(GOOD.replace(from, to)));
         assertTrue(e.getMessage().startsWith(field), e.getMessage());
     }
 
@@ -67,12 +67,13 @@
             delimiter = '|',
             value = {"[]", "17", "{", "''", "nonsense", "{} {}", "null"})
     void whatIsNoObjectIsRefused(String body) {
-        assertThrows(BadMessageException.class, () -> parse(body));
+        assertThrows(MalformedMessageException.class, () -> parse(body));
     }
 
     @ParameterizedTest
     @CsvSource({"1, 1", "2, 1", "5, 3", "9, 5"})
-    void halfOfASpreadJobRoundedUpMayShareAZone(int tasks, int perZone) throws BadMessageException {
+    void halfOfASpreadJobRoundedUpMayShareAZone(int tasks, int perZone)
+            throws MalformedMessageException {
         assertEquals(
                 perZone,
                 parse(
@@ -97,7 +98,7 @@
                 "[~run-123456789012345678~]              | run-123456789012345678",
             })
     void eachDependencyCountsOnceInTheOrderOfItsFirstMention(String names, String expected)
-            throws BadMessageException {
+            throws MalformedMessageException {
         Submission job = parse(withDependencies(names));
         assertEquals(expected, String.join(" ", job.dependencies()));
         assertEquals(job, Submission.parse(job.toJson()));
@@ -105,7 +106,7 @@
     }
 
     @Test
-    void aSubmissionWithoutTheFieldHasNoDependencies() throws BadMessageException {
+    void aSubmissionWithoutTheFieldHasNoDependencies() throws MalformedMessageException {
         assertEquals(List.of(), parse(GOOD).dependencies());
     }
 
@@ -128,8 +129,8 @@
                 "[~run-7~,~run-000412~]      | waitsOn names the job itself",
             })
     void dependenciesOfAWrongFormAreRefused(String names, String message) {
-        BadMessageException e =
-                assertThrows(BadMessageException.class, () -> parse(withDependencies(names)));
+        MalformedMessageException e =
+                assertThrows(MalformedMessageException.class, () -> parse(withDependencies(names)));
         assertEquals(message, e.getMessage());
     }
 }
--- a/src/test/java/org/springmill/sim/AnswerChecker.java
+++ b/src/test/java/org/springmill/sim/AnswerChecker.java
@@ -101,7 +101,7 @@
         if (!job.accepted()) {
             job.accept(clock.now());
         }
-        checkPhase(job, SimState.parse(reply.body()).path("phase").asText(), sentAt);
+        checkPhase(job, SimKeyValueStore.parse(reply.body()).path("phase").asText(), sentAt);
     }
 
     private void checkPhase(JobHistory job, String phase, double sentAt) {
@@ -141,7 +141,7 @@
     /** The job in a submission; null if there is none. */
     private static JsonNode jobIn(Request request) {
         try {
-            JsonNode job = SimState.parse(request.body());
+            JsonNode job = SimKeyValueStore.parse(request.body());
             return job.isObject() ? job : null;
         } catch (IllegalStateException e) {
             return null;
--- a/src/test/java/org/springmill/sim/RecallStores.java
+++ b/src/test/java/org/springmill/sim/RecallStores.java
@@ -1,6 +1,6 @@
 package org.springmill.sim;
 
-import org.springmill.control.storage.StateStore;
+import org.springmill.control.storage.KeyValueStoreClient;
 
 /** Stores for tests of records that are never sent. */
 public final class RecallStores {
@@ -9,8 +9,8 @@
     private RecallStores() {}
 
     /** A store whose requests are never answered. */
-    public static StateStore unconnected() {
-        return new StateStore(
+    public static KeyValueStoreClient unconnected() {
+        return new KeyValueStoreClient(
                 (request, done) -> {},
                 new VirtualClock(),
                 SimSettings.of(0, SimSettings.STATE_LIMITS),
--- a/src/test/java/org/springmill/sim/RetryingUsers.java
+++ b/src/test/java/org/springmill/sim/RetryingUsers.java
@@ -59,7 +59,7 @@
             acceptanceSeconds.add(now - since);
             return;
         }
-        double pause = Math.max(RETRY_SECONDS, reply.retryAfterS());
+        double pause = Math.max(RETRY_SECONDS, reply.retryAfterSeconds());
         cluster.clock().after(pause, () -> submit(job, since));
     }
 
--- a/src/test/java/org/springmill/sim/SimCloud.java
+++ b/src/test/java/org/springmill/sim/SimCloud.java
@@ -121,9 +121,9 @@
             ArrayNode frames = out.putArray("frames");
             type(frames, TYPES.get("small"));
             type(frames, TYPES.get("large"));
-            return SimState.reply(200, out);
+            return SimKeyValueStore.reply(200, out);
         }
-        JsonNode body = request.body().length == 0 ? null : SimState.parse(request.body());
+        JsonNode body = request.body().length == 0 ? null : SimKeyValueStore.parse(request.body());
         if (request.path().equals("/rentals")) {
             return rent(body);
         }
@@ -131,9 +131,10 @@
             for (JsonNode name : body.path("stones")) {
                 remove(name.asText());
             }
-            return SimState.reply(200, out);
+            return SimKeyValueStore.reply(200, out);
         }
-        return SimState.reply(200, page(lateList == null ? list() : lateList, request.path()));
+        return SimKeyValueStore.reply(
+                200, page(lateList == null ? list() : lateList, request.path()));
     }
 
     /** The part of a list that a request asks for, by its {@code from} and {@code limit}. */
@@ -179,7 +180,8 @@
         String name = body.path("hire").asText();
         if (!rentals.containsKey(name)) {
             if (emptyZones.contains(body.path("yard").asText())) {
-                return SimState.reply(503, JSON.createObjectNode().put("error", "no capacity"));
+                return SimKeyValueStore.reply(
+                        503, JSON.createObjectNode().put("error", "no capacity"));
             }
             ArrayNode rented = JSON.createArrayNode();
             double bootSeconds =
@@ -197,7 +199,7 @@
         }
         ObjectNode out = JSON.createObjectNode();
         out.set("stones", rentals.get(name));
-        return SimState.reply(200, out);
+        return SimKeyValueStore.reply(200, out);
     }
 
     private static void type(ArrayNode into, Type type) {
--- a/src/test/java/org/springmill/sim/SimController.java
+++ b/src/test/java/org/springmill/sim/SimController.java
@@ -6,16 +6,16 @@
 import java.util.function.Consumer;
 import org.springmill.control.coordination.Controller;
 import org.springmill.protocol.Settings;
+import org.springmill.transport.EventLoop;
 import org.springmill.transport.HttpClient;
 import org.springmill.transport.HttpHandler;
-import org.springmill.transport.Loop;
 import org.springmill.transport.PeerLink;
 
 /**
  * The process of one controller: the real {@link Controller} on the virtual clock and the simulated
  * networks. Once stopped it acts no more, whatever timers and responses are still to come.
  */
-final class SimController implements Loop, HttpClient, PeerLink {
+final class SimController implements EventLoop, HttpClient, PeerLink {
     private final int number;
     private final VirtualClock clock;
     private final SimNetwork network;
@@ -142,8 +142,8 @@
         }
 
         @Override
-        public void reply(int status, byte[] body, int retryAfterS) {
-            done.accept(new Reply(status, body, retryAfterS));
+        public void reply(int status, byte[] body, int retryAfterSeconds) {
+            done.accept(new Reply(status, body, retryAfterSeconds));
         }
     }
 }
--- a/src/test/java/org/springmill/sim/SimState.java
+++ b/src/test/java/org/springmill/sim/SimKeyValueStore.java
@@ -5,27 +5,28 @@
 import java.util.List;
 import java.util.SplittableRandom;
 import java.util.function.Consumer;
-import org.springmill.emulator.StateService;
+import org.springmill.emulator.EmulatedKeyValueStore;
 import org.springmill.transport.HttpClient.Reply;
 import org.springmill.transport.HttpClient.Request;
 
 /**
- * The emulated state service under the virtual clock, with transactions that are carried out late.
+ * The emulated key-value store under the virtual clock, with transactions that are carried out
+ * late.
  */
-public final class SimState {
+public final class SimKeyValueStore {
     private static final ObjectMapper JSON = new ObjectMapper();
     private static final double MIN_LATE_SECONDS = 2;
     private static final double MORE_LATE_SECONDS = 10;
 
     private final VirtualClock clock;
-    private final StateService service;
+    private final EmulatedKeyValueStore service;
     private SplittableRandom random;
     private double delayedCommitShare;
     private Consumer<JsonNode> onCommit = transaction -> {};
 
-    SimState(VirtualClock clock, int valueBytes, int writesPerCommit) {
+    SimKeyValueStore(VirtualClock clock, int valueBytes, int writesPerCommit) {
         this.clock = clock;
-        service = new StateService(clock, valueBytes, writesPerCommit);
+        service = new EmulatedKeyValueStore(clock, valueBytes, writesPerCommit);
     }
 
     void random(SplittableRandom source) {
--- a/src/test/java/org/springmill/sim/SimNetwork.java
+++ b/src/test/java/org/springmill/sim/SimNetwork.java
@@ -82,7 +82,7 @@
         unableToReport.add(machine.name());
     }
 
-    /** Nothing gets through between a controller and the state service. */
+    /** Nothing gets through between a controller and the key-value store. */
     public void cutFromState(String controller) {
         cutFromState.add(controller);
     }
@@ -147,7 +147,7 @@
             cluster.clock().after(DELAY_SECONDS, () -> once.accept(Reply.NOT_SENT));
             return;
         }
-        cluster.clock().after(request.timeoutS(), () -> once.accept(Reply.LOST));
+        cluster.clock().after(request.timeoutSeconds(), () -> once.accept(Reply.LOST));
         if (request.path().equals("/v1/report")
                 && duplicatedReportShare > 0
                 && random.nextDouble() < duplicatedReportShare) {
--- a/src/test/java/org/springmill/sim/SimOptions.java
+++ b/src/test/java/org/springmill/sim/SimOptions.java
@@ -10,11 +10,11 @@
  *
  * @param seed of everything that is random
  * @param operator the operators' settings of all controllers
- * @param stateLimits limits of the state service in the settings of all controllers
+ * @param stateLimits limits of the key-value store in the settings of all controllers
  * @param heapBytes the largest heap of each controller
  */
 public record SimOptions(
-        long seed, OperatorSettings operator, Settings.State stateLimits, double heapBytes) {
+        long seed, OperatorSettings operator, Settings.StoreLimits stateLimits, double heapBytes) {
     private static final double HEAP_BYTES = 56 * 1024 * 1024;
 
     /** What holds unless a test says otherwise. */
@@ -29,7 +29,7 @@
         return new SimOptions(seed, settings, stateLimits, heapBytes);
     }
 
-    public SimOptions withStateLimits(Settings.State limits) {
+    public SimOptions withStateLimits(Settings.StoreLimits limits) {
         return new SimOptions(seed, operator, limits, heapBytes);
     }
 
@@ -39,24 +39,35 @@
 
     /** Idle machines are kept for so many boots. */
     public SimOptions withIdleBoots(double boots) {
-        return with(boots, operator.historyRetentionS(), operator.maxWaitS(), operator.borrowing());
+        return with(
+                boots,
+                operator.historyRetentionSeconds(),
+                operator.maxWaitSeconds(),
+                operator.borrowing());
     }
 
     /** All controllers recall loans on these terms, or preempt without recalls. */
     public SimOptions withBorrowing(Optional<OperatorSettings.Borrowing> terms) {
-        return with(operator.idleBoots(), operator.historyRetentionS(), operator.maxWaitS(), terms);
+        return with(
+                operator.idleBoots(),
+                operator.historyRetentionSeconds(),
+                operator.maxWaitSeconds(),
+                terms);
     }
 
     /** All controllers keep the bounded history with that retention, or do not take part in it. */
     public SimOptions withHistoryRetention(OptionalDouble seconds) {
-        return with(operator.idleBoots(), seconds, operator.maxWaitS(), operator.borrowing());
+        return with(operator.idleBoots(), seconds, operator.maxWaitSeconds(), operator.borrowing());
     }
 
     /** Submissions are accepted only into queues whose expected wait is no longer than that. */
     public SimOptions withMaxWait(double seconds) {
         OptionalDouble maxWait = OptionalDouble.of(seconds);
         return with(
-                operator.idleBoots(), operator.historyRetentionS(), maxWait, operator.borrowing());
+                operator.idleBoots(),
+                operator.historyRetentionSeconds(),
+                maxWait,
+                operator.borrowing());
     }
 
     private SimOptions with(
--- a/src/test/java/org/springmill/sim/SimSettings.java
+++ b/src/test/java/org/springmill/sim/SimSettings.java
@@ -14,8 +14,8 @@
     static final double CANCEL_SECONDS = 44;
     static final int VALUE_BYTES = 8192;
     static final int WRITES_PER_COMMIT = 12;
-    static final Settings.State STATE_LIMITS =
-            new Settings.State(120, 20, VALUE_BYTES, WRITES_PER_COMMIT);
+    static final Settings.StoreLimits STATE_LIMITS =
+            new Settings.StoreLimits(120, 20, VALUE_BYTES, WRITES_PER_COMMIT);
     static final String STATE_SERVICE = "state:1";
     static final String CLOUD = "cloud:1";
     static final List<String> ZONES = List.of("a", "b");
@@ -55,11 +55,12 @@
     }
 
     /** Settings of a controller whose operators have set nothing. */
-    static Settings of(int controller, Settings.State stateLimits) {
+    static Settings of(int controller, Settings.StoreLimits stateLimits) {
         return of(controller, stateLimits, OperatorSettings.DEFAULTS);
     }
 
-    static Settings of(int controller, Settings.State stateLimits, OperatorSettings operator) {
+    static Settings of(
+            int controller, Settings.StoreLimits stateLimits, OperatorSettings operator) {
         Map<String, String> peers = new HashMap<>();
         for (int i = 0; i < CONTROLLERS; i++) {
             if (i != controller) {
@@ -84,7 +85,7 @@
                 List.of(),
                 new Settings.Workers(REPORT_SECONDS, LEASE_SECONDS, CANCEL_SECONDS),
                 stateLimits,
-                new Settings.Cloud(4, 3),
+                new Settings.CloudLimits(4, 3),
                 new Settings.Limits(0.2, 176, 700),
                 operator);
     }
--- a/src/test/java/org/springmill/sim/SimWorker.java
+++ b/src/test/java/org/springmill/sim/SimWorker.java
@@ -245,7 +245,7 @@
                             }
                             checkLease();
                             if (reply.status() == 200) {
-                                JsonNode answer = SimState.parse(reply.body());
+                                JsonNode answer = SimKeyValueStore.parse(reply.body());
                                 boolean valid =
                                         answer.has("baton")
                                                 && answer.path("baton").asLong() >= token
@@ -256,10 +256,10 @@
                                     execute(answer.path("orders"));
                                 }
                             } else if (reply.status() == 421
-                                    && SimState.parse(reply.body()).has("foreman")) {
+                                    && SimKeyValueStore.parse(reply.body()).has("foreman")) {
                                 controller =
                                         SimSettings.controllerNumber(
-                                                SimState.parse(reply.body())
+                                                SimKeyValueStore.parse(reply.body())
                                                         .path("foreman")
                                                         .asText());
                                 cluster.clock().after(0.1, this::report);
@@ -272,7 +272,7 @@
 
     Reply orders(byte[] bytes) {
         checkLease();
-        JsonNode body = SimState.parse(bytes);
+        JsonNode body = SimKeyValueStore.parse(bytes);
         if (!body.has("baton") || !body.has("shift")) {
             return new Reply(400, new byte[0]);
         }
@@ -282,7 +282,7 @@
             token = body.path("baton").asLong();
             execute(body.path("orders"));
         }
-        return SimState.reply(refused ? 409 : 200, reportBody());
+        return SimKeyValueStore.reply(refused ? 409 : 200, reportBody());
     }
 
     boolean reachable() {
--- a/src/test/java/org/springmill/sim/SimulatedCluster.java
+++ b/src/test/java/org/springmill/sim/SimulatedCluster.java
@@ -26,8 +26,8 @@
     private static final ObjectMapper JSON = new ObjectMapper();
 
     private final VirtualClock clock = new VirtualClock();
-    private final SimState state =
-            new SimState(clock, SimSettings.VALUE_BYTES, SimSettings.WRITES_PER_COMMIT);
+    private final SimKeyValueStore state =
+            new SimKeyValueStore(clock, SimSettings.VALUE_BYTES, SimSettings.WRITES_PER_COMMIT);
     private final SimCloud cloud = new SimCloud(this);
     private final SimNetwork network = new SimNetwork(this);
     private final SimController[] controllers = new SimController[SimSettings.CONTROLLERS];
@@ -96,7 +96,7 @@
     }
 
     /** Limits in the settings of controllers that are started from now on. */
-    public void settings(Settings.State limits) {
+    public void settings(Settings.StoreLimits limits) {
         options = options.withStateLimits(limits);
     }
 
@@ -104,7 +104,7 @@
         return clock;
     }
 
-    public SimState state() {
+    public SimKeyValueStore state() {
         return state;
     }
 
@@ -176,7 +176,9 @@
         return record == null ? -1 : SimSettings.controllerNumber(record.path("node").asText());
     }
 
-    /** A controller loses the state service and the other controllers, not its workers or users. */
+    /**
+     * A controller loses the key-value store and the other controllers, not its workers or users.
+     */
     public void isolate(int controller) {
         cutPeers(controller, true);
         network.cutFromState(SimSettings.controllerName(controller));
@@ -202,7 +204,7 @@
         peerNetwork.release();
     }
 
-    /** Failures of network and state service end, others may follow. */
+    /** Failures of network and key-value store end, others may follow. */
     public void heal() {
         network.calm();
         state.calm();
@@ -319,7 +321,7 @@
     }
 
     /**
-     * Makes known a job that a test has put into the state service itself, and which tasks of it
+     * Makes known a job that a test has put into the key-value store itself, and which tasks of it
      * are done.
      */
     public void assume(ObjectNode job, int... done) {
@@ -339,7 +341,7 @@
 
     private static String phaseOf(Reply reply) {
         return reply.ok()
-                ? SimState.parse(reply.body()).path("phase").asText()
+                ? SimKeyValueStore.parse(reply.body()).path("phase").asText()
                 : Integer.toString(reply.status());
     }
 
--- a/src/test/java/org/springmill/sim/VirtualClock.java
+++ b/src/test/java/org/springmill/sim/VirtualClock.java
@@ -2,13 +2,13 @@
 
 import java.util.Comparator;
 import java.util.PriorityQueue;
-import org.springmill.transport.Loop;
+import org.springmill.transport.EventLoop;
 
 /**
  * Time that passes only when a test lets it; tasks due at the same instant run in the order they
  * were set.
  */
-public final class VirtualClock implements Loop {
+public final class VirtualClock implements EventLoop {
     private record Task(double at, long order, Runnable run, boolean[] cancelled) {}
 
     private final PriorityQueue<Task> tasks =
