--- a/src/main/java/org/springmill/cli/RunCommand.java
+++ b/src/main/java/org/springmill/cli/RunCommand.java
@@ -5,7 +5,7 @@
 import java.util.Set;
 import java.util.SplittableRandom;
 import java.util.concurrent.Callable;
-import org.springmill.control.coordination.Controller;
+import org.springmill.control.controller.Controller;
 import org.springmill.protocol.Settings;
 import org.springmill.protocol.SettingsException;
 import org.springmill.transport.PeerLink;
--- a/src/main/java/org/springmill/control/admission/package-info.java
+++ b/src/main/java/org/springmill/control/admission/package-info.java
@@ -4,7 +4,7 @@
  *
  * <p>Owns the shares of the key-value store, the account of live jobs and of the memory that they
  * need, the estimate of how long work waits for its start, and the decision on a submission. It
- * knows jobs by their submissions only; what waits and what starts is told to it by the
- * coordination layer.
+ * knows jobs by their submissions only; what waits and what starts is told to it by the layers
+ * above.
  */
 package org.springmill.control.admission;
--- a/src/main/java/org/springmill/control/coordination/CancellationHandler.java
+++ b/src/main/java/org/springmill/control/api/CancellationHandler.java
@@ -1,14 +1,17 @@
-package org.springmill.control.coordination;
+package org.springmill.control.api;
 
 import java.util.List;
 import java.util.function.Consumer;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 import org.springmill.control.history.ArchivedJobLookup.Lookup;
+import org.springmill.control.jobs.JobDirectory;
+import org.springmill.control.jobs.JobStatusResponses;
 import org.springmill.control.storage.JobRecord;
 import org.springmill.control.storage.KeyValueStoreClient;
 import org.springmill.control.storage.KeyValueStoreClient.CommitOutcome;
 import org.springmill.control.storage.KeyValueStoreClient.CommitResult;
+import org.springmill.control.timing.Timeouts;
 import org.springmill.protocol.KeyValueStoreMessages.Condition;
 import org.springmill.protocol.KeyValueStoreMessages.Write;
 import org.springmill.protocol.PeerMessages.Cancellation;
--- a/src/main/java/org/springmill/control/coordination/JobQueryHandler.java
+++ b/src/main/java/org/springmill/control/api/JobQueryHandler.java
@@ -1,6 +1,8 @@
-package org.springmill.control.coordination;
+package org.springmill.control.api;
 
 import org.springmill.control.history.ArchivedJobLookup.Lookup;
+import org.springmill.control.jobs.JobDirectory;
+import org.springmill.control.jobs.JobStatusResponses;
 import org.springmill.control.storage.ArchivedJob;
 import org.springmill.control.storage.JobRecord;
 import org.springmill.protocol.Submission;
--- a/src/main/java/org/springmill/control/coordination/SubmissionHandler.java
+++ b/src/main/java/org/springmill/control/api/SubmissionHandler.java
@@ -1,4 +1,4 @@
-package org.springmill.control.coordination;
+package org.springmill.control.api;
 
 import java.util.LinkedHashSet;
 import java.util.List;
@@ -9,12 +9,17 @@
 import org.springmill.control.admission.ActiveJobs;
 import org.springmill.control.admission.AdmissionControl;
 import org.springmill.control.admission.AdmissionRefusal;
+import org.springmill.control.cluster.MachineTypeCatalog;
 import org.springmill.control.history.ArchivedJobLookup.Lookup;
+import org.springmill.control.jobs.JobDirectory;
+import org.springmill.control.jobs.JobStatusResponses;
+import org.springmill.control.metrics.Metrics;
 import org.springmill.control.storage.ArchivedJob;
 import org.springmill.control.storage.JobRecord;
 import org.springmill.control.storage.KeyValueStoreClient;
 import org.springmill.control.storage.KeyValueStoreClient.CommitOutcome;
 import org.springmill.control.storage.KeyValueStoreClient.CommitResult;
+import org.springmill.control.timing.Timeouts;
 import org.springmill.protocol.Json;
 import org.springmill.protocol.KeyValueStoreMessages.Condition;
 import org.springmill.protocol.KeyValueStoreMessages.Write;
@@ -28,7 +33,7 @@
  * Accepts jobs. A job is accepted by creating its record on condition that there is none, and its
  * user is answered only after the commit. Whatever cannot be accepted is answered at once.
  */
-final class SubmissionHandler {
+public final class SubmissionHandler {
     private static final Logger LOG = LoggerFactory.getLogger(SubmissionHandler.class);
 
     private final JobDirectory directory;
@@ -58,7 +63,7 @@
      * @param maxPending submissions whose records may be on their way to the key-value store at a
      *     time
      */
-    SubmissionHandler(
+    public SubmissionHandler(
             JobDirectory directory,
             KeyValueStoreClient store,
             MachineTypeCatalog catalog,
--- a/src/main/java/org/springmill/control/coordination/UserApi.java
+++ b/src/main/java/org/springmill/control/api/UserApi.java
@@ -1,14 +1,17 @@
-package org.springmill.control.coordination;
+package org.springmill.control.api;
 
 import java.util.function.Consumer;
+import org.springmill.control.jobs.JobDirectory;
+import org.springmill.control.jobs.JobStatusResponses;
 import org.springmill.control.storage.KeyValueStoreClient;
+import org.springmill.control.timing.Timeouts;
 import org.springmill.protocol.PeerMessages.Cancellation;
 import org.springmill.protocol.UserMessages;
 import org.springmill.transport.EventLoop;
 import org.springmill.transport.HttpHandler.Call;
 
 /** The user API, which is the same at every controller: submissions, queries and withdrawals. */
-final class UserApi {
+public final class UserApi {
     private static final byte[] EMPTY = new byte[0];
 
     private final SubmissionHandler submissions;
@@ -19,7 +22,7 @@
      * @param announce told of each cancellation committed here, before its user is
      * @param submissions accepts jobs
      */
-    UserApi(
+    public UserApi(
             JobDirectory directory,
             KeyValueStoreClient store,
             EventLoop loop,
@@ -33,7 +36,7 @@
     }
 
     /** Answers a request whose path is that of the submissions or below it. */
-    void handle(Call call) {
+    public void handle(Call call) {
         if (call.path().equals(UserMessages.SUBMISSIONS)) {
             if (allowed(call, "POST")) {
                 submissions.submit(call);
--- a/src/main/java/org/springmill/control/coordination/ArrivalRateEstimator.java
+++ b/src/main/java/org/springmill/control/autoscaling/ArrivalRateEstimator.java
@@ -1,4 +1,4 @@
-package org.springmill.control.coordination;
+package org.springmill.control.autoscaling;
 
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -15,7 +15,7 @@
 /**
  * Measures how fast tasks of each class arrive, to know how much room has to stand ready for them.
  */
-final class ArrivalRateEstimator {
+public final class ArrivalRateEstimator {
     /**
      * Arrivals are counted over this many boots: long enough to be steady, short enough to follow a
      * burst. The boot time is that of the machines: taken from the workers' lease, which is not
@@ -38,15 +38,17 @@
 
     private record Arrival(double at, int tasks) {}
 
-    ArrivalRateEstimator(Settings settings, double now) {
+    public ArrivalRateEstimator(Settings settings, double now) {
         this.settings = settings;
         this.startedAt = now;
     }
 
     /**
+     * Takes in a job that was accepted, or read back from storage.
+     *
      * @param counted whether the job arrived just now, rather than being read back from storage
      */
-    void arrived(Submission job, double now, boolean counted) {
+    public void arrived(Submission job, double now, boolean counted) {
         latest.put(job.jobClass(), job);
         // What comes in the first moments of a term has mostly been waiting for it and says nothing
         // of the rate: at the
--- a/src/main/java/org/springmill/control/coordination/Autoscaler.java
+++ b/src/main/java/org/springmill/control/autoscaling/Autoscaler.java
@@ -1,5 +1,10 @@
-package org.springmill.control.coordination;
+package org.springmill.control.autoscaling;
 
+import org.springmill.control.cluster.Fleet;
+import org.springmill.control.cluster.Machine;
+import org.springmill.control.membership.Peers;
+import org.springmill.control.scheduling.Placement;
+import org.springmill.control.timing.Timeouts;
 import org.springmill.protocol.Settings;
 import org.springmill.transport.EventLoop;
 import org.springmill.transport.HttpClient;
@@ -9,7 +14,7 @@
  * waits and what is to be expected, and deletes those that fail or that nobody needs. The parts
  * that decide and act are wired up here.
  */
-final class Autoscaler {
+public final class Autoscaler {
     private final EventLoop loop;
     private final CloudClient cloud;
     private final MachineDeletion deletion;
@@ -24,7 +29,7 @@
     /**
      * @param changed run when machines were listed or deleted
      */
-    Autoscaler(
+    public Autoscaler(
             Fleet fleet,
             Placement placement,
             ArrivalRateEstimator demand,
@@ -75,28 +80,28 @@
      *
      * @param firstTerm whether no earlier leader can have rented anything
      */
-    void start(boolean firstTerm) {
+    public void start(boolean firstTerm) {
         planner.start(firstTerm);
         listing.start();
     }
 
     /** Ends all requests to the cloud with the leader's term. */
-    void close() {
+    public void close() {
         cloud.close();
     }
 
     /** How many machines are late to come up. */
-    int machinesLate() {
+    public int machinesLate() {
         return lateMachines.count();
     }
 
     /** Notes that for some time nothing was read or done here. */
-    void resumed() {
+    public void resumed() {
         silence.restart(loop.now());
     }
 
     /** Deletes machines that are of no more use and rents what is needed. */
-    void tick() {
+    public void tick() {
         if (cloud.isClosed() || !listing.hasListed()) {
             return;
         }
@@ -114,7 +119,7 @@
      *
      * @param reason for the log
      */
-    void release(Machine machine, String reason) {
+    public void release(Machine machine, String reason) {
         deletion.delete(machine, reason);
     }
 }
--- a/src/main/java/org/springmill/control/coordination/Bin.java
+++ b/src/main/java/org/springmill/control/autoscaling/Bin.java
@@ -1,6 +1,9 @@
-package org.springmill.control.coordination;
+package org.springmill.control.autoscaling;
 
 import java.util.function.Predicate;
+import org.springmill.control.cluster.Machine;
+import org.springmill.control.cluster.MachineKind;
+import org.springmill.control.cluster.ZoneCounts;
 import org.springmill.protocol.CloudMessages.MachineType;
 import org.springmill.protocol.Resources;
 import org.springmill.protocol.Submission;
--- a/src/main/java/org/springmill/control/coordination/CloudClient.java
+++ b/src/main/java/org/springmill/control/autoscaling/CloudClient.java
@@ -1,7 +1,8 @@
-package org.springmill.control.coordination;
+package org.springmill.control.autoscaling;
 
 import java.util.function.Consumer;
 import org.springmill.control.storage.RateLimit;
+import org.springmill.control.timing.Timeouts;
 import org.springmill.protocol.Settings;
 import org.springmill.transport.EventLoop;
 import org.springmill.transport.HttpClient;
--- a/src/main/java/org/springmill/control/coordination/DeletionReason.java
+++ b/src/main/java/org/springmill/control/autoscaling/DeletionReason.java
@@ -1,4 +1,4 @@
-package org.springmill.control.coordination;
+package org.springmill.control.autoscaling;
 
 /** Why a machine is deleted, in the words of the log line that operators read. */
 enum DeletionReason {
--- a/src/main/java/org/springmill/control/coordination/DemandPacking.java
+++ b/src/main/java/org/springmill/control/autoscaling/DemandPacking.java
@@ -1,10 +1,13 @@
-package org.springmill.control.coordination;
+package org.springmill.control.autoscaling;
 
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.Optional;
 import java.util.function.Predicate;
+import org.springmill.control.cluster.EquivalenceClass;
+import org.springmill.control.cluster.MachineKind;
+import org.springmill.control.cluster.ZoneCounts;
 import org.springmill.protocol.CloudMessages;
 import org.springmill.protocol.CloudMessages.MachineType;
 import org.springmill.protocol.Submission;
--- a/src/main/java/org/springmill/control/coordination/Headroom.java
+++ b/src/main/java/org/springmill/control/autoscaling/Headroom.java
@@ -1,6 +1,9 @@
-package org.springmill.control.coordination;
+package org.springmill.control.autoscaling;
 
 import java.util.List;
+import org.springmill.control.cluster.Fleet;
+import org.springmill.control.cluster.Job;
+import org.springmill.control.cluster.Machine;
 import org.springmill.protocol.CloudMessages.MachineType;
 import org.springmill.protocol.Settings;
 import org.springmill.protocol.Submission;
--- a/src/main/java/org/springmill/control/coordination/HeartbeatSilence.java
+++ b/src/main/java/org/springmill/control/autoscaling/HeartbeatSilence.java
@@ -1,4 +1,7 @@
-package org.springmill.control.coordination;
+package org.springmill.control.autoscaling;
+
+import org.springmill.control.cluster.Machine;
+import org.springmill.control.timing.Timeouts;
 
 /** Tells how long the machines that should report have been silent. */
 final class HeartbeatSilence {
--- a/src/main/java/org/springmill/control/coordination/IdleMachines.java
+++ b/src/main/java/org/springmill/control/autoscaling/IdleMachines.java
@@ -1,6 +1,7 @@
-package org.springmill.control.coordination;
+package org.springmill.control.autoscaling;
 
 import java.util.List;
+import org.springmill.control.cluster.Machine;
 import org.springmill.protocol.Settings;
 
 /**
--- a/src/main/java/org/springmill/control/coordination/MachineDeletion.java
+++ b/src/main/java/org/springmill/control/autoscaling/MachineDeletion.java
@@ -1,9 +1,12 @@
-package org.springmill.control.coordination;
+package org.springmill.control.autoscaling;
 
 import java.util.ArrayList;
 import java.util.List;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
+import org.springmill.control.cluster.Fleet;
+import org.springmill.control.cluster.Machine;
+import org.springmill.control.cluster.TaskAttempt;
 import org.springmill.protocol.CloudMessages;
 import org.springmill.protocol.WorkerMessages.ExitCause;
 import org.springmill.transport.EventLoop;
--- a/src/main/java/org/springmill/control/coordination/MachineDraining.java
+++ b/src/main/java/org/springmill/control/autoscaling/MachineDraining.java
@@ -1,4 +1,4 @@
-package org.springmill.control.coordination;
+package org.springmill.control.autoscaling;
 
 import java.util.Comparator;
 import java.util.HashMap;
@@ -6,6 +6,11 @@
 import java.util.Map;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
+import org.springmill.control.cluster.Fleet;
+import org.springmill.control.cluster.Machine;
+import org.springmill.control.cluster.TaskAttempt;
+import org.springmill.control.cluster.ZoneCounts;
+import org.springmill.control.timing.Timeouts;
 import org.springmill.protocol.CloudMessages.MachineType;
 import org.springmill.protocol.Submission;
 
--- a/src/main/java/org/springmill/control/coordination/MachineHealth.java
+++ b/src/main/java/org/springmill/control/autoscaling/MachineHealth.java
@@ -1,6 +1,9 @@
-package org.springmill.control.coordination;
+package org.springmill.control.autoscaling;
 
 import java.util.Optional;
+import org.springmill.control.cluster.Fleet;
+import org.springmill.control.cluster.Machine;
+import org.springmill.control.timing.Timeouts;
 import org.springmill.protocol.Settings;
 
 /**
--- a/src/main/java/org/springmill/control/coordination/OverdueBoots.java
+++ b/src/main/java/org/springmill/control/autoscaling/OverdueBoots.java
@@ -1,4 +1,4 @@
-package org.springmill.control.coordination;
+package org.springmill.control.autoscaling;
 
 import java.util.ArrayList;
 import java.util.Comparator;
@@ -7,6 +7,11 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
+import org.springmill.control.cluster.BootTimes;
+import org.springmill.control.cluster.Fleet;
+import org.springmill.control.cluster.Machine;
+import org.springmill.control.cluster.MachineKind;
+import org.springmill.control.timing.Timeouts;
 import org.springmill.protocol.CloudMessages.MachineType;
 
 /**
--- a/src/main/java/org/springmill/control/coordination/PackingRequest.java
+++ b/src/main/java/org/springmill/control/autoscaling/PackingRequest.java
@@ -1,8 +1,11 @@
-package org.springmill.control.coordination;
+package org.springmill.control.autoscaling;
 
 import java.util.Optional;
 import java.util.function.Predicate;
 import java.util.function.Supplier;
+import org.springmill.control.cluster.EquivalenceClass;
+import org.springmill.control.cluster.Machine;
+import org.springmill.control.cluster.ZoneCounts;
 import org.springmill.protocol.Submission;
 
 /**
--- a/src/main/java/org/springmill/control/coordination/PartitionedZones.java
+++ b/src/main/java/org/springmill/control/autoscaling/PartitionedZones.java
@@ -1,9 +1,13 @@
-package org.springmill.control.coordination;
+package org.springmill.control.autoscaling;
 
 import java.util.HashMap;
 import java.util.HashSet;
 import java.util.Map;
 import java.util.Set;
+import org.springmill.control.cluster.Fleet;
+import org.springmill.control.cluster.Machine;
+import org.springmill.control.membership.Peers;
+import org.springmill.control.timing.Timeouts;
 
 /**
  * The zones that may be cut off from this leader by a network partition.
--- a/src/main/java/org/springmill/control/coordination/ScaleOutPlanner.java
+++ b/src/main/java/org/springmill/control/autoscaling/ScaleOutPlanner.java
@@ -1,8 +1,17 @@
-package org.springmill.control.coordination;
+package org.springmill.control.autoscaling;
 
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.List;
+import org.springmill.control.cluster.EquivalenceClass;
+import org.springmill.control.cluster.Fleet;
+import org.springmill.control.cluster.Job;
+import org.springmill.control.cluster.Machine;
+import org.springmill.control.cluster.MachineKind;
+import org.springmill.control.cluster.TaskAttempt;
+import org.springmill.control.cluster.ZoneCounts;
+import org.springmill.control.scheduling.Placement;
+import org.springmill.control.timing.Timeouts;
 import org.springmill.protocol.Settings;
 import org.springmill.protocol.Submission;
 
--- a/src/main/java/org/springmill/control/coordination/ScaleOutRequests.java
+++ b/src/main/java/org/springmill/control/autoscaling/ScaleOutRequests.java
@@ -1,4 +1,4 @@
-package org.springmill.control.coordination;
+package org.springmill.control.autoscaling;
 
 import java.util.ArrayList;
 import java.util.Collection;
@@ -7,6 +7,9 @@
 import java.util.Map;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
+import org.springmill.control.cluster.Fleet;
+import org.springmill.control.cluster.Machine;
+import org.springmill.control.cluster.MachineKind;
 import org.springmill.protocol.CloudMessages;
 import org.springmill.protocol.MalformedMessageException;
 import org.springmill.transport.EventLoop;
--- a/src/main/java/org/springmill/control/borrowing/package-info.java
+++ b/src/main/java/org/springmill/control/borrowing/package-info.java
@@ -4,6 +4,6 @@
  * resources are lent again. docs/borrowing.md has the design and its safety claims.
  *
  * <p>Pure decisions and stored records. It knows machines by name and tasks by what they take; the
- * coordination layer tells it what runs, and carries its decisions out.
+ * layers above tells it what runs, and carries its decisions out.
  */
 package org.springmill.control.borrowing;
--- a/src/main/java/org/springmill/control/coordination/BootTimes.java
+++ b/src/main/java/org/springmill/control/cluster/BootTimes.java
@@ -1,4 +1,4 @@
-package org.springmill.control.coordination;
+package org.springmill.control.cluster;
 
 import java.util.HashMap;
 import java.util.Map;
@@ -8,7 +8,7 @@
  * How long machines of each type take to boot in each zone: mean and mean deviation of what was
  * measured, smoothed as TCP does for its round trips (RFC 6298). Known anew in each term.
  */
-final class BootTimes {
+public final class BootTimes {
     /**
      * Most machines are up within one and a half nominal boot times. Before that none is late,
      * however quick the last ones were: boots that were quick for a while are normal again later.
@@ -47,7 +47,7 @@
     }
 
     /** Notes that a machine came up for the first time. */
-    void cameUp(Machine machine, double now) {
+    public void cameUp(Machine machine, double now) {
         double seconds = now - machine.rentedAt();
         add(key(machine.type(), machine.zone()), seconds);
         add(machine.type().name(), seconds);
@@ -66,7 +66,7 @@
      * After how long a machine that has not come up is late. Where none has come up in its zone,
      * other zones tell how long its type takes.
      */
-    double lateAfterSeconds(MachineType type, String zone) {
+    public double lateAfterSeconds(MachineType type, String zone) {
         Estimate ofType = estimates.get(type.name());
         Estimate known = estimates.getOrDefault(key(type, zone), ofType);
         double measured =
@@ -76,7 +76,7 @@
     }
 
     /** Spot machines boot like others. */
-    static String key(MachineType type, String zone) {
+    public static String key(MachineType type, String zone) {
         return type.name() + '/' + zone;
     }
 }
--- a/src/main/java/org/springmill/control/coordination/ClusterState.java
+++ b/src/main/java/org/springmill/control/cluster/ClusterState.java
@@ -1,4 +1,4 @@
-package org.springmill.control.coordination;
+package org.springmill.control.cluster;
 
 import java.util.ArrayList;
 import java.util.Collection;
@@ -18,26 +18,26 @@
  * All jobs and attempts that count: everything not proven gone is held against team limits, zones
  * and machines.
  */
-final class ClusterState {
+public final class ClusterState {
 
     private final Map<String, Job> jobs = new LinkedHashMap<>();
     private final Map<String, TeamUsage> teams = new HashMap<>();
     private final Set<TaskAttempt> ended = new LinkedHashSet<>();
     private final Map<Priority, Integer> attempts = new EnumMap<>(Priority.class);
 
-    ClusterState(Settings settings) {
+    public ClusterState(Settings settings) {
         settings.teams().forEach(team -> teams.put(team.name(), new TeamUsage(team)));
     }
 
-    Map<String, Job> jobs() {
+    public Map<String, Job> jobs() {
         return jobs;
     }
 
-    Job job(String id) {
+    public Job job(String id) {
         return jobs.get(id);
     }
 
-    void add(Job job) {
+    public void add(Job job) {
         jobs.put(job.id(), job);
     }
 
@@ -48,7 +48,7 @@
         attempts.merge(job.priority(), job.liveCount(), Integer::sum);
     }
 
-    void dropJob(Job job) {
+    public void dropJob(Job job) {
         jobs.remove(job.id());
     }
 
@@ -56,19 +56,19 @@
      * A job of a team that has since left the settings may run nothing new, and what it runs is
      * still counted.
      */
-    TeamUsage usage(String team) {
+    public TeamUsage usage(String team) {
         return teams.computeIfAbsent(
                 team, name -> new TeamUsage(new Settings.Team(name, 0, 1e-9, 0, 1e-9)));
     }
 
-    void add(TaskAttempt attempt) {
+    public void add(TaskAttempt attempt) {
         attempt.job().add(attempt);
         attempt.machine().add(attempt);
         charge(attempt, 1);
     }
 
     /** Takes an attempt out: its end is committed, or its claim never was to be. */
-    void remove(TaskAttempt attempt, double now) {
+    public void remove(TaskAttempt attempt, double now) {
         ended.remove(attempt);
         attempt.job().remove(attempt);
         attempt.machine().remove(attempt, now);
@@ -79,14 +79,14 @@
     }
 
     /** Notes that an attempt was told to stop: it still counts, but gives nothing more back. */
-    void noteLeaving(TaskAttempt attempt) {
+    public void noteLeaving(TaskAttempt attempt) {
         if (attempt.markLeaving(true)) {
             usage(attempt.job().spec().team()).leaving(attempt.job().spec(), 1);
         }
     }
 
     /** Takes back that an attempt is to stop; false if it was told already, or is over. */
-    boolean noteStaying(TaskAttempt attempt) {
+    public boolean noteStaying(TaskAttempt attempt) {
         boolean told =
                 attempt.state() == TaskAttempt.State.STOPPING
                         || attempt.state() == TaskAttempt.State.ENDED
@@ -104,7 +104,7 @@
     }
 
     /** Whether anything at all may be stopped for a job: most find at a glance that nothing may. */
-    boolean mayPreemptFor(Job job) {
+    public boolean mayPreemptFor(Job job) {
         String team = job.spec().team();
         return runsBelow(job.priority())
                 || (usage(team).guaranteedFor(job.spec()) && otherAboveGuarantee(team));
@@ -121,7 +121,7 @@
                 .anyMatch(e -> !e.getKey().equals(team) && e.getValue().aboveGuarantee());
     }
 
-    void releaseHeld() {
+    public void releaseHeld() {
         teams.values().forEach(TeamUsage::releaseHeld);
     }
 
@@ -129,7 +129,7 @@
         ended.add(attempt);
     }
 
-    List<TaskAttempt> drainEnded(int most) {
+    public List<TaskAttempt> drainEnded(int most) {
         List<TaskAttempt> taken = new ArrayList<>();
         for (TaskAttempt attempt : ended) {
             if (taken.size() == most) {
@@ -142,11 +142,11 @@
     }
 
     /** Attempts known to have ended whose end is not yet committed, the earliest first. */
-    Collection<TaskAttempt> ended() {
+    public Collection<TaskAttempt> ended() {
         return Collections.unmodifiableSet(ended);
     }
 
-    boolean hasEnded() {
+    public boolean hasEnded() {
         return !ended.isEmpty();
     }
 }
--- a/src/main/java/org/springmill/control/coordination/DependencyPriority.java
+++ b/src/main/java/org/springmill/control/cluster/DependencyPriority.java
@@ -1,4 +1,4 @@
-package org.springmill.control.coordination;
+package org.springmill.control.cluster;
 
 import java.util.Comparator;
 import java.util.HashMap;
@@ -6,7 +6,8 @@
 import java.util.Map;
 import java.util.PriorityQueue;
 import java.util.Set;
-import org.springmill.control.coordination.DependentRanks.Rank;
+import org.springmill.control.cluster.DependentRanks.Rank;
+import org.springmill.control.jobs.JobDirectory;
 import org.springmill.control.storage.JobRecord;
 import org.springmill.protocol.Priority;
 
@@ -26,7 +27,7 @@
  * <p>Work is counted in steps: a job looked at, or one of its dependencies told. A call may go over
  * its bound by the dependencies of one job, of which a record holds some hundreds at most.
  */
-final class DependencyPriority {
+public final class DependencyPriority {
     /** Steps of one call of {@link #settle}. */
     private static final int MOST_STEPS = 5_000;
 
@@ -45,7 +46,7 @@
     /** What each active job with dependencies last told them. */
     private final Map<String, Rank> told = new HashMap<>();
 
-    DependencyPriority(JobDirectory directory, ClusterState clusterState) {
+    public DependencyPriority(JobDirectory directory, ClusterState clusterState) {
         this.directory = directory;
         this.clusterState = clusterState;
     }
@@ -56,7 +57,7 @@
      *
      * @return the steps that this took
      */
-    int changed(Job job) {
+    public int changed(Job job) {
         int steps = 1;
         if (!job.active()) {
             steps += tellDependencies(job, null);
@@ -71,7 +72,7 @@
      *
      * @return the steps that this took; 0 if nothing was left to do
      */
-    int settle() {
+    public int settle() {
         return settle(MOST_STEPS);
     }
 
--- a/src/main/java/org/springmill/control/coordination/DependentRanks.java
+++ b/src/main/java/org/springmill/control/cluster/DependentRanks.java
@@ -1,4 +1,4 @@
-package org.springmill.control.coordination;
+package org.springmill.control.cluster;
 
 import java.util.EnumMap;
 import java.util.Map;
--- a/src/main/java/org/springmill/control/coordination/EquivalenceClass.java
+++ b/src/main/java/org/springmill/control/cluster/EquivalenceClass.java
@@ -1,4 +1,4 @@
-package org.springmill.control.coordination;
+package org.springmill.control.cluster;
 
 import java.util.List;
 import java.util.Optional;
@@ -9,7 +9,7 @@
  * What decides which machines have room for a task. Where one task finds no room, no other of the
  * same shape does, so that thousands of waiting jobs of a few shapes are looked at shape by shape.
  */
-record EquivalenceClass(
+public record EquivalenceClass(
         String team,
         Priority priority,
         double cpus,
@@ -24,7 +24,7 @@
      * The shape of a job's tasks; empty if the job's own history or its other tasks decide as well
      * where one may go.
      */
-    static Optional<EquivalenceClass> of(Job job) {
+    public static Optional<EquivalenceClass> of(Job job) {
         Submission spec = job.spec();
         boolean dependsOnOtherTasks = spec.oneZone() || spec.spread();
         if (dependsOnOtherTasks || job.failures().avoidsAny()) {
--- a/src/main/java/org/springmill/control/coordination/ExhaustedEquivalenceClasses.java
+++ b/src/main/java/org/springmill/control/cluster/ExhaustedEquivalenceClasses.java
@@ -1,4 +1,4 @@
-package org.springmill.control.coordination;
+package org.springmill.control.cluster;
 
 import java.util.HashSet;
 import java.util.Optional;
@@ -9,23 +9,23 @@
  * during a pass, so later jobs of these shapes need not look. Ranking all machines for each of some
  * hundred one-task jobs, in every round, took a leader all of its processor time.
  */
-final class ExhaustedEquivalenceClasses {
+public final class ExhaustedEquivalenceClasses {
     private final Set<EquivalenceClass> classes = new HashSet<>();
 
     /** Jobs for which some machine keeps room that others of their shape do not have. */
     private final Set<Job> jobsWithReservedCapacity;
 
-    ExhaustedEquivalenceClasses(Set<Job> jobsWithOwnRoom) {
+    public ExhaustedEquivalenceClasses(Set<Job> jobsWithOwnRoom) {
         this.jobsWithReservedCapacity = jobsWithOwnRoom;
     }
 
     /** Notes that no machine has room for one more task of a job. */
-    void add(Job job) {
+    public void add(Job job) {
         EquivalenceClass.of(job).ifPresent(classes::add);
     }
 
     /** Whether it is known without a look that no machine has room for a job. */
-    boolean cover(Job job) {
+    public boolean cover(Job job) {
         if (classes.isEmpty() || jobsWithReservedCapacity.contains(job)) {
             return false;
         }
--- a/src/main/java/org/springmill/control/coordination/Fleet.java
+++ b/src/main/java/org/springmill/control/cluster/Fleet.java
@@ -1,4 +1,4 @@
-package org.springmill.control.coordination;
+package org.springmill.control.cluster;
 
 import java.util.ArrayList;
 import java.util.Collection;
@@ -6,6 +6,7 @@
 import java.util.List;
 import java.util.Map;
 import org.springmill.control.storage.ImageLocations;
+import org.springmill.control.timing.Timeouts;
 import org.springmill.protocol.Submission;
 import org.springmill.protocol.WorkerMessages.ExitCause;
 import org.springmill.protocol.WorkerMessages.Heartbeat;
@@ -16,7 +17,7 @@
  * is added when it is first heard of, whether from the cloud, its worker or a stored claim, and
  * stays until it is forgotten.
  */
-final class Fleet {
+public final class Fleet {
     /** A margin for slow members: what a gang has saved counts only if all of its members have. */
     private static final double GANG_SAVE_TIMES = 2;
 
@@ -43,7 +44,7 @@
     /**
      * @param bootPatience how many boot times operators are ready to wait for a machine
      */
-    Fleet(
+    public Fleet(
             ClusterState clusterState,
             MachineTypeCatalog catalog,
             EventLoop loop,
@@ -60,12 +61,12 @@
     }
 
     /** A live view of all machines, in the order in which they were first heard of. */
-    Collection<Machine> machines() {
+    public Collection<Machine> machines() {
         return machines.values();
     }
 
     /** A copy of {@link #machines}, for loops that change the fleet. */
-    List<Machine> machinesNow() {
+    public List<Machine> machinesNow() {
         return new ArrayList<>(machines.values());
     }
 
@@ -75,7 +76,7 @@
     }
 
     /** Returns a machine by its name, and adds it if it is not known yet. */
-    Machine machine(String name) {
+    public Machine machine(String name) {
         return machines.computeIfAbsent(name, this::newMachine);
     }
 
@@ -86,7 +87,7 @@
     }
 
     /** Returns the machine of a report, described by it if it was not yet. */
-    Machine machine(Heartbeat report) {
+    public Machine machine(Heartbeat report) {
         Machine machine = machine(report.machine());
         if (machine.type() == null || machine.address().isEmpty()) {
             machine.describe(
@@ -96,24 +97,24 @@
     }
 
     /** Removes a machine that is gone. */
-    void forget(Machine machine) {
+    public void forget(Machine machine) {
         machines.remove(machine.name());
     }
 
     /** Notes that the cloud has confirmed that a machine and everything on it are gone. */
-    void deleted(Machine machine) {
+    public void deleted(Machine machine) {
         double oldest = loop.now() - rememberDeletedSeconds;
         deletedMachines.values().removeIf(deletedAt -> deletedAt < oldest);
         deletedMachines.putIfAbsent(machine.name(), loop.now());
     }
 
     /** Whether a machine's deletion is confirmed, so that all that is still heard of it is old. */
-    boolean wasDeleted(String name) {
+    public boolean wasDeleted(String name) {
         return deletedMachines.containsKey(name);
     }
 
     /** Takes over what an earlier leader stored of the machines' images. */
-    void adopt(ImageLocations stored) {
+    public void adopt(ImageLocations stored) {
         storedLocations = stored;
         machines.values().forEach(this::adoptImages);
     }
@@ -123,7 +124,7 @@
     }
 
     /** Which images the machines that are up hold, to be stored for a later leader. */
-    ImageLocations imageLocations() {
+    public ImageLocations imageLocations() {
         ImageLocations locations = new ImageLocations();
         for (Machine machine : machines.values()) {
             if (machine.state() == Machine.State.UP) {
@@ -136,32 +137,32 @@
     }
 
     /** The leader's term, which all tokens of its machines belong to. */
-    long term() {
+    public long term() {
         return term;
     }
 
     /** Jobs, attempts and the teams' usage. */
-    ClusterState clusterState() {
+    public ClusterState clusterState() {
         return clusterState;
     }
 
     /** The types of machines that the cloud offers. */
-    MachineTypeCatalog catalog() {
+    public MachineTypeCatalog catalog() {
         return catalog;
     }
 
     /** How long machines took to boot in this term. */
-    BootTimes bootTimes() {
+    public BootTimes bootTimes() {
         return bootTimes;
     }
 
     /** Seconds on the steady clock. */
-    double now() {
+    public double now() {
         return loop.now();
     }
 
     /** Notes that an attempt is known to be over; the next round commits it. */
-    void end(TaskAttempt attempt, ExitCause cause) {
+    public void end(TaskAttempt attempt, ExitCause cause) {
         if (!attempt.end(cause, now())) {
             return;
         }
@@ -182,7 +183,7 @@
     }
 
     /** Has an attempt stopped to make way, with time to save what it can and to be told of it. */
-    void stopWithCheckpoint(TaskAttempt attempt) {
+    public void stopWithCheckpoint(TaskAttempt attempt) {
         Submission spec = attempt.job().spec();
         stop(attempt, spec.checkpoints() ? spec.checkpointSaveSeconds() + reportSeconds : 0);
     }
@@ -191,7 +192,7 @@
      * Has an attempt stopped; what never was sent ends at once. The grace of one that is stopping
      * already is only ever shortened.
      */
-    void stop(TaskAttempt attempt, double graceSeconds) {
+    public void stop(TaskAttempt attempt, double graceSeconds) {
         switch (attempt.state()) {
             case CLAIMED -> end(attempt, ExitCause.STOPPED);
             case SENT, FETCHING, RUNNING, UNKNOWN -> {
--- a/src/main/java/org/springmill/control/coordination/ImageCache.java
+++ b/src/main/java/org/springmill/control/cluster/ImageCache.java
@@ -1,10 +1,10 @@
-package org.springmill.control.coordination;
+package org.springmill.control.cluster;
 
 import java.util.HashMap;
 import java.util.Map;
 
 /** What a machine's image cache should hold, estimated from what was started on it. */
-final class ImageCache {
+public final class ImageCache {
     /** An image with its size, its last use, and when it should be there. */
     record Image(double gb, double usedAt, double readyAt) {}
 
@@ -88,7 +88,7 @@
     }
 
     /** Forgets all images. */
-    void clear() {
+    public void clear() {
         images.clear();
     }
 }
--- a/src/main/java/org/springmill/control/coordination/Job.java
+++ b/src/main/java/org/springmill/control/cluster/Job.java
@@ -1,4 +1,4 @@
-package org.springmill.control.coordination;
+package org.springmill.control.cluster;
 
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -13,7 +13,7 @@
 import org.springmill.protocol.UserMessages.JobPhase;
 
 /** A job as its leader sees it: which tasks are done, which are claimed, which wait. */
-final class Job {
+public final class Job {
     private static final Logger LOG = LoggerFactory.getLogger(Job.class);
 
     private final Submission spec;
@@ -53,7 +53,7 @@
         }
     }
 
-    Job(Submission spec, long version) {
+    public Job(Submission spec, long version) {
         this.spec = spec;
         this.failures = new JobFailures(spec.id());
         this.state = spec.dependencies().isEmpty() ? State.ELIGIBLE : State.WAITING;
@@ -63,11 +63,11 @@
         this.version = version;
     }
 
-    Submission spec() {
+    public Submission spec() {
         return spec;
     }
 
-    String id() {
+    public String id() {
         return spec.id();
     }
 
@@ -75,7 +75,7 @@
      * Revision at which the job was accepted, or became eligible if it waited: jobs are served in
      * this order.
      */
-    long arrival() {
+    public long arrival() {
         return arrival;
     }
 
@@ -85,7 +85,7 @@
     }
 
     /** The highest of its own priority and those of all that need it. */
-    Priority priority() {
+    public Priority priority() {
         return priority;
     }
 
@@ -93,7 +93,7 @@
      * Time of day by which it has to start for its chain to keep the deadline; infinite if there is
      * none.
      */
-    double latestStart() {
+    public double latestStart() {
         return latestStart;
     }
 
@@ -103,7 +103,7 @@
         latestStart = startBy;
     }
 
-    long version() {
+    public long version() {
         return version;
     }
 
@@ -111,7 +111,7 @@
         return phase;
     }
 
-    double endedAt() {
+    public double endedAt() {
         return endedAt;
     }
 
@@ -127,21 +127,21 @@
     }
 
     /** All that it needs is done, since a revision from which on its times count. */
-    void becomeEligible(long since) {
+    public void becomeEligible(long since) {
         if (transition(State.ELIGIBLE)) {
             arrival = Math.max(arrival, since);
         }
     }
 
-    boolean waitsForOthers() {
+    public boolean waitsForOthers() {
         return state == State.WAITING;
     }
 
-    boolean eligible() {
+    public boolean eligible() {
         return state == State.ELIGIBLE;
     }
 
-    void end(JobPhase terminal, long newVersion, double now) {
+    public void end(JobPhase terminal, long newVersion, double now) {
         if (!transition(State.ENDED)) {
             return;
         }
@@ -150,24 +150,24 @@
         endedAt = now;
     }
 
-    boolean active() {
+    public boolean active() {
         return state != State.ENDED;
     }
 
-    List<TaskAttempt> attempts() {
+    public List<TaskAttempt> attempts() {
         return new ArrayList<>(live.values());
     }
 
-    int liveCount() {
+    public int liveCount() {
         return live.size();
     }
 
-    int doneCount() {
+    public int doneCount() {
         return done.cardinality();
     }
 
     /** How many tasks are done and how many run, for display. */
-    JobProgress progress() {
+    public JobProgress progress() {
         int running = 0;
         for (TaskAttempt attempt : attempts()) {
             if (attempt.state() == TaskAttempt.State.RUNNING) {
@@ -177,22 +177,22 @@
         return new JobProgress(id(), doneCount(), running);
     }
 
-    boolean complete() {
+    public boolean complete() {
         return !spec.service() && done.cardinality() == spec.tasks();
     }
 
     /** True once, when the job is found complete. */
-    boolean beginEnding() {
+    public boolean beginEnding() {
         boolean first = !ending;
         ending = true;
         return first;
     }
 
-    void markDone(BitSet tasks) {
+    public void markDone(BitSet tasks) {
         done.or(tasks);
     }
 
-    void markDone(int task) {
+    public void markDone(int task) {
         done.set(task);
     }
 
@@ -200,7 +200,7 @@
      * The next task that is neither done nor claimed, or -1. Tasks come in order, those given back
      * first.
      */
-    int nextTask() {
+    public int nextTask() {
         while (!returned.isEmpty()) {
             int task = returned.peek();
             if (!done.get(task) && !live.containsKey(task)) {
@@ -214,7 +214,7 @@
         return fresh < spec.tasks() ? fresh : -1;
     }
 
-    int waiting() {
+    public int waiting() {
         return eligible() ? spec.tasks() - done.cardinality() - liveNotDone() : 0;
     }
 
@@ -244,12 +244,12 @@
     }
 
     /** Whether tasks that were recalled wait to go on. */
-    boolean hasRecalledTasks() {
+    public boolean hasRecalledTasks() {
         return !recalledFrom.isEmpty();
     }
 
     /** The machine from which a waiting task was recalled; null if it was not. */
-    Machine recalledFrom(int task) {
+    public Machine recalledFrom(int task) {
         return recalledFrom.get(task);
     }
 
@@ -261,7 +261,7 @@
      * Whether one more task may go to a zone, counting every task not proven gone. Where a task's
      * machine is not yet known to this leader, the task counts in every zone.
      */
-    boolean zoneAllows(String zone) {
+    public boolean zoneAllows(String zone) {
         if (spec.zone() != null && !spec.zone().equals(zone)) {
             return false;
         }
@@ -281,7 +281,7 @@
         return here < spec.perZone();
     }
 
-    int inZone(String zone) {
+    public int inZone(String zone) {
         int here = 0;
         for (TaskAttempt attempt : live.values()) {
             if (attempt.machine().zone().equals(zone)) {
@@ -292,17 +292,17 @@
     }
 
     /** What its failed tasks say of the job. */
-    JobFailures failures() {
+    public JobFailures failures() {
         return failures;
     }
 
     /** Whether a task waits, and may be started now. */
-    boolean mayStartAnother() {
+    public boolean mayStartAnother() {
         return nextTask() >= 0 && live.size() < mostAtOnce();
     }
 
     /** How many of its waiting tasks may be started now. */
-    int startable() {
+    public int startable() {
         return Math.min(waiting(), Math.max(0, mostAtOnce() - live.size()));
     }
 
--- a/src/main/java/org/springmill/control/coordination/JobFailures.java
+++ b/src/main/java/org/springmill/control/cluster/JobFailures.java
@@ -1,4 +1,4 @@
-package org.springmill.control.coordination;
+package org.springmill.control.cluster;
 
 import java.util.HashMap;
 import java.util.HashSet;
@@ -12,7 +12,7 @@
  *
  * <p>A new leader knows nothing of this and tries such a job once at its full width.
  */
-final class JobFailures {
+public final class JobFailures {
     /** Failures on so many machines in a row are the job's fault rather than the machines'. */
     private static final int MACHINES_UNTIL_SUSPECT = 2;
 
@@ -53,7 +53,7 @@
      * @param placedAt when the task was placed
      * @param stepSeconds the shortest pause
      */
-    void failed(String machine, double placedAt, double now, double stepSeconds) {
+    public void failed(String machine, double placedAt, double now, double stepSeconds) {
         failedOn.add(machine);
         excludedUntil.put(machine, now + EXCLUSION_STEPS * stepSeconds);
         if (!isSuspect()) {
@@ -70,7 +70,7 @@
     }
 
     /** Notes that a task succeeded. */
-    void succeeded() {
+    public void succeeded() {
         if (isSuspect()) {
             // The job was at fault and is no longer: its machines are none to avoid.
             excludedUntil.clear();
@@ -84,13 +84,13 @@
     }
 
     /** Notes that another task of the job runs well, so that a failure is the machine's. */
-    void othersRunWell() {
+    public void othersRunWell() {
         failedOn.clear();
         failedTrials = 0;
     }
 
     /** Whether the job rather than its machines is taken to be at fault. */
-    boolean isSuspect() {
+    public boolean isSuspect() {
         return failedOn.size() >= MACHINES_UNTIL_SUSPECT;
     }
 
@@ -100,7 +100,7 @@
     }
 
     /** Whether the job failed on a machine lately, so that any other is better. */
-    boolean avoids(String machine, double now) {
+    public boolean avoids(String machine, double now) {
         return !excludedUntil.isEmpty() && now < excludedUntil.getOrDefault(machine, 0.0);
     }
 
@@ -108,7 +108,7 @@
      * Whether a machine is left out altogether. Not for a job that is at fault itself: left out
      * everywhere in turn, it would have new machines rented for it.
      */
-    boolean excludes(String machine, double now) {
+    public boolean excludes(String machine, double now) {
         return !isSuspect() && avoids(machine, now);
     }
 
@@ -118,7 +118,7 @@
     }
 
     /** No task is tried before this time. */
-    double notBefore() {
+    public double notBefore() {
         return notBefore;
     }
 
--- a/src/main/java/org/springmill/control/coordination/Machine.java
+++ b/src/main/java/org/springmill/control/cluster/Machine.java
@@ -1,4 +1,4 @@
-package org.springmill.control.coordination;
+package org.springmill.control.cluster;
 
 import java.util.ArrayList;
 import java.util.Collection;
@@ -18,13 +18,13 @@
 import org.springmill.protocol.WorkerMessages.TaskStatus;
 
 /** A rented machine with its worker, its attempts and what this leader's messages with it prove. */
-final class Machine {
+public final class Machine {
     private static final Logger LOG = LoggerFactory.getLogger(Machine.class);
 
     /** A machine on which so many jobs failed in a row is taken to be faulty. */
     private static final int FAULTY_AFTER_JOBS = 2;
 
-    enum State {
+    public enum State {
         /** Rented or listed; its worker has not reported to this leader. */
         PROVISIONING,
         UP,
@@ -63,12 +63,12 @@
     private boolean draining;
 
     // The sending of commands; see CommandDispatcher.
-    boolean commandsInFlight;
-    boolean statusRequested;
-    double nextCommandsAt;
-    double nextUnknownTaskCleanupAt;
+    public boolean commandsInFlight;
+    public boolean statusRequested;
+    public double nextCommandsAt;
+    public double nextUnknownTaskCleanupAt;
 
-    Machine(String name, long term, double now) {
+    public Machine(String name, long term, double now) {
         this.name = name;
         workerEpoch = new WorkerEpoch(term);
         this.firstSeen = now;
@@ -76,16 +76,16 @@
         this.idleSince = now;
     }
 
-    String name() {
+    public String name() {
         return name;
     }
 
-    State state() {
+    public State state() {
         return state;
     }
 
     /** The one place where a machine's state changes. */
-    void transition(State next) {
+    public void transition(State next) {
         boolean legal =
                 switch (next) {
                     case PROVISIONING -> false;
@@ -115,7 +115,7 @@
         state = next;
     }
 
-    void describe(String newAddress, MachineType newType, String newZone, boolean newSpot) {
+    public void describe(String newAddress, MachineType newType, String newZone, boolean newSpot) {
         address = newAddress;
         type = newType;
         allocation.size(newType);
@@ -123,73 +123,73 @@
         spot = newSpot;
     }
 
-    String address() {
+    public String address() {
         return address;
     }
 
-    MachineType type() {
+    public MachineType type() {
         return type;
     }
 
-    String zone() {
+    public String zone() {
         return zone;
     }
 
-    boolean spot() {
+    public boolean spot() {
         return spot;
     }
 
-    double firstSeen() {
+    public double firstSeen() {
         return firstSeen;
     }
 
     /** When it was rented; no later than when this leader first heard of it. */
-    double rentedAt() {
+    public double rentedAt() {
         return rentedAt;
     }
 
     /** Whether it has not come up as far as the cloud's lists and its worker tell. */
-    boolean isBooting() {
+    public boolean isBooting() {
         return state == State.PROVISIONING && !listedAsRunning && attempts.isEmpty();
     }
 
-    void listed(double now) {
+    public void listed(double now) {
         listedAt = now;
     }
 
     /** Notes that a list tells how long ago it had been rented. */
-    void rentedAt(double time) {
+    public void rentedAt(double time) {
         rentedAt = Math.min(rentedAt, time);
     }
 
     /** Notes that a list names it as up: its silence is no sign of a slow boot. */
-    void listedAsRunning() {
+    public void listedAsRunning() {
         listedAsRunning = true;
     }
 
-    double listedAt() {
+    public double listedAt() {
         return listedAt;
     }
 
-    double idleSince() {
+    public double idleSince() {
         return idleSince;
     }
 
     /** How far the messages exchanged with its worker have come. */
-    WorkerEpoch workerEpoch() {
+    public WorkerEpoch workerEpoch() {
         return workerEpoch;
     }
 
-    long fencingToken() {
+    public long fencingToken() {
         return workerEpoch.fencingToken();
     }
 
-    long epoch() {
+    public long epoch() {
         return workerEpoch.epoch();
     }
 
     /** Takes in a worker's message that is newer than any before. */
-    void acceptHeartbeat(Heartbeat report, double now) {
+    public void acceptHeartbeat(Heartbeat report, double now) {
         workerEpoch.accept(report, now);
         if (state == State.PROVISIONING) {
             // Commands of a new leader failed while it booted. Counted against it once it was up,
@@ -205,7 +205,7 @@
                         : now + report.preemptionNoticeSeconds();
     }
 
-    List<TaskStatus> reportedTasks() {
+    public List<TaskStatus> reportedTasks() {
         return reportedTasks;
     }
 
@@ -213,19 +213,21 @@
      * Whether every reported task was found to have an attempt, and neither has changed since.
      * Looking again would find nothing new.
      */
-    boolean reportedTasksAllKnown() {
+    public boolean reportedTasksAllKnown() {
         return reportedTasksAllKnown;
     }
 
     /** Notes that every reported task has an attempt here. */
-    void markReportedTasksKnown() {
+    public void markReportedTasksKnown() {
         reportedTasksAllKnown = true;
     }
 
     /**
+     * Records that a heartbeat of its worker was answered.
+     *
      * @param leaseSeconds after a longer silence its worker begins anew with this leader
      */
-    void heartbeatAnswered(double now, double leaseSeconds) {
+    public void heartbeatAnswered(double now, double leaseSeconds) {
         if (now - lastHeartbeatAnsweredAt > 2 * leaseSeconds) {
             answeredSince = now;
         }
@@ -236,41 +238,41 @@
      * Whether it was answered again and again for so long and has shown no token of this term: it
      * does not hear.
      */
-    boolean missesResponses(double now, double forSeconds) {
+    public boolean missesResponses(double now, double forSeconds) {
         return !hasSeenCurrentTerm()
                 && lastHeartbeatAnsweredAt > Double.NEGATIVE_INFINITY
                 && now - answeredSince > forSeconds;
     }
 
-    double lastHeartbeatAnsweredAt() {
+    public double lastHeartbeatAnsweredAt() {
         return lastHeartbeatAnsweredAt;
     }
 
-    double lastHeartbeatAt() {
+    public double lastHeartbeatAt() {
         return lastHeartbeatAt;
     }
 
-    boolean hasPreemptionNotice() {
+    public boolean hasPreemptionNotice() {
         return preemptionAt < Double.POSITIVE_INFINITY;
     }
 
-    double preemptionAt() {
+    public double preemptionAt() {
         return preemptionAt;
     }
 
-    void commandsFailed() {
+    public void commandsFailed() {
         commandsFailing = true;
     }
 
-    void commandsSucceeded() {
+    public void commandsSucceeded() {
         commandsFailing = false;
     }
 
-    boolean commandsFailing() {
+    public boolean commandsFailing() {
         return commandsFailing;
     }
 
-    void cordonUntil(double time) {
+    public void cordonUntil(double time) {
         cordonUntil = Math.max(cordonUntil, time);
     }
 
@@ -279,44 +281,44 @@
      * since, and they are not known to fail everywhere. It is judged anew each time, for a job may
      * only later be found to be at fault itself.
      */
-    boolean quarantined() {
+    public boolean quarantined() {
         return !failedJobs.isEmpty()
                 && failedJobs.stream().filter(job -> !job.failures().isSuspect()).count()
                         >= FAULTY_AFTER_JOBS;
     }
 
-    boolean draining() {
+    public boolean draining() {
         return draining;
     }
 
-    void drain() {
+    public void drain() {
         draining = true;
     }
 
     /** Notes that a task of a job failed here. */
-    void taskFailed(Job job) {
+    public void taskFailed(Job job) {
         failedJobs.add(job);
     }
 
     /** Notes that a task succeeded here. */
-    void taskSucceeded() {
+    public void taskSucceeded() {
         failedJobs.clear();
     }
 
-    Collection<TaskAttempt> attempts() {
+    public Collection<TaskAttempt> attempts() {
         return attempts.values();
     }
 
-    List<TaskAttempt> attemptsNow() {
+    public List<TaskAttempt> attemptsNow() {
         return new ArrayList<>(attempts.values());
     }
 
-    TaskAttempt find(TaskStatus task) {
+    public TaskAttempt find(TaskStatus task) {
         TaskAttempt attempt = attempts.get(task.task());
         return attempt != null && attempt.claim().round() == task.attempt() ? attempt : null;
     }
 
-    void add(TaskAttempt attempt) {
+    public void add(TaskAttempt attempt) {
         reportedTasksAllKnown = false;
         attempts.put(attempt.claim().task(), attempt);
         allocation.charge(attempt.job().spec(), 1);
@@ -326,7 +328,7 @@
      * Counts the room of an attempt as free from now on, since one transaction commits its end and
      * the claims that use its room.
      */
-    void release(TaskAttempt attempt) {
+    public void release(TaskAttempt attempt) {
         if (!attempt.released() && attempts.get(attempt.claim().task()) == attempt) {
             attempt.markReleased();
             allocation.charge(attempt.job().spec(), -1);
@@ -352,32 +354,32 @@
         }
     }
 
-    double freeCpus() {
+    public double freeCpus() {
         return free().cpus();
     }
 
-    double freeGpus() {
+    public double freeGpus() {
         return free().gpus();
     }
 
     /** What no task here takes. */
-    Resources free() {
+    public Resources free() {
         return allocation.free();
     }
 
     /** What of it is kept, and for whom. */
-    MachineAllocation allocation() {
+    public MachineAllocation allocation() {
         return allocation;
     }
 
     /** Whether a task fits in beside room that is withheld from it. */
-    boolean fitsBeside(Resources withheld, Submission spec) {
+    public boolean fitsBeside(Resources withheld, Submission spec) {
         Resources left = withheld.equals(Resources.NONE) ? free() : free().minus(withheld);
         return left.hold(spec);
     }
 
     /** Whether this kind of machine is one that the job may run on. */
-    boolean isAllowedFor(Submission spec) {
+    public boolean isAllowedFor(Submission spec) {
         return type != null
                 && type.fits(spec)
                 && (!spot || spec.spot())
@@ -385,7 +387,7 @@
     }
 
     /** Whether new work may be sent here at all. */
-    boolean isSchedulable(double now, double quietSeconds) {
+    public boolean isSchedulable(double now, double quietSeconds) {
         return state == State.UP
                 && !hasPreemptionNotice()
                 && !quarantined()
@@ -400,17 +402,17 @@
      * Whether it reports in its first session and has not yet heard any leader: it will take work
      * in a moment. One that hears nobody begins its next session within a lease.
      */
-    boolean hasJustBooted() {
+    public boolean hasJustBooted() {
         return state == State.UP && workerEpoch.isNew() && !commandsFailing();
     }
 
     /** Whether its worker has shown a token of this term. */
-    boolean hasSeenCurrentTerm() {
+    public boolean hasSeenCurrentTerm() {
         return workerEpoch.hasSeenCurrentTerm();
     }
 
     /** Notes that a task that is to start here needs its image. */
-    void needsImage(Submission spec, double now) {
+    public void needsImage(Submission spec, double now) {
         images.need(
                 spec.image(),
                 spec.imageGb(),
@@ -423,7 +425,7 @@
      * Notes that a task runs here, so that its image is there; the least recently used ones fall
      * out of the cache.
      */
-    void usesImage(Submission spec, double now) {
+    public void usesImage(Submission spec, double now) {
         images.use(spec.image(), spec.imageGb(), type == null ? 0 : type.cacheGb(), now);
     }
 
@@ -431,7 +433,7 @@
      * How long a task would have to wait here for its image; what a start costs besides is within
      * the second.
      */
-    double imageFetchSeconds(Submission spec, double now) {
+    public double imageFetchSeconds(Submission spec, double now) {
         return (images.holds(spec.image()) ? 0 : 1)
                 + images.waitSeconds(spec.image(), spec.imageGb(), fetchGbPerSecond(), now);
     }
@@ -440,11 +442,11 @@
         return type == null ? 1 : Math.max(1e-3, type.fetchGbPerSecond());
     }
 
-    boolean holdsImage(String image) {
+    public boolean holdsImage(String image) {
         return images.holds(image);
     }
 
-    ImageCache images() {
+    public ImageCache images() {
         return images;
     }
 }
--- a/src/main/java/org/springmill/control/coordination/MachineAllocation.java
+++ b/src/main/java/org/springmill/control/cluster/MachineAllocation.java
@@ -1,4 +1,4 @@
-package org.springmill.control.coordination;
+package org.springmill.control.cluster;
 
 import java.util.HashSet;
 import java.util.Set;
@@ -7,7 +7,7 @@
 import org.springmill.protocol.Submission;
 
 /** What of one machine is taken, what is counted on for work to come, and for whom room is kept. */
-final class MachineAllocation {
+public final class MachineAllocation {
     private Resources size = Resources.NONE;
     private Resources used = Resources.NONE;
 
@@ -45,12 +45,12 @@
     }
 
     /** Notes what of the free room is counted on for tasks that are expected to arrive. */
-    void headroom(Resources expected) {
+    public void headroom(Resources expected) {
         headroom = expected;
     }
 
     /** What of the free room is counted on for tasks that are expected to arrive. */
-    Resources headroom() {
+    public Resources headroom() {
         return headroom;
     }
 
@@ -59,19 +59,19 @@
      * whatever found room between them, mostly the one just stopped, had to be stopped again,
      * dozens of times a second.
      */
-    void reserveFor(Job job, double until) {
+    public void reserveFor(Job job, double until) {
         reservedFor.add(job);
         reservedUntil = Math.max(reservedUntil, until);
     }
 
     /** Whether room is kept for other jobs than this one. */
-    boolean isReservedForOthers(Job job, double now) {
+    public boolean isReservedForOthers(Job job, double now) {
         Set<Job> kept = reservedFor(now);
         return !kept.isEmpty() && !kept.contains(job);
     }
 
     /** The jobs for which room is being made. */
-    Set<Job> reservedFor(double now) {
+    public Set<Job> reservedFor(double now) {
         if (now >= reservedUntil) {
             reservedFor.clear();
         } else {
--- a/src/main/java/org/springmill/control/coordination/MachineKind.java
+++ b/src/main/java/org/springmill/control/cluster/MachineKind.java
@@ -1,4 +1,4 @@
-package org.springmill.control.coordination;
+package org.springmill.control.cluster;
 
 import org.springmill.protocol.CloudMessages.MachineType;
 
@@ -6,10 +6,10 @@
  * What the cloud rents as one kind, with capacity of its own: machines of one type in one zone,
  * spot or ordinary.
  */
-record MachineKind(MachineType type, String zone, boolean spot) {
+public record MachineKind(MachineType type, String zone, boolean spot) {
 
     /** The price of one machine by the hour. */
-    double price() {
+    public double price() {
         return type.price(spot);
     }
 
@@ -17,7 +17,7 @@
      * Names the kind in logs and as a key. Unlike the record itself it stays the same when the
      * type's price moves.
      */
-    String label() {
+    public String label() {
         return type.name() + '/' + zone + (spot ? "/spot" : "");
     }
 }
--- a/src/main/java/org/springmill/control/coordination/MachineTypeCatalog.java
+++ b/src/main/java/org/springmill/control/cluster/MachineTypeCatalog.java
@@ -1,4 +1,4 @@
-package org.springmill.control.coordination;
+package org.springmill.control.cluster;
 
 import java.util.Collection;
 import java.util.LinkedHashMap;
@@ -15,7 +15,7 @@
 import org.springmill.transport.HttpClient;
 
 /** The machine types that the cloud offers. Unknown until it has answered once. */
-final class MachineTypeCatalog {
+public final class MachineTypeCatalog {
     private static final Logger LOG = LoggerFactory.getLogger(MachineTypeCatalog.class);
 
     /** Prices move slowly: they are read again after so many leases. */
@@ -31,14 +31,14 @@
     private final Settings settings;
     private Map<String, MachineType> types = Map.of();
 
-    MachineTypeCatalog(HttpClient http, EventLoop loop, Settings settings) {
+    public MachineTypeCatalog(HttpClient http, EventLoop loop, Settings settings) {
         this.http = http;
         this.loop = loop;
         this.settings = settings;
     }
 
     /** Asks until there is an answer, and now and then after that, for prices move. */
-    void start() {
+    public void start() {
         double leaseSeconds = settings.workers().leaseSeconds();
         http.send(
                 new HttpClient.Request(
@@ -85,22 +85,22 @@
     }
 
     /** Whether the cloud has answered. */
-    boolean known() {
+    public boolean known() {
         return !types.isEmpty();
     }
 
     /** The type of a name, or null. */
-    MachineType get(String name) {
+    public MachineType get(String name) {
         return types.get(name);
     }
 
     /** All types, in the order of the cloud's answer. */
-    Iterable<MachineType> all() {
+    public Iterable<MachineType> all() {
         return types.values();
     }
 
     /** Boot time of the type that boots slowest. */
-    double slowestBootSeconds() {
+    public double slowestBootSeconds() {
         double slowest = 0;
         for (MachineType type : types.values()) {
             slowest = Math.max(slowest, type.bootSeconds());
@@ -109,7 +109,7 @@
     }
 
     /** Why a job can never run; null if it can. */
-    String impossible(Submission job) {
+    public String impossible(Submission job) {
         Settings.Team team = settings.team(job.team());
         if (team == null) {
             return "unknown team " + job.team();
--- a/src/main/java/org/springmill/control/coordination/TaskAttempt.java
+++ b/src/main/java/org/springmill/control/cluster/TaskAttempt.java
@@ -1,4 +1,4 @@
-package org.springmill.control.coordination;
+package org.springmill.control.cluster;
 
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -8,10 +8,10 @@
 /**
  * One decision to run a task on a machine, from the claim to the committed proof that it is gone.
  */
-final class TaskAttempt {
+public final class TaskAttempt {
     private static final Logger LOG = LoggerFactory.getLogger(TaskAttempt.class);
 
-    enum State {
+    public enum State {
         /** Placed; the round that claims it is not yet committed. */
         CLAIMING,
         /** Committed; no start was sent. */
@@ -69,7 +69,7 @@
     private double lastReported = Double.NEGATIVE_INFINITY;
     private boolean released;
 
-    TaskAttempt(Claim claim, Job job, Machine machine, double now) {
+    public TaskAttempt(Claim claim, Job job, Machine machine, double now) {
         this.claim = claim;
         this.job = job;
         this.machine = machine;
@@ -77,45 +77,45 @@
         this.stateSince = now;
     }
 
-    Claim claim() {
+    public Claim claim() {
         return claim;
     }
 
-    Job job() {
+    public Job job() {
         return job;
     }
 
-    Machine machine() {
+    public Machine machine() {
         return machine;
     }
 
-    State state() {
+    public State state() {
         return state;
     }
 
-    ExitCause cause() {
+    public ExitCause cause() {
         return cause;
     }
 
-    double stateSince() {
+    public double stateSince() {
         return stateSince;
     }
 
-    double claimedAt() {
+    public double claimedAt() {
         return claimedAt;
     }
 
     /** When a report named it last. */
-    double lastReported() {
+    public double lastReported() {
         return lastReported;
     }
 
-    void recordReported(double now) {
+    public void recordReported(double now) {
         lastReported = now;
     }
 
     /** For how long its task has been seen to run; 0 if it does not. */
-    double ranSeconds(double now) {
+    public double ranSeconds(double now) {
         return state == State.RUNNING ? now - runningSince : 0;
     }
 
@@ -124,7 +124,7 @@
     }
 
     /** The one place where an attempt's state changes; false if the change is not a legal one. */
-    boolean transition(State next, double now) {
+    public boolean transition(State next, double now) {
         if (!state.mayBecome(next)) {
             if (state != next) {
                 LOG.error(
@@ -151,7 +151,7 @@
         return true;
     }
 
-    boolean end(ExitCause why, double now) {
+    public boolean end(ExitCause why, double now) {
         if (!transition(State.ENDED, now)) {
             return false;
         }
@@ -163,29 +163,29 @@
      * The highest token that a command to start it may have carried; it cannot start under a higher
      * one.
      */
-    long highestStartToken() {
+    public long highestStartToken() {
         return highestStartToken;
     }
 
-    void recordStartSent(long token, long toSession) {
+    public void recordStartSent(long token, long toSession) {
         highestStartToken = Math.max(highestStartToken, token);
         startEpoch = toSession;
     }
 
     /** The worker's session its starts were sent to; 0 if an earlier leader sent them. */
-    long startEpoch() {
+    public long startEpoch() {
         return startEpoch;
     }
 
-    double nextSendAt() {
+    public double nextSendAt() {
         return nextSendAt;
     }
 
-    void scheduleResend(double at) {
+    public void scheduleResend(double at) {
         nextSendAt = at;
     }
 
-    double graceSeconds() {
+    public double graceSeconds() {
         return graceSeconds;
     }
 
@@ -202,16 +202,16 @@
     }
 
     /** Whether a recall stops it, or will once it is committed. */
-    boolean recalled() {
+    public boolean recalled() {
         return recalled;
     }
 
-    void markRecalled(boolean now) {
+    public void markRecalled(boolean now) {
         recalled = now;
     }
 
     /** Whether its machine's room counts as free although its end is not committed yet. */
-    boolean released() {
+    public boolean released() {
         return released;
     }
 
@@ -220,11 +220,11 @@
     }
 
     /** Stopped to run elsewhere, so that it should not be stopped for anything else again. */
-    boolean isMigrating() {
+    public boolean isMigrating() {
         return isMigrating;
     }
 
-    void markMigrating() {
+    public void markMigrating() {
         isMigrating = true;
     }
 }
--- a/src/main/java/org/springmill/control/coordination/TeamUsage.java
+++ b/src/main/java/org/springmill/control/cluster/TeamUsage.java
@@ -1,4 +1,4 @@
-package org.springmill.control.coordination;
+package org.springmill.control.cluster;
 
 import org.springmill.control.borrowing.Entitlement;
 import org.springmill.protocol.Resources;
@@ -6,7 +6,7 @@
 import org.springmill.protocol.Submission;
 
 /** What a team's attempts take, held against its guarantee and its limit. */
-final class TeamUsage {
+public final class TeamUsage {
     /** How many tasks a resource allows that is not bounded or not needed. */
     private static final double UNBOUNDED_TASKS = 1e9;
 
@@ -39,7 +39,7 @@
     }
 
     /** Whether the limit allows one more task beside what is kept for others. */
-    boolean allows(Submission spec) {
+    public boolean allows(Submission spec) {
         Resources all = used.plus(held).plus(spec);
         return team.withinLimit(all.cpus(), all.gpus());
     }
@@ -49,7 +49,7 @@
      * otherwise take it for as long as it lives, and the earlier one would find a machine and no
      * limit left.
      */
-    void hold(Submission spec, int tasks) {
+    public void hold(Submission spec, int tasks) {
         held = held.plus(Resources.of(spec).times(tasks));
     }
 
@@ -58,12 +58,12 @@
     }
 
     /** Whether the team is guaranteed anything at all. */
-    boolean hasGuarantee() {
+    public boolean hasGuarantee() {
         return team.hasGuarantee();
     }
 
     /** Whether one more task is within the guarantee. */
-    boolean guaranteedFor(Submission spec) {
+    public boolean guaranteedFor(Submission spec) {
         return team.withinGuarantee(used.cpus() + spec.cpus(), used.gpus() + spec.gpus());
     }
 
@@ -73,7 +73,7 @@
     }
 
     /** Whether the team keeps what it is entitled to if so much more of what it runs is stopped. */
-    boolean keepsEntitlementWithout(Resources loss) {
+    public boolean keepsEntitlementWithout(Resources loss) {
         return Entitlement.coversLoss(team, staying(), loss);
     }
 
@@ -82,32 +82,32 @@
      *
      * @param confirmed what is known to run
      */
-    boolean keepsEntitlementWithout(Resources loss, Resources confirmed) {
+    public boolean keepsEntitlementWithout(Resources loss, Resources confirmed) {
         return Entitlement.coversLoss(team, confirmed, loss);
     }
 
     /** How many more tasks the limit allows. */
-    int roomFor(Submission spec) {
+    public int roomFor(Submission spec) {
         return room(spec, team.cpusMax(), team.gpusMax(), used);
     }
 
     /** How many tasks the limit allows beside what is kept for others. */
-    int roomBesideHeld(Submission spec) {
+    public int roomBesideHeld(Submission spec) {
         return roomBesideHeld(spec, Resources.NONE);
     }
 
     /** How many tasks the limit allows beside what is kept for others and promised. */
-    int roomBesideHeld(Submission spec, Resources promised) {
+    public int roomBesideHeld(Submission spec, Resources promised) {
         return room(spec, team.cpusMax(), team.gpusMax(), used.plus(held).plus(promised));
     }
 
     /** How many more tasks are within the guarantee. */
-    int guaranteedRoomFor(Submission spec) {
+    public int guaranteedRoomFor(Submission spec) {
         return guaranteedRoomFor(spec, Resources.NONE);
     }
 
     /** How many more tasks are within the guarantee beside what is promised to the team. */
-    int guaranteedRoomFor(Submission spec, Resources promised) {
+    public int guaranteedRoomFor(Submission spec, Resources promised) {
         return team.hasGuarantee() ? room(spec, team.cpus(), team.gpus(), used.plus(promised)) : 0;
     }
 
--- a/src/main/java/org/springmill/control/coordination/WorkerEpoch.java
+++ b/src/main/java/org/springmill/control/cluster/WorkerEpoch.java
@@ -1,4 +1,4 @@
-package org.springmill.control.coordination;
+package org.springmill.control.cluster;
 
 import org.springmill.protocol.WorkerMessages.Heartbeat;
 
@@ -7,7 +7,7 @@
  * message, and the fencing tokens that it was sent and has shown. docs/design.md, section 5, has
  * the argument.
  */
-final class WorkerEpoch {
+public final class WorkerEpoch {
     private static final int COUNTER_BITS = 20;
 
     private long fencingToken;
@@ -22,7 +22,7 @@
     }
 
     /** The term that a token belongs to. */
-    static long termOf(long token) {
+    public static long termOf(long token) {
         return token >>> COUNTER_BITS;
     }
 
@@ -34,12 +34,12 @@
      * From now on every command still held up by the network is void once the worker has seen the
      * new token.
      */
-    void raiseFencingToken() {
+    public void raiseFencingToken() {
         fencingToken++;
     }
 
     /** Another copy of this term's tokens is out: never fall behind it. */
-    void adoptFencingToken(long seen) {
+    public void adoptFencingToken(long seen) {
         fencingToken = Math.max(fencingToken, seen);
     }
 
@@ -47,7 +47,7 @@
         return epoch;
     }
 
-    boolean isNewerThanSeen(Heartbeat report) {
+    public boolean isNewerThanSeen(Heartbeat report) {
         return report.isNewerThan(epoch, sequence);
     }
 
@@ -55,12 +55,12 @@
      * Whether the worker may be waiting for the answer: it never sends a report before it is done
      * with the last.
      */
-    boolean isLatestHeartbeat(Heartbeat report) {
+    public boolean isLatestHeartbeat(Heartbeat report) {
         return report.epoch() > epoch
                 || (report.epoch() == epoch && report.sequence() > lastHeartbeatSequence);
     }
 
-    void recordHeartbeat(Heartbeat report) {
+    public void recordHeartbeat(Heartbeat report) {
         if (report.epoch() > epoch) {
             lastHeartbeatSequence = report.sequence();
         } else {
@@ -84,7 +84,7 @@
      * When a message first showed a token of this term; up to then an earlier leader may have
      * renewed its lease.
      */
-    double currentTermSeenAt() {
+    public double currentTermSeenAt() {
         return currentTermSeenAt;
     }
 
--- a/src/main/java/org/springmill/control/coordination/ZoneCounts.java
+++ b/src/main/java/org/springmill/control/cluster/ZoneCounts.java
@@ -1,19 +1,19 @@
-package org.springmill.control.coordination;
+package org.springmill.control.cluster;
 
 import java.util.HashMap;
 import java.util.Map;
 
 /** How many of something there are in each zone. */
-final class ZoneCounts {
+public final class ZoneCounts {
     private final Map<String, Integer> counts = new HashMap<>();
 
     /** Adds one to a zone. */
-    void add(String zone) {
+    public void add(String zone) {
         counts.merge(zone, 1, Integer::sum);
     }
 
     /** Zero for a zone to which nothing was added. */
-    int count(String zone) {
+    public int count(String zone) {
         return counts.getOrDefault(zone, 0);
     }
 }
--- a/src/main/java/org/springmill/control/coordination/ArchivableJobs.java
+++ b/src/main/java/org/springmill/control/controller/ArchivableJobs.java
@@ -1,6 +1,10 @@
-package org.springmill.control.coordination;
+package org.springmill.control.controller;
 
+import org.springmill.control.cluster.ClusterState;
 import org.springmill.control.history.HistoryArchiver;
+import org.springmill.control.jobs.JobDirectory;
+import org.springmill.control.leadership.Leadership;
+import org.springmill.control.metrics.Metrics;
 import org.springmill.control.storage.ArchivedJob;
 import org.springmill.control.storage.JobRecord;
 import org.springmill.protocol.KeyValueStoreMessages.Condition;
--- a/src/main/java/org/springmill/control/coordination/CancellationPersister.java
+++ b/src/main/java/org/springmill/control/controller/CancellationPersister.java
@@ -1,9 +1,11 @@
-package org.springmill.control.coordination;
+package org.springmill.control.controller;
 
 import java.util.ArrayList;
 import java.util.List;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
+import org.springmill.control.jobs.JobDirectory;
+import org.springmill.control.leadership.Leadership;
 import org.springmill.control.storage.JobRecord;
 import org.springmill.control.storage.KeyValueStoreClient;
 import org.springmill.control.storage.KeyValueStoreClient.CommitResult;
--- a/src/main/java/org/springmill/control/coordination/ClusterStateRecovery.java
+++ b/src/main/java/org/springmill/control/controller/ClusterStateRecovery.java
@@ -1,10 +1,16 @@
-package org.springmill.control.coordination;
+package org.springmill.control.controller;
 
 import java.util.BitSet;
 import java.util.Comparator;
 import java.util.List;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
+import org.springmill.control.cluster.ClusterState;
+import org.springmill.control.cluster.Fleet;
+import org.springmill.control.cluster.Job;
+import org.springmill.control.cluster.Machine;
+import org.springmill.control.cluster.TaskAttempt;
+import org.springmill.control.jobs.JobDirectory;
 import org.springmill.control.storage.Claim;
 import org.springmill.control.storage.JobRecord;
 import org.springmill.control.storage.RoundLog;
--- a/src/main/java/org/springmill/control/coordination/ImageLocationPersister.java
+++ b/src/main/java/org/springmill/control/controller/ImageLocationPersister.java
@@ -1,7 +1,9 @@
-package org.springmill.control.coordination;
+package org.springmill.control.controller;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import java.util.List;
+import org.springmill.control.cluster.Fleet;
+import org.springmill.control.leadership.Leadership;
 import org.springmill.control.storage.ImageLocations;
 import org.springmill.control.storage.KeyValueStoreClient;
 import org.springmill.protocol.KeyValueStoreMessages.Write;
--- a/src/main/java/org/springmill/control/coordination/JobCompletion.java
+++ b/src/main/java/org/springmill/control/controller/JobCompletion.java
@@ -1,12 +1,19 @@
-package org.springmill.control.coordination;
+package org.springmill.control.controller;
 
 import java.util.List;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
+import org.springmill.control.cluster.ClusterState;
+import org.springmill.control.cluster.Job;
+import org.springmill.control.cluster.Machine;
+import org.springmill.control.cluster.TaskAttempt;
+import org.springmill.control.jobs.JobDirectory;
+import org.springmill.control.leadership.Leadership;
 import org.springmill.control.storage.JobRecord;
 import org.springmill.control.storage.KeyValueStoreClient;
 import org.springmill.control.storage.KeyValueStoreClient.CommitOutcome;
 import org.springmill.control.storage.KeyValueStoreClient.CommitResult;
+import org.springmill.control.timing.Timeouts;
 import org.springmill.protocol.KeyValueStoreMessages.Condition;
 import org.springmill.protocol.KeyValueStoreMessages.Write;
 import org.springmill.protocol.UserMessages.JobPhase;
--- a/src/main/java/org/springmill/control/history/package-info.java
+++ b/src/main/java/org/springmill/control/history/package-info.java
@@ -4,6 +4,6 @@
  * of single keys. docs/history.md has the design and its safety claims.
  *
  * <p>Owns the lookups of moved jobs, the moves themselves and the check that every controller takes
- * part. It knows jobs only by their records; what runs is told to it by the coordination layer.
+ * part. It knows jobs only by their records; what runs is told to it by the layers above.
  */
 package org.springmill.control.history;
--- a/src/main/java/org/springmill/control/coordination/ArchivedDependencies.java
+++ b/src/main/java/org/springmill/control/jobs/ArchivedDependencies.java
@@ -1,4 +1,4 @@
-package org.springmill.control.coordination;
+package org.springmill.control.jobs;
 
 import java.util.HashMap;
 import java.util.LinkedHashSet;
--- a/src/main/java/org/springmill/control/coordination/JobDependencies.java
+++ b/src/main/java/org/springmill/control/jobs/JobDependencies.java
@@ -1,4 +1,4 @@
-package org.springmill.control.coordination;
+package org.springmill.control.jobs;
 
 import java.util.ArrayList;
 import java.util.Collection;
@@ -30,7 +30,7 @@
  * <p>The graph has no cycles, since only accepted jobs can be named. It is walked without
  * recursion, for chains are as deep as users like.
  */
-final class JobDependencies {
+public final class JobDependencies {
     private static final Logger LOG = LoggerFactory.getLogger(JobDependencies.class);
 
     private final Map<String, JobRecord> jobs;
@@ -189,7 +189,7 @@
     }
 
     /** Jobs that a submission names and of which nothing is in memory. */
-    List<String> unknown(Submission submission) {
+    public List<String> unknown(Submission submission) {
         return submission.dependencies().stream().filter(id -> dependency(id) == null).toList();
     }
 
@@ -215,17 +215,17 @@
      * Whether some job that names this one has not ended, going by the records that are stored: of
      * those the record here is still needed.
      */
-    boolean hasUnsettledDependents(String id) {
+    public boolean hasUnsettledDependents(String id) {
         return dependents(id).stream().anyMatch(this::unsettled);
     }
 
     /** Whether a job has not ended or its end is not yet in its own record. */
-    boolean unsettled(String id) {
+    public boolean unsettled(String id) {
         return jobs.get(id).active() || pendingPersistence.contains(id);
     }
 
     /** Why a job cannot wait for its dependencies, as far as is known here; null if it can. */
-    String refusal(Submission submission) {
+    public String refusal(Submission submission) {
         for (String id : submission.dependencies()) {
             Dependency needed = dependency(id);
             if (needed == null) {
@@ -242,7 +242,7 @@
      * Whether the records of all that a job needs say done. Only records count: no peer's word and
      * no number of finished tasks. Done is final, so a later leader finds the same.
      */
-    boolean ready(Submission submission) {
+    public boolean ready(Submission submission) {
         for (String id : submission.dependencies()) {
             Dependency needed = dependency(id);
             if (needed == null || needed.phase() != JobPhase.DONE) {
@@ -253,7 +253,7 @@
     }
 
     /** Revision at which a ready job became so: that of the last end among what it needs. */
-    long readySince(Submission submission) {
+    public long readySince(Submission submission) {
         long since = 0;
         for (String id : submission.dependencies()) {
             since = Math.max(since, dependency(id).revision());
@@ -262,17 +262,17 @@
     }
 
     /** Ids of the direct dependents of a job. */
-    Collection<String> dependents(String id) {
+    public Collection<String> dependents(String id) {
         return dependents.getOrDefault(id, Set.of());
     }
 
     /** Jobs whose derived cancellation is to be written down, the longest known first. */
-    List<JobRecord> pendingPersistence(int most) {
+    public List<JobRecord> pendingPersistence(int most) {
         return pendingPersistence.stream().limit(most).map(jobs::get).toList();
     }
 
     /** Leaves records unwritten until a newer version of them is learned. */
-    void abandonPersistence(List<JobRecord> records) {
+    public void abandonPersistence(List<JobRecord> records) {
         records.forEach(job -> pendingPersistence.remove(job.id()));
     }
 }
--- a/src/main/java/org/springmill/control/coordination/JobDirectory.java
+++ b/src/main/java/org/springmill/control/jobs/JobDirectory.java
@@ -1,4 +1,4 @@
-package org.springmill.control.coordination;
+package org.springmill.control.jobs;
 
 import java.util.Collection;
 import java.util.HashMap;
@@ -14,6 +14,7 @@
 import org.springmill.control.storage.ArchivedJob;
 import org.springmill.control.storage.JobRecord;
 import org.springmill.control.storage.KeyValueStoreClient;
+import org.springmill.control.timing.Timeouts;
 import org.springmill.protocol.KeyValueStoreMessages.Change;
 import org.springmill.protocol.MalformedMessageException;
 import org.springmill.protocol.PeerMessages.Cancellation;
@@ -32,7 +33,7 @@
  * <p>The copy may lag, so an answer that could be outdated (a job unknown, or not ended) waits for
  * a {@link #barrier}.
  */
-final class JobDirectory {
+public final class JobDirectory {
     private static final Logger LOG = LoggerFactory.getLogger(JobDirectory.class);
 
     private final Map<String, JobRecord> jobs = new HashMap<>();
@@ -53,7 +54,7 @@
     /**
      * @param tag tells this process from earlier ones of the same controller
      */
-    JobDirectory(KeyValueStoreClient store, EventLoop loop, Timeouts timing, int tag) {
+    public JobDirectory(KeyValueStoreClient store, EventLoop loop, Timeouts timing, int tag) {
         this.loop = loop;
         retryLookupSeconds = timing.leaderRenewIntervalSeconds();
         endedJobs = new ArchivedJobLookup(store, loop);
@@ -91,32 +92,32 @@
     }
 
     /** Begins to read the records, and to follow their changes. */
-    void start() {
+    public void start() {
         watch.start();
     }
 
     /** Notes that this controller stood still; see {@link JobRecordWatch#resumed}. */
-    void resumed() {
+    public void resumed() {
         watch.resumed();
     }
 
     /** Whether all records were read once. */
-    boolean loaded() {
+    public boolean loaded() {
         return watch.loaded();
     }
 
     /** Has a listener told of every record that is new or has changed in effect. */
-    void onChange(Consumer<JobRecord> changeListener) {
+    public void onChange(Consumer<JobRecord> changeListener) {
         listener = changeListener;
     }
 
     /** Has a listener told of every job whose record leaves memory. */
-    void onForget(Consumer<String> newListener) {
+    public void onForget(Consumer<String> newListener) {
         forgetListener = newListener;
     }
 
     /** Which job needs which, and what follows from it. */
-    JobDependencies dependencies() {
+    public JobDependencies dependencies() {
         return dependencies;
     }
 
@@ -124,12 +125,12 @@
      * The record in effect: a job cancelled with one that it needs counts as cancelled, whatever
      * its own record says.
      */
-    JobRecord get(String id) {
+    public JobRecord get(String id) {
         return jobs.get(id);
     }
 
     /** The final state of a job whose record has been moved, if it is in memory; else null. */
-    ArchivedJob archived(String id) {
+    public ArchivedJob archived(String id) {
         return endedJobs.kept(id);
     }
 
@@ -138,7 +139,7 @@
      * finds no record after a {@link #barrier}, and nothing here either, asks for a job that was
      * not accepted when the question came.
      */
-    void findArchived(String id, Consumer<Lookup> done) {
+    public void findArchived(String id, Consumer<Lookup> done) {
         endedJobs.find(id, done);
     }
 
@@ -149,7 +150,7 @@
      * @param done takes false if one could not be read, or not in time; what was read is kept, so
      *     that the same asked again gets further
      */
-    void findAllArchived(List<String> ids, double until, Consumer<Boolean> done) {
+    public void findAllArchived(List<String> ids, double until, Consumer<Boolean> done) {
         if (ids.isEmpty()) {
             done.accept(true);
             return;
@@ -228,12 +229,12 @@
     }
 
     /** The records in memory: of jobs that have not ended, or not long ago, in no order. */
-    Collection<JobRecord> all() {
+    public Collection<JobRecord> all() {
         return jobs.values();
     }
 
     /** Takes in a record that this controller has just written or read itself. */
-    void learn(JobRecord job) {
+    public void learn(JobRecord job) {
         boolean seenByFeed = watch.loaded() && job.version() <= watch.cursor();
         if (seenByFeed && !jobs.containsKey(job.id())) {
             // The commit's answer came so late that the record has been moved meanwhile.
@@ -261,7 +262,7 @@
      * Takes in a cancellation reported by another controller, also of a job not yet known here. It
      * moves no cursor: what was committed before it may still be unknown.
      */
-    void learn(Cancellation reported) {
+    public void learn(Cancellation reported) {
         JobRecord known = jobs.get(reported.job());
         boolean isNew = cancellations.add(reported);
         if (known == null) {
@@ -278,17 +279,17 @@
     /**
      * Whether users may be told the state of a job that is in memory; see {@link JobDependencies}.
      */
-    boolean isStatusCertain(JobRecord job) {
+    public boolean isStatusCertain(JobRecord job) {
         return dependencies.isStatusCertain(job);
     }
 
     /** Cancellations in memory, with those whose records were not read yet. */
-    int cancellationCount() {
+    public int cancellationCount() {
         return cancellations.size() + unread.size();
     }
 
     /** Final states of moved jobs in memory. */
-    int archivedInMemory() {
+    public int archivedInMemory() {
         return endedJobs.keptCount();
     }
 
@@ -298,7 +299,7 @@
     }
 
     /** Stops what a worker still has of cancelled jobs. */
-    List<Command> stopCommandsFor(Heartbeat report) {
+    public List<Command> stopCommandsFor(Heartbeat report) {
         return report.tasks().stream()
                 .filter(task -> task.state() != TaskState.EXITED)
                 .filter(task -> cancelled(task.task().job()))
@@ -309,17 +310,17 @@
     /**
      * What this controller tells of itself when it asks another one, which handed out the bookmark.
      */
-    CancellationDelta deltaRequest(long bookmark) {
+    public CancellationDelta deltaRequest(long bookmark) {
         return new CancellationDelta(watch.cursor(), bookmark, false, watch.loaded(), List.of());
     }
 
     /** What another controller lacks, going by its question. */
-    CancellationDelta deltaFor(CancellationDelta known) {
+    public CancellationDelta deltaFor(CancellationDelta known) {
         return cancellations.deltaFor(known, watch.loaded());
     }
 
     /** Everything that was committed before this moment is known here. */
-    double currentAt() {
+    public double currentAt() {
         return watch.currentAt();
     }
 
@@ -327,7 +328,7 @@
      * Calls back with true once every change made before this call is in the copy; with false if
      * that cannot be had.
      */
-    void barrier(Consumer<Boolean> done) {
+    public void barrier(Consumer<Boolean> done) {
         watch.barrier(done);
     }
 
--- a/src/main/java/org/springmill/control/coordination/JobRecordWatch.java
+++ b/src/main/java/org/springmill/control/jobs/JobRecordWatch.java
@@ -1,4 +1,4 @@
-package org.springmill.control.coordination;
+package org.springmill.control.jobs;
 
 import java.util.ArrayList;
 import java.util.HashSet;
@@ -8,6 +8,7 @@
 import org.springmill.control.storage.JobRecord;
 import org.springmill.control.storage.KeyValueStoreClient;
 import org.springmill.control.storage.KeyValueStoreClient.ChangesResult;
+import org.springmill.control.timing.Timeouts;
 import org.springmill.protocol.KeyValueStoreMessages.Change;
 import org.springmill.protocol.KeyValueStoreMessages.Changes;
 import org.springmill.protocol.KeyValueStoreMessages.Entry;
--- a/src/main/java/org/springmill/control/coordination/JobStatusResponses.java
+++ b/src/main/java/org/springmill/control/jobs/JobStatusResponses.java
@@ -1,4 +1,4 @@
-package org.springmill.control.coordination;
+package org.springmill.control.jobs;
 
 import java.util.function.Consumer;
 import java.util.function.Function;
@@ -12,13 +12,14 @@
 import org.springmill.transport.HttpHandler.Call;
 
 /** The answers that users get about a job, from its record and the progress of its tasks. */
-final class JobStatusResponses {
+public final class JobStatusResponses {
     /** Users wait 5 s for an answer; by then they have to have one. */
-    static final double ANSWER_WITHIN_SECONDS = 3.5;
+    public static final double ANSWER_WITHIN_SECONDS = 3.5;
 
-    static final String DEPENDENCY_BEING_READ = "the end of a job that it needs is being read";
+    public static final String DEPENDENCY_BEING_READ =
+            "the end of a job that it needs is being read";
 
-    static final String STATE_SERVICE_SILENT = "the state service does not answer";
+    public static final String STATE_SERVICE_SILENT = "the state service does not answer";
 
     private static final int RETRY_AFTER_SECONDS = 1;
 
@@ -27,17 +28,17 @@
     /**
      * @param progress of an active job by its id, as far as it is known here; null if it is not
      */
-    JobStatusResponses(Function<String, JobProgress> progress) {
+    public JobStatusResponses(Function<String, JobProgress> progress) {
         this.progress = progress;
     }
 
     /** Answers 200 with the phase that a job is in. */
-    void phase(Call call, JobRecord job) {
+    public void phase(Call call, JobRecord job) {
         call.reply(200, UserMessages.phase(job.id(), phaseOf(job)), 0);
     }
 
     /** Answers 200 with the phase that a job is in and how many of its tasks are done and run. */
-    void progress(Call call, JobRecord job) {
+    public void progress(Call call, JobRecord job) {
         JobProgress known = progress.apply(job.id());
         int done = known == null ? 0 : known.done();
         int running = known == null ? 0 : known.running();
@@ -51,12 +52,12 @@
     }
 
     /** Answers 200 with the final phase of a job whose record has been moved to the history. */
-    static void phase(Call call, ArchivedJob job) {
+    public static void phase(Call call, ArchivedJob job) {
         call.reply(200, UserMessages.phase(job.id(), job.phase()), 0);
     }
 
     /** Answers 200 with the final phase and counts of a job whose record has been moved. */
-    static void progress(Call call, ArchivedJob job) {
+    public static void progress(Call call, ArchivedJob job) {
         int done = job.cancelled() ? 0 : job.tasks();
         call.reply(200, UserMessages.progress(job.id(), job.phase(), done, 0), 0);
     }
@@ -70,7 +71,8 @@
     }
 
     /** Answers from a lookup of a moved job; 503 if that was not served. */
-    static void lookedUp(Call call, Lookup lookup, Consumer<ArchivedJob> found, Runnable absent) {
+    public static void lookedUp(
+            Call call, Lookup lookup, Consumer<ArchivedJob> found, Runnable absent) {
         switch (lookup.outcome()) {
             case FOUND -> found.accept(lookup.job());
             case ABSENT -> absent.run();
@@ -79,22 +81,22 @@
     }
 
     /** Answers 404: the job was never accepted. */
-    static void notFound(Call call) {
+    public static void notFound(Call call) {
         call.reply(404, UserMessages.error("no such job"), 0);
     }
 
     /** Answers 503: what was asked for cannot be decided now. */
-    static void unavailable(Call call, String reason) {
+    public static void unavailable(Call call, String reason) {
         call.reply(503, UserMessages.error(reason), RETRY_AFTER_SECONDS);
     }
 
     /** Answers 422: the job can never run. */
-    static void impossible(Call call, String reason) {
+    public static void impossible(Call call, String reason) {
         call.reply(422, UserMessages.error(reason), 0);
     }
 
     /** Answers 503 with when to come back: the job cannot be taken now. */
-    static void refused(Call call, AdmissionRefusal refusal) {
+    public static void refused(Call call, AdmissionRefusal refusal) {
         byte[] answer = UserMessages.error(refusal.reason().text());
         call.reply(503, answer, refusal.retryAfterSeconds());
     }
--- a/src/main/java/org/springmill/control/coordination/LeaderRecord.java
+++ b/src/main/java/org/springmill/control/leadership/LeaderRecord.java
@@ -1,4 +1,4 @@
-package org.springmill.control.coordination;
+package org.springmill.control.leadership;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import org.springmill.protocol.Json;
--- a/src/main/java/org/springmill/control/coordination/LeaderRecordWatch.java
+++ b/src/main/java/org/springmill/control/leadership/LeaderRecordWatch.java
@@ -1,8 +1,9 @@
-package org.springmill.control.coordination;
+package org.springmill.control.leadership;
 
 import java.util.function.Consumer;
 import org.springmill.control.storage.KeyValueStoreClient;
 import org.springmill.control.storage.KeyValueStoreClient.ChangesResult;
+import org.springmill.control.timing.Timeouts;
 import org.springmill.protocol.KeyValueStoreMessages.Change;
 import org.springmill.protocol.KeyValueStoreMessages.Page;
 import org.springmill.transport.EventLoop;
--- a/src/main/java/org/springmill/control/coordination/Leadership.java
+++ b/src/main/java/org/springmill/control/leadership/Leadership.java
@@ -1,14 +1,16 @@
-package org.springmill.control.coordination;
+package org.springmill.control.leadership;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import java.util.List;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
+import org.springmill.control.membership.Peers;
 import org.springmill.control.storage.KeyValueStoreClient;
 import org.springmill.control.storage.KeyValueStoreClient.CommitOutcome;
 import org.springmill.control.storage.KeyValueStoreClient.CommitResult;
 import org.springmill.control.storage.KeyValueStoreClient.LeaseRenewal;
 import org.springmill.control.storage.KeyValueStoreClient.ReadResult;
+import org.springmill.control.timing.Timeouts;
 import org.springmill.protocol.KeyValueStoreMessages.Change;
 import org.springmill.protocol.KeyValueStoreMessages.Condition;
 import org.springmill.protocol.KeyValueStoreMessages.Entry;
@@ -21,14 +23,14 @@
  * Election and state of the leadership. The leader is whoever's {@link LeaderRecord} stands in the
  * key-value store, attached to a lease there; the revision at which it was written is the term.
  */
-final class Leadership {
+public final class Leadership {
     private static final Logger LOG = LoggerFactory.getLogger(Leadership.class);
 
     /** After it has resigned, a controller lets others stand for so many leases. */
     private static final int LEASES_BEFORE_STANDING_AGAIN = 2;
 
     /** Where this controller stands in the election. */
-    enum State {
+    public enum State {
         /** Another controller leads, or none is known to. */
         FOLLOWING,
 
@@ -41,7 +43,7 @@
     }
 
     /** Takes notice of gained and lost leadership. */
-    interface Listener {
+    public interface Listener {
         /** This controller leads from now on. */
         void gained(long term);
 
@@ -82,7 +84,7 @@
     /** After resigning, this controller does not stand before this time. */
     private double standsForElectionFrom;
 
-    Leadership(
+    public Leadership(
             KeyValueStoreClient store,
             EventLoop loop,
             Settings settings,
@@ -100,34 +102,34 @@
     }
 
     /** Begins to follow the leader's record, and to stand whenever there is none. */
-    void start() {
+    public void start() {
         tick();
         new LeaderRecordWatch(store, loop, timing, this::changed).start();
     }
 
     /** The state as of now: a lease that has run out is noticed here. */
-    State state() {
+    public State state() {
         check();
         return state;
     }
 
     /** The last term that this controller held or holds; 0 if none. */
-    long term() {
+    public long term() {
         return term;
     }
 
     /** The highest term this controller knows of. */
-    long knownTerm() {
+    public long knownTerm() {
         return Math.max(knownTerm, term);
     }
 
     /** The node that leads as far as is known, or null. */
-    String leader() {
+    public String leader() {
         return holdsTerm() ? settings.node() : knownLeader;
     }
 
     /** Whether the leader's record was read since this process started. */
-    boolean hasReadLeaderRecord() {
+    public boolean hasReadLeaderRecord() {
         return recordRead;
     }
 
@@ -144,7 +146,7 @@
     }
 
     /** Holds in the key-value store for as long as nobody else has led since this term began. */
-    Condition termCondition() {
+    public Condition termCondition() {
         return new Condition(LeaderRecord.KEY, term);
     }
 
@@ -153,7 +155,7 @@
     }
 
     /** Whether placements may be committed and commands given. */
-    boolean mayPlace() {
+    public boolean mayPlace() {
         return state() == State.LEADING;
     }
 
@@ -162,7 +164,7 @@
      * that only while a quorum of controllers, or all of them, confirm an outage of the state
      * service.
      */
-    boolean mayRespondToWorkers() {
+    public boolean mayRespondToWorkers() {
         check();
         return holdsTerm() && ((withinGrace() && !unproven()) || outageConfirmed());
     }
@@ -176,7 +178,7 @@
      * Notes that this controller stood still. However long its lease had to run, it acts as leader
      * only once a renewal, sent since, has been answered.
      */
-    void resumed() {
+    public void resumed() {
         resumedAt = loop.now();
         check();
         if (holdsTerm()) {
@@ -194,7 +196,7 @@
     }
 
     /** A message showed a token of a later term: someone else leads. */
-    void stepDown(String why) {
+    public void stepDown(String why) {
         if (holdsTerm()) {
             LOG.warn("term {} is over: {}", term, why);
             transition(State.FOLLOWING);
@@ -202,7 +204,7 @@
     }
 
     /** Gives the leadership up so that another controller can take it. */
-    void resign(String why) {
+    public void resign(String why) {
         long given = lease;
         standsForElectionFrom =
                 loop.now() + LEASES_BEFORE_STANDING_AGAIN * timing.leaderLeaseSeconds();
@@ -217,7 +219,7 @@
      * is no proof of the leader's end and need not be one: taking a lease away early is safe, since
      * a new leader allows its predecessor a whole lease and the grace from its own beginning on.
      */
-    void leaderRefusedConnection(PeerStatus lastStatus) {
+    public void leaderRefusedConnection(PeerStatus lastStatus) {
         String node = lastStatus.from();
         boolean leadsNow = node.equals(knownLeader) && lastStatus.term() >= knownTerm;
         if (state == State.FOLLOWING && leadsNow && endedTerm != knownTerm) {
--- a/src/main/java/org/springmill/control/coordination/LeaseKeepalive.java
+++ b/src/main/java/org/springmill/control/leadership/LeaseKeepalive.java
@@ -1,10 +1,14 @@
-package org.springmill.control.coordination;
+package org.springmill.control.leadership;
 
 import java.util.HashMap;
 import java.util.HashSet;
 import java.util.Map;
 import java.util.Set;
+import org.springmill.control.cluster.WorkerEpoch;
+import org.springmill.control.membership.CancellationFreshness;
+import org.springmill.control.membership.Peers;
 import org.springmill.control.storage.KeyValueStoreClient;
+import org.springmill.control.timing.Timeouts;
 import org.springmill.protocol.WorkerMessages.Heartbeat;
 import org.springmill.transport.EventLoop;
 
@@ -13,7 +17,7 @@
  * giving commands: because nobody leads, or because nobody who leads can declare this worker lost
  * for its silence. Leaders elsewhere allow for it; docs/design.md has the argument.
  */
-final class LeaseKeepalive {
+public final class LeaseKeepalive {
     private final KeyValueStoreClient store;
     private final Peers peers;
     private final Leadership leadership;
@@ -33,7 +37,7 @@
     private double resumedAt = Double.NEGATIVE_INFINITY;
     private double reachedByUsersAt = Double.NEGATIVE_INFINITY;
 
-    LeaseKeepalive(
+    public LeaseKeepalive(
             KeyValueStoreClient store,
             Peers peers,
             Leadership leadership,
@@ -53,7 +57,7 @@
      *
      * @param holdsTerm whether this controller was elected and has not yet learned of a later term
      */
-    boolean mayRenewLease(Heartbeat report, boolean holdsTerm) {
+    public boolean mayRenewLease(Heartbeat report, boolean holdsTerm) {
         boolean isolated = !store.reachable() && isIsolated();
         if (isolated) {
             zones.add(report.zone());
@@ -109,12 +113,12 @@
     }
 
     /** Notes that this controller stood still, so that it could have heard nobody. */
-    void resumed() {
+    public void resumed() {
         resumedAt = loop.now();
     }
 
     /** Users, or the load balancer, reached this controller. */
-    void recordUserRequest() {
+    public void recordUserRequest() {
         reachedByUsersAt = loop.now();
     }
 
--- a/src/main/java/org/springmill/control/coordination/CancellationFreshness.java
+++ b/src/main/java/org/springmill/control/membership/CancellationFreshness.java
@@ -1,7 +1,9 @@
-package org.springmill.control.coordination;
+package org.springmill.control.membership;
 
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
+import org.springmill.control.jobs.JobDirectory;
+import org.springmill.control.timing.Timeouts;
 import org.springmill.transport.EventLoop;
 
 /**
@@ -10,7 +12,7 @@
  * service can refuse one controller alone, commit cancellations for another, and then be down for
  * all. docs/design.md has the argument.
  */
-final class CancellationFreshness {
+public final class CancellationFreshness {
     private static final Logger LOG = LoggerFactory.getLogger(CancellationFreshness.class);
 
     private final JobDirectory directory;
@@ -20,7 +22,8 @@
     private final double presumedAt;
     private boolean covered = true;
 
-    CancellationFreshness(JobDirectory directory, Peers peers, EventLoop loop, Timeouts timing) {
+    public CancellationFreshness(
+            JobDirectory directory, Peers peers, EventLoop loop, Timeouts timing) {
         this.directory = directory;
         this.peers = peers;
         this.loop = loop;
@@ -32,7 +35,7 @@
      * Begins to read the job records from time to time where no user's question makes this
      * controller read them and the peers' confirmations are not recent enough.
      */
-    void start() {
+    public void start() {
         loop.after(timing.leaderRenewIntervalSeconds(), this::start);
         if (ageSeconds() > timing.workerLeaseSeconds() / 4) {
             directory.barrier(current -> {});
@@ -51,7 +54,7 @@
      * Whether a lease renewed now ends before a cancellation not known here has to have taken
      * effect.
      */
-    boolean isFresh() {
+    public boolean isFresh() {
         return ageSeconds() < timing.cancellationKnowledgeValiditySeconds();
     }
 
@@ -66,7 +69,7 @@
      * cancellations were told to nobody if all controllers crashed while one of them alone was
      * refused.
      */
-    double ageSeconds() {
+    public double ageSeconds() {
         double confirmedAt =
                 directory.loaded() ? peers.cancellationsKnownUntil() : Double.NEGATIVE_INFINITY;
         double knownAt = Math.max(directory.currentAt(), confirmedAt);
--- a/src/main/java/org/springmill/control/coordination/PeerCancellations.java
+++ b/src/main/java/org/springmill/control/membership/PeerCancellations.java
@@ -1,8 +1,9 @@
-package org.springmill.control.coordination;
+package org.springmill.control.membership;
 
 import java.util.HashMap;
 import java.util.Map;
 import java.util.Set;
+import org.springmill.control.timing.Timeouts;
 import org.springmill.protocol.PeerMessages.PeerStatus;
 import org.springmill.transport.EventLoop;
 
--- a/src/main/java/org/springmill/control/coordination/Peers.java
+++ b/src/main/java/org/springmill/control/membership/Peers.java
@@ -1,4 +1,4 @@
-package org.springmill.control.coordination;
+package org.springmill.control.membership;
 
 import java.util.HashMap;
 import java.util.List;
@@ -9,7 +9,9 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 import org.springmill.control.admission.StoreRateShares;
-import org.springmill.control.coordination.PeerConfirmations.Answer;
+import org.springmill.control.jobs.JobDirectory;
+import org.springmill.control.membership.PeerConfirmations.Answer;
+import org.springmill.control.timing.Timeouts;
 import org.springmill.protocol.MalformedMessageException;
 import org.springmill.protocol.PeerMessages;
 import org.springmill.protocol.PeerMessages.Cancellation;
@@ -28,7 +30,7 @@
  * status in a steady interval; {@link PeerConfirmations} tells what follows from the answers,
  * {@link PeerCancellations} how far cancellations are known through them.
  */
-final class Peers implements PeerLink.Listener {
+public final class Peers implements PeerLink.Listener {
     private static final Logger LOG = LoggerFactory.getLogger(Peers.class);
 
     /** A question has this number if it is none, and an answer if it answers none. */
@@ -72,7 +74,7 @@
      * @param ownStatus gives the status of this controller; numbers and what this class knows are
      *     filled in here
      */
-    Peers(
+    public Peers(
             PeerLink link,
             EventLoop loop,
             Settings settings,
@@ -102,18 +104,18 @@
      * Takes records only from here on: one that came while the controller was still being put
      * together broke it.
      */
-    void start() {
+    public void start() {
         link.onRecord(this);
         pollPeers();
     }
 
     /** Takes the progress of running jobs as the leader tells it. */
-    void onProgress(Consumer<ProgressUpdate> taker) {
+    public void onProgress(Consumer<ProgressUpdate> taker) {
         onProgress = taker;
     }
 
     /** Takes the queues that wait too long as the leader tells them. */
-    void onCongested(Consumer<CongestionNotice> taker) {
+    public void onCongested(Consumer<CongestionNotice> taker) {
         onCongested = taker;
     }
 
@@ -121,7 +123,7 @@
      * Notes that this controller stood still: it may have missed every answer, and what was
      * confirmed to it before counts no longer.
      */
-    void resumed() {
+    public void resumed() {
         resumedAt = loop.now();
         lastLeaderHeardAt = Math.max(lastLeaderHeardAt, resumedAt);
         confirmations.countFrom(resumedAt);
@@ -133,7 +135,7 @@
      * behind a packet filter: deposing every leader that refuses let a filter between controllers
      * end term after term.
      */
-    void onUnresponsiveLeader(Consumer<PeerStatus> taker) {
+    public void onUnresponsiveLeader(Consumer<PeerStatus> taker) {
         onUnresponsiveLeader = taker;
     }
 
@@ -141,7 +143,7 @@
      * Tells of a cancellation committed here, before its user is told: a leader may be unable to
      * read of it.
      */
-    void broadcastCancellation(Cancellation cancellation) {
+    public void broadcastCancellation(Cancellation cancellation) {
         CancellationNotice message = new CancellationNotice(settings.node(), List.of(cancellation));
         nodes.forEach(node -> send(node, message));
     }
@@ -284,12 +286,12 @@
     }
 
     /** See {@link PeerConfirmations#allConfirmOutage}. */
-    boolean allConfirmOutage(long term) {
+    public boolean allConfirmOutage(long term) {
         return confirmations.allConfirmOutage(term);
     }
 
     /** See {@link PeerConfirmations#quorumConfirmsOutage}. */
-    boolean quorumConfirmsOutage(long term) {
+    public boolean quorumConfirmsOutage(long term) {
         return confirmations.quorumConfirmsOutage(term);
     }
 
@@ -297,7 +299,7 @@
      * Whether a quorum confirms the outage and has not heard of a leader for some time: then any
      * leader there may be has no quorum to declare a silent worker lost with.
      */
-    boolean quorumMissesLeader(long term) {
+    public boolean quorumMissesLeader(long term) {
         return leaderSilent() && confirmations.quorumMissesLeader(term);
     }
 
@@ -306,7 +308,7 @@
     }
 
     /** See {@link PeerConfirmations#quorumKnows}. */
-    boolean quorumKnows(long term) {
+    public boolean quorumKnows(long term) {
         return confirmations.quorumKnows(term);
     }
 
@@ -316,17 +318,17 @@
     }
 
     /** When any other controller was last heard of. */
-    double lastHeardAt() {
+    public double lastHeardAt() {
         return lastHeardAt;
     }
 
     /** Whether every other controller has lately answered this one. */
-    boolean allPeersResponded() {
+    public boolean allPeersResponded() {
         return confirmations.allAnswered();
     }
 
     /** Notes that a worker's lease was renewed by this controller, which does not lead. */
-    void recordLeaseRenewal() {
+    public void recordLeaseRenewal() {
         lastConfirmationAt = loop.now();
     }
 
@@ -335,32 +337,32 @@
      * leader: the workers that come here stay, rather than all be sent on to one controller that
      * has just begun. Its answers say until when.
      */
-    boolean keepsLeasesForNewLeader() {
+    public boolean keepsLeasesForNewLeader() {
         return loop.now() < keepsLeasesForNewLeaderUntil;
     }
 
     /** See {@link PeerConfirmations#anyReachesStore}. */
-    boolean anyReachesStore() {
+    public boolean anyReachesStore() {
         return confirmations.anyReachesStore();
     }
 
     /** See {@link PeerConfirmations#anyWithoutHistory}. */
-    boolean anyWithoutHistory() {
+    public boolean anyWithoutHistory() {
         return confirmations.anyWithoutHistory();
     }
 
     /** See {@link PeerConfirmations#anyLeads}. */
-    boolean anyLeads() {
+    public boolean anyLeads() {
         return confirmations.anyLeads();
     }
 
     /** See {@link PeerConfirmations#maxWorkers}. */
-    int workersRedirectedByPeers() {
+    public int workersRedirectedByPeers() {
         return confirmations.maxWorkers();
     }
 
     /** The highest term that a peer has told of; 0 if none. */
-    long highestTerm() {
+    public long highestTerm() {
         return highestTerm;
     }
 
@@ -370,7 +372,7 @@
      * none. One that does not answer may be isolated with the workers of a partitioned zone and
      * keep their leases for as long as the partition lasts.
      */
-    double othersMayRenewUntil() {
+    public double othersMayRenewUntil() {
         if (!allPeersResponded()) {
             return Double.POSITIVE_INFINITY;
         }
--- a/src/main/java/org/springmill/control/coordination/RedirectedWorkers.java
+++ b/src/main/java/org/springmill/control/membership/RedirectedWorkers.java
@@ -1,29 +1,30 @@
-package org.springmill.control.coordination;
+package org.springmill.control.membership;
 
 import java.util.HashMap;
 import java.util.Map;
+import org.springmill.control.timing.Timeouts;
 import org.springmill.transport.EventLoop;
 
 /**
  * Workers that reported to this controller lately and were sent away. Their number tells a leader
  * that lost them that it is cut off from its workers.
  */
-final class RedirectedWorkers {
+public final class RedirectedWorkers {
     private final EventLoop loop;
     private final double maxAgeSeconds;
     private final Map<String, Double> lastReportAt = new HashMap<>();
 
-    RedirectedWorkers(EventLoop loop, Timeouts timing) {
+    public RedirectedWorkers(EventLoop loop, Timeouts timing) {
         this.loop = loop;
         maxAgeSeconds = 2 * timing.suspectAfterSeconds();
     }
 
-    void add(String machine) {
+    public void add(String machine) {
         lastReportAt.put(machine, loop.now());
     }
 
     /** How many workers were sent away lately; forgets all others. */
-    int count() {
+    public int count() {
         double oldest = loop.now() - maxAgeSeconds;
         lastReportAt.values().removeIf(reportAt -> reportAt < oldest);
         return lastReportAt.size();
--- a/src/main/java/org/springmill/control/coordination/RemoteProgress.java
+++ b/src/main/java/org/springmill/control/membership/RemoteProgress.java
@@ -1,9 +1,10 @@
-package org.springmill.control.coordination;
+package org.springmill.control.membership;
 
 import java.util.HashMap;
 import java.util.HashSet;
 import java.util.Map;
 import java.util.Set;
+import org.springmill.control.timing.Timeouts;
 import org.springmill.protocol.PeerMessages.JobProgress;
 import org.springmill.protocol.PeerMessages.ProgressUpdate;
 import org.springmill.transport.EventLoop;
@@ -12,7 +13,7 @@
  * How far the tasks of active jobs are, as the leader last broadcast it, for a controller that does
  * not lead. For display only: no decision depends on it.
  */
-final class RemoteProgress {
+public final class RemoteProgress {
     /** After this many report intervals without a broadcast, what was known before is dropped. */
     private static final double MAX_AGE_REPORT_INTERVALS = 4;
 
@@ -27,13 +28,13 @@
 
     private double currentSince;
 
-    RemoteProgress(EventLoop loop, Timeouts timing) {
+    public RemoteProgress(EventLoop loop, Timeouts timing) {
         this.loop = loop;
         maxAgeSeconds = timing.heartbeatIntervalSeconds() * MAX_AGE_REPORT_INTERVALS;
     }
 
     /** Takes in a broadcast; a broadcast may be spread over several messages. */
-    void receive(ProgressUpdate received) {
+    public void receive(ProgressUpdate received) {
         double age = loop.now() - currentSince;
         if (age > maxAgeSeconds) {
             previous = age > 2 * maxAgeSeconds ? new HashMap<>() : current;
@@ -51,7 +52,7 @@
     }
 
     /** The progress of a job, or null if none was broadcast. */
-    JobProgress of(String jobId) {
+    public JobProgress of(String jobId) {
         JobProgress latest = current.get(jobId);
         return latest != null ? latest : previous.get(jobId);
     }
--- a/src/main/java/org/springmill/control/coordination/WorkloadBroadcast.java
+++ b/src/main/java/org/springmill/control/membership/WorkloadBroadcast.java
@@ -1,10 +1,13 @@
-package org.springmill.control.coordination;
+package org.springmill.control.membership;
 
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Optional;
 import org.springmill.control.admission.Congestion;
 import org.springmill.control.admission.QueueWaits;
+import org.springmill.control.cluster.ClusterState;
+import org.springmill.control.cluster.Job;
+import org.springmill.control.cluster.TaskAttempt;
 import org.springmill.protocol.PeerMessages.CongestedQueue;
 import org.springmill.protocol.PeerMessages.CongestionNotice;
 import org.springmill.protocol.PeerMessages.JobProgress;
@@ -16,7 +19,7 @@
  * wait too long. The records of one interval are spread over it, so that the links between
  * controllers never have to hold those of a whole fleet at once.
  */
-final class WorkloadBroadcast {
+public final class WorkloadBroadcast {
     private final ClusterState clusterState;
     private final Peers peers;
     private final Congestion congestion;
@@ -33,7 +36,7 @@
      * @param queueWaits empty unless the operators bound how long work may wait
      * @param node name of this controller
      */
-    WorkloadBroadcast(
+    public WorkloadBroadcast(
             ClusterState clusterState,
             Peers peers,
             Congestion congestion,
@@ -52,12 +55,12 @@
         this.intervalSeconds = intervalSeconds;
     }
 
-    void close() {
+    public void close() {
         closed = true;
     }
 
     /** Begins to tell; the next interval follows by itself. */
-    void start() {
+    public void start() {
         if (closed) {
             return;
         }
@@ -67,7 +70,7 @@
     }
 
     /** Notes that these attempts were placed. */
-    void placed(List<TaskAttempt> claimed) {
+    public void placed(List<TaskAttempt> claimed) {
         queueWaits.ifPresent(waits -> claimed.forEach(attempt -> placed(waits, attempt)));
     }
 
--- a/src/main/java/org/springmill/control/coordination/Metrics.java
+++ b/src/main/java/org/springmill/control/metrics/Metrics.java
@@ -1,4 +1,4 @@
-package org.springmill.control.coordination;
+package org.springmill.control.metrics;
 
 import io.micrometer.core.instrument.Clock;
 import io.micrometer.core.instrument.Counter;
@@ -28,7 +28,7 @@
  * <p>Names are in snake case. Names of counters end in {@code _total}, names of durations in {@code
  * _seconds}. docs/operations.md describes every series.
  */
-final class Metrics {
+public final class Metrics {
     private static final String PREFIX = "springmill_";
     private static final String DURATION_SUFFIX = "_seconds";
     private static final String COUNTER_SUFFIX = "_total";
@@ -61,7 +61,7 @@
     private final Map<Outcome, Counter> recallsSettled = new EnumMap<>(Outcome.class);
     private double lastReadAt = Double.NEGATIVE_INFINITY;
 
-    Metrics(EventLoop loop) {
+    public Metrics(EventLoop loop) {
         this.loop = loop;
         registry = new SimpleMeterRegistry(SimpleConfig.DEFAULT, new LoopClock(loop));
         acceptance = timer("acceptance", "from a submission's arrival to its 201");
@@ -83,74 +83,74 @@
     }
 
     /** Adds a gauge that reads its value from an object whenever the metrics are read. */
-    <T> void gauge(String name, T source, ToDoubleFunction<T> value) {
+    public <T> void gauge(String name, T source, ToDoubleFunction<T> value) {
         Gauge.builder(PREFIX + name, source, value).strongReference(true).register(registry);
     }
 
     /** Adds a counter that reads its value from an object whenever the metrics are read. */
-    <T> void counter(String name, T source, ToDoubleFunction<T> value) {
+    public <T> void counter(String name, T source, ToDoubleFunction<T> value) {
         FunctionCounter.builder(PREFIX + name + COUNTER_SUFFIX, source, value).register(registry);
     }
 
     /** Records that a submission, which arrived at the given time, was accepted now. */
-    void accepted(double arrivedAt) {
+    public void accepted(double arrivedAt) {
         recordSince(acceptance, arrivedAt);
     }
 
     /** Records the commit of a placement round, which was started at the given time. */
-    void roundCommitted(double startedAt, int claims, int endedAttempts) {
+    public void roundCommitted(double startedAt, int claims, int endedAttempts) {
         recordSince(placementRound, startedAt);
         claimsCommitted.increment(claims);
         attemptsEnded.increment(endedAttempts);
     }
 
     /** Records a commit that the key-value store answered, and that was sent at the given time. */
-    void commitAnswered(double sentAt) {
+    public void commitAnswered(double sentAt) {
         recordSince(stateServiceCommit, sentAt);
     }
 
     /** Records that a task, which was claimed at the given time, runs now. */
-    void started(double claimedAt) {
+    public void started(double claimedAt) {
         recordSince(taskStart, claimedAt);
     }
 
     /** Records an attempt that ended because its machine was silent beyond its lease. */
-    void lost() {
+    public void lost() {
         attemptsLost.increment();
     }
 
     /** Records that a job was found to fail on one machine after the other. */
-    void jobSuspected() {
+    public void jobSuspected() {
         jobsSuspected.increment();
     }
 
     /** Records recalls that were committed. */
-    void recallsCommitted(int recalls) {
+    public void recallsCommitted(int recalls) {
         recallsCommitted.increment(recalls);
     }
 
     /** Records a recall that is over. */
-    void recallSettled(Outcome outcome) {
+    public void recallSettled(Outcome outcome) {
         recallsSettled.get(outcome).increment();
     }
 
     /** Records a task that was told to stop for a recall. */
-    void taskRecalled() {
+    public void taskRecalled() {
         tasksRecalled.increment();
     }
 
     /** Records GPUs times seconds that stayed unlent after a recall. */
-    void roomHeld(double gpuSeconds) {
+    public void roomHeld(double gpuSeconds) {
         heldGpuSeconds.increment(gpuSeconds);
     }
 
     /** Records that the record of an ended job was moved to the history. */
-    void recordMoved() {
+    public void recordMoved() {
         recordsMoved.increment();
     }
 
     /** All series as text, one to a line; null if they were read less than a second ago. */
-    byte[] read() {
+    public byte[] read() {
         if (loop.now() - lastReadAt < MIN_READ_INTERVAL_SECONDS) {
             return null;
         }
--- a/src/main/java/org/springmill/control/coordination/GracePeriods.java
+++ b/src/main/java/org/springmill/control/recall/GracePeriods.java
@@ -1,6 +1,8 @@
-package org.springmill.control.coordination;
+package org.springmill.control.recall;
 
 import java.util.List;
+import org.springmill.control.cluster.TaskAttempt;
+import org.springmill.control.timing.Timeouts;
 import org.springmill.protocol.OperatorSettings;
 import org.springmill.protocol.Submission;
 
--- a/src/main/java/org/springmill/control/coordination/HoldDownCapacity.java
+++ b/src/main/java/org/springmill/control/recall/HoldDownCapacity.java
@@ -1,4 +1,4 @@
-package org.springmill.control.coordination;
+package org.springmill.control.recall;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -6,6 +6,11 @@
 import java.util.List;
 import java.util.Map;
 import org.springmill.control.borrowing.HoldDown;
+import org.springmill.control.cluster.ClusterState;
+import org.springmill.control.cluster.Job;
+import org.springmill.control.cluster.Machine;
+import org.springmill.control.cluster.TaskAttempt;
+import org.springmill.control.metrics.Metrics;
 import org.springmill.protocol.Priority;
 import org.springmill.protocol.Resources;
 
--- a/src/main/java/org/springmill/control/coordination/RecallPlanner.java
+++ b/src/main/java/org/springmill/control/recall/RecallPlanner.java
@@ -1,4 +1,4 @@
-package org.springmill.control.coordination;
+package org.springmill.control.recall;
 
 import java.util.ArrayList;
 import java.util.Comparator;
@@ -11,6 +11,16 @@
 import java.util.Set;
 import org.springmill.control.borrowing.VictimSelection;
 import org.springmill.control.borrowing.VictimSelection.Candidate;
+import org.springmill.control.cluster.ExhaustedEquivalenceClasses;
+import org.springmill.control.cluster.Fleet;
+import org.springmill.control.cluster.Job;
+import org.springmill.control.cluster.Machine;
+import org.springmill.control.cluster.TaskAttempt;
+import org.springmill.control.cluster.TeamUsage;
+import org.springmill.control.scheduling.MachineRanking;
+import org.springmill.control.scheduling.Placement;
+import org.springmill.control.scheduling.PreemptionPolicy;
+import org.springmill.control.timing.Timeouts;
 import org.springmill.protocol.Priority;
 import org.springmill.protocol.Resources;
 import org.springmill.protocol.Submission;
--- a/src/main/java/org/springmill/control/coordination/RecallPreemption.java
+++ b/src/main/java/org/springmill/control/recall/RecallPreemption.java
@@ -1,4 +1,4 @@
-package org.springmill.control.coordination;
+package org.springmill.control.recall;
 
 import java.util.ArrayList;
 import java.util.Collection;
@@ -15,7 +15,14 @@
 import org.springmill.control.borrowing.RecallProgress;
 import org.springmill.control.borrowing.RecallProgress.Outcome;
 import org.springmill.control.borrowing.RecallProgress.State;
-import org.springmill.control.coordination.RecallReservations.ActiveRecall;
+import org.springmill.control.cluster.Fleet;
+import org.springmill.control.cluster.Job;
+import org.springmill.control.cluster.Machine;
+import org.springmill.control.cluster.TaskAttempt;
+import org.springmill.control.metrics.Metrics;
+import org.springmill.control.recall.RecallReservations.ActiveRecall;
+import org.springmill.control.scheduling.PreemptionPolicy;
+import org.springmill.control.timing.Timeouts;
 import org.springmill.protocol.KeyValueStoreMessages.Write;
 import org.springmill.protocol.Resources;
 import org.springmill.protocol.TaskId;
@@ -26,7 +33,7 @@
  * committed, keeps the room for the beneficiary, and settles each with the round that claims its
  * task, or when it is of no more use. docs/borrowing.md has the argument.
  */
-final class RecallPreemption implements PreemptionPolicy {
+public final class RecallPreemption implements PreemptionPolicy {
     private static final Logger LOG = LoggerFactory.getLogger(RecallPreemption.class);
 
     private final Fleet fleet;
--- a/src/main/java/org/springmill/control/coordination/RecallReservations.java
+++ b/src/main/java/org/springmill/control/recall/RecallReservations.java
@@ -1,4 +1,4 @@
-package org.springmill.control.coordination;
+package org.springmill.control.recall;
 
 import java.util.ArrayList;
 import java.util.Collection;
@@ -10,6 +10,9 @@
 import java.util.Set;
 import java.util.stream.Collectors;
 import org.springmill.control.borrowing.RecallProgress;
+import org.springmill.control.cluster.Job;
+import org.springmill.control.cluster.Machine;
+import org.springmill.control.cluster.TaskAttempt;
 import org.springmill.protocol.Resources;
 
 /** The recalls under way on a leader, by machine, by beneficiary and by the beneficiary's team. */
--- a/src/main/java/org/springmill/control/coordination/RecallSetup.java
+++ b/src/main/java/org/springmill/control/recall/RecallSetup.java
@@ -1,16 +1,23 @@
-package org.springmill.control.coordination;
+package org.springmill.control.recall;
 
 import java.util.Set;
 import java.util.function.Consumer;
 import org.springmill.control.borrowing.HoldDown;
 import org.springmill.control.borrowing.RecallLog;
+import org.springmill.control.cluster.Fleet;
+import org.springmill.control.cluster.Job;
+import org.springmill.control.cluster.Machine;
+import org.springmill.control.metrics.Metrics;
+import org.springmill.control.scheduling.CapacityFilter;
+import org.springmill.control.scheduling.Placement;
 import org.springmill.control.storage.KeyValueStoreClient;
+import org.springmill.control.timing.Timeouts;
 import org.springmill.protocol.OperatorSettings;
 import org.springmill.protocol.Resources;
 import org.springmill.transport.EventLoop;
 
 /** Puts together what a leader needs to carry recalls out. */
-final class RecallSetup {
+public final class RecallSetup {
     /** The hold-down stays below so many leases, however much work a recall lost. */
     private static final double MAX_HOLD_DOWN_LEASES = 2;
 
@@ -25,7 +32,7 @@
     private final RecallReservations promises = new RecallReservations();
     private final HoldDownCapacity returned;
 
-    RecallSetup(
+    public RecallSetup(
             Fleet fleet,
             EventLoop loop,
             Timeouts timing,
@@ -46,7 +53,7 @@
     }
 
     /** Room that is promised to others, or not lent again yet. */
-    CapacityFilter withheld() {
+    public CapacityFilter withheld() {
         return new CapacityFilter() {
             @Override
             public Resources withheldFrom(Job job, Machine machine) {
@@ -66,7 +73,7 @@
      *
      * @param poke sends a machine the commands that are due
      */
-    RecallPreemption recalls(
+    public RecallPreemption recalls(
             KeyValueStoreClient store, Placement placement, Consumer<Machine> poke) {
         return new RecallPreemption(
                 fleet,
--- a/src/main/java/org/springmill/control/coordination/CapacityFilter.java
+++ b/src/main/java/org/springmill/control/scheduling/CapacityFilter.java
@@ -1,10 +1,12 @@
-package org.springmill.control.coordination;
+package org.springmill.control.scheduling;
 
 import java.util.Set;
+import org.springmill.control.cluster.Job;
+import org.springmill.control.cluster.Machine;
 import org.springmill.protocol.Resources;
 
 /** Free room on machines that some jobs may not use. */
-interface CapacityFilter {
+public interface CapacityFilter {
     /** Nothing is withheld. */
     CapacityFilter NONE =
             new CapacityFilter() {
--- a/src/main/java/org/springmill/control/coordination/CompletionBatching.java
+++ b/src/main/java/org/springmill/control/scheduling/CompletionBatching.java
@@ -1,8 +1,10 @@
-package org.springmill.control.coordination;
+package org.springmill.control.scheduling;
 
 import java.util.Collection;
 import java.util.HashMap;
 import java.util.Map;
+import org.springmill.control.cluster.Job;
+import org.springmill.control.cluster.TaskAttempt;
 import org.springmill.protocol.WorkerMessages.ExitCause;
 
 /**
--- a/src/main/java/org/springmill/control/coordination/ImmediatePreemption.java
+++ b/src/main/java/org/springmill/control/scheduling/ImmediatePreemption.java
@@ -1,4 +1,4 @@
-package org.springmill.control.coordination;
+package org.springmill.control.scheduling;
 
 import java.util.ArrayList;
 import java.util.Comparator;
@@ -7,20 +7,27 @@
 import java.util.Map;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
+import org.springmill.control.cluster.ExhaustedEquivalenceClasses;
+import org.springmill.control.cluster.Fleet;
+import org.springmill.control.cluster.Job;
+import org.springmill.control.cluster.Machine;
+import org.springmill.control.cluster.TaskAttempt;
+import org.springmill.control.cluster.TeamUsage;
+import org.springmill.control.timing.Timeouts;
 import org.springmill.protocol.KeyValueStoreMessages.Write;
 import org.springmill.protocol.Priority;
 import org.springmill.protocol.Resources;
 import org.springmill.protocol.Submission;
 
 /** Chooses what is stopped for waiting jobs that find no place otherwise. */
-final class ImmediatePreemption implements PreemptionPolicy {
+public final class ImmediatePreemption implements PreemptionPolicy {
     private static final Logger LOG = LoggerFactory.getLogger(ImmediatePreemption.class);
 
     private final Fleet fleet;
     private final Placement placement;
     private final Timeouts timing;
 
-    ImmediatePreemption(Fleet fleet, Placement placement, Timeouts timing) {
+    public ImmediatePreemption(Fleet fleet, Placement placement, Timeouts timing) {
         this.fleet = fleet;
         this.placement = placement;
         this.timing = timing;
--- a/src/main/java/org/springmill/control/coordination/MachineRanking.java
+++ b/src/main/java/org/springmill/control/scheduling/MachineRanking.java
@@ -1,8 +1,9 @@
-package org.springmill.control.coordination;
+package org.springmill.control.scheduling;
 
 import java.util.Comparator;
 import java.util.PriorityQueue;
 import java.util.function.ToDoubleFunction;
+import org.springmill.control.cluster.Machine;
 
 /**
  * Machines by what it costs to use them for one job. Using a machine changes the cost of that one,
@@ -10,7 +11,7 @@
  * rather than at all of them: with hundreds of machines, arrays of a hundred tasks took a
  * controller seconds to place.
  */
-final class MachineRanking {
+public final class MachineRanking {
     private record Option(Machine machine, double cost, int order) {}
 
     private final PriorityQueue<Option> options =
@@ -22,7 +23,7 @@
     /**
      * @param cost infinite where the machine cannot be used
      */
-    MachineRanking(Iterable<Machine> machines, ToDoubleFunction<Machine> cost) {
+    public MachineRanking(Iterable<Machine> machines, ToDoubleFunction<Machine> cost) {
         this.cost = cost;
         int order = 0;
         for (Machine machine : machines) {
@@ -38,7 +39,7 @@
     }
 
     /** The machine that costs least now; null if there is none. */
-    Machine best() {
+    public Machine best() {
         if (taken != null) {
             offer(taken.machine(), taken.order());
         }
--- a/src/main/java/org/springmill/control/coordination/MachineScore.java
+++ b/src/main/java/org/springmill/control/scheduling/MachineScore.java
@@ -1,5 +1,8 @@
-package org.springmill.control.coordination;
+package org.springmill.control.scheduling;
 
+import org.springmill.control.cluster.Job;
+import org.springmill.control.cluster.Machine;
+import org.springmill.control.timing.Timeouts;
 import org.springmill.protocol.Resources;
 import org.springmill.protocol.Submission;
 
@@ -7,7 +10,7 @@
  * Says how well a machine suits a task of a job, in seconds: less is better. What a task waits for
  * its image counts most; the other terms decide between machines on which it waits about as long.
  */
-final class MachineScore {
+public final class MachineScore {
     /**
      * So much longer a fetch may take for work that can run on a spot machine to be kept off an
      * ordinary one.
@@ -62,7 +65,7 @@
     }
 
     /** Seconds that a task of a job waits on a machine, and what its place there is worth. */
-    double of(Job job, Machine machine, double now) {
+    public double of(Job job, Machine machine, double now) {
         Submission spec = job.spec();
         double score = machine.imageFetchSeconds(spec, now);
         // Late reports are the first sign of trouble.
--- a/src/main/java/org/springmill/control/coordination/Placement.java
+++ b/src/main/java/org/springmill/control/scheduling/Placement.java
@@ -1,4 +1,4 @@
-package org.springmill.control.coordination;
+package org.springmill.control.scheduling;
 
 import java.util.ArrayList;
 import java.util.Comparator;
@@ -7,12 +7,19 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
+import org.springmill.control.cluster.ExhaustedEquivalenceClasses;
+import org.springmill.control.cluster.Fleet;
+import org.springmill.control.cluster.Job;
+import org.springmill.control.cluster.Machine;
+import org.springmill.control.cluster.TaskAttempt;
+import org.springmill.control.cluster.TeamUsage;
 import org.springmill.control.storage.Claim;
+import org.springmill.control.timing.Timeouts;
 import org.springmill.protocol.Resources;
 import org.springmill.protocol.TaskId;
 
 /** Chooses machines for waiting tasks. */
-final class Placement {
+public final class Placement {
     /** For a machine on which the job failed: more than any wait for an image. */
     private static final double AVOIDED_SECONDS = 1e4;
 
@@ -29,7 +36,7 @@
     /**
      * @param withheld free room that some jobs may not use
      */
-    Placement(Fleet fleet, Timeouts timing, CapacityFilter withheld) {
+    public Placement(Fleet fleet, Timeouts timing, CapacityFilter withheld) {
         this.withheld = withheld;
         this.fleet = fleet;
         this.timing = timing;
@@ -38,7 +45,7 @@
     }
 
     /** Jobs with waiting tasks, in the order in which they are served. */
-    List<Job> waiting() {
+    public List<Job> waiting() {
         List<Job> waiting = new ArrayList<>();
         for (Job job : fleet.clusterState().jobs().values()) {
             if (isWaiting(job)) {
@@ -68,12 +75,12 @@
         return job.eligible() && job.nextTask() >= 0;
     }
 
-    Reservations reservations() {
+    public Reservations reservations() {
         return reservations;
     }
 
     /** The measure by which machines were last compared. */
-    MachineScore score() {
+    public MachineScore score() {
         return score;
     }
 
@@ -135,7 +142,7 @@
     }
 
     /** The jobs for which machines keep room that other jobs do not get. */
-    Set<Job> jobsWithReservedCapacity(List<Machine> open, double now) {
+    public Set<Job> jobsWithReservedCapacity(List<Machine> open, double now) {
         Set<Job> jobs = new HashSet<>(reservations.holders());
         jobs.addAll(withheld.jobsWithReservedCapacity());
         open.forEach(machine -> jobs.addAll(machine.allocation().reservedFor(now)));
@@ -153,7 +160,7 @@
      * place for it. Ranking all machines for each job of a long queue, of which a round takes the
      * first few, held the leader up for seconds after an outage with two thousand machines.
      */
-    boolean unreached(Job job) {
+    public boolean unreached(Job job) {
         return unreached.contains(job);
     }
 
@@ -207,7 +214,7 @@
     }
 
     /** Machines that take new work. */
-    List<Machine> open(double now) {
+    public List<Machine> open(double now) {
         List<Machine> open = new ArrayList<>();
         for (Machine machine : fleet.machines()) {
             if (machine.isSchedulable(now, timing.suspectAfterSeconds())) {
@@ -218,7 +225,7 @@
     }
 
     /** Whether a job may run on a machine, if there is room. */
-    static boolean eligible(Job job, Machine machine, double now) {
+    public static boolean eligible(Job job, Machine machine, double now) {
         return machine.isAllowedFor(job.spec())
                 && !job.failures().excludes(machine.name(), now)
                 && job.zoneAllows(machine.zone());
--- a/src/main/java/org/springmill/control/coordination/PlacementRounds.java
+++ b/src/main/java/org/springmill/control/scheduling/PlacementRounds.java
@@ -1,9 +1,13 @@
-package org.springmill.control.coordination;
+package org.springmill.control.scheduling;
 
 import java.util.ArrayList;
 import java.util.List;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
+import org.springmill.control.cluster.Fleet;
+import org.springmill.control.cluster.Machine;
+import org.springmill.control.cluster.TaskAttempt;
+import org.springmill.control.leadership.Leadership;
 import org.springmill.control.storage.Claim;
 import org.springmill.control.storage.RoundLog;
 import org.springmill.control.storage.RoundLog.End;
@@ -15,11 +19,11 @@
  * Runs rounds: placement and ends are committed together, one commit at a time, before anything is
  * sent.
  */
-final class PlacementRounds {
+public final class PlacementRounds {
     private static final Logger LOG = LoggerFactory.getLogger(PlacementRounds.class);
 
     /** What follows from a committed round. */
-    interface Listener {
+    public interface Listener {
         void committed(List<TaskAttempt> claimed, List<TaskAttempt> ended, double since);
 
         void lost();
@@ -41,7 +45,7 @@
     private boolean closed;
     private double lastRound = Double.NEGATIVE_INFINITY;
 
-    PlacementRounds(
+    public PlacementRounds(
             Fleet fleet,
             Placement placement,
             PreemptionPolicy roomMaking,
@@ -61,7 +65,7 @@
         this.listener = listener;
     }
 
-    void close() {
+    public void close() {
         closed = true;
     }
 
@@ -69,7 +73,7 @@
      * Asks for a round soon: at once if none ran lately, else after the gap that the state
      * service's limits allow.
      */
-    void request() {
+    public void request() {
         wanted = true;
         if (!scheduled && !committing && !closed) {
             scheduled = true;
--- a/src/main/java/org/springmill/control/coordination/PreemptionPolicy.java
+++ b/src/main/java/org/springmill/control/scheduling/PreemptionPolicy.java
@@ -1,11 +1,12 @@
-package org.springmill.control.coordination;
+package org.springmill.control.scheduling;
 
 import java.util.List;
 import java.util.function.Consumer;
+import org.springmill.control.cluster.TaskAttempt;
 import org.springmill.protocol.KeyValueStoreMessages.Write;
 
 /** Makes room for waiting jobs that find no place otherwise, by stopping work of lower right. */
-interface PreemptionPolicy {
+public interface PreemptionPolicy {
     /** What stopping a task costs beside its lost work, so that few large ones are preferred. */
     double VICTIM_COST_SECONDS = 10;
 
--- a/src/main/java/org/springmill/control/coordination/Reservations.java
+++ b/src/main/java/org/springmill/control/scheduling/Reservations.java
@@ -1,4 +1,4 @@
-package org.springmill.control.coordination;
+package org.springmill.control.scheduling;
 
 import java.util.ArrayList;
 import java.util.Collection;
@@ -11,13 +11,19 @@
 import java.util.Set;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
+import org.springmill.control.cluster.Fleet;
+import org.springmill.control.cluster.Job;
+import org.springmill.control.cluster.Machine;
+import org.springmill.control.cluster.TaskAttempt;
+import org.springmill.control.cluster.TeamUsage;
+import org.springmill.control.timing.Timeouts;
 import org.springmill.protocol.Resources;
 
 /**
  * Guards jobs against starvation: a job that has waited very long for its first place gets a
  * machine reserved, on which nothing of lower right is placed until it fits.
  */
-final class Reservations {
+public final class Reservations {
     private static final Logger LOG = LoggerFactory.getLogger(Reservations.class);
 
     /** After so many leases without a place a machine is reserved for a job. */
@@ -52,7 +58,7 @@
     }
 
     /** The jobs for which a machine is reserved. */
-    Collection<Job> holders() {
+    public Collection<Job> holders() {
         return reserved.values();
     }
 
@@ -155,7 +161,7 @@
      * Whether a machine is kept for another job, but for work that comes before that one in any
      * case.
      */
-    boolean reservedFrom(Job job, Machine machine) {
+    public boolean reservedFrom(Job job, Machine machine) {
         Job other = reserved.get(machine);
         if (other == null || other == job || job.priority().above(other.priority())) {
             return false;
--- a/src/main/java/org/springmill/control/coordination/ProcessPauseDetector.java
+++ b/src/main/java/org/springmill/control/timing/ProcessPauseDetector.java
@@ -1,4 +1,4 @@
-package org.springmill.control.coordination;
+package org.springmill.control.timing;
 
 import java.util.ArrayList;
 import java.util.List;
@@ -14,7 +14,7 @@
  * was nobody's silence. Every turn of the event loop passes through here first, so that nothing
  * that came in during a pause is looked at before the listeners know of the pause.
  */
-final class ProcessPauseDetector {
+public final class ProcessPauseDetector {
     private static final Logger LOG = LoggerFactory.getLogger(ProcessPauseDetector.class);
 
     /** A timer keeps turns coming; it may fire late without that being taken for a pause. */
@@ -28,19 +28,19 @@
     /**
      * @param boundSeconds a longer time without a turn is a pause
      */
-    ProcessPauseDetector(EventLoop loop, double boundSeconds) {
+    public ProcessPauseDetector(EventLoop loop, double boundSeconds) {
         this.loop = loop;
         this.boundSeconds = boundSeconds;
         lastTurnAt = loop.now();
     }
 
     /** Has a listener told of each pause, once it is over and before anything else is done. */
-    void onResume(Runnable listener) {
+    public void onResume(Runnable listener) {
         listeners.add(listener);
     }
 
     /** Begins to watch: until then the controller is still being put together. */
-    void start() {
+    public void start() {
         lastTurnAt = loop.now();
         beat();
     }
@@ -51,7 +51,7 @@
     }
 
     /** Called at the beginning of each turn of the event loop. */
-    void beginLoopTurn() {
+    public void beginLoopTurn() {
         double now = loop.now();
         double gap = now - lastTurnAt;
         lastTurnAt = now;
@@ -62,7 +62,7 @@
     }
 
     /** A loop whose tasks begin with a look for a pause. */
-    EventLoop wrap(EventLoop watched) {
+    public EventLoop wrap(EventLoop watched) {
         return new EventLoop() {
             @Override
             public double now() {
@@ -87,7 +87,7 @@
     }
 
     /** A client whose answers begin with a look for a pause. */
-    HttpClient wrap(HttpClient watched) {
+    public HttpClient wrap(HttpClient watched) {
         return (request, done) ->
                 watched.send(
                         request,
@@ -98,7 +98,7 @@
     }
 
     /** A link whose records begin with a look for a pause. */
-    PeerLink wrap(PeerLink watched) {
+    public PeerLink wrap(PeerLink watched) {
         return new PeerLink() {
             @Override
             public void send(String node, byte[] record) {
--- a/src/main/java/org/springmill/control/coordination/Timeouts.java
+++ b/src/main/java/org/springmill/control/timing/Timeouts.java
@@ -1,4 +1,4 @@
-package org.springmill.control.coordination;
+package org.springmill.control.timing;
 
 import org.springmill.protocol.Settings;
 
@@ -31,7 +31,7 @@
  *     every cancellation a controller may renew leases: what is renewed then is over before
  *     anything cancelled since has to be gone
  */
-record Timeouts(
+public record Timeouts(
         double leaderLeaseSeconds,
         double leaderRenewIntervalSeconds,
         double leaderGraceSeconds,
@@ -49,9 +49,9 @@
         double cancellationKnowledgeValiditySeconds) {
 
     /** Drift of two clocks against each other, doubled, and timers that fire late. */
-    static final double DRIFT = 1.002;
+    public static final double DRIFT = 1.002;
 
-    static Timeouts of(Settings settings) {
+    public static Timeouts of(Settings settings) {
         double lease = settings.workers().leaseSeconds();
         double report = settings.workers().heartbeatIntervalSeconds();
         double ttl = lease / 5;
@@ -82,7 +82,7 @@
      * A controller that has not heard a leader for so long finds it silent. Longer than any
      * confirmation counts: while a leader still acts on its peers' answers, they still hear it.
      */
-    double leaderSuspectAfterSeconds() {
+    public double leaderSuspectAfterSeconds() {
         return 2 * peerConfirmationValiditySeconds;
     }
 
@@ -90,7 +90,7 @@
      * A controller that did nothing for so long stood still. Half of its lease as leader: shorter
      * pauses leave time to prove that it still leads.
      */
-    double pauseThresholdSeconds() {
+    public double pauseThresholdSeconds() {
         return leaderLeaseSeconds / 2;
     }
 
@@ -98,17 +98,17 @@
      * How long other controllers keep the leases of workers that come to them after a new leader
      * was heard of.
      */
-    double newLeaderKeepaliveSeconds() {
+    public double newLeaderKeepaliveSeconds() {
         return workerLeaseSeconds / 4;
     }
 
     /** How long after a peer's answer, on any clock, someone may still act on it. */
-    double peerConfirmationValidityOnAnyClockSeconds() {
+    public double peerConfirmationValidityOnAnyClockSeconds() {
         return peerConfirmationValiditySeconds * DRIFT;
     }
 
     /** How long after a leader took over another controller may still renew a worker's lease. */
-    double followerRenewalLimitSeconds() {
+    public double followerRenewalLimitSeconds() {
         return Math.max(leaderLeaseSeconds + leaderGraceSeconds, peerConfirmationValiditySeconds)
                 * DRIFT;
     }
--- a/src/main/java/org/springmill/control/coordination/CommandDispatcher.java
+++ b/src/main/java/org/springmill/control/workers/CommandDispatcher.java
@@ -1,10 +1,14 @@
-package org.springmill.control.coordination;
+package org.springmill.control.workers;
 
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.List;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
+import org.springmill.control.cluster.Fleet;
+import org.springmill.control.cluster.Machine;
+import org.springmill.control.cluster.TaskAttempt;
+import org.springmill.control.timing.Timeouts;
 import org.springmill.protocol.MalformedMessageException;
 import org.springmill.protocol.WorkerMessages;
 import org.springmill.protocol.WorkerMessages.Command;
@@ -21,7 +25,7 @@
  * Brings workers to what the cluster state says: commands are derived from the difference between
  * the two each time, never queued, and one request at a time goes to a worker.
  */
-final class CommandDispatcher {
+public final class CommandDispatcher {
     private static final Logger LOG = LoggerFactory.getLogger(CommandDispatcher.class);
 
     /**
@@ -48,7 +52,7 @@
     private static final int CONFLICT = 409;
 
     /** Takes a worker's report. */
-    interface HeartbeatConsumer {
+    public interface HeartbeatConsumer {
         /** Takes the report that a machine answered to a request. */
         void accept(Machine machine, Heartbeat report);
     }
@@ -60,7 +64,8 @@
     private int probes;
     private boolean closed;
 
-    CommandDispatcher(Fleet fleet, HttpClient http, Timeouts timing, HeartbeatConsumer reports) {
+    public CommandDispatcher(
+            Fleet fleet, HttpClient http, Timeouts timing, HeartbeatConsumer reports) {
         this.fleet = fleet;
         this.http = http;
         this.timing = timing;
@@ -68,7 +73,7 @@
     }
 
     /** Sends nothing more, and takes no more answers. */
-    void close() {
+    public void close() {
         closed = true;
     }
 
@@ -77,7 +82,7 @@
     }
 
     /** Sends what is due to a machine, if anything is. */
-    void requestSend(Machine machine) {
+    public void requestSend(Machine machine) {
         if (closed || !canBeAsked(machine)) {
             return;
         }
--- a/src/main/java/org/springmill/control/coordination/HeartbeatHandler.java
+++ b/src/main/java/org/springmill/control/workers/HeartbeatHandler.java
@@ -1,6 +1,10 @@
-package org.springmill.control.coordination;
+package org.springmill.control.workers;
 
 import java.util.List;
+import org.springmill.control.cluster.Fleet;
+import org.springmill.control.cluster.Machine;
+import org.springmill.control.jobs.JobDirectory;
+import org.springmill.control.timing.Timeouts;
 import org.springmill.protocol.WorkerMessages;
 import org.springmill.protocol.WorkerMessages.Command;
 import org.springmill.protocol.WorkerMessages.Heartbeat;
@@ -8,7 +12,7 @@
 import org.springmill.transport.HttpHandler.Call;
 
 /** Answers the reports of workers for a leader, from the first moment of its term. */
-final class HeartbeatHandler {
+public final class HeartbeatHandler {
     private final Fleet fleet;
     private final Reconciliation reconciliation;
     private final CommandDispatcher dispatcher;
@@ -18,7 +22,7 @@
     private final Term term;
 
     /** How far the leader's term is. */
-    interface Term {
+    public interface Term {
         /** Whether what earlier leaders committed has been taken in. */
         boolean rebuilt();
 
@@ -26,7 +30,7 @@
         boolean closed();
     }
 
-    HeartbeatHandler(
+    public HeartbeatHandler(
             Fleet fleet,
             Reconciliation reconciliation,
             CommandDispatcher dispatcher,
@@ -44,7 +48,7 @@
     }
 
     /** Answers a worker's report. */
-    void respond(Call call, Heartbeat report) {
+    public void respond(Call call, Heartbeat report) {
         if (fleet.wasDeleted(report.machine())) {
             // A late copy. The machine that it seemed to bring back was given work, which waited
             // until it was missed.
--- a/src/main/java/org/springmill/control/coordination/Reconciliation.java
+++ b/src/main/java/org/springmill/control/workers/Reconciliation.java
@@ -1,10 +1,19 @@
-package org.springmill.control.coordination;
+package org.springmill.control.workers;
 
 import java.util.HashSet;
 import java.util.Set;
 import java.util.function.Consumer;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
+import org.springmill.control.cluster.Fleet;
+import org.springmill.control.cluster.Job;
+import org.springmill.control.cluster.JobFailures;
+import org.springmill.control.cluster.Machine;
+import org.springmill.control.cluster.TaskAttempt;
+import org.springmill.control.cluster.WorkerEpoch;
+import org.springmill.control.membership.Peers;
+import org.springmill.control.metrics.Metrics;
+import org.springmill.control.timing.Timeouts;
 import org.springmill.protocol.WorkerMessages.ExitCause;
 import org.springmill.protocol.WorkerMessages.Heartbeat;
 import org.springmill.protocol.WorkerMessages.TaskStatus;
@@ -14,7 +23,7 @@
  * gone. A task may be placed again only after one of the proofs here; docs/design.md has the
  * argument.
  */
-final class Reconciliation {
+public final class Reconciliation {
     private static final Logger LOG = LoggerFactory.getLogger(Reconciliation.class);
 
     /** The shortest pause of a job that fails is a lease divided by this. */
@@ -39,7 +48,7 @@
      * @param onChange called when a round may have something to do
      * @param onLaterTerm called when a worker has seen a token of a later term
      */
-    Reconciliation(
+    public Reconciliation(
             Fleet fleet,
             Timeouts timing,
             Peers peers,
@@ -58,7 +67,7 @@
     /**
      * Takes in a worker's message, unless a newer one was seen before: late copies prove nothing.
      */
-    void accept(Machine machine, Heartbeat report) {
+    public void accept(Machine machine, Heartbeat report) {
         if (WorkerEpoch.termOf(report.fencingToken()) > fleet.term()) {
             onLaterTerm.accept(machine.name() + " has seen a later term");
             return;
@@ -236,7 +245,7 @@
     }
 
     /** Looks for claims past their window and for machines silent beyond their lease. */
-    void tick() {
+    public void tick() {
         double now = fleet.now();
         if (quorumKnewTermAt == Double.POSITIVE_INFINITY && peers.quorumKnows(fleet.term())) {
             quorumKnewTermAt = now;
--- a/src/test/java/org/springmill/architecture/LayersTest.java
+++ b/src/test/java/org/springmill/architecture/LayersTest.java
@@ -1,102 +1,109 @@
 package org.springmill.architecture;
 
 import static com.tngtech.archunit.lang.syntax.ArchRuleDefinition.classes;
-import static com.tngtech.archunit.library.Architectures.layeredArchitecture;
+import static com.tngtech.archunit.lang.syntax.ArchRuleDefinition.noClasses;
 import static com.tngtech.archunit.library.dependencies.SlicesRuleDefinition.slices;
 
+import com.tngtech.archunit.core.domain.JavaClasses;
 import com.tngtech.archunit.core.importer.ImportOption;
 import com.tngtech.archunit.junit.AnalyzeClasses;
 import com.tngtech.archunit.junit.ArchTest;
 import com.tngtech.archunit.lang.ArchRule;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Set;
 
 /**
- * The layers of the program, from the bottom: transport and protocol, which know nothing of each
- * other, storage, job history, admission and borrowing, coordination, command line. A layer depends
- * only on those below it. The emulator stands beside the controllers: it uses the lowest two layers
- * alone.
+ * The layers of the program. A package depends only on those of the layers below its own, never on
+ * another package of its layer. The emulator stands beside the controllers: it uses protocol and
+ * transport alone.
  */
 @AnalyzeClasses(packages = "org.springmill", importOptions = ImportOption.DoNotIncludeTests.class)
 class LayersTest {
-    private static final String TRANSPORT = "org.springmill.transport..";
-    private static final String PROTOCOL = "org.springmill.protocol..";
-    private static final String STORAGE = "org.springmill.control.storage..";
-    private static final String HISTORY = "org.springmill.control.history..";
-    private static final String ADMISSION = "org.springmill.control.admission..";
-    private static final String BORROWING = "org.springmill.control.borrowing..";
-    private static final String COORDINATION = "org.springmill.control.coordination..";
-    private static final String EMULATOR = "org.springmill.emulator..";
-    private static final String COMMAND_LINE = "org.springmill.cli..";
+    private static final String BASE = "org.springmill.";
+    private static final String EMULATOR = BASE + "emulator..";
+    private static final String CONTROL = BASE + "control..";
+
+    /** Lowest first. */
+    private static final List<Set<String>> LAYERS =
+            List.of(
+                    Set.of("transport", "protocol"),
+                    Set.of("control.storage"),
+                    Set.of("control.history", "control.admission", "control.borrowing"),
+                    Set.of("control.timing", "control.metrics"),
+                    Set.of("control.jobs"),
+                    Set.of("control.cluster"),
+                    Set.of("control.api", "control.membership"),
+                    Set.of("control.leadership", "control.workers"),
+                    Set.of("control.scheduling"),
+                    Set.of("control.autoscaling", "control.recall"),
+                    Set.of("control.controller", "emulator"),
+                    Set.of("cli"));
 
     @ArchTest
-    static final ArchRule aLayerDependsOnlyOnThoseBelowIt =
-            layeredArchitecture()
-                    .consideringOnlyDependenciesInLayers()
-                    .layer("transport")
-                    .definedBy(TRANSPORT)
-                    .layer("protocol")
-                    .definedBy(PROTOCOL)
-                    .layer("storage")
-                    .definedBy(STORAGE)
-                    .layer("history")
-                    .definedBy(HISTORY)
-                    .layer("admission")
-                    .definedBy(ADMISSION)
-                    .layer("borrowing")
-                    .definedBy(BORROWING)
-                    .layer("coordination")
-                    .definedBy(COORDINATION)
-                    .layer("emulator")
-                    .definedBy(EMULATOR)
-                    .layer("command line")
-                    .definedBy(COMMAND_LINE)
-                    .whereLayer("transport")
-                    .mayOnlyBeAccessedByLayers(
-                            "storage",
-                            "history",
-                            "admission",
-                            "borrowing",
-                            "coordination",
-                            "emulator",
-                            "command line")
-                    .whereLayer("protocol")
-                    .mayOnlyBeAccessedByLayers(
-                            "storage",
-                            "history",
-                            "admission",
-                            "borrowing",
-                            "coordination",
-                            "emulator",
-                            "command line")
-                    .whereLayer("storage")
-                    .mayOnlyBeAccessedByLayers(
-                            "history", "admission", "borrowing", "coordination", "command line")
-                    .whereLayer("history")
-                    .mayOnlyBeAccessedByLayers("coordination")
-                    .whereLayer("admission")
-                    .mayOnlyBeAccessedByLayers("coordination")
-                    .whereLayer("borrowing")
-                    .mayOnlyBeAccessedByLayers("coordination")
-                    .whereLayer("coordination")
-                    .mayOnlyBeAccessedByLayers("command line")
-                    .whereLayer("emulator")
-                    .mayOnlyBeAccessedByLayers("command line")
-                    .whereLayer("command line")
-                    .mayNotBeAccessedByAnyLayer();
+    static void aLayerDependsOnlyOnThoseBelowIt(JavaClasses program) {
+        for (int layer = 0; layer < LAYERS.size(); layer++) {
+            for (String name : LAYERS.get(layer)) {
+                List<String> forbidden = notBelow(layer, name);
+                noClasses()
+                        .that()
+                        .resideInAPackage(BASE + name + "..")
+                        .should()
+                        .dependOnClassesThat()
+                        .resideInAnyPackage(forbidden.toArray(String[]::new))
+                        .check(program);
+            }
+        }
+    }
+
+    /** The other packages of a layer, and those of all layers above it. */
+    private static List<String> notBelow(int layer, String name) {
+        List<String> packages = new ArrayList<>();
+        for (Set<String> names : LAYERS.subList(layer, LAYERS.size())) {
+            for (String other : names) {
+                if (!other.equals(name)) {
+                    packages.add(BASE + other + "..");
+                }
+            }
+        }
+        return packages;
+    }
+
+    @ArchTest
+    static final ArchRule theEmulatorUsesNothingOfTheControllers =
+            noClasses()
+                    .that()
+                    .resideInAPackage(EMULATOR)
+                    .should()
+                    .dependOnClassesThat()
+                    .resideInAPackage(CONTROL);
+
+    /** Of the controllers, the command line starts one; for tests it reads stored forms. */
+    @ArchTest
+    static final ArchRule theCommandLineUsesControllerAndStorageOnly =
+            noClasses()
+                    .that()
+                    .resideInAPackage(BASE + "cli..")
+                    .should()
+                    .dependOnClassesThat()
+                    .resideInAnyPackage(
+                            LAYERS.stream()
+                                    .flatMap(Set::stream)
+                                    .filter(name -> name.startsWith("control."))
+                                    .filter(name -> !name.equals("control.controller"))
+                                    .filter(name -> !name.equals("control.storage"))
+                                    .map(name -> BASE + name + "..")
+                                    .toArray(String[]::new));
 
     @ArchTest
     static final ArchRule everyClassBelongsToALayer =
             classes()
                     .should()
                     .resideInAnyPackage(
-                            TRANSPORT,
-                            PROTOCOL,
-                            STORAGE,
-                            HISTORY,
-                            ADMISSION,
-                            BORROWING,
-                            COORDINATION,
-                            EMULATOR,
-                            COMMAND_LINE);
+                            LAYERS.stream()
+                                    .flatMap(Set::stream)
+                                    .map(name -> BASE + name + "..")
+                                    .toArray(String[]::new));
 
     @ArchTest
     static final ArchRule packagesHaveNoCycles =
--- a/src/test/java/org/springmill/control/coordination/BinTest.java
+++ b/src/test/java/org/springmill/control/autoscaling/BinTest.java
@@ -1,4 +1,4 @@
-package org.springmill.control.coordination;
+package org.springmill.control.autoscaling;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -8,6 +8,8 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
+import org.springmill.control.cluster.MachineKind;
+import org.springmill.control.cluster.ZoneCounts;
 
 class BinTest {
     private static final MachineKind ORDINARY =
--- a/src/test/java/org/springmill/control/coordination/DeletedMachinesTest.java
+++ b/src/test/java/org/springmill/control/autoscaling/DeletedMachinesTest.java
@@ -1,9 +1,13 @@
-package org.springmill.control.coordination;
+package org.springmill.control.autoscaling;
 
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import org.junit.jupiter.api.Test;
+import org.springmill.control.cluster.ClusterState;
+import org.springmill.control.cluster.Fleet;
+import org.springmill.control.cluster.Machine;
+import org.springmill.control.timing.Timeouts;
 import org.springmill.protocol.Settings;
 import org.springmill.protocol.SettingsFixtures;
 import org.springmill.sim.VirtualClock;
--- a/src/test/java/org/springmill/control/coordination/DemandPackingTest.java
+++ b/src/test/java/org/springmill/control/autoscaling/DemandPackingTest.java
@@ -1,4 +1,4 @@
-package org.springmill.control.coordination;
+package org.springmill.control.autoscaling;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
@@ -8,6 +8,11 @@
 import java.util.function.Predicate;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
+import org.springmill.control.cluster.EquivalenceClass;
+import org.springmill.control.cluster.Job;
+import org.springmill.control.cluster.Machine;
+import org.springmill.control.cluster.MachineKind;
+import org.springmill.control.cluster.ZoneCounts;
 import org.springmill.protocol.CloudMessages.MachineType;
 import org.springmill.protocol.Resources;
 import org.springmill.protocol.Submission;
--- a/src/test/java/org/springmill/control/coordination/MachineDrainingTest.java
+++ b/src/test/java/org/springmill/control/autoscaling/MachineDrainingTest.java
@@ -1,10 +1,13 @@
-package org.springmill.control.coordination;
+package org.springmill.control.autoscaling;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNull;
 
 import java.util.List;
 import org.junit.jupiter.api.Test;
+import org.springmill.control.cluster.Job;
+import org.springmill.control.cluster.Machine;
+import org.springmill.control.cluster.TaskAttempt;
 import org.springmill.control.storage.Claim;
 import org.springmill.protocol.CloudMessages.MachineType;
 import org.springmill.protocol.Submission;
--- a/src/test/java/org/springmill/control/coordination/PackingFixtures.java
+++ b/src/test/java/org/springmill/control/autoscaling/PackingFixtures.java
@@ -1,4 +1,4 @@
-package org.springmill.control.coordination;
+package org.springmill.control.autoscaling;
 
 import java.util.List;
 import org.springmill.protocol.CloudMessages.MachineType;
@@ -7,21 +7,21 @@
 import org.springmill.protocol.Submission;
 
 /** Machine types and jobs for the tests of packing. */
-final class PackingFixtures {
+public final class PackingFixtures {
     private PackingFixtures() {}
 
     /** A type with 96 CPUs, 8 GPUs and 768 GB; its spot price is half of the ordinary one. */
-    static MachineType type(String name, double price, String... zones) {
+    public static MachineType type(String name, double price, String... zones) {
         return new MachineType(name, 96, 8, 768, 200, 1, price, price / 2, 45, List.of(zones));
     }
 
     /** A job of tasks that each need one CPU and 1 GB, if nothing else is said. */
-    static JobBuilder job(int tasks) {
+    public static JobBuilder job(int tasks) {
         return new JobBuilder(tasks);
     }
 
     /** Says what is particular to a job. */
-    static final class JobBuilder {
+    public static final class JobBuilder {
         private final int tasks;
         private double cpus = 1;
         private double gpus;
@@ -34,7 +34,7 @@
             this.tasks = tasks;
         }
 
-        JobBuilder size(double newCpus, double newGpus, double newMemoryGb) {
+        public JobBuilder size(double newCpus, double newGpus, double newMemoryGb) {
             cpus = newCpus;
             gpus = newGpus;
             memoryGb = newMemoryGb;
@@ -56,7 +56,7 @@
             return this;
         }
 
-        Submission build() {
+        public Submission build() {
             return new Submission(
                     "run-000001",
                     "class",
--- a/src/test/java/org/springmill/control/coordination/DependencyPriorityWorkTest.java
+++ b/src/test/java/org/springmill/control/cluster/DependencyPriorityWorkTest.java
@@ -1,4 +1,4 @@
-package org.springmill.control.coordination;
+package org.springmill.control.cluster;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -10,8 +10,10 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
+import org.springmill.control.jobs.JobDirectory;
 import org.springmill.control.storage.JobRecord;
 import org.springmill.control.storage.KeyValueStoreClient;
+import org.springmill.control.timing.Timeouts;
 import org.springmill.protocol.Json;
 import org.springmill.protocol.MalformedMessageException;
 import org.springmill.protocol.Priority;
--- a/src/test/java/org/springmill/control/coordination/ImageCacheTest.java
+++ b/src/test/java/org/springmill/control/cluster/ImageCacheTest.java
@@ -1,4 +1,4 @@
-package org.springmill.control.coordination;
+package org.springmill.control.cluster;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
--- a/src/test/java/org/springmill/control/coordination/TaskAttemptTest.java
+++ b/src/test/java/org/springmill/control/cluster/TaskAttemptTest.java
@@ -1,10 +1,10 @@
-package org.springmill.control.coordination;
+package org.springmill.control.cluster;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
-import org.springmill.control.coordination.TaskAttempt.State;
+import org.springmill.control.cluster.TaskAttempt.State;
 import org.springmill.control.storage.Claim;
 import org.springmill.protocol.TaskId;
 
--- a/src/test/java/org/springmill/control/coordination/JobRecordWatchTest.java
+++ b/src/test/java/org/springmill/control/jobs/JobRecordWatchTest.java
@@ -1,4 +1,4 @@
-package org.springmill.control.coordination;
+package org.springmill.control.jobs;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
@@ -9,6 +9,7 @@
 import java.util.function.Consumer;
 import org.junit.jupiter.api.Test;
 import org.springmill.control.storage.KeyValueStoreClient;
+import org.springmill.control.timing.Timeouts;
 import org.springmill.protocol.KeyValueStoreMessages.Change;
 import org.springmill.protocol.Settings;
 import org.springmill.protocol.SettingsFixtures;
--- a/src/test/java/org/springmill/control/coordination/PeersTest.java
+++ b/src/test/java/org/springmill/control/membership/PeersTest.java
@@ -1,4 +1,4 @@
-package org.springmill.control.coordination;
+package org.springmill.control.membership;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -10,7 +10,9 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import org.springmill.control.admission.StoreRateShares;
+import org.springmill.control.jobs.JobDirectory;
 import org.springmill.control.storage.KeyValueStoreClient;
+import org.springmill.control.timing.Timeouts;
 import org.springmill.protocol.PeerMessages;
 import org.springmill.protocol.PeerMessages.CancellationDelta;
 import org.springmill.protocol.PeerMessages.PeerStatus;
--- a/src/test/java/org/springmill/control/coordination/RemoteProgressTest.java
+++ b/src/test/java/org/springmill/control/membership/RemoteProgressTest.java
@@ -1,4 +1,4 @@
-package org.springmill.control.coordination;
+package org.springmill.control.membership;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotNull;
@@ -7,6 +7,7 @@
 
 import java.util.List;
 import org.junit.jupiter.api.Test;
+import org.springmill.control.timing.Timeouts;
 import org.springmill.protocol.PeerMessages.JobProgress;
 import org.springmill.protocol.PeerMessages.ProgressUpdate;
 import org.springmill.protocol.SettingsFixtures;
--- a/src/test/java/org/springmill/control/coordination/RecallCostMeasurement.java
+++ b/src/test/java/org/springmill/control/recall/RecallCostMeasurement.java
@@ -1,10 +1,19 @@
-package org.springmill.control.coordination;
+package org.springmill.control.recall;
 
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
 import org.HdrHistogram.Histogram;
+import org.springmill.control.autoscaling.PackingFixtures;
+import org.springmill.control.cluster.ClusterState;
+import org.springmill.control.cluster.Fleet;
+import org.springmill.control.cluster.Job;
+import org.springmill.control.cluster.Machine;
+import org.springmill.control.cluster.TaskAttempt;
+import org.springmill.control.scheduling.CapacityFilter;
+import org.springmill.control.scheduling.Placement;
 import org.springmill.control.storage.Claim;
+import org.springmill.control.timing.Timeouts;
 import org.springmill.protocol.CloudMessages.MachineType;
 import org.springmill.protocol.JobKind;
 import org.springmill.protocol.OperatorSettings;
--- a/src/test/java/org/springmill/control/coordination/CompletionBatchingTest.java
+++ b/src/test/java/org/springmill/control/scheduling/CompletionBatchingTest.java
@@ -1,4 +1,4 @@
-package org.springmill.control.coordination;
+package org.springmill.control.scheduling;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
@@ -7,6 +7,8 @@
 import java.util.List;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
+import org.springmill.control.cluster.Job;
+import org.springmill.control.cluster.TaskAttempt;
 import org.springmill.control.storage.Claim;
 import org.springmill.protocol.Json;
 import org.springmill.protocol.MalformedMessageException;
--- a/src/test/java/org/springmill/control/coordination/FullRoundTest.java
+++ b/src/test/java/org/springmill/control/scheduling/FullRoundTest.java
@@ -1,4 +1,4 @@
-package org.springmill.control.coordination;
+package org.springmill.control.scheduling;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -7,6 +7,12 @@
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.api.Test;
+import org.springmill.control.autoscaling.PackingFixtures;
+import org.springmill.control.cluster.ClusterState;
+import org.springmill.control.cluster.Fleet;
+import org.springmill.control.cluster.Job;
+import org.springmill.control.cluster.Machine;
+import org.springmill.control.timing.Timeouts;
 import org.springmill.protocol.Settings;
 import org.springmill.protocol.SettingsFixtures;
 import org.springmill.protocol.Submission;
--- a/src/test/java/org/springmill/control/coordination/StrandedCpusTest.java
+++ b/src/test/java/org/springmill/control/scheduling/StrandedCpusTest.java
@@ -1,10 +1,14 @@
-package org.springmill.control.coordination;
+package org.springmill.control.scheduling;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
+import org.springmill.control.autoscaling.PackingFixtures;
+import org.springmill.control.cluster.Job;
+import org.springmill.control.cluster.Machine;
+import org.springmill.control.cluster.TaskAttempt;
 import org.springmill.control.storage.Claim;
 import org.springmill.protocol.CloudMessages.MachineType;
 import org.springmill.protocol.Submission;
--- a/src/test/java/org/springmill/control/coordination/BorrowingFailureTest.java
+++ b/src/test/java/org/springmill/control/simulation/BorrowingFailureTest.java
@@ -1,14 +1,14 @@
-package org.springmill.control.coordination;
+package org.springmill.control.simulation;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static org.springmill.control.coordination.MessageMatchers.fromController;
-import static org.springmill.control.coordination.MessageMatchers.isCommand;
-import static org.springmill.control.coordination.MessageMatchers.isCommit;
-import static org.springmill.control.coordination.MessageMatchers.isStartCommand;
-import static org.springmill.control.coordination.MessageMatchers.text;
-import static org.springmill.control.coordination.MessageMatchers.toStateService;
+import static org.springmill.control.simulation.MessageMatchers.fromController;
+import static org.springmill.control.simulation.MessageMatchers.isCommand;
+import static org.springmill.control.simulation.MessageMatchers.isCommit;
+import static org.springmill.control.simulation.MessageMatchers.isStartCommand;
+import static org.springmill.control.simulation.MessageMatchers.text;
+import static org.springmill.control.simulation.MessageMatchers.toStateService;
 
 import java.util.Optional;
 import java.util.stream.IntStream;
--- a/src/test/java/org/springmill/control/coordination/CancellationTest.java
+++ b/src/test/java/org/springmill/control/simulation/CancellationTest.java
@@ -1,8 +1,8 @@
-package org.springmill.control.coordination;
+package org.springmill.control.simulation;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static org.springmill.control.coordination.MessageMatchers.isCommand;
+import static org.springmill.control.simulation.MessageMatchers.isCommand;
 
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
--- a/src/test/java/org/springmill/control/coordination/CompoundCancellationTest.java
+++ b/src/test/java/org/springmill/control/simulation/CompoundCancellationTest.java
@@ -1,8 +1,8 @@
-package org.springmill.control.coordination;
+package org.springmill.control.simulation;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static org.springmill.control.coordination.MessageMatchers.toStateService;
+import static org.springmill.control.simulation.MessageMatchers.toStateService;
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.ArrayList;
--- a/src/test/java/org/springmill/control/coordination/CompoundDelayTest.java
+++ b/src/test/java/org/springmill/control/simulation/CompoundDelayTest.java
@@ -1,11 +1,11 @@
-package org.springmill.control.coordination;
+package org.springmill.control.simulation;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
-import static org.springmill.control.coordination.MessageMatchers.fromWorker;
-import static org.springmill.control.coordination.MessageMatchers.isCommand;
-import static org.springmill.control.coordination.MessageMatchers.isCommit;
-import static org.springmill.control.coordination.MessageMatchers.text;
+import static org.springmill.control.simulation.MessageMatchers.fromWorker;
+import static org.springmill.control.simulation.MessageMatchers.isCommand;
+import static org.springmill.control.simulation.MessageMatchers.isCommit;
+import static org.springmill.control.simulation.MessageMatchers.text;
 
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
--- a/src/test/java/org/springmill/control/coordination/HistoryChainTest.java
+++ b/src/test/java/org/springmill/control/simulation/HistoryChainTest.java
@@ -1,4 +1,4 @@
-package org.springmill.control.coordination;
+package org.springmill.control.simulation;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
--- a/src/test/java/org/springmill/control/coordination/JobChainCancellationTest.java
+++ b/src/test/java/org/springmill/control/simulation/JobChainCancellationTest.java
@@ -1,9 +1,9 @@
-package org.springmill.control.coordination;
+package org.springmill.control.simulation;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static org.springmill.control.coordination.MessageMatchers.isCommit;
-import static org.springmill.control.coordination.MessageMatchers.text;
+import static org.springmill.control.simulation.MessageMatchers.isCommit;
+import static org.springmill.control.simulation.MessageMatchers.text;
 
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
--- a/src/test/java/org/springmill/control/coordination/JobChainEligibilityTest.java
+++ b/src/test/java/org/springmill/control/simulation/JobChainEligibilityTest.java
@@ -1,7 +1,7 @@
-package org.springmill.control.coordination;
+package org.springmill.control.simulation;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
-import static org.springmill.control.coordination.MessageMatchers.text;
+import static org.springmill.control.simulation.MessageMatchers.text;
 
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
--- a/src/test/java/org/springmill/control/coordination/JobChainSubmissionTest.java
+++ b/src/test/java/org/springmill/control/simulation/JobChainSubmissionTest.java
@@ -1,8 +1,8 @@
-package org.springmill.control.coordination;
+package org.springmill.control.simulation;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static org.springmill.control.coordination.MessageMatchers.fromController;
+import static org.springmill.control.simulation.MessageMatchers.fromController;
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import org.junit.jupiter.api.Test;
--- a/src/test/java/org/springmill/control/coordination/KeyValueStoreOutageTest.java
+++ b/src/test/java/org/springmill/control/simulation/KeyValueStoreOutageTest.java
@@ -1,9 +1,9 @@
-package org.springmill.control.coordination;
+package org.springmill.control.simulation;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
-import static org.springmill.control.coordination.MessageMatchers.fromController;
-import static org.springmill.control.coordination.MessageMatchers.toController;
-import static org.springmill.control.coordination.MessageMatchers.toStateService;
+import static org.springmill.control.simulation.MessageMatchers.fromController;
+import static org.springmill.control.simulation.MessageMatchers.toController;
+import static org.springmill.control.simulation.MessageMatchers.toStateService;
 
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
--- a/src/test/java/org/springmill/control/coordination/LeaderFailoverTest.java
+++ b/src/test/java/org/springmill/control/simulation/LeaderFailoverTest.java
@@ -1,11 +1,11 @@
-package org.springmill.control.coordination;
+package org.springmill.control.simulation;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static org.springmill.control.coordination.MessageMatchers.fromController;
-import static org.springmill.control.coordination.MessageMatchers.isCommit;
-import static org.springmill.control.coordination.MessageMatchers.isStartCommand;
+import static org.springmill.control.simulation.MessageMatchers.fromController;
+import static org.springmill.control.simulation.MessageMatchers.isCommit;
+import static org.springmill.control.simulation.MessageMatchers.isStartCommand;
 
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
--- a/src/test/java/org/springmill/control/coordination/MessageMatchers.java
+++ b/src/test/java/org/springmill/control/simulation/MessageMatchers.java
@@ -1,4 +1,4 @@
-package org.springmill.control.coordination;
+package org.springmill.control.simulation;
 
 import java.nio.charset.StandardCharsets;
 import org.springmill.transport.HttpClient.Request;
--- a/src/test/java/org/springmill/control/coordination/SingleFailureFixture.java
+++ b/src/test/java/org/springmill/control/simulation/SingleFailureFixture.java
@@ -1,4 +1,4 @@
-package org.springmill.control.coordination;
+package org.springmill.control.simulation;
 
 import org.junit.jupiter.api.BeforeEach;
 
--- a/src/test/java/org/springmill/control/coordination/ZonePartitionTest.java
+++ b/src/test/java/org/springmill/control/simulation/ZonePartitionTest.java
@@ -1,9 +1,9 @@
-package org.springmill.control.coordination;
+package org.springmill.control.simulation;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
-import static org.springmill.control.coordination.MessageMatchers.fromController;
-import static org.springmill.control.coordination.MessageMatchers.fromWorker;
+import static org.springmill.control.simulation.MessageMatchers.fromController;
+import static org.springmill.control.simulation.MessageMatchers.fromWorker;
 
 import java.util.HashSet;
 import java.util.List;
--- a/src/test/java/org/springmill/sim/SimController.java
+++ b/src/test/java/org/springmill/sim/SimController.java
@@ -4,7 +4,7 @@
 import java.util.Queue;
 import java.util.SplittableRandom;
 import java.util.function.Consumer;
-import org.springmill.control.coordination.Controller;
+import org.springmill.control.controller.Controller;
 import org.springmill.protocol.Settings;
 import org.springmill.transport.EventLoop;
 import org.springmill.transport.HttpClient;
