--- a/src/main/java/org/springmill/control/admission/AdmissionControl.java
+++ b/src/main/java/org/springmill/control/admission/AdmissionControl.java
@@ -27,7 +27,7 @@
 
     private final EventLoop loop;
     private final Settings settings;
-    private final ActiveJobs live;
+    private final ActiveJobs activeJobs;
     private final MemoryBound memory;
     private final Congestion congestion;
     private final RetryAfter retryAfter;
@@ -44,7 +44,7 @@
     public AdmissionControl(
             EventLoop loop,
             Settings settings,
-            ActiveJobs live,
+            ActiveJobs activeJobs,
             Congestion congestion,
             SplittableRandom random,
             LongSupplier endedRecords,
@@ -52,7 +52,7 @@
             double maxQueueSeconds) {
         this.loop = loop;
         this.settings = settings;
-        this.live = live;
+        this.activeJobs = activeJobs;
         this.congestion = congestion;
         this.endedRecords = endedRecords;
         this.maxQueueSeconds = maxQueueSeconds;
@@ -68,7 +68,7 @@
     public Optional<AdmissionRefusal> refusal(Submission job, double queueSeconds) {
         double now = loop.now();
         boolean guaranteed = isGuaranteed(job);
-        double excessBytes = memory.excess(live, endedBytes(), job, guaranteed);
+        double excessBytes = memory.excess(activeJobs, endedBytes(), job, guaranteed);
         if (excessBytes > 0) {
             return refuse(AdmissionReason.MEMORY, drainSeconds(excessBytes, now));
         }
@@ -87,16 +87,16 @@
      * little is left of the memory that it may need.
      */
     public boolean nearBound(Submission job) {
-        return memory.isNear(live, endedBytes(), job, isGuaranteed(job));
+        return memory.isNear(activeJobs, endedBytes(), job, isGuaranteed(job));
     }
 
     private boolean isGuaranteed(Submission job) {
         Team team = settings.team(job.team());
-        return team != null && live.withinGuarantee(team, job);
+        return team != null && activeJobs.withinGuarantee(team, job);
     }
 
     private double drainSeconds(double excessBytes, double now) {
-        double freed = live.freedBytesPerSecond(now);
+        double freed = activeJobs.freedBytesPerSecond(now);
         return freed > 0 ? excessBytes / freed : UNKNOWN_DRAIN_SECONDS;
     }
 
@@ -129,7 +129,7 @@
                 "submissions are refused: {} ({} so far; {} live jobs)",
                 reason.text(),
                 refused(reason),
-                live.jobs());
+                activeJobs.jobs());
     }
 
     private long endedBytes() {
@@ -143,7 +143,7 @@
 
     /** Memory that jobs need, of those that have ended too. */
     public long usedBytes() {
-        return live.bytes() + endedBytes();
+        return activeJobs.bytes() + endedBytes();
     }
 
     /** Memory that jobs may need. */
--- a/src/main/java/org/springmill/control/admission/MemoryBound.java
+++ b/src/main/java/org/springmill/control/admission/MemoryBound.java
@@ -47,22 +47,26 @@
      *
      * @param endedBytes memory of the records of ended jobs
      */
-    double excess(ActiveJobs live, long endedBytes, Submission job, boolean guaranteed) {
-        return Math.max(0, over(1, live, endedBytes, job, guaranteed));
+    double excess(ActiveJobs activeJobs, long endedBytes, Submission job, boolean guaranteed) {
+        return Math.max(0, over(1, activeJobs, endedBytes, job, guaranteed));
     }
 
     /** Whether most of what the job may use is in use. */
-    boolean isNear(ActiveJobs live, long endedBytes, Submission job, boolean guaranteed) {
-        return over(NEAR_SHARE, live, endedBytes, job, guaranteed) > 0;
+    boolean isNear(ActiveJobs activeJobs, long endedBytes, Submission job, boolean guaranteed) {
+        return over(NEAR_SHARE, activeJobs, endedBytes, job, guaranteed) > 0;
     }
 
     /** By how much a job would exceed a part of its bound; negative if it would not. */
     private double over(
-            double part, ActiveJobs live, long endedBytes, Submission job, boolean guaranteed) {
+            double part,
+            ActiveJobs activeJobs,
+            long endedBytes,
+            Submission job,
+            boolean guaranteed) {
         double bound = part * bytes * (guaranteed ? 1 : SHARE_BY_PRIORITY.get(job.priority()));
         long need = ActiveJobs.bytesOf(job);
-        double ofAll = live.bytes() + endedBytes + need - bound;
-        double ofTeam = live.bytes(job.team()) + need - bound * TEAM_SHARE;
+        double ofAll = activeJobs.bytes() + endedBytes + need - bound;
+        double ofTeam = activeJobs.bytes(job.team()) + need - bound * TEAM_SHARE;
         return guaranteed ? ofAll : Math.max(ofAll, ofTeam);
     }
 }
--- a/src/main/java/org/springmill/control/api/CancellationHandler.java
+++ b/src/main/java/org/springmill/control/api/CancellationHandler.java
@@ -30,8 +30,8 @@
     private final JobDirectory directory;
     private final KeyValueStoreClient store;
     private final EventLoop loop;
-    private final Timeouts timing;
-    private final JobStatusResponses answers;
+    private final Timeouts timeouts;
+    private final JobStatusResponses responses;
     private final Consumer<Cancellation> announce;
 
     /**
@@ -41,14 +41,14 @@
             JobDirectory directory,
             KeyValueStoreClient store,
             EventLoop loop,
-            Timeouts timing,
-            JobStatusResponses answers,
+            Timeouts timeouts,
+            JobStatusResponses responses,
             Consumer<Cancellation> announce) {
         this.directory = directory;
         this.store = store;
         this.loop = loop;
-        this.timing = timing;
-        this.answers = answers;
+        this.timeouts = timeouts;
+        this.responses = responses;
         this.announce = announce;
     }
 
@@ -114,14 +114,14 @@
             // others then.
             announce(job);
         }
-        answers.phase(call, job);
+        responses.phase(call, job);
     }
 
     private void committed(Call call, JobRecord cancelled) {
         directory.learn(cancelled);
         LOG.debug("{} cancelled", cancelled.id());
         announce(cancelled);
-        answers.phase(call, cancelled);
+        responses.phase(call, cancelled);
     }
 
     private void announce(JobRecord cancelled) {
@@ -134,12 +134,12 @@
      */
     private void notCommitted(Call call, String id, double answerBy, CommitResult result) {
         boolean outage = result.outcome() == CommitOutcome.RETRYABLE && !store.reachable();
-        if (outage || loop.now() + timing.storeRequestTimeoutSeconds() > answerBy) {
+        if (outage || loop.now() + timeouts.storeRequestTimeoutSeconds() > answerBy) {
             JobStatusResponses.unavailable(call, JobStatusResponses.STATE_SERVICE_SILENT);
             return;
         }
         loop.after(
-                timing.peerPollIntervalSeconds() / 4,
+                timeouts.peerPollIntervalSeconds() / 4,
                 () -> directory.barrier(current -> withdraw(call, id, answerBy)));
     }
 }
--- a/src/main/java/org/springmill/control/api/JobQueryHandler.java
+++ b/src/main/java/org/springmill/control/api/JobQueryHandler.java
@@ -14,11 +14,11 @@
  */
 final class JobQueryHandler {
     private final JobDirectory directory;
-    private final JobStatusResponses answers;
+    private final JobStatusResponses responses;
 
-    JobQueryHandler(JobDirectory directory, JobStatusResponses answers) {
+    JobQueryHandler(JobDirectory directory, JobStatusResponses responses) {
         this.directory = directory;
-        this.answers = answers;
+        this.responses = responses;
     }
 
     /** Answers a question about a job that may never have been submitted. */
@@ -30,7 +30,7 @@
         JobRecord known = directory.get(id);
         ArchivedJob moved = directory.archived(id);
         if (known != null && known.phase().terminal()) {
-            answers.progress(call, known);
+            responses.progress(call, known);
         } else if (known == null && moved != null) {
             JobStatusResponses.progress(call, moved);
         } else {
@@ -45,7 +45,7 @@
         } else if (job == null) {
             directory.findArchived(id, lookup -> answerMoved(call, lookup));
         } else if (directory.isStatusCertain(job)) {
-            answers.progress(call, job);
+            responses.progress(call, job);
         } else {
             JobStatusResponses.unavailable(call, JobStatusResponses.DEPENDENCY_BEING_READ);
         }
--- a/src/main/java/org/springmill/control/api/SubmissionHandler.java
+++ b/src/main/java/org/springmill/control/api/SubmissionHandler.java
@@ -40,11 +40,11 @@
     private final KeyValueStoreClient store;
     private final MachineTypeCatalog catalog;
     private final EventLoop loop;
-    private final Timeouts timing;
-    private final JobStatusResponses answers;
+    private final Timeouts timeouts;
+    private final JobStatusResponses responses;
     private final Metrics metrics;
     private final AdmissionControl admission;
-    private final ActiveJobs live;
+    private final ActiveJobs activeJobs;
     private final int maxPending;
 
     /** Submissions whose records are on their way to the key-value store, the oldest first. */
@@ -59,7 +59,7 @@
     private record Pending(Call call, JobRecord job, double since) {}
 
     /**
-     * @param live the account of jobs that are accepted and not over
+     * @param activeJobs the account of jobs that are accepted and not over
      * @param maxPending submissions whose records may be on their way to the key-value store at a
      *     time
      */
@@ -68,21 +68,21 @@
             KeyValueStoreClient store,
             MachineTypeCatalog catalog,
             EventLoop loop,
-            Timeouts timing,
-            JobStatusResponses answers,
+            Timeouts timeouts,
+            JobStatusResponses responses,
             Metrics metrics,
             AdmissionControl admission,
-            ActiveJobs live,
+            ActiveJobs activeJobs,
             int maxPending) {
         this.directory = directory;
         this.store = store;
         this.catalog = catalog;
         this.loop = loop;
-        this.timing = timing;
-        this.answers = answers;
+        this.timeouts = timeouts;
+        this.responses = responses;
         this.metrics = metrics;
         this.admission = admission;
-        this.live = live;
+        this.activeJobs = activeJobs;
         this.maxPending = maxPending;
     }
 
@@ -146,7 +146,7 @@
             double until =
                     submitted.since()
                             + JobStatusResponses.ANSWER_WITHIN_SECONDS
-                            - timing.storeRequestTimeoutSeconds();
+                            - timeouts.storeRequestTimeoutSeconds();
             directory.findAllArchived(unknown, until, read -> decide(submitted, read));
         } else {
             decide(submitted, current);
@@ -256,7 +256,7 @@
             return;
         }
         pending.add(submitted);
-        live.add(submission);
+        activeJobs.add(submission);
         create(submitted);
     }
 
@@ -284,18 +284,18 @@
                 List.of(Write.put(job.key(), job.encode())),
                 submitted.since()
                         + JobStatusResponses.ANSWER_WITHIN_SECONDS
-                        - timing.storeRequestTimeoutSeconds(),
+                        - timeouts.storeRequestTimeoutSeconds(),
                 result -> answered(submitted, result));
     }
 
     private void answered(Pending submitted, CommitResult result) {
         if (mayRetry(submitted, result)) {
-            loop.after(timing.peerPollIntervalSeconds() / 4, () -> create(submitted));
+            loop.after(timeouts.peerPollIntervalSeconds() / 4, () -> create(submitted));
             return;
         }
         pending.remove(submitted);
         if (result.outcome() != CommitOutcome.COMMITTED && unknown(submitted)) {
-            live.dropped(submitted.job().id());
+            activeJobs.dropped(submitted.job().id());
         }
         switch (result.outcome()) {
             case COMMITTED -> created(submitted, result.revision());
@@ -329,7 +329,9 @@
                 result.outcome() == CommitOutcome.RETRYABLE
                         || result.outcome() == CommitOutcome.UNKNOWN;
         double answerBy = submitted.since() + JobStatusResponses.ANSWER_WITHIN_SECONDS;
-        return undecided && !outage && loop.now() + timing.storeRequestTimeoutSeconds() < answerBy;
+        return undecided
+                && !outage
+                && loop.now() + timeouts.storeRequestTimeoutSeconds() < answerBy;
     }
 
     private void created(Pending submitted, long revision) {
@@ -365,7 +367,7 @@
         JobRecord known = directory.get(id);
         ArchivedJob moved = directory.archived(id);
         if (known != null && known.phase().terminal()) {
-            answers.phase(call, known);
+            responses.phase(call, known);
         } else if (known == null && moved != null) {
             JobStatusResponses.phase(call, moved);
         } else {
@@ -380,7 +382,7 @@
         } else if (job == null) {
             directory.findArchived(id, lookup -> answerMoved(call, lookup));
         } else if (directory.isStatusCertain(job)) {
-            answers.phase(call, job);
+            responses.phase(call, job);
         } else {
             JobStatusResponses.unavailable(call, JobStatusResponses.DEPENDENCY_BEING_READ);
         }
--- a/src/main/java/org/springmill/control/api/UserApi.java
+++ b/src/main/java/org/springmill/control/api/UserApi.java
@@ -26,13 +26,14 @@
             JobDirectory directory,
             KeyValueStoreClient store,
             EventLoop loop,
-            Timeouts timing,
-            JobStatusResponses answers,
+            Timeouts timeouts,
+            JobStatusResponses responses,
             Consumer<Cancellation> announce,
             SubmissionHandler submissions) {
         this.submissions = submissions;
-        queries = new JobQueryHandler(directory, answers);
-        withdrawals = new CancellationHandler(directory, store, loop, timing, answers, announce);
+        queries = new JobQueryHandler(directory, responses);
+        withdrawals =
+                new CancellationHandler(directory, store, loop, timeouts, responses, announce);
     }
 
     /** Answers a request whose path is that of the submissions or below it. */
--- a/src/main/java/org/springmill/control/autoscaling/Autoscaler.java
+++ b/src/main/java/org/springmill/control/autoscaling/Autoscaler.java
@@ -21,10 +21,10 @@
     private final MachineListing listing;
     private final HeartbeatSilence silence;
     private final PartitionedZones partitions;
-    private final OverdueBoots lateMachines;
+    private final OverdueBoots overdueBoots;
     private final MachineHealth health;
-    private final ScaleOutRequests requests;
-    private final ScaleOutPlanner planner;
+    private final ScaleOutRequests scaleOutRequests;
+    private final ScaleOutPlanner scaleOutPlanner;
 
     /**
      * @param changed run when machines were listed or deleted
@@ -32,46 +32,46 @@
     public Autoscaler(
             Fleet fleet,
             Placement placement,
-            ArrivalRateEstimator demand,
+            ArrivalRateEstimator arrivalRates,
             Peers peers,
             HttpClient http,
             EventLoop loop,
             Settings settings,
-            Timeouts timing,
+            Timeouts timeouts,
             Runnable changed) {
         this.loop = loop;
         double now = loop.now();
-        cloud = new CloudClient(http, loop, settings, timing);
+        cloud = new CloudClient(http, loop, settings, timeouts);
         deletion = new MachineDeletion(fleet, cloud, loop, changed);
         listing = new MachineListing(fleet, cloud, deletion, loop, settings, changed);
-        silence = new HeartbeatSilence(listing, timing, now);
-        partitions = new PartitionedZones(fleet, peers, silence, timing, now);
-        lateMachines = new OverdueBoots(fleet, partitions, timing);
+        silence = new HeartbeatSilence(listing, timeouts, now);
+        partitions = new PartitionedZones(fleet, peers, silence, timeouts, now);
+        overdueBoots = new OverdueBoots(fleet, partitions, timeouts);
         health =
                 new MachineHealth(
                         fleet,
                         listing,
                         silence,
                         partitions,
-                        lateMachines,
+                        overdueBoots,
                         deletion,
                         settings,
-                        timing,
+                        timeouts,
                         now);
-        requests = new ScaleOutRequests(fleet, cloud, lateMachines, loop);
-        planner =
+        scaleOutRequests = new ScaleOutRequests(fleet, cloud, overdueBoots, loop);
+        scaleOutPlanner =
                 new ScaleOutPlanner(
                         fleet,
                         placement,
                         listing,
                         partitions,
-                        lateMachines,
-                        requests,
-                        new Headroom(fleet, demand, settings),
-                        new IdleMachines(deletion, lateMachines, settings),
-                        new MachineDraining(fleet, demand, silence, timing, now),
+                        overdueBoots,
+                        scaleOutRequests,
+                        new Headroom(fleet, arrivalRates, settings),
+                        new IdleMachines(deletion, overdueBoots, settings),
+                        new MachineDraining(fleet, arrivalRates, silence, timeouts, now),
                         settings,
-                        timing,
+                        timeouts,
                         now);
     }
 
@@ -81,7 +81,7 @@
      * @param firstTerm whether no earlier leader can have rented anything
      */
     public void start(boolean firstTerm) {
-        planner.start(firstTerm);
+        scaleOutPlanner.start(firstTerm);
         listing.start();
     }
 
@@ -92,7 +92,7 @@
 
     /** How many machines are late to come up. */
     public int machinesLate() {
-        return lateMachines.count();
+        return overdueBoots.count();
     }
 
     /** Notes that for some time nothing was read or done here. */
@@ -107,10 +107,10 @@
         }
         double now = loop.now();
         partitions.update(now);
-        lateMachines.update(now);
+        overdueBoots.update(now);
         health.deleteUnusable(now);
-        requests.forgetOldRefusals(now);
-        planner.plan(now);
+        scaleOutRequests.forgetOldRefusals(now);
+        scaleOutPlanner.plan(now);
     }
 
     /**
--- a/src/main/java/org/springmill/control/autoscaling/CloudClient.java
+++ b/src/main/java/org/springmill/control/autoscaling/CloudClient.java
@@ -25,15 +25,15 @@
     private final HttpClient http;
     private final EventLoop loop;
     private final Settings settings;
-    private final Timeouts timing;
+    private final Timeouts timeouts;
     private final RateLimit rateLimit;
     private boolean closed;
 
-    CloudClient(HttpClient http, EventLoop loop, Settings settings, Timeouts timing) {
+    CloudClient(HttpClient http, EventLoop loop, Settings settings, Timeouts timeouts) {
         this.http = http;
         this.loop = loop;
         this.settings = settings;
-        this.timing = timing;
+        this.timeouts = timeouts;
         this.rateLimit = new RateLimit(settings.cloudLimits().requestsPerSecond(), loop.now());
     }
 
@@ -49,7 +49,7 @@
     /** The pause before a request is repeated, be it a regular one or one that failed. */
     double repeatSeconds() {
         return Math.max(
-                timing.heartbeatIntervalSeconds() / 2,
+                timeouts.heartbeatIntervalSeconds() / 2,
                 REQUESTS_PER_REPEAT / settings.cloudLimits().requestsPerSecond());
     }
 
@@ -80,7 +80,7 @@
     }
 
     private Request request(String method, String path, byte[] body) {
-        double timeoutSeconds = timing.workerLeaseSeconds() / ATTEMPTS_PER_LEASE;
+        double timeoutSeconds = timeouts.workerLeaseSeconds() / ATTEMPTS_PER_LEASE;
         return new Request(settings.cloudAddress(), method, path, body, timeoutSeconds);
     }
 }
--- a/src/main/java/org/springmill/control/autoscaling/Headroom.java
+++ b/src/main/java/org/springmill/control/autoscaling/Headroom.java
@@ -24,12 +24,12 @@
     private static final double LEAST_PRICE = 1e-6;
 
     private final Fleet fleet;
-    private final ArrivalRateEstimator demand;
+    private final ArrivalRateEstimator arrivalRates;
     private final Settings settings;
 
-    Headroom(Fleet fleet, ArrivalRateEstimator demand, Settings settings) {
+    Headroom(Fleet fleet, ArrivalRateEstimator arrivalRates, Settings settings) {
         this.fleet = fleet;
-        this.demand = demand;
+        this.arrivalRates = arrivalRates;
         this.settings = settings;
     }
 
@@ -37,8 +37,8 @@
     void reserve(DemandPacking packing, double now) {
         double bootSeconds = fleet.catalog().slowestBootSeconds();
         double failoverBudget = FAILOVER_COST_SHARE * fleetCost();
-        for (Submission job : demand.urgent(bootSeconds)) {
-            int expected = demand.expected(job.jobClass(), bootSeconds, now);
+        for (Submission job : arrivalRates.urgent(bootSeconds)) {
+            int expected = arrivalRates.expected(job.jobClass(), bootSeconds, now);
             int failover = failoverReplicas(job, failoverBudget);
             reserve(job, expected + failover, packing);
         }
--- a/src/main/java/org/springmill/control/autoscaling/HeartbeatSilence.java
+++ b/src/main/java/org/springmill/control/autoscaling/HeartbeatSilence.java
@@ -6,12 +6,12 @@
 /** Tells how long the machines that should report have been silent. */
 final class HeartbeatSilence {
     private final MachineListing listing;
-    private final Timeouts timing;
+    private final Timeouts timeouts;
     private double listeningSince;
 
-    HeartbeatSilence(MachineListing listing, Timeouts timing, double now) {
+    HeartbeatSilence(MachineListing listing, Timeouts timeouts, double now) {
         this.listing = listing;
-        this.timing = timing;
+        this.timeouts = timeouts;
         this.listeningSince = now;
     }
 
@@ -36,7 +36,7 @@
      * might be deleted.
      */
     boolean isOverdue(Machine machine, double now) {
-        return silentSeconds(machine, now) > timing.probeAfterSeconds() && !isUnlisted(machine);
+        return silentSeconds(machine, now) > timeouts.probeAfterSeconds() && !isUnlisted(machine);
     }
 
     /**
@@ -47,7 +47,7 @@
         if (!shouldReport(machine)) {
             return 0;
         }
-        double listenedSince = listeningSince + timing.deadAfterSeconds() / 2;
+        double listenedSince = listeningSince + timeouts.deadAfterSeconds() / 2;
         return now - Math.max(machine.lastHeartbeatAt(), listenedSince);
     }
 
--- a/src/main/java/org/springmill/control/autoscaling/IdleMachines.java
+++ b/src/main/java/org/springmill/control/autoscaling/IdleMachines.java
@@ -13,12 +13,12 @@
     private static final double LEAST_CHARGED_SECONDS = 60;
 
     private final MachineDeletion deletion;
-    private final OverdueBoots lateMachines;
+    private final OverdueBoots overdueBoots;
     private final Settings settings;
 
-    IdleMachines(MachineDeletion deletion, OverdueBoots lateMachines, Settings settings) {
+    IdleMachines(MachineDeletion deletion, OverdueBoots overdueBoots, Settings settings) {
         this.deletion = deletion;
-        this.lateMachines = lateMachines;
+        this.overdueBoots = overdueBoots;
         this.settings = settings;
     }
 
@@ -32,7 +32,7 @@
             }
         }
         if (bins.stream().noneMatch(IdleMachines::isWaitedFor)) {
-            lateMachines
+            overdueBoots
                     .replaced()
                     .forEach(machine -> deletion.delete(machine, DeletionReason.REPLACED));
         }
--- a/src/main/java/org/springmill/control/autoscaling/MachineDraining.java
+++ b/src/main/java/org/springmill/control/autoscaling/MachineDraining.java
@@ -39,22 +39,22 @@
     private static final double LEASES_RUNNING = 3;
 
     private final Fleet fleet;
-    private final ArrivalRateEstimator demand;
+    private final ArrivalRateEstimator arrivalRates;
     private final HeartbeatSilence silence;
-    private final Timeouts timing;
+    private final Timeouts timeouts;
     private final double startedAt;
     private double drainedAt = Double.NEGATIVE_INFINITY;
 
     MachineDraining(
             Fleet fleet,
-            ArrivalRateEstimator demand,
+            ArrivalRateEstimator arrivalRates,
             HeartbeatSilence silence,
-            Timeouts timing,
+            Timeouts timeouts,
             double now) {
         this.fleet = fleet;
-        this.demand = demand;
+        this.arrivalRates = arrivalRates;
         this.silence = silence;
-        this.timing = timing;
+        this.timeouts = timeouts;
         this.startedAt = now;
     }
 
@@ -98,8 +98,8 @@
 
     /** Whether nothing is to be rented, no machine is silent, and none is being drained. */
     private boolean isCalm(List<Bin> bins, double now) {
-        return now - startedAt > LEASES_AFTER_START * timing.workerLeaseSeconds()
-                && now - drainedAt > REPORTS_BETWEEN * timing.heartbeatIntervalSeconds()
+        return now - startedAt > LEASES_AFTER_START * timeouts.workerLeaseSeconds()
+                && now - drainedAt > REPORTS_BETWEEN * timeouts.heartbeatIntervalSeconds()
                 && bins.stream().noneMatch(Bin::isPlanned)
                 && fleet.machines().stream().noneMatch(machine -> isUnsettled(machine, now));
     }
@@ -122,7 +122,7 @@
     }
 
     private boolean isBoundToImages(Bin bin, Map<MachineType, Boolean> known) {
-        return known.computeIfAbsent(bin.kind().type(), demand::boundToImages);
+        return known.computeIfAbsent(bin.kind().type(), arrivalRates::boundToImages);
     }
 
     private static boolean isMostlyFree(Bin bin) {
@@ -136,7 +136,7 @@
     }
 
     private boolean mayMove(TaskAttempt attempt, double now) {
-        return attempt.ranSeconds(now) > LEASES_RUNNING * timing.workerLeaseSeconds()
+        return attempt.ranSeconds(now) > LEASES_RUNNING * timeouts.workerLeaseSeconds()
                 && !losesMostOfItsWork(attempt, now);
     }
 
--- a/src/main/java/org/springmill/control/autoscaling/MachineHealth.java
+++ b/src/main/java/org/springmill/control/autoscaling/MachineHealth.java
@@ -27,10 +27,10 @@
     private final MachineListing listing;
     private final HeartbeatSilence silence;
     private final PartitionedZones partitions;
-    private final OverdueBoots lateMachines;
+    private final OverdueBoots overdueBoots;
     private final MachineDeletion deletion;
     private final Settings settings;
-    private final Timeouts timing;
+    private final Timeouts timeouts;
     private final double startedAt;
 
     MachineHealth(
@@ -38,19 +38,19 @@
             MachineListing listing,
             HeartbeatSilence silence,
             PartitionedZones partitions,
-            OverdueBoots lateMachines,
+            OverdueBoots overdueBoots,
             MachineDeletion deletion,
             Settings settings,
-            Timeouts timing,
+            Timeouts timeouts,
             double now) {
         this.fleet = fleet;
         this.listing = listing;
         this.silence = silence;
         this.partitions = partitions;
-        this.lateMachines = lateMachines;
+        this.overdueBoots = overdueBoots;
         this.deletion = deletion;
         this.settings = settings;
-        this.timing = timing;
+        this.timeouts = timeouts;
         this.startedAt = now;
     }
 
@@ -155,7 +155,7 @@
      * ran.
      */
     private boolean isUnresponsive(Machine machine, boolean fewSilent, double now) {
-        return silence.silentSeconds(machine, now) > timing.deadAfterSeconds()
+        return silence.silentSeconds(machine, now) > timeouts.deadAfterSeconds()
                 && machine.commandsFailing()
                 && !machine.attempts().isEmpty()
                 && isSilenceItsOwn(machine, fewSilent);
@@ -183,12 +183,12 @@
         double nominalSeconds = machine.type().bootSeconds() * settings.operator().bootPatience();
         double measuredSeconds = fleet.bootTimes().lateAfterSeconds(machine.type(), machine.zone());
         double patienceSeconds =
-                lateMachines.isFailing(machine.type(), machine.zone())
+                overdueBoots.isFailing(machine.type(), machine.zone())
                         ? FAILING_PATIENCES * nominalSeconds
                         : Math.max(nominalSeconds, measuredSeconds);
         double since = machine.isBooting() ? machine.rentedAt() : machine.firstSeen();
         return now - since > patienceSeconds
-                && now - machine.firstSeen() > timing.workerLeaseSeconds();
+                && now - machine.firstSeen() > timeouts.workerLeaseSeconds();
     }
 
     /**
@@ -202,7 +202,7 @@
         return isEstablished(now)
                 && !partitions.contains(machine.zone())
                 && !machine.attempts().isEmpty()
-                && machine.missesResponses(now, timing.workerLeaseSeconds());
+                && machine.missesResponses(now, timeouts.workerLeaseSeconds());
     }
 
     /**
@@ -210,8 +210,8 @@
      */
     private boolean isEstablished(double now) {
         double neededSeconds =
-                timing.followerRenewalLimitSeconds()
-                        + LEASES_TO_FIND_LEADER * timing.workerLeaseSeconds();
+                timeouts.followerRenewalLimitSeconds()
+                        + LEASES_TO_FIND_LEADER * timeouts.workerLeaseSeconds();
         return now - startedAt > neededSeconds;
     }
 }
--- a/src/main/java/org/springmill/control/autoscaling/OverdueBoots.java
+++ b/src/main/java/org/springmill/control/autoscaling/OverdueBoots.java
@@ -35,7 +35,7 @@
 
     private final Fleet fleet;
     private final PartitionedZones partitions;
-    private final Timeouts timing;
+    private final Timeouts timeouts;
 
     /** The late machines of each type, the earliest rented first. */
     private final Map<MachineType, List<Machine>> late = new HashMap<>();
@@ -51,10 +51,10 @@
 
     private final Set<Machine> replaced = new HashSet<>();
 
-    OverdueBoots(Fleet fleet, PartitionedZones partitions, Timeouts timing) {
+    OverdueBoots(Fleet fleet, PartitionedZones partitions, Timeouts timeouts) {
         this.fleet = fleet;
         this.partitions = partitions;
-        this.timing = timing;
+        this.timeouts = timeouts;
     }
 
     /** Looks at all machines as they are now. */
@@ -93,7 +93,7 @@
     private boolean isLate(Machine machine, double now) {
         double patience = fleet.bootTimes().lateAfterSeconds(machine.type(), machine.zone());
         return !partitions.contains(machine.zone())
-                && now - machine.firstSeen() > timing.workerLeaseSeconds()
+                && now - machine.firstSeen() > timeouts.workerLeaseSeconds()
                 && now - machine.rentedAt() > patience;
     }
 
--- a/src/main/java/org/springmill/control/autoscaling/PartitionedZones.java
+++ b/src/main/java/org/springmill/control/autoscaling/PartitionedZones.java
@@ -30,7 +30,7 @@
     private final Fleet fleet;
     private final Peers peers;
     private final HeartbeatSilence silence;
-    private final Timeouts timing;
+    private final Timeouts timeouts;
 
     /**
      * The zones that the latest update found. They cannot be read from {@link #lastPartitionedAt}:
@@ -43,11 +43,11 @@
     private double peerMissedAt = Double.NEGATIVE_INFINITY;
 
     PartitionedZones(
-            Fleet fleet, Peers peers, HeartbeatSilence silence, Timeouts timing, double now) {
+            Fleet fleet, Peers peers, HeartbeatSilence silence, Timeouts timeouts, double now) {
         this.fleet = fleet;
         this.peers = peers;
         this.silence = silence;
-        this.timing = timing;
+        this.timeouts = timeouts;
         this.allPeersHeardAt = now;
     }
 
@@ -83,12 +83,12 @@
      */
     boolean wasRecently(String zone, double now) {
         double since = now - lastPartitionedAt.getOrDefault(zone, Double.NEGATIVE_INFINITY);
-        return since < timing.workerLeaseSeconds();
+        return since < timeouts.workerLeaseSeconds();
     }
 
     private boolean mayBePartitioned(double now) {
-        return now - peerMissedAt < RETURN_LEASES * timing.workerLeaseSeconds()
-                && now - allPeersHeardAt < MOST_LEASES * timing.workerLeaseSeconds();
+        return now - peerMissedAt < RETURN_LEASES * timeouts.workerLeaseSeconds()
+                && now - allPeersHeardAt < MOST_LEASES * timeouts.workerLeaseSeconds();
     }
 
     private Map<String, ZoneReports> reportsByZone(double now) {
--- a/src/main/java/org/springmill/control/autoscaling/ScaleOutPlanner.java
+++ b/src/main/java/org/springmill/control/autoscaling/ScaleOutPlanner.java
@@ -36,13 +36,13 @@
     private final Placement placement;
     private final MachineListing listing;
     private final PartitionedZones partitions;
-    private final OverdueBoots lateMachines;
-    private final ScaleOutRequests requests;
+    private final OverdueBoots overdueBoots;
+    private final ScaleOutRequests scaleOutRequests;
     private final Headroom headroom;
     private final IdleMachines idleMachines;
     private final MachineDraining draining;
     private final Settings settings;
-    private final Timeouts timing;
+    private final Timeouts timeouts;
     private final double startedAt;
     private boolean firstTerm;
 
@@ -51,25 +51,25 @@
             Placement placement,
             MachineListing listing,
             PartitionedZones partitions,
-            OverdueBoots lateMachines,
-            ScaleOutRequests requests,
+            OverdueBoots overdueBoots,
+            ScaleOutRequests scaleOutRequests,
             Headroom headroom,
             IdleMachines idleMachines,
             MachineDraining draining,
             Settings settings,
-            Timeouts timing,
+            Timeouts timeouts,
             double now) {
         this.fleet = fleet;
         this.placement = placement;
         this.listing = listing;
         this.partitions = partitions;
-        this.lateMachines = lateMachines;
-        this.requests = requests;
+        this.overdueBoots = overdueBoots;
+        this.scaleOutRequests = scaleOutRequests;
         this.headroom = headroom;
         this.idleMachines = idleMachines;
         this.draining = draining;
         this.settings = settings;
-        this.timing = timing;
+        this.timeouts = timeouts;
         this.startedAt = now;
     }
 
@@ -91,7 +91,7 @@
         headroom.reserve(packing, now);
         noteHeadroom(packing.bins());
         waiting.stream().filter(job -> !hasGuarantee(job)).forEach(job -> pack(job, packing, now));
-        requests.rent(packing.plannedBins());
+        scaleOutRequests.rent(packing.plannedBins());
         idleMachines.delete(packing.bins(), now);
         if (waiting.isEmpty()) {
             draining.drainOne(packing.bins(), now);
@@ -122,15 +122,15 @@
                 fleet.catalog().all(),
                 settings.zones(),
                 kind -> isRentable(kind, now),
-                lateMachines::isFailing,
+                overdueBoots::isFailing,
                 machinesPerZone,
                 usableBins(now));
     }
 
     private boolean isRentable(MachineKind kind, double now) {
         return !partitions.contains(kind.zone())
-                && !requests.isRefused(kind, now)
-                && lateMachines.mayRent(kind, now);
+                && !scaleOutRequests.isRefused(kind, now)
+                && overdueBoots.mayRent(kind, now);
     }
 
     private List<Bin> usableBins(double now) {
@@ -151,10 +151,10 @@
         }
         return switch (machine.state()) {
             case PROVISIONING ->
-                    !partitions.contains(machine.zone()) && !lateMachines.isReplaced(machine);
+                    !partitions.contains(machine.zone()) && !overdueBoots.isReplaced(machine);
             // Of a fleet that comes up at once, many have reported and not heard the leader yet.
             case UP ->
-                    machine.isSchedulable(now, timing.workerLeaseSeconds())
+                    machine.isSchedulable(now, timeouts.workerLeaseSeconds())
                             || machine.hasJustBooted();
             case LEASE_EXPIRED, TERMINATING, TERMINATED -> false;
         };
--- a/src/main/java/org/springmill/control/autoscaling/ScaleOutRequests.java
+++ b/src/main/java/org/springmill/control/autoscaling/ScaleOutRequests.java
@@ -35,7 +35,7 @@
 
     private final Fleet fleet;
     private final CloudClient cloud;
-    private final OverdueBoots lateMachines;
+    private final OverdueBoots overdueBoots;
     private final EventLoop loop;
 
     /** By the kind's label. */
@@ -47,10 +47,10 @@
     /** A request for so many machines of a kind. */
     private record Rental(MachineKind kind, int count, Request request) {}
 
-    ScaleOutRequests(Fleet fleet, CloudClient cloud, OverdueBoots lateMachines, EventLoop loop) {
+    ScaleOutRequests(Fleet fleet, CloudClient cloud, OverdueBoots overdueBoots, EventLoop loop) {
         this.fleet = fleet;
         this.cloud = cloud;
-        this.lateMachines = lateMachines;
+        this.overdueBoots = overdueBoots;
         this.loop = loop;
     }
 
@@ -71,7 +71,7 @@
         }
         for (List<MachineKind> machines : groupByLabel(planned)) {
             MachineKind kind = machines.get(0);
-            int most = Math.min(CloudMessages.MAX_RENTALS, lateMachines.mostAtOnce(kind));
+            int most = Math.min(CloudMessages.MAX_RENTALS, overdueBoots.mostAtOnce(kind));
             rent(kind, Math.min(machines.size(), most));
         }
     }
--- a/src/main/java/org/springmill/control/cluster/Fleet.java
+++ b/src/main/java/org/springmill/control/cluster/Fleet.java
@@ -48,16 +48,16 @@
             ClusterState clusterState,
             MachineTypeCatalog catalog,
             EventLoop loop,
-            Timeouts timing,
+            Timeouts timeouts,
             long term,
             double bootPatience) {
         this.clusterState = clusterState;
         this.catalog = catalog;
         this.loop = loop;
         this.term = term;
-        this.reportSeconds = timing.heartbeatIntervalSeconds();
+        this.reportSeconds = timeouts.heartbeatIntervalSeconds();
         this.bootTimes = new BootTimes(bootPatience);
-        rememberDeletedSeconds = LEASES_TO_REMEMBER_DELETED * timing.workerLeaseSeconds();
+        rememberDeletedSeconds = LEASES_TO_REMEMBER_DELETED * timeouts.workerLeaseSeconds();
     }
 
     /** A live view of all machines, in the order in which they were first heard of. */
@@ -87,11 +87,14 @@
     }
 
     /** Returns the machine of a report, described by it if it was not yet. */
-    public Machine machine(Heartbeat report) {
-        Machine machine = machine(report.machine());
+    public Machine machine(Heartbeat heartbeat) {
+        Machine machine = machine(heartbeat.machine());
         if (machine.type() == null || machine.address().isEmpty()) {
             machine.describe(
-                    report.address(), catalog.get(report.type()), report.zone(), report.spot());
+                    heartbeat.address(),
+                    catalog.get(heartbeat.type()),
+                    heartbeat.zone(),
+                    heartbeat.spot());
         }
         return machine;
     }
--- a/src/main/java/org/springmill/control/cluster/Machine.java
+++ b/src/main/java/org/springmill/control/cluster/Machine.java
@@ -189,20 +189,20 @@
     }
 
     /** Takes in a worker's message that is newer than any before. */
-    public void acceptHeartbeat(Heartbeat report, double now) {
-        workerEpoch.accept(report, now);
+    public void acceptHeartbeat(Heartbeat heartbeat, double now) {
+        workerEpoch.accept(heartbeat, now);
         if (state == State.PROVISIONING) {
             // Commands of a new leader failed while it booted. Counted against it once it was up,
             // they had another machine rented in its place.
             commandsFailing = false;
         }
         lastHeartbeatAt = now;
-        reportedTasks = report.tasks();
+        reportedTasks = heartbeat.tasks();
         reportedTasksAllKnown = false;
         preemptionAt =
-                report.preemptionNoticeSeconds() == null
+                heartbeat.preemptionNoticeSeconds() == null
                         ? Double.POSITIVE_INFINITY
-                        : now + report.preemptionNoticeSeconds();
+                        : now + heartbeat.preemptionNoticeSeconds();
     }
 
     public List<TaskStatus> reportedTasks() {
--- a/src/main/java/org/springmill/control/cluster/WorkerEpoch.java
+++ b/src/main/java/org/springmill/control/cluster/WorkerEpoch.java
@@ -47,34 +47,34 @@
         return epoch;
     }
 
-    public boolean isNewerThanSeen(Heartbeat report) {
-        return report.isNewerThan(epoch, sequence);
+    public boolean isNewerThanSeen(Heartbeat heartbeat) {
+        return heartbeat.isNewerThan(epoch, sequence);
     }
 
     /**
      * Whether the worker may be waiting for the answer: it never sends a report before it is done
      * with the last.
      */
-    public boolean isLatestHeartbeat(Heartbeat report) {
-        return report.epoch() > epoch
-                || (report.epoch() == epoch && report.sequence() > lastHeartbeatSequence);
+    public boolean isLatestHeartbeat(Heartbeat heartbeat) {
+        return heartbeat.epoch() > epoch
+                || (heartbeat.epoch() == epoch && heartbeat.sequence() > lastHeartbeatSequence);
     }
 
-    public void recordHeartbeat(Heartbeat report) {
-        if (report.epoch() > epoch) {
-            lastHeartbeatSequence = report.sequence();
+    public void recordHeartbeat(Heartbeat heartbeat) {
+        if (heartbeat.epoch() > epoch) {
+            lastHeartbeatSequence = heartbeat.sequence();
         } else {
-            lastHeartbeatSequence = Math.max(lastHeartbeatSequence, report.sequence());
+            lastHeartbeatSequence = Math.max(lastHeartbeatSequence, heartbeat.sequence());
         }
     }
 
-    void accept(Heartbeat report, double now) {
-        if (report.epoch() > epoch) {
+    void accept(Heartbeat heartbeat, double now) {
+        if (heartbeat.epoch() > epoch) {
             lastHeartbeatSequence = 0;
         }
-        epoch = report.epoch();
-        sequence = report.sequence();
-        highestSeenToken = Math.max(highestSeenToken, report.fencingToken());
+        epoch = heartbeat.epoch();
+        sequence = heartbeat.sequence();
+        highestSeenToken = Math.max(highestSeenToken, heartbeat.fencingToken());
         if (hasSeenCurrentTerm()) {
             currentTermSeenAt = Math.min(currentTermSeenAt, now);
         }
--- a/src/main/java/org/springmill/control/controller/ClusterStateRecovery.java
+++ b/src/main/java/org/springmill/control/controller/ClusterStateRecovery.java
@@ -23,19 +23,19 @@
     private final JobDirectory directory;
     private final ClusterState clusterState;
     private final Fleet fleet;
-    private final JobCompletion jobEnds;
+    private final JobCompletion jobCompletion;
     private final EventLoop loop;
 
     ClusterStateRecovery(
             JobDirectory directory,
             ClusterState clusterState,
             Fleet fleet,
-            JobCompletion jobEnds,
+            JobCompletion jobCompletion,
             EventLoop loop) {
         this.directory = directory;
         this.clusterState = clusterState;
         this.fleet = fleet;
-        this.jobEnds = jobEnds;
+        this.jobCompletion = jobCompletion;
         this.loop = loop;
     }
 
@@ -70,7 +70,7 @@
             LOG.error("claim of {} although its record has been moved", claim.task());
             return;
         }
-        Job job = known == null ? jobEnds.endedJob(claim.task().job()) : known;
+        Job job = known == null ? jobCompletion.endedJob(claim.task().job()) : known;
         Machine machine = fleet.machine(claim.machine());
         TaskAttempt attempt = new TaskAttempt(claim, job, machine, loop.now());
         attempt.recordStartSent(machine.fencingToken() - 1, 0);
--- a/src/main/java/org/springmill/control/controller/Controller.java
+++ b/src/main/java/org/springmill/control/controller/Controller.java
@@ -60,9 +60,9 @@
     private final HttpClient http;
     private final EventLoop loop;
     private final Settings settings;
-    private final Timeouts timing;
+    private final Timeouts timeouts;
     private final KeyValueStoreClient store;
-    private final ProcessPauseDetector pauses;
+    private final ProcessPauseDetector pauseDetector;
     private final JobDirectory directory;
     private final MachineTypeCatalog catalog;
     private final Peers peers;
@@ -72,14 +72,14 @@
     private final UserApi userApi;
     private final Metrics metrics;
     private final RemoteProgress remoteProgress;
-    private final RedirectedWorkers unservedWorkers;
+    private final RedirectedWorkers redirectedWorkers;
     private final StoreRateShares shares;
-    private final ActiveJobs live;
+    private final ActiveJobs activeJobs;
     private final Congestion congestion;
     private final AdmissionControl admission;
 
     /** Empty unless the operators have switched the bounded history on. */
-    private final Optional<HistoryMembership> historyMembers;
+    private final Optional<HistoryMembership> historyMembership;
 
     private double resumedAt = Double.NEGATIVE_INFINITY;
 
@@ -99,40 +99,43 @@
             SplittableRandom random,
             double heapBytes) {
         this.settings = settings;
-        timing = Timeouts.of(settings);
-        pauses = new ProcessPauseDetector(bareLoop, timing.pauseThresholdSeconds());
-        loop = pauses.wrap(bareLoop);
-        http = pauses.wrap(bareHttp);
-        PeerLink link = pauses.wrap(bareLink);
+        timeouts = Timeouts.of(settings);
+        pauseDetector = new ProcessPauseDetector(bareLoop, timeouts.pauseThresholdSeconds());
+        loop = pauseDetector.wrap(bareLoop);
+        http = pauseDetector.wrap(bareHttp);
+        PeerLink link = pauseDetector.wrap(bareLink);
         metrics = new Metrics(loop);
-        remoteProgress = new RemoteProgress(loop, timing);
-        unservedWorkers = new RedirectedWorkers(loop, timing);
-        store = new KeyValueStoreClient(http, loop, settings, timing.storeRequestTimeoutSeconds());
-        directory = new JobDirectory(store, loop, timing, random.nextInt());
+        remoteProgress = new RemoteProgress(loop, timeouts);
+        redirectedWorkers = new RedirectedWorkers(loop, timeouts);
+        store =
+                new KeyValueStoreClient(
+                        http, loop, settings, timeouts.storeRequestTimeoutSeconds());
+        directory = new JobDirectory(store, loop, timeouts, random.nextInt());
         catalog = new MachineTypeCatalog(http, loop, settings);
         shares = stateShares();
         store.useShare(shares);
-        peers = new Peers(link, loop, settings, timing, directory, shares, this::status);
-        cancellationFreshness = new CancellationFreshness(directory, peers, loop, timing);
+        peers = new Peers(link, loop, settings, timeouts, directory, shares, this::status);
+        cancellationFreshness = new CancellationFreshness(directory, peers, loop, timeouts);
         String incarnation = Long.toHexString(random.nextLong());
         leadership =
                 new Leadership(
-                        store, loop, settings, timing, peers, incarnation, new TermListener());
+                        store, loop, settings, timeouts, peers, incarnation, new TermListener());
         leaseKeepalive =
-                new LeaseKeepalive(store, peers, leadership, cancellationFreshness, loop, timing);
-        live = new ActiveJobs(loop.now());
-        congestion = new Congestion(timing.heartbeatIntervalSeconds() * CONGESTION_VALID_INTERVALS);
+                new LeaseKeepalive(store, peers, leadership, cancellationFreshness, loop, timeouts);
+        activeJobs = new ActiveJobs(loop.now());
+        congestion =
+                new Congestion(timeouts.heartbeatIntervalSeconds() * CONGESTION_VALID_INTERVALS);
         admission = admission(random, heapBytes);
         userApi = userApi();
 
-        historyMembers =
+        historyMembership =
                 settings.operator().historyRetentionSeconds().isPresent()
                         ? Optional.of(historyMembers())
                         : Optional.empty();
 
-        pauses.onResume(this::resumed);
+        pauseDetector.onResume(this::resumed);
         directory.onChange(this::jobChanged);
-        directory.onForget(id -> live.ended(id, loop.now()));
+        directory.onForget(id -> activeJobs.ended(id, loop.now()));
         peers.onProgress(remoteProgress::receive);
         peers.onCongested(congested -> congestion.update(congested.queues(), loop.now()));
         peers.onUnresponsiveLeader(leadership::leaderRefusedConnection);
@@ -147,7 +150,7 @@
                 this::validTerm,
                 leaderShare,
                 settings.controllers(),
-                timing.leaderRenewIntervalSeconds(),
+                timeouts.leaderRenewIntervalSeconds(),
                 Timeouts.DRIFT,
                 settings.storeLimits().writesPerSecond());
     }
@@ -159,34 +162,40 @@
 
     private AdmissionControl admission(SplittableRandom random, double heapBytes) {
         double answerWithin =
-                JobStatusResponses.ANSWER_WITHIN_SECONDS - timing.storeRequestTimeoutSeconds();
+                JobStatusResponses.ANSWER_WITHIN_SECONDS - timeouts.storeRequestTimeoutSeconds();
         return new AdmissionControl(
                 loop,
                 settings,
-                live,
+                activeJobs,
                 congestion,
                 random,
-                () -> Math.max(0, directory.all().size() - live.jobs()),
+                () -> Math.max(0, directory.all().size() - activeJobs.jobs()),
                 settings.limits().heapBytes(heapBytes),
                 answerWithin * EXPECTED_WAIT_SHARE);
     }
 
     private UserApi userApi() {
-        JobStatusResponses answers = new JobStatusResponses(this::progressOf);
+        JobStatusResponses responses = new JobStatusResponses(this::progressOf);
         SubmissionHandler submissions =
                 new SubmissionHandler(
                         directory,
                         store,
                         catalog,
                         loop,
-                        timing,
-                        answers,
+                        timeouts,
+                        responses,
                         metrics,
                         admission,
-                        live,
+                        activeJobs,
                         settings.operator().pendingSubmissions());
         return new UserApi(
-                directory, store, loop, timing, answers, peers::broadcastCancellation, submissions);
+                directory,
+                store,
+                loop,
+                timeouts,
+                responses,
+                peers::broadcastCancellation,
+                submissions);
     }
 
     private HistoryMembership historyMembers() {
@@ -196,7 +205,7 @@
                 settings.node(),
                 settings.peers().keySet(),
                 peers::anyWithoutHistory,
-                timing.workerLeaseSeconds());
+                timeouts.workerLeaseSeconds());
     }
 
     private void addGauges() {
@@ -208,7 +217,7 @@
                 cancellationFreshness,
                 CancellationFreshness::ageSeconds);
         metrics.gauge("jobs", directory, d -> d.all().size());
-        metrics.gauge("live_jobs", live, ActiveJobs::jobs);
+        metrics.gauge("live_jobs", activeJobs, ActiveJobs::jobs);
         metrics.gauge("job_memory_bytes", admission, AdmissionControl::usedBytes);
         metrics.gauge("job_memory_bound_bytes", admission, AdmissionControl::boundBytes);
         metrics.gauge("congested_queues", congestion, c -> c.queues(loop.now()));
@@ -239,14 +248,14 @@
     /** Begins to talk to the key-value store, the cloud and the other controllers. */
     public void start() {
         LOG.info("controller {} in {} starts", settings.node(), settings.zone());
-        pauses.start();
+        pauseDetector.start();
         peers.start();
         // First who leads, for workers wait for that; reading all jobs takes longer.
         leadership.start();
         catalog.start();
         directory.start();
         cancellationFreshness.start();
-        historyMembers.ifPresent(HistoryMembership::register);
+        historyMembership.ifPresent(HistoryMembership::register);
     }
 
     /** This controller stood still: nothing that it knew of others before is known still. */
@@ -263,7 +272,7 @@
 
     @Override
     public void handle(Call call) {
-        pauses.beginLoopTurn();
+        pauseDetector.beginLoopTurn();
         String path = call.path();
         if (path.equals(WorkerMessages.HEARTBEAT_PATH)) {
             handleReport(call);
@@ -321,7 +330,7 @@
 
     private boolean lacksStateService() {
         double lastServed = Math.max(store.lastServed(), resumedAt);
-        return !store.reachable() && loop.now() - lastServed > timing.leaderLeaseSeconds() / 2;
+        return !store.reachable() && loop.now() - lastServed > timeouts.leaderLeaseSeconds() / 2;
     }
 
     /**
@@ -331,7 +340,7 @@
      */
     private boolean isolated() {
         double lastHeard = Math.max(store.lastServed(), peers.lastHeardAt());
-        return loop.now() - Math.max(lastHeard, resumedAt) > timing.workerLeaseSeconds();
+        return loop.now() - Math.max(lastHeard, resumedAt) > timeouts.workerLeaseSeconds();
     }
 
     /** What this controller tells the others of itself; {@link Peers} fills in the numbers. */
@@ -343,12 +352,12 @@
                 store.reachable(),
                 leadership.mayRespondToWorkers(),
                 leadership.hasReadLeaderRecord(),
-                unservedWorkers.count(),
+                redirectedWorkers.count(),
                 false,
                 0,
                 leadership.knownTerm(),
                 CancellationDelta.NONE,
-                historyMembers.isPresent(),
+                historyMembership.isPresent(),
                 0);
     }
 
@@ -357,20 +366,20 @@
             reply(call, 405);
             return;
         }
-        Heartbeat report;
+        Heartbeat heartbeat;
         try {
-            report = WorkerMessages.decodeHeartbeat(call.body());
+            heartbeat = WorkerMessages.decodeHeartbeat(call.body());
         } catch (MalformedMessageException e) {
             call.reply(400, UserMessages.error(e.getMessage()), 0);
             return;
         }
         boolean mayLead = leader != null && leadership.mayRespondToWorkers();
         if (mayLead && cancellationFreshness.isFresh()) {
-            leader.report(call, report);
-        } else if (leaseKeepalive.mayRenewLease(report, leader != null)) {
-            renewLease(call, report);
+            leader.report(call, heartbeat);
+        } else if (leaseKeepalive.mayRenewLease(heartbeat, leader != null)) {
+            renewLease(call, heartbeat);
         } else {
-            sendAway(call, report);
+            sendAway(call, heartbeat);
         }
     }
 
@@ -378,18 +387,18 @@
      * Renews a worker's lease under its own token. The only commands are stops of cancelled tasks,
      * for whoever renews a lease may not leave those running.
      */
-    private void renewLease(Call call, Heartbeat report) {
+    private void renewLease(Call call, Heartbeat heartbeat) {
         byte[] answer =
                 WorkerMessages.encodeHeartbeatResponse(
-                        report.fencingToken(), directory.stopCommandsFor(report));
+                        heartbeat.fencingToken(), directory.stopCommandsFor(heartbeat));
         call.reply(200, answer, 0);
     }
 
-    private void sendAway(Call call, Heartbeat report) {
+    private void sendAway(Call call, Heartbeat heartbeat) {
         // Only workers sent away count. With those whose lease was just renewed, a leader that
         // could
         // not be reached during a partition would seem to have lost them once it is over.
-        unservedWorkers.add(report.machine());
+        redirectedWorkers.add(heartbeat.machine());
         String leadingNode = leadership.leader();
         if (leadingNode == null || leadingNode.equals(settings.node())) {
             reply(call, 503);
@@ -400,9 +409,9 @@
 
     private void jobChanged(JobRecord job) {
         if (job.active()) {
-            live.add(job.submission());
+            activeJobs.add(job.submission());
         } else {
-            live.ended(job.id(), loop.now());
+            activeJobs.ended(job.id(), loop.now());
         }
         if (leader != null) {
             leader.jobChanged(job);
@@ -423,14 +432,14 @@
                             http,
                             loop,
                             settings,
-                            timing,
+                            timeouts,
                             leadership,
                             directory,
                             peers,
                             catalog,
                             metrics,
                             congestion,
-                            historyMembers);
+                            historyMembership);
             leader.start();
         }
 
--- a/src/main/java/org/springmill/control/controller/JobCompletion.java
+++ b/src/main/java/org/springmill/control/controller/JobCompletion.java
@@ -28,7 +28,7 @@
     private final ClusterState clusterState;
     private final Leadership leadership;
     private final EventLoop loop;
-    private final Timeouts timing;
+    private final Timeouts timeouts;
     private final double skewSeconds;
     private boolean closed;
 
@@ -41,14 +41,14 @@
             ClusterState clusterState,
             Leadership leadership,
             EventLoop loop,
-            Timeouts timing,
+            Timeouts timeouts,
             double skewSeconds) {
         this.store = store;
         this.directory = directory;
         this.clusterState = clusterState;
         this.leadership = leadership;
         this.loop = loop;
-        this.timing = timing;
+        this.timeouts = timeouts;
         this.skewSeconds = skewSeconds;
     }
 
@@ -83,8 +83,8 @@
                         0,
                         Math.min(
                                 ago,
-                                timing.cancellationDeletionTimeoutSeconds()
-                                        - timing.heartbeatIntervalSeconds()));
+                                timeouts.cancellationDeletionTimeoutSeconds()
+                                        - timeouts.heartbeatIntervalSeconds()));
     }
 
     /**
@@ -95,7 +95,7 @@
         double now = loop.now();
         return clusterState.jobs().values().stream()
                 .filter(job -> !job.active() && job.liveCount() > 0)
-                .filter(job -> now - job.endedAt() > timing.cancellationDeletionTimeoutSeconds())
+                .filter(job -> now - job.endedAt() > timeouts.cancellationDeletionTimeoutSeconds())
                 .flatMap(job -> job.attempts().stream())
                 .filter(attempt -> attempt.state() == TaskAttempt.State.STOPPING)
                 .map(TaskAttempt::machine)
@@ -141,13 +141,13 @@
             // Cancelled meanwhile, or an earlier copy of this write was applied: the record tells.
             directory.barrier(read -> writeDoneAgain(job));
         } else {
-            loop.after(timing.peerPollIntervalSeconds(), () -> writeDone(job));
+            loop.after(timeouts.peerPollIntervalSeconds(), () -> writeDone(job));
         }
     }
 
     private void writeDoneAgain(Job job) {
         if (job.active()) {
-            loop.after(timing.leaderRenewIntervalSeconds(), () -> writeDone(job));
+            loop.after(timeouts.leaderRenewIntervalSeconds(), () -> writeDone(job));
         }
     }
 }
--- a/src/main/java/org/springmill/control/controller/Leader.java
+++ b/src/main/java/org/springmill/control/controller/Leader.java
@@ -56,7 +56,7 @@
     private final KeyValueStoreClient store;
     private final EventLoop loop;
     private final Settings settings;
-    private final Timeouts timing;
+    private final Timeouts timeouts;
     private final Leadership leadership;
     private final JobDirectory directory;
     private final Peers peers;
@@ -68,17 +68,17 @@
     private final Reconciliation reconciliation;
     private final PreemptionPolicy preemption;
     private final PlacementRounds rounds;
-    private final Autoscaler rentals;
-    private final ArrivalRateEstimator demand;
-    private final CancellationPersister cancellations;
+    private final Autoscaler autoscaler;
+    private final ArrivalRateEstimator arrivalRates;
+    private final CancellationPersister cancellationPersister;
     private final DependencyPriority dependencyPriority;
     private final WorkloadBroadcast broadcast;
-    private final ImageLocationPersister imageLocations;
-    private final JobCompletion jobEnds;
-    private final HeartbeatHandler workerReports;
+    private final ImageLocationPersister imageLocationPersister;
+    private final JobCompletion jobCompletion;
+    private final HeartbeatHandler heartbeatHandler;
 
     /** Empty unless the operators have switched the bounded history on. */
-    private final Optional<HistoryArchiver> history;
+    private final Optional<HistoryArchiver> historyArchiver;
 
     private boolean rebuilt;
     private boolean closed;
@@ -88,18 +88,18 @@
             HttpClient http,
             EventLoop loop,
             Settings settings,
-            Timeouts timing,
+            Timeouts timeouts,
             Leadership leadership,
             JobDirectory directory,
             Peers peers,
             MachineTypeCatalog catalog,
             Metrics metrics,
             Congestion congestion,
-            Optional<HistoryMembership> historyMembers) {
+            Optional<HistoryMembership> historyMembership) {
         this.store = store;
         this.loop = loop;
         this.settings = settings;
-        this.timing = timing;
+        this.timeouts = timeouts;
         this.leadership = leadership;
         this.directory = directory;
         this.peers = peers;
@@ -110,7 +110,7 @@
                         clusterState,
                         catalog,
                         loop,
-                        timing,
+                        timeouts,
                         leadership.term(),
                         settings.operator().bootPatience());
         log =
@@ -125,16 +125,16 @@
                                 : RoundLog.Reserve.NONE);
         reconciliation =
                 new Reconciliation(
-                        fleet, timing, peers, metrics, this::requestRound, leadership::stepDown);
-        dispatcher = new CommandDispatcher(fleet, http, timing, reconciliation::accept);
-        workerReports =
+                        fleet, timeouts, peers, metrics, this::requestRound, leadership::stepDown);
+        dispatcher = new CommandDispatcher(fleet, http, timeouts, reconciliation::accept);
+        heartbeatHandler =
                 new HeartbeatHandler(
                         fleet,
                         reconciliation,
                         dispatcher,
                         directory,
                         loop,
-                        timing,
+                        timeouts,
                         new HeartbeatHandler.Term() {
                             @Override
                             public boolean rebuilt() {
@@ -149,11 +149,11 @@
         Optional<RecallSetup> borrowing =
                 settings.operator()
                         .borrowing()
-                        .map(terms -> new RecallSetup(fleet, loop, timing, terms, metrics));
+                        .map(terms -> new RecallSetup(fleet, loop, timeouts, terms, metrics));
         Placement placement =
                 new Placement(
                         fleet,
-                        timing,
+                        timeouts,
                         borrowing
                                 .<CapacityFilter>map(RecallSetup::withheld)
                                 .orElse(CapacityFilter.NONE));
@@ -161,7 +161,7 @@
                 borrowing
                         .<PreemptionPolicy>map(
                                 setup -> setup.recalls(store, placement, dispatcher::requestSend))
-                        .orElseGet(() -> new ImmediatePreemption(fleet, placement, timing));
+                        .orElseGet(() -> new ImmediatePreemption(fleet, placement, timeouts));
         rounds =
                 new PlacementRounds(
                         fleet,
@@ -195,33 +195,33 @@
                         loop,
                         settings.node(),
                         fleet.term(),
-                        timing.heartbeatIntervalSeconds());
-        imageLocations =
+                        timeouts.heartbeatIntervalSeconds());
+        imageLocationPersister =
                 new ImageLocationPersister(
-                        store, fleet, leadership, loop, timing.workerLeaseSeconds());
-        jobEnds =
+                        store, fleet, leadership, loop, timeouts.workerLeaseSeconds());
+        jobCompletion =
                 new JobCompletion(
                         store,
                         directory,
                         clusterState,
                         leadership,
                         loop,
-                        timing,
+                        timeouts,
                         settings.skewSeconds());
-        demand = new ArrivalRateEstimator(settings, loop.now());
+        arrivalRates = new ArrivalRateEstimator(settings, loop.now());
         dependencyPriority = new DependencyPriority(directory, clusterState);
-        cancellations = new CancellationPersister(store, directory, leadership, loop);
-        history = historyMembers.map(members -> historyMover(members, metrics));
-        rentals =
+        cancellationPersister = new CancellationPersister(store, directory, leadership, loop);
+        historyArchiver = historyMembership.map(membership -> historyMover(membership, metrics));
+        autoscaler =
                 new Autoscaler(
                         fleet,
                         placement,
-                        demand,
+                        arrivalRates,
                         peers,
                         http,
                         loop,
                         settings,
-                        timing,
+                        timeouts,
                         this::requestRound);
     }
 
@@ -232,27 +232,27 @@
                 : Optional.empty();
     }
 
-    private HistoryArchiver historyMover(HistoryMembership members, Metrics metrics) {
+    private HistoryArchiver historyMover(HistoryMembership membership, Metrics metrics) {
         return new HistoryArchiver(
                 store,
                 loop,
-                members,
+                membership,
                 new ArchivableJobs(directory, clusterState, leadership, metrics),
                 settings.operator().historyRetentionSeconds().getAsDouble(),
-                timing.workerLeaseSeconds());
+                timeouts.workerLeaseSeconds());
     }
 
     void close() {
         closed = true;
-        history.ifPresent(HistoryArchiver::close);
+        historyArchiver.ifPresent(HistoryArchiver::close);
         log.close();
         dispatcher.close();
         rounds.close();
         broadcast.close();
-        imageLocations.close();
-        jobEnds.close();
-        rentals.close();
-        cancellations.close();
+        imageLocationPersister.close();
+        jobCompletion.close();
+        autoscaler.close();
+        cancellationPersister.close();
     }
 
     /**
@@ -266,7 +266,7 @@
                         return;
                     }
                     if (!current || !catalog.known()) {
-                        loop.after(timing.peerPollIntervalSeconds(), this::start);
+                        loop.after(timeouts.peerPollIntervalSeconds(), this::start);
                         return;
                     }
                     log.load(
@@ -275,7 +275,7 @@
                                     return;
                                 }
                                 if (found == null) {
-                                    loop.after(timing.peerPollIntervalSeconds(), this::start);
+                                    loop.after(timeouts.peerPollIntervalSeconds(), this::start);
                                     return;
                                 }
                                 loadRecalls(found);
@@ -290,7 +290,7 @@
                         return;
                     }
                     if (!read) {
-                        loop.after(timing.peerPollIntervalSeconds(), this::start);
+                        loop.after(timeouts.peerPollIntervalSeconds(), this::start);
                         return;
                     }
                     rebuild(found);
@@ -298,12 +298,13 @@
     }
 
     private void rebuild(RoundLog.Rebuilt found) {
-        ClusterStateRecovery rebuild =
-                new ClusterStateRecovery(directory, clusterState, fleet, jobEnds, loop);
-        List<JobRecord> active = rebuild.activeJobs();
-        rebuild.endedJobs().forEach(record -> history.ifPresent(mover -> mover.ended(record)));
-        active.forEach(record -> admit(rebuild.job(record, found), false));
-        found.live().forEach(rebuild::adopt);
+        ClusterStateRecovery recovery =
+                new ClusterStateRecovery(directory, clusterState, fleet, jobCompletion, loop);
+        List<JobRecord> active = recovery.activeJobs();
+        recovery.endedJobs()
+                .forEach(record -> historyArchiver.ifPresent(archiver -> archiver.ended(record)));
+        active.forEach(record -> admit(recovery.job(record, found), false));
+        found.live().forEach(recovery::adopt);
         preemption.stateRecovered();
         rebuilt = true;
         LOG.info(
@@ -312,35 +313,35 @@
                 active.size(),
                 found.live().size(),
                 log.kept());
-        rentals.start(log.kept() == 0);
+        autoscaler.start(log.kept() == 0);
         for (Machine machine : fleet.machinesNow()) {
             machine.statusRequested = true;
             dispatcher.requestSend(machine);
         }
         for (Job job : new ArrayList<>(clusterState.jobs().values())) {
-            jobEnds.finishIfComplete(job);
+            jobCompletion.finishIfComplete(job);
         }
         rounds.request();
         tick();
         broadcast.start();
-        cancellations.run();
-        history.ifPresent(HistoryArchiver::start);
-        imageLocations.start();
+        cancellationPersister.run();
+        historyArchiver.ifPresent(HistoryArchiver::start);
+        imageLocationPersister.start();
     }
 
     private void tick() {
         if (closed) {
             return;
         }
-        loop.after(timing.heartbeatIntervalSeconds() / 8, this::tick);
+        loop.after(timeouts.heartbeatIntervalSeconds() / 8, this::tick);
         leadership.state();
         if (closed) {
             return;
         }
         // Whoever holds the term, sure of it or not, may be the only one who knows where cancelled
         // tasks are.
-        for (Machine machine : jobEnds.machinesWithOverdueTasks()) {
-            rentals.release(machine, "a cancelled task on it cannot be stopped");
+        for (Machine machine : jobCompletion.machinesWithOverdueTasks()) {
+            autoscaler.release(machine, "a cancelled task on it cannot be stopped");
         }
         if (!leadership.mayRespondToWorkers()) {
             return;
@@ -353,7 +354,7 @@
         dependencyPriority.settle();
         for (Machine machine : fleet.machinesNow()) {
             if (machine.state() == Machine.State.UP
-                    && loop.now() - machine.lastHeartbeatAt() > timing.probeAfterSeconds()) {
+                    && loop.now() - machine.lastHeartbeatAt() > timeouts.probeAfterSeconds()) {
                 machine.statusRequested = true;
             }
             dispatcher.requestSend(machine);
@@ -362,7 +363,7 @@
             }
         }
         if (leadership.mayPlace()) {
-            rentals.tick();
+            autoscaler.tick();
             rounds.request();
         }
     }
@@ -381,7 +382,7 @@
         for (Machine machine : fleet.machines()) {
             if (machine.state() == Machine.State.UP && machine.hasSeenCurrentTerm()) {
                 up++;
-                silent += now - machine.lastHeartbeatAt() > timing.suspectAfterSeconds() ? 1 : 0;
+                silent += now - machine.lastHeartbeatAt() > timeouts.suspectAfterSeconds() ? 1 : 0;
             }
         }
         if (silent >= Math.max(2, up / 4)
@@ -392,7 +393,7 @@
 
     /** Notes that this controller stood still: what it did not read meanwhile was no silence. */
     void resumed() {
-        rentals.resumed();
+        autoscaler.resumed();
     }
 
     private void requestRound() {
@@ -410,7 +411,7 @@
             releaseDependents(record);
         }
         if (!record.active()) {
-            history.ifPresent(mover -> mover.ended(record));
+            historyArchiver.ifPresent(archiver -> archiver.ended(record));
         }
         Job job = clusterState.job(record.id());
         if (job == null) {
@@ -424,13 +425,13 @@
             releaseIfReady(job);
         }
         if (!record.active() && job.active()) {
-            job.end(record.phase(), record.version(), jobEnds.endedSince(record));
+            job.end(record.phase(), record.version(), jobCompletion.endedSince(record));
             dependencyPriority.changed(job);
             for (TaskAttempt attempt : job.attempts()) {
                 fleet.stop(attempt, 0);
                 dispatcher.requestSend(attempt.machine());
             }
-            jobEnds.dropIfOver(job);
+            jobCompletion.dropIfOver(job);
             rounds.request();
         }
     }
@@ -445,7 +446,7 @@
             job.becomeEligible(directory.dependencies().readySince(job.spec()));
         }
         if (job.eligible()) {
-            demand.arrived(job.spec(), loop.now(), counted);
+            arrivalRates.arrived(job.spec(), loop.now(), counted);
             rounds.request();
         }
     }
@@ -466,7 +467,7 @@
     private void releaseIfReady(Job job) {
         if (job.waitsForOthers() && directory.dependencies().ready(job.spec())) {
             job.becomeEligible(directory.dependencies().readySince(job.spec()));
-            demand.arrived(job.spec(), loop.now(), true);
+            arrivalRates.arrived(job.spec(), loop.now(), true);
             rounds.request();
         }
     }
@@ -478,14 +479,14 @@
         }
         for (TaskAttempt attempt : ended) {
             dispatcher.requestSend(attempt.machine());
-            jobEnds.finishIfComplete(attempt.job());
-            jobEnds.dropIfOver(attempt.job());
+            jobCompletion.finishIfComplete(attempt.job());
+            jobCompletion.dropIfOver(attempt.job());
         }
     }
 
     /** Answers a worker's report. */
-    void report(Call call, Heartbeat report) {
-        workerReports.respond(call, report);
+    void report(Call call, Heartbeat heartbeat) {
+        heartbeatHandler.respond(call, heartbeat);
     }
 
     /** Phase and counts of an active job, as its leader knows them; null if it is not known. */
@@ -509,11 +510,11 @@
     }
 
     int machinesLate() {
-        return rentals.machinesLate();
+        return autoscaler.machinesLate();
     }
 
     int recordsToMove() {
-        return history.map(HistoryArchiver::waiting).orElse(0);
+        return historyArchiver.map(HistoryArchiver::waiting).orElse(0);
     }
 
     int roundsKept() {
--- a/src/main/java/org/springmill/control/history/HistoryArchiver.java
+++ b/src/main/java/org/springmill/control/history/HistoryArchiver.java
@@ -35,7 +35,7 @@
 
     private final KeyValueStoreClient store;
     private final EventLoop loop;
-    private final HistoryMembership members;
+    private final HistoryMembership membership;
     private final Jobs jobs;
     private final double retentionSeconds;
     private final double pauseSeconds;
@@ -72,13 +72,13 @@
     public HistoryArchiver(
             KeyValueStoreClient store,
             EventLoop loop,
-            HistoryMembership members,
+            HistoryMembership membership,
             Jobs jobs,
             double retentionSeconds,
             double pauseSeconds) {
         this.store = store;
         this.loop = loop;
-        this.members = members;
+        this.membership = membership;
         this.jobs = jobs;
         this.retentionSeconds = retentionSeconds;
         this.pauseSeconds = pauseSeconds;
@@ -111,7 +111,7 @@
         if (closed) {
             return;
         }
-        boolean busy = store.backlog() > 0 || !jobs.mayMove() || !members.allTakePart();
+        boolean busy = store.backlog() > 0 || !jobs.mayMove() || !membership.allTakePart();
         List<JobRecord> batch = busy ? List.of() : takeSettled();
         if (batch.isEmpty()) {
             runAfter(1);
--- a/src/main/java/org/springmill/control/jobs/JobDirectory.java
+++ b/src/main/java/org/springmill/control/jobs/JobDirectory.java
@@ -54,13 +54,13 @@
     /**
      * @param tag tells this process from earlier ones of the same controller
      */
-    public JobDirectory(KeyValueStoreClient store, EventLoop loop, Timeouts timing, int tag) {
+    public JobDirectory(KeyValueStoreClient store, EventLoop loop, Timeouts timeouts, int tag) {
         this.loop = loop;
-        retryLookupSeconds = timing.leaderRenewIntervalSeconds();
+        retryLookupSeconds = timeouts.leaderRenewIntervalSeconds();
         endedJobs = new ArchivedJobLookup(store, loop);
         dependencies = new JobDependencies(jobs, endedJobs::kept);
         cancellations = new Cancellations(tag);
-        watch = new JobRecordWatch(store, loop, timing, new RecordListener());
+        watch = new JobRecordWatch(store, loop, timeouts, new RecordListener());
     }
 
     private final class RecordListener implements JobRecordWatch.Listener {
@@ -299,8 +299,8 @@
     }
 
     /** Stops what a worker still has of cancelled jobs. */
-    public List<Command> stopCommandsFor(Heartbeat report) {
-        return report.tasks().stream()
+    public List<Command> stopCommandsFor(Heartbeat heartbeat) {
+        return heartbeat.tasks().stream()
                 .filter(task -> task.state() != TaskState.EXITED)
                 .filter(task -> cancelled(task.task().job()))
                 .<Command>map(task -> new Stop(task.task(), task.attempt(), 0))
--- a/src/main/java/org/springmill/control/jobs/JobRecordWatch.java
+++ b/src/main/java/org/springmill/control/jobs/JobRecordWatch.java
@@ -24,7 +24,7 @@
 final class JobRecordWatch {
     private final KeyValueStoreClient store;
     private final EventLoop loop;
-    private final Timeouts timing;
+    private final Timeouts timeouts;
     private final Listener listener;
     private final double barrierIntervalSeconds;
     private List<Consumer<Boolean>> waitingBarriers = new ArrayList<>();
@@ -55,10 +55,11 @@
         void caughtUp();
     }
 
-    JobRecordWatch(KeyValueStoreClient store, EventLoop loop, Timeouts timing, Listener listener) {
+    JobRecordWatch(
+            KeyValueStoreClient store, EventLoop loop, Timeouts timeouts, Listener listener) {
         this.store = store;
         this.loop = loop;
-        this.timing = timing;
+        this.timeouts = timeouts;
         this.listener = listener;
         barrierIntervalSeconds = 1 / store.barriersPerSecond();
     }
@@ -75,7 +76,7 @@
                 entries -> takePage(entries, keys),
                 revision -> {
                     if (revision < 0) {
-                        loop.after(timing.leaderRenewIntervalSeconds(), this::start);
+                        loop.after(timeouts.leaderRenewIntervalSeconds(), this::start);
                         return;
                     }
                     takenAll(keys, revision, askedAt);
@@ -176,7 +177,7 @@
     }
 
     private void watch() {
-        store.changes(JobRecord.PREFIX, cursor, timing.workerLeaseSeconds(), this::watched);
+        store.changes(JobRecord.PREFIX, cursor, timeouts.workerLeaseSeconds(), this::watched);
     }
 
     private void watched(ChangesResult result) {
@@ -186,7 +187,7 @@
         } else if (result.tooOld()) {
             start();
         } else {
-            loop.after(timing.leaderRenewIntervalSeconds(), this::watch);
+            loop.after(timeouts.leaderRenewIntervalSeconds(), this::watch);
         }
     }
 
--- a/src/main/java/org/springmill/control/jobs/package-info.java
+++ b/src/main/java/org/springmill/control/jobs/package-info.java
@@ -3,7 +3,7 @@
  * on which, and which are cancelled.
  *
  * <p>Owns the in-memory copy of {@code job/<id>}, fed by a watch of the key-value store and by what
- * peers tell. Uses {@code storage} and {@code history}. The user API, the peers and the leader read
- * it; it knows nothing of machines.
+ * peers tell. Uses {@code storage} and {@code historyArchiver}. The user API, the peers and the
+ * leader read it; it knows nothing of machines.
  */
 package org.springmill.control.jobs;
--- a/src/main/java/org/springmill/control/leadership/LeaderRecordWatch.java
+++ b/src/main/java/org/springmill/control/leadership/LeaderRecordWatch.java
@@ -12,17 +12,20 @@
 final class LeaderRecordWatch {
     private final KeyValueStoreClient store;
     private final EventLoop loop;
-    private final Timeouts timing;
+    private final Timeouts timeouts;
     private final Consumer<Change> onChange;
 
     /** Revision up to which changes are known; 0 if it has to be read first. */
     private long knownRevision;
 
     LeaderRecordWatch(
-            KeyValueStoreClient store, EventLoop loop, Timeouts timing, Consumer<Change> onChange) {
+            KeyValueStoreClient store,
+            EventLoop loop,
+            Timeouts timeouts,
+            Consumer<Change> onChange) {
         this.store = store;
         this.loop = loop;
-        this.timing = timing;
+        this.timeouts = timeouts;
         this.onChange = onChange;
     }
 
@@ -33,7 +36,7 @@
             store.changes(
                     LeaderRecord.KEY,
                     knownRevision,
-                    timing.workerLeaseSeconds(),
+                    timeouts.workerLeaseSeconds(),
                     this::changesRead);
         }
     }
@@ -59,6 +62,6 @@
     }
 
     private void startLater() {
-        loop.after(timing.leaderRenewIntervalSeconds(), this::start);
+        loop.after(timeouts.leaderRenewIntervalSeconds(), this::start);
     }
 }
--- a/src/main/java/org/springmill/control/leadership/Leadership.java
+++ b/src/main/java/org/springmill/control/leadership/Leadership.java
@@ -54,7 +54,7 @@
     private final KeyValueStoreClient store;
     private final EventLoop loop;
     private final Settings settings;
-    private final Timeouts timing;
+    private final Timeouts timeouts;
     private final Peers peers;
     private final String incarnation;
     private final Listener listener;
@@ -88,14 +88,14 @@
             KeyValueStoreClient store,
             EventLoop loop,
             Settings settings,
-            Timeouts timing,
+            Timeouts timeouts,
             Peers peers,
             String incarnation,
             Listener listener) {
         this.store = store;
         this.loop = loop;
         this.settings = settings;
-        this.timing = timing;
+        this.timeouts = timeouts;
         this.peers = peers;
         this.incarnation = incarnation;
         this.listener = listener;
@@ -104,7 +104,7 @@
     /** Begins to follow the leader's record, and to stand whenever there is none. */
     public void start() {
         tick();
-        new LeaderRecordWatch(store, loop, timing, this::changed).start();
+        new LeaderRecordWatch(store, loop, timeouts, this::changed).start();
     }
 
     /** The state as of now: a lease that has run out is noticed here. */
@@ -188,7 +188,7 @@
     }
 
     private boolean withinGrace() {
-        return loop.now() < validUntil + timing.leaderGraceSeconds();
+        return loop.now() < validUntil + timeouts.leaderGraceSeconds();
     }
 
     private boolean outageConfirmed() {
@@ -207,7 +207,7 @@
     public void resign(String why) {
         long given = lease;
         standsForElectionFrom =
-                loop.now() + LEASES_BEFORE_STANDING_AGAIN * timing.leaderLeaseSeconds();
+                loop.now() + LEASES_BEFORE_STANDING_AGAIN * timeouts.leaderLeaseSeconds();
         stepDown(why);
         if (given != 0) {
             store.revoke(given, () -> {});
@@ -285,7 +285,7 @@
         } else if (state == State.FOLLOWING) {
             readRecord();
         }
-        loop.after(timing.leaderRenewIntervalSeconds(), this::tick);
+        loop.after(timeouts.leaderRenewIntervalSeconds(), this::tick);
     }
 
     private void renew() {
@@ -305,7 +305,7 @@
         }
         switch (result) {
             case RENEWED -> {
-                validUntil = Math.max(validUntil, sentAt + timing.leaderLeaseSeconds());
+                validUntil = Math.max(validUntil, sentAt + timeouts.leaderLeaseSeconds());
                 provenAt = sentAt;
                 if (unproven()) {
                     renew();
@@ -359,7 +359,7 @@
     private void campaign() {
         transition(State.CAMPAIGNING);
         double askedAt = loop.now();
-        store.grant(timing.leaderLeaseSeconds(), granted -> leaseAnswered(granted, askedAt));
+        store.grant(timeouts.leaderLeaseSeconds(), granted -> leaseAnswered(granted, askedAt));
     }
 
     private void leaseAnswered(long granted, double askedAt) {
@@ -368,7 +368,7 @@
             return;
         }
         lease = granted;
-        validUntil = askedAt + timing.leaderLeaseSeconds();
+        validUntil = askedAt + timeouts.leaderLeaseSeconds();
         provenAt = askedAt;
         Condition noLeader = new Condition(LeaderRecord.KEY, 0);
         JsonNode record = LeaderRecord.encode(settings, incarnation);
--- a/src/main/java/org/springmill/control/leadership/LeaseKeepalive.java
+++ b/src/main/java/org/springmill/control/leadership/LeaseKeepalive.java
@@ -22,7 +22,7 @@
     private final Peers peers;
     private final Leadership leadership;
     private final EventLoop loop;
-    private final Timeouts timing;
+    private final Timeouts timeouts;
     private final CancellationFreshness freshness;
 
     /** Tokens with which workers first came here while this controller has been isolated. */
@@ -43,13 +43,13 @@
             Leadership leadership,
             CancellationFreshness freshness,
             EventLoop loop,
-            Timeouts timing) {
+            Timeouts timeouts) {
         this.store = store;
         this.peers = peers;
         this.leadership = leadership;
         this.freshness = freshness;
         this.loop = loop;
-        this.timing = timing;
+        this.timeouts = timeouts;
     }
 
     /**
@@ -57,16 +57,16 @@
      *
      * @param holdsTerm whether this controller was elected and has not yet learned of a later term
      */
-    public boolean mayRenewLease(Heartbeat report, boolean holdsTerm) {
+    public boolean mayRenewLease(Heartbeat heartbeat, boolean holdsTerm) {
         boolean isolated = !store.reachable() && isIsolated();
         if (isolated) {
-            zones.add(report.zone());
+            zones.add(heartbeat.zone());
         }
         boolean entitled =
                 leadership.vacant()
                         || keepsForNewLeader(holdsTerm)
                         || keepsInConfirmedOutage(holdsTerm)
-                        || (isolated && isUnclaimed(report));
+                        || (isolated && isUnclaimed(heartbeat));
         boolean keeps = entitled && noCancelledTaskIsKept(isolated);
         if (keeps) {
             peers.recordLeaseRenewal();
@@ -109,7 +109,7 @@
             zones.clear();
         }
         double silentSince = Math.max(lastHeardAt, resumedAt);
-        return loop.now() - silentSince > timing.peerConfirmationValidityOnAnyClockSeconds();
+        return loop.now() - silentSince > timeouts.peerConfirmationValidityOnAnyClockSeconds();
     }
 
     /** Notes that this controller stood still, so that it could have heard nobody. */
@@ -132,16 +132,17 @@
     private boolean zoneIsPartitioned() {
         boolean reachedByUsers =
                 reachedByUsersAt
-                        >= isolatedSince + timing.peerConfirmationValidityOnAnyClockSeconds();
+                        >= isolatedSince + timeouts.peerConfirmationValidityOnAnyClockSeconds();
         return zones.size() == 1 && !reachedByUsers && !store.isRefusing();
     }
 
     /** A worker whose token has risen is within some leader's reach and should report there. */
-    private boolean isUnclaimed(Heartbeat report) {
-        long firstToken = firstTokens.computeIfAbsent(report.machine(), m -> report.fencingToken());
+    private boolean isUnclaimed(Heartbeat heartbeat) {
+        long firstToken =
+                firstTokens.computeIfAbsent(heartbeat.machine(), m -> heartbeat.fencingToken());
         long knownTerm = leadership.knownTerm();
         boolean ofLaterTerm =
-                knownTerm > 0 && WorkerEpoch.termOf(report.fencingToken()) > knownTerm;
-        return report.fencingToken() <= firstToken && !ofLaterTerm;
+                knownTerm > 0 && WorkerEpoch.termOf(heartbeat.fencingToken()) > knownTerm;
+        return heartbeat.fencingToken() <= firstToken && !ofLaterTerm;
     }
 }
--- a/src/main/java/org/springmill/control/membership/CancellationFreshness.java
+++ b/src/main/java/org/springmill/control/membership/CancellationFreshness.java
@@ -18,17 +18,17 @@
     private final JobDirectory directory;
     private final Peers peers;
     private final EventLoop loop;
-    private final Timeouts timing;
+    private final Timeouts timeouts;
     private final double presumedAt;
     private boolean covered = true;
 
     public CancellationFreshness(
-            JobDirectory directory, Peers peers, EventLoop loop, Timeouts timing) {
+            JobDirectory directory, Peers peers, EventLoop loop, Timeouts timeouts) {
         this.directory = directory;
         this.peers = peers;
         this.loop = loop;
-        this.timing = timing;
-        presumedAt = loop.now() - timing.cancellationKnowledgeValiditySeconds() / 2;
+        this.timeouts = timeouts;
+        presumedAt = loop.now() - timeouts.cancellationKnowledgeValiditySeconds() / 2;
     }
 
     /**
@@ -36,8 +36,8 @@
      * controller read them and the peers' confirmations are not recent enough.
      */
     public void start() {
-        loop.after(timing.leaderRenewIntervalSeconds(), this::start);
-        if (ageSeconds() > timing.workerLeaseSeconds() / 4) {
+        loop.after(timeouts.leaderRenewIntervalSeconds(), this::start);
+        if (ageSeconds() > timeouts.workerLeaseSeconds() / 4) {
             directory.barrier(current -> {});
         }
         if (covered != isFresh()) {
@@ -55,7 +55,7 @@
      * effect.
      */
     public boolean isFresh() {
-        return ageSeconds() < timing.cancellationKnowledgeValiditySeconds();
+        return ageSeconds() < timeouts.cancellationKnowledgeValiditySeconds();
     }
 
     /**
--- a/src/main/java/org/springmill/control/membership/PeerCancellations.java
+++ b/src/main/java/org/springmill/control/membership/PeerCancellations.java
@@ -10,7 +10,7 @@
 /** How far each peer has told the cancellations that it knows of. */
 final class PeerCancellations {
     private final EventLoop loop;
-    private final Timeouts timing;
+    private final Timeouts timeouts;
     private final Set<String> nodes;
 
     /** Where each peer goes on telling; only it can read its own bookmark. */
@@ -27,9 +27,9 @@
     /**
      * @param nodes all other controllers
      */
-    PeerCancellations(EventLoop loop, Timeouts timing, Set<String> nodes) {
+    PeerCancellations(EventLoop loop, Timeouts timeouts, Set<String> nodes) {
         this.loop = loop;
-        this.timing = timing;
+        this.timeouts = timeouts;
         this.nodes = nodes;
     }
 
@@ -63,7 +63,7 @@
         return before != null
                 && !before.reachedState()
                 && !answer.storeReachable()
-                && askedAt - before.until() < timing.cancellationKnowledgeValiditySeconds() / 2;
+                && askedAt - before.until() < timeouts.cancellationKnowledgeValiditySeconds() / 2;
     }
 
     /** Whatever peers confirmed to their users before this moment, they have told here. */
--- a/src/main/java/org/springmill/control/membership/PeerConfirmations.java
+++ b/src/main/java/org/springmill/control/membership/PeerConfirmations.java
@@ -23,7 +23,7 @@
     private static final double MILLISECONDS_PER_SECOND = 1000;
 
     private final EventLoop loop;
-    private final Timeouts timing;
+    private final Timeouts timeouts;
     private final Set<String> nodes;
     private final Map<String, Answer> answers = new HashMap<>();
     private double countFrom = Double.NEGATIVE_INFINITY;
@@ -34,9 +34,9 @@
     /**
      * @param nodes all other controllers
      */
-    PeerConfirmations(EventLoop loop, Timeouts timing, Set<String> nodes) {
+    PeerConfirmations(EventLoop loop, Timeouts timeouts, Set<String> nodes) {
         this.loop = loop;
-        this.timing = timing;
+        this.timeouts = timeouts;
         this.nodes = nodes;
     }
 
@@ -158,6 +158,6 @@
     private boolean isRecent(Answer answer) {
         return answer != null
                 && answer.askedAt() >= countFrom
-                && loop.now() - answer.askedAt() < timing.peerConfirmationValiditySeconds();
+                && loop.now() - answer.askedAt() < timeouts.peerConfirmationValiditySeconds();
     }
 }
--- a/src/main/java/org/springmill/control/membership/Peers.java
+++ b/src/main/java/org/springmill/control/membership/Peers.java
@@ -45,7 +45,7 @@
     private final PeerLink link;
     private final EventLoop loop;
     private final Settings settings;
-    private final Timeouts timing;
+    private final Timeouts timeouts;
     private final Supplier<PeerStatus> ownStatus;
     private final JobDirectory directory;
     private final Set<String> nodes;
@@ -78,20 +78,20 @@
             PeerLink link,
             EventLoop loop,
             Settings settings,
-            Timeouts timing,
+            Timeouts timeouts,
             JobDirectory directory,
             StoreRateShares shares,
             Supplier<PeerStatus> ownStatus) {
         this.link = link;
         this.loop = loop;
         this.settings = settings;
-        this.timing = timing;
+        this.timeouts = timeouts;
         this.directory = directory;
         this.shares = shares;
         this.ownStatus = ownStatus;
         nodes = settings.peers().keySet();
-        confirmations = new PeerConfirmations(loop, timing, nodes);
-        cancellations = new PeerCancellations(loop, timing, nodes);
+        confirmations = new PeerConfirmations(loop, timeouts, nodes);
+        cancellations = new PeerCancellations(loop, timeouts, nodes);
         // An earlier process of this node may have confirmed an outage until just now.
         lastConfirmationAt = loop.now();
         lastLeaderHeardAt = loop.now();
@@ -163,13 +163,14 @@
         askedAtByQuestion
                 .values()
                 .removeIf(
-                        askedAt -> askedAt < loop.now() - timing.peerConfirmationValiditySeconds());
+                        askedAt ->
+                                askedAt < loop.now() - timeouts.peerConfirmationValiditySeconds());
         PeerStatus status = ownStatus.get();
         for (String node : nodes) {
             CancellationDelta known = directory.deltaRequest(cancellations.cursor(node));
             send(node, message(status, lastQuestion, NO_QUESTION, known, shares.wanted()));
         }
-        loop.after(timing.peerPollIntervalSeconds(), this::pollPeers);
+        loop.after(timeouts.peerPollIntervalSeconds(), this::pollPeers);
     }
 
     private void answer(PeerStatus question) {
@@ -192,7 +193,7 @@
             PeerStatus status,
             long question,
             long answeredQuestion,
-            CancellationDelta news,
+            CancellationDelta delta,
             double stateShare) {
         return new PeerStatus(
                 settings.node(),
@@ -205,7 +206,7 @@
                 leaderSilent(),
                 millisecondsSinceConfirmation(),
                 Math.max(highestTerm, status.term()),
-                news,
+                delta,
                 status.keepsHistory(),
                 stateShare);
     }
@@ -246,7 +247,7 @@
     private void statusReceived(PeerStatus status) {
         if (status.term() > highestTerm) {
             highestTerm = status.term();
-            keepsLeasesForNewLeaderUntil = loop.now() + timing.newLeaderKeepaliveSeconds();
+            keepsLeasesForNewLeaderUntil = loop.now() + timeouts.newLeaderKeepaliveSeconds();
         }
         lastHeardAt = loop.now();
         if (status.leading()) {
@@ -282,7 +283,7 @@
 
     private boolean isOverdue(Answer latest) {
         double since = Math.max(latest.askedAt(), resumedAt);
-        return loop.now() - since > MAX_UNANSWERED_QUESTIONS * timing.peerPollIntervalSeconds();
+        return loop.now() - since > MAX_UNANSWERED_QUESTIONS * timeouts.peerPollIntervalSeconds();
     }
 
     /** See {@link PeerConfirmations#allConfirmOutage}. */
@@ -304,7 +305,7 @@
     }
 
     private boolean leaderSilent() {
-        return loop.now() - lastLeaderHeardAt > timing.leaderSuspectAfterSeconds();
+        return loop.now() - lastLeaderHeardAt > timeouts.leaderSuspectAfterSeconds();
     }
 
     /** See {@link PeerConfirmations#quorumKnows}. */
@@ -377,6 +378,6 @@
             return Double.POSITIVE_INFINITY;
         }
         double latest = Math.max(lastConfirmationAt, confirmations.lastConfirmationOfPeers());
-        return latest + timing.peerConfirmationValidityOnAnyClockSeconds();
+        return latest + timeouts.peerConfirmationValidityOnAnyClockSeconds();
     }
 }
--- a/src/main/java/org/springmill/control/membership/RedirectedWorkers.java
+++ b/src/main/java/org/springmill/control/membership/RedirectedWorkers.java
@@ -14,9 +14,9 @@
     private final double maxAgeSeconds;
     private final Map<String, Double> lastReportAt = new HashMap<>();
 
-    public RedirectedWorkers(EventLoop loop, Timeouts timing) {
+    public RedirectedWorkers(EventLoop loop, Timeouts timeouts) {
         this.loop = loop;
-        maxAgeSeconds = 2 * timing.suspectAfterSeconds();
+        maxAgeSeconds = 2 * timeouts.suspectAfterSeconds();
     }
 
     public void add(String machine) {
--- a/src/main/java/org/springmill/control/membership/RemoteProgress.java
+++ b/src/main/java/org/springmill/control/membership/RemoteProgress.java
@@ -28,9 +28,9 @@
 
     private double currentSince;
 
-    public RemoteProgress(EventLoop loop, Timeouts timing) {
+    public RemoteProgress(EventLoop loop, Timeouts timeouts) {
         this.loop = loop;
-        maxAgeSeconds = timing.heartbeatIntervalSeconds() * MAX_AGE_REPORT_INTERVALS;
+        maxAgeSeconds = timeouts.heartbeatIntervalSeconds() * MAX_AGE_REPORT_INTERVALS;
     }
 
     /** Takes in a broadcast; a broadcast may be spread over several messages. */
--- a/src/main/java/org/springmill/control/recall/GracePeriods.java
+++ b/src/main/java/org/springmill/control/recall/GracePeriods.java
@@ -17,9 +17,9 @@
     private final double reportSeconds;
     private final double maxGraceSeconds;
 
-    GracePeriods(Timeouts timing, OperatorSettings.Borrowing terms) {
-        reportSeconds = timing.heartbeatIntervalSeconds();
-        maxGraceSeconds = terms.maxGraceLeases() * timing.workerLeaseSeconds();
+    GracePeriods(Timeouts timeouts, OperatorSettings.Borrowing terms) {
+        reportSeconds = timeouts.heartbeatIntervalSeconds();
+        maxGraceSeconds = terms.maxGraceLeases() * timeouts.workerLeaseSeconds();
     }
 
     /** Whether a task is let save: one whose save takes longer than the terms allow is not. */
--- a/src/main/java/org/springmill/control/recall/RecallPlanner.java
+++ b/src/main/java/org/springmill/control/recall/RecallPlanner.java
@@ -95,10 +95,10 @@
             Placement placement,
             RecallReservations promises,
             GracePeriods grace,
-            Timeouts timing) {
-        silentSeconds = timing.deadAfterSeconds();
-        leaseSeconds = timing.workerLeaseSeconds();
-        intervalSeconds = timing.heartbeatIntervalSeconds() / PLANS_PER_REPORT;
+            Timeouts timeouts) {
+        silentSeconds = timeouts.deadAfterSeconds();
+        leaseSeconds = timeouts.workerLeaseSeconds();
+        intervalSeconds = timeouts.heartbeatIntervalSeconds() / PLANS_PER_REPORT;
         this.fleet = fleet;
         this.placement = placement;
         this.promises = promises;
--- a/src/main/java/org/springmill/control/recall/RecallPreemption.java
+++ b/src/main/java/org/springmill/control/recall/RecallPreemption.java
@@ -38,11 +38,11 @@
 
     private final Fleet fleet;
     private final EventLoop loop;
-    private final Timeouts timing;
+    private final Timeouts timeouts;
     private final RecallLog log;
     private final RecallPlanner planner;
     private final RecallReservations promises;
-    private final HoldDownCapacity returned;
+    private final HoldDownCapacity heldDownCapacity;
     private final GracePeriods grace;
     private final Metrics metrics;
     private final Consumer<Machine> poke;
@@ -60,21 +60,21 @@
     RecallPreemption(
             Fleet fleet,
             EventLoop loop,
-            Timeouts timing,
+            Timeouts timeouts,
             RecallLog log,
             RecallPlanner planner,
             RecallReservations promises,
-            HoldDownCapacity returned,
+            HoldDownCapacity heldDownCapacity,
             GracePeriods grace,
             Metrics metrics,
             Consumer<Machine> poke) {
         this.fleet = fleet;
         this.loop = loop;
-        this.timing = timing;
+        this.timeouts = timeouts;
         this.log = log;
         this.planner = planner;
         this.promises = promises;
-        this.returned = returned;
+        this.heldDownCapacity = heldDownCapacity;
         this.grace = grace;
         this.metrics = metrics;
         this.poke = poke;
@@ -140,15 +140,15 @@
         double now = loop.now();
         for (TaskAttempt attempt : ended) {
             attempt.machine().release(attempt);
-            returned.taskLeft(attempt, now);
+            heldDownCapacity.taskLeft(attempt, now);
         }
     }
 
     @Override
     public List<Write> decide(long round, List<TaskAttempt> claimed) {
         double now = loop.now();
-        returned.expire(now);
-        claimed.forEach(attempt -> returned.taskPlaced(attempt, now));
+        heldDownCapacity.expire(now);
+        claimed.forEach(attempt -> heldDownCapacity.taskPlaced(attempt, now));
         claimed.forEach(this::fulfil);
         promises.all().forEach(recall -> advance(recall, now));
         pokeMachines();
@@ -169,7 +169,7 @@
 
     /** Applies the bounds on each step of a recall. */
     private void advance(ActiveRecall recall, double now) {
-        if (!recall.machine().isSchedulable(now, timing.suspectAfterSeconds())
+        if (!recall.machine().isSchedulable(now, timeouts.suspectAfterSeconds())
                 && isKnown(recall.machine())) {
             giveUp(recall);
         } else if (recall.progress().state() == State.COMMITTING) {
@@ -231,7 +231,7 @@
         metrics.recallSettled(outcome);
         if (outcome != Outcome.TAKEN_BACK && !recall.victims().isEmpty()) {
             double cost = recall.lostSeconds() + now - recall.decidedAt();
-            returned.recalled(
+            heldDownCapacity.recalled(
                     recall.beneficiary(), recall.machine(), cost, recall.loanSeconds(), now);
         }
     }
--- a/src/main/java/org/springmill/control/recall/RecallSetup.java
+++ b/src/main/java/org/springmill/control/recall/RecallSetup.java
@@ -26,30 +26,30 @@
 
     private final Fleet fleet;
     private final EventLoop loop;
-    private final Timeouts timing;
+    private final Timeouts timeouts;
     private final Metrics metrics;
     private final GracePeriods grace;
     private final RecallReservations promises = new RecallReservations();
-    private final HoldDownCapacity returned;
+    private final HoldDownCapacity heldDownCapacity;
 
     public RecallSetup(
             Fleet fleet,
             EventLoop loop,
-            Timeouts timing,
+            Timeouts timeouts,
             OperatorSettings.Borrowing terms,
             Metrics metrics) {
         this.metrics = metrics;
         this.fleet = fleet;
         this.loop = loop;
-        this.timing = timing;
-        grace = new GracePeriods(timing, terms);
+        this.timeouts = timeouts;
+        grace = new GracePeriods(timeouts, terms);
         HoldDown holdDown =
                 new HoldDown(
-                        terms.holdDownHalfLifeLeases() * timing.workerLeaseSeconds(),
+                        terms.holdDownHalfLifeLeases() * timeouts.workerLeaseSeconds(),
                         terms.holdDownRatio(),
-                        MAX_HOLD_DOWN_LEASES * timing.workerLeaseSeconds(),
-                        timing.workerLeaseSeconds() / WAVES_PER_LEASE);
-        returned = new HoldDownCapacity(fleet.clusterState(), holdDown, metrics);
+                        MAX_HOLD_DOWN_LEASES * timeouts.workerLeaseSeconds(),
+                        timeouts.workerLeaseSeconds() / WAVES_PER_LEASE);
+        heldDownCapacity = new HoldDownCapacity(fleet.clusterState(), holdDown, metrics);
     }
 
     /** Room that is promised to others, or not lent again yet. */
@@ -58,7 +58,7 @@
             @Override
             public Resources withheldFrom(Job job, Machine machine) {
                 Resources promised = promises.reservedForOthersOn(machine, job);
-                return promised.plus(returned.withheldFrom(job, machine, loop.now()));
+                return promised.plus(heldDownCapacity.withheldFrom(job, machine, loop.now()));
             }
 
             @Override
@@ -78,11 +78,11 @@
         return new RecallPreemption(
                 fleet,
                 loop,
-                timing,
+                timeouts,
                 new RecallLog(store),
-                new RecallPlanner(fleet, placement, promises, grace, timing),
+                new RecallPlanner(fleet, placement, promises, grace, timeouts),
                 promises,
-                returned,
+                heldDownCapacity,
                 grace,
                 metrics,
                 poke);
--- a/src/main/java/org/springmill/control/scheduling/ImmediatePreemption.java
+++ b/src/main/java/org/springmill/control/scheduling/ImmediatePreemption.java
@@ -25,12 +25,12 @@
 
     private final Fleet fleet;
     private final Placement placement;
-    private final Timeouts timing;
+    private final Timeouts timeouts;
 
-    public ImmediatePreemption(Fleet fleet, Placement placement, Timeouts timing) {
+    public ImmediatePreemption(Fleet fleet, Placement placement, Timeouts timeouts) {
         this.fleet = fleet;
         this.placement = placement;
-        this.timing = timing;
+        this.timeouts = timeouts;
     }
 
     private TeamUsage usage(Job job) {
@@ -109,7 +109,7 @@
             fleet.stopWithCheckpoint(victim);
         }
         machine.allocation()
-                .reserveFor(job, now + savingSeconds + timing.heartbeatIntervalSeconds());
+                .reserveFor(job, now + savingSeconds + timeouts.heartbeatIntervalSeconds());
     }
 
     /** What it costs to make room for one task on a machine; infinite if it cannot be done. */
--- a/src/main/java/org/springmill/control/scheduling/MachineScore.java
+++ b/src/main/java/org/springmill/control/scheduling/MachineScore.java
@@ -35,14 +35,14 @@
     /** Reports come at most a quarter of their interval late. */
     private static final double REPORTS_UNTIL_QUIET = 1.3;
 
-    private final Timeouts timing;
+    private final Timeouts timeouts;
     private final Submission largest;
 
     /**
      * @param largest the largest replica of any job, for which room should stay whole, or null
      */
-    MachineScore(Timeouts timing, Submission largest) {
-        this.timing = timing;
+    MachineScore(Timeouts timeouts, Submission largest) {
+        this.timeouts = timeouts;
         this.largest = largest;
     }
 
@@ -70,7 +70,7 @@
         double score = machine.imageFetchSeconds(spec, now);
         // Late reports are the first sign of trouble.
         if (now - machine.lastHeartbeatAt()
-                > timing.heartbeatIntervalSeconds() * REPORTS_UNTIL_QUIET) {
+                > timeouts.heartbeatIntervalSeconds() * REPORTS_UNTIL_QUIET) {
             score += QUIET_SECONDS;
         }
         if (spec.spot() && !machine.spot() && !usesStrandedCpus(spec, machine, largest)) {
--- a/src/main/java/org/springmill/control/scheduling/Placement.java
+++ b/src/main/java/org/springmill/control/scheduling/Placement.java
@@ -24,24 +24,24 @@
     private static final double AVOIDED_SECONDS = 1e4;
 
     private final Fleet fleet;
-    private final Timeouts timing;
+    private final Timeouts timeouts;
 
     /** Jobs that the last round was full before it came to. */
     private final Set<Job> unreached = new HashSet<>();
 
     private final Reservations reservations;
-    private final CapacityFilter withheld;
+    private final CapacityFilter capacityFilter;
     private MachineScore score;
 
     /**
-     * @param withheld free room that some jobs may not use
+     * @param capacityFilter free room that some jobs may not use
      */
-    public Placement(Fleet fleet, Timeouts timing, CapacityFilter withheld) {
-        this.withheld = withheld;
+    public Placement(Fleet fleet, Timeouts timeouts, CapacityFilter capacityFilter) {
+        this.capacityFilter = capacityFilter;
         this.fleet = fleet;
-        this.timing = timing;
-        this.reservations = new Reservations(fleet, timing);
-        this.score = new MachineScore(timing, null);
+        this.timeouts = timeouts;
+        this.reservations = new Reservations(fleet, timeouts);
+        this.score = new MachineScore(timeouts, null);
     }
 
     /** Jobs with waiting tasks, in the order in which they are served. */
@@ -104,7 +104,8 @@
         }
         score =
                 new MachineScore(
-                        timing, MachineScore.largestReplica(fleet.clusterState().jobs().values()));
+                        timeouts,
+                        MachineScore.largestReplica(fleet.clusterState().jobs().values()));
         List<Machine> open = open(now);
         ExhaustedEquivalenceClasses exhausted =
                 new ExhaustedEquivalenceClasses(jobsWithReservedCapacity(open, now));
@@ -144,7 +145,7 @@
     /** The jobs for which machines keep room that other jobs do not get. */
     public Set<Job> jobsWithReservedCapacity(List<Machine> open, double now) {
         Set<Job> jobs = new HashSet<>(reservations.holders());
-        jobs.addAll(withheld.jobsWithReservedCapacity());
+        jobs.addAll(capacityFilter.jobsWithReservedCapacity());
         open.forEach(machine -> jobs.addAll(machine.allocation().reservedFor(now)));
         return jobs;
     }
@@ -189,7 +190,7 @@
         Machine machine = job.recalledFrom(job.nextTask());
         boolean usable =
                 machine != null
-                        && machine.isSchedulable(fleet.now(), timing.suspectAfterSeconds())
+                        && machine.isSchedulable(fleet.now(), timeouts.suspectAfterSeconds())
                         && machine.holdsImage(job.spec().image())
                         && placingCost(job, machine, fleet.now()) < AVOIDED_SECONDS;
         return usable ? machine : null;
@@ -217,7 +218,7 @@
     public List<Machine> open(double now) {
         List<Machine> open = new ArrayList<>();
         for (Machine machine : fleet.machines()) {
-            if (machine.isSchedulable(now, timing.suspectAfterSeconds())) {
+            if (machine.isSchedulable(now, timeouts.suspectAfterSeconds())) {
                 open.add(machine);
             }
         }
@@ -240,7 +241,7 @@
      * others: they would wait until it had given way, longer than many may wait for a start.
      */
     private boolean hasRoom(Job job, Machine machine) {
-        Resources kept = withheld.withheldFrom(job, machine);
+        Resources kept = capacityFilter.withheldFrom(job, machine);
         if (!usage(job).hasGuarantee()) {
             kept = kept.plus(machine.allocation().headroom());
         }
--- a/src/main/java/org/springmill/control/scheduling/PlacementRounds.java
+++ b/src/main/java/org/springmill/control/scheduling/PlacementRounds.java
@@ -31,7 +31,7 @@
 
     private final Fleet fleet;
     private final Placement placement;
-    private final PreemptionPolicy roomMaking;
+    private final PreemptionPolicy preemption;
     private final RoundLog log;
     private final Leadership leadership;
     private final EventLoop loop;
@@ -48,7 +48,7 @@
     public PlacementRounds(
             Fleet fleet,
             Placement placement,
-            PreemptionPolicy roomMaking,
+            PreemptionPolicy preemption,
             RoundLog log,
             Leadership leadership,
             EventLoop loop,
@@ -56,7 +56,7 @@
             Listener listener) {
         this.fleet = fleet;
         this.placement = placement;
-        this.roomMaking = roomMaking;
+        this.preemption = preemption;
         this.log = log;
         this.leadership = leadership;
         this.loop = loop;
@@ -92,9 +92,9 @@
         wanted = false;
         lastRound = loop.now();
         List<TaskAttempt> ended = fleet.clusterState().drainEnded(log.endsPerRound());
-        roomMaking.release(ended);
+        preemption.release(ended);
         List<TaskAttempt> claimed = placement.place(log.next(), log.claimsBeside(ended.size()));
-        List<Write> attached = roomMaking.decide(log.next(), claimed);
+        List<Write> attached = preemption.decide(log.next(), claimed);
         if (ended.isEmpty() && claimed.isEmpty() && attached.isEmpty()) {
             return;
         }
@@ -160,7 +160,7 @@
                 fleet.end(attempt, ExitCause.STOPPED);
             }
         }
-        roomMaking.committed();
+        preemption.committed();
         listener.committed(claimed, ended, since);
         request();
     }
--- a/src/main/java/org/springmill/control/scheduling/Reservations.java
+++ b/src/main/java/org/springmill/control/scheduling/Reservations.java
@@ -33,7 +33,7 @@
     private static final double RESERVED_SHARE = 1 / 8.0;
 
     private final Fleet fleet;
-    private final Timeouts timing;
+    private final Timeouts timeouts;
 
     /**
      * Since when each job has waited for its first place, or a service for room for all of its
@@ -44,9 +44,9 @@
     /** Machines that run empty for a job that waited too long. */
     private final Map<Machine, Job> reserved = new LinkedHashMap<>();
 
-    Reservations(Fleet fleet, Timeouts timing) {
+    Reservations(Fleet fleet, Timeouts timeouts) {
         this.fleet = fleet;
-        this.timing = timing;
+        this.timeouts = timeouts;
     }
 
     private TeamUsage usage(Job job) {
@@ -83,7 +83,7 @@
         return begun(job)
                 || job.failures().isSuspect()
                 || now - waitsSince.get(job)
-                        < LEASES_BEFORE_RESERVATION * timing.workerLeaseSeconds();
+                        < LEASES_BEFORE_RESERVATION * timeouts.workerLeaseSeconds();
     }
 
     /**
@@ -151,7 +151,7 @@
      * idle.
      */
     private boolean isOfUse(Machine machine, Job job, double now) {
-        return machine.isSchedulable(now, timing.suspectAfterSeconds())
+        return machine.isSchedulable(now, timeouts.suspectAfterSeconds())
                 && Placement.eligible(job, machine, now)
                 && now >= job.failures().notBefore()
                 && usage(job).allows(job.spec());
--- a/src/main/java/org/springmill/control/workers/CommandDispatcher.java
+++ b/src/main/java/org/springmill/control/workers/CommandDispatcher.java
@@ -54,21 +54,21 @@
     /** Takes a worker's report. */
     public interface HeartbeatConsumer {
         /** Takes the report that a machine answered to a request. */
-        void accept(Machine machine, Heartbeat report);
+        void accept(Machine machine, Heartbeat heartbeat);
     }
 
     private final Fleet fleet;
     private final HttpClient http;
-    private final Timeouts timing;
+    private final Timeouts timeouts;
     private final HeartbeatConsumer heartbeats;
     private int probes;
     private boolean closed;
 
     public CommandDispatcher(
-            Fleet fleet, HttpClient http, Timeouts timing, HeartbeatConsumer reports) {
+            Fleet fleet, HttpClient http, Timeouts timeouts, HeartbeatConsumer reports) {
         this.fleet = fleet;
         this.http = http;
-        this.timing = timing;
+        this.timeouts = timeouts;
         this.heartbeats = reports;
     }
 
@@ -78,7 +78,7 @@
     }
 
     private double resendIntervalSeconds() {
-        return timing.heartbeatIntervalSeconds() / RESENDS_PER_REPORT;
+        return timeouts.heartbeatIntervalSeconds() / RESENDS_PER_REPORT;
     }
 
     /** Sends what is due to a machine, if anything is. */
@@ -106,7 +106,7 @@
                         "POST",
                         WorkerMessages.COMMANDS_PATH,
                         body,
-                        timing.commandTimeoutSeconds()),
+                        timeouts.commandTimeoutSeconds()),
                 reply -> {
                     probes -= probe ? 1 : 0;
                     responseReceived(machine, reply);
@@ -150,9 +150,9 @@
 
     private void acceptHeartbeat(Machine machine, Reply reply) {
         try {
-            Heartbeat report = WorkerMessages.decodeHeartbeat(reply.body());
-            if (report.machine().equals(machine.name())) {
-                heartbeats.accept(machine, report);
+            Heartbeat heartbeat = WorkerMessages.decodeHeartbeat(reply.body());
+            if (heartbeat.machine().equals(machine.name())) {
+                heartbeats.accept(machine, heartbeat);
             }
         } catch (MalformedMessageException e) {
             LOG.warn("{}: {}", machine.name(), e.getMessage());
--- a/src/main/java/org/springmill/control/workers/HeartbeatHandler.java
+++ b/src/main/java/org/springmill/control/workers/HeartbeatHandler.java
@@ -18,7 +18,7 @@
     private final CommandDispatcher dispatcher;
     private final JobDirectory directory;
     private final EventLoop loop;
-    private final Timeouts timing;
+    private final Timeouts timeouts;
     private final Term term;
 
     /** How far the leader's term is. */
@@ -36,46 +36,46 @@
             CommandDispatcher dispatcher,
             JobDirectory directory,
             EventLoop loop,
-            Timeouts timing,
+            Timeouts timeouts,
             Term term) {
         this.fleet = fleet;
         this.reconciliation = reconciliation;
         this.dispatcher = dispatcher;
         this.directory = directory;
         this.loop = loop;
-        this.timing = timing;
+        this.timeouts = timeouts;
         this.term = term;
     }
 
     /** Answers a worker's report. */
-    public void respond(Call call, Heartbeat report) {
-        if (fleet.wasDeleted(report.machine())) {
+    public void respond(Call call, Heartbeat heartbeat) {
+        if (fleet.wasDeleted(heartbeat.machine())) {
             // A late copy. The machine that it seemed to bring back was given work, which waited
             // until it was missed.
             call.reply(503, WorkerMessages.encodeRedirect(null), 0);
             return;
         }
-        Machine machine = fleet.machine(report);
-        if (!machine.workerEpoch().isLatestHeartbeat(report)) {
+        Machine machine = fleet.machine(heartbeat);
+        if (!machine.workerEpoch().isLatestHeartbeat(heartbeat)) {
             // A late copy: whoever sent it waits no longer, and its answer must not count as a
             // renewal.
             call.reply(503, WorkerMessages.encodeRedirect(null), 0);
             return;
         }
         if (term.rebuilt()) {
-            reconciliation.accept(machine, report);
+            reconciliation.accept(machine, heartbeat);
         }
         if (term.closed()) {
             call.reply(421, WorkerMessages.encodeRedirect(null), 0);
             return;
         }
-        machine.workerEpoch().recordHeartbeat(report);
-        machine.heartbeatAnswered(loop.now(), timing.workerLeaseSeconds());
-        List<Command> commands = term.rebuilt() ? List.of() : directory.stopCommandsFor(report);
+        machine.workerEpoch().recordHeartbeat(heartbeat);
+        machine.heartbeatAnswered(loop.now(), timeouts.workerLeaseSeconds());
+        List<Command> commands = term.rebuilt() ? List.of() : directory.stopCommandsFor(heartbeat);
         if (term.rebuilt()
                 && machine.commandsFailing()
                 && !machine.commandsInFlight
-                && report.epoch() == machine.epoch()) {
+                && heartbeat.epoch() == machine.epoch()) {
             commands = dispatcher.due(machine);
         }
         call.reply(
--- a/src/main/java/org/springmill/control/workers/Reconciliation.java
+++ b/src/main/java/org/springmill/control/workers/Reconciliation.java
@@ -33,7 +33,7 @@
     private static final int FIRST_MESSAGES = 4;
 
     private final Fleet fleet;
-    private final Timeouts timing;
+    private final Timeouts timeouts;
     private final Peers peers;
     private final Metrics metrics;
     private final double tookOverAt;
@@ -50,13 +50,13 @@
      */
     public Reconciliation(
             Fleet fleet,
-            Timeouts timing,
+            Timeouts timeouts,
             Peers peers,
             Metrics metrics,
             Runnable onChange,
             Consumer<String> onLaterTerm) {
         this.fleet = fleet;
-        this.timing = timing;
+        this.timeouts = timeouts;
         this.peers = peers;
         this.metrics = metrics;
         this.tookOverAt = fleet.now();
@@ -67,28 +67,28 @@
     /**
      * Takes in a worker's message, unless a newer one was seen before: late copies prove nothing.
      */
-    public void accept(Machine machine, Heartbeat report) {
-        if (WorkerEpoch.termOf(report.fencingToken()) > fleet.term()) {
+    public void accept(Machine machine, Heartbeat heartbeat) {
+        if (WorkerEpoch.termOf(heartbeat.fencingToken()) > fleet.term()) {
             onLaterTerm.accept(machine.name() + " has seen a later term");
             return;
         }
-        if (!machine.workerEpoch().isNewerThanSeen(report)) {
+        if (!machine.workerEpoch().isNewerThanSeen(heartbeat)) {
             return;
         }
         double now = fleet.now();
-        boolean tookWork = machine.isSchedulable(now, timing.suspectAfterSeconds());
-        machine.workerEpoch().adoptFencingToken(report.fencingToken());
-        machine.acceptHeartbeat(report, now);
+        boolean tookWork = machine.isSchedulable(now, timeouts.suspectAfterSeconds());
+        machine.workerEpoch().adoptFencingToken(heartbeat.fencingToken());
+        machine.acceptHeartbeat(heartbeat, now);
         boolean wasExpected = machine.state() == Machine.State.PROVISIONING;
-        if (wasExpected && machine.type() != null && isFirstOfItsWorker(report)) {
+        if (wasExpected && machine.type() != null && isFirstOfItsWorker(heartbeat)) {
             fleet.bootTimes().cameUp(machine, now);
         }
         if (wasExpected || machine.state() == Machine.State.LEASE_EXPIRED) {
             machine.transition(Machine.State.UP);
         }
-        Set<TaskAttempt> present = takeReportedTasks(machine, report, now);
+        Set<TaskAttempt> present = takeReportedTasks(machine, heartbeat, now);
         for (TaskAttempt attempt : machine.attemptsNow()) {
-            if (!present.contains(attempt) && provenGone(attempt, report)) {
+            if (!present.contains(attempt) && provenGone(attempt, heartbeat)) {
                 fleet.end(attempt, ExitCause.NONE);
             }
         }
@@ -98,20 +98,20 @@
         // Hundreds of workers report every few seconds, mostly that nothing has changed: no reason
         // for a round.
         boolean takesWorkAgain =
-                !tookWork && machine.isSchedulable(now, timing.suspectAfterSeconds());
+                !tookWork && machine.isSchedulable(now, timeouts.suspectAfterSeconds());
         if (fleet.clusterState().hasEnded() || takesWorkAgain) {
             onChange.run();
         }
     }
 
     /** Whether a worker has only just begun to send messages. */
-    private static boolean isFirstOfItsWorker(Heartbeat report) {
-        return report.epoch() <= 1 && report.sequence() <= FIRST_MESSAGES;
+    private static boolean isFirstOfItsWorker(Heartbeat heartbeat) {
+        return heartbeat.epoch() <= 1 && heartbeat.sequence() <= FIRST_MESSAGES;
     }
 
-    private Set<TaskAttempt> takeReportedTasks(Machine machine, Heartbeat report, double now) {
+    private Set<TaskAttempt> takeReportedTasks(Machine machine, Heartbeat heartbeat, double now) {
         Set<TaskAttempt> present = new HashSet<>();
-        for (TaskStatus task : report.tasks()) {
+        for (TaskStatus task : heartbeat.tasks()) {
             TaskAttempt attempt = machine.find(task);
             if (attempt != null) {
                 present.add(attempt);
@@ -169,7 +169,7 @@
             case ERROR -> failed(machine, attempt, now);
             case NO_ROOM, BUSY, UNKNOWN_JOB -> {
                 LOG.info("{} refused on {}: {}", attempt.claim().task(), machine.name(), cause);
-                machine.cordonUntil(now + timing.heartbeatIntervalSeconds());
+                machine.cordonUntil(now + timeouts.heartbeatIntervalSeconds());
             }
             default -> {}
         }
@@ -188,7 +188,7 @@
                 machine.name(),
                 attempt.claimedAt(),
                 now,
-                timing.workerLeaseSeconds() / PAUSES_PER_LEASE);
+                timeouts.workerLeaseSeconds() / PAUSES_PER_LEASE);
         if (!wasSuspect && failures.isSuspect()) {
             metrics.jobSuspected();
             LOG.warn("{} fails wherever it runs: tried with few tasks, after pauses", job.id());
@@ -206,7 +206,7 @@
                 .anyMatch(
                         other ->
                                 other != failed
-                                        && other.ranSeconds(now) > timing.workerLeaseSeconds());
+                                        && other.ranSeconds(now) > timeouts.workerLeaseSeconds());
     }
 
     /**
@@ -214,12 +214,13 @@
      * token above every one its start was sent with, or has since begun a new session; otherwise a
      * start may still be on the way.
      */
-    private boolean provenGone(TaskAttempt attempt, Heartbeat report) {
+    private boolean provenGone(TaskAttempt attempt, Heartbeat heartbeat) {
         return switch (attempt.state()) {
             case CLAIMING, CLAIMED, ENDED, CLOSED -> false;
             default ->
-                    report.fencingToken() > attempt.highestStartToken()
-                            || (attempt.startEpoch() != 0 && report.epoch() > attempt.startEpoch());
+                    heartbeat.fencingToken() > attempt.highestStartToken()
+                            || (attempt.startEpoch() != 0
+                                    && heartbeat.epoch() > attempt.startEpoch());
         };
     }
 
@@ -228,7 +229,7 @@
         double lastRenewal = Math.max(machine.lastHeartbeatAnsweredAt(), othersUntil);
         double lastUnderEarlierTerm =
                 Math.min(machine.workerEpoch().currentTermSeenAt(), earlierLeaderUntil());
-        return Math.max(lastRenewal, lastUnderEarlierTerm) + timing.workerLeaseSeconds();
+        return Math.max(lastRenewal, lastUnderEarlierTerm) + timeouts.workerLeaseSeconds();
     }
 
     /**
@@ -238,9 +239,9 @@
      * quorum confirms may go on until a quorum knows this term.
      */
     private double earlierLeaderUntil() {
-        double afterTakeover = tookOverAt + timing.followerRenewalLimitSeconds();
+        double afterTakeover = tookOverAt + timeouts.followerRenewalLimitSeconds();
         double afterQuorumKnew =
-                quorumKnewTermAt + timing.peerConfirmationValidityOnAnyClockSeconds();
+                quorumKnewTermAt + timeouts.peerConfirmationValidityOnAnyClockSeconds();
         return Math.max(afterTakeover, afterQuorumKnew);
     }
 
@@ -282,7 +283,8 @@
     /** A start that no report has confirmed within the window is unknown from then on. */
     private void checkClaimWindows(Machine machine, double now) {
         for (TaskAttempt attempt : machine.attemptsNow()) {
-            boolean overdue = now - attempt.stateSince() > timing.claimConfirmationTimeoutSeconds();
+            boolean overdue =
+                    now - attempt.stateSince() > timeouts.claimConfirmationTimeoutSeconds();
             if (attempt.state() == TaskAttempt.State.SENT && overdue) {
                 attempt.transition(TaskAttempt.State.UNKNOWN, now);
                 attempt.scheduleResend(now);
--- a/src/main/java/org/springmill/emulator/EmulatedKeyValueStoreServer.java
+++ b/src/main/java/org/springmill/emulator/EmulatedKeyValueStoreServer.java
@@ -20,7 +20,7 @@
     private static final String ANYBODY = "";
 
     private final EventLoop loop;
-    private final EmulatedKeyValueStore service;
+    private final EmulatedKeyValueStore store;
     private final Measurements measurements;
     private final double latencySeconds;
     private final Bucket requests;
@@ -54,11 +54,11 @@
 
     EmulatedKeyValueStoreServer(
             EventLoop loop,
-            EmulatedKeyValueStore service,
+            EmulatedKeyValueStore store,
             StateLimits limits,
             Measurements measurements) {
         this.loop = loop;
-        this.service = service;
+        this.store = store;
         this.measurements = measurements;
         latencySeconds = limits.latencySeconds();
         requests = new Bucket(limits.requestsPerSecond(), loop.now());
@@ -82,8 +82,8 @@
         written += writesHere;
         Consumer<Reply> done = reply -> answer(call, request, reply, since);
         boolean allowed = requests.take(1, since) && writes.take(writesHere, since);
-        if (allowed || service.down()) {
-            loop.after(latencySeconds, () -> service.handle(ANYBODY, request, done));
+        if (allowed || store.down()) {
+            loop.after(latencySeconds, () -> store.handle(ANYBODY, request, done));
         } else {
             refusedForRate++;
             done.accept(new Reply(429, KeyValueStoreServerMessages.error("too many requests")));
--- a/src/main/java/org/springmill/emulator/Emulation.java
+++ b/src/main/java/org/springmill/emulator/Emulation.java
@@ -55,7 +55,7 @@
     private final Measurements measurements = new Measurements();
     private final JobRegistry jobs = new JobRegistry();
     private final RuleChecker rules;
-    private final EmulatedKeyValueStore state;
+    private final EmulatedKeyValueStore store;
     private final EmulatedKeyValueStoreServer stateFront;
     private final EmulatedFleet fleet;
     private final EmulatedCloud cloud;
@@ -95,8 +95,8 @@
         loop = transport.loop();
         rules = new RuleChecker(loop, scenario, jobs);
         int valueBytes = (int) (scenario.state().valueKb() * 1024);
-        state = new EmulatedKeyValueStore(loop, valueBytes, scenario.state().writesPerCommit());
-        stateFront = new EmulatedKeyValueStoreServer(loop, state, scenario.state(), measurements);
+        store = new EmulatedKeyValueStore(loop, valueBytes, scenario.state().writesPerCommit());
+        stateFront = new EmulatedKeyValueStoreServer(loop, store, scenario.state(), measurements);
         List<Node> nodes = nodes();
         List<String> addresses = nodes.stream().map(Node::api).toList();
         fleet =
@@ -146,7 +146,7 @@
                         services + cloudPort,
                         services + statePort,
                         folder);
-        faults = new FaultInjector(loop, scenario, fleet, state, controllers, rules);
+        faults = new FaultInjector(loop, scenario, fleet, store, controllers, rules);
     }
 
     private List<Node> nodes() throws IOException {
@@ -236,7 +236,7 @@
 
     private void begin() {
         try {
-            state.start();
+            store.start();
             rules.start();
             cloud.rentAll();
             controllers.start();
@@ -347,8 +347,8 @@
                                 (stateFront.served() - servedBefore) / seconds,
                                 (stateFront.written() - writtenBefore) / seconds,
                                 stateFront.refusedForRate(),
-                                state.tooLarge(),
-                                state.keyCount()),
+                                store.tooLarge(),
+                                store.keyCount()),
                         work(),
                         faults.records(),
                         timeline,
--- a/src/main/java/org/springmill/emulator/FaultInjector.java
+++ b/src/main/java/org/springmill/emulator/FaultInjector.java
@@ -21,7 +21,7 @@
     private final EventLoop loop;
     private final Scenario scenario;
     private final EmulatedFleet fleet;
-    private final EmulatedKeyValueStore state;
+    private final EmulatedKeyValueStore store;
     private final ControllerGroup controllers;
     private final RuleChecker rules;
     private final List<Followed> followed = new ArrayList<>();
@@ -46,13 +46,13 @@
             EventLoop loop,
             Scenario scenario,
             EmulatedFleet fleet,
-            EmulatedKeyValueStore state,
+            EmulatedKeyValueStore store,
             ControllerGroup controllers,
             RuleChecker rules) {
         this.loop = loop;
         this.scenario = scenario;
         this.fleet = fleet;
-        this.state = state;
+        this.store = store;
         this.controllers = controllers;
         this.rules = rules;
     }
@@ -77,8 +77,8 @@
             case LEADER_KILLED -> controllers.killLeader();
             case CONTROLLERS_KILLED -> controllers.killAll();
             case STATE_SERVICE_DOWN -> {
-                state.setDown(true);
-                endAfter(fault, () -> state.setDown(false));
+                store.setDown(true);
+                endAfter(fault, () -> store.setDown(false));
             }
         }
     }
--- a/src/main/java/org/springmill/protocol/counterpart/WorkerSideMessages.java
+++ b/src/main/java/org/springmill/protocol/counterpart/WorkerSideMessages.java
@@ -68,22 +68,22 @@
     }
 
     /** Writes a worker's report. */
-    public static byte[] report(Heartbeat report) {
+    public static byte[] report(Heartbeat heartbeat) {
         return Json.write(
                 json -> {
-                    json.writeStringField("stone", report.machine());
-                    json.writeStringField("addr", report.address());
-                    json.writeStringField("frame", report.type());
-                    json.writeStringField("yard", report.zone());
-                    json.writeBooleanField("loaner", report.spot());
-                    json.writeNumberField("shift", report.epoch());
-                    json.writeNumberField("tally", report.sequence());
-                    json.writeNumberField("baton", report.fencingToken());
-                    if (report.preemptionNoticeSeconds() != null) {
-                        json.writeNumberField("warningS", report.preemptionNoticeSeconds());
+                    json.writeStringField("stone", heartbeat.machine());
+                    json.writeStringField("addr", heartbeat.address());
+                    json.writeStringField("frame", heartbeat.type());
+                    json.writeStringField("yard", heartbeat.zone());
+                    json.writeBooleanField("loaner", heartbeat.spot());
+                    json.writeNumberField("shift", heartbeat.epoch());
+                    json.writeNumberField("tally", heartbeat.sequence());
+                    json.writeNumberField("baton", heartbeat.fencingToken());
+                    if (heartbeat.preemptionNoticeSeconds() != null) {
+                        json.writeNumberField("warningS", heartbeat.preemptionNoticeSeconds());
                     }
                     json.writeArrayFieldStart("sacks");
-                    for (TaskStatus task : report.tasks()) {
+                    for (TaskStatus task : heartbeat.tasks()) {
                         json.writeStartObject();
                         json.writeStringField("sack", task.task().toString());
                         json.writeNumberField("try", task.attempt());
--- a/src/test/java/org/springmill/control/admission/MemoryBoundTest.java
+++ b/src/test/java/org/springmill/control/admission/MemoryBoundTest.java
@@ -22,11 +22,11 @@
             JOBS * ActiveJobs.bytesOf(job("red", Priority.LOW, 1, 0)) / MemoryBound.HEAP_SHARE;
 
     private final MemoryBound bound = new MemoryBound(HEAP_BYTES);
-    private final ActiveJobs live = new ActiveJobs(0);
+    private final ActiveJobs activeJobs = new ActiveJobs(0);
 
     private void fill(int jobs, Priority priority) {
         for (int i = 0; i < jobs; i++) {
-            live.add(job("team-" + i % 10, priority, 1, 0));
+            activeJobs.add(job("team-" + i % 10, priority, 1, 0));
         }
     }
 
@@ -34,33 +34,33 @@
     @CsvSource({"LOW, 700", "NORMAL, 800", "HIGH, 900", "PRODUCTION, 950"})
     void lowerPrioritiesAreRefusedEarlier(Priority priority, int jobs) {
         fill(jobs - 1, Priority.LOW);
-        assertEquals(0, bound.excess(live, 0, job("red", priority, 1, 0), false));
+        assertEquals(0, bound.excess(activeJobs, 0, job("red", priority, 1, 0), false));
         fill(1, Priority.LOW);
-        assertTrue(bound.excess(live, 0, job("red", priority, 1, 0), false) > 0);
+        assertTrue(bound.excess(activeJobs, 0, job("red", priority, 1, 0), false) > 0);
     }
 
     @Test
     void workWithinAGuaranteeHasTheWholeBound() {
         fill(999, Priority.PRODUCTION);
-        assertEquals(0, bound.excess(live, 0, job("red", Priority.LOW, 1, 0), true));
+        assertEquals(0, bound.excess(activeJobs, 0, job("red", Priority.LOW, 1, 0), true));
         fill(1, Priority.PRODUCTION);
-        assertTrue(bound.excess(live, 0, job("red", Priority.LOW, 1, 0), true) > 0);
+        assertTrue(bound.excess(activeJobs, 0, job("red", Priority.LOW, 1, 0), true) > 0);
     }
 
     @Test
     void oneTeamMayHoldHalfOfWhatItsPriorityMay() {
         for (int i = 0; i < 400; i++) {
-            assertEquals(0, bound.excess(live, 0, job("red", Priority.NORMAL, 1, 0), false));
-            live.add(job("red", Priority.NORMAL, 1, 0));
+            assertEquals(0, bound.excess(activeJobs, 0, job("red", Priority.NORMAL, 1, 0), false));
+            activeJobs.add(job("red", Priority.NORMAL, 1, 0));
         }
-        assertTrue(bound.excess(live, 0, job("red", Priority.NORMAL, 1, 0), false) > 0);
-        assertEquals(0, bound.excess(live, 0, job("blue", Priority.NORMAL, 1, 0), false));
+        assertTrue(bound.excess(activeJobs, 0, job("red", Priority.NORMAL, 1, 0), false) > 0);
+        assertEquals(0, bound.excess(activeJobs, 0, job("blue", Priority.NORMAL, 1, 0), false));
     }
 
     @Test
     void recordsOfEndedJobsCount() {
         long bytes = (long) (bound.bytes() * 0.7);
-        assertTrue(bound.excess(live, bytes, job("red", Priority.LOW, 1, 0), false) > 0);
+        assertTrue(bound.excess(activeJobs, bytes, job("red", Priority.LOW, 1, 0), false) > 0);
     }
 
     @ParameterizedTest
@@ -78,17 +78,19 @@
     void aJobIsWithinItsTeamsGuaranteeIfWhatItNeedsIsGuaranteed(
             double cpus, double gpus, int tasks, double gpusEach, boolean within) {
         Team team = new Team("red", cpus, 100, gpus, 100);
-        assertEquals(within, live.withinGuarantee(team, job("red", Priority.LOW, tasks, gpusEach)));
+        assertEquals(
+                within,
+                activeJobs.withinGuarantee(team, job("red", Priority.LOW, tasks, gpusEach)));
     }
 
     @Test
     void unfinishedJobsOfTheTeamTakePartOfTheGuarantee() {
         Team team = new Team("red", 0, 0, 8, 16);
         Submission earlier = job("red", Priority.LOW, 6, 1);
-        live.add(earlier);
-        assertTrue(!live.withinGuarantee(team, job("red", Priority.LOW, 3, 1)));
-        live.ended(earlier.id(), 1);
-        assertTrue(live.withinGuarantee(team, job("red", Priority.LOW, 3, 1)));
+        activeJobs.add(earlier);
+        assertTrue(!activeJobs.withinGuarantee(team, job("red", Priority.LOW, 3, 1)));
+        activeJobs.ended(earlier.id(), 1);
+        assertTrue(activeJobs.withinGuarantee(team, job("red", Priority.LOW, 3, 1)));
     }
 
     /** However often and in whatever order a job is told of, it counts once while it lives. */
--- a/src/test/java/org/springmill/control/autoscaling/ArrivalRateEstimatorTest.java
+++ b/src/test/java/org/springmill/control/autoscaling/ArrivalRateEstimatorTest.java
@@ -27,11 +27,11 @@
         "the whole window after the last,         431, 0",
     })
     void arrivalsOfThreeBootsCount(String situation, double now, int expected) {
-        ArrivalRateEstimator demand = new ArrivalRateEstimator(SettingsFixtures.small(), 0);
+        ArrivalRateEstimator arrivalRates = new ArrivalRateEstimator(SettingsFixtures.small(), 0);
         Submission job = PackingFixtures.job(1).build();
         for (double at = FIRST_ARRIVAL; at <= LAST_ARRIVAL; at += ARRIVAL_INTERVAL) {
-            demand.arrived(job, at, true);
+            arrivalRates.arrived(job, at, true);
         }
-        assertEquals(expected, demand.expected(job.jobClass(), BOOT_SECONDS, now), situation);
+        assertEquals(expected, arrivalRates.expected(job.jobClass(), BOOT_SECONDS, now), situation);
     }
 }
--- a/src/test/java/org/springmill/control/cluster/DependencyPriorityWorkTest.java
+++ b/src/test/java/org/springmill/control/cluster/DependencyPriorityWorkTest.java
@@ -37,20 +37,21 @@
 
     private final JobDirectory directory = directory();
     private final ClusterState clusterState = new ClusterState(SETTINGS);
-    private final DependencyPriority order = new DependencyPriority(directory, clusterState);
+    private final DependencyPriority dependencyPriority =
+            new DependencyPriority(directory, clusterState);
     private long steps;
     private long version;
 
     private static JobDirectory directory() {
         VirtualClock clock = new VirtualClock();
-        Timeouts timing = Timeouts.of(SETTINGS);
+        Timeouts timeouts = Timeouts.of(SETTINGS);
         KeyValueStoreClient store =
                 new KeyValueStoreClient(
                         (request, done) -> {},
                         clock,
                         SETTINGS,
-                        timing.storeRequestTimeoutSeconds());
-        return new JobDirectory(store, clock, timing, 1);
+                        timeouts.storeRequestTimeoutSeconds());
+        return new JobDirectory(store, clock, timeouts, 1);
     }
 
     private static String id(int number) {
@@ -93,13 +94,13 @@
     private Job admit(JobRecord record) {
         Job job = new Job(record.submission(), record.version());
         clusterState.add(job);
-        count(order.changed(job));
+        count(dependencyPriority.changed(job));
         return job;
     }
 
     private void end(Job job) {
         job.end(JobPhase.DONE, ++version, 0);
-        count(order.changed(job));
+        count(dependencyPriority.changed(job));
         clusterState.dropJob(job);
     }
 
@@ -111,7 +112,7 @@
     /** How many ticks it takes until nothing is left to be done. */
     private int settle() {
         for (int ticks = 0; ; ticks++) {
-            int stepsOfCall = order.settle();
+            int stepsOfCall = dependencyPriority.settle();
             if (stepsOfCall == 0) {
                 return ticks;
             }
--- a/src/test/java/org/springmill/control/history/HistoryArchiverTest.java
+++ b/src/test/java/org/springmill/control/history/HistoryArchiverTest.java
@@ -48,10 +48,10 @@
     private final Jobs jobs = new Jobs();
     private boolean opposed;
     private int answered;
-    private final HistoryMembership members =
+    private final HistoryMembership membership =
             new HistoryMembership(store, clock, "n-0", Set.of("n-1"), () -> opposed, PAUSE_SECONDS);
-    private final HistoryArchiver mover =
-            new HistoryArchiver(store, clock, members, jobs, RETENTION_SECONDS, PAUSE_SECONDS);
+    private final HistoryArchiver archiver =
+            new HistoryArchiver(store, clock, membership, jobs, RETENTION_SECONDS, PAUSE_SECONDS);
 
     private void send(Request request, Consumer<Reply> done) {
         if (request.path().equals("/commit")) {
@@ -107,7 +107,7 @@
 
     @BeforeEach
     void jobsHaveEnded() throws MalformedMessageException {
-        members.register();
+        membership.register();
         for (int i = 1; i <= 20; i++) {
             String id = "run-" + i;
             byte[] json = RECORD.formatted(id).getBytes(StandardCharsets.UTF_8);
@@ -116,9 +116,9 @@
                             .ended(JobPhase.DONE, clock.timeOfDay())
                             .committed(10 + i);
             jobs.records.put(id, record);
-            mover.ended(record);
+            archiver.ended(record);
         }
-        mover.start();
+        archiver.start();
     }
 
     private void answerLatest(int status, String body) {
--- a/src/test/java/org/springmill/control/jobs/JobRecordWatchTest.java
+++ b/src/test/java/org/springmill/control/jobs/JobRecordWatchTest.java
@@ -28,11 +28,11 @@
     private final List<Request> requests = new ArrayList<>();
     private final List<Consumer<Reply>> replies = new ArrayList<>();
     private final List<String> passedOn = new ArrayList<>();
-    private final JobRecordWatch feed = feed();
+    private final JobRecordWatch watch = feed();
 
     private JobRecordWatch feed() {
         Settings settings = SettingsFixtures.small();
-        Timeouts timing = Timeouts.of(settings);
+        Timeouts timeouts = Timeouts.of(settings);
         KeyValueStoreClient store =
                 new KeyValueStoreClient(
                         (request, done) -> {
@@ -41,8 +41,8 @@
                         },
                         clock,
                         settings,
-                        timing.storeRequestTimeoutSeconds());
-        return new JobRecordWatch(store, clock, timing, new Notes());
+                        timeouts.storeRequestTimeoutSeconds());
+        return new JobRecordWatch(store, clock, timeouts, new Notes());
     }
 
     private final class Notes implements JobRecordWatch.Listener {
@@ -80,14 +80,14 @@
      */
     @Test
     void aChangeThatABarrierHasPassedOnIsNotPassedOnAgain() {
-        feed.start();
+        watch.start();
         answer(0, 200, EMPTY_LIST);
-        feed.barrier(current -> passedOn.add("barrier " + current));
+        watch.barrier(current -> passedOn.add("barrier " + current));
         assertEquals(3, requests.size(), "list, watch, barrier");
         answer(2, 200, changes(9, CREATED, ENDED, DELETED));
         answer(1, 200, changes(6, CREATED));
         assertEquals(List.of("loaded", "put 6", "put 8", "deleted 9", "barrier true"), passedOn);
-        assertEquals(9, feed.cursor());
+        assertEquals(9, watch.cursor());
     }
 
     /**
@@ -96,7 +96,7 @@
      */
     @Test
     void recordsAreReadAgainWhenTooManyChangesWereMissed() {
-        feed.start();
+        watch.start();
         answer(0, 200, EMPTY_LIST);
         answer(1, 410, "{}");
         answer(
@@ -119,7 +119,7 @@
         String last =
                 "{\"pairs\":[{\"key\":\"job/run-2\",\"value\":{},\"stamp\":8}],"
                         + "\"truncated\":false,\"ledgerRev\":9}";
-        feed.start();
+        watch.start();
         answer(0, 200, first);
         assertEquals(List.of("put 3"), passedOn, "before the second page");
         answer(1, 503, "{}");
@@ -127,15 +127,15 @@
         answer(2, 200, first);
         answer(3, 200, last);
         assertEquals(List.of("put 3", "put 3", "put 8", "loaded"), passedOn);
-        assertEquals(7, feed.cursor(), "a watch goes on from the first page");
+        assertEquals(7, watch.cursor(), "a watch goes on from the first page");
     }
 
     /** A barrier has read of its end and its move while the list was on its way. */
     @Test
     void aRecordThatWasPassedOnBeforeIsNotPassedOnFromAList() {
-        feed.start();
+        watch.start();
         answer(0, 200, EMPTY_LIST);
-        feed.barrier(current -> passedOn.add("barrier " + current));
+        watch.barrier(current -> passedOn.add("barrier " + current));
         answer(1, 410, "{}");
         answer(2, 200, changes(9, CREATED, ENDED, DELETED));
         answer(
@@ -156,7 +156,7 @@
 
     @Test
     void aBarrierBeforeTheFirstReadingIsRefused() {
-        feed.barrier(current -> passedOn.add("barrier " + current));
+        watch.barrier(current -> passedOn.add("barrier " + current));
         assertEquals(List.of("barrier false"), passedOn);
         assertEquals(List.of(), requests);
     }
--- a/src/test/java/org/springmill/control/membership/PeersTest.java
+++ b/src/test/java/org/springmill/control/membership/PeersTest.java
@@ -46,26 +46,26 @@
                         listener = taker;
                     }
                 };
-        Timeouts timing = Timeouts.of(settings);
+        Timeouts timeouts = Timeouts.of(settings);
         KeyValueStoreClient store =
                 new KeyValueStoreClient(
                         (request, done) -> {},
                         clock,
                         settings,
-                        timing.storeRequestTimeoutSeconds());
+                        timeouts.storeRequestTimeoutSeconds());
         Peers peers =
                 new Peers(
                         link,
                         clock,
                         settings,
-                        timing,
-                        new JobDirectory(store, clock, timing, 1),
+                        timeouts,
+                        new JobDirectory(store, clock, timeouts, 1),
                         new StoreRateShares(
                                 clock,
                                 () -> 0,
                                 0.6,
                                 3,
-                                timing.leaderRenewIntervalSeconds(),
+                                timeouts.leaderRenewIntervalSeconds(),
                                 1.002,
                                 20),
                         () ->
--- a/src/test/java/org/springmill/control/recall/RecallCostMeasurement.java
+++ b/src/test/java/org/springmill/control/recall/RecallCostMeasurement.java
@@ -47,7 +47,7 @@
 
     private final VirtualClock clock = new VirtualClock();
     private final Settings settings;
-    private final Timeouts timing;
+    private final Timeouts timeouts;
     private final ClusterState clusterState;
     private final Fleet fleet;
     private final RecallPlanner planner;
@@ -55,17 +55,17 @@
 
     private RecallCostMeasurement(int machines) {
         settings = settings(machines);
-        timing = Timeouts.of(settings);
+        timeouts = Timeouts.of(settings);
         clusterState = new ClusterState(settings);
-        fleet = new Fleet(clusterState, null, clock, timing, 1, 3.5);
-        GracePeriods grace = new GracePeriods(timing, OperatorSettings.Borrowing.DEFAULTS);
+        fleet = new Fleet(clusterState, null, clock, timeouts, 1, 3.5);
+        GracePeriods grace = new GracePeriods(timeouts, OperatorSettings.Borrowing.DEFAULTS);
         planner =
                 new RecallPlanner(
                         fleet,
-                        new Placement(fleet, timing, CapacityFilter.NONE),
+                        new Placement(fleet, timeouts, CapacityFilter.NONE),
                         new RecallReservations(),
                         grace,
-                        timing);
+                        timeouts);
     }
 
     public static void main(String[] arguments) {
--- a/src/test/java/org/springmill/control/scheduling/FullRoundTest.java
+++ b/src/test/java/org/springmill/control/scheduling/FullRoundTest.java
@@ -32,19 +32,19 @@
     private static final long TOKEN = 1L << 20;
 
     private final VirtualClock clock = new VirtualClock();
-    private final Timeouts timing = Timeouts.of(SETTINGS);
+    private final Timeouts timeouts = Timeouts.of(SETTINGS);
     private final ClusterState clusterState = new ClusterState(SETTINGS);
-    private final Fleet fleet = new Fleet(clusterState, null, clock, timing, 1, 3.5);
-    private final Placement placement = new Placement(fleet, timing, CapacityFilter.NONE);
+    private final Fleet fleet = new Fleet(clusterState, null, clock, timeouts, 1, 3.5);
+    private final Placement placement = new Placement(fleet, timeouts, CapacityFilter.NONE);
     private final List<Job> jobs = new ArrayList<>();
 
     private void machineIsUp() {
         Machine machine = fleet.machine("host-000001");
         machine.describe("a:1", PackingFixtures.type("t", 1, "a"), "a", false);
         machine.transition(Machine.State.UP);
-        Heartbeat report =
+        Heartbeat heartbeat =
                 new Heartbeat("host-000001", "a:1", "t", "a", false, 1, 1, TOKEN, null, List.of());
-        machine.acceptHeartbeat(report, clock.now());
+        machine.acceptHeartbeat(heartbeat, clock.now());
     }
 
     private void jobsWait() {
--- a/src/test/java/org/springmill/measure/HistoryMeasurement.java
+++ b/src/test/java/org/springmill/measure/HistoryMeasurement.java
@@ -97,16 +97,16 @@
 
     private static Result measure(int jobs, boolean moved, String run) throws Exception {
         try (Transport transport = new Transport(200, Set.of())) {
-            EmulatedKeyValueStore state = new EmulatedKeyValueStore(transport.loop(), 8192, BATCH);
-            int statePort = transport.serve(HOST + 0, call -> answer(state, call));
+            EmulatedKeyValueStore store = new EmulatedKeyValueStore(transport.loop(), 8192, BATCH);
+            int statePort = transport.serve(HOST + 0, call -> answer(store, call));
             CompletableFuture<Void> filled = new CompletableFuture<>();
             transport
                     .loop()
                     .after(
                             0,
                             () -> {
-                                fill(state, jobs, moved);
-                                state.start();
+                                fill(store, jobs, moved);
+                                store.start();
                                 filled.complete(null);
                             });
             filled.get();
@@ -115,9 +115,9 @@
         }
     }
 
-    private static void answer(EmulatedKeyValueStore state, Call call) {
+    private static void answer(EmulatedKeyValueStore store, Call call) {
         String target = call.query().isEmpty() ? call.path() : call.path() + "?" + call.query();
-        state.handle(
+        store.handle(
                 "",
                 call.method(),
                 target,
@@ -133,14 +133,14 @@
         call.reply(200, text.getBytes(StandardCharsets.UTF_8), 0);
     }
 
-    private static void fill(EmulatedKeyValueStore state, int jobs, boolean moved) {
+    private static void fill(EmulatedKeyValueStore store, int jobs, boolean moved) {
         for (int from = 0; from < jobs; from += BATCH) {
             List<Write> writes = new ArrayList<>();
             for (int i = from; i < Math.min(jobs, from + BATCH); i++) {
                 writes.add(write(i, moved));
             }
             byte[] body = KeyValueStoreMessages.commit(List.of(), writes);
-            state.handle("", "POST", KeyValueStoreMessages.COMMIT, body, reply -> {});
+            store.handle("", "POST", KeyValueStoreMessages.COMMIT, body, reply -> {});
         }
     }
 
--- a/src/test/java/org/springmill/protocol/PeerMessagesTest.java
+++ b/src/test/java/org/springmill/protocol/PeerMessagesTest.java
@@ -179,11 +179,11 @@
     /** Told only by those who take part, so that every other status keeps its bytes. */
     @Test
     void theBoundedHistoryIsOneByteAfterTheNews() throws MalformedMessageException {
-        CancellationDelta news = new CancellationDelta(41, 7, false, true, List.of());
+        CancellationDelta delta = new CancellationDelta(41, 7, false, true, List.of());
         PeerStatus without =
-                new PeerStatus("n-1", 7, 3, true, false, true, 3, false, 250, 99, news);
+                new PeerStatus("n-1", 7, 3, true, false, true, 3, false, 250, 99, delta);
         PeerStatus with =
-                new PeerStatus("n-1", 7, 3, true, false, true, 3, false, 250, 99, news, true, 0);
+                new PeerStatus("n-1", 7, 3, true, false, true, 3, false, 250, 99, delta, true, 0);
         String hex = HexFormat.of().formatHex(PeerMessages.encode(without)) + "01";
         assertEquals(hex, HexFormat.of().formatHex(PeerMessages.encode(with)));
         assertEquals(with, PeerMessages.decode(HexFormat.of().parseHex(hex)));
--- a/src/test/java/org/springmill/sim/SimKeyValueStore.java
+++ b/src/test/java/org/springmill/sim/SimKeyValueStore.java
@@ -19,14 +19,14 @@
     private static final double MORE_LATE_SECONDS = 10;
 
     private final VirtualClock clock;
-    private final EmulatedKeyValueStore service;
+    private final EmulatedKeyValueStore store;
     private SplittableRandom random;
     private double delayedCommitShare;
     private Consumer<JsonNode> onCommit = transaction -> {};
 
     SimKeyValueStore(VirtualClock clock, int valueBytes, int writesPerCommit) {
         this.clock = clock;
-        service = new EmulatedKeyValueStore(clock, valueBytes, writesPerCommit);
+        store = new EmulatedKeyValueStore(clock, valueBytes, writesPerCommit);
     }
 
     void random(SplittableRandom source) {
@@ -35,32 +35,32 @@
 
     /** Begins to end leases that run out. */
     void start() {
-        service.start();
+        store.start();
     }
 
     /** Other limits from now on, without notice. What is stored stays. */
     public void limit(int bytes, int writes) {
-        service.limit(bytes, writes);
+        store.limit(bytes, writes);
     }
 
     /** Transactions refused for their size so far. */
     public int tooLarge() {
-        return service.tooLarge();
+        return store.tooLarge();
     }
 
     /** An outage; once it is over every lease has its full time again. */
     public void setDown(boolean nowDown) {
-        service.setDown(nowDown);
+        store.setDown(nowDown);
     }
 
     /** The changes so far are no longer kept: whoever asks for them has to read the keys anew. */
     public void forgetChanges() {
-        service.forgetChanges();
+        store.forgetChanges();
     }
 
     /** Answers one node 503 while the others are served; its leases run out. */
     public void refuse(int controller, boolean now) {
-        service.refuse(SimSettings.controllerName(controller), now);
+        store.refuse(SimSettings.controllerName(controller), now);
     }
 
     /**
@@ -73,22 +73,22 @@
 
     void calm() {
         delayedCommitShare = 0;
-        service.heal();
+        store.heal();
     }
 
     public JsonNode value(String key) {
-        return service.value(key);
+        return store.value(key);
     }
 
     public List<String> keysUnder(String prefix) {
-        return service.keysUnder(prefix);
+        return store.keysUnder(prefix);
     }
 
     void handle(String from, Request request, Consumer<Reply> done) {
         boolean late =
                 request.path().equals("/commit")
                         && delayedCommitShare > 0
-                        && !service.down()
+                        && !store.down()
                         && random.nextDouble() < delayedCommitShare;
         if (late) {
             commitLater(request, MIN_LATE_SECONDS + random.nextDouble() * MORE_LATE_SECONDS);
@@ -98,7 +98,7 @@
     }
 
     private void apply(String from, Request request, Consumer<Reply> done) {
-        service.handle(
+        store.handle(
                 from,
                 request.method(),
                 request.path(),
@@ -120,7 +120,7 @@
         clock.after(
                 delaySeconds,
                 () -> {
-                    if (service.down()) {
+                    if (store.down()) {
                         commitLater(request, 1);
                     } else {
                         apply("", request, reply -> {});
--- a/src/test/java/org/springmill/sim/SimulatedCluster.java
+++ b/src/test/java/org/springmill/sim/SimulatedCluster.java
@@ -26,7 +26,7 @@
     private static final ObjectMapper JSON = new ObjectMapper();
 
     private final VirtualClock clock = new VirtualClock();
-    private final SimKeyValueStore state =
+    private final SimKeyValueStore store =
             new SimKeyValueStore(clock, SimSettings.VALUE_BYTES, SimSettings.WRITES_PER_COMMIT);
     private final SimCloud cloud = new SimCloud(this);
     private final SimNetwork network = new SimNetwork(this);
@@ -67,9 +67,9 @@
         this.options = options;
         SplittableRandom random = new SplittableRandom(options.seed());
         network.random(random.split());
-        state.random(random.split());
+        store.random(random.split());
         users = new SimUsers(clock, network, invariants, random);
-        state.start();
+        store.start();
         for (int i = 0; i < SimSettings.CONTROLLERS; i++) {
             controllers[i] = newController(i);
         }
@@ -105,7 +105,7 @@
     }
 
     public SimKeyValueStore state() {
-        return state;
+        return store;
     }
 
     public SimCloud cloud() {
@@ -172,7 +172,7 @@
 
     /** The number of the controller whose leadership is on record, or -1. */
     public int leader() {
-        JsonNode record = state.value("leader");
+        JsonNode record = store.value("leader");
         return record == null ? -1 : SimSettings.controllerNumber(record.path("node").asText());
     }
 
@@ -207,7 +207,7 @@
     /** Failures of network and key-value store end, others may follow. */
     public void heal() {
         network.calm();
-        state.calm();
+        store.calm();
         peerNetwork.heal();
     }
 
@@ -270,7 +270,7 @@
     /** Delivers a request to whoever has the address. */
     void route(String from, Request request, Consumer<Reply> done) {
         if (request.address().equals(SimSettings.STATE_SERVICE)) {
-            state.handle(from, request, done);
+            store.handle(from, request, done);
         } else if (request.address().equals(SimSettings.CLOUD)) {
             done.accept(cloud.handle(request));
         } else if (SimSettings.isController(request.address())) {
