--- a/src/main/java/org/springmill/cli/EmulateCommand.java
+++ b/src/main/java/org/springmill/cli/EmulateCommand.java
@@ -18,7 +18,7 @@
         name = "emulate",
         mixinStandardHelpOptions = true,
         description = {
-            "Runs real controllers inside an emulated deployment on this machine: hollow workers,"
+            "Runs real controllers inside an emulated deployment on this machine: emulated workers,"
                     + " cloud, state service and users.",
             "Exit code 0: all rules held; 1: one was broken; 2: the scenario is wrong; 3: it"
                     + " could not be run."
--- a/src/main/java/org/springmill/control/autoscaling/MachineListing.java
+++ b/src/main/java/org/springmill/control/autoscaling/MachineListing.java
@@ -151,7 +151,7 @@
             if (first) {
                 // A new leader's token goes out at once, so that the worker stops obeying the old
                 // one.
-                machine.statusRequested = true;
+                machine.commandChannel().requestStatus();
             }
         }
         boolean failed = listed.phase() == MachinePhase.FAILED;
--- /dev/null
+++ b/src/main/java/org/springmill/control/cluster/CommandChannel.java
@@ -0,0 +1,58 @@
+package org.springmill.control.cluster;
+
+/**
+ * How far the sending of commands to one worker is: one request at a time, with pauses after
+ * failures. Times are seconds on the steady clock of the leader.
+ */
+public final class CommandChannel {
+    private boolean requestInFlight;
+    private boolean statusRequested;
+    private double nextRequestAt;
+    private double nextUnknownTaskCleanupAt;
+
+    /** Has the worker asked for its status even if no command is due. */
+    public void requestStatus() {
+        statusRequested = true;
+    }
+
+    /** Whether a request is to be sent even without a command. */
+    public boolean isStatusRequested() {
+        return statusRequested;
+    }
+
+    /** Whether a request was sent that has neither been answered nor timed out. */
+    public boolean isRequestInFlight() {
+        return requestInFlight;
+    }
+
+    /** Whether a request may be sent now. */
+    public boolean isReady(double now) {
+        return !requestInFlight && now >= nextRequestAt;
+    }
+
+    /** Records that a request is on its way; its response tells the status as well. */
+    public void requestSent() {
+        statusRequested = false;
+        requestInFlight = true;
+    }
+
+    /** Records that the request was answered, or timed out. */
+    public void requestEnded() {
+        requestInFlight = false;
+    }
+
+    /** Sends nothing before the given time. */
+    public void pauseUntil(double time) {
+        nextRequestAt = time;
+    }
+
+    /** Whether commands that remove unknown tasks may be sent now. */
+    public boolean isCleanupDue(double now) {
+        return now >= nextUnknownTaskCleanupAt;
+    }
+
+    /** Sends no commands that remove unknown tasks before the given time. */
+    public void postponeCleanupUntil(double time) {
+        nextUnknownTaskCleanupAt = time;
+    }
+}
--- a/src/main/java/org/springmill/control/cluster/Machine.java
+++ b/src/main/java/org/springmill/control/cluster/Machine.java
@@ -61,12 +61,7 @@
     private List<TaskStatus> reportedTasks = List.of();
     private boolean reportedTasksAllKnown = true;
     private boolean draining;
-
-    // The sending of commands; see CommandDispatcher.
-    public boolean commandsInFlight;
-    public boolean statusRequested;
-    public double nextCommandsAt;
-    public double nextUnknownTaskCleanupAt;
+    private final CommandChannel commandChannel = new CommandChannel();
 
     public Machine(String name, long term, double now) {
         this.name = name;
@@ -175,6 +170,11 @@
         return idleSince;
     }
 
+    /** How far the sending of commands to its worker is. */
+    public CommandChannel commandChannel() {
+        return commandChannel;
+    }
+
     /** How far the messages exchanged with its worker have come. */
     public WorkerEpoch workerEpoch() {
         return workerEpoch;
--- a/src/main/java/org/springmill/control/controller/Leader.java
+++ b/src/main/java/org/springmill/control/controller/Leader.java
@@ -315,7 +315,7 @@
                 log.kept());
         autoscaler.start(log.kept() == 0);
         for (Machine machine : fleet.machinesNow()) {
-            machine.statusRequested = true;
+            machine.commandChannel().requestStatus();
             dispatcher.requestSend(machine);
         }
         for (Job job : new ArrayList<>(clusterState.jobs().values())) {
@@ -355,7 +355,7 @@
         for (Machine machine : fleet.machinesNow()) {
             if (machine.state() == Machine.State.UP
                     && loop.now() - machine.lastHeartbeatAt() > timeouts.probeAfterSeconds()) {
-                machine.statusRequested = true;
+                machine.commandChannel().requestStatus();
             }
             dispatcher.requestSend(machine);
             if (machine.state() == Machine.State.TERMINATED && machine.attempts().isEmpty()) {
--- a/src/main/java/org/springmill/control/workers/CommandDispatcher.java
+++ b/src/main/java/org/springmill/control/workers/CommandDispatcher.java
@@ -88,12 +88,11 @@
         }
         List<Command> due = machine.epoch() == 0 ? List.of() : due(machine);
         boolean probe = due.isEmpty() && machine.epoch() == 0;
-        boolean nothingToAsk = due.isEmpty() && !machine.statusRequested;
+        boolean nothingToAsk = due.isEmpty() && !machine.commandChannel().isStatusRequested();
         if (nothingToAsk || (probe && probes >= maxProbes())) {
             return;
         }
-        machine.statusRequested = false;
-        machine.commandsInFlight = true;
+        machine.commandChannel().requestSent();
         probes += probe ? 1 : 0;
         // A worker that has not reported yet is most likely in its first session; if not, its
         // refusal tells.
@@ -122,28 +121,27 @@
                 machine.state() == Machine.State.UP
                         || machine.state() == Machine.State.PROVISIONING;
         return mayRun
-                && !machine.commandsInFlight
-                && fleet.now() >= machine.nextCommandsAt
+                && machine.commandChannel().isReady(fleet.now())
                 && !machine.address().isEmpty();
     }
 
     private void responseReceived(Machine machine, Reply reply) {
-        machine.commandsInFlight = false;
+        machine.commandChannel().requestEnded();
         if (closed) {
             return;
         }
         if (reply.status() != OK && reply.status() != CONFLICT) {
             LOG.debug("{} gives no answer to orders ({})", machine.name(), reply.status());
             machine.commandsFailed();
-            machine.statusRequested = true;
-            machine.nextCommandsAt = fleet.now() + resendIntervalSeconds();
+            machine.commandChannel().requestStatus();
+            machine.commandChannel().pauseUntil(fleet.now() + resendIntervalSeconds());
             return;
         }
         machine.commandsSucceeded();
         acceptHeartbeat(machine, reply);
         if (reply.status() == CONFLICT) {
             double pauseSeconds = resendIntervalSeconds() / SOONER_AFTER_REFUSAL_RATIO;
-            machine.nextCommandsAt = fleet.now() + pauseSeconds;
+            machine.commandChannel().pauseUntil(fleet.now() + pauseSeconds);
         }
         requestSend(machine);
     }
@@ -185,7 +183,7 @@
                 }
                 case UNKNOWN -> {
                     attempt.scheduleResend(now + resendIntervalSeconds());
-                    machine.statusRequested = true;
+                    machine.commandChannel().requestStatus();
                     raiseToken |= startMayBeOnTheWay(machine, attempt);
                 }
                 default -> {}
@@ -230,7 +228,7 @@
      *     up by the network would run anew, so it is made void first
      */
     private boolean removeUnknownTasks(Machine machine, double now, List<Command> commands) {
-        if (now < machine.nextUnknownTaskCleanupAt || machine.reportedTasksAllKnown()) {
+        if (!machine.commandChannel().isCleanupDue(now) || machine.reportedTasksAllKnown()) {
             return false;
         }
         boolean raiseToken = false;
@@ -240,7 +238,7 @@
                 continue;
             }
             allKnown = false;
-            machine.nextUnknownTaskCleanupAt = now + resendIntervalSeconds();
+            machine.commandChannel().postponeCleanupUntil(now + resendIntervalSeconds());
             if (task.state() == TaskState.EXITED) {
                 commands.add(new Forget(task.task(), task.attempt()));
                 raiseToken = true;
--- a/src/main/java/org/springmill/control/workers/HeartbeatHandler.java
+++ b/src/main/java/org/springmill/control/workers/HeartbeatHandler.java
@@ -74,7 +74,7 @@
         List<Command> commands = term.rebuilt() ? List.of() : directory.stopCommandsFor(heartbeat);
         if (term.rebuilt()
                 && machine.commandsFailing()
-                && !machine.commandsInFlight
+                && !machine.commandChannel().isRequestInFlight()
                 && heartbeat.epoch() == machine.epoch()) {
             commands = dispatcher.due(machine);
         }
--- a/src/main/java/org/springmill/emulator/EmulatedCloud.java
+++ b/src/main/java/org/springmill/emulator/EmulatedCloud.java
@@ -18,8 +18,8 @@
 import org.springmill.transport.HttpHandler.Call;
 
 /**
- * A cloud by the published protocol: rents, lists and deletes hollow machines, as many of each type
- * as the scenario has. Its list lags.
+ * A cloud by the published protocol: rents, lists and deletes emulated machines, as many of each
+ * type as the scenario has. Its list lags.
  */
 final class EmulatedCloud {
     private static final int LIST_LIMIT = CloudMessages.MAX_LISTED;
--- a/src/main/java/org/springmill/emulator/EmulatedFleet.java
+++ b/src/main/java/org/springmill/emulator/EmulatedFleet.java
@@ -13,7 +13,7 @@
 import org.springmill.transport.Transport;
 
 /**
- * All hollow workers, spread over a few event loops, each with an address of its own on loopback.
+ * All emulated workers, spread over a few event loops, each with an address of its own on loopback.
  * Called from one thread; each worker then lives on its loop.
  */
 final class EmulatedFleet implements EmulatedCloud.Machines {
--- a/src/main/java/org/springmill/emulator/package-info.java
+++ b/src/main/java/org/springmill/emulator/package-info.java
@@ -1,5 +1,5 @@
 /**
- * An emulated deployment on one machine: hollow workers, cloud, key-value store and users, by the
+ * An emulated deployment on one machine: emulated workers, cloud, key-value store and users, by the
  * published protocol, around real controller processes. It measures what controllers need at a
  * given size and in failures, and checks from outside that the protocol's rules hold.
  *
