--- /dev/null
+++ b/src/main/java/org/springmill/control/storage/CommitQueue.java
@@ -0,0 +1,195 @@
+package org.springmill.control.storage;
+
+import java.util.ArrayDeque;
+import java.util.function.BiConsumer;
+import java.util.function.Consumer;
+import org.springmill.control.storage.KeyValueStoreClient.RateShare;
+import org.springmill.protocol.Settings;
+import org.springmill.transport.EventLoop;
+import org.springmill.transport.HttpClient.Reply;
+import org.springmill.transport.HttpClient.Request;
+
+/**
+ * Transactions that wait until this controller's share of the key-value store's rate limits lets
+ * them be sent. There is one queue for work that was accepted and one for the acceptance of new
+ * work; the two take turns.
+ */
+final class CommitQueue {
+    /** Of the requests that the store takes, the part for transactions of all controllers. */
+    private static final double COMMIT_REQUEST_SHARE = 0.4;
+
+    /**
+     * Of what the store takes in a second, what a controller that has sent little may send at once,
+     * whatever its share: users come in bursts, and seldom to all controllers at the same moment.
+     * If they do, the store answers some with 429, and those are sent again.
+     */
+    private static final double BURST_SHARE = 0.4;
+
+    /** The share may grow during a wait, so a wait is cut into parts of the request timeout. */
+    private static final double MAX_WAIT_TO_TIMEOUT = 0.25;
+
+    private final EventLoop loop;
+    private final BiConsumer<Request, Consumer<Reply>> sender;
+    private final double timeoutSeconds;
+    private final double commitsPerSecond;
+    private final double writesPerSecond;
+    private final RateLimit commitLimit;
+    private final RateLimit writeLimit;
+
+    /** Transactions on which work that was accepted depends. */
+    private final ArrayDeque<QueuedCommit> workQueue = new ArrayDeque<>();
+
+    /** Transactions that accept new work. */
+    private final ArrayDeque<QueuedCommit> acceptanceQueue = new ArrayDeque<>();
+
+    /** The queue that the latest transaction came from. */
+    private ArrayDeque<QueuedCommit> lastServedQueue = acceptanceQueue;
+
+    private RateShare share = RateShare.WHOLE;
+    private int queuedWrites;
+    private boolean isDrainScheduled;
+
+    /**
+     * A transaction that waits for its turn.
+     *
+     * @param writes number of its writes
+     * @param onReply takes the reply, or {@link Reply#NOT_SENT}
+     */
+    record QueuedCommit(Request request, int writes, Consumer<Reply> onReply) {}
+
+    /**
+     * An empty queue.
+     *
+     * @param limits what the store takes from all controllers together
+     * @param sender sends a request at once and passes its reply on
+     */
+    CommitQueue(
+            EventLoop loop,
+            Settings.StoreLimits limits,
+            double timeoutSeconds,
+            BiConsumer<Request, Consumer<Reply>> sender) {
+        this.loop = loop;
+        this.timeoutSeconds = timeoutSeconds;
+        this.sender = sender;
+        commitsPerSecond = limits.requestsPerSecond() * COMMIT_REQUEST_SHARE;
+        writesPerSecond = limits.writesPerSecond();
+        commitLimit = new RateLimit(commitsPerSecond, loop.now());
+        writeLimit = new RateLimit(writesPerSecond, loop.now());
+    }
+
+    /** Keeps to a share of the rate limits from now on. */
+    void useShare(RateShare newShare) {
+        share = newShare;
+        applyShare();
+    }
+
+    private void applyShare() {
+        double current = share.current();
+        double now = loop.now();
+        commitLimit.setRate(commitsPerSecond * current, commitsPerSecond * BURST_SHARE, now);
+        writeLimit.setRate(writesPerSecond * current, writesPerSecond * BURST_SHARE, now);
+    }
+
+    /** Number of transactions in both queues. */
+    int size() {
+        return workQueue.size() + acceptanceQueue.size();
+    }
+
+    /** Seconds that one more transaction of so many writes would wait under the present share. */
+    double expectedWaitSeconds(int writes) {
+        applyShare();
+        double forWrites = writeLimit.secondsUntil(queuedWrites + writes, loop.now());
+        double forCommits = commitLimit.secondsUntil(size() + 1, loop.now());
+        return Math.max(forWrites, forCommits);
+    }
+
+    /** Adds a transaction on which accepted work depends. */
+    void addWork(QueuedCommit commit) {
+        enqueue(workQueue, commit);
+    }
+
+    /**
+     * Adds a transaction that accepts new work. Unless it is sent by the given time, it is removed
+     * and its reply is {@link Reply#NOT_SENT}.
+     */
+    void addAcceptance(QueuedCommit commit, double sendBy) {
+        enqueue(acceptanceQueue, commit);
+        if (acceptanceQueue.contains(commit)) {
+            loop.after(sendBy - loop.now(), () -> abandon(commit));
+        }
+    }
+
+    private void abandon(QueuedCommit commit) {
+        if (acceptanceQueue.remove(commit)) {
+            addQueuedWrites(-commit.writes());
+            commit.onReply().accept(Reply.NOT_SENT);
+        }
+    }
+
+    private void enqueue(ArrayDeque<QueuedCommit> queue, QueuedCommit commit) {
+        queue.add(commit);
+        addQueuedWrites(commit.writes());
+        if (!isDrainScheduled || queue == workQueue) {
+            drain();
+        }
+    }
+
+    private void addQueuedWrites(int change) {
+        queuedWrites += change;
+        share.queued(queuedWrites);
+    }
+
+    private void drain() {
+        while (size() > 0) {
+            applyShare();
+            ArrayDeque<QueuedCommit> queue = nextQueue();
+            double waitSeconds = waitSeconds(queue.peek());
+            if (waitSeconds > 0) {
+                scheduleDrain(waitSeconds);
+                return;
+            }
+            QueuedCommit next = queue.poll();
+            lastServedQueue = queue;
+            addQueuedWrites(-next.writes());
+            consumeRate(next);
+            sender.accept(next.request(), next.onReply());
+        }
+    }
+
+    private double waitSeconds(QueuedCommit next) {
+        double forCommits = commitLimit.waitFor(1, loop.now());
+        double forWrites = writeLimit.waitFor(next.writes(), loop.now());
+        return Math.max(forCommits, forWrites);
+    }
+
+    private void consumeRate(QueuedCommit commit) {
+        commitLimit.take(1, loop.now());
+        writeLimit.take(commit.writes(), loop.now());
+        share.sent(commit.writes());
+    }
+
+    /**
+     * The queues take turns. Where work always went first, submissions at a leader with many rounds
+     * waited for seconds. In turns each waits for one round, which has many more writes than it.
+     */
+    private ArrayDeque<QueuedCommit> nextQueue() {
+        if (workQueue.isEmpty()) {
+            return acceptanceQueue;
+        }
+        boolean workWasServed = lastServedQueue == workQueue;
+        return workWasServed && !acceptanceQueue.isEmpty() ? acceptanceQueue : workQueue;
+    }
+
+    private void scheduleDrain(double waitSeconds) {
+        if (isDrainScheduled) {
+            return;
+        }
+        isDrainScheduled = true;
+        loop.after(
+                Math.min(waitSeconds, timeoutSeconds * MAX_WAIT_TO_TIMEOUT),
+                () -> {
+                    isDrainScheduled = false;
+                    drain();
+                });
+    }
+}
--- /dev/null
+++ b/src/main/java/org/springmill/control/storage/CommitResponses.java
@@ -0,0 +1,111 @@
+package org.springmill.control.storage;
+
+import java.nio.charset.StandardCharsets;
+import java.util.List;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+import org.springmill.control.storage.KeyValueStoreClient.CommitOutcome;
+import org.springmill.control.storage.KeyValueStoreClient.CommitResult;
+import org.springmill.protocol.Json;
+import org.springmill.protocol.KeyValueStoreMessages;
+import org.springmill.protocol.KeyValueStoreMessages.Write;
+import org.springmill.protocol.MalformedMessageException;
+import org.springmill.protocol.Settings.StoreLimits;
+import org.springmill.transport.HttpClient.Reply;
+
+/**
+ * Turns responses to transactions into results, and lowers the size limits when the key-value store
+ * takes less than the settings say.
+ */
+final class CommitResponses {
+    /** Log lines of the parts of the client stand under its name. */
+    private static final Logger LOG = LoggerFactory.getLogger(KeyValueStoreClient.class);
+
+    private StoreLimits limits;
+
+    /** Begins with the limits of the settings. */
+    CommitResponses(StoreLimits configured) {
+        limits = configured;
+    }
+
+    /** The size limits that records and transactions have to keep to now. */
+    StoreLimits limits() {
+        return limits;
+    }
+
+    /**
+     * The result of a transaction.
+     *
+     * @param writes the writes of the transaction
+     * @param encodedUnder the limits in force when the transaction was put together
+     */
+    CommitResult interpret(Reply reply, List<Write> writes, StoreLimits encodedUnder) {
+        try {
+            return switch (reply.status()) {
+                case 200 -> committed(reply);
+                case 409 -> conditionFailed(reply);
+                case 400 -> refused(reply, writes, encodedUnder);
+                case 429, 503, -1 -> withoutRevision(CommitOutcome.RETRYABLE);
+                default -> withoutRevision(CommitOutcome.UNKNOWN);
+            };
+        } catch (MalformedMessageException e) {
+            LOG.warn("malformed response of the key-value store: {}", e.getMessage());
+            return withoutRevision(CommitOutcome.UNKNOWN);
+        }
+    }
+
+    private static CommitResult committed(Reply reply) throws MalformedMessageException {
+        long revision = KeyValueStoreMessages.revision(reply.body());
+        return new CommitResult(CommitOutcome.COMMITTED, revision, List.of());
+    }
+
+    private static CommitResult conditionFailed(Reply reply) throws MalformedMessageException {
+        List<String> failedKeys = KeyValueStoreMessages.failed(reply.body());
+        return new CommitResult(CommitOutcome.REJECTED, 0, failedKeys);
+    }
+
+    private CommitResult refused(Reply reply, List<Write> writes, StoreLimits encodedUnder)
+            throws MalformedMessageException {
+        LOG.debug(
+                "key-value store refused a commit: {}",
+                new String(reply.body(), StandardCharsets.UTF_8));
+        boolean leaseEnded = KeyValueStoreMessages.leaseEnded(reply.body());
+        boolean tooLarge = !leaseEnded && mayBeTooLarge(writes, encodedUnder);
+        return withoutRevision(tooLarge ? CommitOutcome.TOO_LARGE : CommitOutcome.REJECTED);
+    }
+
+    private static CommitResult withoutRevision(CommitOutcome outcome) {
+        return new CommitResult(outcome, 0, List.of());
+    }
+
+    /**
+     * Whether a refused transaction may have been too large rather than malformed: it would be
+     * smaller under half the limits that it was put together under. The limits are halved then, so
+     * the retries end.
+     */
+    private boolean mayBeTooLarge(List<Write> writes, StoreLimits encodedUnder) {
+        StoreLimits halved = encodedUnder.halved();
+        boolean valuesFit = largestValueBytes(writes) <= halved.valueBytes();
+        if (valuesFit && writes.size() <= halved.writesPerCommit()) {
+            return false;
+        }
+        if (limits.equals(encodedUnder)) {
+            limits = halved;
+            LOG.warn(
+                    "key-value store takes less than its settings say: limits lowered to {} writes"
+                            + " of {} bytes",
+                    halved.writesPerCommit(),
+                    halved.valueBytes());
+        }
+        return true;
+    }
+
+    private static int largestValueBytes(List<Write> writes) {
+        int largest = 0;
+        for (Write write : writes) {
+            int bytes = write.value() == null ? 0 : Json.bytes(write.value()).length;
+            largest = Math.max(largest, bytes);
+        }
+        return largest;
+    }
+}
--- a/src/main/java/org/springmill/control/storage/KeyValueStoreClient.java
+++ b/src/main/java/org/springmill/control/storage/KeyValueStoreClient.java
@@ -1,21 +1,16 @@
 package org.springmill.control.storage;
 
-import java.util.ArrayDeque;
-import java.util.ArrayList;
 import java.util.List;
 import java.util.function.Consumer;
 import java.util.function.DoubleConsumer;
 import java.util.function.LongConsumer;
-import org.slf4j.Logger;
-import org.slf4j.LoggerFactory;
-import org.springmill.protocol.Json;
+import org.springmill.control.storage.CommitQueue.QueuedCommit;
 import org.springmill.protocol.KeyValueStoreMessages;
 import org.springmill.protocol.KeyValueStoreMessages.Changes;
 import org.springmill.protocol.KeyValueStoreMessages.Condition;
 import org.springmill.protocol.KeyValueStoreMessages.Entry;
 import org.springmill.protocol.KeyValueStoreMessages.Page;
 import org.springmill.protocol.KeyValueStoreMessages.Write;
-import org.springmill.protocol.MalformedMessageException;
 import org.springmill.protocol.Settings;
 import org.springmill.transport.EventLoop;
 import org.springmill.transport.HttpClient;
@@ -23,61 +18,31 @@
 import org.springmill.transport.HttpClient.Request;
 
 /**
- * The key-value store, with this controller's share of its limits: transactions wait for their turn
- * in a queue, everything else is sent at once.
+ * Client of the consensus-backed key-value store. Transactions wait in a queue for this
+ * controller's share of the store's rate limits; reads and lease requests are few and others wait
+ * for them, so they are sent at once.
  */
 public final class KeyValueStoreClient {
-    private static final Logger LOG = LoggerFactory.getLogger(KeyValueStoreClient.class);
-    private static final byte[] EMPTY = new byte[0];
-    private static final long FIRST_PAGE = -1;
-    private static final long NOT_READ = -1;
-
-    /** Of the requests that the service takes, what transactions of all controllers may be. */
-    private static final double COMMIT_REQUEST_SHARE = 0.4;
-
-    /**
-     * Of what the service takes in a second, what a controller that has sent little may send at
-     * once, whatever its share: users come in bursts, and seldom to all controllers at the same
-     * moment. If they do, the service answers some with 429, which are sent again.
-     */
-    private static final double BURST_SHARE = 0.4;
-
-    /** Of the requests, what read barriers of all controllers may be. */
+    /** Of the requests that the store takes, the part for read barriers of all controllers. */
     private static final double BARRIER_REQUEST_SHARE = 0.4;
 
-    /** Of the requests, what lookups of moved records by all controllers may be. */
+    /** Of the requests, the part for lookups of archived records by all controllers. */
     private static final double LOOKUP_REQUEST_SHARE = 0.15;
 
-    private final HttpClient http;
+    private static final int NOT_FOUND = 404;
+
     private final EventLoop loop;
     private final Settings settings;
     private final double timeoutSeconds;
-    private final RateLimit requests;
-    private final RateLimit writes;
-
-    /** Transactions on which work that was accepted depends. */
-    private final ArrayDeque<QueuedCommit> workQueue = new ArrayDeque<>();
+    private final KeyValueStoreConnection connection;
+    private final KeyValueStoreReads reads;
+    private final CommitQueue commitQueue;
+    private final CommitResponses commitResponses;
+    private DoubleConsumer onCommit = requestedAt -> {};
 
-    /** Transactions that accept new work. */
-    private final ArrayDeque<QueuedCommit> acceptanceQueue = new ArrayDeque<>();
-
-    /** The queue that the latest transaction came from. */
-    private ArrayDeque<QueuedCommit> servedQueue = acceptanceQueue;
-
-    private RateShare share = RateShare.WHOLE;
-    private Settings.StoreLimits limits;
-    private int queuedWrites;
-    private boolean draining;
-    private boolean reachable;
-    private boolean isRefusing;
-    private double lastServed = Double.NEGATIVE_INFINITY;
-    private DoubleConsumer onCommit = since -> {};
-
-    private record QueuedCommit(Request request, int writes, Consumer<Reply> done) {}
-
-    /** This controller's share of what the key-value store takes from all of them. */
+    /** This controller's share of the rate limits of the key-value store. */
     public interface RateShare {
-        /** All of it, for as long as nothing else is said. */
+        /** The whole of the limits, which applies until another share is set. */
         RateShare WHOLE =
                 new RateShare() {
                     @Override
@@ -86,474 +51,268 @@
                     }
 
                     @Override
-                    public void sent(int changes) {}
+                    public void sent(int writes) {}
 
                     @Override
-                    public void queued(int changes) {}
+                    public void queued(int writes) {}
                 };
 
-        /** The share that may be used at this moment. */
+        /** The share that may be used now, between 0 and 1. */
         double current();
 
-        /** Told of changes that were sent. */
-        void sent(int changes);
+        /** Called when a transaction of so many writes was sent. */
+        void sent(int writes);
 
-        /** Told of how many changes wait for their turn. */
-        void queued(int changes);
+        /** Called with the number of queued writes whenever it has changed. */
+        void queued(int writes);
     }
 
-    /** How a commit ended. */
+    /** How a transaction ended. */
     public enum CommitOutcome {
+        /** Applied. */
         COMMITTED,
         /**
-         * A condition did not hold, the lease named has ended, or the form is wrong; nothing was
-         * changed.
+         * A condition did not hold, a lease that it names has expired, or the store found it
+         * malformed; nothing was changed.
          */
         REJECTED,
         /**
-         * Larger than the service takes; nothing was changed. From now on smaller limits are kept
-         * to.
+         * Larger than the store takes; nothing was changed. {@link #limits} are lower from now on.
          */
         TOO_LARGE,
-        /** Nothing was changed, but the same may be tried again. */
+        /** Nothing was changed; the same transaction may be sent again. */
         RETRYABLE,
-        /** No answer: it may have been applied, or may yet be. */
+        /** No response: it may have been applied, or may be applied later. */
         UNKNOWN
     }
 
     /**
-     * What came of a transaction.
+     * The result of a transaction.
      *
-     * @param revision of the commit, when it was applied
+     * @param revision of the commit if it was applied, else 0
      * @param failed keys whose conditions did not hold
      */
     public record CommitResult(CommitOutcome outcome, long revision, List<String> failed) {}
 
-    /** How a renewal ended. */
+    /** How the renewal of a lease ended. */
     public enum LeaseRenewal {
+        /** The lease is valid for another whole time to live. */
         RENEWED,
+        /** The lease has expired or was revoked. */
         ENDED,
+        /** No usable response: the lease may or may not have been renewed. */
         UNKNOWN
     }
 
-    /** A read: served or not, and if served the entry, or its absence at a revision. */
+    /**
+     * The result of a read of one key.
+     *
+     * @param served whether the store answered
+     * @param entry null if the key is absent or the read was not served
+     * @param revision at which the key was absent; 0 otherwise
+     */
     public record ReadResult(boolean served, Entry entry, long revision) {}
 
+    /**
+     * The result of a read of changes.
+     *
+     * @param changes null if not served
+     * @param tooOld whether the store no longer has the changes since that revision, so that the
+     *     keys have to be listed anew
+     */
+    public record ChangesResult(Changes changes, boolean tooOld) {}
+
+    /**
+     * A client that may use the whole of the rate limits until {@link #useShare} sets a share.
+     *
+     * @param timeoutSeconds for a request that the store answers without waiting
+     */
     public KeyValueStoreClient(
             HttpClient http, EventLoop loop, Settings settings, double timeoutSeconds) {
-        this.http = http;
         this.loop = loop;
         this.settings = settings;
         this.timeoutSeconds = timeoutSeconds;
-        limits = settings.storeLimits();
-        double commitsPerSecond = settings.storeLimits().requestsPerSecond() * COMMIT_REQUEST_SHARE;
-        requests = new RateLimit(commitsPerSecond, loop.now());
-        writes = new RateLimit(settings.storeLimits().writesPerSecond(), loop.now());
-    }
-
-    /** From now on keeps to a share of the limits. */
-    public void useShare(RateShare newShare) {
-        share = newShare;
-        applyShare();
+        connection = new KeyValueStoreConnection(http, loop, settings.storeAddress());
+        reads = new KeyValueStoreReads(connection, timeoutSeconds);
+        commitQueue =
+                new CommitQueue(loop, settings.storeLimits(), timeoutSeconds, connection::send);
+        commitResponses = new CommitResponses(settings.storeLimits());
     }
 
-    private void applyShare() {
-        double current = share.current();
-        double commitsPerSecond = settings.storeLimits().requestsPerSecond() * COMMIT_REQUEST_SHARE;
-        double writesPerSecond = settings.storeLimits().writesPerSecond();
-        requests.setRate(commitsPerSecond * current, commitsPerSecond * BURST_SHARE, loop.now());
-        writes.setRate(writesPerSecond * current, writesPerSecond * BURST_SHARE, loop.now());
+    /** Keeps to a share of the rate limits from now on. */
+    public void useShare(RateShare share) {
+        commitQueue.useShare(share);
     }
 
-    /** Whether the last request that came to an end was served. */
+    /** Whether the latest request that ended was served. */
     public boolean reachable() {
-        return reachable;
+        return connection.isReachable();
     }
 
     /**
-     * Whether its last answer was that it serves nothing: it, or the way to it, was there to say
-     * so.
+     * Whether a request was answered, with the status that the service is unavailable, since the
+     * latest one that was served: the store, or a proxy before it, can be reached over the network.
      */
     public boolean isRefusing() {
-        return isRefusing;
+        return connection.isRefusing();
     }
 
+    /** When the latest served request ended, in seconds of the loop's clock. */
     public double lastServed() {
-        return lastServed;
+        return connection.lastServedAt();
     }
 
-    /** Told of every commit that was answered, with the time at which it was asked for. */
-    public void onCommit(DoubleConsumer taker) {
-        onCommit = taker;
+    /**
+     * Sets what is called for every transaction that was answered, with the time at which it was
+     * asked for in seconds of the loop's clock.
+     */
+    public void onCommit(DoubleConsumer listener) {
+        onCommit = listener;
     }
 
     /** Read barriers that this controller may ask for in a second. */
     public double barriersPerSecond() {
-        return settings.storeLimits().requestsPerSecond()
-                * BARRIER_REQUEST_SHARE
-                / settings.controllers();
+        return requestsPerSecond(BARRIER_REQUEST_SHARE);
     }
 
-    /** Lookups of moved records that this controller may ask for in a second. */
+    /** Lookups of archived records that this controller may ask for in a second. */
     public double lookupsPerSecond() {
-        return settings.storeLimits().requestsPerSecond()
-                * LOOKUP_REQUEST_SHARE
-                / settings.controllers();
+        return requestsPerSecond(LOOKUP_REQUEST_SHARE);
     }
 
-    /** Transactions that wait for their turn; a measure of overload. */
+    private double requestsPerSecond(double share) {
+        return settings.storeLimits().requestsPerSecond() * share / settings.controllers();
+    }
+
+    /** Number of queued transactions; a measure of overload. */
     public int backlog() {
-        return workQueue.size() + acceptanceQueue.size();
+        return commitQueue.size();
     }
 
-    /** How long one more transaction of so many changes would wait, by the present share. */
-    public double expectedWaitSeconds(int changes) {
-        applyShare();
-        double forWrites = writes.secondsUntil(queuedWrites + changes, loop.now());
-        double forRequests = requests.secondsUntil(backlog() + 1, loop.now());
-        return Math.max(forWrites, forRequests);
+    /** Seconds that one more transaction of so many writes would wait under the present share. */
+    public double expectedWaitSeconds(int writes) {
+        return commitQueue.expectedWaitSeconds(writes);
     }
 
+    /** The size limits that records and transactions have to keep to now. */
+    public Settings.StoreLimits limits() {
+        return commitResponses.limits();
+    }
+
+    /** Reads one key. */
     public void get(String key, Consumer<ReadResult> done) {
-        sendNow(
-                "GET",
-                KeyValueStoreMessages.keyPath(key),
-                EMPTY,
-                timeoutSeconds,
-                reply -> {
-                    if (reply.ok()) {
-                        Entry entry = parse(reply, KeyValueStoreMessages::entry);
-                        done.accept(new ReadResult(entry != null, entry, 0));
-                    } else {
-                        Long revision =
-                                reply.status() == 404
-                                        ? parse(reply, KeyValueStoreMessages::revision)
-                                        : null;
-                        done.accept(
-                                new ReadResult(
-                                        revision != null, null, revision == null ? 0 : revision));
-                    }
-                });
+        reads.get(key, done);
     }
 
-    /** Reads all keys with a prefix; null if it could not be done. */
+    /**
+     * Reads all keys with a prefix.
+     *
+     * @param done takes all entries as one page, or null if they could not be read
+     */
     public void list(String prefix, Consumer<Page> done) {
-        List<Entry> found = new ArrayList<>();
-        list(
-                prefix,
-                found::addAll,
-                revision -> done.accept(revision < 0 ? null : new Page(found, false, revision)));
+        reads.list(prefix, done);
     }
 
     /**
      * Reads all keys with a prefix page by page, for what is too much to be held at once.
      *
-     * @param page takes the entries of each page as it comes
+     * @param pageConsumer takes the entries of each page as it comes
      * @param done takes the revision of the first page, from which a watch has to go on since later
      *     pages may be of later ones; negative if a page could not be read
      */
-    public void list(String prefix, Consumer<List<Entry>> page, LongConsumer done) {
-        list(prefix, null, FIRST_PAGE, page, done);
+    public void list(String prefix, Consumer<List<Entry>> pageConsumer, LongConsumer done) {
+        reads.list(prefix, pageConsumer, done);
     }
 
-    private void list(
-            String prefix,
-            String after,
-            long firstRevision,
-            Consumer<List<Entry>> taker,
-            LongConsumer done) {
-        sendNow(
-                "GET",
-                KeyValueStoreMessages.listPath(prefix, after),
-                EMPTY,
-                timeoutSeconds * 4,
-                reply -> {
-                    Page page = reply.ok() ? parse(reply, KeyValueStoreMessages::page) : null;
-                    if (page == null) {
-                        done.accept(NOT_READ);
-                        return;
-                    }
-                    taker.accept(page.entries());
-                    long revision = firstRevision == FIRST_PAGE ? page.revision() : firstRevision;
-                    if (page.more() && !page.entries().isEmpty()) {
-                        String last = page.entries().get(page.entries().size() - 1).key();
-                        list(prefix, last, revision, taker, done);
-                    } else {
-                        done.accept(revision);
-                    }
-                });
+    /**
+     * Reads the changes of keys with a prefix since a revision.
+     *
+     * @param waitSeconds how long the store may wait for a change
+     */
+    public void changes(
+            String prefix, long fromRevision, double waitSeconds, Consumer<ChangesResult> done) {
+        reads.changes(prefix, fromRevision, waitSeconds, done);
     }
 
-    /** Commits changes on which work that was accepted depends. */
+    /** Commits writes on which work that was accepted depends, if all conditions hold. */
     public void compareAndSwap(
-            List<Condition> conditions, List<Write> changes, Consumer<CommitResult> done) {
-        enqueue(workQueue, waiting(conditions, changes, done));
+            List<Condition> conditions, List<Write> writes, Consumer<CommitResult> done) {
+        commitQueue.addWork(queuedCommit(conditions, writes, done));
     }
 
     /**
-     * Commits changes that accept new work, in turns with those of {@link #compareAndSwap}. What
-     * has not been sent by the given time never is: {@link CommitOutcome#RETRYABLE}.
+     * Commits writes that accept new work, if all conditions hold, in turns with those of {@link
+     * #compareAndSwap}. If it has not been sent by the given time, it never is, and the outcome is
+     * {@link CommitOutcome#RETRYABLE}.
+     *
+     * @param sendBy in seconds of the loop's clock
      */
     public void compareAndSwapAcceptance(
             List<Condition> conditions,
-            List<Write> changes,
+            List<Write> writes,
             double sendBy,
             Consumer<CommitResult> done) {
-        QueuedCommit waiting = waiting(conditions, changes, done);
-        enqueue(acceptanceQueue, waiting);
-        if (acceptanceQueue.contains(waiting)) {
-            loop.after(sendBy - loop.now(), () -> abandon(waiting));
-        }
-    }
-
-    private void abandon(QueuedCommit waiting) {
-        if (acceptanceQueue.remove(waiting)) {
-            queued(-waiting.writes());
-            waiting.done().accept(Reply.NOT_SENT);
-        }
+        commitQueue.addAcceptance(queuedCommit(conditions, writes, done), sendBy);
     }
 
-    private QueuedCommit waiting(
-            List<Condition> conditions, List<Write> changes, Consumer<CommitResult> done) {
-        byte[] body = KeyValueStoreMessages.commit(conditions, changes);
+    private QueuedCommit queuedCommit(
+            List<Condition> conditions, List<Write> writes, Consumer<CommitResult> done) {
+        byte[] body = KeyValueStoreMessages.commit(conditions, writes);
         Request request =
-                new Request(
-                        settings.storeAddress(),
-                        "POST",
-                        KeyValueStoreMessages.COMMIT,
-                        body,
-                        timeoutSeconds);
-        double since = loop.now();
-        Settings.StoreLimits under = limits;
-        return new QueuedCommit(
-                request,
-                changes.size(),
+                connection.request("POST", KeyValueStoreMessages.COMMIT, body, timeoutSeconds);
+        double requestedAt = loop.now();
+        Settings.StoreLimits encodedUnder = limits();
+        Consumer<Reply> onReply =
                 reply -> {
-                    CommitResult result = commitResult(reply, changes, under);
+                    CommitResult result = commitResponses.interpret(reply, writes, encodedUnder);
                     if (result.outcome() != CommitOutcome.UNKNOWN) {
-                        onCommit.accept(since);
+                        onCommit.accept(requestedAt);
                     }
                     done.accept(result);
-                });
-    }
-
-    private CommitResult commitResult(
-            Reply reply, List<Write> changes, Settings.StoreLimits under) {
-        try {
-            return switch (reply.status()) {
-                case 200 ->
-                        new CommitResult(
-                                CommitOutcome.COMMITTED,
-                                KeyValueStoreMessages.revision(reply.body()),
-                                List.of());
-                case 409 ->
-                        new CommitResult(
-                                CommitOutcome.REJECTED,
-                                0,
-                                KeyValueStoreMessages.failed(reply.body()));
-                case 400 -> {
-                    LOG.debug(
-                            "commit refused: {}",
-                            new String(reply.body(), java.nio.charset.StandardCharsets.UTF_8));
-                    boolean size =
-                            !KeyValueStoreMessages.leaseEnded(reply.body())
-                                    && mayBeTooLarge(changes, under);
-                    yield new CommitResult(
-                            size ? CommitOutcome.TOO_LARGE : CommitOutcome.REJECTED, 0, List.of());
-                }
-                case 429, 503, -1 -> new CommitResult(CommitOutcome.RETRYABLE, 0, List.of());
-                default -> new CommitResult(CommitOutcome.UNKNOWN, 0, List.of());
-            };
-        } catch (MalformedMessageException e) {
-            LOG.warn("state service: {}", e.getMessage());
-            return new CommitResult(CommitOutcome.UNKNOWN, 0, List.of());
-        }
+                };
+        return new QueuedCommit(request, writes.size(), onReply);
     }
 
     /**
-     * Whether a refused transaction may have been too large for the service, rather than wrong: if
-     * it would be smaller under half the limits that it was made under. Those limits are halved
-     * then, so that this ends.
+     * Takes a lease.
+     *
+     * @param done takes the number of the lease; 0 if none was granted
      */
-    private boolean mayBeTooLarge(List<Write> changes, Settings.StoreLimits under) {
-        int largest = 0;
-        for (Write write : changes) {
-            largest =
-                    Math.max(largest, write.value() == null ? 0 : Json.bytes(write.value()).length);
-        }
-        Settings.StoreLimits half = under.halved();
-        if (largest <= half.valueBytes() && changes.size() <= half.writesPerCommit()) {
-            return false;
-        }
-        if (limits.equals(under)) {
-            limits = half;
-            LOG.warn(
-                    "the state service takes less than the settings say: keeping to {} writes of {} bytes",
-                    half.writesPerCommit(),
-                    half.valueBytes());
-        }
-        return true;
-    }
-
-    /** Takes a lease; 0 if none was given. */
     public void grant(double ttlSeconds, LongConsumer done) {
-        sendNow(
-                "POST",
+        byte[] body = KeyValueStoreMessages.grant(Math.round(ttlSeconds * 1000));
+        connection.post(
                 KeyValueStoreMessages.LEASES,
-                KeyValueStoreMessages.grant(Math.round(ttlSeconds * 1000)),
-                timeoutSeconds,
-                reply -> {
-                    Long lease = reply.ok() ? parse(reply, KeyValueStoreMessages::granted) : null;
-                    done.accept(lease == null ? 0 : lease);
-                });
-    }
-
-    public void renew(long lease, Consumer<LeaseRenewal> done) {
-        sendNow(
-                "POST",
-                KeyValueStoreMessages.renewPath(lease),
-                EMPTY,
+                body,
                 timeoutSeconds,
                 reply ->
                         done.accept(
-                                reply.ok()
-                                        ? LeaseRenewal.RENEWED
-                                        : reply.status() == 404
-                                                ? LeaseRenewal.ENDED
-                                                : LeaseRenewal.UNKNOWN));
+                                KeyValueStoreConnection.parseIfOk(
+                                                reply, KeyValueStoreMessages::granted)
+                                        .orElse(0L)));
     }
 
-    public void revoke(long lease, Runnable done) {
-        sendNow(
-                "DELETE",
-                KeyValueStoreMessages.leasePath(lease),
-                EMPTY,
+    /** Renews a lease for another whole time to live. */
+    public void renew(long lease, Consumer<LeaseRenewal> done) {
+        connection.post(
+                KeyValueStoreMessages.renewPath(lease),
                 timeoutSeconds,
-                reply -> done.run());
-    }
-
-    /** Changes since a revision. */
-    public void changes(
-            String prefix, long from, double waitSeconds, Consumer<ChangesResult> done) {
-        sendNow(
-                "GET",
-                KeyValueStoreMessages.changesPath(prefix, from, Math.round(waitSeconds * 1000)),
-                EMPTY,
-                timeoutSeconds + waitSeconds,
-                reply -> {
-                    Changes changes =
-                            reply.ok() ? parse(reply, KeyValueStoreMessages::changes) : null;
-                    done.accept(new ChangesResult(changes, reply.status() == 410));
-                });
-    }
-
-    /**
-     * What a read of the changes brought.
-     *
-     * @param changes null if not served
-     * @param tooOld whether the keys have to be read anew
-     */
-    public record ChangesResult(Changes changes, boolean tooOld) {}
-
-    /** Sends past the queue. Reads and renewals are few and others wait for them. */
-    private void sendNow(
-            String method, String path, byte[] body, double timeoutSeconds, Consumer<Reply> done) {
-        send(new Request(settings.storeAddress(), method, path, body, timeoutSeconds), done);
+                reply -> done.accept(leaseRenewal(reply)));
     }
 
-    private void enqueue(ArrayDeque<QueuedCommit> queue, QueuedCommit waiting) {
-        queue.add(waiting);
-        queued(waiting.writes());
-        if (!draining || queue == workQueue) {
-            drainQueues();
-        }
-    }
-
-    private void queued(int change) {
-        queuedWrites += change;
-        share.queued(queuedWrites);
-    }
-
-    private void drainQueues() {
-        while (backlog() > 0) {
-            applyShare();
-            ArrayDeque<QueuedCommit> queue = nextQueue();
-            QueuedCommit next = queue.peek();
-            double wait =
-                    Math.max(
-                            requests.waitFor(1, loop.now()),
-                            writes.waitFor(next.writes(), loop.now()));
-            if (wait > 0) {
-                pumpAfter(wait);
-                return;
-            }
-            queue.poll();
-            servedQueue = queue;
-            queued(-next.writes());
-            requests.take(1, loop.now());
-            writes.take(next.writes(), loop.now());
-            share.sent(next.writes());
-            send(next.request(), next.done());
+    private static LeaseRenewal leaseRenewal(Reply reply) {
+        if (reply.ok()) {
+            return LeaseRenewal.RENEWED;
         }
+        return reply.status() == NOT_FOUND ? LeaseRenewal.ENDED : LeaseRenewal.UNKNOWN;
     }
 
     /**
-     * The queues take turns. Where work always went first, submissions at a leader with many rounds
-     * waited for seconds; in turns each waits for one round, which has many more changes than it.
+     * Ends a lease, so that the keys bound to it are deleted.
+     *
+     * @param done called whether or not the store answered
      */
-    private ArrayDeque<QueuedCommit> nextQueue() {
-        if (workQueue.isEmpty()) {
-            return acceptanceQueue;
-        }
-        boolean workWasServed = servedQueue == workQueue;
-        return workWasServed && !acceptanceQueue.isEmpty() ? acceptanceQueue : workQueue;
-    }
-
-    /** The share may grow meanwhile, so a long wait is cut into parts. */
-    private void pumpAfter(double seconds) {
-        if (!draining) {
-            draining = true;
-            loop.after(
-                    Math.min(seconds, timeoutSeconds / 4),
-                    () -> {
-                        draining = false;
-                        drainQueues();
-                    });
-        }
-    }
-
-    private void send(Request request, Consumer<Reply> done) {
-        http.send(
-                request,
-                reply -> {
-                    if (reply.answered() && reply.status() != 503) {
-                        reachable = true;
-                        isRefusing = false;
-                        lastServed = loop.now();
-                    } else {
-                        reachable = false;
-                        isRefusing |= reply.answered();
-                    }
-                    done.accept(reply);
-                });
-    }
-
-    @FunctionalInterface
-    private interface Parser<T> {
-        T parse(byte[] body) throws MalformedMessageException;
-    }
-
-    private static <T> T parse(Reply reply, Parser<T> parser) {
-        try {
-            return parser.parse(reply.body());
-        } catch (MalformedMessageException e) {
-            LOG.warn("state service: {}", e.getMessage());
-            return null;
-        }
-    }
-
-    /** The limits that records and transactions have to keep to now. */
-    public Settings.StoreLimits limits() {
-        return limits;
+    public void revoke(long lease, Runnable done) {
+        connection.delete(
+                KeyValueStoreMessages.leasePath(lease), timeoutSeconds, reply -> done.run());
     }
 }
