--- a/src/main/java/org/springmill/control/admission/ActiveJobs.java
+++ b/src/main/java/org/springmill/control/admission/ActiveJobs.java
@@ -24,7 +24,7 @@
     private static final int TASKS_PER_BYTE = 8;
 
     /** Ends are averaged over this time. */
-    private static final double ENDS_AVERAGED_SECONDS = 30;
+    private static final double ENDS_AVERAGING_SECONDS = 30;
 
     private final Map<String, Submission> jobs = new HashMap<>();
     private final Map<String, TeamWork> teams = new HashMap<>();
@@ -45,7 +45,7 @@
     }
 
     public ActiveJobs(double now) {
-        endedBytes = new RateMeter(ENDS_AVERAGED_SECONDS, now);
+        endedBytes = new RateMeter(ENDS_AVERAGING_SECONDS, now);
     }
 
     static int bytesOf(Submission job) {
--- a/src/main/java/org/springmill/control/admission/AdmissionControl.java
+++ b/src/main/java/org/springmill/control/admission/AdmissionControl.java
@@ -28,7 +28,7 @@
     private final EventLoop loop;
     private final Settings settings;
     private final ActiveJobs activeJobs;
-    private final MemoryBound memory;
+    private final MemoryBound memoryBound;
     private final Congestion congestion;
     private final RetryAfter retryAfter;
     private final LongSupplier endedRecords;
@@ -56,7 +56,7 @@
         this.congestion = congestion;
         this.endedRecords = endedRecords;
         this.maxQueueSeconds = maxQueueSeconds;
-        memory = new MemoryBound(heapBytes);
+        memoryBound = new MemoryBound(heapBytes);
         retryAfter = new RetryAfter(random);
     }
 
@@ -68,7 +68,7 @@
     public Optional<AdmissionRefusal> refusal(Submission job, double queueSeconds) {
         double now = loop.now();
         boolean guaranteed = isGuaranteed(job);
-        double excessBytes = memory.excess(activeJobs, endedBytes(), job, guaranteed);
+        double excessBytes = memoryBound.excessBytes(activeJobs, endedBytes(), job, guaranteed);
         if (excessBytes > 0) {
             return refuse(AdmissionReason.MEMORY, drainSeconds(excessBytes, now));
         }
@@ -87,7 +87,7 @@
      * little is left of the memory that it may need.
      */
     public boolean nearBound(Submission job) {
-        return memory.isNear(activeJobs, endedBytes(), job, isGuaranteed(job));
+        return memoryBound.isNear(activeJobs, endedBytes(), job, isGuaranteed(job));
     }
 
     private boolean isGuaranteed(Submission job) {
@@ -106,14 +106,14 @@
      * @param queueSeconds how long its record would wait for the key-value store now
      */
     public AdmissionRefusal givenUp(double queueSeconds) {
-        return count(AdmissionReason.QUEUE, Math.max(maxQueueSeconds, queueSeconds));
+        return recordRefusal(AdmissionReason.QUEUE, Math.max(maxQueueSeconds, queueSeconds));
     }
 
     private Optional<AdmissionRefusal> refuse(AdmissionReason reason, double drainSeconds) {
-        return Optional.of(count(reason, drainSeconds));
+        return Optional.of(recordRefusal(reason, drainSeconds));
     }
 
-    private AdmissionRefusal count(AdmissionReason reason, double drainSeconds) {
+    private AdmissionRefusal recordRefusal(AdmissionReason reason, double drainSeconds) {
         refused.merge(reason, 1, Integer::sum);
         log(reason);
         return new AdmissionRefusal(reason, retryAfter.seconds(drainSeconds));
@@ -148,6 +148,6 @@
 
     /** Memory that jobs may need. */
     public long boundBytes() {
-        return memory.bytes();
+        return memoryBound.boundBytes();
     }
 }
--- a/src/main/java/org/springmill/control/admission/Congestion.java
+++ b/src/main/java/org/springmill/control/admission/Congestion.java
@@ -16,8 +16,8 @@
     private record Queue(String team, Priority priority) {}
 
     private final double validSeconds;
-    private final Map<Queue, Double> waits = new HashMap<>();
-    private double toldAt = Double.NEGATIVE_INFINITY;
+    private final Map<Queue, Double> excessByQueue = new HashMap<>();
+    private double updatedAt = Double.NEGATIVE_INFINITY;
 
     /**
      * @param validSeconds for how long what the leader said counts
@@ -28,25 +28,25 @@
 
     /** Takes the queues that wait too long; what was said before no longer counts. */
     public void update(List<CongestedQueue> queues, double now) {
-        toldAt = now;
-        waits.clear();
+        updatedAt = now;
+        excessByQueue.clear();
         for (CongestedQueue queue : queues) {
-            waits.put(new Queue(queue.team(), queue.priority()), queue.excessSeconds());
+            excessByQueue.put(new Queue(queue.team(), queue.priority()), queue.excessSeconds());
         }
     }
 
     /** By how much the wait of a job's queue is too long; 0 if it is not. */
     double excessSeconds(Submission job, double now) {
-        if (now - toldAt > validSeconds) {
+        if (now - updatedAt > validSeconds) {
             return 0;
         }
         Queue ofTeam = new Queue(job.team(), job.priority());
         Queue ofAll = new Queue(CongestedQueue.ALL_TEAMS, job.priority());
-        return Math.max(waits.getOrDefault(ofTeam, 0.0), waits.getOrDefault(ofAll, 0.0));
+        return Math.max(excessByQueue.getOrDefault(ofTeam, 0.0), excessByQueue.getOrDefault(ofAll, 0.0));
     }
 
     /** Queues that wait too long, as far as is known. */
     public int queues(double now) {
-        return now - toldAt > validSeconds ? 0 : waits.size();
+        return now - updatedAt > validSeconds ? 0 : excessByQueue.size();
     }
 }
--- a/src/main/java/org/springmill/control/admission/MemoryBound.java
+++ b/src/main/java/org/springmill/control/admission/MemoryBound.java
@@ -29,17 +29,17 @@
     /** Of a bound, what has to be in use before every new job is checked against it anew. */
     private static final double NEAR_SHARE = 0.9;
 
-    private final long bytes;
+    private final long boundBytes;
 
     /**
      * @param heapBytes the largest heap that this process may have
      */
     MemoryBound(double heapBytes) {
-        bytes = (long) (heapBytes * HEAP_SHARE);
+        boundBytes = (long) (heapBytes * HEAP_SHARE);
     }
 
-    long bytes() {
-        return bytes;
+    long boundBytes() {
+        return boundBytes;
     }
 
     /**
@@ -47,23 +47,23 @@
      *
      * @param endedBytes memory of the records of ended jobs
      */
-    double excess(ActiveJobs activeJobs, long endedBytes, Submission job, boolean guaranteed) {
-        return Math.max(0, over(1, activeJobs, endedBytes, job, guaranteed));
+    double excessBytes(ActiveJobs activeJobs, long endedBytes, Submission job, boolean guaranteed) {
+        return Math.max(0, excessOver(1, activeJobs, endedBytes, job, guaranteed));
     }
 
     /** Whether most of what the job may use is in use. */
     boolean isNear(ActiveJobs activeJobs, long endedBytes, Submission job, boolean guaranteed) {
-        return over(NEAR_SHARE, activeJobs, endedBytes, job, guaranteed) > 0;
+        return excessOver(NEAR_SHARE, activeJobs, endedBytes, job, guaranteed) > 0;
     }
 
     /** By how much a job would exceed a part of its bound; negative if it would not. */
-    private double over(
+    private double excessOver(
             double part,
             ActiveJobs activeJobs,
             long endedBytes,
             Submission job,
             boolean guaranteed) {
-        double bound = part * bytes * (guaranteed ? 1 : SHARE_BY_PRIORITY.get(job.priority()));
+        double bound = part * boundBytes * (guaranteed ? 1 : SHARE_BY_PRIORITY.get(job.priority()));
         long need = ActiveJobs.bytesOf(job);
         double ofAll = activeJobs.bytes() + endedBytes + need - bound;
         double ofTeam = activeJobs.bytes(job.team()) + need - bound * TEAM_SHARE;
--- a/src/main/java/org/springmill/control/admission/QueueWaits.java
+++ b/src/main/java/org/springmill/control/admission/QueueWaits.java
@@ -31,31 +31,31 @@
     private final double maxWaitSeconds;
     private final double windowSeconds;
     private final double sliceSeconds;
-    private final Map<Queue, Starts> starts = new HashMap<>();
-    private final Map<Queue, Integer> waiting = new HashMap<>();
+    private final Map<Queue, StartCounter> starts = new HashMap<>();
+    private final Map<Queue, Integer> waitingTasks = new HashMap<>();
     private final Map<Queue, Double> waitingSince = new HashMap<>();
 
     /** Work of one team, or of all, of one priority or above. */
     private record Queue(String team, Priority priority) {}
 
     /** Starts in slices of the window; the oldest leave it one by one. */
-    private final class Starts {
+    private final class StartCounter {
         private final Deque<Slice> slices = new ArrayDeque<>();
-        private int sum;
+        private int total;
 
         void add(int count, double now) {
             if (slices.isEmpty() || slices.peekLast().from + sliceSeconds <= now) {
                 slices.add(new Slice(now));
             }
             slices.peekLast().count += count;
-            sum += count;
+            total += count;
         }
 
         int inWindow(double now) {
             while (!slices.isEmpty() && slices.peek().from <= now - windowSeconds - sliceSeconds) {
-                sum -= slices.poll().count;
+                total -= slices.poll().count;
             }
-            return sum;
+            return total;
         }
     }
 
@@ -80,28 +80,28 @@
     /** Notes that tasks of a team were placed. */
     public void started(String team, Priority priority, int tasks, double now) {
         for (Queue queue : queuesOf(team, priority)) {
-            starts.computeIfAbsent(queue, q -> new Starts()).add(tasks, now);
+            starts.computeIfAbsent(queue, q -> new StartCounter()).add(tasks, now);
         }
     }
 
     /** Begins a new count of what waits. */
     public void beginCount() {
-        waiting.clear();
+        waitingTasks.clear();
     }
 
     /** Counts tasks of one job that wait for their start. */
     public void waits(String team, Priority priority, int tasks) {
         for (Queue queue : queuesOf(team, priority)) {
-            waiting.merge(queue, tasks, Integer::sum);
+            waitingTasks.merge(queue, tasks, Integer::sum);
         }
     }
 
     /** Ends the count: the queues that wait too long, the worst first. */
     public List<CongestedQueue> endCount(double now) {
-        waitingSince.keySet().retainAll(waiting.keySet());
+        waitingSince.keySet().retainAll(waitingTasks.keySet());
         starts.values().removeIf(counted -> counted.inWindow(now) == 0);
         List<CongestedQueue> congested = new ArrayList<>();
-        for (Map.Entry<Queue, Integer> entry : waiting.entrySet()) {
+        for (Map.Entry<Queue, Integer> entry : waitingTasks.entrySet()) {
             Queue queue = entry.getKey();
             double since = waitingSince.computeIfAbsent(queue, q -> now);
             double excess = expectedSeconds(queue, entry.getValue(), now) - maxWaitSeconds;
@@ -114,7 +114,7 @@
     }
 
     private double expectedSeconds(Queue queue, int tasks, double now) {
-        Starts counted = starts.get(queue);
+        StartCounter counted = starts.get(queue);
         // No start at all in the window is counted as one: it may have been about to happen.
         double startsInWindow = Math.max(1, counted == null ? 0 : counted.inWindow(now));
         return tasks / startsInWindow * windowSeconds;
--- a/src/main/java/org/springmill/control/admission/StoreRateShares.java
+++ b/src/main/java/org/springmill/control/admission/StoreRateShares.java
@@ -16,31 +16,31 @@
  */
 public final class StoreRateShares implements KeyValueStoreClient.RateShare {
     /** Of the leader's share, what it may lend at most. */
-    static final double LENDABLE = 0.5;
+    static final double MAX_LENT_RATIO = 0.5;
 
     /** What a lender adds to its own need before it lends, as a factor. */
-    private static final double RESERVE = 1.25;
+    private static final double NEED_MARGIN = 1.25;
 
     /**
      * Over this time the use of the key-value store is averaged, as a ratio to a loan's validity.
      */
-    private static final double VALIDITIES_AVERAGED = 1.5;
+    private static final double AVERAGING_TO_VALIDITY = 1.5;
 
     private final EventLoop loop;
     private final LongSupplier validTerm;
     private final double leaderShare;
     private final double otherShare;
-    private final double mostLent;
+    private final double maxLent;
     private final double validitySeconds;
     private final double lenderValiditySeconds;
-    private final double changesPerSecond;
-    private final RateMeter used;
+    private final double writesPerSecond;
+    private final RateMeter writeRate;
     private final Map<String, Deque<Loan>> loans = new HashMap<>();
     private long ledTerm;
-    private double leadsSince = Double.NEGATIVE_INFINITY;
+    private double leaderSince = Double.NEGATIVE_INFINITY;
     private Loan borrowed = Loan.NONE;
-    private long borrowedByQuestion;
-    private int queuedChanges;
+    private long latestLoanQuestion;
+    private int queuedWrites;
 
     private record Loan(double share, double until) {
         static final Loan NONE = new Loan(0, Double.NEGATIVE_INFINITY);
@@ -70,12 +70,12 @@
         this.loop = loop;
         this.validTerm = validTerm;
         this.leaderShare = controllers == 1 ? 1 : leaderShare;
-        mostLent = controllers == 1 ? 0 : leaderShare * LENDABLE;
+        maxLent = controllers == 1 ? 0 : leaderShare * MAX_LENT_RATIO;
         this.otherShare = otherShare(leaderShare, controllers);
         this.validitySeconds = validitySeconds;
         this.lenderValiditySeconds = validitySeconds * clockDrift;
-        this.changesPerSecond = changesPerSecond;
-        used = new RateMeter(validitySeconds * VALIDITIES_AVERAGED, loop.now());
+        this.writesPerSecond = changesPerSecond;
+        writeRate = new RateMeter(validitySeconds * AVERAGING_TO_VALIDITY, loop.now());
     }
 
     /**
@@ -84,13 +84,13 @@
      */
     private static double otherShare(double leaderShare, int controllers) {
         double rest = (1 - leaderShare) / Math.max(1, controllers - 1);
-        return Math.min(rest, leaderShare * (1 - LENDABLE));
+        return Math.min(rest, leaderShare * (1 - MAX_LENT_RATIO));
     }
 
     @Override
     public double current() {
         double now = loop.now();
-        if (leading(now)) {
+        if (isLeading(now)) {
             return leaderShare - lent(now);
         }
         return otherShare + borrowed.at(now);
@@ -98,21 +98,21 @@
 
     @Override
     public void sent(int changes) {
-        used.add(changes, loop.now());
+        writeRate.add(changes, loop.now());
     }
 
     @Override
     public void queued(int changes) {
-        queuedChanges = changes;
+        queuedWrites = changes;
     }
 
     /** What this controller needs beyond the share that it has for good; 0 for a leader. */
     public double wanted() {
         double now = loop.now();
-        if (leading(now)) {
+        if (isLeading(now)) {
             return 0;
         }
-        return Math.max(0, Math.min(mostLent, need(now) - otherShare));
+        return Math.max(0, Math.min(maxLent, need(now) - otherShare));
     }
 
     /**
@@ -124,11 +124,11 @@
      */
     public double lend(String borrower, double wanted) {
         double now = loop.now();
-        if (!leading(now)) {
+        if (!isLeading(now)) {
             return 0;
         }
         double lentToOthers = lent(now) - outstanding(borrower, now);
-        double spare = leaderShare - Math.max(need(now) * RESERVE, leaderShare - mostLent);
+        double spare = leaderShare - Math.max(need(now) * NEED_MARGIN, leaderShare - maxLent);
         double share = Math.max(0, Math.min(wanted, spare - lentToOthers));
         if (share > 0) {
             loans.computeIfAbsent(borrower, name -> new ArrayDeque<>())
@@ -153,20 +153,20 @@
      * @param askedAt when that question was asked
      */
     public void borrow(long question, double askedAt, double share) {
-        if (question > borrowedByQuestion) {
-            borrowedByQuestion = question;
+        if (question > latestLoanQuestion) {
+            latestLoanQuestion = question;
             borrowed = new Loan(share, askedAt + validitySeconds);
         }
     }
 
     private double need(double now) {
-        return (used.perSecond(now) + queuedChanges) / changesPerSecond;
+        return (writeRate.perSecond(now) + queuedWrites) / writesPerSecond;
     }
 
     private double lent(double now) {
-        if (now - leadsSince < lenderValiditySeconds) {
+        if (now - leaderSince < lenderValiditySeconds) {
             // What an earlier leader has lent may be in use until it ends.
-            return mostLent;
+            return maxLent;
         }
         double sum = 0;
         for (String borrower : loans.keySet()) {
@@ -175,11 +175,11 @@
         return sum;
     }
 
-    private boolean leading(double now) {
+    private boolean isLeading(double now) {
         long term = validTerm.getAsLong();
         if (term != 0 && term != ledTerm) {
             ledTerm = term;
-            leadsSince = now;
+            leaderSince = now;
             loans.clear();
             borrowed = Loan.NONE;
         }
--- a/src/main/java/org/springmill/control/borrowing/HoldDown.java
+++ b/src/main/java/org/springmill/control/borrowing/HoldDown.java
@@ -14,10 +14,10 @@
  */
 public final class HoldDown {
     /** Below this it is taken for 0. */
-    private static final double LEAST_SECONDS = 0.5;
+    private static final double MIN_SECONDS = 0.5;
 
     /** Weight of the latest of the times in which returned resources were left unused. */
-    private static final double LATEST_GAP_WEIGHT = 0.3;
+    private static final double LATEST_IDLE_WEIGHT = 0.3;
 
     /** Short work may go in at once if it takes no more of the expected gap than this share. */
     private static final double SHORT_WORK_SHARE = 0.5;
@@ -30,11 +30,11 @@
 
     private static final class Estimate {
         private double seconds;
-        private double at;
+        private double updatedAt;
         private double recalledAt = Double.NEGATIVE_INFINITY;
-        private double beforeWave;
-        private double addedByWave;
-        private double gapSeconds = Double.NaN;
+        private double secondsBeforeWave;
+        private double secondsAddedByWave;
+        private double averageIdleSeconds = Double.NaN;
     }
 
     /**
@@ -62,18 +62,18 @@
         double decayed = decayed(estimate, now);
         boolean newWave = now - estimate.recalledAt > waveSeconds;
         if (newWave) {
-            estimate.beforeWave = decayed;
-            estimate.addedByWave = 0;
+            estimate.secondsBeforeWave = decayed;
+            estimate.secondsAddedByWave = 0;
         }
         double added = ratio * costSeconds;
-        if (loanSeconds < estimate.beforeWave) {
+        if (loanSeconds < estimate.secondsBeforeWave) {
             // It was lent too soon: the hold-down doubles, as in exponential backoff.
-            added = Math.max(added, estimate.beforeWave);
+            added = Math.max(added, estimate.secondsBeforeWave);
         }
-        estimate.addedByWave = Math.max(estimate.addedByWave, added);
-        estimate.seconds = Math.min(maxSeconds, estimate.beforeWave + estimate.addedByWave);
+        estimate.secondsAddedByWave = Math.max(estimate.secondsAddedByWave, added);
+        estimate.seconds = Math.min(maxSeconds, estimate.secondsBeforeWave + estimate.secondsAddedByWave);
         estimate.recalledAt = now;
-        estimate.at = now;
+        estimate.updatedAt = now;
     }
 
     /**
@@ -88,19 +88,19 @@
             return;
         }
         estimate.seconds = decayed(estimate, heldAt);
-        estimate.at = now;
-        estimate.gapSeconds =
-                Double.isNaN(estimate.gapSeconds)
+        estimate.updatedAt = now;
+        estimate.averageIdleSeconds =
+                Double.isNaN(estimate.averageIdleSeconds)
                         ? gapSeconds
-                        : LATEST_GAP_WEIGHT * gapSeconds
-                                + (1 - LATEST_GAP_WEIGHT) * estimate.gapSeconds;
+                        : LATEST_IDLE_WEIGHT * gapSeconds
+                                + (1 - LATEST_IDLE_WEIGHT) * estimate.averageIdleSeconds;
     }
 
     /** For how long resources that come back now stay unlent. */
     public double seconds(String machineType, double now) {
         Estimate estimate = estimates.get(machineType);
         double seconds = estimate == null ? 0 : decayed(estimate, now);
-        return seconds < LEAST_SECONDS ? 0 : seconds;
+        return seconds < MIN_SECONDS ? 0 : seconds;
     }
 
     /** Whether work is so short that it should be over before the room is needed again. */
@@ -109,11 +109,11 @@
         if (estimate == null) {
             return true;
         }
-        double left = estimate.gapSeconds - heldForSeconds;
+        double left = estimate.averageIdleSeconds - heldForSeconds;
         return workSeconds > 0 && workSeconds <= SHORT_WORK_SHARE * left;
     }
 
     private double decayed(Estimate estimate, double now) {
-        return estimate.seconds * Math.pow(0.5, (now - estimate.at) / halfLifeSeconds);
+        return estimate.seconds * Math.pow(0.5, (now - estimate.updatedAt) / halfLifeSeconds);
     }
 }
--- a/src/main/java/org/springmill/control/borrowing/RecallLog.java
+++ b/src/main/java/org/springmill/control/borrowing/RecallLog.java
@@ -52,11 +52,11 @@
 
     /** What rounds leave of each transaction for recalls. */
     public static RoundLog.Reserve reserve(Settings.StoreLimits limits) {
-        int records = mostRecords(limits) + 1;
+        int records = maxRecords(limits) + 1;
         return new RoundLog.Reserve(records, records * recordBytes(limits));
     }
 
-    private static int mostRecords(Settings.StoreLimits limits) {
+    private static int maxRecords(Settings.StoreLimits limits) {
         int byWrites = limits.writesPerCommit() / WRITES_PER_RECORD;
         return Math.max(1, Math.min(MAX_RECORDS, byWrites));
     }
@@ -71,10 +71,10 @@
      * @param done takes null if the key-value store could not be read
      */
     public void load(Consumer<Collection<Recall>> done) {
-        store.list(RecallCodec.PREFIX, page -> done.accept(page == null ? null : read(page)));
+        store.list(RecallCodec.PREFIX, page -> done.accept(page == null ? null : recover(page)));
     }
 
-    private Collection<Recall> read(Page page) {
+    private Collection<Recall> recover(Page page) {
         records = new TreeMap<>();
         page.entries()
                 .forEach(entry -> records.put(entry.key(), RecallCodec.decode(entry.value())));
@@ -96,7 +96,7 @@
         boolean absorbsAny =
                 records.values().stream()
                         .anyMatch(record -> bytes + bytes(record) <= valueLimitBytes());
-        return records.size() < mostRecords(store.limits()) || absorbsAny;
+        return records.size() < maxRecords(store.limits()) || absorbsAny;
     }
 
     private int valueLimitBytes() {
--- a/src/main/java/org/springmill/control/borrowing/RecallProgress.java
+++ b/src/main/java/org/springmill/control/borrowing/RecallProgress.java
@@ -21,7 +21,7 @@
         /** Over: the record is removed with the next round. */
         SETTLED;
 
-        private boolean mayBecome(State next) {
+        private boolean mayTransitionTo(State next) {
             return switch (next) {
                 case COMMITTING -> false;
                 case SAVING -> this == COMMITTING;
@@ -44,10 +44,10 @@
     }
 
     private final Recall recall;
-    private final double saveSeconds;
-    private final double endSeconds;
+    private final double checkpointTimeoutSeconds;
+    private final double terminationTimeoutSeconds;
     private State state = State.COMMITTING;
-    private double until = Double.POSITIVE_INFINITY;
+    private double deadline = Double.POSITIVE_INFINITY;
 
     /**
      * @param saveSeconds bound on the time in which victims save, from the commit on
@@ -55,8 +55,8 @@
      */
     public RecallProgress(Recall recall, double saveSeconds, double endSeconds) {
         this.recall = recall;
-        this.saveSeconds = saveSeconds;
-        this.endSeconds = endSeconds;
+        this.checkpointTimeoutSeconds = saveSeconds;
+        this.terminationTimeoutSeconds = endSeconds;
     }
 
     /** The recall. */
@@ -71,16 +71,16 @@
 
     /** The one place where its state changes; false if the change is not a legal one. */
     private boolean transition(State next, double now) {
-        if (!state.mayBecome(next)) {
+        if (!state.mayTransitionTo(next)) {
             LOG.error("recall {} cannot go from {} to {}", recall.key(), state, next);
             return false;
         }
         LOG.debug("recall {} on {}: {} -> {}", recall.key(), recall.machine(), state, next);
         state = next;
-        until =
+        deadline =
                 switch (next) {
-                    case SAVING -> now + saveSeconds;
-                    case ENDING -> now + endSeconds;
+                    case SAVING -> now + checkpointTimeoutSeconds;
+                    case ENDING -> now + terminationTimeoutSeconds;
                     default -> Double.POSITIVE_INFINITY;
                 };
         return true;
@@ -93,7 +93,7 @@
      * @param seconds after which it is given up if they have not
      */
     public void inherited(double seconds, double now) {
-        until = now + seconds;
+        deadline = now + seconds;
     }
 
     /** Its record is committed, so the victims may be told. */
@@ -113,6 +113,6 @@
 
     /** Whether the bound of the present step has passed. */
     public boolean overdue(double now) {
-        return now >= until;
+        return now >= deadline;
     }
 }
--- a/src/main/java/org/springmill/control/borrowing/VictimSelection.java
+++ b/src/main/java/org/springmill/control/borrowing/VictimSelection.java
@@ -24,9 +24,9 @@
     public record Candidate<T>(T task, Priority priority, Resources frees, double costSeconds) {}
 
     /** Whether a task may be stopped beside others that are chosen already. */
-    public interface Right<T> {
+    public interface PreemptionRule<T> {
         /** Whether the victim may be stopped as well. */
-        boolean mayStop(T victim, List<T> others);
+        boolean mayPreempt(T victim, List<T> others);
     }
 
     /** What is stopped on a machine, and what that costs. */
@@ -39,12 +39,12 @@
      * @param need what has to be free
      */
     public static <T> Optional<Choice<T>> choose(
-            Resources free, Resources need, List<Candidate<T>> candidates, Right<T> right) {
+            Resources free, Resources need, List<Candidate<T>> candidates, PreemptionRule<T> right) {
         List<Candidate<T>> ordered = new ArrayList<>(candidates);
         ordered.sort(
                 Comparator.comparing((Candidate<T> c) -> c.priority())
                         .reversed()
-                        .thenComparingDouble(c -> costPerShare(c, need)));
+                        .thenComparingDouble(c -> costPerShareOfNeed(c, need)));
         List<Candidate<T>> chosen = new ArrayList<>();
         List<T> tasks = new ArrayList<>();
         Resources freed = free;
@@ -52,7 +52,7 @@
             if (freed.hold(need)) {
                 break;
             }
-            if (helps(candidate, freed, need) && right.mayStop(candidate.task(), tasks)) {
+            if (freesWhatIsMissing(candidate, freed, need) && right.mayPreempt(candidate.task(), tasks)) {
                 chosen.add(candidate);
                 tasks.add(candidate.task());
                 freed = freed.plus(candidate.frees());
@@ -61,11 +61,11 @@
         if (!freed.hold(need)) {
             return Optional.empty();
         }
-        return Optional.of(withoutSpare(chosen, freed, need));
+        return Optional.of(withoutUnneeded(chosen, freed, need));
     }
 
     /** Whether a task frees any of what is still missing. */
-    private static boolean helps(Candidate<?> candidate, Resources freed, Resources need) {
+    private static boolean freesWhatIsMissing(Candidate<?> candidate, Resources freed, Resources need) {
         Resources frees = candidate.frees();
         return (frees.cpus() > 0 && need.cpus() > freed.cpus() + Resources.ROUNDING)
                 || (frees.gpus() > 0 && need.gpus() > freed.gpus() + Resources.ROUNDING)
@@ -74,22 +74,22 @@
     }
 
     /** Cost for each part of what is needed, by the resource of which the task frees most. */
-    private static double costPerShare(Candidate<?> candidate, Resources need) {
+    private static double costPerShareOfNeed(Candidate<?> candidate, Resources need) {
         Resources frees = candidate.frees();
         double share =
                 Math.max(
-                        share(frees.cpus(), need.cpus()),
+                        shareOfNeed(frees.cpus(), need.cpus()),
                         Math.max(
-                                share(frees.gpus(), need.gpus()),
-                                share(frees.memoryGb(), need.memoryGb())));
+                                shareOfNeed(frees.gpus(), need.gpus()),
+                                shareOfNeed(frees.memoryGb(), need.memoryGb())));
         return candidate.costSeconds() / Math.max(Resources.ROUNDING, share);
     }
 
-    private static double share(double frees, double need) {
+    private static double shareOfNeed(double frees, double need) {
         return need <= 0 ? 0 : Math.min(1, frees / need);
     }
 
-    private static <T> Choice<T> withoutSpare(
+    private static <T> Choice<T> withoutUnneeded(
             List<Candidate<T>> chosen, Resources freed, Resources need) {
         List<Candidate<T>> kept = new ArrayList<>(chosen);
         List<Candidate<T>> costly = new ArrayList<>(chosen);
--- a/src/main/java/org/springmill/control/history/ArchivedJobLookup.java
+++ b/src/main/java/org/springmill/control/history/ArchivedJobLookup.java
@@ -23,7 +23,7 @@
  */
 public final class ArchivedJobLookup {
     /** Lookups that may wait for their turn, as a ratio to those of one second. */
-    private static final double BUFFERED_SECONDS = 1;
+    private static final double MAX_QUEUED_SECONDS = 1;
 
     /** Answers kept; each takes some 200 bytes. */
     static final int MOST_KEPT = 4096;
@@ -31,11 +31,11 @@
     private final KeyValueStoreClient store;
     private final EventLoop loop;
     private final RateLimit rate;
-    private final int mostWaiting;
-    private final Map<String, List<Consumer<Lookup>>> underWay = new HashMap<>();
-    private final ArrayDeque<String> waiting = new ArrayDeque<>();
-    private final Map<String, ArchivedJob> kept = new LeastRecentlyUsed();
-    private boolean pumping;
+    private final int maxQueued;
+    private final Map<String, List<Consumer<Lookup>>> callbacksByJob = new HashMap<>();
+    private final ArrayDeque<String> queuedIds = new ArrayDeque<>();
+    private final Map<String, ArchivedJob> kept = new LruCache();
+    private boolean isDrainScheduled;
 
     /** What a lookup found. */
     public enum Outcome {
@@ -61,8 +61,8 @@
         }
     }
 
-    private static final class LeastRecentlyUsed extends LinkedHashMap<String, ArchivedJob> {
-        LeastRecentlyUsed() {
+    private static final class LruCache extends LinkedHashMap<String, ArchivedJob> {
+        LruCache() {
             super(16, 0.75f, true);
         }
 
@@ -77,7 +77,7 @@
         this.loop = loop;
         double readsPerSecond = store.lookupsPerSecond();
         rate = new RateLimit(readsPerSecond, loop.now());
-        mostWaiting = (int) Math.max(1, BUFFERED_SECONDS * readsPerSecond);
+        maxQueued = (int) Math.max(1, MAX_QUEUED_SECONDS * readsPerSecond);
     }
 
     /** The final state of a moved job if it is in memory, else null. */
@@ -102,45 +102,45 @@
             done.accept(Lookup.found(known));
             return;
         }
-        List<Consumer<Lookup>> sharing = underWay.get(id);
+        List<Consumer<Lookup>> sharing = callbacksByJob.get(id);
         if (sharing != null) {
             sharing.add(done);
             return;
         }
-        if (waiting.size() >= mostWaiting) {
+        if (queuedIds.size() >= maxQueued) {
             done.accept(Lookup.UNAVAILABLE);
             return;
         }
         List<Consumer<Lookup>> first = new ArrayList<>(1);
         first.add(done);
-        underWay.put(id, first);
-        waiting.add(id);
-        if (!pumping) {
-            pump();
+        callbacksByJob.put(id, first);
+        queuedIds.add(id);
+        if (!isDrainScheduled) {
+            drainQueue();
         }
     }
 
-    private void pump() {
-        pumping = false;
-        while (!waiting.isEmpty()) {
+    private void drainQueue() {
+        isDrainScheduled = false;
+        while (!queuedIds.isEmpty()) {
             double wait = rate.waitFor(1, loop.now());
             if (wait > 0) {
-                pumping = true;
-                loop.after(wait, this::pump);
+                isDrainScheduled = true;
+                loop.after(wait, this::drainQueue);
                 return;
             }
             rate.take(1, loop.now());
-            String id = waiting.poll();
-            store.get(ArchivedJob.key(id), read -> answered(id, read));
+            String id = queuedIds.poll();
+            store.get(ArchivedJob.key(id), read -> readCompleted(id, read));
         }
     }
 
-    private void answered(String id, ReadResult read) {
+    private void readCompleted(String id, ReadResult read) {
         Lookup lookup = lookup(read);
         if (lookup.job() != null) {
             keep(lookup.job());
         }
-        underWay.remove(id).forEach(done -> done.accept(lookup));
+        callbacksByJob.remove(id).forEach(done -> done.accept(lookup));
     }
 
     private static Lookup lookup(ReadResult read) {
--- a/src/main/java/org/springmill/control/history/HistoryArchiver.java
+++ b/src/main/java/org/springmill/control/history/HistoryArchiver.java
@@ -28,7 +28,7 @@
     private static final double WRITE_SHARE = 0.1;
 
     /** A move deletes one key and creates another. */
-    private static final int WRITES_PER_MOVE = 2;
+    private static final int WRITES_PER_RECORD = 2;
 
     /** A job that cannot be moved yet is looked at again after this share of the retention. */
     private static final double RETRY_SHARE = 0.25;
@@ -38,10 +38,10 @@
     private final HistoryMembership membership;
     private final Jobs jobs;
     private final double retentionSeconds;
-    private final double pauseSeconds;
-    private final RetentionQueue queue = new RetentionQueue();
-    private int singleMoves;
-    private boolean closed;
+    private final double backoffSeconds;
+    private final RetentionQueue retentionQueue = new RetentionQueue();
+    private int recordsToCommitSingly;
+    private boolean isClosed;
 
     /** What the mover has to know of jobs and of the leadership. */
     public interface Jobs {
@@ -81,59 +81,59 @@
         this.membership = membership;
         this.jobs = jobs;
         this.retentionSeconds = retentionSeconds;
-        this.pauseSeconds = pauseSeconds;
+        this.backoffSeconds = pauseSeconds;
     }
 
     /** Takes note of a job that has ended; it is moved once its retention is over. */
     public void ended(JobRecord record) {
         // A job that was cancelled by a lagging clock, or whose end is not dated, is due at once.
         double age = loop.timeOfDay() - record.endedAt();
-        queue.add(record.id(), loop.now() + Math.max(0, retentionSeconds - age));
+        retentionQueue.add(record.id(), loop.now() + Math.max(0, retentionSeconds - age));
     }
 
     /** Jobs that wait for their retention to end. */
     public int waiting() {
-        return queue.size();
+        return retentionQueue.size();
     }
 
     /** Begins to move records, and goes on until closed. */
     public void start() {
         // The others have to be heard first, and a takeover has better things to write.
-        loop.after(pauseSeconds, this::run);
+        loop.after(backoffSeconds, this::archiveNextBatch);
     }
 
     /** Moves nothing more. */
     public void close() {
-        closed = true;
+        isClosed = true;
     }
 
-    private void run() {
-        if (closed) {
+    private void archiveNextBatch() {
+        if (isClosed) {
             return;
         }
-        boolean busy = store.backlog() > 0 || !jobs.mayMove() || !membership.allTakePart();
-        List<JobRecord> batch = busy ? List.of() : takeSettled();
+        boolean busy = store.backlog() > 0 || !jobs.mayMove() || !membership.allParticipate();
+        List<JobRecord> batch = busy ? List.of() : takeArchivable();
         if (batch.isEmpty()) {
-            runAfter(1);
+            scheduleNextBatch(1);
         } else {
-            move(batch);
+            archive(batch);
         }
     }
 
     /** Waits for as long as so many moves use up the share of the changes. */
-    private void runAfter(int moves) {
+    private void scheduleNextBatch(int moves) {
         double changesPerSecond = WRITE_SHARE * store.limits().writesPerSecond();
-        loop.after(moves * WRITES_PER_MOVE / changesPerSecond, this::run);
+        loop.after(moves * WRITES_PER_RECORD / changesPerSecond, this::archiveNextBatch);
     }
 
     private int batchSize() {
-        int most = singleMoves > 0 ? 1 : store.limits().writesPerCommit() / WRITES_PER_MOVE;
+        int most = recordsToCommitSingly > 0 ? 1 : store.limits().writesPerCommit() / WRITES_PER_RECORD;
         return Math.max(1, most);
     }
 
-    private List<JobRecord> takeSettled() {
+    private List<JobRecord> takeArchivable() {
         List<JobRecord> batch = new ArrayList<>();
-        for (String id : queue.take(loop.now(), batchSize())) {
+        for (String id : retentionQueue.pollDue(loop.now(), batchSize())) {
             JobRecord record = jobs.record(id);
             if (record == null || record.active()) {
                 continue;
@@ -141,17 +141,17 @@
             if (jobs.settled(record)) {
                 batch.add(record);
             } else {
-                putBack(record);
+                requeueLater(record);
             }
         }
         return batch;
     }
 
-    private void putBack(JobRecord record) {
-        queue.add(record.id(), loop.now() + RETRY_SHARE * retentionSeconds);
+    private void requeueLater(JobRecord record) {
+        retentionQueue.add(record.id(), loop.now() + RETRY_SHARE * retentionSeconds);
     }
 
-    private void move(List<JobRecord> batch) {
+    private void archive(List<JobRecord> batch) {
         List<Condition> conditions = new ArrayList<>();
         conditions.add(jobs.leadership());
         List<Write> writes = new ArrayList<>();
@@ -162,41 +162,41 @@
             writes.add(Write.delete(record.key()));
             writes.add(Write.put(ended.key(), ended.encode()));
         }
-        store.compareAndSwap(conditions, writes, result -> answered(batch, result));
+        store.compareAndSwap(conditions, writes, result -> responseReceived(batch, result));
     }
 
-    private void answered(List<JobRecord> batch, CommitResult result) {
-        if (closed) {
+    private void responseReceived(List<JobRecord> batch, CommitResult result) {
+        if (isClosed) {
             return;
         }
-        singleMoves = Math.max(0, singleMoves - batch.size());
+        recordsToCommitSingly = Math.max(0, recordsToCommitSingly - batch.size());
         switch (result.outcome()) {
             case COMMITTED -> {
                 batch.forEach(record -> jobs.moved(ArchivedJob.of(record)));
-                runAfter(batch.size());
+                scheduleNextBatch(batch.size());
             }
             case REJECTED -> {
-                refused(batch, result.failed());
-                runAfter(batch.size());
+                rejected(batch, result.failed());
+                scheduleNextBatch(batch.size());
             }
             case TOO_LARGE -> {
                 tooLarge(batch);
-                runAfter(batch.size());
+                scheduleNextBatch(batch.size());
             }
             case RETRYABLE, UNKNOWN -> {
                 // It may have been applied, or be applied later: the feed of records tells. Tried
                 // again it fails on the record's version, and so does a late copy.
-                batch.forEach(this::putBackNow);
-                loop.after(pauseSeconds, this::run);
+                batch.forEach(this::requeueNow);
+                loop.after(backoffSeconds, this::archiveNextBatch);
             }
         }
     }
 
-    private void putBackNow(JobRecord record) {
-        queue.add(record.id(), loop.now());
+    private void requeueNow(JobRecord record) {
+        retentionQueue.add(record.id(), loop.now());
     }
 
-    private void refused(List<JobRecord> batch, List<String> failed) {
+    private void rejected(List<JobRecord> batch, List<String> failed) {
         for (JobRecord record : batch) {
             if (failed.contains(ArchivedJob.key(record.id()))) {
                 // Moving it would overwrite the state that users were told. Its record stays.
@@ -206,11 +206,11 @@
                         record.id());
             } else if (failed.contains(record.key())) {
                 // Its record has changed or was moved by an earlier copy; the feed tells.
-                putBack(record);
+                requeueLater(record);
             } else if (failed.isEmpty()) {
                 retrySingly(batch, record);
             } else {
-                putBackNow(record);
+                requeueNow(record);
             }
         }
     }
@@ -218,8 +218,8 @@
     /** A transaction that the key-value store does not take as a whole goes record by record. */
     private void retrySingly(List<JobRecord> batch, JobRecord record) {
         if (batch.size() > 1) {
-            singleMoves = batch.size();
-            putBackNow(record);
+            recordsToCommitSingly = batch.size();
+            requeueNow(record);
         } else {
             LOG.warn("the record of {} cannot be moved", record.id());
         }
--- a/src/main/java/org/springmill/control/history/HistoryMembership.java
+++ b/src/main/java/org/springmill/control/history/HistoryMembership.java
@@ -24,17 +24,17 @@
  */
 public final class HistoryMembership {
     private static final Logger LOG = LoggerFactory.getLogger(HistoryMembership.class);
-    private static final String PREFIX = "history-member/";
-    private static final int FORMAT = 1;
+    private static final String KEY_PREFIX = "history-member/";
+    private static final int FORMAT_VERSION = 1;
 
     private final KeyValueStoreClient store;
     private final EventLoop loop;
-    private final String node;
-    private final Set<String> nodes;
-    private final BooleanSupplier opposed;
+    private final String ownName;
+    private final Set<String> peerKeys;
+    private final BooleanSupplier anyPeerOpposes;
     private final double retrySeconds;
     private boolean allRegistered;
-    private boolean wasOpposed;
+    private boolean peerOpposed;
 
     /**
      * @param node this controller
@@ -51,66 +51,66 @@
             double retrySeconds) {
         this.store = store;
         this.loop = loop;
-        this.node = node;
-        this.opposed = opposed;
+        this.ownName = node;
+        this.anyPeerOpposes = opposed;
         this.retrySeconds = retrySeconds;
-        nodes = others.stream().map(HistoryMembership::key).collect(Collectors.toSet());
+        peerKeys = others.stream().map(HistoryMembership::key).collect(Collectors.toSet());
     }
 
     private static String key(String node) {
-        return PREFIX + node;
+        return KEY_PREFIX + node;
     }
 
     /** Registers this controller, unless an earlier process of it did. */
     public void register() {
-        store.get(key(node), this::ownRead);
+        store.get(key(ownName), this::ownRegistrationRead);
     }
 
-    private void ownRead(ReadResult read) {
+    private void ownRegistrationRead(ReadResult read) {
         if (!read.served()) {
             loop.after(retrySeconds, this::register);
         } else if (read.entry() == null) {
-            Write write = Write.put(key(node), Json.newObject().put("v", FORMAT));
-            store.compareAndSwap(List.of(), List.of(write), this::registered);
+            Write write = Write.put(key(ownName), Json.newObject().put("v", FORMAT_VERSION));
+            store.compareAndSwap(List.of(), List.of(write), this::registrationCommitted);
         } else {
-            checkOthers();
+            checkPeers();
         }
     }
 
-    private void registered(CommitResult result) {
+    private void registrationCommitted(CommitResult result) {
         if (result.outcome() == CommitOutcome.COMMITTED) {
-            checkOthers();
+            checkPeers();
         } else {
             loop.after(retrySeconds, this::register);
         }
     }
 
-    private void checkOthers() {
-        store.list(PREFIX, this::othersRead);
+    private void checkPeers() {
+        store.list(KEY_PREFIX, this::peerRegistrationsRead);
     }
 
-    private void othersRead(Page page) {
+    private void peerRegistrationsRead(Page page) {
         if (page != null) {
             Set<String> found =
                     page.entries().stream().map(entry -> entry.key()).collect(Collectors.toSet());
-            allRegistered = found.containsAll(nodes);
+            allRegistered = found.containsAll(peerKeys);
         }
         if (allRegistered) {
             LOG.info("every controller keeps the bounded history: records may be moved");
         } else {
-            loop.after(retrySeconds, this::checkOthers);
+            loop.after(retrySeconds, this::checkPeers);
         }
     }
 
     /** Whether records may be moved now, as far as is known here. */
-    public boolean allTakePart() {
-        boolean isOpposed = opposed.getAsBoolean();
-        if (isOpposed && !wasOpposed && allRegistered) {
+    public boolean allParticipate() {
+        boolean isOpposed = anyPeerOpposes.getAsBoolean();
+        if (isOpposed && !peerOpposed && allRegistered) {
             LOG.error(
                     "a controller runs without the bounded history although records may have been"
                             + " moved: it must be restarted with it at once");
         }
-        wasOpposed = isOpposed;
+        peerOpposed = isOpposed;
         return allRegistered && !isOpposed;
     }
 }
--- a/src/main/java/org/springmill/control/history/RetentionQueue.java
+++ b/src/main/java/org/springmill/control/history/RetentionQueue.java
@@ -12,33 +12,33 @@
  * that cannot be moved when its time has come is put back for later.
  */
 final class RetentionQueue {
-    private final PriorityQueue<Due> queue =
-            new PriorityQueue<>(Comparator.comparingDouble(Due::at).thenComparingLong(Due::order));
-    private final Set<String> queued = new HashSet<>();
-    private long added;
+    private final PriorityQueue<DueJob> dueJobs =
+            new PriorityQueue<>(Comparator.comparingDouble(DueJob::at).thenComparingLong(DueJob::order));
+    private final Set<String> queuedIds = new HashSet<>();
+    private long nextOrder;
 
     /** Of several with the same time the one added first comes first. */
-    private record Due(String id, double at, long order) {}
+    private record DueJob(String id, double at, long order) {}
 
     /** Adds a job unless it is there already. */
     void add(String id, double at) {
-        if (queued.add(id)) {
-            queue.add(new Due(id, at, added++));
+        if (queuedIds.add(id)) {
+            dueJobs.add(new DueJob(id, at, nextOrder++));
         }
     }
 
     /** Takes out jobs whose time has come, the earliest first. */
-    List<String> take(double now, int most) {
+    List<String> pollDue(double now, int most) {
         List<String> taken = new ArrayList<>();
-        while (taken.size() < most && !queue.isEmpty() && queue.peek().at() <= now) {
-            String id = queue.poll().id();
-            queued.remove(id);
+        while (taken.size() < most && !dueJobs.isEmpty() && dueJobs.peek().at() <= now) {
+            String id = dueJobs.poll().id();
+            queuedIds.remove(id);
             taken.add(id);
         }
         return taken;
     }
 
     int size() {
-        return queue.size();
+        return dueJobs.size();
     }
 }
--- a/src/main/java/org/springmill/control/storage/RoundCompactor.java
+++ b/src/main/java/org/springmill/control/storage/RoundCompactor.java
@@ -8,48 +8,51 @@
 import java.util.function.Predicate;
 
 /**
- * Carries what is still needed of the oldest values into a new round, so that the round's
- * transaction can delete them.
+ * Compaction of the round log: carries what is still needed of the oldest values forward into a new
+ * round, so that the round's transaction can delete them.
  */
 final class RoundCompactor {
-    /** A new leader reads all values when it takes over: so many come in a few pages. */
-    private static final int FEW_STORED_VALUES = 500;
+    /** A new leader reads all values at failover; so many come in a few pages. */
+    private static final int STORED_VALUES_ALWAYS_ALLOWED = 500;
 
     /**
-     * Where more are needed, there may be so many times as many: rounds that follow each other
-     * quickly fill small parts of their values. A fixed bound in its place had every round of a
-     * large fleet carry what was needed anyway.
+     * Where more are needed, there may be so many times as many, since rounds in quick succession
+     * fill small parts of their values. With a fixed bound in its place, every round of a large
+     * fleet carried what was needed anyway.
      */
     private static final double MAX_STORED_TO_NEEDED_VALUES = 2;
 
-    /** Below this multiple of a transaction's writes there are too few values to be worth it. */
+    /** Below this multiple of a transaction's writes, compaction is not worth its writes. */
     private static final int MIN_VALUES_RATIO = 2;
 
     /**
-     * Carrying costs writes: it waits until half of what is stored is no longer needed, so that
-     * what is carried stays in proportion to what is new. Without this a fleet's worth of
-     * long-lived claims was rewritten every few rounds.
+     * Compaction waits until half of what is stored is no longer needed, so that what is carried
+     * stays in proportion to what is new. Without this all long-lived claims of a fleet were
+     * rewritten every few rounds.
      */
     private static final int MIN_STORED_TO_NEEDED_RATIO = 2;
 
     private final KeyValueStoreClient store;
     private final RoundIndex index;
-    private final Predicate<String> jobActive;
+    private final Predicate<String> isJobActive;
 
     /**
-     * @param jobActive whether a job has not ended, so that its completed tasks are still needed
+     * A compactor of the values of an index.
+     *
+     * @param isJobActive whether a job has not ended, so that its completed tasks are still needed
      */
-    RoundCompactor(KeyValueStoreClient store, RoundIndex index, Predicate<String> jobActive) {
+    RoundCompactor(KeyValueStoreClient store, RoundIndex index, Predicate<String> isJobActive) {
         this.store = store;
         this.index = index;
-        this.jobActive = jobActive;
+        this.isJobActive = isJobActive;
     }
 
     /**
-     * Carries as much as the transaction has room for and returns the values that it may delete.
+     * Carries as much forward as fits into the transaction, and returns the values that it may
+     * delete.
      *
-     * @param ending keys of claims that this round ends. They are left out: one that was carried in
-     *     a later part of the round than its end would live again.
+     * @param ending keys of claims that this round ends. They are not carried: a copy in a later
+     *     part of the round than the end would make the claim live again.
      * @param otherWrites writes that the transaction has beside those of the round
      */
     List<StoredRound> compact(RoundEncoder encoder, Set<String> ending, int otherWrites) {
@@ -64,7 +67,7 @@
                 break;
             }
             int maxValues = maxWrites - replaced.size() - 1;
-            if (!carry(old, encoder, ending, maxValues, maxTotalBytes)) {
+            if (!carryForward(old, encoder, ending, maxValues, maxTotalBytes)) {
                 break;
             }
             replaced.add(old);
@@ -76,20 +79,20 @@
         if (index.size() < MIN_VALUES_RATIO * store.limits().writesPerCommit()) {
             return false;
         }
-        if (index.size() >= mostStoredValues()) {
+        if (index.size() >= maxStoredValues()) {
             return true;
         }
         return index.storedBytes() >= MIN_STORED_TO_NEEDED_RATIO * index.neededBytes();
     }
 
-    private double mostStoredValues() {
+    private double maxStoredValues() {
         double valueBytes = store.limits().valueBytes() * RoundCodec.FILL_RATIO;
         double neededValues = index.neededBytes() / valueBytes;
-        return Math.max(FEW_STORED_VALUES, MAX_STORED_TO_NEEDED_VALUES * neededValues);
+        return Math.max(STORED_VALUES_ALWAYS_ALLOWED, MAX_STORED_TO_NEEDED_VALUES * neededValues);
     }
 
-    /** Returns false if not all that is needed has room. What was carried until then stays. */
-    private boolean carry(
+    /** Returns false if not all that is needed fits. What was carried until then stays. */
+    private boolean carryForward(
             StoredRound old,
             RoundEncoder encoder,
             Set<String> ending,
@@ -99,8 +102,8 @@
             if (ending.contains(claim.key())) {
                 continue;
             }
-            List<Integer> sizes = List.of(RoundCodec.bytes(claim));
-            if (!encoder.hasRoom(sizes, maxValues, maxTotalBytes)) {
+            List<Integer> itemBytes = List.of(RoundCodec.bytes(claim));
+            if (!encoder.fits(itemBytes, maxValues, maxTotalBytes)) {
                 return false;
             }
             encoder.addClaim(claim);
@@ -108,11 +111,11 @@
         for (Map.Entry<String, BitSet> completed : old.completed().entrySet()) {
             String job = completed.getKey();
             BitSet tasks = completed.getValue();
-            if (!jobActive.test(job)) {
+            if (!isJobActive.test(job)) {
                 continue;
             }
-            List<Integer> sizes = encoder.completedSizes(job, tasks);
-            if (!encoder.hasRoom(sizes, maxValues, maxTotalBytes)) {
+            List<Integer> itemBytes = encoder.completedPieceBytes(job, tasks);
+            if (!encoder.fits(itemBytes, maxValues, maxTotalBytes)) {
                 return false;
             }
             encoder.carryCompleted(job, tasks, old);
--- a/src/main/java/org/springmill/control/storage/RoundEncoder.java
+++ b/src/main/java/org/springmill/control/storage/RoundEncoder.java
@@ -7,21 +7,21 @@
 import java.util.List;
 import java.util.Map;
 
-/** Fills as many values as one round needs, each up to its limit. */
+/** Encodes one round into as many values as it needs, each filled up to its limit. */
 final class RoundEncoder {
-    private final List<Value> values = new ArrayList<>();
+    private final List<EncodedValue> values = new ArrayList<>();
     private final Map<String, StoredRound> carriedCompleted = new HashMap<>();
     private final long number;
     private final int valueLimitBytes;
     private int totalBytes;
 
-    /** One value as it is written, and the content that will be indexed once it is committed. */
-    static final class Value {
+    /** One value as it is written, and the content to be indexed once it is committed. */
+    static final class EncodedValue {
         private final ObjectNode json = RoundCodec.emptyValue();
         private final List<Claim> claims = new ArrayList<>();
         private final StoredRound stored;
 
-        Value(String key) {
+        EncodedValue(String key) {
             stored = new StoredRound(key);
         }
 
@@ -39,6 +39,9 @@
     }
 
     /**
+     * An encoder with one empty value.
+     *
+     * @param number of the round
      * @param valueBytes largest value that the key-value store takes
      */
     RoundEncoder(long number, int valueBytes) {
@@ -47,7 +50,7 @@
         openValue();
     }
 
-    List<Value> values() {
+    List<EncodedValue> values() {
         return values;
     }
 
@@ -57,32 +60,32 @@
     }
 
     /** The first value, whose key stands for the whole round. */
-    Value first() {
+    EncodedValue first() {
         return values.get(0);
     }
 
-    private Value current() {
+    private EncodedValue current() {
         return values.get(values.size() - 1);
     }
 
     private void openValue() {
-        values.add(new Value(RoundCodec.key(number, values.size())));
+        values.add(new EncodedValue(RoundCodec.key(number, values.size())));
     }
 
     void addClaim(Claim claim) {
-        Value value = valueWithRoomFor(RoundCodec.bytes(claim));
+        EncodedValue value = valueWithSpaceFor(RoundCodec.bytes(claim));
         RoundCodec.addClaim(value.json, claim, number);
         value.claims.add(claim);
     }
 
     void addEnd(String claimKey) {
-        Value value = valueWithRoomFor(RoundCodec.endBytes(claimKey));
+        EncodedValue value = valueWithSpaceFor(RoundCodec.endBytes(claimKey));
         RoundCodec.addEnd(value.json, claimKey);
     }
 
     void addCompleted(String job, BitSet tasks) {
         for (String piece : pieces(tasks)) {
-            Value value = valueWithRoomFor(RoundCodec.completedBytes(job, piece));
+            EncodedValue value = valueWithSpaceFor(RoundCodec.completedBytes(job, piece));
             RoundCodec.addCompleted(value.json, job, piece);
             BitSet tasksOfPiece = new BitSet();
             CompletedTasks.decode(piece, tasksOfPiece);
@@ -96,13 +99,13 @@
         carriedCompleted.put(job, from);
     }
 
-    /** Once the round is committed, older values no longer need what was carried from them. */
+    /** Drops from older values what was carried from them, once the round is committed. */
     void releaseCarriedCompleted() {
         carriedCompleted.forEach((job, from) -> from.completed().remove(job));
     }
 
     /** Sizes of the pieces in which a completed task set would be written. */
-    List<Integer> completedSizes(String job, BitSet tasks) {
+    List<Integer> completedPieceBytes(String job, BitSet tasks) {
         return pieces(tasks).stream().map(piece -> RoundCodec.completedBytes(job, piece)).toList();
     }
 
@@ -111,26 +114,28 @@
     }
 
     /**
-     * Whether items of these sizes fit into so many values and, together with all that is there,
-     * into so many bytes.
+     * Whether items of these sizes in bytes still fit, in the order given.
+     *
+     * @param maxValues values that the round may have
+     * @param maxTotalBytes bytes that all values together may have
      */
-    boolean hasRoom(List<Integer> itemSizes, int maxValues, int maxTotalBytes) {
+    boolean fits(List<Integer> sizes, int maxValues, int maxTotalBytes) {
         int valueCount = values.size();
         int bytesLeft = valueLimitBytes - current().stored.bytes();
-        int itemBytes = 0;
-        for (int itemSize : itemSizes) {
-            if (itemSize > bytesLeft) {
+        int addedBytes = 0;
+        for (int size : sizes) {
+            if (size > bytesLeft) {
                 valueCount++;
                 bytesLeft = valueLimitBytes;
             }
-            bytesLeft -= itemSize;
-            itemBytes += itemSize;
+            bytesLeft -= size;
+            addedBytes += size;
         }
-        return valueCount <= maxValues && totalBytes + itemBytes <= maxTotalBytes;
+        return valueCount <= maxValues && totalBytes + addedBytes <= maxTotalBytes;
     }
 
     /** Counts an item into the current value, or into a new one if it does not fit. */
-    private Value valueWithRoomFor(int itemBytes) {
+    private EncodedValue valueWithSpaceFor(int itemBytes) {
         if (current().stored.bytes() + itemBytes > valueLimitBytes) {
             openValue();
         }
--- a/src/main/java/org/springmill/control/storage/RoundIndex.java
+++ b/src/main/java/org/springmill/control/storage/RoundIndex.java
@@ -12,8 +12,8 @@
 import org.springmill.protocol.KeyValueStoreMessages.Entry;
 
 /**
- * The stored values of all rounds, oldest first, and in which of them each live claim stands. Built
- * by replaying the values in the order of their keys; the last copy of a claim counts.
+ * The stored values of all rounds, oldest first, and which of them holds each live claim. It is
+ * recovered by replaying the values in the order of their keys; the last copy of a claim counts.
  */
 final class RoundIndex {
     private final ArrayDeque<StoredRound> values = new ArrayDeque<>();
@@ -38,7 +38,7 @@
         return values;
     }
 
-    /** Takes in a value that was read from the key-value store. */
+    /** Adds a value that was read from the key-value store. */
     void replay(Entry entry) {
         long number = RoundCodec.number(entry.key());
         RoundValue content = RoundCodec.decode(entry.value(), number);
@@ -51,7 +51,7 @@
         lastNumber = number;
     }
 
-    /** Adds the newest value with its claims, which are removed from where they stood before. */
+    /** Adds the newest value with its claims, which are removed from the values before it. */
     void add(StoredRound value, List<Claim> claims) {
         values.add(value);
         for (Claim claim : claims) {
@@ -73,7 +73,7 @@
     }
 
     /** The live claims and completed tasks of all values together. */
-    Rebuilt rebuilt() {
+    Rebuilt recover() {
         List<Claim> live = new ArrayList<>();
         Map<String, BitSet> completed = new HashMap<>();
         for (StoredRound value : values) {
--- a/src/main/java/org/springmill/control/storage/RoundLog.java
+++ b/src/main/java/org/springmill/control/storage/RoundLog.java
@@ -14,25 +14,27 @@
 import org.springmill.transport.EventLoop;
 
 /**
- * The rounds in the key-value store, under {@code round/<number>.<part>}: append-only, with numbers
- * that strictly rise across leaders.
+ * The append-only log of placement rounds in the key-value store, under {@code
+ * round/<number>.<part>}. Numbers strictly rise across leaders.
  *
- * <p>A round holds its claims, the ends of earlier claims and completed tasks, in one transaction
- * that is conditional on the leader's own record, so that one applied late, after another leader
- * took over, fails. Old values are deleted from the oldest on, once later ones carry what is still
- * needed of them; an end therefore never disappears before the claim that it ends. What is needed
- * of one value may be carried by several transactions, before the one that deletes it: read back in
- * order, the last copy of a claim counts. So a value written under larger limits is split by and
- * by, and no transaction grows with what is stored.
+ * <p>A round holds its claims, the ends of earlier claims and completed tasks. It is written in one
+ * transaction whose condition is the leader's own record, so a copy that is applied late, after a
+ * failover, fails.
+ *
+ * <p>Compaction deletes old values from the oldest on, once later values carry what is still needed
+ * of them; an end therefore never disappears before the claim that it ends. Several transactions
+ * may carry parts of one value before the last of them deletes it, and on recovery the last copy of
+ * a claim counts. So a value written under larger limits is split step by step, and no transaction
+ * grows with what is stored.
  *
  * <p>{@link RoundCodec} has the stored form, {@link RoundIndex} what is stored, {@link RoundWriter}
- * the transactions and {@link RoundCompactor} what is carried forward.
+ * the transactions and {@link RoundCompactor} the compaction.
  */
 public final class RoundLog {
     /**
-     * A round of a controller with half a core or less has at most so many claims and ends, so that
-     * it keeps up. With more of a core it has more: where the key-value store is far away, rounds a
-     * second are few.
+     * Claims and ends that a round may have on any controller; one with half a core or less keeps
+     * up with no more. With more of a core a round may have more, since a distant key-value store
+     * allows few rounds in a second.
      */
     private static final int MIN_ITEMS_PER_ROUND = 96;
 
@@ -41,10 +43,10 @@
     /** Well below the 64 KiB of a transaction, of which conditions and deletions need some. */
     private static final int MAX_COMMIT_BYTES = 48 * 1024;
 
-    /** The same together with what is reserved for other records, of which no part is deletions. */
+    /** The same with what is reserved for other records, which have no deletions. */
     private static final int MAX_BYTES_WITH_RESERVE = 54 * 1024;
 
-    /** Writes of a transaction that are left for replacing older values. */
+    /** Writes of a transaction that are left for compaction. */
     private static final int WRITES_FOR_COMPACTION = 2;
 
     private final KeyValueStoreClient store;
@@ -53,57 +55,63 @@
     private final int maxItemsPerRound;
     private final Reserve reserve;
 
-    /** What is left of each transaction for changes of other records. */
+    /** What rounds leave of each transaction for writes of other records. */
     public record Reserve(int writes, int bytes) {
-        /** Nothing. */
+        /** Nothing is left for other records. */
         public static final Reserve NONE = new Reserve(0, 0);
     }
 
-    /** The end of a claim; done, or else proven gone. */
+    /**
+     * The end of a claim.
+     *
+     * @param done whether the task completed; if not, its attempt is proven to run no more
+     */
     public record End(Claim claim, boolean done) {}
 
     /**
-     * What the rounds hold when they are read back.
+     * What is recovered from the stored rounds.
      *
      * @param live claims that have not ended
-     * @param done completed tasks by job
+     * @param done completed tasks by job, of jobs that may still be active
      */
     public record Rebuilt(Collection<Claim> live, Map<String, BitSet> done) {}
 
     /**
-     * @param leadership the condition that holds as long as this controller leads
-     * @param jobActive whether a job has not ended, so that its completed tasks are still needed
-     * @param cpuShare what this controller may use of one core
-     * @param reserve what is left of each transaction for changes of other records
+     * A log that holds nothing until it is loaded.
+     *
+     * @param termCondition the condition that holds as long as this controller leads
+     * @param isJobActive whether a job has not ended, so that its completed tasks are still needed
+     * @param cpuShare cores that this controller may use
+     * @param reserve what rounds leave of each transaction for writes of other records
      */
     public RoundLog(
             KeyValueStoreClient store,
             EventLoop loop,
-            Condition leadership,
-            Predicate<String> jobActive,
+            Condition termCondition,
+            Predicate<String> isJobActive,
             double cpuShare,
             Reserve reserve) {
         this.store = store;
         this.reserve = reserve;
-        int byProcessor = (int) (ITEMS_PER_ROUND_AND_CORE * cpuShare);
-        maxItemsPerRound = Math.max(MIN_ITEMS_PER_ROUND, byProcessor);
-        RoundCompactor compactor = new RoundCompactor(store, index, jobActive);
-        writer = new RoundWriter(store, loop, leadership, index, compactor);
+        int itemsForCpu = (int) (ITEMS_PER_ROUND_AND_CORE * cpuShare);
+        maxItemsPerRound = Math.max(MIN_ITEMS_PER_ROUND, itemsForCpu);
+        RoundCompactor compactor = new RoundCompactor(store, index, isJobActive);
+        writer = new RoundWriter(store, loop, termCondition, index, compactor);
     }
 
-    /** Number that the next round will have. */
+    /** Number of the next round. */
     public long next() {
         return index.lastNumber() + 1;
     }
 
-    /** How many ends one round may hold: they have half of it, and claims have what is left. */
+    /** Ends that one round may hold: they have half of its bytes, and claims have the rest. */
     public int endsPerRound() {
-        return itemsIn(roundBytes() / 2, StoredRound.ESTIMATED_END_BYTES);
+        return itemsIn(maxRoundBytes() / 2, StoredRound.ESTIMATED_END_BYTES);
     }
 
-    /** How many claims fit into a round beside so many ends. */
+    /** Claims that fit into a round beside so many ends. */
     public int claimsBeside(int ends) {
-        int bytesLeft = roundBytes() - ends * StoredRound.ESTIMATED_END_BYTES;
+        int bytesLeft = maxRoundBytes() - ends * StoredRound.ESTIMATED_END_BYTES;
         return itemsIn(bytesLeft, StoredRound.ESTIMATED_CLAIM_BYTES);
     }
 
@@ -111,7 +119,7 @@
         return Math.max(1, Math.min(maxItemsPerRound, bytes / itemBytes));
     }
 
-    private int roundBytes() {
+    private int maxRoundBytes() {
         Settings.StoreLimits limits = store.limits();
         int values =
                 Math.max(1, limits.writesPerCommit() - WRITES_FOR_COMPACTION - reserve.writes());
@@ -120,28 +128,28 @@
         return (int) Math.min(commitBytes, fillableBytes);
     }
 
-    /** How many values are stored. */
+    /** Number of stored values. */
     public int kept() {
         return index.size();
     }
 
-    /** No more transactions are sent, nor answers passed on, once the leadership has ended. */
+    /** Ends the log with the leader's term: no transaction is sent and no callback made any more. */
     public void close() {
         writer.close();
     }
 
     /**
-     * Reads all rounds. Complete once the leadership is held: transactions of earlier leaders can
-     * then no longer be applied.
+     * Recovers all rounds. To be called by a leader: transactions of earlier terms can then no
+     * longer be applied, so nothing is missed.
      *
      * @param done takes null if the key-value store could not be read
      */
     public void load(Consumer<Rebuilt> done) {
-        store.list(RoundCodec.PREFIX, page -> loaded(page, done));
+        store.list(RoundCodec.PREFIX, page -> pageRead(page, done));
     }
 
-    private void loaded(Page page, Consumer<Rebuilt> done) {
-        if (writer.closed()) {
+    private void pageRead(Page page, Consumer<Rebuilt> done) {
+        if (writer.isClosed()) {
             return;
         }
         if (page == null) {
@@ -151,16 +159,16 @@
         for (Entry entry : page.entries()) {
             index.replay(entry);
         }
-        done.accept(index.rebuilt());
+        done.accept(index.recover());
     }
 
     /**
      * Commits a round.
      *
-     * @param attached changes of other records that are part of the round's transaction
+     * @param attached writes of other records that are part of the round's transaction
      * @param done called once the round is known to be committed, and never if the leadership has
      *     ended
-     * @param lost called instead when the key-value store shows that the leadership is over
+     * @param lost called instead when the key-value store shows that the term is over
      */
     public void append(
             List<Claim> claims,
--- a/src/main/java/org/springmill/control/storage/RoundWriter.java
+++ b/src/main/java/org/springmill/control/storage/RoundWriter.java
@@ -21,43 +21,44 @@
 /**
  * Appends rounds, each in one transaction, and splits those that are too large for one.
  *
- * <p>A transaction without an answer is sent again, unchanged, until its fate is known: its key
- * must not exist, so only one copy is ever applied. The other copy may be carried out at any later
- * time of the term, so its key has to outlast the round's own content.
+ * <p>A transaction without a response is sent again, unchanged, until its fate is known. The
+ * request is idempotent: its condition is that the round's key does not exist, so only one copy is
+ * ever applied. Another copy may reach the store at any later time of the term, so the key has to
+ * outlast the round's content.
  */
 final class RoundWriter {
     /** Log lines of the parts of the round log stand under its name. */
     private static final Logger LOG = LoggerFactory.getLogger(RoundLog.class);
 
-    /** A transaction is repeated after the time in which so many writes are allowed. */
+    /** A retry waits for the time in which the rate limit allows so many writes. */
     private static final double RETRY_AFTER_WRITES = 2;
 
     private final KeyValueStoreClient store;
     private final EventLoop loop;
-    private final Condition leadership;
+    private final Condition termCondition;
     private final RoundIndex index;
     private final RoundCompactor compactor;
-    private boolean closed;
+    private boolean isClosed;
 
     RoundWriter(
             KeyValueStoreClient store,
             EventLoop loop,
-            Condition leadership,
+            Condition termCondition,
             RoundIndex index,
             RoundCompactor compactor) {
         this.store = store;
         this.loop = loop;
-        this.leadership = leadership;
+        this.termCondition = termCondition;
         this.index = index;
         this.compactor = compactor;
     }
 
     void close() {
-        closed = true;
+        isClosed = true;
     }
 
-    boolean closed() {
-        return closed;
+    boolean isClosed() {
+        return isClosed;
     }
 
     /** See {@link RoundLog#append}. */
@@ -75,12 +76,12 @@
         return RETRY_AFTER_WRITES / store.limits().writesPerSecond();
     }
 
-    /** One transaction until its fate is known. */
+    /** The transaction of one round, until its fate is known. */
     private final class Transaction {
         private final List<Claim> claims;
         private final List<End> ends;
 
-        /** Changes of other records; those of a round that is split go with its first half. */
+        /** Writes of other records; those of a round that is split go with its first half. */
         private final List<Write> attached;
 
         private final long number;
@@ -92,12 +93,12 @@
         private final List<Write> writes = new ArrayList<>();
 
         /**
-         * A larger transaction of the same number that went unanswered, and so may be the one that
-         * was applied; or null.
+         * A larger transaction of the same number without a response, which may be the one that was
+         * applied; or null.
          */
-        private Transaction unansweredLarger;
+        private Transaction largerOfUnknownFate;
 
-        private boolean unanswered;
+        private boolean isFateUnknown;
 
         Transaction(
                 List<Claim> claims,
@@ -121,7 +122,7 @@
                     .forEach(value -> writes.add(Write.put(value.stored().key(), value.json())));
             replaced.forEach(old -> writes.add(removalOf(old)));
             writes.addAll(attached);
-            conditions.add(leadership);
+            conditions.add(termCondition);
             conditions.add(new Condition(firstKey(), 0));
         }
 
@@ -144,9 +145,10 @@
         }
 
         /**
-         * A copy of the value's transaction that is applied only now would find a deleted key
-         * absent, and restore claims whose ends are gone. So the key is kept with an empty value,
-         * which refuses that copy; in the next term the copy fails by itself, and the key can go.
+         * A late copy of the value's transaction would find a deleted key absent, and restore
+         * claims whose ends are no longer stored. So the key is kept with an empty value, on which
+         * that copy fails. In the next term it fails by the term's condition, and the key can be
+         * deleted.
          */
         private Write removalOf(StoredRound old) {
             return old.mayBeAppliedAgain()
@@ -158,85 +160,83 @@
             return encoder.first().stored().key();
         }
 
-        private boolean divisible() {
+        private boolean isDivisible() {
             return claims.size() + ends.size() > 1;
         }
 
         void send() {
-            if (closed) {
+            if (isClosed) {
                 return;
             }
-            if (writes.size() > store.limits().writesPerCommit() && divisible()) {
+            if (writes.size() > store.limits().writesPerCommit() && isDivisible()) {
                 // A gang larger than a round: its members are claimed together, but not in one
                 // transaction.
                 split();
                 return;
             }
-            store.compareAndSwap(conditions, writes, this::answered);
+            store.compareAndSwap(conditions, writes, this::responseReceived);
         }
 
-        private void answered(CommitResult result) {
-            if (closed) {
+        private void responseReceived(CommitResult result) {
+            if (isClosed) {
                 return;
             }
             switch (result.outcome()) {
-                case COMMITTED -> applied();
-                case REJECTED -> refused(result);
+                case COMMITTED -> committed();
+                case REJECTED -> rejected(result);
                 case TOO_LARGE -> split();
-                // The same transaction again. It cannot be applied twice.
+                // The request is idempotent.
                 case RETRYABLE, UNKNOWN -> {
-                    unanswered |= result.outcome() == CommitOutcome.UNKNOWN;
+                    isFateUnknown |= result.outcome() == CommitOutcome.UNKNOWN;
                     loop.after(retryDelaySeconds(), this::send);
                 }
             }
         }
 
-        private void refused(CommitResult result) {
+        private void rejected(CommitResult result) {
             boolean malformed = result.failed().isEmpty();
-            boolean leadershipEnded = result.failed().contains(leadership.key());
+            boolean leadershipEnded = result.failed().contains(termCondition.key());
             boolean keyExists = result.failed().contains(firstKey());
-            if (malformed && divisible()) {
-                // Something in it is not taken, whatever it is: the rest must not wait for that,
-                // nor the term end with it.
-                LOG.warn(
-                        "round {} is refused by the state service and goes in two halves",
-                        firstKey());
+            if (malformed && isDivisible()) {
+                // The store takes some part of it not at all. The other parts must not wait for that
+                // one, nor may it end the term.
+                LOG.warn("round {} rejected by the key-value store: split into halves", firstKey());
                 split();
             } else if (leadershipEnded) {
                 onLeadershipLost.run();
             } else if (!keyExists) {
-                LOG.error("round {} is refused by the state service", firstKey());
+                LOG.error("round {} rejected by the key-value store: term ends", firstKey());
                 onLeadershipLost.run();
-            } else if (unansweredLarger == null) {
-                // The key exists and the leadership held: only this leader writes rounds, so an
+            } else if (largerOfUnknownFate == null) {
+                // The key exists and the term's condition held. Only this leader writes rounds, so an
                 // earlier copy was applied.
-                applied();
+                committed();
             } else {
                 readBack();
             }
         }
 
-        /** One of several transactions of this number was applied: the stored value tells which. */
+        /** One of several transactions of this number was applied; the stored value shows which. */
         private void readBack() {
-            store.get(firstKey(), this::readBackAnswered);
+            store.get(firstKey(), this::readBackReceived);
         }
 
-        private void readBackAnswered(ReadResult read) {
-            if (closed) {
+        private void readBackReceived(ReadResult read) {
+            if (isClosed) {
                 return;
             }
             if (read.entry() == null) {
                 loop.after(retryDelaySeconds(), this::send);
                 return;
             }
-            for (Transaction sent = this; sent != null; sent = sent.unansweredLarger) {
+            for (Transaction sent = this; sent != null; sent = sent.largerOfUnknownFate) {
                 if (sent.wrote(read.entry().value())) {
-                    sent.unanswered |= unanswered;
-                    sent.applied();
+                    sent.isFateUnknown |= isFateUnknown;
+                    sent.committed();
                     return;
                 }
             }
-            LOG.error("round {} holds what was never sent", firstKey());
+            LOG.error("round {} has content that this leader never sent: term ends", firstKey());
             onLeadershipLost.run();
         }
 
@@ -246,13 +246,13 @@
         }
 
         /**
-         * The service takes less than its settings said. The round goes in two halves, the second
-         * under the next number but with its claims' own; smaller limits are kept to from now on,
-         * so the last halves are as small as can be.
+         * Sends the round as two halves. The second has the next number, while its claims keep the
+         * number of the round that decided them. The limits are lower from now on, so the splitting
+         * ends.
          */
         private void split() {
-            Transaction smaller = divisible() ? firstHalf() : reencoded();
-            smaller.unansweredLarger = unanswered ? this : unansweredLarger;
+            Transaction smaller = isDivisible() ? firstHalf() : reencoded();
+            smaller.largerOfUnknownFate = isFateUnknown ? this : largerOfUnknownFate;
             smaller.send();
         }
 
@@ -268,7 +268,7 @@
                     onLeadershipLost);
         }
 
-        /** The same content under the limits of now, and with what is carried now. */
+        /** The same content under the present limits, and with what compaction carries now. */
         private Transaction reencoded() {
             return new Transaction(claims, ends, attached, number, onCommitted, onLeadershipLost);
         }
@@ -282,10 +282,10 @@
                     onLeadershipLost);
         }
 
-        private void applied() {
+        private void committed() {
             index.setLastNumber(number);
-            for (Transaction sent = this; sent != null; sent = sent.unansweredLarger) {
-                if (sent.unanswered) {
+            for (Transaction sent = this; sent != null; sent = sent.largerOfUnknownFate) {
+                if (sent.isFateUnknown) {
                     encoder.first().stored().setMayBeAppliedAgain();
                 }
             }
--- a/src/main/java/org/springmill/control/storage/StoredRound.java
+++ b/src/main/java/org/springmill/control/storage/StoredRound.java
@@ -4,11 +4,12 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 
-/** One stored value, a round or part of one, as far as its content is still needed. */
+/** One stored value, a round or a part of one, with that of its content which is still needed. */
 final class StoredRound {
-    /** Rough size of a stored claim, and of an end together with its completed task. */
+    /** Rough size of a stored claim. */
     static final int ESTIMATED_CLAIM_BYTES = 96;
 
+    /** Rough size of a stored end with its completed task. */
     static final int ESTIMATED_END_BYTES = 64;
 
     private final String key;
@@ -25,7 +26,7 @@
         return key;
     }
 
-    /** Claims by key that live in this value. */
+    /** Live claims by key of which this value has the last copy. */
     Map<String, Claim> claims() {
         return claims;
     }
@@ -39,7 +40,7 @@
         completed.computeIfAbsent(job, j -> new BitSet()).or(tasks);
     }
 
-    /** Approximate bytes as written; what is still needed of them only shrinks. */
+    /** Approximate bytes as written. */
     int bytes() {
         return bytes;
     }
@@ -48,11 +49,12 @@
         bytes += added;
     }
 
+    /** Approximate bytes of what is still needed; they only become fewer. */
     int neededBytes() {
         return claims.size() * ESTIMATED_CLAIM_BYTES;
     }
 
-    /** Whether another copy of its transaction, sent in this term, may still be applied. */
+    /** Whether a late copy of its transaction, sent in this term, may still reach the store. */
     boolean mayBeAppliedAgain() {
         return mayBeAppliedAgain;
     }
--- a/src/test/java/org/springmill/control/admission/MemoryBoundTest.java
+++ b/src/test/java/org/springmill/control/admission/MemoryBoundTest.java
@@ -34,33 +34,33 @@
     @CsvSource({"LOW, 700", "NORMAL, 800", "HIGH, 900", "PRODUCTION, 950"})
     void lowerPrioritiesAreRefusedEarlier(Priority priority, int jobs) {
         fill(jobs - 1, Priority.LOW);
-        assertEquals(0, bound.excess(activeJobs, 0, job("red", priority, 1, 0), false));
+        assertEquals(0, bound.excessBytes(activeJobs, 0, job("red", priority, 1, 0), false));
         fill(1, Priority.LOW);
-        assertTrue(bound.excess(activeJobs, 0, job("red", priority, 1, 0), false) > 0);
+        assertTrue(bound.excessBytes(activeJobs, 0, job("red", priority, 1, 0), false) > 0);
     }
 
     @Test
     void workWithinAGuaranteeHasTheWholeBound() {
         fill(999, Priority.PRODUCTION);
-        assertEquals(0, bound.excess(activeJobs, 0, job("red", Priority.LOW, 1, 0), true));
+        assertEquals(0, bound.excessBytes(activeJobs, 0, job("red", Priority.LOW, 1, 0), true));
         fill(1, Priority.PRODUCTION);
-        assertTrue(bound.excess(activeJobs, 0, job("red", Priority.LOW, 1, 0), true) > 0);
+        assertTrue(bound.excessBytes(activeJobs, 0, job("red", Priority.LOW, 1, 0), true) > 0);
     }
 
     @Test
     void oneTeamMayHoldHalfOfWhatItsPriorityMay() {
         for (int i = 0; i < 400; i++) {
-            assertEquals(0, bound.excess(activeJobs, 0, job("red", Priority.NORMAL, 1, 0), false));
+            assertEquals(0, bound.excessBytes(activeJobs, 0, job("red", Priority.NORMAL, 1, 0), false));
             activeJobs.add(job("red", Priority.NORMAL, 1, 0));
         }
-        assertTrue(bound.excess(activeJobs, 0, job("red", Priority.NORMAL, 1, 0), false) > 0);
-        assertEquals(0, bound.excess(activeJobs, 0, job("blue", Priority.NORMAL, 1, 0), false));
+        assertTrue(bound.excessBytes(activeJobs, 0, job("red", Priority.NORMAL, 1, 0), false) > 0);
+        assertEquals(0, bound.excessBytes(activeJobs, 0, job("blue", Priority.NORMAL, 1, 0), false));
     }
 
     @Test
     void recordsOfEndedJobsCount() {
-        long bytes = (long) (bound.bytes() * 0.7);
-        assertTrue(bound.excess(activeJobs, bytes, job("red", Priority.LOW, 1, 0), false) > 0);
+        long bytes = (long) (bound.boundBytes() * 0.7);
+        assertTrue(bound.excessBytes(activeJobs, bytes, job("red", Priority.LOW, 1, 0), false) > 0);
     }
 
     @ParameterizedTest
