--- a/src/main/java/org/springmill/control/admission/Congestion.java
+++ b/src/main/java/org/springmill/control/admission/Congestion.java
@@ -42,7 +42,8 @@
         }
         Queue ofTeam = new Queue(job.team(), job.priority());
         Queue ofAll = new Queue(CongestedQueue.ALL_TEAMS, job.priority());
-        return Math.max(excessByQueue.getOrDefault(ofTeam, 0.0), excessByQueue.getOrDefault(ofAll, 0.0));
+        return Math.max(
+                excessByQueue.getOrDefault(ofTeam, 0.0), excessByQueue.getOrDefault(ofAll, 0.0));
     }
 
     /** Queues that wait too long, as far as is known. */
--- a/src/main/java/org/springmill/control/borrowing/HoldDown.java
+++ b/src/main/java/org/springmill/control/borrowing/HoldDown.java
@@ -71,7 +71,8 @@
             added = Math.max(added, estimate.secondsBeforeWave);
         }
         estimate.secondsAddedByWave = Math.max(estimate.secondsAddedByWave, added);
-        estimate.seconds = Math.min(maxSeconds, estimate.secondsBeforeWave + estimate.secondsAddedByWave);
+        estimate.seconds =
+                Math.min(maxSeconds, estimate.secondsBeforeWave + estimate.secondsAddedByWave);
         estimate.recalledAt = now;
         estimate.updatedAt = now;
     }
--- a/src/main/java/org/springmill/control/borrowing/VictimSelection.java
+++ b/src/main/java/org/springmill/control/borrowing/VictimSelection.java
@@ -39,7 +39,10 @@
      * @param need what has to be free
      */
     public static <T> Optional<Choice<T>> choose(
-            Resources free, Resources need, List<Candidate<T>> candidates, PreemptionRule<T> right) {
+            Resources free,
+            Resources need,
+            List<Candidate<T>> candidates,
+            PreemptionRule<T> right) {
         List<Candidate<T>> ordered = new ArrayList<>(candidates);
         ordered.sort(
                 Comparator.comparing((Candidate<T> c) -> c.priority())
@@ -52,7 +55,8 @@
             if (freed.hold(need)) {
                 break;
             }
-            if (freesWhatIsMissing(candidate, freed, need) && right.mayPreempt(candidate.task(), tasks)) {
+            if (freesWhatIsMissing(candidate, freed, need)
+                    && right.mayPreempt(candidate.task(), tasks)) {
                 chosen.add(candidate);
                 tasks.add(candidate.task());
                 freed = freed.plus(candidate.frees());
@@ -65,7 +69,8 @@
     }
 
     /** Whether a task frees any of what is still missing. */
-    private static boolean freesWhatIsMissing(Candidate<?> candidate, Resources freed, Resources need) {
+    private static boolean freesWhatIsMissing(
+            Candidate<?> candidate, Resources freed, Resources need) {
         Resources frees = candidate.frees();
         return (frees.cpus() > 0 && need.cpus() > freed.cpus() + Resources.ROUNDING)
                 || (frees.gpus() > 0 && need.gpus() > freed.gpus() + Resources.ROUNDING)
--- a/src/main/java/org/springmill/control/history/HistoryArchiver.java
+++ b/src/main/java/org/springmill/control/history/HistoryArchiver.java
@@ -127,7 +127,10 @@
     }
 
     private int batchSize() {
-        int most = recordsToCommitSingly > 0 ? 1 : store.limits().writesPerCommit() / WRITES_PER_RECORD;
+        int most =
+                recordsToCommitSingly > 0
+                        ? 1
+                        : store.limits().writesPerCommit() / WRITES_PER_RECORD;
         return Math.max(1, most);
     }
 
--- a/src/main/java/org/springmill/control/history/RetentionQueue.java
+++ b/src/main/java/org/springmill/control/history/RetentionQueue.java
@@ -13,7 +13,8 @@
  */
 final class RetentionQueue {
     private final PriorityQueue<DueJob> dueJobs =
-            new PriorityQueue<>(Comparator.comparingDouble(DueJob::at).thenComparingLong(DueJob::order));
+            new PriorityQueue<>(
+                    Comparator.comparingDouble(DueJob::at).thenComparingLong(DueJob::order));
     private final Set<String> queuedIds = new HashSet<>();
     private long nextOrder;
 
--- a/src/main/java/org/springmill/control/storage/CompletedTasks.java
+++ b/src/main/java/org/springmill/control/storage/CompletedTasks.java
@@ -10,14 +10,19 @@
  * A piece is a list of ranges ("0-17,19") or, where that is shorter, a bitmap ("@16384:base64").
  */
 public final class CompletedTasks {
-    /** A piece covers the tasks of one window, which a smaller value makes smaller. */
+    /** Tasks that one piece covers at most; fewer where a piece has to be smaller. */
     private static final int LARGEST_WINDOW = 1 << 14;
 
     private static final int SMALLEST_WINDOW = 1 << 8;
 
-    /** A character of a bitmap holds so many tasks. */
+    /** Tasks in one Base64 character of a bitmap. */
     private static final int TASKS_PER_CHARACTER = 6;
 
+    private static final char BITMAP_MARK = '@';
+    private static final char BITMAP_SEPARATOR = ':';
+    private static final char RANGE_SEPARATOR = ',';
+    private static final char RANGE_DASH = '-';
+
     private CompletedTasks() {}
 
     /**
@@ -26,10 +31,7 @@
      * @param maxCharacters of one piece; a value that shrank must still hold a whole one
      */
     public static List<String> encode(BitSet completed, int maxCharacters) {
-        int window = LARGEST_WINDOW;
-        while (window > SMALLEST_WINDOW && window / TASKS_PER_CHARACTER > maxCharacters) {
-            window /= 2;
-        }
+        int window = window(maxCharacters);
         List<String> pieces = new ArrayList<>();
         for (int from = completed.nextSetBit(0); from >= 0; ) {
             int base = from / window * window;
@@ -42,30 +44,51 @@
         return pieces;
     }
 
-    /** Adds the tasks of a piece to a set. */
+    private static int window(int maxCharacters) {
+        int window = LARGEST_WINDOW;
+        while (window > SMALLEST_WINDOW && window / TASKS_PER_CHARACTER > maxCharacters) {
+            window /= 2;
+        }
+        return window;
+    }
+
+    /**
+     * Adds the tasks of a piece to a set.
+     *
+     * @throws IllegalArgumentException if it is not the form of a piece
+     */
     public static void decode(String piece, BitSet into) {
-        if (piece.startsWith("@")) {
-            int colon = piece.indexOf(':');
-            int base = Integer.parseInt(piece, 1, colon, 10);
-            BitSet.valueOf(Base64.getDecoder().decode(piece.substring(colon + 1))).stream()
-                    .forEach(i -> into.set(base + i));
-            return;
+        if (piece.indexOf(BITMAP_MARK) == 0) {
+            decodeBitmap(piece, into);
+        } else {
+            decodeRanges(piece, into);
         }
-        for (String range : piece.split(",")) {
-            int dash = range.indexOf('-');
+    }
+
+    private static void decodeBitmap(String piece, BitSet into) {
+        int separator = piece.indexOf(BITMAP_SEPARATOR);
+        int base = Integer.parseInt(piece, 1, separator, 10);
+        byte[] bits = Base64.getDecoder().decode(piece.substring(separator + 1));
+        BitSet.valueOf(bits).stream().forEach(task -> into.set(base + task));
+    }
+
+    private static void decodeRanges(String piece, BitSet into) {
+        for (String range : piece.split(String.valueOf(RANGE_SEPARATOR))) {
+            int dash = range.indexOf(RANGE_DASH);
             if (dash < 0) {
                 into.set(Integer.parseInt(range));
             } else {
-                into.set(
-                        Integer.parseInt(range, 0, dash, 10),
-                        Integer.parseInt(range, dash + 1, range.length(), 10) + 1);
+                int first = Integer.parseInt(range, 0, dash, 10);
+                int last = Integer.parseInt(range, dash + 1, range.length(), 10);
+                into.set(first, last + 1);
             }
         }
     }
 
     private static String bitmap(BitSet part, int base) {
         Base64.Encoder encoder = Base64.getEncoder().withoutPadding();
-        return "@" + base + ":" + encoder.encodeToString(part.toByteArray());
+        String bits = encoder.encodeToString(part.toByteArray());
+        return String.valueOf(BITMAP_MARK) + base + BITMAP_SEPARATOR + bits;
     }
 
     private static String ranges(BitSet part, int base) {
@@ -73,11 +96,11 @@
         for (int from = part.nextSetBit(0); from >= 0; ) {
             int to = part.nextClearBit(from) - 1;
             if (text.length() > 0) {
-                text.append(',');
+                text.append(RANGE_SEPARATOR);
             }
             text.append(base + from);
             if (to > from) {
-                text.append('-').append(base + to);
+                text.append(RANGE_DASH).append(base + to);
             }
             from = part.nextSetBit(to + 1);
         }
--- a/src/main/java/org/springmill/control/storage/DecisionKey.java
+++ b/src/main/java/org/springmill/control/storage/DecisionKey.java
@@ -6,7 +6,7 @@
 import java.util.Arrays;
 import java.util.Base64;
 
-/** The idempotency key of a decision: derived once from what was decided, stored, and read back. */
+/** Derives the idempotency key of a decision; it is stored, and read back ever after. */
 public final class DecisionKey {
     private static final int KEY_BYTES = 16;
     private static final String VERSION = "v1";
--- a/src/main/java/org/springmill/control/storage/ImageLocations.java
+++ b/src/main/java/org/springmill/control/storage/ImageLocations.java
@@ -8,92 +8,106 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.Set;
 import org.springmill.protocol.Json;
 
 /**
- * Hints on which machines hold which images, stored now and then for the next leader under {@code
- * images}. Nothing but start times depends on it, so it may be old, cut short or missing.
+ * Hints on which machines hold which images, stored from time to time for the next leader under
+ * {@code images}. They only affect start times, so they may be old, cut short or missing.
  */
 public final class ImageLocations {
+    /** Key of the record. */
     public static final String KEY = "images";
 
-    /** Room for the fields around the lists. */
+    private static final int FORMAT_VERSION = 1;
+    private static final String MACHINES = "machines";
+    private static final String IMAGES = "images";
+
+    /** Allowance for the fields around the lists. */
     private static final int OVERHEAD_BYTES = 64;
 
     /** Quotes and comma of a machine in the list. */
     private static final int MACHINE_OVERHEAD_BYTES = 3;
 
-    /** Size and punctuation around the name of an image that is listed first for this machine. */
+    /** Size and punctuation around the name of an image that no earlier machine holds. */
     private static final int IMAGE_OVERHEAD_BYTES = 25;
 
-    /** A machine's place in the list of an image. */
+    /** The index of a machine in the list of an image. */
     private static final int HOLDER_BYTES = 5;
 
-    private final Map<String, Map<String, Double>> byMachine = new LinkedHashMap<>();
+    /** Sizes of images in GB, by machine and image. */
+    private final Map<String, Map<String, Double>> imagesByMachine = new LinkedHashMap<>();
 
-    /** Notes that a machine holds an image of the size given. */
+    /** Adds an image of the given size that a machine holds. */
     public void add(String machine, String image, double gb) {
-        byMachine.computeIfAbsent(machine, m -> new HashMap<>()).put(image, gb);
+        imagesByMachine.computeIfAbsent(machine, m -> new HashMap<>()).put(image, gb);
     }
 
-    /** The images of a machine with their sizes. */
+    /** The images of a machine with their sizes in GB. */
     public Map<String, Double> of(String machine) {
-        return byMachine.getOrDefault(machine, Map.of());
+        return imagesByMachine.getOrDefault(machine, Map.of());
     }
 
     /**
-     * Machines are listed once and then named by their place in the list; what does not fit a value
-     * is left out.
+     * The stored form: machines are listed once, and an image lists its size and then the indexes
+     * of its machines. Machines that do not fit are left out.
+     *
+     * @param valueBytes the most that the value may take
      */
     public JsonNode encode(int valueBytes) {
-        ObjectNode json = Json.newObject().put("v", 1);
-        ArrayNode machines = json.putArray("machines");
-        ObjectNode images = json.putObject("images");
+        ObjectNode json = Json.newObject().put("v", FORMAT_VERSION);
+        ArrayNode machines = json.putArray(MACHINES);
+        ObjectNode images = json.putObject(IMAGES);
         int bytesLeft = valueBytes - OVERHEAD_BYTES;
-        int index = 0;
-        for (Map.Entry<String, Map<String, Double>> e : byMachine.entrySet()) {
-            int cost = e.getKey().length() + MACHINE_OVERHEAD_BYTES;
-            for (String image : e.getValue().keySet()) {
-                cost += images.has(image) ? HOLDER_BYTES : image.length() + IMAGE_OVERHEAD_BYTES;
-            }
-            bytesLeft -= cost;
+        for (Map.Entry<String, Map<String, Double>> entry : imagesByMachine.entrySet()) {
+            String machine = entry.getKey();
+            Map<String, Double> held = entry.getValue();
+            bytesLeft -= bytes(machine, held.keySet(), images);
             if (bytesLeft < 0) {
                 break;
             }
-            machines.add(e.getKey());
-            int at = index++;
-            e.getValue()
-                    .forEach(
-                            (image, gb) -> {
-                                ArrayNode holders = images.withArray(image);
-                                if (holders.isEmpty()) {
-                                    holders.add(gb);
-                                }
-                                holders.add(at);
-                            });
+            int machineIndex = machines.size();
+            machines.add(machine);
+            held.forEach((image, gb) -> addHolder(images, image, gb, machineIndex));
         }
         return json;
     }
 
-    /** Reads a stored value; machines that it does not list are passed over. */
+    /** Bytes that a machine adds to a value that has these images already. */
+    private static int bytes(String machine, Set<String> held, ObjectNode images) {
+        int bytes = machine.length() + MACHINE_OVERHEAD_BYTES;
+        for (String image : held) {
+            bytes += images.has(image) ? HOLDER_BYTES : image.length() + IMAGE_OVERHEAD_BYTES;
+        }
+        return bytes;
+    }
+
+    private static void addHolder(ObjectNode images, String image, double gb, int machineIndex) {
+        ArrayNode fields = images.withArray(image);
+        if (fields.isEmpty()) {
+            fields.add(gb);
+        }
+        fields.add(machineIndex);
+    }
+
+    /** Reads the stored form; indexes of machines that it does not list are ignored. */
     public static ImageLocations decode(JsonNode value) {
-        ImageLocations locations = new ImageLocations();
         List<String> machines = new ArrayList<>();
-        value.path("machines").forEach(m -> machines.add(m.asText()));
-        value.path("images")
+        value.path(MACHINES).forEach(machine -> machines.add(machine.asText()));
+        ImageLocations locations = new ImageLocations();
+        value.path(IMAGES)
                 .properties()
-                .forEach(
-                        e -> {
-                            for (int i = 1; i < e.getValue().size(); i++) {
-                                int at = e.getValue().get(i).asInt();
-                                if (at < machines.size()) {
-                                    locations.add(
-                                            machines.get(at),
-                                            e.getKey(),
-                                            e.getValue().get(0).asDouble());
-                                }
-                            }
-                        });
+                .forEach(image -> locations.addHolders(image.getKey(), image.getValue(), machines));
         return locations;
     }
+
+    private void addHolders(String image, JsonNode fields, List<String> machines) {
+        double gb = fields.path(0).asDouble();
+        for (int i = 1; i < fields.size(); i++) {
+            int machineIndex = fields.get(i).asInt();
+            if (machineIndex < machines.size()) {
+                add(machines.get(machineIndex), image, gb);
+            }
+        }
+    }
 }
--- a/src/main/java/org/springmill/control/storage/JobRecord.java
+++ b/src/main/java/org/springmill/control/storage/JobRecord.java
@@ -8,18 +8,19 @@
 import org.springmill.protocol.UserMessages.JobPhase;
 
 /**
- * A job in the key-value store, under {@code job/<id>}: the submission as accepted, and how it
- * ended once it has. The submission stays, for a later leader has to count what an ended job's
- * tasks still hold.
+ * A job in the key-value store, under {@code job/<id>}: the submission as accepted, and the job's
+ * end once it has ended. The submission is kept after the end, since a later leader has to count
+ * what tasks of an ended job still hold on machines.
  *
- * <p>A job with a deadline or with dependencies holds the time at which it was accepted, from which
- * the deadline counts; dependencies are stored only where there are any. Every other record has the
- * form that was there before both, byte by byte. Versions that know neither field ignore them, so
- * all versions read each other's records during an upgrade.
+ * <p>The time of acceptance, from which the deadline counts, is stored only for jobs with a
+ * deadline or with dependencies, and dependencies only where there are any. All other records have
+ * the same bytes as before these fields were added. Versions that do not know the fields ignore
+ * them, so all versions read each other's records during an upgrade.
  *
  * @param phase QUEUED while active: whether tasks run is not stored
- * @param endedAt time of day at which its end was asked for; 0 if active or not known
- * @param acceptedAt time of day at which it was accepted; 0 if not known
+ * @param version revision of the record in the key-value store; 0 before it is committed
+ * @param endedAt time of day in seconds at which its end was requested; 0 if active or not known
+ * @param acceptedAt time of day in seconds at which it was accepted; 0 if not known
  */
 public record JobRecord(
         String id,
@@ -28,63 +29,93 @@
         long version,
         double endedAt,
         double acceptedAt) {
+    /** Prefix of the keys of all job records. */
     public static final String PREFIX = "job/";
 
+    private static final int FORMAT_VERSION = 1;
+    private static final String VERSION_FIELD = "v";
+    private static final String END_FIELD = "end";
+    private static final String ENDED_AT_FIELD = "at";
+    private static final String ACCEPTED_AT_FIELD = "accepted";
+    private static final String SUBMISSION_FIELD = "job";
+    private static final String DONE = "done";
+    private static final String CANCELLED = "cancelled";
+
+    /** The key of a job's record. */
     public static String key(String id) {
         return PREFIX + id;
     }
 
-    /** A job that is being accepted; it has no version before it is committed. */
+    /**
+     * The record of a job that is being accepted; it has no version before it is committed.
+     *
+     * @param now time of day in seconds
+     */
     public static JobRecord accepted(Submission submission, double now) {
-        boolean timed =
-                submission.deadlineSeconds() != null || !submission.dependencies().isEmpty();
-        return new JobRecord(submission.id(), submission, JobPhase.QUEUED, 0, 0, timed ? now : 0);
+        boolean hasDeadline = submission.deadlineSeconds() != null;
+        boolean storesTime = hasDeadline || !submission.dependencies().isEmpty();
+        double acceptedAt = storesTime ? now : 0;
+        return new JobRecord(submission.id(), submission, JobPhase.QUEUED, 0, 0, acceptedAt);
     }
 
+    /**
+     * The same job after its end.
+     *
+     * @param end the terminal phase
+     * @param at time of day in seconds at which the end was requested
+     */
     public JobRecord ended(JobPhase end, double at) {
         return new JobRecord(id, submission, end, version, at, acceptedAt);
     }
 
+    /** The same record as committed at a revision of the key-value store. */
     public JobRecord committed(long revision) {
         return new JobRecord(id, submission, phase, revision, endedAt, acceptedAt);
     }
 
+    /** The key of this record. */
     public String key() {
         return key(id);
     }
 
+    /** Whether the job has not ended. */
     public boolean active() {
         return !phase.terminal();
     }
 
+    /** Whether the job ended by cancellation. */
     public boolean cancelled() {
         return phase == JobPhase.CANCELLED;
     }
 
     /**
-     * What the record takes in the key-value store once it has ended, which is when it is largest.
+     * Bytes that the record takes in the key-value store after the job's end, when it is largest.
+     *
+     * @param now time of day in seconds
      */
     public int mostBytes(double now) {
         return Json.bytes(ended(JobPhase.CANCELLED, now).encode()).length;
     }
 
+    /** The stored form. */
     public JsonNode encode() {
         ObjectNode json = Json.newObject();
-        json.put("v", 1);
+        json.put(VERSION_FIELD, FORMAT_VERSION);
         if (phase.terminal()) {
-            json.put("end", phase == JobPhase.DONE ? "done" : "cancelled").put("at", endedAt);
+            json.put(END_FIELD, phase == JobPhase.DONE ? DONE : CANCELLED);
+            json.put(ENDED_AT_FIELD, endedAt);
         }
         if (acceptedAt > 0) {
-            json.put("accepted", acceptedAt);
+            json.put(ACCEPTED_AT_FIELD, acceptedAt);
         }
-        json.set("job", submission.toJson());
+        json.set(SUBMISSION_FIELD, submission.toJson());
         return json;
     }
 
     /**
-     * The same within so many bytes. A job accepted when values could be larger must still be able
-     * to end: its types, the only list that can be long in a record of that time, are not needed
-     * after the end.
+     * The stored form within so many bytes. A job that was accepted under larger limits must still
+     * be able to end. Its list of machine types, the only one that can be long in such a record, is
+     * left out then, as it is not needed after the end.
      */
     public JsonNode encode(int valueBytes) {
         JsonNode whole = encode();
@@ -95,20 +126,25 @@
                 .encode();
     }
 
+    /**
+     * Reads the stored form.
+     *
+     * @throws MalformedMessageException if the submission in it is not valid
+     */
     public static JobRecord decode(String key, JsonNode value, long version)
             throws MalformedMessageException {
         JobPhase phase =
-                switch (value.path("end").asText()) {
+                switch (value.path(END_FIELD).asText()) {
                     case "" -> JobPhase.QUEUED;
-                    case "done" -> JobPhase.DONE;
+                    case DONE -> JobPhase.DONE;
                     default -> JobPhase.CANCELLED;
                 };
         return new JobRecord(
                 key.substring(PREFIX.length()),
-                Submission.parse(value.path("job")),
+                Submission.parse(value.path(SUBMISSION_FIELD)),
                 phase,
                 version,
-                value.path("at").asDouble(),
-                value.path("accepted").asDouble());
+                value.path(ENDED_AT_FIELD).asDouble(),
+                value.path(ACCEPTED_AT_FIELD).asDouble());
     }
 }
--- a/src/main/java/org/springmill/control/storage/RateLimit.java
+++ b/src/main/java/org/springmill/control/storage/RateLimit.java
@@ -1,54 +1,54 @@
 package org.springmill.control.storage;
 
-/** A token bucket that holds one second's worth, as the limits of the protocol do, or more. */
+/**
+ * A token bucket that holds the tokens of one second, as the limits of the protocol do, or more.
+ * Times are in seconds of one clock.
+ */
 public final class RateLimit {
     /** Rounding of waits may leave this much of a token missing. */
     private static final double TOLERANCE = 1e-9;
 
-    private double rate;
-    private double depth;
+    private double tokensPerSecond;
+    private double capacity;
     private double tokens;
     private double refilledAt;
 
-    /** A full bucket. */
+    /** A full bucket that holds the tokens of one second. */
     public RateLimit(double perSecond, double now) {
-        rate = perSecond;
-        depth = perSecond;
+        tokensPerSecond = perSecond;
+        capacity = perSecond;
         tokens = perSecond;
         refilledAt = now;
     }
 
     /**
-     * Changes the rate.
+     * Changes the rate and the capacity.
      *
-     * @param newDepth how much the bucket holds: at least one second's worth
+     * @param newCapacity tokens that the bucket holds; the tokens of one second if that is more
      */
-    public void setRate(double perSecond, double newDepth, double now) {
+    public void setRate(double perSecond, double newCapacity, double now) {
         refill(now);
-        rate = perSecond;
-        depth = Math.max(perSecond, newDepth);
-        tokens = Math.min(tokens, depth);
+        tokensPerSecond = perSecond;
+        capacity = Math.max(perSecond, newCapacity);
+        tokens = Math.min(tokens, capacity);
     }
 
-    /**
-     * Seconds until this many may be taken; more than a bucket's worth only waits for a full
-     * bucket.
-     */
+    /** Seconds until so many tokens may be taken; more than the capacity wait for a full bucket. */
     public double waitFor(double amount, double now) {
         refill(now);
-        double missing = Math.min(amount, depth) - tokens;
-        return missing <= TOLERANCE ? 0 : missing / rate;
+        double missing = Math.min(amount, capacity) - tokens;
+        return missing <= TOLERANCE ? 0 : missing / tokensPerSecond;
     }
 
-    /** Seconds until so many will have come, be it more than a bucket's worth. */
+    /** Seconds until so many tokens will have come, even if they exceed the capacity. */
     public double secondsUntil(double amount, double now) {
         refill(now);
-        return Math.max(0, amount - tokens) / rate;
+        return Math.max(0, amount - tokens) / tokensPerSecond;
     }
 
     /**
-     * Takes even what is not there: for requests that must not wait, whose cost the next ones then
-     * bear.
+     * Takes tokens, even more than there are: a request that must not wait is paid for by those
+     * after it.
      */
     public void take(double amount, double now) {
         refill(now);
@@ -56,7 +56,7 @@
     }
 
     private void refill(double now) {
-        tokens = Math.min(depth, tokens + (now - refilledAt) * rate);
+        tokens = Math.min(capacity, tokens + (now - refilledAt) * tokensPerSecond);
         refilledAt = now;
     }
 }
--- a/src/main/java/org/springmill/control/storage/RoundCodec.java
+++ b/src/main/java/org/springmill/control/storage/RoundCodec.java
@@ -34,9 +34,17 @@
     private static final String ENDED = "ended";
     private static final String COMPLETED = "done";
 
-    /** Index of the round in a claim that was carried forward from an earlier round. */
+    private static final int CLAIM_JOB_INDEX = 0;
+    private static final int CLAIM_TASK_INDEX = 1;
+    private static final int CLAIM_MACHINE_INDEX = 2;
+    private static final int CLAIM_KEY_INDEX = 3;
+
+    /** Present only in a claim that was carried forward from an earlier round. */
     private static final int CLAIM_ROUND_INDEX = 4;
 
+    private static final int COMPLETED_JOB_INDEX = 0;
+    private static final int COMPLETED_PIECE_INDEX = 1;
+
     /** Task index, round, quotes and commas of one claim. */
     private static final int CLAIM_OVERHEAD_BYTES = 44;
 
@@ -86,7 +94,7 @@
         value.withArray(COMPLETED).addArray().add(job).add(piece);
     }
 
-    /** Bytes that a claim takes in a value, with room for its numbers and punctuation. */
+    /** Bytes that a claim takes in a value, with an allowance for its numbers and punctuation. */
     static int bytes(Claim claim) {
         return claim.task().job().length()
                 + claim.machine().length()
@@ -114,8 +122,8 @@
         value.path(ENDED).forEach(claimKey -> ended.add(claimKey.asText()));
         Map<String, BitSet> completed = new LinkedHashMap<>();
         for (JsonNode fields : value.path(COMPLETED)) {
-            String job = fields.path(0).asText();
-            String piece = fields.path(1).asText();
+            String job = fields.path(COMPLETED_JOB_INDEX).asText();
+            String piece = fields.path(COMPLETED_PIECE_INDEX).asText();
             CompletedTasks.decode(piece, completed.computeIfAbsent(job, j -> new BitSet()));
         }
         return new RoundValue(claims, ended, completed);
@@ -123,17 +131,22 @@
 
     private static Claim decodeClaim(JsonNode fields, long round) {
         boolean carriedForward = fields.size() > CLAIM_ROUND_INDEX;
-        TaskId task = new TaskId(fields.path(0).asText(), fields.path(1).asInt());
-        String machine = fields.path(2).asText();
-        String claimKey = fields.path(3).asText();
+        String job = fields.path(CLAIM_JOB_INDEX).asText();
+        TaskId task = new TaskId(job, fields.path(CLAIM_TASK_INDEX).asInt());
+        String machine = fields.path(CLAIM_MACHINE_INDEX).asText();
+        String claimKey = claimKey(fields);
         long claimRound = carriedForward ? fields.path(CLAIM_ROUND_INDEX).longValue() : round;
         return new Claim(claimKey, task, machine, claimRound);
     }
 
-    /** Keys of the claims made and then of those ended in a value; they tell rounds apart. */
+    private static String claimKey(JsonNode fields) {
+        return fields.path(CLAIM_KEY_INDEX).asText();
+    }
+
+    /** Keys of the claims made in a value and then of those ended; they tell rounds apart. */
     static List<String> claimKeys(JsonNode value) {
         List<String> claimKeys = new ArrayList<>();
-        value.path(CLAIMS).forEach(fields -> claimKeys.add(fields.path(3).asText()));
+        value.path(CLAIMS).forEach(fields -> claimKeys.add(claimKey(fields)));
         value.path(ENDED).forEach(claimKey -> claimKeys.add(claimKey.asText()));
         return claimKeys;
     }
--- a/src/main/java/org/springmill/control/storage/RoundLog.java
+++ b/src/main/java/org/springmill/control/storage/RoundLog.java
@@ -133,7 +133,9 @@
         return index.size();
     }
 
-    /** Ends the log with the leader's term: no transaction is sent and no callback made any more. */
+    /**
+     * Ends the log with the leader's term: no transaction is sent and no callback made any more.
+     */
     public void close() {
         writer.close();
     }
--- a/src/main/java/org/springmill/control/storage/RoundWriter.java
+++ b/src/main/java/org/springmill/control/storage/RoundWriter.java
@@ -198,7 +198,8 @@
             boolean leadershipEnded = result.failed().contains(termCondition.key());
             boolean keyExists = result.failed().contains(firstKey());
             if (malformed && isDivisible()) {
-                // The store takes some part of it not at all. The other parts must not wait for that
+                // The store takes some part of it not at all. The other parts must not wait for
+                // that
                 // one, nor may it end the term.
                 LOG.warn("round {} rejected by the key-value store: split into halves", firstKey());
                 split();
@@ -208,7 +209,8 @@
                 LOG.error("round {} rejected by the key-value store: term ends", firstKey());
                 onLeadershipLost.run();
             } else if (largerOfUnknownFate == null) {
-                // The key exists and the term's condition held. Only this leader writes rounds, so an
+                // The key exists and the term's condition held. Only this leader writes rounds, so
+                // an
                 // earlier copy was applied.
                 committed();
             } else {
--- a/src/test/java/org/springmill/control/admission/MemoryBoundTest.java
+++ b/src/test/java/org/springmill/control/admission/MemoryBoundTest.java
@@ -50,11 +50,13 @@
     @Test
     void oneTeamMayHoldHalfOfWhatItsPriorityMay() {
         for (int i = 0; i < 400; i++) {
-            assertEquals(0, bound.excessBytes(activeJobs, 0, job("red", Priority.NORMAL, 1, 0), false));
+            assertEquals(
+                    0, bound.excessBytes(activeJobs, 0, job("red", Priority.NORMAL, 1, 0), false));
             activeJobs.add(job("red", Priority.NORMAL, 1, 0));
         }
         assertTrue(bound.excessBytes(activeJobs, 0, job("red", Priority.NORMAL, 1, 0), false) > 0);
-        assertEquals(0, bound.excessBytes(activeJobs, 0, job("blue", Priority.NORMAL, 1, 0), false));
+        assertEquals(
+                0, bound.excessBytes(activeJobs, 0, job("blue", Priority.NORMAL, 1, 0), false));
     }
 
     @Test
