--- a/src/main/java/org/springmill/control/admission/ActiveJobs.java
+++ b/src/main/java/org/springmill/control/admission/ActiveJobs.java
@@ -6,24 +6,24 @@
 import org.springmill.protocol.Submission;
 
 /**
- * The account of all jobs that are accepted and not over, with those that this controller is just
- * accepting: how many there are, the memory that they need, and what each team has asked for. A job
- * counts once, however often it is told of.
+ * Accounts for all active jobs and those that this controller is accepting now: their number, the
+ * memory that they need, and the resources that each team has requested. A job counts once, however
+ * often it is added.
  */
 public final class ActiveJobs {
     /**
-     * Heap that one live job needs at a leader, beside the tasks that run: its record, its place in
-     * the indexes, and its state. docs/admission.md has the measurement.
+     * Heap that one active job needs at a leader, without its running tasks: its record, its index
+     * entries and its state. docs/admission.md has the measurement.
      */
     static final int JOB_BYTES = 1600;
 
-    /** Heap that the record of an ended job needs until it is moved. */
+    /** Heap that the record of an ended job needs until it is archived. */
     static final int ENDED_RECORD_BYTES = 555;
 
     /** A job keeps one bit for each task. */
     private static final int TASKS_PER_BYTE = 8;
 
-    /** Ends are averaged over this time. */
+    /** Time over which the memory of ended jobs is averaged. */
     private static final double ENDS_AVERAGING_SECONDS = 30;
 
     private final Map<String, Submission> jobs = new HashMap<>();
@@ -31,7 +31,7 @@
     private final RateMeter endedBytes;
     private long bytes;
 
-    /** What the unfinished jobs of one team have asked for. */
+    /** What the counted jobs of one team need and have requested. */
     private static final class TeamWork {
         private long bytes;
         private double cpus;
@@ -44,6 +44,7 @@
         }
     }
 
+    /** An account without jobs. */
     public ActiveJobs(double now) {
         endedBytes = new RateMeter(ENDS_AVERAGING_SECONDS, now);
     }
@@ -59,7 +60,7 @@
         }
     }
 
-    /** Counts a job no more: it has ended. */
+    /** Removes a job that has ended. */
     public void ended(String id, double now) {
         Submission job = jobs.remove(id);
         if (job != null) {
@@ -68,7 +69,7 @@
         }
     }
 
-    /** Counts a job no more that was not accepted after all, as far as is known here. */
+    /** Removes a job that, as far as this controller knows, was not accepted after all. */
     public void dropped(String id) {
         Submission job = jobs.remove(id);
         if (job != null) {
@@ -85,30 +86,30 @@
         }
     }
 
-    /** Jobs that are counted. */
+    /** Number of counted jobs. */
     public int jobs() {
         return jobs.size();
     }
 
-    /** Memory that the counted jobs need. */
+    /** Bytes of memory that the counted jobs need. */
     public long bytes() {
         return bytes;
     }
 
-    /** Memory that the counted jobs of one team need. */
+    /** Bytes of memory that the counted jobs of one team need. */
     long bytes(String team) {
         TeamWork work = teams.get(team);
         return work == null ? 0 : work.bytes;
     }
 
-    /** Memory that has lately come free in a second by jobs that ended. */
+    /** Bytes of memory that ended jobs have freed per second, averaged over the last time. */
     double freedBytesPerSecond(double now) {
         return endedBytes.perSecond(now);
     }
 
     /**
-     * Whether a job fits into its team's guarantee together with all unfinished jobs of that team.
-     * What the guarantee says nothing of is not guaranteed, except for the CPUs beside GPUs.
+     * Whether a job fits into its team's guaranteed quota together with all counted jobs of that
+     * team. A resource without a guarantee is not guaranteed, except for the CPUs of a GPU job.
      */
     boolean withinGuarantee(Team team, Submission job) {
         boolean usesGpus = job.gpus() > 0;
--- a/src/main/java/org/springmill/control/admission/AdmissionControl.java
+++ b/src/main/java/org/springmill/control/admission/AdmissionControl.java
@@ -13,16 +13,16 @@
 import org.springmill.transport.EventLoop;
 
 /**
- * Decides whether a submission can be taken now. Only new jobs are ever refused: whoever asks has
- * made sure that the job is not accepted already, or does so before the user is answered.
+ * Decides whether a submission can be accepted now. Only new jobs are ever refused: the caller
+ * makes sure that the job is not accepted already, at the latest before it responds to the user.
  */
 public final class AdmissionControl {
     private static final Logger LOG = LoggerFactory.getLogger(AdmissionControl.class);
 
-    /** Of one reason, at most one line is logged in this time. */
+    /** At most one line per reason is logged in this time. */
     private static final double LOG_INTERVAL_SECONDS = 10;
 
-    /** What memory that has not drained lately is expected to take. */
+    /** Expected time for freeing memory when no job has ended lately. */
     private static final double UNKNOWN_DRAIN_SECONDS = 5;
 
     private final EventLoop loop;
@@ -37,9 +37,11 @@
     private final Map<AdmissionReason, Integer> refused = new EnumMap<>(AdmissionReason.class);
 
     /**
-     * @param endedRecords how many records of ended jobs are in memory
+     * Admission control of one controller.
+     *
+     * @param endedRecords number of records of ended jobs in memory
      * @param heapBytes the largest heap that this process may have
-     * @param maxQueueSeconds the longest wait for the key-value store whose end a user still awaits
+     * @param maxQueueSeconds the longest wait for the key-value store within a user's request
      */
     public AdmissionControl(
             EventLoop loop,
@@ -61,9 +63,9 @@
     }
 
     /**
-     * Why a new job cannot be taken now; empty if it can.
+     * Why a new job cannot be accepted now; empty if it can.
      *
-     * @param queueSeconds how long its record would wait for the key-value store
+     * @param queueSeconds expected wait of its record for the key-value store
      */
     public Optional<AdmissionRefusal> refusal(Submission job, double queueSeconds) {
         double now = loop.now();
@@ -83,8 +85,8 @@
     }
 
     /**
-     * Whether a job can only be taken after a look at what other controllers have accepted, since
-     * little is left of the memory that it may need.
+     * Whether a job can only be accepted once this controller knows what its peers have accepted,
+     * since little is left of the memory that it may need.
      */
     public boolean nearBound(Submission job) {
         return memoryBound.isNear(activeJobs, endedBytes(), job, isGuaranteed(job));
@@ -101,9 +103,9 @@
     }
 
     /**
-     * The refusal of a job that was taken and whose turn did not come in time.
+     * The refusal of a job that was queued for acceptance and not sent in time.
      *
-     * @param queueSeconds how long its record would wait for the key-value store now
+     * @param queueSeconds expected wait of its record for the key-value store now
      */
     public AdmissionRefusal givenUp(double queueSeconds) {
         return recordRefusal(AdmissionReason.QUEUE, Math.max(maxQueueSeconds, queueSeconds));
@@ -126,7 +128,7 @@
         }
         loggedAt.put(reason, now);
         LOG.warn(
-                "submissions are refused: {} ({} so far; {} live jobs)",
+                "submissions are refused: {} ({} so far; {} active jobs)",
                 reason.text(),
                 refused(reason),
                 activeJobs.jobs());
@@ -136,17 +138,17 @@
         return endedRecords.getAsLong() * ActiveJobs.ENDED_RECORD_BYTES;
     }
 
-    /** Submissions refused for a reason so far. */
+    /** Number of submissions refused for a reason so far. */
     public int refused(AdmissionReason reason) {
         return refused.getOrDefault(reason, 0);
     }
 
-    /** Memory that jobs need, of those that have ended too. */
+    /** Bytes of memory that jobs need, with those that have ended. */
     public long usedBytes() {
         return activeJobs.bytes() + endedBytes();
     }
 
-    /** Memory that jobs may need. */
+    /** Bytes of memory that jobs may need. */
     public long boundBytes() {
         return memoryBound.boundBytes();
     }
--- a/src/main/java/org/springmill/control/admission/AdmissionRefusal.java
+++ b/src/main/java/org/springmill/control/admission/AdmissionRefusal.java
@@ -1,8 +1,8 @@
 package org.springmill.control.admission;
 
 /**
- * A submission that cannot be taken now.
+ * The refusal of a submission that cannot be accepted now.
  *
- * @param retryAfterSeconds when its user should come back
+ * @param retryAfterSeconds seconds after which its user should retry
  */
 public record AdmissionRefusal(AdmissionReason reason, int retryAfterSeconds) {}
--- a/src/main/java/org/springmill/control/admission/Congestion.java
+++ b/src/main/java/org/springmill/control/admission/Congestion.java
@@ -8,11 +8,11 @@
 import org.springmill.protocol.Submission;
 
 /**
- * The queues that the leader last found to wait too long. What it said counts for a few of its
- * intervals; a controller that hears nothing knows of no congestion, and its submissions are
- * bounded by memory alone.
+ * The congested queues in the leader's latest notice, which is valid for a few of its intervals. A
+ * controller without a valid notice knows of no congestion, and only memory bounds its submissions.
  */
 public final class Congestion {
+    /** The waiting work of one team, or of all teams, of one priority or above. */
     private record Queue(String team, Priority priority) {}
 
     private final double validSeconds;
@@ -20,13 +20,15 @@
     private double updatedAt = Double.NEGATIVE_INFINITY;
 
     /**
-     * @param validSeconds for how long what the leader said counts
+     * The state before any notice.
+     *
+     * @param validSeconds how long a notice is valid
      */
     public Congestion(double validSeconds) {
         this.validSeconds = validSeconds;
     }
 
-    /** Takes the queues that wait too long; what was said before no longer counts. */
+    /** Replaces the congested queues by those of a new notice. */
     public void update(List<CongestedQueue> queues, double now) {
         updatedAt = now;
         excessByQueue.clear();
@@ -35,9 +37,9 @@
         }
     }
 
-    /** By how much the wait of a job's queue is too long; 0 if it is not. */
+    /** Seconds by which the wait in a job's queues is too long; 0 if it is not. */
     double excessSeconds(Submission job, double now) {
-        if (now - updatedAt > validSeconds) {
+        if (!isValid(now)) {
             return 0;
         }
         Queue ofTeam = new Queue(job.team(), job.priority());
@@ -46,8 +48,12 @@
                 excessByQueue.getOrDefault(ofTeam, 0.0), excessByQueue.getOrDefault(ofAll, 0.0));
     }
 
-    /** Queues that wait too long, as far as is known. */
+    /** Number of congested queues, as far as is known. */
     public int queues(double now) {
-        return now - updatedAt > validSeconds ? 0 : excessByQueue.size();
+        return isValid(now) ? excessByQueue.size() : 0;
+    }
+
+    private boolean isValid(double now) {
+        return now - updatedAt <= validSeconds;
     }
 }
--- a/src/main/java/org/springmill/control/admission/MemoryBound.java
+++ b/src/main/java/org/springmill/control/admission/MemoryBound.java
@@ -6,15 +6,15 @@
 import org.springmill.protocol.Submission;
 
 /**
- * Bounds the memory of live jobs by a share of the heap. Lower priorities are refused earlier, so
- * that they never take the room of higher ones; a team above its guarantee is refused once it alone
- * holds half of what its priority may.
+ * Bounds the memory of active jobs by a share of the heap. Lower priorities are refused earlier, so
+ * that they never take the memory of higher ones; a team above its guarantee is refused once it
+ * alone holds half of what its priority may.
  */
 final class MemoryBound {
-    /** Of the heap, what the records and states of jobs may need. The rest is the fleet's. */
+    /** Of the heap, the part for records and states of jobs. The rest is for the fleet's state. */
     static final double HEAP_SHARE = 0.4;
 
-    /** Of the bound, what all jobs together may need before one of a priority is refused. */
+    /** Of the bound, what all jobs together may need before a job of a priority is refused. */
     private static final Map<Priority, Double> SHARE_BY_PRIORITY =
             new EnumMap<>(
                     Map.of(
@@ -26,12 +26,14 @@
     /** Of what its priority may need, the most that one team may. */
     private static final double TEAM_SHARE = 0.5;
 
-    /** Of a bound, what has to be in use before every new job is checked against it anew. */
+    /** Of a bound, the part in use from which peers are asked before a new job is accepted. */
     private static final double NEAR_SHARE = 0.9;
 
     private final long boundBytes;
 
     /**
+     * The bound of a process.
+     *
      * @param heapBytes the largest heap that this process may have
      */
     MemoryBound(double heapBytes) {
@@ -43,7 +45,7 @@
     }
 
     /**
-     * How many bytes have to come free before a job can be accepted; 0 if it can be at once.
+     * Bytes that have to be freed before a job can be accepted; 0 if it can be accepted now.
      *
      * @param endedBytes memory of the records of ended jobs
      */
@@ -51,12 +53,12 @@
         return Math.max(0, excessOver(1, activeJobs, endedBytes, job, guaranteed));
     }
 
-    /** Whether most of what the job may use is in use. */
+    /** Whether most of the memory that the job may use is in use. */
     boolean isNear(ActiveJobs activeJobs, long endedBytes, Submission job, boolean guaranteed) {
         return excessOver(NEAR_SHARE, activeJobs, endedBytes, job, guaranteed) > 0;
     }
 
-    /** By how much a job would exceed a part of its bound; negative if it would not. */
+    /** Bytes by which a job would exceed a part of its bound; negative if it would not. */
     private double excessOver(
             double part,
             ActiveJobs activeJobs,
--- a/src/main/java/org/springmill/control/admission/QueueWaits.java
+++ b/src/main/java/org/springmill/control/admission/QueueWaits.java
@@ -18,14 +18,14 @@
  * from the tasks ahead of it and the starts of the last minutes. A job waits behind its own team's
  * work and behind all teams' work, each of its priority or above.
  *
- * <p>A queue is judged only once work has waited in it for a whole window: before that, and after a
- * change of leader, nothing is known of how fast it drains.
+ * <p>A queue is reported as congested only after work has waited in it for a whole window: before
+ * that, and after a failover, it is not known how fast the queue drains.
  */
 public final class QueueWaits {
     /** The window in which starts are counted, as a ratio to the longest wait. */
     static final double WINDOW_SHARE = 0.25;
 
-    /** Counts are kept by slices of the window, which is exact to one of them. */
+    /** Slices of the window by which starts are counted. */
     private static final int SLICES = 50;
 
     private final double maxWaitSeconds;
@@ -35,10 +35,10 @@
     private final Map<Queue, Integer> waitingTasks = new HashMap<>();
     private final Map<Queue, Double> waitingSince = new HashMap<>();
 
-    /** Work of one team, or of all, of one priority or above. */
+    /** The waiting work of one team, or of all teams, of one priority or above. */
     private record Queue(String team, Priority priority) {}
 
-    /** Starts in slices of the window; the oldest leave it one by one. */
+    /** Counts the starts in a sliding window, which is exact to one slice. */
     private final class StartCounter {
         private final Deque<Slice> slices = new ArrayDeque<>();
         private int total;
@@ -69,7 +69,9 @@
     }
 
     /**
-     * @param maxWaitSeconds the longest wait that operators want anyone to be accepted into
+     * An estimator that knows of no work.
+     *
+     * @param maxWaitSeconds the longest expected wait with which jobs are still accepted
      */
     public QueueWaits(double maxWaitSeconds) {
         this.maxWaitSeconds = maxWaitSeconds;
@@ -77,26 +79,26 @@
         sliceSeconds = windowSeconds / SLICES;
     }
 
-    /** Notes that tasks of a team were placed. */
+    /** Records that tasks of a team were placed. */
     public void started(String team, Priority priority, int tasks, double now) {
         for (Queue queue : queuesOf(team, priority)) {
             starts.computeIfAbsent(queue, q -> new StartCounter()).add(tasks, now);
         }
     }
 
-    /** Begins a new count of what waits. */
+    /** Begins a new count of the waiting tasks. */
     public void beginCount() {
         waitingTasks.clear();
     }
 
-    /** Counts tasks of one job that wait for their start. */
+    /** Counts waiting tasks of one job. */
     public void waits(String team, Priority priority, int tasks) {
         for (Queue queue : queuesOf(team, priority)) {
             waitingTasks.merge(queue, tasks, Integer::sum);
         }
     }
 
-    /** Ends the count: the queues that wait too long, the worst first. */
+    /** Ends the count and returns the queues whose expected wait is too long, the longest first. */
     public List<CongestedQueue> endCount(double now) {
         waitingSince.keySet().retainAll(waitingTasks.keySet());
         starts.values().removeIf(counted -> counted.inWindow(now) == 0);
@@ -115,12 +117,12 @@
 
     private double expectedSeconds(Queue queue, int tasks, double now) {
         StartCounter counted = starts.get(queue);
-        // No start at all in the window is counted as one: it may have been about to happen.
+        // No start in the window counts as one, which may have been about to happen.
         double startsInWindow = Math.max(1, counted == null ? 0 : counted.inWindow(now));
         return tasks / startsInWindow * windowSeconds;
     }
 
-    /** The queues that work of a team and priority is ahead in. */
+    /** The queues to which work of a team and priority belongs. */
     private static Set<Queue> queuesOf(String team, Priority priority) {
         Set<Queue> queues = new HashSet<>();
         for (Priority behind : Priority.values()) {
--- a/src/main/java/org/springmill/control/admission/RateMeter.java
+++ b/src/main/java/org/springmill/control/admission/RateMeter.java
@@ -1,16 +1,18 @@
 package org.springmill.control.admission;
 
-/** A rate of events, averaged with weights that decay exponentially with their age. */
+/** The rate of events as an exponentially weighted moving average. */
 final class RateMeter {
     private final double averagingSeconds;
     private double perSecond;
     private double updatedAt;
 
     /**
-     * @param averagedSeconds age at which an event still has 1/e of its weight
+     * A meter without events.
+     *
+     * @param averagingSeconds age at which an event still has 1/e of its weight
      */
-    RateMeter(double averagedSeconds, double now) {
-        this.averagingSeconds = averagedSeconds;
+    RateMeter(double averagingSeconds, double now) {
+        this.averagingSeconds = averagingSeconds;
         updatedAt = now;
     }
 
@@ -19,7 +21,7 @@
         updatedAt = now;
     }
 
-    /** Events a second, as seen at this moment. */
+    /** Events per second, as of now. */
     double perSecond(double now) {
         return perSecond * Math.exp(-Math.max(0, now - updatedAt) / averagingSeconds);
     }
--- a/src/main/java/org/springmill/control/admission/RetryAfter.java
+++ b/src/main/java/org/springmill/control/admission/RetryAfter.java
@@ -3,13 +3,13 @@
 import java.util.SplittableRandom;
 
 /**
- * When refused users should come back: once what is in excess has drained, each at a random moment
- * within as long again, so that they do not all come at once.
+ * When users whose submissions were refused should retry: after the excess has drained, each at a
+ * random time within as long again, so that the retries are spread.
  */
 final class RetryAfter {
     static final int MIN_SECONDS = 1;
 
-    /** Users wait no longer than this, whatever they are told. */
+    /** Users wait no longer than this, whatever the response says. */
     static final int MAX_SECONDS = 30;
 
     private final SplittableRandom random;
@@ -19,7 +19,9 @@
     }
 
     /**
-     * @param drainSeconds until there is room again, by the measured rates
+     * Seconds after which one user should retry; draws one random number.
+     *
+     * @param drainSeconds until the excess has drained, by the measured rates
      */
     int seconds(double drainSeconds) {
         double spread = drainSeconds * (1 + random.nextDouble());
--- a/src/main/java/org/springmill/control/admission/StoreRateShares.java
+++ b/src/main/java/org/springmill/control/admission/StoreRateShares.java
@@ -9,20 +9,20 @@
 import org.springmill.transport.EventLoop;
 
 /**
- * This controller's share of the changes that the key-value store takes. The leader writes the
- * rounds of all and so has the largest share; it lends what it does not need to controllers that
- * accept many submissions, for a short time each. The shares of all controllers never add up to
- * more than one (docs/admission.md, claims A.1 and A.2).
+ * This controller's share of the rate limits of the key-value store. The leader writes the rounds
+ * and so has the largest share. It lends what it does not need, for a short time each, to
+ * controllers that accept many submissions. The shares of all controllers never add up to more than
+ * one (docs/admission.md, claims A.1 and A.2).
  */
 public final class StoreRateShares implements KeyValueStoreClient.RateShare {
-    /** Of the leader's share, what it may lend at most. */
+    /** The most that the leader may lend, as a ratio to its share. */
     static final double MAX_LENT_RATIO = 0.5;
 
-    /** What a lender adds to its own need before it lends, as a factor. */
+    /** Factor on the leader's own need, which it keeps before it lends. */
     private static final double NEED_MARGIN = 1.25;
 
     /**
-     * Over this time the use of the key-value store is averaged, as a ratio to a loan's validity.
+     * Time over which the writes of this controller are averaged, as a ratio to a loan's validity.
      */
     private static final double AVERAGING_TO_VALIDITY = 1.5;
 
@@ -42,6 +42,7 @@
     private long latestLoanQuestion;
     private int queuedWrites;
 
+    /** A share that is lent until a time of the loop's clock. */
     private record Loan(double share, double until) {
         static final Loan NONE = new Loan(0, Double.NEGATIVE_INFINITY);
 
@@ -51,13 +52,15 @@
     }
 
     /**
+     * Shares before anything is lent.
+     *
      * @param validTerm the term that this controller leads under a lease that is valid by its own
      *     clock; 0 if there is none
-     * @param leaderShare share of whoever leads
-     * @param controllers how many there are; those that do not lead share the rest evenly
-     * @param validitySeconds how long a loan counts, from the question on that it answers
+     * @param leaderShare share of the leader
+     * @param controllers number of controllers; followers share the rest evenly
+     * @param validitySeconds how long a loan is valid, from the question on that it answers
      * @param clockDrift factor by which the clocks of two controllers may differ
-     * @param changesPerSecond what the key-value store takes from all controllers together
+     * @param writesPerSecond what the key-value store takes from all controllers together
      */
     public StoreRateShares(
             EventLoop loop,
@@ -66,7 +69,7 @@
             int controllers,
             double validitySeconds,
             double clockDrift,
-            double changesPerSecond) {
+            double writesPerSecond) {
         this.loop = loop;
         this.validTerm = validTerm;
         this.leaderShare = controllers == 1 ? 1 : leaderShare;
@@ -74,13 +77,13 @@
         this.otherShare = otherShare(leaderShare, controllers);
         this.validitySeconds = validitySeconds;
         this.lenderValiditySeconds = validitySeconds * clockDrift;
-        this.writesPerSecond = changesPerSecond;
+        this.writesPerSecond = writesPerSecond;
         writeRate = new RateMeter(validitySeconds * AVERAGING_TO_VALIDITY, loop.now());
     }
 
     /**
-     * Without a leader all have this share, beside what the last leader may have lent; so it is at
-     * most what a leader keeps.
+     * Without a leader all controllers have this share, beside what the last leader may have lent.
+     * So it is at most what a leader keeps.
      */
     private static double otherShare(double leaderShare, int controllers) {
         double rest = (1 - leaderShare) / Math.max(1, controllers - 1);
@@ -97,16 +100,16 @@
     }
 
     @Override
-    public void sent(int changes) {
-        writeRate.add(changes, loop.now());
+    public void sent(int writes) {
+        writeRate.add(writes, loop.now());
     }
 
     @Override
-    public void queued(int changes) {
-        queuedWrites = changes;
+    public void queued(int writes) {
+        queuedWrites = writes;
     }
 
-    /** What this controller needs beyond the share that it has for good; 0 for a leader. */
+    /** The share that this controller needs beyond its own; 0 for the leader. */
     public double wanted() {
         double now = loop.now();
         if (isLeading(now)) {
@@ -116,11 +119,11 @@
     }
 
     /**
-     * Lends a part of the leader's share with the answer to a controller's question.
+     * Lends a part of the leader's share with the response to a controller's question.
      *
-     * @param wanted what it asks for
-     * @return the share that it may use in addition, from its question on; 0 if this controller
-     *     does not lead
+     * @param wanted the share that the borrower asks for
+     * @return the share that it may use in addition, from its question on; 0 if this controller is
+     *     not the leader
      */
     public double lend(String borrower, double wanted) {
         double now = loop.now();
@@ -137,20 +140,20 @@
         return share;
     }
 
-    /** What a borrower may be using: the largest of its loans that have not ended. */
+    /** What a borrower may be using: the largest of its loans that have not expired. */
     private double outstanding(String borrower, double now) {
-        Deque<Loan> ofBorrower = loans.getOrDefault(borrower, new ArrayDeque<>());
-        while (!ofBorrower.isEmpty() && ofBorrower.peek().until() <= now) {
-            ofBorrower.poll();
+        Deque<Loan> borrowerLoans = loans.getOrDefault(borrower, new ArrayDeque<>());
+        while (!borrowerLoans.isEmpty() && borrowerLoans.peek().until() <= now) {
+            borrowerLoans.poll();
         }
-        return ofBorrower.stream().mapToDouble(Loan::share).max().orElse(0);
+        return borrowerLoans.stream().mapToDouble(Loan::share).max().orElse(0);
     }
 
     /**
-     * Takes what the leader lends.
+     * Uses a loan of the leader.
      *
      * @param question number of the question that the loan answers; an earlier one is ignored
-     * @param askedAt when that question was asked
+     * @param askedAt when that question was sent, in seconds of the loop's clock
      */
     public void borrow(long question, double askedAt, double share) {
         if (question > latestLoanQuestion) {
@@ -165,7 +168,7 @@
 
     private double lent(double now) {
         if (now - leaderSince < lenderValiditySeconds) {
-            // What an earlier leader has lent may be in use until it ends.
+            // What an earlier leader has lent may be in use until it expires.
             return maxLent;
         }
         double sum = 0;
--- a/src/main/java/org/springmill/control/borrowing/Entitlement.java
+++ b/src/main/java/org/springmill/control/borrowing/Entitlement.java
@@ -4,21 +4,22 @@
 import org.springmill.protocol.Settings.Team;
 
 /**
- * What a team is owed. In each resource that a team is guaranteed, its entitlement is the smaller
- * of the guarantee and its demand: what it runs and what waits and could run. What it runs above
- * its guarantee is on loan and may be recalled for another team's work; the rest may not.
+ * The entitlement of a team under its guaranteed quota. In each resource that a team is guaranteed,
+ * its entitlement is the smaller of the guarantee and its demand, which is what it runs and what
+ * waits and could run. What it runs above its guarantee is on loan and may be recalled for another
+ * team's work; the rest may not.
  */
 public final class Entitlement {
     private Entitlement() {}
 
     /**
-     * Whether a team keeps its entitlement if some of what it runs is stopped for another team. A
-     * task that is stopped waits again, so the demand stays as it is. What the team runs has to
-     * stay at or above the guarantee in every resource that it is guaranteed and that the loss
-     * takes from it: an excess in one resource does not pay for another.
+     * Whether a team keeps its entitlement if some of what it runs is preempted for another team. A
+     * preempted task waits again, so the demand does not change. What the team runs has to stay at
+     * or above the guarantee in every resource that it is guaranteed and that the loss takes from
+     * it: an excess in one resource does not make up for another.
      *
-     * @param runs what it runs, without what was told to stop already
-     * @param loss what is stopped
+     * @param runs resources of what it runs, without tasks that were told to stop already
+     * @param loss resources of what is preempted
      */
     public static boolean coversLoss(Team team, Resources runs, Resources loss) {
         if (!team.hasGuarantee()) {
--- a/src/main/java/org/springmill/control/borrowing/HoldDown.java
+++ b/src/main/java/org/springmill/control/borrowing/HoldDown.java
@@ -4,22 +4,23 @@
 import java.util.Map;
 
 /**
- * For how long resources that come back from a recall's beneficiary stay unlent, by machine type.
- * Each wave of recalls adds its measured cost, and what was added decays exponentially, as in route
- * flap damping (RFC 2439): where recalls are rare or cheap, resources are lent again at once; where
- * they follow each other, for as long as a recall costs. Without recalls it is 0.
+ * The hold-down by machine type: how long resources that come back from a recall's beneficiary are
+ * not lent again. Each wave of recalls adds its measured cost, and what was added decays
+ * exponentially, as in route flap damping (RFC 2439). Where recalls are rare or cheap, resources
+ * are lent again at once; where recalls are frequent, after as long as a recall costs. Without
+ * recalls the hold-down is 0.
  *
- * <p>Waiting for as long as a recall costs before lending again loses at most twice what the best
- * choice would have lost if the next demand had been known (ski rental).
+ * <p>Waiting as long as a recall costs before lending again loses at most twice what the best
+ * choice with knowledge of the next demand would have lost (ski rental).
  */
 public final class HoldDown {
-    /** Below this it is taken for 0. */
+    /** A shorter hold-down counts as 0. */
     private static final double MIN_SECONDS = 0.5;
 
-    /** Weight of the latest of the times in which returned resources were left unused. */
+    /** Weight of the latest idle time of held resources in their moving average. */
     private static final double LATEST_IDLE_WEIGHT = 0.3;
 
-    /** Short work may go in at once if it takes no more of the expected gap than this share. */
+    /** Short work may be placed if it takes no more of the expected idle time than this share. */
     private static final double SHORT_WORK_SHARE = 0.5;
 
     private final double halfLifeSeconds;
@@ -34,10 +35,22 @@
         private double recalledAt = Double.NEGATIVE_INFINITY;
         private double secondsBeforeWave;
         private double secondsAddedByWave;
+
+        /** Not a number before the first idle time. */
         private double averageIdleSeconds = Double.NaN;
+
+        private void addIdleTime(double idleSeconds) {
+            averageIdleSeconds =
+                    Double.isNaN(averageIdleSeconds)
+                            ? idleSeconds
+                            : LATEST_IDLE_WEIGHT * idleSeconds
+                                    + (1 - LATEST_IDLE_WEIGHT) * averageIdleSeconds;
+        }
     }
 
     /**
+     * Hold-downs of 0 for all machine types.
+     *
      * @param halfLifeSeconds time in which half of what a recall added decays
      * @param ratio factor on the measured cost; 0 switches the hold-down off
      * @param maxSeconds the longest hold-down
@@ -52,10 +65,11 @@
     }
 
     /**
-     * Notes what a recall cost.
+     * Records what a recall cost.
      *
-     * @param costSeconds seconds of lost work and of waiting, for each unit that was recalled
+     * @param costSeconds lost work and waiting time for each unit that was recalled
      * @param loanSeconds how long what was recalled had been lent
+     * @param now in seconds of the loop's clock
      */
     public void recalled(String machineType, double costSeconds, double loanSeconds, double now) {
         Estimate estimate = estimates.computeIfAbsent(machineType, t -> new Estimate());
@@ -67,7 +81,7 @@
         }
         double added = ratio * costSeconds;
         if (loanSeconds < estimate.secondsBeforeWave) {
-            // It was lent too soon: the hold-down doubles, as in exponential backoff.
+            // It was lent too early, so the hold-down doubles, as in exponential backoff.
             added = Math.max(added, estimate.secondsBeforeWave);
         }
         estimate.secondsAddedByWave = Math.max(estimate.secondsAddedByWave, added);
@@ -78,40 +92,37 @@
     }
 
     /**
-     * Notes that work of the kind that recalls is placed where room was held for it: lent, that
-     * room would have been recalled, so the estimate stands as if it had been made now.
+     * Records that work that may recall was placed on held capacity. Had the capacity been lent, it
+     * would have been recalled, so the estimate is as good as one made now.
      *
-     * @param gapSeconds for how long the room was held
+     * @param heldAt when the capacity came back, in seconds of the loop's clock
+     * @param idleSeconds how long the capacity was held
      */
-    public void wasOfUse(String machineType, double heldAt, double gapSeconds, double now) {
+    public void wasOfUse(String machineType, double heldAt, double idleSeconds, double now) {
         Estimate estimate = estimates.get(machineType);
         if (estimate == null) {
             return;
         }
         estimate.seconds = decayed(estimate, heldAt);
         estimate.updatedAt = now;
-        estimate.averageIdleSeconds =
-                Double.isNaN(estimate.averageIdleSeconds)
-                        ? gapSeconds
-                        : LATEST_IDLE_WEIGHT * gapSeconds
-                                + (1 - LATEST_IDLE_WEIGHT) * estimate.averageIdleSeconds;
+        estimate.addIdleTime(idleSeconds);
     }
 
-    /** For how long resources that come back now stay unlent. */
+    /** How long resources that come back now are not lent, in seconds. */
     public double seconds(String machineType, double now) {
         Estimate estimate = estimates.get(machineType);
         double seconds = estimate == null ? 0 : decayed(estimate, now);
         return seconds < MIN_SECONDS ? 0 : seconds;
     }
 
-    /** Whether work is so short that it should be over before the room is needed again. */
+    /** Whether work is so short that it should end before the held capacity is needed again. */
     public boolean admits(String machineType, double workSeconds, double heldForSeconds) {
         Estimate estimate = estimates.get(machineType);
         if (estimate == null) {
             return true;
         }
-        double left = estimate.averageIdleSeconds - heldForSeconds;
-        return workSeconds > 0 && workSeconds <= SHORT_WORK_SHARE * left;
+        double expectedIdleSeconds = estimate.averageIdleSeconds - heldForSeconds;
+        return workSeconds > 0 && workSeconds <= SHORT_WORK_SHARE * expectedIdleSeconds;
     }
 
     private double decayed(Estimate estimate, double now) {
--- a/src/main/java/org/springmill/control/borrowing/RecallLog.java
+++ b/src/main/java/org/springmill/control/borrowing/RecallLog.java
@@ -17,16 +17,16 @@
 import org.springmill.protocol.Settings;
 
 /**
- * The recalls under way in the key-value store, under {@code recall/<round>}. Their changes are
- * part of the transaction of a round, so they hold under the round's conditions: the leader's own
- * record and the absence of the round's key. The recalls of one round share a value, which also
- * takes over what is left of earlier values, so that there are few of them.
+ * The unsettled recalls in the key-value store, under {@code recall/<round>}. They are written in
+ * the transaction of a round, so they have the round's conditions: the leader's own record and the
+ * absence of the round's key. The recalls of one round share a value, which also takes over what is
+ * left of earlier values, so that there are few values.
  */
 public final class RecallLog {
     /** A value is filled to this share of its limit, like those of rounds. */
     private static final double FILL_RATIO = 0.9;
 
-    /** One in so many writes of a transaction may be a record of recalls. */
+    /** A transaction has at most one record of recalls for so many of its writes. */
     private static final int WRITES_PER_RECORD = 4;
 
     /** Records and bytes of each: all of them fit into one transaction beside a round. */
@@ -38,14 +38,15 @@
 
     private final KeyValueStoreClient store;
 
-    /** Sizes of decided recalls, encoded once each: every new one is held against all of them. */
+    /** Sizes of decided recalls, so that each is encoded once: a new one is checked against all. */
     private final Map<String, Integer> bytesByKey = new HashMap<>();
 
     private Map<String, List<Recall>> records = new TreeMap<>();
 
-    /** The records as they will be once the transaction under way is committed. */
+    /** The records as they will be once the pending transaction is committed. */
     private Map<String, List<Recall>> staged = records;
 
+    /** A log that holds nothing until it is loaded. */
     public RecallLog(KeyValueStoreClient store) {
         this.store = store;
     }
@@ -66,7 +67,8 @@
     }
 
     /**
-     * Reads all recalls that earlier leaders left. Complete once the leadership is held.
+     * Recovers all recalls that earlier leaders left. To be called by a leader, since nothing else
+     * can be written then.
      *
      * @param done takes null if the key-value store could not be read
      */
@@ -87,7 +89,7 @@
         return records.values().stream().flatMap(List::stream).toList();
     }
 
-    /** Whether one more recall fits into the next round's value, beside others decided already. */
+    /** Whether one more recall fits into the next round's value beside those decided already. */
     public boolean hasRoom(List<Recall> decided, Recall next) {
         int bytes = VALUE_OVERHEAD_BYTES + RecallCodec.bytes(next) + bytes(decided);
         if (bytes > valueLimitBytes()) {
@@ -112,7 +114,7 @@
     }
 
     /**
-     * Prepares the changes of a round's transaction; {@link #committed} follows once it is applied.
+     * Prepares the writes of a round's transaction; {@link #committed} follows once it is applied.
      *
      * @param decided new recalls
      * @param settled keys of recalls that are over
@@ -122,30 +124,30 @@
             staged = records;
             return List.of();
         }
-        Set<String> touched = new LinkedHashSet<>();
+        Set<String> changedKeys = new LinkedHashSet<>();
         Map<String, List<Recall>> next = new TreeMap<>();
         records.forEach(
                 (key, recalls) -> {
                     List<Recall> left = new ArrayList<>(recalls);
                     if (left.removeIf(recall -> settled.contains(recall.key()))) {
-                        touched.add(key);
+                        changedKeys.add(key);
                     }
                     next.put(key, left);
                 });
         if (!decided.isEmpty()) {
-            addRecord(round, decided, next, touched);
+            addRecord(round, decided, next, changedKeys);
         }
         next.values().removeIf(List::isEmpty);
         staged = next;
-        return touched.stream().map(key -> write(key, next.get(key))).toList();
+        return changedKeys.stream().map(key -> write(key, next.get(key))).toList();
     }
 
-    /** Adds the value of a round, which takes over those earlier ones that fit in. */
+    /** Adds the value of a round, which takes over those earlier ones that fit into it. */
     private void addRecord(
             long round,
             List<Recall> decided,
             Map<String, List<Recall>> records,
-            Set<String> touched) {
+            Set<String> changedKeys) {
         List<Recall> content = new ArrayList<>();
         int bytes = VALUE_OVERHEAD_BYTES + bytes(decided);
         for (Map.Entry<String, List<Recall>> earlier : records.entrySet()) {
@@ -154,19 +156,19 @@
                 bytes += more;
                 content.addAll(earlier.getValue());
                 earlier.setValue(List.of());
-                touched.add(earlier.getKey());
+                changedKeys.add(earlier.getKey());
             }
         }
         content.addAll(decided);
         records.put(RecallCodec.key(round), content);
-        touched.add(RecallCodec.key(round));
+        changedKeys.add(RecallCodec.key(round));
     }
 
     private static Write write(String key, List<Recall> recalls) {
         return recalls == null ? Write.delete(key) : Write.put(key, RecallCodec.encode(recalls));
     }
 
-    /** The changes prepared last are applied. */
+    /** The writes prepared last are applied. */
     public void committed() {
         records = staged;
         bytesByKey.keySet().retainAll(keys());
--- a/src/main/java/org/springmill/control/borrowing/RecallProgress.java
+++ b/src/main/java/org/springmill/control/borrowing/RecallProgress.java
@@ -3,22 +3,24 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** A recall from its decision until it is settled, with the bounds on each step. */
+/**
+ * The state machine of a recall from its decision until it is settled, with a timeout per state.
+ */
 public final class RecallProgress {
     private static final Logger LOG = LoggerFactory.getLogger(RecallProgress.class);
 
-    /** Where a recall stands. */
+    /** The state of a recall. */
     public enum State {
         /**
-         * Decided; the round that holds it is not yet committed, and nobody was told to stop. Or
-         * committed by an earlier leader, of whose halts nothing is known yet.
+         * Decided; the round that holds it is not committed yet, and no victim was told to stop. Or
+         * committed by an earlier leader, of whose stop commands nothing is known yet.
          */
         COMMITTING,
-        /** Committed; the victims are told to stop and may save. */
+        /** Committed; the victims are told to stop and may write a checkpoint. */
         SAVING,
-        /** The grace period is over: victims are told to stop without saving. */
+        /** The grace period is over; the victims are told to stop without a checkpoint. */
         ENDING,
-        /** Over: the record is removed with the next round. */
+        /** Over; the record is removed with the next round. */
         SETTLED;
 
         private boolean mayTransitionTo(State next) {
@@ -33,13 +35,13 @@
 
     /** How a recall ended. */
     public enum Outcome {
-        /** The beneficiary's claim is committed with the end of the promise. */
+        /** The beneficiary's claim is committed together with the end of its reservation. */
         FULFILLED,
-        /** The demand fell before anyone was told to stop. */
+        /** The demand fell before any victim was told to stop. */
         TAKEN_BACK,
         /** The demand fell after the victims were told to stop. */
         WITHDRAWN,
-        /** The victims were not proven gone in time, or their machine takes no work any more. */
+        /** The victims were not proven to have ended in time, or their machine is unschedulable. */
         EXPIRED
     }
 
@@ -50,13 +52,17 @@
     private double deadline = Double.POSITIVE_INFINITY;
 
     /**
-     * @param saveSeconds bound on the time in which victims save, from the commit on
-     * @param endSeconds bound on the time in which they are proven gone after that
+     * A recall that has been decided.
+     *
+     * @param checkpointTimeoutSeconds bound on the time for checkpoints, from the commit on
+     * @param terminationTimeoutSeconds bound on the time after that, until the victims are proven
+     *     to have ended
      */
-    public RecallProgress(Recall recall, double saveSeconds, double endSeconds) {
+    public RecallProgress(
+            Recall recall, double checkpointTimeoutSeconds, double terminationTimeoutSeconds) {
         this.recall = recall;
-        this.checkpointTimeoutSeconds = saveSeconds;
-        this.terminationTimeoutSeconds = endSeconds;
+        this.checkpointTimeoutSeconds = checkpointTimeoutSeconds;
+        this.terminationTimeoutSeconds = terminationTimeoutSeconds;
     }
 
     /** The recall. */
@@ -64,15 +70,15 @@
         return recall;
     }
 
-    /** Where it stands. */
+    /** The present state. */
     public State state() {
         return state;
     }
 
-    /** The one place where its state changes; false if the change is not a legal one. */
+    /** The only place where the state changes; false if the transition is illegal. */
     private boolean transition(State next, double now) {
         if (!state.mayTransitionTo(next)) {
-            LOG.error("recall {} cannot go from {} to {}", recall.key(), state, next);
+            LOG.error("recall {}: illegal transition {} -> {}", recall.key(), state, next);
             return false;
         }
         LOG.debug("recall {} on {}: {} -> {}", recall.key(), recall.machine(), state, next);
@@ -87,31 +93,33 @@
     }
 
     /**
-     * An earlier leader committed it. Whether the victims were told is unknown until their workers
-     * have reported.
+     * An earlier leader committed it. Whether the victims were told to stop is unknown until their
+     * workers have sent a heartbeat.
      *
-     * @param seconds after which it is given up if they have not
+     * @param seconds after which the recall is abandoned without these heartbeats
      */
     public void inherited(double seconds, double now) {
         deadline = now + seconds;
     }
 
-    /** Its record is committed, so the victims may be told. */
+    /**
+     * Its record is committed, so the victims may be told to stop; false if that is illegal now.
+     */
     public boolean committed(double now) {
         return transition(State.SAVING, now);
     }
 
-    /** The grace period is over. */
+    /** The grace period is over; false if that is illegal now. */
     public boolean graceEnded(double now) {
         return transition(State.ENDING, now);
     }
 
-    /** It is over. */
+    /** The recall is over; false if it was already. */
     public boolean settle(double now) {
         return transition(State.SETTLED, now);
     }
 
-    /** Whether the bound of the present step has passed. */
+    /** Whether the timeout of the present state has passed. */
     public boolean overdue(double now) {
         return now >= deadline;
     }
--- a/src/main/java/org/springmill/control/borrowing/VictimSelection.java
+++ b/src/main/java/org/springmill/control/borrowing/VictimSelection.java
@@ -8,41 +8,38 @@
 import org.springmill.protocol.Resources;
 
 /**
- * Chooses which tasks of one machine are stopped so that enough comes free: those of the lowest
- * priority first, and among these the ones that cost least for what they free. What turns out not
- * to be needed, because a larger task chosen later frees enough alone, is left out again.
+ * Chooses the tasks of one machine to preempt so that enough capacity becomes free: those of the
+ * lowest priority first, and among these the ones that cost least for what they free. A victim that
+ * turns out to be unneeded, because a larger one chosen later frees enough, is left out again.
  */
 public final class VictimSelection {
     private VictimSelection() {}
 
     /**
-     * A task that may be stopped.
+     * A task that may be preempted.
      *
-     * @param frees what its end frees on the machine
-     * @param costSeconds the work and time that stopping it costs
+     * @param frees the resources that its end frees on the machine
+     * @param costSeconds the work and time that its preemption costs
      */
     public record Candidate<T>(T task, Priority priority, Resources frees, double costSeconds) {}
 
-    /** Whether a task may be stopped beside others that are chosen already. */
+    /** Decides whether a task may be preempted together with those chosen already. */
     public interface PreemptionRule<T> {
-        /** Whether the victim may be stopped as well. */
+        /** Whether the victim may be preempted as well. */
         boolean mayPreempt(T victim, List<T> others);
     }
 
-    /** What is stopped on a machine, and what that costs. */
+    /** The victims on a machine, and what their preemption costs in seconds. */
     public record Choice<T>(List<T> victims, double costSeconds) {}
 
     /**
-     * Chooses victims; empty if not enough may be stopped.
+     * Chooses victims; empty if not enough may be preempted.
      *
-     * @param free what is free on the machine, or will be without them
-     * @param need what has to be free
+     * @param free resources that are free on the machine, or will be without any preemption
+     * @param need resources that have to be free
      */
     public static <T> Optional<Choice<T>> choose(
-            Resources free,
-            Resources need,
-            List<Candidate<T>> candidates,
-            PreemptionRule<T> right) {
+            Resources free, Resources need, List<Candidate<T>> candidates, PreemptionRule<T> rule) {
         List<Candidate<T>> ordered = new ArrayList<>(candidates);
         ordered.sort(
                 Comparator.comparing((Candidate<T> c) -> c.priority())
@@ -56,7 +53,7 @@
                 break;
             }
             if (freesWhatIsMissing(candidate, freed, need)
-                    && right.mayPreempt(candidate.task(), tasks)) {
+                    && rule.mayPreempt(candidate.task(), tasks)) {
                 chosen.add(candidate);
                 tasks.add(candidate.task());
                 freed = freed.plus(candidate.frees());
@@ -68,7 +65,7 @@
         return Optional.of(withoutUnneeded(chosen, freed, need));
     }
 
-    /** Whether a task frees any of what is still missing. */
+    /** Whether a task frees any resource of which too little is free. */
     private static boolean freesWhatIsMissing(
             Candidate<?> candidate, Resources freed, Resources need) {
         Resources frees = candidate.frees();
@@ -78,7 +75,7 @@
                         && need.memoryGb() > freed.memoryGb() + Resources.ROUNDING);
     }
 
-    /** Cost for each part of what is needed, by the resource of which the task frees most. */
+    /** Cost per share of the need, by the resource of which the task frees the largest share. */
     private static double costPerShareOfNeed(Candidate<?> candidate, Resources need) {
         Resources frees = candidate.frees();
         double share =
--- a/src/main/java/org/springmill/control/history/ArchivedJobLookup.java
+++ b/src/main/java/org/springmill/control/history/ArchivedJobLookup.java
@@ -14,36 +14,36 @@
 import org.springmill.transport.EventLoop;
 
 /**
- * Looks up jobs whose records have been moved, by reads of single keys. Questions about one job
- * share a read, the latest answers are kept, and reads take a bounded share of the key-value
- * store's requests: beyond a small buffer a lookup is refused at once, for its user to come back.
+ * Looks up archived jobs by reads of single keys. Concurrent lookups of one job share a read, the
+ * latest results are cached, and reads take a bounded share of the key-value store's requests.
+ * Beyond a small queue a lookup fails at once, for its user to retry.
  *
- * <p>A final state never changes, so a kept answer stays right. That a job is absent is never kept,
- * since it may be accepted and moved later.
+ * <p>A final state never changes, so a cached result stays right. The absence of a job is never
+ * cached, since it may be accepted and archived later.
  */
 public final class ArchivedJobLookup {
-    /** Lookups that may wait for their turn, as a ratio to those of one second. */
+    /** Longest queue of lookups, in seconds of the rate at which they are sent. */
     private static final double MAX_QUEUED_SECONDS = 1;
 
-    /** Answers kept; each takes some 200 bytes. */
+    /** Cached results; each takes some 200 bytes. */
     static final int MOST_KEPT = 4096;
 
     private final KeyValueStoreClient store;
     private final EventLoop loop;
-    private final RateLimit rate;
+    private final RateLimit rateLimit;
     private final int maxQueued;
     private final Map<String, List<Consumer<Lookup>>> callbacksByJob = new HashMap<>();
     private final ArrayDeque<String> queuedIds = new ArrayDeque<>();
-    private final Map<String, ArchivedJob> kept = new LruCache();
+    private final Map<String, ArchivedJob> cache = new LruCache();
     private boolean isDrainScheduled;
 
     /** What a lookup found. */
     public enum Outcome {
-        /** The job's record has been moved; its final state is known. */
+        /** The job is archived; its final state is known. */
         FOUND,
-        /** No record of that job had been moved when the key-value store was read. */
+        /** The job was not archived when the key-value store was read. */
         ABSENT,
-        /** The key-value store did not answer, or too many lookups wait. */
+        /** The key-value store did not respond, or too many lookups are queued. */
         UNAVAILABLE
     }
 
@@ -72,32 +72,33 @@
         }
     }
 
+    /** A lookup with an empty cache. */
     public ArchivedJobLookup(KeyValueStoreClient store, EventLoop loop) {
         this.store = store;
         this.loop = loop;
         double readsPerSecond = store.lookupsPerSecond();
-        rate = new RateLimit(readsPerSecond, loop.now());
+        rateLimit = new RateLimit(readsPerSecond, loop.now());
         maxQueued = (int) Math.max(1, MAX_QUEUED_SECONDS * readsPerSecond);
     }
 
-    /** The final state of a moved job if it is in memory, else null. */
+    /** The final state of an archived job if it is cached, else null. */
     public ArchivedJob kept(String id) {
-        return kept.get(id);
+        return cache.get(id);
     }
 
-    /** Takes in the final state of a job whose record was seen to be moved. */
+    /** Caches the final state of a job that is known to be archived. */
     public void keep(ArchivedJob job) {
-        kept.put(job.id(), job);
+        cache.put(job.id(), job);
     }
 
-    /** Answers kept in memory. */
+    /** Number of cached results. */
     public int keptCount() {
-        return kept.size();
+        return cache.size();
     }
 
-    /** Looks up a job; calls back at once if its state is in memory or too many lookups wait. */
+    /** Looks up a job; calls back at once if it is cached or too many lookups are queued. */
     public void find(String id, Consumer<Lookup> done) {
-        ArchivedJob known = kept.get(id);
+        ArchivedJob known = cache.get(id);
         if (known != null) {
             done.accept(Lookup.found(known));
             return;
@@ -123,13 +124,13 @@
     private void drainQueue() {
         isDrainScheduled = false;
         while (!queuedIds.isEmpty()) {
-            double wait = rate.waitFor(1, loop.now());
+            double wait = rateLimit.waitFor(1, loop.now());
             if (wait > 0) {
                 isDrainScheduled = true;
                 loop.after(wait, this::drainQueue);
                 return;
             }
-            rate.take(1, loop.now());
+            rateLimit.take(1, loop.now());
             String id = queuedIds.poll();
             store.get(ArchivedJob.key(id), read -> readCompleted(id, read));
         }
--- a/src/main/java/org/springmill/control/history/HistoryArchiver.java
+++ b/src/main/java/org/springmill/control/history/HistoryArchiver.java
@@ -13,24 +13,24 @@
 import org.springmill.transport.EventLoop;
 
 /**
- * Moves the records of ended jobs from {@code job/} to {@code ended/}, each in one transaction that
- * deletes the one and creates the other. It belongs to one term of leadership: only the leader
- * knows that no task of a job is left anywhere.
+ * Archives the records of ended jobs: one transaction deletes the record under {@code job/} and
+ * creates the archived one under {@code ended/}. It belongs to one term of a leader, since only the
+ * leader knows that no task of a job is left on any machine.
  *
- * <p>Nothing waits for a move, so moves have the lowest standing among all that is written: they
- * take a small share of the changes, none while anything else waits, and pause when the state
- * service refuses or does not answer.
+ * <p>Nothing waits for archiving, so it has the lowest priority of all writes: it takes a small
+ * share of them, none while another transaction is queued, and backs off when the key-value store
+ * refuses or does not respond.
  */
 public final class HistoryArchiver {
     private static final Logger LOG = LoggerFactory.getLogger(HistoryArchiver.class);
 
-    /** Share of the changes that the key-value store takes. */
+    /** Share of the writes that the key-value store takes. */
     private static final double WRITE_SHARE = 0.1;
 
-    /** A move deletes one key and creates another. */
+    /** Archiving a record deletes one key and creates another. */
     private static final int WRITES_PER_RECORD = 2;
 
-    /** A job that cannot be moved yet is looked at again after this share of the retention. */
+    /** A job that cannot be archived yet is checked again after this share of the retention. */
     private static final double RETRY_SHARE = 0.25;
 
     private final KeyValueStoreClient store;
@@ -40,34 +40,39 @@
     private final double retentionSeconds;
     private final double backoffSeconds;
     private final RetentionQueue retentionQueue = new RetentionQueue();
+
+    /** Records that are still to be committed one by one, after a batch was rejected as a whole. */
     private int recordsToCommitSingly;
+
     private boolean isClosed;
 
-    /** What the mover has to know of jobs and of the leadership. */
+    /** What the archiver has to know of jobs and of the leader's term. */
     public interface Jobs {
         /** The condition that holds as long as this controller leads. */
         Condition leadership();
 
-        /** Whether this controller is sure of its lease. */
+        /** Whether this controller's lease as the leader is certain, so that it may archive. */
         boolean mayMove();
 
-        /** The record of a job as this controller knows it; null once it has been moved. */
+        /** The record of a job as this controller knows it; null once it is archived. */
         JobRecord record(String id);
 
         /**
          * Whether nothing needs the record any more: its end is stored in it, no task of the job
-         * may be left on a machine, and no job that has not ended waits on it.
+         * may be left on a machine, and no active job depends on it.
          */
         boolean settled(JobRecord record);
 
-        /** The move of a record was committed. */
+        /** Called when the archiving of a record is committed. */
         void moved(ArchivedJob job);
     }
 
     /**
-     * @param retentionSeconds how long after its end a record stays where it is
-     * @param pauseSeconds for how long to write nothing after the key-value store refused or fell
-     *     silent
+     * An archiver that does nothing until it is started.
+     *
+     * @param retentionSeconds how long a record stays under {@code job/} after its end
+     * @param backoffSeconds how long to write nothing after the key-value store refused or did not
+     *     respond
      */
     public HistoryArchiver(
             KeyValueStoreClient store,
@@ -75,34 +80,34 @@
             HistoryMembership membership,
             Jobs jobs,
             double retentionSeconds,
-            double pauseSeconds) {
+            double backoffSeconds) {
         this.store = store;
         this.loop = loop;
         this.membership = membership;
         this.jobs = jobs;
         this.retentionSeconds = retentionSeconds;
-        this.backoffSeconds = pauseSeconds;
+        this.backoffSeconds = backoffSeconds;
     }
 
-    /** Takes note of a job that has ended; it is moved once its retention is over. */
+    /** Adds a job that has ended; it is archived once its retention is over. */
     public void ended(JobRecord record) {
-        // A job that was cancelled by a lagging clock, or whose end is not dated, is due at once.
+        // A job that was cancelled by a clock that lags, or whose end has no time, is due at once.
         double age = loop.timeOfDay() - record.endedAt();
         retentionQueue.add(record.id(), loop.now() + Math.max(0, retentionSeconds - age));
     }
 
-    /** Jobs that wait for their retention to end. */
+    /** Number of jobs whose retention has not ended. */
     public int waiting() {
         return retentionQueue.size();
     }
 
-    /** Begins to move records, and goes on until closed. */
+    /** Begins to archive records, and goes on until closed. */
     public void start() {
-        // The others have to be heard first, and a takeover has better things to write.
+        // The peers have to be heard first, and failover has more urgent writes.
         loop.after(backoffSeconds, this::archiveNextBatch);
     }
 
-    /** Moves nothing more. */
+    /** Ends the archiver with the leader's term: no transaction is sent any more. */
     public void close() {
         isClosed = true;
     }
@@ -120,10 +125,10 @@
         }
     }
 
-    /** Waits for as long as so many moves use up the share of the changes. */
-    private void scheduleNextBatch(int moves) {
-        double changesPerSecond = WRITE_SHARE * store.limits().writesPerSecond();
-        loop.after(moves * WRITES_PER_RECORD / changesPerSecond, this::archiveNextBatch);
+    /** Waits until so many archived records are paid for by the share of the writes. */
+    private void scheduleNextBatch(int records) {
+        double writesPerSecond = WRITE_SHARE * store.limits().writesPerSecond();
+        loop.after(records * WRITES_PER_RECORD / writesPerSecond, this::archiveNextBatch);
     }
 
     private int batchSize() {
@@ -159,11 +164,11 @@
         conditions.add(jobs.leadership());
         List<Write> writes = new ArrayList<>();
         for (JobRecord record : batch) {
-            ArchivedJob ended = ArchivedJob.of(record);
+            ArchivedJob archived = ArchivedJob.of(record);
             conditions.add(new Condition(record.key(), record.version()));
-            conditions.add(new Condition(ended.key(), 0));
+            conditions.add(new Condition(archived.key(), 0));
             writes.add(Write.delete(record.key()));
-            writes.add(Write.put(ended.key(), ended.encode()));
+            writes.add(Write.put(archived.key(), archived.encode()));
         }
         store.compareAndSwap(conditions, writes, result -> responseReceived(batch, result));
     }
@@ -187,8 +192,8 @@
                 scheduleNextBatch(batch.size());
             }
             case RETRYABLE, UNKNOWN -> {
-                // It may have been applied, or be applied later: the feed of records tells. Tried
-                // again it fails on the record's version, and so does a late copy.
+                // It may have been applied, or be applied later; the watch of job records shows it.
+                // A retry then fails on the record's version, and so does a late copy.
                 batch.forEach(this::requeueNow);
                 loop.after(backoffSeconds, this::archiveNextBatch);
             }
@@ -202,13 +207,13 @@
     private void rejected(List<JobRecord> batch, List<String> failed) {
         for (JobRecord record : batch) {
             if (failed.contains(ArchivedJob.key(record.id()))) {
-                // Moving it would overwrite the state that users were told. Its record stays.
+                // Archiving it would overwrite the state that users were told. Its record stays.
                 LOG.error(
-                        "{} has ended a second time: a version that does not know the history"
-                                + " accepted it anew",
+                        "job {} has ended a second time: a version that does not know the archive"
+                                + " accepted it again",
                         record.id());
             } else if (failed.contains(record.key())) {
-                // Its record has changed or was moved by an earlier copy; the feed tells.
+                // Its record has changed or was archived by an earlier copy; the watch shows it.
                 requeueLater(record);
             } else if (failed.isEmpty()) {
                 retrySingly(batch, record);
@@ -218,18 +223,18 @@
         }
     }
 
-    /** A transaction that the key-value store does not take as a whole goes record by record. */
+    /** A transaction that the store does not take as a whole is repeated record by record. */
     private void retrySingly(List<JobRecord> batch, JobRecord record) {
         if (batch.size() > 1) {
             recordsToCommitSingly = batch.size();
             requeueNow(record);
         } else {
-            LOG.warn("the record of {} cannot be moved", record.id());
+            LOG.warn("record of job {} cannot be archived: rejected by the store", record.id());
         }
     }
 
     private void tooLarge(List<JobRecord> batch) {
-        // Smaller limits are kept to from here on, also by the next batch.
+        // The limits are lower from now on, also for the next batch.
         batch.forEach(record -> retrySingly(batch, record));
     }
 }
--- a/src/main/java/org/springmill/control/history/HistoryMembership.java
+++ b/src/main/java/org/springmill/control/history/HistoryMembership.java
@@ -16,11 +16,11 @@
 import org.springmill.transport.EventLoop;
 
 /**
- * Which controllers take part in the history. A version that does not know of moved jobs accepts
- * them anew, so records may be moved only once every controller is known to look at both places. A
- * controller that runs with the history switched on registers that in the key-value store, where it
- * stays while the controller is down, and says the same on the link between controllers. A process
- * of an earlier version says nothing there, and stops the moves of whoever hears it.
+ * Which controllers take part in the bounded history. A version that does not know of archived jobs
+ * accepts them again, so records may be archived only once every controller is known to look at
+ * both prefixes. A controller with the history switched on registers in the key-value store, where
+ * the registration stays while the controller is down, and says the same in its messages to its
+ * peers. A process of an earlier version does not, and a leader that hears it stops archiving.
  */
 public final class HistoryMembership {
     private static final Logger LOG = LoggerFactory.getLogger(HistoryMembership.class);
@@ -37,24 +37,26 @@
     private boolean peerOpposed;
 
     /**
-     * @param node this controller
-     * @param others names of all other controllers
-     * @param opposed whether some controller was last heard without taking part
+     * The membership before any registration is known.
+     *
+     * @param ownName name of this controller
+     * @param peers names of all other controllers
+     * @param anyPeerOpposes whether the latest message of any peer says that it takes no part
      * @param retrySeconds after which registration and check are tried again
      */
     public HistoryMembership(
             KeyValueStoreClient store,
             EventLoop loop,
-            String node,
-            Set<String> others,
-            BooleanSupplier opposed,
+            String ownName,
+            Set<String> peers,
+            BooleanSupplier anyPeerOpposes,
             double retrySeconds) {
         this.store = store;
         this.loop = loop;
-        this.ownName = node;
-        this.anyPeerOpposes = opposed;
+        this.ownName = ownName;
+        this.anyPeerOpposes = anyPeerOpposes;
         this.retrySeconds = retrySeconds;
-        peerKeys = others.stream().map(HistoryMembership::key).collect(Collectors.toSet());
+        peerKeys = peers.stream().map(HistoryMembership::key).collect(Collectors.toSet());
     }
 
     private static String key(String node) {
@@ -96,19 +98,19 @@
             allRegistered = found.containsAll(peerKeys);
         }
         if (allRegistered) {
-            LOG.info("every controller keeps the bounded history: records may be moved");
+            LOG.info("every controller keeps the bounded history: archiving enabled");
         } else {
             loop.after(retrySeconds, this::checkPeers);
         }
     }
 
-    /** Whether records may be moved now, as far as is known here. */
+    /** Whether records may be archived now, as far as this controller knows. */
     public boolean allParticipate() {
         boolean isOpposed = anyPeerOpposes.getAsBoolean();
         if (isOpposed && !peerOpposed && allRegistered) {
             LOG.error(
-                    "a controller runs without the bounded history although records may have been"
-                            + " moved: it must be restarted with it at once");
+                    "a controller runs without the bounded history although records may be archived:"
+                            + " restart it with the history at once");
         }
         peerOpposed = isOpposed;
         return allRegistered && !isOpposed;
--- a/src/main/java/org/springmill/control/history/RetentionQueue.java
+++ b/src/main/java/org/springmill/control/history/RetentionQueue.java
@@ -8,8 +8,8 @@
 import java.util.Set;
 
 /**
- * Jobs that have ended, by the time at which their records may be moved. Each is in it once; one
- * that cannot be moved when its time has come is put back for later.
+ * Jobs that have ended, ordered by the time from which their records may be archived. Each job is
+ * in it once.
  */
 final class RetentionQueue {
     private final PriorityQueue<DueJob> dueJobs =
@@ -18,7 +18,11 @@
     private final Set<String> queuedIds = new HashSet<>();
     private long nextOrder;
 
-    /** Of several with the same time the one added first comes first. */
+    /**
+     * A job and the time from which it may be archived.
+     *
+     * @param order ties are broken in favour of the job that was added first
+     */
     private record DueJob(String id, double at, long order) {}
 
     /** Adds a job unless it is there already. */
@@ -28,10 +32,10 @@
         }
     }
 
-    /** Takes out jobs whose time has come, the earliest first. */
-    List<String> pollDue(double now, int most) {
+    /** Removes and returns jobs that are due, the earliest first. */
+    List<String> pollDue(double now, int maxJobs) {
         List<String> taken = new ArrayList<>();
-        while (taken.size() < most && !dueJobs.isEmpty() && dueJobs.peek().at() <= now) {
+        while (taken.size() < maxJobs && !dueJobs.isEmpty() && dueJobs.peek().at() <= now) {
             String id = dueJobs.poll().id();
             queuedIds.remove(id);
             taken.add(id);
--- a/src/main/java/org/springmill/control/storage/package-info.java
+++ b/src/main/java/org/springmill/control/storage/package-info.java
@@ -1,6 +1,8 @@
 /**
- * What controllers keep in the key-value store: jobs, rounds of claims and image locations, with
- * their stored forms and the rate limits under which they are written.
+ * The client of the key-value store and the records that controllers keep in it: jobs, placement
+ * rounds and image locations, with their stored forms and the rate limits under which they are
+ * written. It uses {@code protocol} and {@code transport}; every package that reads or writes the
+ * store calls it.
  *
  * <p>Versions of the program read each other's records: keys and bytes of an existing form never
  * change, and fields are only added.
--- a/src/test/java/org/springmill/control/history/ArchivedJobLookupTest.java
+++ b/src/test/java/org/springmill/control/history/ArchivedJobLookupTest.java
@@ -28,7 +28,7 @@
     private final List<Request> requests = new ArrayList<>();
     private final List<Consumer<Reply>> replies = new ArrayList<>();
     private final List<Outcome> outcomes = new ArrayList<>();
-    private final ArchivedJobLookup lookup =
+    private final ArchivedJobLookup archivedJobs =
             new ArchivedJobLookup(
                     new KeyValueStoreClient(
                             (request, done) -> {
@@ -41,7 +41,7 @@
                     clock);
 
     private void find(String id) {
-        lookup.find(id, lookup -> outcomes.add(lookup.outcome()));
+        archivedJobs.find(id, lookup -> outcomes.add(lookup.outcome()));
     }
 
     private void answerFound(int request, String id) {
@@ -67,7 +67,7 @@
         find("run-1");
         assertEquals(1, requests.size(), "a final state is kept");
         ArchivedJob expected = new ArchivedJob("run-1", JobPhase.DONE, 3, false, 5, 7);
-        assertEquals(expected, lookup.kept("run-1"));
+        assertEquals(expected, archivedJobs.kept("run-1"));
     }
 
     @Test
@@ -84,7 +84,7 @@
         find("run-1");
         answer(0, 503, "{}");
         assertEquals(List.of(Outcome.UNAVAILABLE), outcomes);
-        assertNull(lookup.kept("run-1"));
+        assertNull(archivedJobs.kept("run-1"));
     }
 
     /** A flood of questions about old jobs leaves the key-value store to others. */
@@ -108,8 +108,8 @@
     @Test
     void theAnswersKeptAreBounded() {
         for (int i = 0; i < 2 * ArchivedJobLookup.MOST_KEPT; i++) {
-            lookup.keep(new ArchivedJob("run-" + i, JobPhase.DONE, 1, false, 0, i + 1));
+            archivedJobs.keep(new ArchivedJob("run-" + i, JobPhase.DONE, 1, false, 0, i + 1));
         }
-        assertEquals(ArchivedJobLookup.MOST_KEPT, lookup.keptCount());
+        assertEquals(ArchivedJobLookup.MOST_KEPT, archivedJobs.keptCount());
     }
 }
