--- a/src/main/java/org/springmill/protocol/ArchiveTrainingMessages.java
+++ b/src/main/java/org/springmill/protocol/ArchiveTrainingMessages.java
@@ -66,21 +66,25 @@
     }
 
     private void obey(JsonNode orders) {
-        token = Math.max(token, orders.path("baton").longValue());
-        for (JsonNode order : orders.path("orders")) {
-            String task = order.path("sack").asText();
-            switch (order.path("verb").asText()) {
+        token = Math.max(token, orders.path(WireFields.FENCING_TOKEN).longValue());
+        for (JsonNode order : orders.path(WireFields.COMMANDS)) {
+            String task = order.path(WireFields.TASK).asText();
+            switch (order.path(WireFields.VERB).asText()) {
                 case "start" ->
                         tasks.put(
                                 task,
                                 Json.newObject()
-                                        .put("sack", task)
-                                        .put("try", order.path("try").longValue())
-                                        .put("phase", "running"));
+                                        .put(WireFields.TASK, task)
+                                        .put(
+                                                WireFields.ATTEMPT,
+                                                order.path(WireFields.ATTEMPT).longValue())
+                                        .put(WireFields.PHASE, "running"));
                 case "halt" ->
                         tasks.computeIfPresent(
                                 task,
-                                (t, state) -> state.put("phase", "ended").put("cause", "stopped"));
+                                (t, state) ->
+                                        state.put(WireFields.PHASE, "ended")
+                                                .put(WireFields.EXIT_CAUSE, "stopped"));
                 default -> tasks.remove(task);
             }
         }
@@ -90,15 +94,15 @@
     public byte[] report() {
         ObjectNode report =
                 Json.newObject()
-                        .put("stone", MACHINE)
-                        .put("addr", address)
-                        .put("frame", TYPE)
-                        .put("yard", ZONE)
-                        .put("loaner", false)
-                        .put("shift", 1)
-                        .put("tally", ++seq)
-                        .put("baton", token);
-        ArrayNode listed = report.putArray("sacks");
+                        .put(WireFields.MACHINE, MACHINE)
+                        .put(WireFields.ADDRESS, address)
+                        .put(WireFields.MACHINE_TYPE, TYPE)
+                        .put(WireFields.ZONE, ZONE)
+                        .put(WireFields.SPOT, false)
+                        .put(WireFields.EPOCH, 1)
+                        .put(WireFields.SEQUENCE, ++seq)
+                        .put(WireFields.FENCING_TOKEN, token);
+        ArrayNode listed = report.putArray(WireFields.TASKS);
         tasks.values().forEach(listed::add);
         return Json.bytes(report);
     }
--- a/src/main/java/org/springmill/protocol/CloudMessages.java
+++ b/src/main/java/org/springmill/protocol/CloudMessages.java
@@ -4,30 +4,27 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/**
- * Messages between controllers and the cloud. The names on the wire stand only in this class;
- * fields that it does not read are ignored.
- */
+/** Messages between controllers and the cloud's API. Unknown fields are ignored. */
 public final class CloudMessages {
-    /** Path that lists the machine types. */
+    /** Path of the list of machine types. */
     public static final String MACHINE_TYPES_PATH = "/machine_types";
 
-    /** Path that rents machines (POST) and lists them (GET). */
+    /** Path of rentals: POST rents machines, GET lists them. */
     public static final String RENTALS_PATH = "/rentals";
 
-    /** Path that deletes machines. */
+    /** Path to which deletions of machines are posted. */
     public static final String DELETIONS_PATH = "/rentals/delete";
 
-    /** Most machines in one rental request. */
+    /** The most machines in one rental request. */
     public static final int MAX_RENTALS = 50;
 
-    /** Most machines in one deletion request. */
+    /** The most machines in one deletion request. */
     public static final int MAX_DELETIONS = 100;
 
-    /** Most machines on one page of the list. */
+    /** The most machines on one page of the list. */
     public static final int MAX_LISTED = 500;
 
-    /** Stands for an amount of 0 where one divides by it. */
+    /** Replaces an amount of 0 in divisors. */
     private static final double MIN_AMOUNT = 1e-6;
 
     private CloudMessages() {}
@@ -35,10 +32,14 @@
     /**
      * A type of machine that the cloud offers.
      *
-     * @param cacheGb room for images
+     * @param name of the type
+     * @param cpus CPUs of a machine
+     * @param gpus GPUs of a machine
+     * @param memoryGb memory of a machine, in GB
+     * @param cacheGb size of the image cache, in GB
      * @param fetchGbPerSecond rate at which a machine fetches images, shared by all fetches
-     * @param price present price of an ordinary machine, per hour
-     * @param spotPrice present price of a spot machine, per hour
+     * @param price current price of an ordinary machine, per hour
+     * @param spotPrice current price of a spot machine, per hour
      * @param bootSeconds nominal boot time in seconds
      * @param zones zones in which the type is offered
      */
@@ -71,7 +72,11 @@
             return job.zone() == null || zones.contains(job.zone());
         }
 
-        /** How many tasks of a job that fits have room on one machine. */
+        /**
+         * How many tasks of a job an empty machine of this type can run; at least 1.
+         *
+         * @param job one that {@link #fits}
+         */
         public int holds(Submission job) {
             double byCpus = cpus / Math.max(MIN_AMOUNT, job.cpus());
             double byMemory = memoryGb / Math.max(MIN_AMOUNT, job.memoryGb());
@@ -80,24 +85,36 @@
             return (int) Math.max(1, tasks);
         }
 
-        /** Present price per hour of a spot or an ordinary machine. */
+        /**
+         * The current price per hour.
+         *
+         * @param spot whether of a spot machine, rather than of an ordinary one
+         */
         public double price(boolean spot) {
             return spot ? spotPrice : price;
         }
     }
 
-    /** Where a machine stands in the cloud's list. */
+    /** Phase of a machine in the cloud's list. */
     public enum MachinePhase {
+        /** Has been rented and is not up yet. */
         BOOTING,
+        /** Is up, or was so until lately. */
         RUNNING,
-        /** Stopped by itself; stays listed until it is deleted. */
+        /** Has stopped on its own; stays listed until it is deleted. */
         FAILED
     }
 
     /**
      * One machine of the cloud's list.
      *
-     * @param ageSeconds seconds since its rental, as of the moment that the list describes
+     * @param name of the machine
+     * @param address on which its worker takes commands
+     * @param type name of its machine type
+     * @param zone of the machine
+     * @param spot whether it is a spot machine
+     * @param phase of the machine
+     * @param ageSeconds seconds since its rental, as of the time that the list describes
      */
     public record ListedMachine(
             String name,
@@ -111,14 +128,19 @@
     /**
      * One page of the cloud's list of machines, in the order of their names.
      *
+     * @param machines of this page, at most {@link #MAX_LISTED}
      * @param more whether further pages follow
      */
     public record MachinePage(List<ListedMachine> machines, boolean more) {}
 
-    /** Decodes the answer to {@link #MACHINE_TYPES_PATH}. */
+    /**
+     * Decodes the response to {@link #MACHINE_TYPES_PATH}.
+     *
+     * @throws MalformedMessageException if it is not a JSON object
+     */
     public static List<MachineType> types(byte[] body) throws MalformedMessageException {
         List<MachineType> types = new ArrayList<>();
-        for (JsonNode type : Json.object(body).path("frames")) {
+        for (JsonNode type : Json.object(body).path(WireFields.MACHINE_TYPES)) {
             types.add(machineType(type));
         }
         return List.copyOf(types);
@@ -126,46 +148,53 @@
 
     private static MachineType machineType(JsonNode json) {
         return new MachineType(
-                json.path("sku").asText(),
-                json.path("vcpus").asDouble(),
-                json.path("cards").asDouble(),
-                json.path("memGb").asDouble(),
-                json.path("localGb").asDouble(),
-                json.path("pullGbPerS").asDouble(),
-                json.path("price").asDouble(),
-                json.path("marketPrice").asDouble(),
-                json.path("bootS").asDouble(),
-                texts(json.path("yards")));
+                json.path(WireFields.TYPE_NAME).asText(),
+                json.path(WireFields.CPUS).asDouble(),
+                json.path(WireFields.GPUS).asDouble(),
+                json.path(WireFields.MEMORY_GB).asDouble(),
+                json.path(WireFields.CACHE_GB).asDouble(),
+                json.path(WireFields.FETCH_GB_PER_SECOND).asDouble(),
+                json.path(WireFields.PRICE).asDouble(),
+                json.path(WireFields.SPOT_PRICE).asDouble(),
+                json.path(WireFields.BOOT_SECONDS).asDouble(),
+                texts(json.path(WireFields.ZONES)));
     }
 
     /**
      * Encodes a rental request.
      *
-     * @param request name of the request, never used for another one
-     * @param count at most {@link #MAX_RENTALS}
+     * @param request name that makes the request idempotent; never used for another one
+     * @param type name of the machine type
+     * @param zone of the machines
+     * @param spot whether to rent spot machines
+     * @param count number of machines, at most {@link #MAX_RENTALS}
      */
     public static byte[] encodeRental(
             String request, String type, String zone, boolean spot, int count) {
         return Json.write(
                 json -> {
-                    json.writeStringField("hire", request);
-                    json.writeStringField("frame", type);
-                    json.writeStringField("yard", zone);
-                    json.writeBooleanField("loaner", spot);
-                    json.writeNumberField("count", count);
+                    json.writeStringField(WireFields.RENTAL_REQUEST, request);
+                    json.writeStringField(WireFields.MACHINE_TYPE, type);
+                    json.writeStringField(WireFields.ZONE, zone);
+                    json.writeBooleanField(WireFields.SPOT, spot);
+                    json.writeNumberField(WireFields.COUNT, count);
                 });
     }
 
-    /** Decodes the answer to a rental request: the names of the machines rented. */
+    /**
+     * Decodes the response to a rental request: the names of the machines rented.
+     *
+     * @throws MalformedMessageException if it is not a JSON object
+     */
     public static List<String> decodeRental(byte[] body) throws MalformedMessageException {
-        return texts(Json.object(body).path("stones"));
+        return texts(Json.object(body).path(WireFields.MACHINES));
     }
 
     /** Encodes the deletion of at most {@link #MAX_DELETIONS} machines. */
     public static byte[] encodeDeletion(List<String> machines) {
         return Json.write(
                 json -> {
-                    json.writeArrayFieldStart("stones");
+                    json.writeArrayFieldStart(WireFields.MACHINES);
                     for (String machine : machines) {
                         json.writeString(machine);
                     }
@@ -183,29 +212,33 @@
         return RENTALS_PATH + "?" + from + "limit=" + MAX_LISTED;
     }
 
-    /** Decodes one page of the cloud's list. */
+    /**
+     * Decodes one page of the cloud's list.
+     *
+     * @throws MalformedMessageException if it is not a JSON object
+     */
     public static MachinePage list(byte[] body) throws MalformedMessageException {
         JsonNode json = Json.object(body);
         List<ListedMachine> machines = new ArrayList<>();
-        for (JsonNode machine : json.path("stones")) {
+        for (JsonNode machine : json.path(WireFields.MACHINES)) {
             machines.add(listedMachine(machine));
         }
-        return new MachinePage(machines, json.path("truncated").asBoolean());
+        return new MachinePage(machines, json.path(WireFields.TRUNCATED).asBoolean());
     }
 
     private static ListedMachine listedMachine(JsonNode json) {
         return new ListedMachine(
-                json.path("nameId").asText(),
-                json.path("addr").asText(),
-                json.path("frame").asText(),
-                json.path("yard").asText(),
-                json.path("loaner").asBoolean(),
-                phase(json.path("phase").asText()),
-                json.path("heldS").asDouble());
+                json.path(WireFields.MACHINE_NAME).asText(),
+                json.path(WireFields.ADDRESS).asText(),
+                json.path(WireFields.MACHINE_TYPE).asText(),
+                json.path(WireFields.ZONE).asText(),
+                json.path(WireFields.SPOT).asBoolean(),
+                machinePhase(json.path(WireFields.PHASE).asText()),
+                json.path(WireFields.AGE_SECONDS).asDouble());
     }
 
-    private static MachinePhase phase(String wire) {
-        return switch (wire) {
+    private static MachinePhase machinePhase(String wireName) {
+        return switch (wireName) {
             case "starting" -> MachinePhase.BOOTING;
             case "failed" -> MachinePhase.FAILED;
             default -> MachinePhase.RUNNING;
--- a/src/main/java/org/springmill/protocol/JobKind.java
+++ b/src/main/java/org/springmill/protocol/JobKind.java
@@ -9,24 +9,23 @@
     /** Tasks that run to completion, but only all at the same time. */
     GANG("group");
 
-    private final String wire;
+    private final String wireName;
 
-    JobKind(String wire) {
-        this.wire = wire;
+    JobKind(String wireName) {
+        this.wireName = wireName;
     }
 
-    /** The shape with that name on the wire. */
-    static JobKind of(String wire) throws MalformedMessageException {
-        for (JobKind shape : values()) {
-            if (shape.wire.equals(wire)) {
-                return shape;
-            }
-        }
-        throw new MalformedMessageException("shape is not one of sweep, service, group");
+    /**
+     * The kind with that name on the wire.
+     *
+     * @throws MalformedMessageException if there is none
+     */
+    static JobKind of(String wireName) throws MalformedMessageException {
+        return EnumNames.lookUp(WireFields.JOB_KIND, wireName, values(), JobKind::wireName);
     }
 
     /** The name on the wire. */
-    String wire() {
-        return wire;
+    String wireName() {
+        return wireName;
     }
 }
--- a/src/main/java/org/springmill/protocol/KeyValueStoreMessages.java
+++ b/src/main/java/org/springmill/protocol/KeyValueStoreMessages.java
@@ -1,65 +1,92 @@
 package org.springmill.protocol;
 
+import com.fasterxml.jackson.core.JsonGenerator;
 import com.fasterxml.jackson.databind.JsonNode;
+import java.io.IOException;
+import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.List;
 
-/** Messages between controllers and the key-value store. */
+/** Messages between controllers and the key-value store. Unknown fields are ignored. */
 public final class KeyValueStoreMessages {
-    /** Path of transactions. */
+    /** Path to which transactions are posted. */
     public static final String COMMIT = "/commit";
 
-    /** Path of leases. */
+    /** Path of leases; posting to it requests one. */
     public static final String LEASES = "/grants";
 
+    private static final String KEYS = "/store";
+    private static final String WATCHES = "/changes";
+
+    /** The error of a write that names a lease which has expired. */
+    private static final String LEASE_EXPIRED = "no such lease";
+
+    /**
+     * Keys on one page. Pages are small, since decoding one must not keep a controller that has
+     * just started from answering workers.
+     */
+    private static final int PAGE_LIMIT = 100;
+
     private KeyValueStoreMessages() {}
 
     /**
      * A key with its value.
      *
+     * @param key of the entry
+     * @param value of the key
      * @param version revision of the key's last change
-     * @param lease to which the key is attached; 0 for none
+     * @param lease id of the lease that the key is attached to; 0 for none
      */
     public record Entry(String key, JsonNode value, long version, long lease) {}
 
     /**
      * One page of a read of several keys.
      *
+     * @param entries of this page, ordered by key
      * @param more whether further keys follow
-     * @param revision of the key-value store as the page was read
+     * @param revision of the store when the page was read
      */
     public record Page(List<Entry> entries, boolean more, long revision) {}
 
     /**
      * One change of a key.
      *
-     * @param value null for a deletion
+     * @param key that has changed
+     * @param value its new value; null if it was deleted
+     * @param version revision of the change
      */
     public record Change(String key, JsonNode value, long version) {}
 
     /**
      * Changes in their order.
      *
+     * @param changes oldest first
      * @param revision up to which they are complete
      */
     public record Changes(List<Change> changes, long revision) {}
 
-    /** Version that a key must have; 0 if it must not exist. */
+    /**
+     * A condition of a transaction, as for a compare-and-swap.
+     *
+     * @param key to compare
+     * @param version that the key must have; 0 if it must not exist
+     */
     public record Condition(String key, long version) {}
 
     /**
      * One write of a transaction.
      *
-     * @param value null to delete
-     * @param lease 0 for none
+     * @param key to write
+     * @param value its new value; null to delete it
+     * @param lease id of the lease that the key is attached to; 0 for none
      */
     public record Write(String key, JsonNode value, long lease) {
-        /** Writes a value that is attached to no lease. */
+        /** A put of a key that is attached to no lease. */
         public static Write put(String key, JsonNode value) {
             return new Write(key, value, 0);
         }
 
-        /** Deletes a key. */
+        /** A deletion of a key. */
         public static Write delete(String key) {
             return new Write(key, null, 0);
         }
@@ -67,143 +94,189 @@
 
     /** Path of a key. */
     public static String keyPath(String key) {
-        return "/store/" + key;
+        return KEYS + "/" + key;
     }
 
     /**
-     * Small pages: reading one must not keep a controller that has just started from answering
-     * workers.
-     */
-    private static final int PAGE = 100;
-
-    /**
-     * Path of a read of all keys with a prefix.
+     * Path of one page of a read of all keys with a prefix.
      *
+     * @param prefix that the keys begin with
      * @param after the key after which the page begins; null for the first page
      */
     public static String listPath(String prefix, String after) {
-        return "/store?under="
+        return KEYS
+                + "?under="
                 + prefix
                 + (after == null ? "" : "&from=" + after)
                 + "&limit="
-                + PAGE;
+                + PAGE_LIMIT;
     }
 
-    /** Path of a watch on all keys with a prefix, for changes after a revision. */
+    /**
+     * Path of a watch on all keys with a prefix.
+     *
+     * @param prefix that the keys begin with
+     * @param from revision after which changes are returned
+     * @param waitMs time to wait for a change, in milliseconds
+     */
     public static String changesPath(String prefix, long from, long waitMs) {
-        return "/changes?under=" + prefix + "&from=" + from + "&waitMs=" + waitMs;
+        return WATCHES + "?under=" + prefix + "&from=" + from + "&waitMs=" + waitMs;
     }
 
-    /** Path of the renewal of a lease. */
+    /** Path to which the renewal of a lease is posted. */
     public static String renewPath(long lease) {
-        return LEASES + "/" + lease + "/touch";
+        return leasePath(lease) + "/touch";
     }
 
-    /** Path of a lease. */
+    /** Path of a lease; deleting it revokes the lease. */
     public static String leasePath(long lease) {
         return LEASES + "/" + lease;
     }
 
-    /** A request for a lease. */
+    /**
+     * Encodes a request for a lease.
+     *
+     * @param ttlMs time to live, in milliseconds
+     */
     public static byte[] grant(long ttlMs) {
-        return Json.write(json -> json.writeNumberField("ttlMs", ttlMs));
+        return Json.write(
+                json -> json.writeNumberField(WireFields.TIME_TO_LIVE_MILLISECONDS, ttlMs));
     }
 
-    /** The lease that was granted. */
+    /**
+     * Decodes the id of a lease that was granted.
+     *
+     * @throws MalformedMessageException if the response is not a JSON object
+     */
     public static long granted(byte[] body) throws MalformedMessageException {
-        return Json.object(body).path("tenancy").longValue();
+        return Json.object(body).path(WireFields.LEASE).longValue();
     }
 
-    /** A transaction: all writes are applied if all conditions hold. */
+    /**
+     * Encodes a transaction: all writes are applied, at one revision, if all conditions hold; else
+     * none.
+     */
     public static byte[] commit(List<Condition> conditions, List<Write> writes) {
         return Json.write(
                 json -> {
-                    json.writeArrayFieldStart("when");
-                    for (Condition c : conditions) {
-                        json.writeStartObject();
-                        json.writeStringField("key", c.key());
-                        json.writeNumberField("stamp", c.version());
-                        json.writeEndObject();
+                    json.writeArrayFieldStart(WireFields.CONDITIONS);
+                    for (Condition condition : conditions) {
+                        writeCondition(json, condition);
                     }
                     json.writeEndArray();
-                    json.writeArrayFieldStart("writes");
-                    for (Write w : writes) {
-                        json.writeStartObject();
-                        if (w.value() == null) {
-                            json.writeStringField("delete", w.key());
-                        } else {
-                            json.writeStringField("write", w.key());
-                            json.writeFieldName("value");
-                            json.writeRawValue(
-                                    new String(
-                                            Json.bytes(w.value()),
-                                            java.nio.charset.StandardCharsets.UTF_8));
-                            if (w.lease() != 0) {
-                                json.writeNumberField("tenancy", w.lease());
-                            }
-                        }
-                        json.writeEndObject();
+                    json.writeArrayFieldStart(WireFields.WRITES);
+                    for (Write write : writes) {
+                        writeWrite(json, write);
                     }
                     json.writeEndArray();
                 });
     }
 
-    /** The revision of the key-value store, which most of its answers hold. */
+    private static void writeCondition(JsonGenerator json, Condition condition) throws IOException {
+        json.writeStartObject();
+        json.writeStringField(WireFields.KEY, condition.key());
+        json.writeNumberField(WireFields.VERSION, condition.version());
+        json.writeEndObject();
+    }
+
+    private static void writeWrite(JsonGenerator json, Write write) throws IOException {
+        json.writeStartObject();
+        if (write.value() == null) {
+            json.writeStringField(WireFields.DELETE, write.key());
+        } else {
+            json.writeStringField(WireFields.PUT, write.key());
+            json.writeFieldName(WireFields.VALUE);
+            json.writeRawValue(new String(Json.bytes(write.value()), StandardCharsets.UTF_8));
+            if (write.lease() != 0) {
+                json.writeNumberField(WireFields.LEASE, write.lease());
+            }
+        }
+        json.writeEndObject();
+    }
+
+    /**
+     * Decodes the revision of the store, which most of its responses carry.
+     *
+     * @throws MalformedMessageException if the response is not a JSON object
+     */
     public static long revision(byte[] body) throws MalformedMessageException {
-        return Json.object(body).path("ledgerRev").longValue();
+        return Json.object(body).path(WireFields.REVISION).longValue();
     }
 
     /**
-     * Whether a transaction was refused for a lease that has ended, rather than for its form or
+     * Whether a transaction was refused because a lease has expired, rather than for its form or
      * size.
+     *
+     * @throws MalformedMessageException if the response is not a JSON object
      */
     public static boolean leaseEnded(byte[] body) throws MalformedMessageException {
-        return Json.object(body).path("error").asText().equals("no such lease");
+        return Json.object(body).path(WireFields.ERROR).asText().equals(LEASE_EXPIRED);
     }
 
-    /** The keys whose conditions did not hold. */
+    /**
+     * Decodes the keys whose conditions did not hold.
+     *
+     * @throws MalformedMessageException if the response is not a JSON object
+     */
     public static List<String> failed(byte[] body) throws MalformedMessageException {
         List<String> keys = new ArrayList<>();
-        Json.object(body).path("failed").forEach(k -> keys.add(k.asText()));
+        Json.object(body).path(WireFields.FAILED_KEYS).forEach(key -> keys.add(key.asText()));
         return keys;
     }
 
-    /** The answer to a read of one key. */
+    /**
+     * Decodes the response to a read of one key.
+     *
+     * @throws MalformedMessageException if the response is not a JSON object
+     */
     public static Entry entry(byte[] body) throws MalformedMessageException {
-        return entry(Json.object(body));
+        return decodeEntry(Json.object(body));
     }
 
-    /** The answer to a read of several keys. */
+    /**
+     * Decodes the response to a read of several keys.
+     *
+     * @throws MalformedMessageException if the response is not a JSON object
+     */
     public static Page page(byte[] body) throws MalformedMessageException {
         JsonNode json = Json.object(body);
         List<Entry> entries = new ArrayList<>();
-        for (JsonNode e : json.path("pairs")) {
-            entries.add(entry(e));
+        for (JsonNode entry : json.path(WireFields.ENTRIES)) {
+            entries.add(decodeEntry(entry));
         }
         return new Page(
-                entries, json.path("truncated").asBoolean(), json.path("ledgerRev").longValue());
+                entries,
+                json.path(WireFields.TRUNCATED).asBoolean(),
+                json.path(WireFields.REVISION).longValue());
     }
 
-    /** The answer to a watch. */
+    /**
+     * Decodes the response to a watch.
+     *
+     * @throws MalformedMessageException if the response is not a JSON object
+     */
     public static Changes changes(byte[] body) throws MalformedMessageException {
         JsonNode json = Json.object(body);
         List<Change> changes = new ArrayList<>();
-        for (JsonNode c : json.path("news")) {
-            boolean put = c.has("write");
-            changes.add(
-                    new Change(
-                            c.path(put ? "write" : "delete").asText(),
-                            put ? c.path("value") : null,
-                            c.path("stamp").longValue()));
+        for (JsonNode change : json.path(WireFields.CHANGES)) {
+            changes.add(decodeChange(change));
         }
-        return new Changes(changes, json.path("ledgerRev").longValue());
+        return new Changes(changes, json.path(WireFields.REVISION).longValue());
+    }
+
+    private static Change decodeChange(JsonNode json) {
+        boolean put = json.has(WireFields.PUT);
+        return new Change(
+                json.path(put ? WireFields.PUT : WireFields.DELETE).asText(),
+                put ? json.path(WireFields.VALUE) : null,
+                json.path(WireFields.VERSION).longValue());
     }
 
-    private static Entry entry(JsonNode json) {
+    private static Entry decodeEntry(JsonNode json) {
         return new Entry(
-                json.path("key").asText(),
-                json.path("value"),
-                json.path("stamp").longValue(),
-                json.path("tenancy").longValue());
+                json.path(WireFields.KEY).asText(),
+                json.path(WireFields.VALUE),
+                json.path(WireFields.VERSION).longValue(),
+                json.path(WireFields.LEASE).longValue());
     }
 }
--- a/src/main/java/org/springmill/protocol/PeerMessages.java
+++ b/src/main/java/org/springmill/protocol/PeerMessages.java
@@ -228,7 +228,7 @@
         out.writeShort(count);
         for (CongestedQueue queue : congested.queues.subList(0, count)) {
             out.writeUTF(queue.team);
-            out.writeUTF(queue.priority.wire());
+            out.writeUTF(queue.priority.wireName());
             out.writeFloat((float) queue.excessSeconds);
         }
     }
--- a/src/main/java/org/springmill/protocol/Priority.java
+++ b/src/main/java/org/springmill/protocol/Priority.java
@@ -2,31 +2,36 @@
 
 /** Priorities of jobs, highest first. */
 public enum Priority {
+    /** Production work. */
     PRODUCTION("prod"),
+    /** Urgent work. */
     HIGH("urgent"),
+    /** Work without special urgency. */
     NORMAL("normal"),
+    /** Best-effort work. */
     LOW("best_effort");
 
-    private final String wire;
+    private final String wireName;
 
-    Priority(String wire) {
-        this.wire = wire;
+    Priority(String wireName) {
+        this.wireName = wireName;
     }
 
-    static Priority of(String wire) throws MalformedMessageException {
-        for (Priority p : values()) {
-            if (p.wire.equals(wire)) {
-                return p;
-            }
-        }
-        throw new MalformedMessageException(
-                "urgency is not one of prod, urgent, normal, best_effort");
+    /**
+     * The priority with that name on the wire.
+     *
+     * @throws MalformedMessageException if there is none
+     */
+    static Priority of(String wireName) throws MalformedMessageException {
+        return EnumNames.lookUp(WireFields.PRIORITY, wireName, values(), Priority::wireName);
     }
 
-    String wire() {
-        return wire;
+    /** The name on the wire. */
+    String wireName() {
+        return wireName;
     }
 
+    /** Whether this priority is higher than another one. */
     public boolean above(Priority other) {
         return compareTo(other) < 0;
     }
--- a/src/main/java/org/springmill/protocol/Submission.java
+++ b/src/main/java/org/springmill/protocol/Submission.java
@@ -12,8 +12,25 @@
 /**
  * A job as its user described it.
  *
+ * @param id unique id of the job, chosen by its user
+ * @param jobClass the class of jobs that it belongs to, for which the settings hold objectives
+ * @param team the team whose guarantee and limit apply
+ * @param shape how its tasks belong together
+ * @param priority decides which work it may preempt
+ * @param tasks number of tasks, which are numbered from 0
+ * @param cpus CPUs that each task takes
+ * @param gpus GPUs that each task takes
+ * @param memoryGb memory that each task takes, in GB
+ * @param image image that a machine needs before a task can start
+ * @param imageGb size of the image, in GB
  * @param types the allowed machine types; null for any
  * @param zone the only allowed zone; null for any
+ * @param oneZone whether all tasks must be in the same zone
+ * @param spread whether at most half of the tasks, rounded up, may be in one zone
+ * @param spot whether spot machines are allowed
+ * @param estimatedRunSeconds the owner's estimate of a task's run time; 0 for services
+ * @param checkpointIntervalSeconds interval of a running task's checkpoints; 0 if it saves none
+ * @param checkpointSaveSeconds time that a task takes to save a checkpoint when it is stopped
  * @param deadlineSeconds from the submission on; null if the job has none
  * @param dependencies ids of the jobs that have to be done before any task of this one starts, each
  *     once; empty for none
@@ -43,89 +60,92 @@
 
     private static final Pattern ID = Pattern.compile("run-[0-9]{1,18}");
     private static final int MAX_TASKS = 100_000;
-    private static final int MAX_NAME = 200;
-    private static final String DEPENDENCIES = "waitsOn";
+    private static final int MAX_TEXT_LENGTH = 200;
 
+    /** Whether a text has the form of a job id, such as {@code run-000412}. */
     public static boolean validId(String id) {
         return ID.matcher(id).matches();
     }
 
+    /**
+     * Reads the JSON form of a job.
+     *
+     * @throws MalformedMessageException if a field is missing or invalid; the message names it
+     */
     public static Submission parse(JsonNode json) throws MalformedMessageException {
-        String id = text(json, "nameId");
+        String id = text(json, WireFields.JOB_ID);
         if (!validId(id)) {
-            throw new MalformedMessageException("nameId has not the form run-000412");
-        }
-        JsonNode count = json.path("sacks");
-        if (!count.isIntegralNumber()
-                || !count.canConvertToInt()
-                || count.intValue() < 1
-                || count.intValue() > MAX_TASKS) {
-            throw new MalformedMessageException(
-                    "sacks is not a whole number from 1 to " + MAX_TASKS);
+            throw new MalformedMessageException(WireFields.JOB_ID + " has not the form run-000412");
         }
+        int tasks = taskCount(json);
         return new Submission(
                 id,
-                text(json, "grist"),
-                text(json, "crew"),
-                JobKind.of(text(json, "shape")),
-                Priority.of(text(json, "urgency")),
-                count.intValue(),
-                amount(json, "vcpus"),
-                amount(json, "cards"),
-                amount(json, "memGb"),
-                text(json, "mould"),
-                amount(json, "pullGb"),
-                types(json.path("frames")),
-                isAbsent(json.path("yard")) ? null : text(json, "yard"),
-                flag(json, "samePlace"),
-                flag(json, "apart"),
-                flag(json, "loaner"),
-                amount(json, "expectS"),
-                amount(json, "stashEveryS"),
-                amount(json, "stashS"),
-                isAbsent(json.path("dueS")) ? null : amount(json, "dueS"),
-                dependencies(json.path(DEPENDENCIES), id));
+                text(json, WireFields.JOB_CLASS),
+                text(json, WireFields.TEAM),
+                JobKind.of(text(json, WireFields.JOB_KIND)),
+                Priority.of(text(json, WireFields.PRIORITY)),
+                tasks,
+                amount(json, WireFields.CPUS),
+                amount(json, WireFields.GPUS),
+                amount(json, WireFields.MEMORY_GB),
+                text(json, WireFields.IMAGE),
+                amount(json, WireFields.IMAGE_GB),
+                machineTypes(json.path(WireFields.MACHINE_TYPES)),
+                isAbsent(json, WireFields.ZONE) ? null : text(json, WireFields.ZONE),
+                flag(json, WireFields.ONE_ZONE),
+                flag(json, WireFields.SPREAD),
+                flag(json, WireFields.SPOT),
+                amount(json, WireFields.ESTIMATED_RUN_SECONDS),
+                amount(json, WireFields.CHECKPOINT_INTERVAL_SECONDS),
+                amount(json, WireFields.CHECKPOINT_SAVE_SECONDS),
+                isAbsent(json, WireFields.DEADLINE_SECONDS)
+                        ? null
+                        : amount(json, WireFields.DEADLINE_SECONDS),
+                dependencies(json.path(WireFields.DEPENDENCIES), id));
     }
 
     /** The same form that {@link #parse} takes; also how a job is kept in the key-value store. */
     public ObjectNode toJson() {
         ObjectNode json = Json.newObject();
-        json.put("nameId", id)
-                .put("grist", jobClass)
-                .put("crew", team)
-                .put("shape", shape.wire())
-                .put("urgency", priority.wire())
-                .put("sacks", tasks)
-                .put("vcpus", cpus)
-                .put("cards", gpus)
-                .put("memGb", memoryGb)
-                .put("mould", image)
-                .put("pullGb", imageGb)
-                .put("samePlace", oneZone)
-                .put("apart", spread)
-                .put("loaner", spot)
-                .put("expectS", estimatedRunSeconds)
-                .put("stashEveryS", checkpointIntervalSeconds)
-                .put("stashS", checkpointSaveSeconds);
+        json.put(WireFields.JOB_ID, id)
+                .put(WireFields.JOB_CLASS, jobClass)
+                .put(WireFields.TEAM, team)
+                .put(WireFields.JOB_KIND, shape.wireName())
+                .put(WireFields.PRIORITY, priority.wireName())
+                .put(WireFields.TASKS, tasks)
+                .put(WireFields.CPUS, cpus)
+                .put(WireFields.GPUS, gpus)
+                .put(WireFields.MEMORY_GB, memoryGb)
+                .put(WireFields.IMAGE, image)
+                .put(WireFields.IMAGE_GB, imageGb)
+                .put(WireFields.ONE_ZONE, oneZone)
+                .put(WireFields.SPREAD, spread)
+                .put(WireFields.SPOT, spot)
+                .put(WireFields.ESTIMATED_RUN_SECONDS, estimatedRunSeconds)
+                .put(WireFields.CHECKPOINT_INTERVAL_SECONDS, checkpointIntervalSeconds)
+                .put(WireFields.CHECKPOINT_SAVE_SECONDS, checkpointSaveSeconds);
         if (types != null) {
-            ArrayNode array = json.putArray("frames");
-            types.forEach(array::add);
+            putTexts(json, WireFields.MACHINE_TYPES, types);
         }
         if (zone != null) {
-            json.put("yard", zone);
+            json.put(WireFields.ZONE, zone);
         }
         if (deadlineSeconds != null) {
-            json.put("dueS", deadlineSeconds);
+            json.put(WireFields.DEADLINE_SECONDS, deadlineSeconds);
         }
         // Only where used, so that every other record keeps the form that the version before this
         // field reads and writes.
         if (!dependencies.isEmpty()) {
-            ArrayNode array = json.putArray(DEPENDENCIES);
-            dependencies.forEach(array::add);
+            putTexts(json, WireFields.DEPENDENCIES, dependencies);
         }
         return json;
     }
 
+    private static void putTexts(ObjectNode json, String field, List<String> texts) {
+        ArrayNode array = json.putArray(field);
+        texts.forEach(array::add);
+    }
+
     /** Whether the tasks are replicas that run until the job is cancelled. */
     public boolean service() {
         return shape == JobKind.SERVICE;
@@ -137,33 +157,16 @@
     }
 
     /** The same job as if it were allowed in one zone only. */
-    public Submission inZone(String only) {
-        return new Submission(
-                id,
-                jobClass,
-                team,
-                shape,
-                priority,
-                tasks,
-                cpus,
-                gpus,
-                memoryGb,
-                image,
-                imageGb,
-                types,
-                only,
-                oneZone,
-                spread,
-                spot,
-                estimatedRunSeconds,
-                checkpointIntervalSeconds,
-                checkpointSaveSeconds,
-                deadlineSeconds,
-                dependencies);
+    public Submission inZone(String onlyZone) {
+        return allowedOn(types, onlyZone);
     }
 
     /** The same job without its list of types, which nobody asks for once the job has ended. */
     public Submission withoutTypes() {
+        return allowedOn(null, zone);
+    }
+
+    private Submission allowedOn(List<String> allowedTypes, String allowedZone) {
         return new Submission(
                 id,
                 jobClass,
@@ -176,8 +179,8 @@
                 memoryGb,
                 image,
                 imageGb,
-                null,
-                zone,
+                allowedTypes,
+                allowedZone,
                 oneZone,
                 spread,
                 spot,
@@ -193,10 +196,29 @@
         return spread ? (tasks + 1) / 2 : tasks;
     }
 
+    /** Whether the tasks save checkpoints, so that a stopped one does not lose all its work. */
     public boolean checkpoints() {
         return checkpointIntervalSeconds > 0;
     }
 
+    private static int taskCount(JsonNode json) throws MalformedMessageException {
+        JsonNode count = json.path(WireFields.TASKS);
+        boolean inRange =
+                count.isIntegralNumber()
+                        && count.canConvertToInt()
+                        && count.intValue() >= 1
+                        && count.intValue() <= MAX_TASKS;
+        if (!inRange) {
+            throw new MalformedMessageException(
+                    WireFields.TASKS + " is not a whole number from 1 to " + MAX_TASKS);
+        }
+        return count.intValue();
+    }
+
+    private static boolean isAbsent(JsonNode json, String field) {
+        return isAbsent(json.path(field));
+    }
+
     private static boolean isAbsent(JsonNode node) {
         return node.isMissingNode() || node.isNull();
     }
@@ -205,9 +227,9 @@
         JsonNode node = json.path(field);
         if (!node.isTextual()
                 || node.textValue().isEmpty()
-                || node.textValue().length() > MAX_NAME) {
+                || node.textValue().length() > MAX_TEXT_LENGTH) {
             throw new MalformedMessageException(
-                    field + " is not a text of 1 to " + MAX_NAME + " characters");
+                    field + " is not a text of 1 to " + MAX_TEXT_LENGTH + " characters");
         }
         return node.textValue();
     }
@@ -229,17 +251,18 @@
         return node.booleanValue();
     }
 
-    private static List<String> types(JsonNode node) throws MalformedMessageException {
+    private static List<String> machineTypes(JsonNode node) throws MalformedMessageException {
         if (isAbsent(node)) {
             return null;
         }
         if (!node.isArray()) {
-            throw new MalformedMessageException("frames is not a list");
+            throw new MalformedMessageException(WireFields.MACHINE_TYPES + " is not a list");
         }
         List<String> types = new ArrayList<>();
         for (JsonNode type : node) {
             if (!type.isTextual()) {
-                throw new MalformedMessageException("frames holds something that is not a text");
+                throw new MalformedMessageException(
+                        WireFields.MACHINE_TYPES + " holds something that is not a text");
             }
             types.add(type.textValue());
         }
@@ -253,16 +276,17 @@
             return List.of();
         }
         if (!node.isArray()) {
-            throw new MalformedMessageException(DEPENDENCIES + " is not a list");
+            throw new MalformedMessageException(WireFields.DEPENDENCIES + " is not a list");
         }
         Set<String> ids = new LinkedHashSet<>();
         for (JsonNode id : node) {
             if (!id.isTextual() || !validId(id.textValue())) {
                 throw new MalformedMessageException(
-                        DEPENDENCIES + " holds something that is no job's id");
+                        WireFields.DEPENDENCIES + " holds something that is no job's id");
             }
             if (id.textValue().equals(self)) {
-                throw new MalformedMessageException(DEPENDENCIES + " names the job itself");
+                throw new MalformedMessageException(
+                        WireFields.DEPENDENCIES + " names the job itself");
             }
             ids.add(id.textValue());
         }
--- a/src/main/java/org/springmill/protocol/WorkerMessages.java
+++ b/src/main/java/org/springmill/protocol/WorkerMessages.java
@@ -7,31 +7,33 @@
 import java.util.List;
 
 /**
- * Messages between controllers and workers. The names on the wire stand only in this class; fields
- * that it does not read are ignored.
+ * Messages between controllers and workers. Commands carry the leader's fencing token, which a
+ * worker compares with the highest one that it has seen. Unknown fields are ignored.
  */
 public final class WorkerMessages {
-    /** Path of a controller to which workers report. */
+    /** Path of a controller to which workers post heartbeats. */
     public static final String HEARTBEAT_PATH = "/v1/report";
 
-    /** Path of a worker that takes commands. */
+    /** Path of a worker to which commands are posted. */
     public static final String COMMANDS_PATH = "/orders";
 
     private WorkerMessages() {}
 
-    /** Where a task stands on its machine. */
+    /** State of a task on its machine. */
     public enum TaskState {
-        /** Waits for its image, or is in a state that is not known here. */
+        /** Waits for its image, or is in a state that this version does not know. */
         FETCHING,
+        /** Runs. */
         RUNNING,
-        /** Was told to stop and saves its progress. */
+        /** Has been stopped and saves a checkpoint. */
         SAVING,
+        /** Has ended; see its {@link ExitCause}. */
         EXITED
     }
 
     /** Why a task has ended. */
     public enum ExitCause {
-        /** It has not ended, or nothing is known but that it is gone. */
+        /** It has not ended, or its cause is unknown. */
         NONE,
         /** Completed; the result is kept. */
         DONE,
@@ -48,20 +50,29 @@
     }
 
     /**
-     * One task of a report.
+     * One task in a heartbeat.
      *
+     * @param task id of the task
      * @param attempt number of the attempt, which is the placement round that claimed it
+     * @param state its state
+     * @param cause why it has ended; {@link ExitCause#NONE} before that
      */
     public record TaskStatus(TaskId task, long attempt, TaskState state, ExitCause cause) {}
 
     /**
-     * A worker's state as it reports it.
+     * A heartbeat: the state of a worker and of all tasks on its machine.
      *
+     * @param machine name of the machine
+     * @param address on which the worker takes commands
+     * @param type name of its machine type
+     * @param zone of the machine
+     * @param spot whether it is a spot machine
      * @param epoch begins at 1 and rises whenever the worker's lease has expired
      * @param sequence rises with every message of the worker
-     * @param fencingToken highest token that the worker has seen
+     * @param fencingToken highest one that the worker has seen
      * @param preemptionNoticeSeconds seconds until the cloud takes the machine away; null without
      *     notice
+     * @param tasks all tasks on the machine, those that have ended included
      */
     public record Heartbeat(
             String machine,
@@ -75,118 +86,150 @@
             Double preemptionNoticeSeconds,
             List<TaskStatus> tasks) {
 
-        /** Whether this report was made after another message of the same worker. */
-        public boolean isNewerThan(long otherSession, long otherSeq) {
-            return epoch > otherSession || (epoch == otherSession && sequence > otherSeq);
+        /**
+         * Whether this heartbeat is newer than another message of the same worker.
+         *
+         * @param otherEpoch epoch of the other message
+         * @param otherSequence sequence number of the other message
+         */
+        public boolean isNewerThan(long otherEpoch, long otherSequence) {
+            return epoch > otherEpoch || (epoch == otherEpoch && sequence > otherSequence);
         }
     }
 
-    /** A command to a worker. */
+    /** A command to a worker. Each is idempotent, except {@link Start} after {@link Forget}. */
     public sealed interface Command {
-        /** The task that it is about. */
+        /** The task that it applies to. */
         TaskId task();
 
-        /** The attempt that it is about. */
+        /** The attempt that it applies to. */
         long attempt();
     }
 
-    /** Starts an attempt; does nothing while the worker knows that attempt. */
+    /**
+     * Starts an attempt; does nothing while the worker knows that attempt.
+     *
+     * @param task id of the task
+     * @param attempt number of the attempt to start
+     */
     public record Start(TaskId task, long attempt) implements Command {}
 
     /**
      * Stops an attempt.
      *
-     * @param graceSeconds seconds that a task which can save its progress has for that
+     * @param task id of the task
+     * @param attempt number of the attempt to stop
+     * @param graceSeconds time that a task with checkpoints has to save one; 0 ends it at once
      */
     public record Stop(TaskId task, long attempt, double graceSeconds) implements Command {}
 
     /**
-     * Removes an attempt that has ended from the reports. The worker then forgets it: a start that
-     * arrives later would run it again.
+     * Removes an attempt that has ended from the heartbeats. The worker then forgets it: a start
+     * that arrives later would run it again.
+     *
+     * @param task id of the task
+     * @param attempt number of the attempt that has ended
      */
     public record Forget(TaskId task, long attempt) implements Command {}
 
-    /** Decodes a report, or the answer to a command, which has the same form. */
+    /**
+     * Decodes a heartbeat, or the response to a command, which has the same form.
+     *
+     * @throws MalformedMessageException if a field that is needed is missing or invalid
+     */
     public static Heartbeat decodeHeartbeat(byte[] body) throws MalformedMessageException {
         JsonNode json = Json.object(body);
-        List<TaskStatus> tasks = taskReports(json.path("sacks"));
-        JsonNode notice = json.path("warningS");
-        String machine = json.path("stone").asText();
+        List<TaskStatus> tasks = taskStatuses(json.path(WireFields.TASKS));
+        JsonNode notice = json.path(WireFields.PREEMPTION_NOTICE_SECONDS);
+        String machine = json.path(WireFields.MACHINE).asText();
         if (machine.isEmpty()) {
-            throw new MalformedMessageException("stone is missing");
+            throw new MalformedMessageException(WireFields.MACHINE + " is missing");
         }
         return new Heartbeat(
                 machine,
-                json.path("addr").asText(),
-                json.path("frame").asText(),
-                json.path("yard").asText(),
-                json.path("loaner").asBoolean(),
-                whole(json, "shift"),
-                whole(json, "tally"),
-                whole(json, "baton"),
+                json.path(WireFields.ADDRESS).asText(),
+                json.path(WireFields.MACHINE_TYPE).asText(),
+                json.path(WireFields.ZONE).asText(),
+                json.path(WireFields.SPOT).asBoolean(),
+                wholeNumber(json, WireFields.EPOCH),
+                wholeNumber(json, WireFields.SEQUENCE),
+                wholeNumber(json, WireFields.FENCING_TOKEN),
                 notice.isNumber() ? notice.doubleValue() : null,
                 tasks);
     }
 
-    private static List<TaskStatus> taskReports(JsonNode array) throws MalformedMessageException {
+    private static List<TaskStatus> taskStatuses(JsonNode array) throws MalformedMessageException {
         List<TaskStatus> tasks = new ArrayList<>(array.size());
         for (JsonNode task : array) {
             tasks.add(
                     new TaskStatus(
-                            TaskId.parse(task.path("sack").asText()),
-                            whole(task, "try"),
-                            state(task.path("phase").asText()),
-                            cause(task.path("cause").asText())));
+                            TaskId.parse(task.path(WireFields.TASK).asText()),
+                            wholeNumber(task, WireFields.ATTEMPT),
+                            taskState(task.path(WireFields.PHASE).asText()),
+                            exitCause(task.path(WireFields.EXIT_CAUSE).asText())));
         }
         return tasks;
     }
 
-    /** Encodes the answer to a report, which renews the worker's lease. */
-    public static byte[] encodeHeartbeatResponse(long token, List<Command> commands) {
+    /**
+     * Encodes the response to a heartbeat, which renews the worker's lease.
+     *
+     * @param fencingToken of the leader
+     */
+    public static byte[] encodeHeartbeatResponse(long fencingToken, List<Command> commands) {
         return Json.write(
                 json -> {
-                    json.writeNumberField("baton", token);
+                    json.writeNumberField(WireFields.FENCING_TOKEN, fencingToken);
                     writeCommands(json, commands);
                 });
     }
 
-    /** Encodes commands that are sent straight to a worker; they do not renew its lease. */
-    public static byte[] encodeCommands(long token, long session, List<Command> commands) {
+    /**
+     * Encodes commands that are sent directly to a worker; they do not renew its lease.
+     *
+     * @param fencingToken of the leader
+     * @param epoch of the worker; it refuses commands of any other
+     */
+    public static byte[] encodeCommands(long fencingToken, long epoch, List<Command> commands) {
         return Json.write(
                 json -> {
-                    json.writeNumberField("baton", token);
-                    json.writeNumberField("shift", session);
+                    json.writeNumberField(WireFields.FENCING_TOKEN, fencingToken);
+                    json.writeNumberField(WireFields.EPOCH, epoch);
                     writeCommands(json, commands);
                 });
     }
 
-    /** Sends a worker on to the controller that leads; null if that is not known. */
-    public static byte[] encodeRedirect(String node) {
+    /**
+     * Encodes the redirection of a worker to the leader.
+     *
+     * @param leader name of the leading controller; null if it is not known
+     */
+    public static byte[] encodeRedirect(String leader) {
         return Json.write(
                 json -> {
-                    if (node != null) {
-                        json.writeStringField("foreman", node);
+                    if (leader != null) {
+                        json.writeStringField(WireFields.LEADER, leader);
                     }
                 });
     }
 
     private static void writeCommands(JsonGenerator json, List<Command> commands)
             throws IOException {
-        json.writeArrayFieldStart("orders");
+        json.writeArrayFieldStart(WireFields.COMMANDS);
         for (Command command : commands) {
             json.writeStartObject();
-            json.writeStringField("verb", verb(command));
-            json.writeStringField("sack", command.task().toString());
-            json.writeNumberField("try", command.attempt());
+            json.writeStringField(WireFields.VERB, verbOf(command));
+            json.writeStringField(WireFields.TASK, command.task().toString());
+            json.writeNumberField(WireFields.ATTEMPT, command.attempt());
             if (command instanceof Stop stop) {
-                json.writeNumberField("windDownS", stop.graceSeconds());
+                json.writeNumberField(WireFields.GRACE_SECONDS, stop.graceSeconds());
             }
             json.writeEndObject();
         }
         json.writeEndArray();
     }
 
-    private static String verb(Command command) {
+    private static String verbOf(Command command) {
         if (command instanceof Start) {
             return "start";
         }
@@ -196,7 +239,7 @@
         return "clear";
     }
 
-    private static long whole(JsonNode json, String field) throws MalformedMessageException {
+    private static long wholeNumber(JsonNode json, String field) throws MalformedMessageException {
         JsonNode node = json.path(field);
         if (!node.isIntegralNumber()) {
             throw new MalformedMessageException(field + " is not a whole number");
@@ -204,18 +247,18 @@
         return node.longValue();
     }
 
-    private static TaskState state(String wire) {
-        return switch (wire) {
+    private static TaskState taskState(String wireName) {
+        return switch (wireName) {
             case "running" -> TaskState.RUNNING;
             case "saving" -> TaskState.SAVING;
             case "ended" -> TaskState.EXITED;
-            // Anything else holds its place on the machine without running yet, as a fetch does.
+            // Any other state takes resources of the machine without running yet, as a fetch does.
             default -> TaskState.FETCHING;
         };
     }
 
-    private static ExitCause cause(String wire) {
-        return switch (wire) {
+    private static ExitCause exitCause(String wireName) {
+        return switch (wireName) {
             case "" -> ExitCause.NONE;
             case "done" -> ExitCause.DONE;
             case "stopped" -> ExitCause.STOPPED;
--- a/src/main/java/org/springmill/protocol/counterpart/KeyValueStoreServerMessages.java
+++ b/src/main/java/org/springmill/protocol/counterpart/KeyValueStoreServerMessages.java
@@ -15,60 +15,98 @@
 import org.springmill.protocol.KeyValueStoreMessages.Entry;
 import org.springmill.protocol.KeyValueStoreMessages.Write;
 import org.springmill.protocol.MalformedMessageException;
+import org.springmill.protocol.WireFields;
 
-/** Requests to the key-value store as it reads them, and its answers. */
+/** The store's side of {@link KeyValueStoreMessages}: decodes requests, encodes responses. */
 public final class KeyValueStoreServerMessages {
     private static final String STORE = "/store";
     private static final String CHANGES = "/changes";
     private static final int DEFAULT_LIMIT = 1000;
-    private static final double MS_PER_SECOND = 1000;
+    private static final double MILLISECONDS_PER_SECOND = 1000;
+    private static final String PREFIX = "under";
+    private static final String START = "from";
 
     private KeyValueStoreServerMessages() {}
 
-    /** Any request. */
+    /** A request of any kind. */
     public sealed interface StateRequest {}
 
-    /** Reads one key. */
+    /**
+     * Reads one key.
+     *
+     * @param key to read
+     */
     public record Get(String key) implements StateRequest {}
 
-    /** Reads all keys with a prefix that come after another one, up to a number. */
+    /**
+     * Reads one page of the keys with a prefix.
+     *
+     * @param prefix that the keys begin with
+     * @param after the key after which the page begins; empty for the first page
+     * @param limit the most keys on the page
+     */
     public record ListKeys(String prefix, String after, int limit) implements StateRequest {}
 
-    /** Waits for changes of keys with a prefix. */
+    /**
+     * Waits for changes of keys with a prefix.
+     *
+     * @param prefix that the keys begin with
+     * @param from revision after which changes are returned
+     * @param waitSeconds the longest wait
+     */
     public record Watch(String prefix, long from, double waitSeconds) implements StateRequest {}
 
     /**
      * A transaction.
      *
-     * @param bytes its length on the wire
+     * @param conditions that must all hold
+     * @param writes to apply at one revision
+     * @param bytes its size on the wire
      */
     public record Commit(List<Condition> conditions, List<Write> writes, int bytes)
             implements StateRequest {}
 
-    /** Asks for a lease. */
+    /**
+     * Requests a lease.
+     *
+     * @param ttlSeconds its time to live
+     */
     public record Grant(double ttlSeconds) implements StateRequest {}
 
-    /** Renews a lease. */
+    /**
+     * Renews a lease.
+     *
+     * @param lease id of the lease
+     */
     public record Renew(long lease) implements StateRequest {}
 
-    /** Ends a lease. */
+    /**
+     * Revokes a lease.
+     *
+     * @param lease id of the lease
+     */
     public record Revoke(long lease) implements StateRequest {}
 
     /**
-     * Reads a request.
+     * Decodes a request.
      *
+     * @param method HTTP method
      * @param target path and query
+     * @throws MalformedMessageException if the path is unknown or the body is not a JSON object
      */
     public static StateRequest request(String method, String target, byte[] body)
             throws MalformedMessageException {
-        int mark = target.indexOf('?');
-        String path = mark < 0 ? target : target.substring(0, mark);
-        Map<String, String> query = mark < 0 ? Map.of() : query(target.substring(mark + 1));
+        int queryStart = target.indexOf('?');
+        String path = queryStart < 0 ? target : target.substring(0, queryStart);
+        Map<String, String> query =
+                queryStart < 0 ? Map.of() : parseQuery(target.substring(queryStart + 1));
         if (path.equals(KeyValueStoreMessages.COMMIT)) {
-            return commit(body);
+            return decodeCommit(body);
         }
         if (path.equals(KeyValueStoreMessages.LEASES)) {
-            return new Grant(Json.object(body).path("ttlMs").asDouble() / MS_PER_SECOND);
+            return new Grant(
+                    Json.object(body).path(WireFields.TIME_TO_LIVE_MILLISECONDS).asDouble()
+                            / MILLISECONDS_PER_SECOND);
         }
         if (path.startsWith(KeyValueStoreMessages.LEASES + "/")) {
             long lease = Long.parseLong(path.split("/")[2]);
@@ -76,13 +114,13 @@
         }
         if (path.equals(CHANGES)) {
             double waitMs = Double.parseDouble(query.getOrDefault("waitMs", "0"));
-            long from = Long.parseLong(query.get("from"));
-            return new Watch(query.get("under"), from, waitMs / MS_PER_SECOND);
+            long from = Long.parseLong(query.get(START));
+            return new Watch(query.get(PREFIX), from, waitMs / MILLISECONDS_PER_SECOND);
         }
         if (path.equals(STORE)) {
             String limit = query.getOrDefault("limit", Integer.toString(DEFAULT_LIMIT));
-            String after = query.getOrDefault("from", "");
-            return new ListKeys(query.get("under"), after, Integer.parseInt(limit));
+            String after = query.getOrDefault(START, "");
+            return new ListKeys(query.get(PREFIX), after, Integer.parseInt(limit));
         }
         if (path.startsWith(STORE + "/")) {
             return new Get(path.substring(STORE.length() + 1));
@@ -90,7 +128,7 @@
         throw new MalformedMessageException("no such path");
     }
 
-    private static Map<String, String> query(String text) {
+    private static Map<String, String> parseQuery(String text) {
         Map<String, String> query = new HashMap<>();
         for (String pair : text.split("&")) {
             int equals = pair.indexOf('=');
@@ -99,112 +137,138 @@
         return query;
     }
 
-    private static Commit commit(byte[] body) throws MalformedMessageException {
+    private static Commit decodeCommit(byte[] body) throws MalformedMessageException {
         JsonNode json = Json.object(body);
         List<Condition> conditions = new ArrayList<>();
-        for (JsonNode condition : json.path("when")) {
-            conditions.add(
-                    new Condition(
-                            condition.path("key").asText(), condition.path("stamp").asLong()));
+        for (JsonNode condition : json.path(WireFields.CONDITIONS)) {
+            conditions.add(decodeCondition(condition));
         }
         List<Write> writes = new ArrayList<>();
-        for (JsonNode write : json.path("writes")) {
-            writes.add(
-                    write.has("delete")
-                            ? Write.delete(write.path("delete").asText())
-                            : new Write(
-                                    write.path("write").asText(),
-                                    write.path("value"),
-                                    write.path("tenancy").asLong()));
+        for (JsonNode write : json.path(WireFields.WRITES)) {
+            writes.add(decodeWrite(write));
         }
         return new Commit(conditions, writes, body.length);
     }
 
-    /** An answer that holds no more than the revision. */
+    private static Condition decodeCondition(JsonNode json) {
+        return new Condition(
+                json.path(WireFields.KEY).asText(), json.path(WireFields.VERSION).asLong());
+    }
+
+    private static Write decodeWrite(JsonNode json) {
+        if (json.has(WireFields.DELETE)) {
+            return Write.delete(json.path(WireFields.DELETE).asText());
+        }
+        return new Write(
+                json.path(WireFields.PUT).asText(),
+                json.path(WireFields.VALUE),
+                json.path(WireFields.LEASE).asLong());
+    }
+
+    /** Encodes a response that carries nothing but the revision of the store. */
     public static byte[] revision(long revision) {
-        return Json.write(json -> json.writeNumberField("ledgerRev", revision));
+        return Json.write(json -> json.writeNumberField(WireFields.REVISION, revision));
     }
 
-    /** The answer to a transaction of which conditions did not hold. */
+    /**
+     * Encodes the response to a transaction whose conditions did not all hold.
+     *
+     * @param keys those whose conditions did not hold
+     * @param revision of the store
+     */
     public static byte[] failed(List<String> keys, long revision) {
         return Json.write(
                 json -> {
-                    json.writeArrayFieldStart("failed");
+                    json.writeArrayFieldStart(WireFields.FAILED_KEYS);
                     for (String key : keys) {
                         json.writeString(key);
                     }
                     json.writeEndArray();
-                    json.writeNumberField("ledgerRev", revision);
+                    json.writeNumberField(WireFields.REVISION, revision);
                 });
     }
 
-    /** The answer to a request for a lease. */
+    /** Encodes the response to a request for a lease: its id. */
     public static byte[] granted(long lease) {
-        return Json.write(json -> json.writeNumberField("tenancy", lease));
+        return Json.write(json -> json.writeNumberField(WireFields.LEASE, lease));
     }
 
-    /** The error of a write that names a lease which has ended. */
+    /** Encodes the error of a write that names a lease which has expired. */
     public static byte[] noSuchLease() {
         return error("no such lease");
     }
 
+    /** Encodes an error. */
     public static byte[] error(String text) {
-        return Json.write(json -> json.writeStringField("error", text));
+        return Json.write(json -> json.writeStringField(WireFields.ERROR, text));
     }
 
-    /** The answer to a read of one key. */
+    /** Encodes the response to a read of one key. */
     public static byte[] entry(Entry entry) {
         return Json.write(json -> writeEntry(json, entry));
     }
 
-    /** The answer to a read of several keys. */
+    /**
+     * Encodes the response to a read of several keys.
+     *
+     * @param more whether further pages follow
+     * @param revision of the store
+     */
     public static byte[] page(List<Entry> entries, boolean more, long revision) {
         return Json.write(
                 json -> {
-                    json.writeArrayFieldStart("pairs");
+                    json.writeArrayFieldStart(WireFields.ENTRIES);
                     for (Entry entry : entries) {
                         json.writeStartObject();
                         writeEntry(json, entry);
                         json.writeEndObject();
                     }
                     json.writeEndArray();
-                    json.writeBooleanField("truncated", more);
-                    json.writeNumberField("ledgerRev", revision);
+                    json.writeBooleanField(WireFields.TRUNCATED, more);
+                    json.writeNumberField(WireFields.REVISION, revision);
                 });
     }
 
     private static void writeEntry(JsonGenerator json, Entry entry) throws IOException {
-        json.writeStringField("key", entry.key());
+        json.writeStringField(WireFields.KEY, entry.key());
         writeValue(json, entry.value());
-        json.writeNumberField("stamp", entry.version());
+        json.writeNumberField(WireFields.VERSION, entry.version());
         if (entry.lease() != 0) {
-            json.writeNumberField("tenancy", entry.lease());
+            json.writeNumberField(WireFields.LEASE, entry.lease());
         }
     }
 
     private static void writeValue(JsonGenerator json, JsonNode value) throws IOException {
-        json.writeFieldName("value");
+        json.writeFieldName(WireFields.VALUE);
         json.writeRawValue(new String(Json.bytes(value), StandardCharsets.UTF_8));
     }
 
-    /** The answer to a watch. */
+    /**
+     * Encodes the response to a watch.
+     *
+     * @param revision up to which the changes are complete
+     */
     public static byte[] changes(List<Change> changes, long revision) {
         return Json.write(
                 json -> {
-                    json.writeNumberField("ledgerRev", revision);
-                    json.writeArrayFieldStart("news");
+                    json.writeNumberField(WireFields.REVISION, revision);
+                    json.writeArrayFieldStart(WireFields.CHANGES);
                     for (Change change : changes) {
-                        json.writeStartObject();
-                        if (change.value() == null) {
-                            json.writeStringField("delete", change.key());
-                        } else {
-                            json.writeStringField("write", change.key());
-                            writeValue(json, change.value());
-                        }
-                        json.writeNumberField("stamp", change.version());
-                        json.writeEndObject();
+                        writeChange(json, change);
                     }
                     json.writeEndArray();
                 });
     }
+
+    private static void writeChange(JsonGenerator json, Change change) throws IOException {
+        json.writeStartObject();
+        if (change.value() == null) {
+            json.writeStringField(WireFields.DELETE, change.key());
+        } else {
+            json.writeStringField(WireFields.PUT, change.key());
+            writeValue(json, change.value());
+        }
+        json.writeNumberField(WireFields.VERSION, change.version());
+        json.writeEndObject();
+    }
 }
--- a/src/main/java/org/springmill/protocol/counterpart/UserSideMessages.java
+++ b/src/main/java/org/springmill/protocol/counterpart/UserSideMessages.java
@@ -3,15 +3,21 @@
 import java.util.Locale;
 import org.springmill.protocol.Json;
 import org.springmill.protocol.MalformedMessageException;
+import org.springmill.protocol.UserMessages;
 import org.springmill.protocol.UserMessages.JobPhase;
+import org.springmill.protocol.WireFields;
 
-/** Answers to users, as they read them. */
+/** A user's side of {@link UserMessages}: decodes responses. */
 public final class UserSideMessages {
     private UserSideMessages() {}
 
-    /** The phase of a job that an answer tells. */
+    /**
+     * Decodes the phase of a job.
+     *
+     * @throws MalformedMessageException if the body is not a JSON object or names no known phase
+     */
     public static JobPhase phase(byte[] body) throws MalformedMessageException {
-        String phase = Json.object(body).path("phase").asText();
+        String phase = Json.object(body).path(WireFields.PHASE).asText();
         try {
             return JobPhase.valueOf(phase.toUpperCase(Locale.ROOT));
         } catch (IllegalArgumentException e) {
@@ -19,10 +25,10 @@
         }
     }
 
-    /** The reason that a refusal gives; empty if it gives none. */
+    /** Decodes the reason of a refusal; empty if there is none. */
     public static String reason(byte[] body) {
         try {
-            return Json.object(body).path("error").asText();
+            return Json.object(body).path(WireFields.ERROR).asText();
         } catch (MalformedMessageException e) {
             return "";
         }
--- a/src/main/java/org/springmill/protocol/counterpart/WorkerSideMessages.java
+++ b/src/main/java/org/springmill/protocol/counterpart/WorkerSideMessages.java
@@ -1,11 +1,15 @@
 package org.springmill.protocol.counterpart;
 
+import com.fasterxml.jackson.core.JsonGenerator;
 import com.fasterxml.jackson.databind.JsonNode;
+import java.io.IOException;
 import java.util.ArrayList;
 import java.util.List;
 import org.springmill.protocol.Json;
 import org.springmill.protocol.MalformedMessageException;
 import org.springmill.protocol.TaskId;
+import org.springmill.protocol.WireFields;
+import org.springmill.protocol.WorkerMessages;
 import org.springmill.protocol.WorkerMessages.Command;
 import org.springmill.protocol.WorkerMessages.ExitCause;
 import org.springmill.protocol.WorkerMessages.Forget;
@@ -15,89 +19,110 @@
 import org.springmill.protocol.WorkerMessages.TaskState;
 import org.springmill.protocol.WorkerMessages.TaskStatus;
 
-/** What a worker writes, and reads of what controllers send to it. */
+/** A worker's side of {@link WorkerMessages}: encodes heartbeats, decodes commands. */
 public final class WorkerSideMessages {
     private static final long ABSENT = -1;
 
     private WorkerSideMessages() {}
 
     /**
-     * Commands with what entitles their sender to give them.
+     * Commands with the fencing token and the epoch that a worker checks before it executes them.
      *
-     * @param token negative if there was none
-     * @param session negative if there was none, as in the answer to a report
+     * @param token the sender's fencing token; negative if there was none
+     * @param session the worker's epoch that the commands are meant for; negative if there was
+     *     none, as in the response to a heartbeat
+     * @param commands in the order in which they are executed
      */
     public record Orders(long token, long session, List<Command> commands) {
+        /** Whether there was a fencing token. */
         public boolean hasToken() {
             return token != ABSENT;
         }
 
+        /** Whether there was an epoch. */
         public boolean hasSession() {
             return session != ABSENT;
         }
     }
 
-    /** Reads the answer to a report, or commands that were sent directly. */
+    /**
+     * Decodes the response to a heartbeat, or commands that were sent directly.
+     *
+     * @throws MalformedMessageException if the body is not a JSON object or a task id is invalid
+     */
     public static Orders orders(byte[] body) throws MalformedMessageException {
         JsonNode json = Json.object(body);
         List<Command> commands = new ArrayList<>();
-        for (JsonNode order : json.path("orders")) {
-            commands.add(command(order));
+        for (JsonNode command : json.path(WireFields.COMMANDS)) {
+            commands.add(decodeCommand(command));
         }
-        return new Orders(whole(json, "baton"), whole(json, "shift"), commands);
+        return new Orders(
+                wholeNumberOrAbsent(json, WireFields.FENCING_TOKEN),
+                wholeNumberOrAbsent(json, WireFields.EPOCH),
+                commands);
     }
 
-    private static long whole(JsonNode json, String field) {
+    private static long wholeNumberOrAbsent(JsonNode json, String field) {
         return json.path(field).isIntegralNumber() ? json.path(field).longValue() : ABSENT;
     }
 
-    private static Command command(JsonNode order) throws MalformedMessageException {
-        TaskId task = TaskId.parse(order.path("sack").asText());
-        long attempt = order.path("try").longValue();
-        return switch (order.path("verb").asText()) {
+    private static Command decodeCommand(JsonNode json) throws MalformedMessageException {
+        TaskId task = TaskId.parse(json.path(WireFields.TASK).asText());
+        long attempt = json.path(WireFields.ATTEMPT).longValue();
+        return switch (json.path(WireFields.VERB).asText()) {
             case "start" -> new Start(task, attempt);
-            case "halt" -> new Stop(task, attempt, order.path("windDownS").asDouble());
+            case "halt" -> new Stop(task, attempt, json.path(WireFields.GRACE_SECONDS).asDouble());
             default -> new Forget(task, attempt);
         };
     }
 
-    /** The controller to which a worker is sent on; null if none is named. */
+    /**
+     * Decodes the name of the controller to which a worker is redirected; null if none is named.
+     *
+     * @throws MalformedMessageException if the body is not a JSON object
+     */
     public static String redirect(byte[] body) throws MalformedMessageException {
-        JsonNode node = Json.object(body).path("foreman");
+        JsonNode node = Json.object(body).path(WireFields.LEADER);
         return node.isTextual() ? node.asText() : null;
     }
 
-    /** Writes a worker's report. */
+    /** Encodes a heartbeat. */
     public static byte[] report(Heartbeat heartbeat) {
         return Json.write(
                 json -> {
-                    json.writeStringField("stone", heartbeat.machine());
-                    json.writeStringField("addr", heartbeat.address());
-                    json.writeStringField("frame", heartbeat.type());
-                    json.writeStringField("yard", heartbeat.zone());
-                    json.writeBooleanField("loaner", heartbeat.spot());
-                    json.writeNumberField("shift", heartbeat.epoch());
-                    json.writeNumberField("tally", heartbeat.sequence());
-                    json.writeNumberField("baton", heartbeat.fencingToken());
+                    json.writeStringField(WireFields.MACHINE, heartbeat.machine());
+                    json.writeStringField(WireFields.ADDRESS, heartbeat.address());
+                    json.writeStringField(WireFields.MACHINE_TYPE, heartbeat.type());
+                    json.writeStringField(WireFields.ZONE, heartbeat.zone());
+                    json.writeBooleanField(WireFields.SPOT, heartbeat.spot());
+                    json.writeNumberField(WireFields.EPOCH, heartbeat.epoch());
+                    json.writeNumberField(WireFields.SEQUENCE, heartbeat.sequence());
+                    json.writeNumberField(WireFields.FENCING_TOKEN, heartbeat.fencingToken());
                     if (heartbeat.preemptionNoticeSeconds() != null) {
-                        json.writeNumberField("warningS", heartbeat.preemptionNoticeSeconds());
+                        json.writeNumberField(
+                                WireFields.PREEMPTION_NOTICE_SECONDS,
+                                heartbeat.preemptionNoticeSeconds());
                     }
-                    json.writeArrayFieldStart("sacks");
+                    json.writeArrayFieldStart(WireFields.TASKS);
                     for (TaskStatus task : heartbeat.tasks()) {
-                        json.writeStartObject();
-                        json.writeStringField("sack", task.task().toString());
-                        json.writeNumberField("try", task.attempt());
-                        json.writeStringField("phase", wire(task.state()));
-                        if (task.cause() != ExitCause.NONE) {
-                            json.writeStringField("cause", wire(task.cause()));
-                        }
-                        json.writeEndObject();
+                        writeTask(json, task);
                     }
                     json.writeEndArray();
                 });
     }
 
-    private static String wire(TaskState state) {
+    private static void writeTask(JsonGenerator json, TaskStatus task) throws IOException {
+        json.writeStartObject();
+        json.writeStringField(WireFields.TASK, task.task().toString());
+        json.writeNumberField(WireFields.ATTEMPT, task.attempt());
+        json.writeStringField(WireFields.PHASE, wireName(task.state()));
+        if (task.cause() != ExitCause.NONE) {
+            json.writeStringField(WireFields.EXIT_CAUSE, wireName(task.cause()));
+        }
+        json.writeEndObject();
+    }
+
+    private static String wireName(TaskState state) {
         return switch (state) {
             case FETCHING -> "pulling";
             case RUNNING -> "running";
@@ -106,7 +131,7 @@
         };
     }
 
-    private static String wire(ExitCause cause) {
+    private static String wireName(ExitCause cause) {
         return switch (cause) {
             case NONE -> "";
             case DONE -> "done";
--- a/src/main/java/org/springmill/protocol/counterpart/package-info.java
+++ b/src/main/java/org/springmill/protocol/counterpart/package-info.java
@@ -1,6 +1,7 @@
 /**
- * The other side of each interface, for stand-ins of workers, cloud, key-value store and users:
- * reads what controllers send and writes what they read. Names on the wire stand here and in the
- * protocol package only.
+ * The other side of each interface, for emulated workers, cloud, key-value store and users: decodes
+ * what controllers send and encodes what they receive.
+ *
+ * <p>Uses the types and the field names of the protocol package. Only the emulator calls it.
  */
 package org.springmill.protocol.counterpart;
--- a/src/main/java/org/springmill/protocol/package-info.java
+++ b/src/main/java/org/springmill/protocol/package-info.java
@@ -1,5 +1,8 @@
 /**
- * Messages on the wire and settings. The only package that spells the names of the protocol's
- * fields, values and paths; all others use its types.
+ * Messages on the wire and settings. Owns the names of all fields, values and paths on the wire and
+ * of all settings, and maps them to the types that the rest of the program uses.
+ *
+ * <p>Uses no other package; all others use it. {@link org.springmill.protocol.WireFields} lists the
+ * names of the JSON fields.
  */
 package org.springmill.protocol;
