--- /dev/null
+++ b/src/main/java/org/springmill/protocol/PeerMessageReader.java
@@ -0,0 +1,139 @@
+package org.springmill.protocol;
+
+import java.io.ByteArrayInputStream;
+import java.io.DataInputStream;
+import java.io.IOException;
+import java.util.ArrayList;
+import java.util.List;
+import org.springmill.protocol.PeerMessages.Cancellation;
+import org.springmill.protocol.PeerMessages.CancellationDelta;
+import org.springmill.protocol.PeerMessages.CancellationNotice;
+import org.springmill.protocol.PeerMessages.CongestedQueue;
+import org.springmill.protocol.PeerMessages.CongestionNotice;
+import org.springmill.protocol.PeerMessages.JobProgress;
+import org.springmill.protocol.PeerMessages.PeerRecord;
+import org.springmill.protocol.PeerMessages.PeerStatus;
+import org.springmill.protocol.PeerMessages.ProgressUpdate;
+
+/** Reads records between controllers; {@link PeerMessageWriter} writes the same fields in order. */
+final class PeerMessageReader {
+    private final DataInputStream in;
+
+    private PeerMessageReader(DataInputStream in) {
+        this.in = in;
+    }
+
+    /**
+     * Decodes a record.
+     *
+     * @throws MalformedMessageException if it is truncated or of an unknown version or kind
+     */
+    static PeerRecord decode(byte[] bytes) throws MalformedMessageException {
+        try (DataInputStream in = new DataInputStream(new ByteArrayInputStream(bytes))) {
+            return new PeerMessageReader(in).readRecord();
+        } catch (IOException e) {
+            throw new MalformedMessageException("peer record cut short");
+        }
+    }
+
+    private PeerRecord readRecord() throws IOException, MalformedMessageException {
+        int version = in.readUnsignedByte();
+        if (version != PeerMessages.VERSION) {
+            throw new MalformedMessageException("peer record of version " + version);
+        }
+        int kind = in.readUnsignedByte();
+        return switch (kind) {
+            case PeerMessages.STATUS -> readStatus();
+            case PeerMessages.CANCELLATIONS -> readCancellationNotice();
+            case PeerMessages.PROGRESS -> readProgress();
+            case PeerMessages.CONGESTION -> readCongestion();
+            default -> throw new MalformedMessageException("peer record of kind " + kind);
+        };
+    }
+
+    private PeerStatus readStatus() throws IOException, MalformedMessageException {
+        return new PeerStatus(
+                in.readUTF(),
+                in.readLong(),
+                in.readLong(),
+                in.readBoolean(),
+                in.readBoolean(),
+                in.readBoolean(),
+                in.readInt(),
+                in.readBoolean(),
+                in.readInt(),
+                in.readLong(),
+                // Earlier versions end here, or after one of the fields that follow.
+                hasMore() ? readCancellationDelta() : CancellationDelta.NONE,
+                hasMore() && in.readBoolean(),
+                hasMore() ? in.readDouble() : 0);
+    }
+
+    private boolean hasMore() throws IOException {
+        return in.available() > 0;
+    }
+
+    private CancellationDelta readCancellationDelta()
+            throws IOException, MalformedMessageException {
+        return new CancellationDelta(
+                in.readLong(),
+                in.readLong(),
+                in.readBoolean(),
+                in.readBoolean(),
+                readCancellations());
+    }
+
+    private CancellationNotice readCancellationNotice()
+            throws IOException, MalformedMessageException {
+        return new CancellationNotice(in.readUTF(), readCancellations());
+    }
+
+    private ProgressUpdate readProgress() throws IOException, MalformedMessageException {
+        return new ProgressUpdate(
+                in.readUTF(),
+                in.readLong(),
+                readList(ProgressUpdate.MAX_JOBS, "jobs", this::readJobProgress));
+    }
+
+    private CongestionNotice readCongestion() throws IOException, MalformedMessageException {
+        return new CongestionNotice(
+                in.readUTF(),
+                in.readLong(),
+                readList(CongestionNotice.MAX_QUEUES, "queues", this::readQueue));
+    }
+
+    private List<Cancellation> readCancellations() throws IOException, MalformedMessageException {
+        return readList(
+                CancellationDelta.MAX_CANCELLATIONS, "cancellations", this::readCancellation);
+    }
+
+    private Cancellation readCancellation() throws IOException {
+        return new Cancellation(in.readUTF(), in.readLong(), in.readDouble());
+    }
+
+    private JobProgress readJobProgress() throws IOException {
+        return new JobProgress(in.readUTF(), in.readInt(), in.readInt());
+    }
+
+    private CongestedQueue readQueue() throws IOException, MalformedMessageException {
+        return new CongestedQueue(in.readUTF(), Priority.of(in.readUTF()), in.readFloat());
+    }
+
+    private <T> List<T> readList(int maxElements, String name, ElementReader<T> reader)
+            throws IOException, MalformedMessageException {
+        int count = in.readUnsignedShort();
+        if (count > maxElements) {
+            throw new MalformedMessageException("peer record of " + count + " " + name);
+        }
+        List<T> elements = new ArrayList<>(count);
+        for (int i = 0; i < count; i++) {
+            elements.add(reader.read());
+        }
+        return elements;
+    }
+
+    @FunctionalInterface
+    private interface ElementReader<T> {
+        T read() throws IOException, MalformedMessageException;
+    }
+}
--- a/src/main/java/org/springmill/protocol/PeerMessages.java
+++ b/src/main/java/org/springmill/protocol/PeerMessages.java
@@ -1,52 +1,60 @@
 package org.springmill.protocol;
 
-import java.io.ByteArrayInputStream;
-import java.io.ByteArrayOutputStream;
-import java.io.DataInputStream;
-import java.io.DataOutputStream;
-import java.io.IOException;
-import java.io.UncheckedIOException;
-import java.util.ArrayList;
 import java.util.List;
 
-/** Records between controllers: a version, a kind, and the fields of that kind. */
+/**
+ * Records between controllers: a version, a kind, and the fields of that kind. {@link
+ * PeerMessageWriter} writes the fields, {@link PeerMessageReader} reads them.
+ */
 public final class PeerMessages {
-    private static final int VERSION = 1;
-    private static final int STATUS = 1;
-    private static final int PROGRESS = 2;
-    private static final int CANCELLED = 3;
-    private static final int CONGESTED = 4;
+    /** Version of the format, the first byte of each record. */
+    static final int VERSION = 1;
+
+    /** Kind of a {@link PeerStatus}, the second byte of its records. */
+    static final int STATUS = 1;
+
+    /** Kind of a {@link ProgressUpdate}. */
+    static final int PROGRESS = 2;
+
+    /** Kind of a {@link CancellationNotice}. */
+    static final int CANCELLATIONS = 3;
+
+    /** Kind of a {@link CongestionNotice}. */
+    static final int CONGESTION = 4;
 
     private PeerMessages() {}
 
-    /** Any record. */
+    /** A record of any kind. */
     public sealed interface PeerRecord {
-        /** Name of the controller that sent it. */
+        /** The name of the controller that sent it. */
         String from();
     }
 
     /**
-     * What a controller knows at this moment. As an answer it confirms the question it echoes, so
-     * that whoever asked can date it by its own clock.
+     * State of a controller at this moment; each is also a request for the receiver's own. As a
+     * response it confirms the request that it answers, so that the receiver, whose request that
+     * was, can date it by its own clock.
      *
-     * @param question number of the sender's own question
-     * @param answeredQuestion number of the question that is answered; 0 for none
+     * @param from name of the sender
+     * @param question sequence number of the sender's own request
+     * @param answeredQuestion sequence number of the request that is answered; 0 for none
      * @param storeReachable whether the sender's last request to the key-value store was served
      * @param leading whether it answers workers as the leader
      * @param hasReadLeaderRecord whether it has read the leader's record since it was started, so
      *     that its term means something
-     * @param redirectedWorkers how many workers lately came to it with reports although it does not
+     * @param redirectedWorkers how many workers lately sent heartbeats to it although it does not
      *     lead
      * @param leaderSilent whether it has not heard from a leading controller for some time
      * @param confirmedMillisecondsAgo how long ago it last confirmed an outage, or renewed a
      *     worker's lease although it does not lead; negative while it may go on renewing them for
      *     so long
      * @param term the highest leadership term it knows of
-     * @param cancellationDelta what it knows of cancelled jobs; {@link CancellationDelta#NONE} from
-     *     a version that does not tell
-     * @param keepsHistory whether it takes part in the bounded history
-     * @param storeShare share of the key-value store's changes: in a question what the asker needs
-     *     beyond its own, in an answer what it is lent; 0 from a version that does not lend
+     * @param cancellationDelta cancelled jobs that it knows of; {@link CancellationDelta#NONE} from
+     *     a version without this field
+     * @param keepsHistory whether it archives the records of ended jobs
+     * @param storeShare share of the key-value store's write rate: in a request what the sender
+     *     needs beyond its own share, in a response what it lends to the receiver; 0 from a version
+     *     that does not lend
      */
     public record PeerStatus(
             String from,
@@ -64,52 +72,57 @@
             double storeShare)
             implements PeerRecord {
 
-        /**
-         * The status of a controller that takes no part in the bounded history and lends nothing.
-         */
+        /** The status of a controller that does not archive records and lends no rate share. */
         public PeerStatus(
                 String from,
                 long question,
-                long echo,
-                boolean stateReachable,
+                long answeredQuestion,
+                boolean storeReachable,
                 boolean leading,
-                boolean informed,
-                int workers,
+                boolean hasReadLeaderRecord,
+                int redirectedWorkers,
                 boolean leaderSilent,
-                int witnessAgoMs,
+                int confirmedMillisecondsAgo,
                 long term,
-                CancellationDelta news) {
+                CancellationDelta cancellationDelta) {
             this(
                     from,
                     question,
-                    echo,
-                    stateReachable,
+                    answeredQuestion,
+                    storeReachable,
                     leading,
-                    informed,
-                    workers,
+                    hasReadLeaderRecord,
+                    redirectedWorkers,
                     leaderSilent,
-                    witnessAgoMs,
+                    confirmedMillisecondsAgo,
                     term,
-                    news,
+                    cancellationDelta,
                     false,
                     0);
         }
     }
 
-    /** A committed cancellation. It is final, so it may be acted on whoever tells of it. */
+    /**
+     * A committed cancellation. It is final, so it may be acted on whichever peer sent it.
+     *
+     * @param job id of the cancelled job
+     * @param revision of the key-value store at which it was committed
+     * @param askedAt time of day of the user's request, in seconds
+     */
     public record Cancellation(String job, long revision, double askedAt) {}
 
     /**
-     * Anti-entropy of cancellations. A question says what the asker knows, an answer carries what
-     * it lacks.
+     * Anti-entropy of cancellations. A request says which ones its sender has, a response carries
+     * those that are missing.
      *
-     * @param revision in a question: the asker has read all job records up to it; negative if it
-     *     takes no news
-     * @param cursor how far the asker has been told; handed out by whoever answers, which alone can
-     *     read it
-     * @param complete in an answer: nothing of what the sender knows remains to be told
-     * @param hasReadJobRecords whether the sender has read the job records since it was started,
-     *     and so has forgotten nothing
+     * @param revision in a request: its sender has read all job records up to it; negative if it
+     *     takes no cancellations
+     * @param cursor how many cancellations the sender of the request has received; opaque to it,
+     *     and handed out by the peer that answers
+     * @param complete in a response: no cancellation that its sender knows remains to be sent
+     * @param hasReadJobRecords whether the sender has read the job records since it was started, so
+     *     that it knows all cancellations before that
+     * @param cancellations those that this record carries; empty in a request
      */
     public record CancellationDelta(
             long revision,
@@ -117,29 +130,47 @@
             boolean complete,
             boolean hasReadJobRecords,
             List<Cancellation> cancellations) {
-        /** So many cancellations go into one record. */
+        /** The most cancellations in one record. */
         public static final int MAX_CANCELLATIONS = 100;
 
+        /** Neither knows nor carries any cancellation. */
         public static final CancellationDelta NONE =
                 new CancellationDelta(-1, 0, false, false, List.of());
     }
 
-    /** Cancellations that the sender has just committed, told before its user is. */
+    /**
+     * Cancellations that the sender has just committed; sent before its user is answered.
+     *
+     * @param from name of the sender
+     * @param cancellations at most {@link CancellationDelta#MAX_CANCELLATIONS} are sent
+     */
     public record CancellationNotice(String from, List<Cancellation> cancellations)
             implements PeerRecord {}
 
-    /** How far one job is, for display. */
+    /**
+     * Progress of one job, for display.
+     *
+     * @param job id of the job
+     * @param done number of tasks that are done
+     * @param running number of tasks that run
+     */
     public record JobProgress(String job, int done, int running) {}
 
-    /** The leader's account of running jobs. */
+    /**
+     * Progress of the running jobs, as the leader sees it.
+     *
+     * @param from name of the leader
+     * @param term its leadership term
+     * @param jobs at most {@link #MAX_JOBS} are sent
+     */
     public record ProgressUpdate(String from, long term, List<JobProgress> jobs)
             implements PeerRecord {
-        /** So many jobs go into one record. */
+        /** The most jobs in one record. */
         public static final int MAX_JOBS = 400;
     }
 
     /**
-     * A queue that waits too long for its starts.
+     * A queue whose expected wait for starts is too long.
      *
      * @param team the team whose work waits, or {@link #ALL_TEAMS}
      * @param priority work of this priority, or of a higher one, waits in it
@@ -150,192 +181,30 @@
         public static final String ALL_TEAMS = "";
     }
 
-    /** The queues that the leader finds to wait too long, those that wait longest first. */
+    /**
+     * The queues whose expected wait is too long, the longest wait first.
+     *
+     * @param from name of the leader
+     * @param term its leadership term
+     * @param queues at most {@link #MAX_QUEUES} are sent
+     */
     public record CongestionNotice(String from, long term, List<CongestedQueue> queues)
             implements PeerRecord {
-        /** So many queues go into one record. */
+        /** The most queues in one record. */
         public static final int MAX_QUEUES = 1000;
     }
 
-    /** Writes a record; lists that are longer than their bound are cut short. */
+    /** Encodes a record; lists that are longer than their bound are truncated. */
     public static byte[] encode(PeerRecord message) {
-        ByteArrayOutputStream bytes = new ByteArrayOutputStream(64);
-        try (DataOutputStream out = new DataOutputStream(bytes)) {
-            out.writeByte(VERSION);
-            if (message instanceof PeerStatus status) {
-                write(out, status);
-            } else if (message instanceof CancellationNotice cancelled) {
-                out.writeByte(CANCELLED);
-                out.writeUTF(cancelled.from);
-                write(out, cancelled.cancellations);
-            } else if (message instanceof ProgressUpdate progress) {
-                write(out, progress);
-            } else if (message instanceof CongestionNotice congested) {
-                write(out, congested);
-            }
-        } catch (IOException e) {
-            throw new UncheckedIOException(e);
-        }
-        return bytes.toByteArray();
-    }
-
-    private static void write(DataOutputStream out, PeerStatus status) throws IOException {
-        out.writeByte(STATUS);
-        out.writeUTF(status.from);
-        out.writeLong(status.question);
-        out.writeLong(status.answeredQuestion);
-        out.writeBoolean(status.storeReachable);
-        out.writeBoolean(status.leading);
-        out.writeBoolean(status.hasReadLeaderRecord);
-        out.writeInt(status.redirectedWorkers);
-        out.writeBoolean(status.leaderSilent);
-        out.writeInt(status.confirmedMillisecondsAgo);
-        out.writeLong(status.term);
-        // Fields of later versions come after these: earlier ones leave unread what they do not
-        // know. The last ones are left out where they say nothing, as earlier versions do.
-        out.writeLong(status.cancellationDelta.revision);
-        out.writeLong(status.cancellationDelta.cursor);
-        out.writeBoolean(status.cancellationDelta.complete);
-        out.writeBoolean(status.cancellationDelta.hasReadJobRecords);
-        write(out, status.cancellationDelta.cancellations);
-        boolean lends = status.storeShare != 0;
-        if (status.keepsHistory || lends) {
-            out.writeBoolean(status.keepsHistory);
-        }
-        if (lends) {
-            out.writeDouble(status.storeShare);
-        }
-    }
-
-    private static void write(DataOutputStream out, ProgressUpdate progress) throws IOException {
-        out.writeByte(PROGRESS);
-        out.writeUTF(progress.from);
-        out.writeLong(progress.term);
-        int count = Math.min(ProgressUpdate.MAX_JOBS, progress.jobs.size());
-        out.writeShort(count);
-        for (JobProgress job : progress.jobs.subList(0, count)) {
-            out.writeUTF(job.job);
-            out.writeInt(job.done);
-            out.writeInt(job.running);
-        }
-    }
-
-    private static void write(DataOutputStream out, CongestionNotice congested) throws IOException {
-        out.writeByte(CONGESTED);
-        out.writeUTF(congested.from);
-        out.writeLong(congested.term);
-        int count = Math.min(CongestionNotice.MAX_QUEUES, congested.queues.size());
-        out.writeShort(count);
-        for (CongestedQueue queue : congested.queues.subList(0, count)) {
-            out.writeUTF(queue.team);
-            out.writeUTF(queue.priority.wireName());
-            out.writeFloat((float) queue.excessSeconds);
-        }
+        return PeerMessageWriter.encode(message);
     }
 
     /**
-     * Reads a record.
+     * Decodes a record.
      *
-     * @throws MalformedMessageException if it is cut short or of an unknown version or kind
+     * @throws MalformedMessageException if it is truncated or of an unknown version or kind
      */
     public static PeerRecord decode(byte[] bytes) throws MalformedMessageException {
-        try (DataInputStream in = new DataInputStream(new ByteArrayInputStream(bytes))) {
-            int version = in.readUnsignedByte();
-            if (version != VERSION) {
-                throw new MalformedMessageException("peer record of version " + version);
-            }
-            int kind = in.readUnsignedByte();
-            return switch (kind) {
-                case STATUS -> readStatus(in);
-                case CANCELLED -> new CancellationNotice(in.readUTF(), readCancellations(in));
-                case PROGRESS -> readProgress(in);
-                case CONGESTED -> readCongested(in);
-                default -> throw new MalformedMessageException("peer record of kind " + kind);
-            };
-        } catch (IOException e) {
-            throw new MalformedMessageException("peer record cut short");
-        }
-    }
-
-    private static PeerStatus readStatus(DataInputStream in)
-            throws IOException, MalformedMessageException {
-        return new PeerStatus(
-                in.readUTF(),
-                in.readLong(),
-                in.readLong(),
-                in.readBoolean(),
-                in.readBoolean(),
-                in.readBoolean(),
-                in.readInt(),
-                in.readBoolean(),
-                in.readInt(),
-                in.readLong(),
-                in.available() == 0 ? CancellationDelta.NONE : readNews(in),
-                in.available() > 0 && in.readBoolean(),
-                in.available() > 0 ? in.readDouble() : 0);
-    }
-
-    private static CancellationDelta readNews(DataInputStream in)
-            throws IOException, MalformedMessageException {
-        return new CancellationDelta(
-                in.readLong(),
-                in.readLong(),
-                in.readBoolean(),
-                in.readBoolean(),
-                readCancellations(in));
-    }
-
-    private static ProgressUpdate readProgress(DataInputStream in)
-            throws IOException, MalformedMessageException {
-        String from = in.readUTF();
-        long term = in.readLong();
-        int count = readCount(in, ProgressUpdate.MAX_JOBS, "jobs");
-        List<JobProgress> jobs = new ArrayList<>(count);
-        for (int i = 0; i < count; i++) {
-            jobs.add(new JobProgress(in.readUTF(), in.readInt(), in.readInt()));
-        }
-        return new ProgressUpdate(from, term, jobs);
-    }
-
-    private static CongestionNotice readCongested(DataInputStream in)
-            throws IOException, MalformedMessageException {
-        String from = in.readUTF();
-        long term = in.readLong();
-        int count = readCount(in, CongestionNotice.MAX_QUEUES, "queues");
-        List<CongestedQueue> queues = new ArrayList<>(count);
-        for (int i = 0; i < count; i++) {
-            queues.add(new CongestedQueue(in.readUTF(), Priority.of(in.readUTF()), in.readFloat()));
-        }
-        return new CongestionNotice(from, term, queues);
-    }
-
-    private static int readCount(DataInputStream in, int most, String things)
-            throws IOException, MalformedMessageException {
-        int count = in.readUnsignedShort();
-        if (count > most) {
-            throw new MalformedMessageException("peer record of " + count + " " + things);
-        }
-        return count;
-    }
-
-    private static void write(DataOutputStream out, List<Cancellation> cancellations)
-            throws IOException {
-        int count = Math.min(CancellationDelta.MAX_CANCELLATIONS, cancellations.size());
-        out.writeShort(count);
-        for (Cancellation cancellation : cancellations.subList(0, count)) {
-            out.writeUTF(cancellation.job);
-            out.writeLong(cancellation.revision);
-            out.writeDouble(cancellation.askedAt);
-        }
-    }
-
-    private static List<Cancellation> readCancellations(DataInputStream in)
-            throws IOException, MalformedMessageException {
-        int count = readCount(in, CancellationDelta.MAX_CANCELLATIONS, "cancellations");
-        List<Cancellation> cancellations = new ArrayList<>(count);
-        for (int i = 0; i < count; i++) {
-            cancellations.add(new Cancellation(in.readUTF(), in.readLong(), in.readDouble()));
-        }
-        return cancellations;
+        return PeerMessageReader.decode(bytes);
     }
 }
