--- a/src/main/java/org/springmill/cli/TrainArchiveCommand.java
+++ b/src/main/java/org/springmill/cli/TrainArchiveCommand.java
@@ -112,7 +112,7 @@
     private void visit(Transport around, String api, int step) {
         List<Request> visits =
                 List.of(
-                        post(api, WorkerMessages.HEARTBEAT_PATH, world.report()),
+                        post(api, WorkerMessages.HEARTBEAT_PATH, world.heartbeat()),
                         post(
                                 api,
                                 UserMessages.SUBMISSIONS,
--- a/src/main/java/org/springmill/protocol/ArchiveTrainingMessages.java
+++ b/src/main/java/org/springmill/protocol/ArchiveTrainingMessages.java
@@ -9,8 +9,9 @@
 import java.util.Map;
 
 /**
- * What a key-value store, a cloud and one worker would say in the rehearsal of a build (see {@code
- * cli}): just enough for a controller to lead, to place a task and to stop it.
+ * Messages of an emulated key-value store, cloud and worker for the training run of the class-data
+ * archive (see {@code cli}): just enough for a controller to become leader, to place a task and to
+ * stop it.
  */
 public final class ArchiveTrainingMessages {
     private static final String MACHINE = "host-000001";
@@ -20,19 +21,31 @@
     private final String address;
     private final Map<String, ObjectNode> tasks = new LinkedHashMap<>();
     private long revision = 1;
-    private long token;
-    private long seq;
+    private long fencingToken;
+    private long sequence;
 
-    /** An answer with its status. */
+    /**
+     * A response.
+     *
+     * @param status HTTP status
+     * @param body of the response
+     */
     public record Answer(int status, byte[] body) {}
 
     /**
-     * @param address where this worker takes commands
+     * Messages of a worker at an address.
+     *
+     * @param address on which the worker takes commands
      */
     public ArchiveTrainingMessages(String address) {
         this.address = address;
     }
 
+    /**
+     * The response of whichever of the three a request is addressed to.
+     *
+     * @throws MalformedMessageException if commands are not a JSON object
+     */
     public Answer answer(String method, String path, byte[] body) throws MalformedMessageException {
         if (path.startsWith("/store/")) {
             return new Answer(404, text("{\"ledgerRev\":" + revision + "}"));
@@ -59,17 +72,17 @@
                             + "\",\"frame\":\"m\","
                             + "\"yard\":\"here\",\"loaner\":false,\"phase\":\"running\",\"heldS\":1.5}],\"truncated\":false}");
         } else if (path.equals(WorkerMessages.COMMANDS_PATH)) {
-            obey(Json.object(body));
-            return new Answer(200, report());
+            execute(Json.object(body));
+            return new Answer(200, heartbeat());
         }
         return ok("{}");
     }
 
-    private void obey(JsonNode orders) {
-        token = Math.max(token, orders.path(WireFields.FENCING_TOKEN).longValue());
-        for (JsonNode order : orders.path(WireFields.COMMANDS)) {
-            String task = order.path(WireFields.TASK).asText();
-            switch (order.path(WireFields.VERB).asText()) {
+    private void execute(JsonNode request) {
+        fencingToken = Math.max(fencingToken, request.path(WireFields.FENCING_TOKEN).longValue());
+        for (JsonNode command : request.path(WireFields.COMMANDS)) {
+            String task = command.path(WireFields.TASK).asText();
+            switch (command.path(WireFields.VERB).asText()) {
                 case "start" ->
                         tasks.put(
                                 task,
@@ -77,22 +90,22 @@
                                         .put(WireFields.TASK, task)
                                         .put(
                                                 WireFields.ATTEMPT,
-                                                order.path(WireFields.ATTEMPT).longValue())
+                                                command.path(WireFields.ATTEMPT).longValue())
                                         .put(WireFields.PHASE, "running"));
                 case "halt" ->
                         tasks.computeIfPresent(
                                 task,
-                                (t, state) ->
-                                        state.put(WireFields.PHASE, "ended")
+                                (id, status) ->
+                                        status.put(WireFields.PHASE, "ended")
                                                 .put(WireFields.EXIT_CAUSE, "stopped"));
                 default -> tasks.remove(task);
             }
         }
     }
 
-    /** The worker's report as it stands. */
-    public byte[] report() {
-        ObjectNode report =
+    /** The next heartbeat of the worker. */
+    public byte[] heartbeat() {
+        ObjectNode heartbeat =
                 Json.newObject()
                         .put(WireFields.MACHINE, MACHINE)
                         .put(WireFields.ADDRESS, address)
@@ -100,14 +113,18 @@
                         .put(WireFields.ZONE, ZONE)
                         .put(WireFields.SPOT, false)
                         .put(WireFields.EPOCH, 1)
-                        .put(WireFields.SEQUENCE, ++seq)
-                        .put(WireFields.FENCING_TOKEN, token);
-        ArrayNode listed = report.putArray(WireFields.TASKS);
-        tasks.values().forEach(listed::add);
-        return Json.bytes(report);
+                        .put(WireFields.SEQUENCE, ++sequence)
+                        .put(WireFields.FENCING_TOKEN, fencingToken);
+        ArrayNode taskStatuses = heartbeat.putArray(WireFields.TASKS);
+        tasks.values().forEach(taskStatuses::add);
+        return Json.bytes(heartbeat);
     }
 
-    /** A submission of two replicas, or of an array. */
+    /**
+     * A submission of two tasks.
+     *
+     * @param service whether they are replicas of a service, rather than an array
+     */
     public static byte[] submission(String id, boolean service) {
         return Json.bytes(
                 new Submission(
--- a/src/main/java/org/springmill/protocol/HclFile.java
+++ b/src/main/java/org/springmill/protocol/HclFile.java
@@ -7,14 +7,15 @@
 import java.nio.file.Path;
 import java.util.Map;
 
-/** Reads files that operators write in HCL. */
+/** Reads files in HCL. */
 public final class HclFile {
     private HclFile() {}
 
     /**
      * Reads the blocks and fields of a file.
      *
-     * @param option of the command line that names the file
+     * @param file the file
+     * @param option the option of the command line that names the file, for the error message
      * @throws SettingsException if it cannot be read or is not HCL
      */
     public static Map<String, Object> read(Path file, String option) throws SettingsException {
--- a/src/main/java/org/springmill/protocol/Json.java
+++ b/src/main/java/org/springmill/protocol/Json.java
@@ -27,7 +27,8 @@
     /**
      * Parses a body that has to be one object.
      *
-     * @param body the body, or null if it was too large to be read
+     * @param body the body; null if it was too large to be read
+     * @throws MalformedMessageException if it is too large, not JSON or not an object
      */
     public static JsonNode object(byte[] body) throws MalformedMessageException {
         if (body == null) {
@@ -47,7 +48,7 @@
         return node;
     }
 
-    /** Encodes one object, whose fields the writer adds in order. */
+    /** Encodes one object, to which the writer adds the fields in order. */
     public static byte[] write(Writer content) {
         ByteArrayOutputStream out = new ByteArrayOutputStream(INITIAL_BUFFER_BYTES);
         try (JsonGenerator json = FACTORY.createGenerator(out)) {
@@ -60,7 +61,7 @@
         return out.toByteArray();
     }
 
-    /** Encodes a value that was read or built before. */
+    /** Encodes a JSON value. */
     public static byte[] bytes(JsonNode node) {
         try {
             return MAPPER.writeValueAsBytes(node);
@@ -77,7 +78,7 @@
     /** Writes the fields of an object. */
     @FunctionalInterface
     public interface Writer {
-        /** Adds the fields to an object that has been begun. */
+        /** Adds the fields to an object whose start has been written. */
         void write(JsonGenerator json) throws IOException;
     }
 }
--- a/src/main/java/org/springmill/protocol/OperatorSettings.java
+++ b/src/main/java/org/springmill/protocol/OperatorSettings.java
@@ -4,22 +4,24 @@
 import java.util.OptionalDouble;
 
 /**
- * What operators may set beside the platform's settings; docs/operations.md describes each. Those
- * of rentals are ratios, so that one file serves every deployment.
+ * The operators' own settings, beside the platform's; docs/operations.md describes each. Those of
+ * rentals are ratios, so that one file fits every deployment.
  *
- * @param idleBoots how many boot times an idle machine is kept
- * @param bootPatience how many boot times a machine may take before it is returned
- * @param reserve factor on the headroom for classes that must start sooner than a machine boots
- * @param unguaranteedPriceRatio how many times the least price per task a machine may cost that is
- *     rented for a team without a guarantee
- * @param pendingSubmissions how many submissions may wait for the key-value store before users are
- *     told to come back; what they would have to wait bounds them in any case
- * @param historyRetentionSeconds how long after its end a job's record stays among those that every
- *     controller holds in memory; empty if records are never moved to the history
+ * @param idleBoots how long an idle machine is kept, in boot times
+ * @param bootPatience how long a machine may take to boot before it is returned, in boot times
+ * @param reserve factor on the headroom for classes whose objective is shorter than the boot time
+ *     of a machine
+ * @param unguaranteedPriceRatio highest price of a machine that is rented for a team without a
+ *     guarantee, as a multiple of the lowest price per task
+ * @param pendingSubmissions how many submissions may wait for the key-value store before further
+ *     ones are refused with a retry time; their expected wait bounds them in any case
+ * @param historyRetentionSeconds how long after its end a job's record stays in the memory of every
+ *     controller before it is archived; empty if records are never archived
  * @param maxWaitSeconds the longest expected wait for a start into which submissions are accepted;
  *     empty if the wait is not bounded
- * @param leaderShare the leader's share of the changes that the key-value store takes
- * @param borrowing terms of loans between teams; empty if tasks are preempted without recalls
+ * @param leaderShare the leader's share of the key-value store's write rate
+ * @param borrowing terms on which teams borrow each other's guarantees; empty if borrowed resources
+ *     are reclaimed by preemption without a recall
  */
 public record OperatorSettings(
         double idleBoots,
@@ -33,22 +35,21 @@
         Optional<Borrowing> borrowing) {
 
     /**
-     * Terms on which teams use what others are guaranteed and don't use at the moment.
+     * Terms on which teams borrow the unused guarantees of others.
      *
-     * @param maxGraceLeases the longest time that a task may save when it is recalled, in leases of
-     *     the workers
-     * @param holdDownRatio factor on the measured cost of a recall, for which resources that come
-     *     back stay unlent; 0 lends them again at once
-     * @param holdDownHalfLifeLeases time in which half of what a recall added to the hold-down
-     *     decays, in leases of the workers
+     * @param maxGraceLeases the longest grace period of a recalled task, in leases of the workers
+     * @param holdDownRatio factor on the measured cost of a recall; for that time, returned
+     *     resources are not lent again; 0 lends them again at once
+     * @param holdDownHalfLifeLeases half-life of the hold-down that a recall adds, in leases of the
+     *     workers
      */
     public record Borrowing(
             double maxGraceLeases, double holdDownRatio, double holdDownHalfLifeLeases) {
-        /** What counts for each field that the block lacks. */
+        /** Defaults of the fields that the block does not set. */
         public static final Borrowing DEFAULTS = new Borrowing(1.0, 1.0, 20.0);
     }
 
-    /** What counts without a file, and for each field that a file lacks. */
+    /** Defaults without a file, and of the fields that a file does not set. */
     public static final OperatorSettings DEFAULTS =
             new OperatorSettings(
                     1.5,
--- a/src/main/java/org/springmill/protocol/OperatorSettingsFile.java
+++ b/src/main/java/org/springmill/protocol/OperatorSettingsFile.java
@@ -29,9 +29,7 @@
     private static final String HOLD_DOWN_RATIO = "hold_down_ratio";
     private static final String HOLD_DOWN_HALF_LIFE = "hold_down_half_life_leases";
 
-    /**
-     * Saves have to be possible at all, and a recall has to end before its beneficiary gives up.
-     */
+    /** Tasks must have time to save; a recall must end while its beneficiary still waits. */
     private static final double MIN_GRACE_LEASES = 0.1;
 
     private static final double MAX_GRACE_LEASES = 20;
@@ -39,18 +37,18 @@
     private static final double MIN_HALF_LIFE_LEASES = 1;
     private static final double MAX_HALF_LIFE_LEASES = 1000;
 
-    /** Starts are counted over a quarter of it, which has to be long enough to mean something. */
+    /** The rate of starts is measured over a quarter of it, which must be long enough for that. */
     private static final double MIN_MAX_WAIT_SECONDS = 20;
 
     private static final double MAX_MAX_WAIT_SECONDS = 7 * 86_400.0;
 
-    /** The leader writes the rounds of all, and lends half of its share. */
+    /** The leader writes all placement rounds, and lends half of its share. */
     private static final double MIN_LEADER_SHARE = 0.4;
 
-    /** The other controllers need some to accept jobs. */
+    /** The other controllers need the rest to accept jobs. */
     private static final double MAX_LEADER_SHARE = 0.9;
 
-    /** Users poll until they have been told the end of their job, which takes seconds. */
+    /** Users poll a job until they see its final phase, which takes seconds. */
     private static final double MIN_RETENTION_SECONDS = 30;
 
     private static final double MAX_RETENTION_SECONDS = 30 * 86_400.0;
@@ -71,6 +69,12 @@
         this.blocks = blocks;
     }
 
+    /**
+     * Reads and checks the settings.
+     *
+     * @throws SettingsException if the file cannot be read, or a block or field is unknown or
+     *     invalid
+     */
     static OperatorSettings read(Path file) throws SettingsException {
         OperatorSettingsFile settings =
                 new OperatorSettingsFile(file, HclFile.read(file, "--operator"));
@@ -134,7 +138,7 @@
                 borrowing());
     }
 
-    /** The block switches recalls on; it may be empty. */
+    /** The block enables recalls; it may be empty. */
     private Optional<OperatorSettings.Borrowing> borrowing() throws SettingsException {
         if (!blocks.containsKey(BORROWING)) {
             return Optional.empty();
@@ -164,14 +168,14 @@
         return Optional.of(new OperatorSettings.Borrowing(maxGrace, ratio, halfLife));
     }
 
-    /** Unless it is given, the wait is not bounded. */
+    /** Without the field the wait is not bounded. */
     private OptionalDouble maxWait() throws SettingsException {
         double maxWait =
                 number(ADMISSION, MAX_WAIT, Double.NaN, MIN_MAX_WAIT_SECONDS, MAX_MAX_WAIT_SECONDS);
         return Double.isNaN(maxWait) ? OptionalDouble.empty() : OptionalDouble.of(maxWait);
     }
 
-    /** The block switches the history on, so it has to say for how long records stay. */
+    /** The block enables archiving, so it has to state the retention. */
     private OptionalDouble historyRetention() throws SettingsException {
         if (!blocks.containsKey(HISTORY)) {
             return OptionalDouble.empty();
--- a/src/main/java/org/springmill/protocol/Resources.java
+++ b/src/main/java/org/springmill/protocol/Resources.java
@@ -1,46 +1,53 @@
 package org.springmill.protocol;
 
-/** An amount of CPUs, GPUs and memory, such as what a task takes or what is free on a machine. */
+/**
+ * An amount of CPUs, GPUs and memory, such as the request of a task or the free capacity of a
+ * machine.
+ *
+ * @param cpus number of CPUs
+ * @param gpus number of GPUs
+ * @param memoryGb memory, in GB
+ */
 public record Resources(double cpus, double gpus, double memoryGb) {
-    /** Nothing. */
+    /** No resources. */
     public static final Resources NONE = new Resources(0, 0, 0);
 
-    /** Resources are sums of decimal fractions, and off by the rounding of these. */
+    /** Tolerance for the rounding of sums of decimal fractions. */
     public static final double ROUNDING = 1e-6;
 
-    /** What one task of a job takes. */
+    /** The request of one task of a job. */
     public static Resources of(Submission task) {
         return new Resources(task.cpus(), task.gpus(), task.memoryGb());
     }
 
-    /** These and others. */
+    /** The sum of these and others. */
     public Resources plus(Resources other) {
         return new Resources(cpus + other.cpus, gpus + other.gpus, memoryGb + other.memoryGb);
     }
 
-    /** These and what a task takes. */
+    /** The sum of these and the request of one task. */
     public Resources plus(Submission task) {
         return plus(of(task));
     }
 
-    /** What is left of these without others. */
+    /** These less others. */
     public Resources minus(Resources other) {
         return new Resources(cpus - other.cpus, gpus - other.gpus, memoryGb - other.memoryGb);
     }
 
-    /** So many times these. */
+    /** These multiplied by a factor. */
     public Resources times(double factor) {
         return new Resources(cpus * factor, gpus * factor, memoryGb * factor);
     }
 
-    /** Whether others fit in. */
+    /** Whether others fit into these. */
     public boolean hold(Resources other) {
         return other.cpus <= cpus + ROUNDING
                 && other.gpus <= gpus + ROUNDING
                 && other.memoryGb <= memoryGb + ROUNDING;
     }
 
-    /** Whether a task fits in. */
+    /** Whether the request of one task of a job fits into these. */
     public boolean hold(Submission task) {
         return task.cpus() <= cpus + ROUNDING
                 && task.gpus() <= gpus + ROUNDING
--- a/src/main/java/org/springmill/protocol/Settings.java
+++ b/src/main/java/org/springmill/protocol/Settings.java
@@ -4,16 +4,23 @@
 import java.util.Map;
 
 /**
- * What the platform hands over at start, with what operators set beside it. Durations are in
- * seconds.
+ * Settings of one controller: the platform's settings file with the operators' own settings.
  *
  * @param node name of this controller
  * @param zone zone of this controller
  * @param listen address on which users and workers reach this controller
  * @param peerListen address on which the other controllers reach this one
- * @param peers addresses of the other controllers' links, by node
+ * @param peers addresses of the other controllers' peer links, by node
+ * @param cloudAddress address of the cloud's API
+ * @param storeAddress address of the key-value store
  * @param zones all zones of the deployment
- * @param skewSeconds bound on how far the time of day may be off
+ * @param skewSeconds bound on the error of the time of day
+ * @param teams quotas of the teams
+ * @param objectives service-level objectives
+ * @param workers intervals and deadlines of the workers
+ * @param storeLimits rate and size limits of the key-value store
+ * @param cloudLimits rate limit of the cloud, and lag of its list
+ * @param limits resources of its host that this controller may use
  * @param operator the operators' own settings, or their defaults
  */
 public record Settings(
@@ -34,22 +41,30 @@
         Limits limits,
         OperatorSettings operator) {
 
-    /** What a team is guaranteed and limited to; 0 means none. */
+    /**
+     * Quota of a team: its guarantee and its limit. An amount of 0 means that there is none.
+     *
+     * @param name of the team
+     * @param cpus guaranteed CPUs
+     * @param cpusMax limit of CPUs
+     * @param gpus guaranteed GPUs
+     * @param gpusMax limit of GPUs
+     */
     public record Team(String name, double cpus, double cpusMax, double gpus, double gpusMax) {
-        /** Allows for the rounding of sums of decimal amounts. */
+        /** Tolerates the rounding of sums of decimal amounts. */
         private static final double TOLERANCE = 1e-6;
 
-        /** Whether use of these amounts keeps to the team's limit. */
+        /** Whether a use of these amounts is within the team's limit. */
         public boolean withinLimit(double usedCpus, double usedGpus) {
             return within(usedCpus, cpusMax) && within(usedGpus, gpusMax);
         }
 
-        /** Whether the team is guaranteed anything at all. */
+        /** Whether the team has a guarantee. */
         public boolean hasGuarantee() {
             return cpus > 0 || gpus > 0;
         }
 
-        /** Whether use of these amounts is guaranteed to the team. */
+        /** Whether a use of these amounts is within the team's guarantee. */
         public boolean withinGuarantee(double usedCpus, double usedGpus) {
             return hasGuarantee() && within(usedCpus, cpus) && within(usedGpus, gpus);
         }
@@ -60,20 +75,23 @@
     }
 
     /**
-     * An objective: a share of a class of jobs started or finished within a time.
+     * A service-level objective: a share of a class of jobs started or finished within a time.
      *
-     * @param jobClass the class, or null for all work within guarantees
+     * @param kind what is measured, as the settings name it
+     * @param jobClass the class of jobs; null for all work within guarantees
+     * @param withinSeconds the time; 0 if the kind has none
+     * @param share of the jobs that must keep to the time; 0 if the kind has none
      */
     public record Objective(String kind, String jobClass, double withinSeconds, double share) {}
 
     /**
-     * Times of the workers.
+     * Intervals and deadlines of the workers.
      *
-     * @param heartbeatIntervalSeconds interval of their reports
-     * @param leaseSeconds how long a worker keeps its tasks after it sent the last report that was
-     *     answered
-     * @param cancellationDeadlineSeconds within this time every task of a cancelled job must be
-     *     gone
+     * @param heartbeatIntervalSeconds interval of their heartbeats
+     * @param leaseSeconds how long a worker keeps its tasks after it sent the last heartbeat that
+     *     was answered
+     * @param cancellationDeadlineSeconds time in which every task of a cancelled job must have
+     *     ended
      */
     public record Workers(
             double heartbeatIntervalSeconds,
@@ -83,32 +101,33 @@
     /**
      * Limits of the key-value store.
      *
-     * @param requestsPerSecond requests a second, of all controllers together
-     * @param writesPerSecond puts and deletes a second, of all controllers together
-     * @param valueBytes largest value
+     * @param requestsPerSecond requests per second of all controllers together
+     * @param writesPerSecond puts and deletes per second of all controllers together
+     * @param valueBytes size of the largest value
      * @param writesPerCommit most puts and deletes in one transaction
      */
     public record StoreLimits(
             double requestsPerSecond, double writesPerSecond, int valueBytes, int writesPerCommit) {
-        /** An ordinary job's record fits. */
+        /** The record of an ordinary job fits. */
         private static final int MIN_HALVED_VALUE_BYTES = 1024;
 
-        /** One write beside the deletion of what it replaces. */
+        /** One put and one delete of the key that it replaces. */
         private static final int MIN_HALVED_WRITES = 2;
 
-        /** Of the writes of one second, the share that one transaction may take. */
+        /** Share of the writes of one second that one transaction may take. */
         private static final double COMMIT_SHARE_OF_SECOND = 0.6;
 
         /**
-         * Bounds a transaction by the rate limit. Bursts are worth one second: a transaction larger
-         * than that, less what others write, would never be accepted.
+         * Bounds the size of a transaction by the rate limit. The store accepts bursts worth one
+         * second: a transaction larger than that, less the writes of others, would never be
+         * accepted.
          */
         public StoreLimits {
             int writesPerBurst = (int) (writesPerSecond * COMMIT_SHARE_OF_SECOND);
             writesPerCommit = Math.max(1, Math.min(writesPerCommit, writesPerBurst));
         }
 
-        /** The limits that keep to both sets: the smaller of each pair. */
+        /** The limits that satisfy both sets: the smaller of each pair. */
         StoreLimits within(StoreLimits other) {
             return new StoreLimits(
                     Math.min(requestsPerSecond, other.requestsPerSecond),
@@ -118,8 +137,8 @@
         }
 
         /**
-         * The limits to try once the service has refused a transaction for its size although it
-         * kept to these.
+         * The limits to use once the store has refused a transaction for its size although it was
+         * within these.
          */
         public StoreLimits halved() {
             return new StoreLimits(
@@ -131,43 +150,46 @@
     }
 
     /**
-     * The cloud's limit of requests, and by how much its list of machines is late.
+     * Rate limit of the cloud, and lag of its list of machines.
      *
-     * @param listLagSeconds nominal lag; it may be twice as long
+     * @param requestsPerSecond requests per second of all controllers together
+     * @param listLagSeconds nominal lag of the list; it may be twice as long
      */
     public record CloudLimits(double requestsPerSecond, double listLagSeconds) {}
 
     /**
-     * What this controller may use of its host.
+     * Resources of its host that this controller may use.
      *
      * @param cpuShare share of one core
+     * @param memoryMb memory of the process, in MB
+     * @param maxSockets the most open sockets
      */
     public record Limits(double cpuShare, double memoryMb, int maxSockets) {
         /**
-         * What a controller holds beside its heap: classes, compiled code, buffers and stacks, as
-         * bounded in the run line of deploy/service.toml.
+         * Memory of a controller outside its heap, in MB: classes, compiled code, buffers and
+         * stacks, as bounded in the run line of deploy/service.toml.
          */
         static final int MEMORY_BESIDE_HEAP_MB = 72;
 
         private static final double BYTES_PER_MB = 1024.0 * 1024.0;
 
         /**
-         * The largest heap that this controller may have.
+         * The largest heap that this controller may have, in bytes.
          *
-         * @param heapBoundBytes what the process was started with
+         * @param heapBoundBytes the largest heap that the process was started with
          */
         public double heapBytes(double heapBoundBytes) {
-            double besideTheRest = (memoryMb - MEMORY_BESIDE_HEAP_MB) * BYTES_PER_MB;
-            return Math.min(heapBoundBytes, besideTheRest);
+            double remainingBytes = (memoryMb - MEMORY_BESIDE_HEAP_MB) * BYTES_PER_MB;
+            return Math.min(heapBoundBytes, remainingBytes);
         }
     }
 
-    /** How many controllers there are, this one included. */
+    /** The number of controllers, this one included. */
     public int controllers() {
         return peers.size() + 1;
     }
 
-    /** The team of that name, or null. */
+    /** The team of that name; null if there is none. */
     public Team team(String name) {
         for (Team team : teams) {
             if (team.name().equals(name)) {
--- a/src/main/java/org/springmill/protocol/SettingsFile.java
+++ b/src/main/java/org/springmill/protocol/SettingsFile.java
@@ -19,14 +19,16 @@
     private static final int MIN_VALUE_KB = 2;
     private static final int MIN_WRITES_PER_COMMIT = 4;
     private static final int BYTES_PER_KB = 1024;
-    private static final double MILLIS_PER_SECOND = 1000;
+    private static final double MILLISECONDS_PER_SECOND = 1000;
 
     private SettingsFile() {}
 
     /**
      * Reads and checks the settings.
      *
-     * @param operatorFile the operators' own settings, or null for their defaults
+     * @param file the platform's settings file
+     * @param operatorFile the operators' own settings file; null for the defaults
+     * @throws SettingsException if a file cannot be read, or a field is missing or invalid
      */
     public static Settings read(Path file, Path operatorFile) throws SettingsException {
         OperatorSettings operator =
@@ -41,9 +43,10 @@
         try {
             return new TomlMapper().readTree(Files.readString(file));
         } catch (JsonProcessingException e) {
-            String line =
+            String position =
                     e.getLocation() == null ? "" : "line " + e.getLocation().getLineNr() + ": ";
-            throw new SettingsException(file, line + "not valid TOML: " + e.getOriginalMessage());
+            throw new SettingsException(
+                    file, position + "not valid TOML: " + e.getOriginalMessage());
         } catch (IOException e) {
             throw new SettingsException(
                     file, "cannot be read; name an existing TOML file with --config");
@@ -64,12 +67,12 @@
                 services.address("cloud"),
                 services.address("state"),
                 zones(cluster),
-                cluster.positive("skew_ms") / MILLIS_PER_SECOND,
+                cluster.positive("skew_ms") / MILLISECONDS_PER_SECOND,
                 teams(cluster),
                 objectives(cluster),
                 workers(cluster.table("workers")),
-                stateLimits(cluster.table("state")),
-                cloud(cluster.table("cloud")),
+                storeLimits(cluster.table("state")),
+                cloudLimits(cluster.table("cloud")),
                 machineLimits(cluster.table("machine_limits")),
                 operator);
     }
@@ -81,7 +84,7 @@
             String node = seed.text("node");
             String address = seed.address("addr");
             if (node.equals(ownNode) || peers.put(node, address) != null) {
-                throw seed.bad(
+                throw seed.invalid(
                         "node", "each controller must be listed once, without this one itself");
             }
         }
@@ -91,7 +94,7 @@
     private static List<String> zones(SettingsTable cluster) throws SettingsException {
         List<String> zones = cluster.texts("zones");
         if (zones.isEmpty()) {
-            throw cluster.bad("zones", "names no zone; list all zones of the deployment");
+            throw cluster.invalid("zones", "names no zone; list all zones of the deployment");
         }
         return zones;
     }
@@ -125,50 +128,51 @@
     }
 
     private static Settings.Workers workers(SettingsTable workers) throws SettingsException {
-        double reportSeconds = workers.positive("report_s");
+        double heartbeatIntervalSeconds = workers.positive("report_s");
         double leaseSeconds = workers.positive("lease_s");
-        if (reportSeconds >= leaseSeconds) {
-            throw workers.bad(
+        if (heartbeatIntervalSeconds >= leaseSeconds) {
+            throw workers.invalid(
                     "report_s",
                     "is not below lease_s, so that every lease would end between two reports; set"
                             + " it to less than half of lease_s");
         }
-        return new Settings.Workers(reportSeconds, leaseSeconds, workers.positive("cancel_s"));
+        return new Settings.Workers(
+                heartbeatIntervalSeconds, leaseSeconds, workers.positive("cancel_s"));
     }
 
-    private static Settings.CloudLimits cloud(SettingsTable cloud) throws SettingsException {
+    private static Settings.CloudLimits cloudLimits(SettingsTable cloud) throws SettingsException {
         return new Settings.CloudLimits(cloud.positive("rps"), cloud.number("list_lag_s"));
     }
 
     private static Settings.Limits machineLimits(SettingsTable limits) throws SettingsException {
         double cpuShare = limits.positive("cpu_share");
         double memoryMb = limits.atLeast("ram_mb", MIN_MEMORY_MB, "for the process with its heap");
-        double sockets =
+        double maxSockets =
                 limits.atLeast(
                         "max_sockets",
                         MIN_SOCKETS,
                         "for the state service, the cloud, the other controllers, users and"
                                 + " workers");
-        return new Settings.Limits(cpuShare, memoryMb, (int) sockets);
+        return new Settings.Limits(cpuShare, memoryMb, (int) maxSockets);
     }
 
     /**
-     * The limits in force and, if there is a second set, those that will be from an unannounced
-     * moment on. What is written keeps to both from the start, so that the moment need not be
+     * The limits in force and, if there is a second set, those that will be in force from an
+     * unannounced time on. All requests keep to both from the start, so that the time need not be
      * known.
      */
-    private static Settings.StoreLimits stateLimits(SettingsTable state) throws SettingsException {
-        Settings.StoreLimits current = stateLimits(state, state);
-        SettingsTable next = state.optionalTable("next", "next = { write_rps = 15.0 }");
-        return next == null ? current : current.within(stateLimits(next, state));
+    private static Settings.StoreLimits storeLimits(SettingsTable store) throws SettingsException {
+        Settings.StoreLimits current = storeLimits(store, store);
+        SettingsTable next = store.optionalTable("next", "next = { write_rps = 15.0 }");
+        return next == null ? current : current.within(storeLimits(next, store));
     }
 
     /**
      * One set of limits.
      *
-     * @param defaults the table that holds a limit which the set itself lacks
+     * @param defaults the table to read a limit from that the set itself does not have
      */
-    private static Settings.StoreLimits stateLimits(SettingsTable limits, SettingsTable defaults)
+    private static Settings.StoreLimits storeLimits(SettingsTable limits, SettingsTable defaults)
             throws SettingsException {
         double requestsPerSecond = tableWith("rps", limits, defaults).positive("rps");
         double writesPerSecond =
--- a/src/main/java/org/springmill/protocol/SettingsTable.java
+++ b/src/main/java/org/springmill/protocol/SettingsTable.java
@@ -7,8 +7,8 @@
 
 /**
  * One table of a settings file. Each accessor checks the value that it returns; the exception that
- * it throws names the file, the field with the tables around it, and what would mend it. A table
- * that is missing acts like an empty one.
+ * it throws names the file, the field with the tables around it, and how to correct it. A missing
+ * table is treated as an empty one.
  */
 final class SettingsTable {
     private static final int MAX_PORT = 65_535;
@@ -24,7 +24,7 @@
         this.node = node;
     }
 
-    /** The table around all others, which has no name. */
+    /** The outermost table, which has no name. */
     static SettingsTable root(Path file, JsonNode node) {
         return new SettingsTable(file, "", node);
     }
@@ -34,14 +34,19 @@
         return new SettingsTable(file, path + name + '.', node.path(name));
     }
 
-    /** A table inside this one, or null if there is none; anything else is refused. */
+    /**
+     * A table inside this one; null if there is none.
+     *
+     * @param example of such a table, for the error message
+     * @throws SettingsException if the field is not a table
+     */
     SettingsTable optionalTable(String name, String example) throws SettingsException {
         JsonNode found = node.path(name);
         if (found.isMissingNode()) {
             return null;
         }
         if (!found.isObject()) {
-            throw bad(name, "must be a table of limits, such as " + example);
+            throw invalid(name, "must be a table of limits, such as " + example);
         }
         return table(name);
     }
@@ -68,12 +73,12 @@
     private JsonNode list(String name) throws SettingsException {
         JsonNode found = node.path(name);
         if (!found.isMissingNode() && !found.isArray()) {
-            throw bad(name, "must be a list");
+            throw invalid(name, "must be a list");
         }
         return found;
     }
 
-    /** Whether this table has a field of that name, of whatever kind. */
+    /** Whether this table has a field of that name, of any type. */
     boolean has(String field) {
         return node.has(field);
     }
@@ -82,10 +87,10 @@
     String text(String field) throws SettingsException {
         JsonNode found = node.path(field);
         if (found.isMissingNode()) {
-            throw bad(field, "is missing; add it as a text");
+            throw invalid(field, "is missing; add it as a text");
         }
         if (!found.isTextual() || found.textValue().isEmpty()) {
-            throw bad(field, "must be a text that is not empty");
+            throw invalid(field, "must be a text that is not empty");
         }
         return found.textValue();
     }
@@ -102,7 +107,7 @@
         int colon = address.lastIndexOf(':');
         boolean hasHost = colon >= 1;
         if (!hasHost || !isPort(address.substring(colon + 1))) {
-            throw bad(field, "is \"" + address + "\"; write it as " + EXAMPLE_ADDRESS);
+            throw invalid(field, "is \"" + address + "\"; write it as " + EXAMPLE_ADDRESS);
         }
         return address;
     }
@@ -120,11 +125,11 @@
     double number(String field) throws SettingsException {
         JsonNode found = node.path(field);
         if (found.isMissingNode()) {
-            throw bad(field, "is missing; add it as a number");
+            throw invalid(field, "is missing; add it as a number");
         }
         double value = found.isNumber() ? found.doubleValue() : Double.NaN;
         if (!Double.isFinite(value) || value < 0) {
-            throw bad(field, "must be a number of at least 0");
+            throw invalid(field, "must be a number of at least 0");
         }
         return value;
     }
@@ -138,27 +143,26 @@
     double positive(String field) throws SettingsException {
         double value = number(field);
         if (value <= 0) {
-            throw bad(field, "must be above 0");
+            throw invalid(field, "must be above 0");
         }
         return value;
     }
 
     /**
-     * A number that is large enough to serve. One that is too small stops the start, rather than
-     * let the service fail later.
+     * A number of at least a minimum. A smaller one fails at the start rather than in operation.
      *
-     * @param purpose what the minimum is needed for
+     * @param purpose what needs the minimum, for the error message
      */
     double atLeast(String field, int minimum, String purpose) throws SettingsException {
         double value = number(field);
         if (value < minimum) {
-            throw bad(field, "must be at least " + minimum + ' ' + purpose);
+            throw invalid(field, "must be at least " + minimum + ' ' + purpose);
         }
         return value;
     }
 
-    /** The exception for a field of this table. */
-    SettingsException bad(String field, String problem) {
+    /** The exception for an invalid field of this table. */
+    SettingsException invalid(String field, String problem) {
         return new SettingsException(file, path + field, problem);
     }
 }
--- a/src/main/java/org/springmill/protocol/SettingsWarnings.java
+++ b/src/main/java/org/springmill/protocol/SettingsWarnings.java
@@ -4,45 +4,46 @@
 import java.util.List;
 
 /**
- * Finds settings that a controller can run with but that were most likely not meant. Each warning
- * names the field, what follows from its value, and what to change.
+ * Finds settings that are valid but most likely unintended. Each warning names the field, the
+ * consequence of its value, and what to change.
  */
 public final class SettingsWarnings {
-    /** A report may be late by a quarter of its interval, and one may be lost on the way. */
-    private static final double REPORTS_PER_LEASE = 2.5;
+    /** A heartbeat may be late by a quarter of its interval, and one may be lost. */
+    private static final double HEARTBEATS_PER_LEASE = 2.5;
 
-    /** Enough for the largest fleet that was run, twice over; no more than that is asked for. */
+    /** Twice the heap of the largest fleet that was run; no larger heap is asked for. */
     private static final double LARGEST_FLEET_HEAP_MB = 512;
 
-    /** The JVM counts a part of the young generation out of what it was given. */
-    private static final double USABLE_SHARE = 0.9;
+    /** The JVM does not count part of the young generation in the heap that it reports. */
+    private static final double REPORTED_SHARE = 0.9;
 
     private SettingsWarnings() {}
 
     /**
-     * Returns the warnings, none for settings that fit together.
+     * Returns the warnings; empty for consistent settings.
      *
-     * @param heapMb the heap that this process has at its start
-     * @param heapBoundMb the largest heap that this process may have
+     * @param settings to check
+     * @param heapMb size of the heap of this process at its start, in MB
+     * @param heapBoundMb the largest heap that this process may have, in MB
      */
     public static List<String> of(Settings settings, double heapMb, double heapBoundMb) {
         List<String> warnings = new ArrayList<>();
-        addTimes(settings.workers(), warnings);
-        addZones(settings, warnings);
-        addHeapAtStart(settings.limits(), heapMb, warnings);
-        addHeapBound(settings.limits(), heapBoundMb, warnings);
+        addWorkerWarnings(settings.workers(), warnings);
+        addZoneWarnings(settings, warnings);
+        addInitialHeapWarnings(settings.limits(), heapMb, warnings);
+        addMaximumHeapWarnings(settings.limits(), heapBoundMb, warnings);
         return warnings;
     }
 
-    private static void addTimes(Settings.Workers workers, List<String> warnings) {
-        if (workers.heartbeatIntervalSeconds() * REPORTS_PER_LEASE > workers.leaseSeconds()) {
+    private static void addWorkerWarnings(Settings.Workers workers, List<String> warnings) {
+        if (workers.heartbeatIntervalSeconds() * HEARTBEATS_PER_LEASE > workers.leaseSeconds()) {
             warnings.add(
                     "cluster.workers.report_s is "
                             + workers.heartbeatIntervalSeconds()
                             + ", so one lost report can end a lease of "
                             + workers.leaseSeconds()
                             + " s; set it to "
-                            + workers.leaseSeconds() / REPORTS_PER_LEASE
+                            + workers.leaseSeconds() / HEARTBEATS_PER_LEASE
                             + " or less");
         }
         if (workers.cancellationDeadlineSeconds() <= workers.leaseSeconds()) {
@@ -55,7 +56,7 @@
         }
     }
 
-    private static void addZones(Settings settings, List<String> warnings) {
+    private static void addZoneWarnings(Settings settings, List<String> warnings) {
         if (!settings.zones().contains(settings.zone())) {
             warnings.add(
                     "site is \""
@@ -64,7 +65,7 @@
         }
     }
 
-    private static void addHeapAtStart(
+    private static void addInitialHeapWarnings(
             Settings.Limits limits, double heapMb, List<String> warnings) {
         if (heapMb + Settings.Limits.MEMORY_BESIDE_HEAP_MB > limits.memoryMb()) {
             warnings.add(
@@ -79,11 +80,11 @@
         }
     }
 
-    /** A bound above what ram_mb leaves does no harm: the heap grows with what is accepted. */
-    private static void addHeapBound(
+    /** A bound above what ram_mb leaves is harmless: the heap grows with the accepted jobs. */
+    private static void addMaximumHeapWarnings(
             Settings.Limits limits, double heapBoundMb, List<String> warnings) {
-        double usable = limits.memoryMb() - Settings.Limits.MEMORY_BESIDE_HEAP_MB;
-        if (heapBoundMb < Math.min(usable, LARGEST_FLEET_HEAP_MB) * USABLE_SHARE) {
+        double availableMb = limits.memoryMb() - Settings.Limits.MEMORY_BESIDE_HEAP_MB;
+        if (heapBoundMb < Math.min(availableMb, LARGEST_FLEET_HEAP_MB) * REPORTED_SHARE) {
             warnings.add(
                     String.format(
                             "cluster.machine_limits.ram_mb is %.0f, but as started here the heap"
@@ -91,7 +92,7 @@
                                     + " as the run line of deploy/service.toml does",
                             limits.memoryMb(),
                             heapBoundMb,
-                            Math.min(usable, LARGEST_FLEET_HEAP_MB)));
+                            Math.min(availableMb, LARGEST_FLEET_HEAP_MB)));
         }
     }
 }
--- a/src/main/java/org/springmill/protocol/TaskId.java
+++ b/src/main/java/org/springmill/protocol/TaskId.java
@@ -8,7 +8,11 @@
  */
 public record TaskId(String job, int index) {
 
-    /** Reads the form that {@link #toString} writes. */
+    /**
+     * Parses the form that {@link #toString} returns.
+     *
+     * @throws MalformedMessageException if the text has another form
+     */
     public static TaskId parse(String text) throws MalformedMessageException {
         int slash = text.lastIndexOf('/');
         try {
@@ -20,8 +24,8 @@
         }
     }
 
-    // The generated methods of a record go through method handles, which a leader of a large fleet,
-    // looking up every task of every report, was seen to spend much of its time in.
+    // The generated methods of a record go through method handles. A leader of a large fleet, which
+    // looks up every task of every heartbeat, spent much of its time in them.
 
     @Override
     public boolean equals(Object other) {
