--- /dev/null
+++ b/src/main/java/org/springmill/transport/ConnectionPool.java
@@ -0,0 +1,184 @@
+package org.springmill.transport;
+
+import io.undertow.UndertowOptions;
+import io.undertow.client.ClientConnection;
+import io.undertow.client.UndertowClient;
+import java.io.IOException;
+import java.net.URI;
+import java.util.ArrayDeque;
+import java.util.function.Consumer;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+import org.xnio.OptionMap;
+import org.xnio.Options;
+
+/** The connections to one address, each with one request at a time, and the requests that wait. */
+final class ConnectionPool {
+    private static final Logger LOG = LoggerFactory.getLogger(ConnectionPool.class);
+
+    /** Connection attempts at once, as long as none of them hangs. */
+    private static final int MAX_CONNECTING = 2;
+
+    /** After this time without a new attempt, those under way are taken to hang. */
+    private static final double CONNECT_RETRY_SECONDS = 5.0;
+
+    private static final OptionMap OPTIONS =
+            OptionMap.builder()
+                    .set(Options.TCP_NODELAY, true)
+                    .set(UndertowOptions.ENABLE_HTTP2, false)
+                    .getMap();
+
+    private final String address;
+    private final URI uri;
+    private final int maxOpen;
+    private final boolean limited;
+    private final SocketBudget budget;
+    private final ClientContext context;
+    private final Consumer<ConnectionPool> onUnused;
+    private final ArrayDeque<ClientConnection> idle = new ArrayDeque<>();
+    private final ArrayDeque<PendingRequest> waiting = new ArrayDeque<>();
+    private int open;
+    private int connecting;
+    private double lastConnectTime;
+
+    /**
+     * A pool without connections.
+     *
+     * @param address host and port of the server
+     * @param maxOpen the most connections of this pool
+     * @param limited whether its connections count against the budget of all pools
+     * @param onUnused called when the pool has neither connections nor requests left
+     */
+    ConnectionPool(
+            String address,
+            int maxOpen,
+            boolean limited,
+            SocketBudget budget,
+            ClientContext context,
+            Consumer<ConnectionPool> onUnused) {
+        this.address = address;
+        this.uri = URI.create("http://" + address);
+        this.maxOpen = maxOpen;
+        this.limited = limited;
+        this.budget = budget;
+        this.context = context;
+        this.onUnused = onUnused;
+    }
+
+    /** Sends a request on an idle connection, or as soon as there is one. */
+    void submit(PendingRequest request) {
+        waiting.add(request);
+        dispatch();
+    }
+
+    /** Removes a request that has not been sent. */
+    void cancel(PendingRequest request) {
+        waiting.remove(request);
+        if (waiting.isEmpty()) {
+            budget.removeWaiting(this);
+        }
+    }
+
+    /** Sends waiting requests on idle connections; opens a connection for the others. */
+    void dispatch() {
+        sendOnIdleConnections();
+        if (!needsConnection()) {
+            return;
+        }
+        if (!limited || budget.makeRoom()) {
+            connect();
+        } else {
+            budget.addWaiting(this);
+        }
+    }
+
+    private void sendOnIdleConnections() {
+        while (!waiting.isEmpty()) {
+            ClientConnection connection = idle.poll();
+            if (connection == null) {
+                return;
+            }
+            budget.removeIdle(connection);
+            if (connection.isOpen()) {
+                waiting.poll().send(connection);
+            }
+        }
+    }
+
+    private boolean needsConnection() {
+        boolean hanging =
+                connecting > 0 && context.loop().now() - lastConnectTime > CONNECT_RETRY_SECONDS;
+        return waiting.size() > connecting
+                && open + connecting < maxOpen
+                && (connecting < MAX_CONNECTING || hanging);
+    }
+
+    private void connect() {
+        connecting++;
+        if (limited) {
+            budget.acquire();
+        }
+        lastConnectTime = context.loop().now();
+        UndertowClient.getInstance()
+                .connect(
+                        Callbacks.of(this::connected, this::connectFailed),
+                        uri,
+                        context.thread(),
+                        context.buffers(),
+                        OPTIONS);
+    }
+
+    private void connected(ClientConnection connection) {
+        connecting--;
+        open++;
+        connection.getCloseSetter().set(channel -> closed(connection));
+        if (connection.isOpen()) {
+            addIdle(connection);
+            dispatchAll();
+        }
+    }
+
+    private void connectFailed(IOException e) {
+        connecting--;
+        releaseSocket();
+        LOG.debug("connect to {}: {}", address, e.getMessage());
+        // All requests that waited for this attempt fail together; each caller decides for itself
+        // what to do next.
+        while (waiting.size() > connecting) {
+            waiting.poll().finish(HttpClient.Reply.NOT_SENT);
+        }
+    }
+
+    private void closed(ClientConnection connection) {
+        open--;
+        idle.remove(connection);
+        budget.removeIdle(connection);
+        releaseSocket();
+        if (open + connecting + waiting.size() == 0) {
+            onUnused.accept(this);
+        } else {
+            dispatch();
+        }
+    }
+
+    private void releaseSocket() {
+        if (limited) {
+            budget.release();
+        }
+        budget.serveWaiting();
+    }
+
+    /** Takes back a connection whose request is complete. */
+    void addIdle(ClientConnection connection) {
+        idle.push(connection);
+        if (limited) {
+            budget.addIdle(connection);
+        }
+    }
+
+    /** Sends what waits, in this pool first, after a connection became idle. */
+    void dispatchAll() {
+        dispatch();
+        budget.serveWaiting();
+    }
+}
--- a/src/main/java/org/springmill/transport/EventLoop.java
+++ b/src/main/java/org/springmill/transport/EventLoop.java
@@ -1,25 +1,30 @@
 package org.springmill.transport;
 
 /**
- * The event loop that owns all state of a controller: a steady clock and timers whose tasks run one
- * at a time. Timers may fire late and every user has to tolerate that.
+ * The event loop that owns all state of a controller: a monotonic clock, and timers whose tasks run
+ * one at a time. Timers may fire late; every caller has to tolerate that.
  */
 public interface EventLoop {
 
-    /** Seconds on the steady clock, from an arbitrary start. */
+    /** Seconds on the monotonic clock, from an arbitrary origin. */
     double now();
 
     /**
-     * Seconds of the time of day, which other controllers share within the bound of the settings.
+     * Time of day, in seconds since 1970; the clocks of the controllers agree within the skew bound
+     * of the settings.
      */
     double timeOfDay();
 
-    /** Runs a task once so many seconds have passed. */
+    /**
+     * Runs a task once after a delay.
+     *
+     * @param seconds the delay; 0 or less runs it as soon as the loop is free
+     */
     Timer after(double seconds, Runnable task);
 
-    /** A pending task; cancelling one that has run does nothing. */
+    /** A pending task. */
     interface Timer {
-        /** The task will not run. */
+        /** Cancels the task; does nothing if it has run. */
         void cancel();
     }
 }
--- a/src/main/java/org/springmill/transport/HttpClient.java
+++ b/src/main/java/org/springmill/transport/HttpClient.java
@@ -2,44 +2,57 @@
 
 import java.util.function.Consumer;
 
-/** Sends requests without blocking; each is answered exactly once, on the loop. */
+/** Sends requests without blocking; each callback runs exactly once, on the event loop. */
 public interface HttpClient {
 
-    /** Sends a request; what came of it is passed on once. */
+    /**
+     * Sends a request.
+     *
+     * @param done takes the outcome, once
+     */
     void send(Request request, Consumer<Reply> done);
 
     /**
-     * A request to one address.
+     * A request.
      *
+     * @param address host and port of the server
+     * @param method HTTP method
+     * @param path with the query, if there is one
      * @param body may be empty
+     * @param timeoutSeconds time until the request fails, its wait for a connection included
      */
     record Request(
             String address, String method, String path, byte[] body, double timeoutSeconds) {}
 
     /**
-     * What came of a request.
+     * The outcome of a request.
      *
-     * <p>The two ways of having no answer differ in what they prove: a request that was {@link
+     * <p>The two outcomes without a response differ in what they prove: a request that was {@link
      * #NOT_SENT} can never be executed, one that was {@link #LOST} may have been executed, or may
      * yet be, minutes later.
      *
+     * @param status HTTP status; not positive if there is no response
+     * @param body of the response
      * @param retryAfterSeconds from {@code Retry-After}; 0 if there is none
      */
     record Reply(int status, byte[] body, int retryAfterSeconds) {
+        /** The request never left this process. */
         public static final Reply NOT_SENT = new Reply(-1, new byte[0]);
+
+        /** The request was sent, at least in part, and there is no response. */
         public static final Reply LOST = new Reply(0, new byte[0]);
 
-        /** An answer without {@code Retry-After}. */
+        /** A response without {@code Retry-After}. */
         public Reply(int status, byte[] body) {
             this(status, body, 0);
         }
 
-        /** Whether there is an answer, whatever its status. */
+        /** Whether there is a response, whatever its status. */
         public boolean answered() {
             return status > 0;
         }
 
-        /** Whether the request was served. */
+        /** Whether the request succeeded. */
         public boolean ok() {
             return status == 200;
         }
--- a/src/main/java/org/springmill/transport/HttpHandler.java
+++ b/src/main/java/org/springmill/transport/HttpHandler.java
@@ -1,14 +1,17 @@
 package org.springmill.transport;
 
-/** Answers requests on the loop, at once or later. */
+/** Handles requests on the event loop; each is answered at once or later. */
 public interface HttpHandler {
 
+    /** Handles one request. */
     void handle(Call call);
 
     /** One request, to be answered exactly once. */
     interface Call {
+        /** The HTTP method. */
         String method();
 
+        /** The path, without the query. */
         String path();
 
         /** The query, without its question mark; empty if there is none. */
@@ -16,13 +19,15 @@
             return "";
         }
 
-        /** The body, or null if it was longer than the limit. */
+        /** The body; null if it was larger than the limit. */
         byte[] body();
 
         /**
-         * Answers the request.
+         * Answers the request; further calls do nothing.
          *
-         * @param retryAfterSeconds sent as {@code Retry-After} when positive
+         * @param status HTTP status
+         * @param body of the response; may be empty
+         * @param retryAfterSeconds sent as {@code Retry-After} if positive
          */
         void reply(int status, byte[] body, int retryAfterSeconds);
     }
--- a/src/main/java/org/springmill/transport/PeerLink.java
+++ b/src/main/java/org/springmill/transport/PeerLink.java
@@ -1,20 +1,20 @@
 package org.springmill.transport;
 
 /**
- * Short records between controllers. Nothing is promised: a record may be lost, late, or go to a
- * restarted peer.
+ * Sends short records between controllers. Delivery is not guaranteed: a record may be lost, late,
+ * or reach a restarted peer.
  */
 public interface PeerLink {
 
-    /** Sends a record to a node, without waiting for anything. */
+    /** Sends a record to a node, without blocking. Records to unknown nodes are dropped. */
     void send(String node, byte[] record);
 
-    /** Names the listener that takes all records from now on. */
+    /** Sets the listener that receives all records from now on. */
     void onRecord(Listener listener);
 
-    /** Takes records as they come. */
+    /** Receives records, on the event loop. */
     interface Listener {
-        /** A record came from some node, which its content names. */
+        /** A record has arrived; its content names the sender. */
         void received(byte[] record);
 
         /** A node refused a connection: a hint that its process has ended, but no proof. */
--- a/src/main/java/org/springmill/transport/Transport.java
+++ b/src/main/java/org/springmill/transport/Transport.java
@@ -3,6 +3,7 @@
 import io.undertow.connector.ByteBufferPool;
 import io.undertow.server.DefaultByteBufferPool;
 import java.io.IOException;
+import java.util.Map;
 import java.util.Set;
 import org.xnio.OptionMap;
 import org.xnio.Options;
@@ -10,34 +11,48 @@
 import org.xnio.XnioIoThread;
 import org.xnio.XnioWorker;
 
-/** The one I/O thread with everything that runs on it: loop, HTTP server and client, peer link. */
+/**
+ * The only I/O thread and all that runs on it: event loop, HTTP servers and clients, peer link.
+ * Closing it closes all of them.
+ */
 public final class Transport implements AutoCloseable {
-    /** Requests and answers of this service mostly fit one buffer. */
+    /** Most requests and responses fit into one buffer. */
     private static final int BUFFER_BYTES = 8 * 1024;
 
-    /** Workers come with one connection each, users with a few. */
+    /** Share of the sockets for connections of workers, one each, and of users. */
     private static final double SERVER_SHARE = 0.6;
 
-    /** Commands to workers go over kept connections as far as these reach. */
+    /** Share of the sockets for connections to workers, kept open as far as they suffice. */
     private static final double CLIENT_SHARE = 0.3;
 
-    /** Of the sockets that neither share takes, what goes to one preferred address. */
+    /** Share of the sockets for one preferred address, out of those in neither other share. */
     private static final double PREFERRED_ADDRESS_SHARE = 0.03;
 
+    private static final int MIN_SERVER_SOCKETS = 16;
+    private static final int MIN_CLIENT_SOCKETS = 8;
+    private static final int MAX_POOLED_BUFFERS = 256;
+    private static final int THREAD_LOCAL_BUFFERS = 4;
+
     private final XnioWorker worker;
     private final XnioIoThread thread;
-    private final ByteBufferPool buffers = new DefaultByteBufferPool(true, BUFFER_BYTES, 256, 4);
+    private final ByteBufferPool buffers =
+            new DefaultByteBufferPool(true, BUFFER_BYTES, MAX_POOLED_BUFFERS, THREAD_LOCAL_BUFFERS);
     private final XnioEventLoop loop;
-    private final UndertowClients client;
+    private final ClientContext clientContext;
+    private final UndertowHttpClient client;
     private final int serverSockets;
 
     /**
-     * @param maxSockets what the platform allows; what neither share takes is for the other
-     *     controllers and preferred
-     * @param preferred addresses whose connections are not bounded with those to workers
+     * Starts the I/O thread.
+     *
+     * @param maxSockets the most open sockets; those in neither share are for the other controllers
+     *     and the preferred addresses
+     * @param preferred addresses with a connection limit of their own, apart from the one for all
+     *     workers
+     * @throws IOException if the thread cannot be started
      */
     public Transport(int maxSockets, Set<String> preferred) throws IOException {
-        serverSockets = Math.max(16, (int) (maxSockets * SERVER_SHARE));
+        serverSockets = Math.max(MIN_SERVER_SOCKETS, (int) (maxSockets * SERVER_SHARE));
         worker =
                 Xnio.getInstance(Transport.class.getClassLoader())
                         .createWorker(
@@ -49,17 +64,16 @@
                                         .getMap());
         thread = worker.getIoThread();
         loop = new XnioEventLoop(thread);
+        clientContext = new ClientContext(thread, buffers, loop);
         client =
-                new UndertowClients(
-                        thread,
-                        buffers,
-                        loop,
-                        Math.max(8, (int) (maxSockets * CLIENT_SHARE)),
+                new UndertowHttpClient(
+                        clientContext,
+                        Math.max(MIN_CLIENT_SOCKETS, (int) (maxSockets * CLIENT_SHARE)),
                         preferred,
                         (int) (maxSockets * PREFERRED_ADDRESS_SHARE));
     }
 
-    /** The loop on which all callbacks run. */
+    /** The event loop on which all callbacks run. */
     public EventLoop loop() {
         return loop;
     }
@@ -69,19 +83,35 @@
         return client;
     }
 
-    /** Another client with connections of its own, as another host would have. */
+    /**
+     * Creates another client, with connections of its own, as another host would have.
+     *
+     * @param maxSockets its most open connections
+     */
     public HttpClient newClient(int maxSockets) {
-        return new UndertowClients(thread, buffers, loop, maxSockets, Set.of(), 0);
+        return new UndertowHttpClient(clientContext, maxSockets, Set.of(), 0);
     }
 
-    /** Serves HTTP on an address ("ip:port") and returns the port that was bound. */
+    /**
+     * Starts an HTTP server.
+     *
+     * @param address to listen on, as "ip:port"; port 0 takes any free one
+     * @return the port that was bound
+     * @throws IOException if the address cannot be bound
+     */
     public int serve(String address, HttpHandler handler) throws IOException {
         return UndertowServer.start(
                 worker, buffers, loop, Addresses.parse(address), serverSockets, handler);
     }
 
-    /** Opens the link to the other controllers. */
-    public PeerLink peers(String listen, java.util.Map<String, String> peers) throws IOException {
+    /**
+     * Opens the link to the other controllers.
+     *
+     * @param listen address to listen on, as "ip:port"
+     * @param peers addresses of the other controllers, by node
+     * @throws IOException if the address cannot be bound
+     */
+    public PeerLink peers(String listen, Map<String, String> peers) throws IOException {
         return new XnioPeerLink(worker, thread, loop, Addresses.parse(listen), peers);
     }
 
--- a/src/main/java/org/springmill/transport/UndertowServer.java
+++ b/src/main/java/org/springmill/transport/UndertowServer.java
@@ -21,32 +21,44 @@
 import org.xnio.XnioWorker;
 import org.xnio.channels.AcceptingChannel;
 
-/** Reads whole requests on the I/O thread and hands them to one handler. */
+/** An HTTP server that reads whole requests on the I/O thread and passes them to one handler. */
 final class UndertowServer {
     private static final Logger LOG = LoggerFactory.getLogger(UndertowServer.class);
 
     static final int MAX_BODY_BYTES = 64 * 1024;
     private static final int MAX_HEADER_BYTES = 8 * 1024;
 
-    /**
-     * A request that was begun has to be complete within this time; a half-sent one must not hold a
-     * socket.
-     */
-    private static final int REQUEST_MS = 5_000;
+    /** Time in which a request has to be complete; a half-sent one must not hold a socket. */
+    private static final int REQUEST_TIMEOUT_MILLISECONDS = 5_000;
+
+    private static final int IDLE_TIMEOUT_MILLISECONDS = 30_000;
+
+    private static final double MILLISECONDS_PER_SECOND = 1000.0;
 
-    private static final int IDLE_MS = 30_000;
+    /** One in so many sockets stays free between the connection limit and the high water mark. */
+    private static final int SPARE_FRACTION = 8;
+
+    /** Accepting resumes so many connections below the high water mark. */
+    private static final int LOW_WATER_DISTANCE = 4;
 
     /** Connections that may wait to be accepted; the operating system may keep fewer. */
     private static final int MIN_BACKLOG = 256;
 
     private UndertowServer() {}
 
+    /**
+     * Starts to listen; the worker that it runs on stops it.
+     *
+     * @param maxSockets the most open connections
+     * @return the port that was bound
+     * @throws IOException if the address cannot be bound
+     */
     static int start(
             XnioWorker worker,
             ByteBufferPool buffers,
             EventLoop loop,
             InetSocketAddress address,
-            int most,
+            int maxSockets,
             HttpHandler handler)
             throws IOException {
         HttpOpenListener listener =
@@ -54,32 +66,34 @@
                         buffers,
                         OptionMap.builder()
                                 .set(UndertowOptions.MAX_HEADER_SIZE, MAX_HEADER_BYTES)
-                                .set(UndertowOptions.REQUEST_PARSE_TIMEOUT, REQUEST_MS)
-                                .set(UndertowOptions.NO_REQUEST_TIMEOUT, IDLE_MS)
+                                .set(
+                                        UndertowOptions.REQUEST_PARSE_TIMEOUT,
+                                        REQUEST_TIMEOUT_MILLISECONDS)
+                                .set(UndertowOptions.NO_REQUEST_TIMEOUT, IDLE_TIMEOUT_MILLISECONDS)
                                 .set(UndertowOptions.ALWAYS_SET_DATE, false)
                                 .set(UndertowOptions.ENABLE_HTTP2, false)
                                 .getMap());
-        // Connections past the high mark wait in the backlog: a flood must not take the sockets
-        // that this
-        // controller needs for the key-value store, the cloud and the workers' commands.
-        Admission admission = new Admission(most - most / 8);
+        // Connections above the high water mark wait in the backlog: a flood must not take the
+        // sockets that this controller needs for the key-value store, the cloud and the commands to
+        // workers.
+        ConnectionLimit connections = new ConnectionLimit(maxSockets - maxSockets / SPARE_FRACTION);
         listener.setRootHandler(
                 exchange ->
                         receive(
                                 exchange,
                                 loop,
                                 call -> {
-                                    if (!admission.used(exchange.getConnection())) {
+                                    if (!connections.markUsed(exchange.getConnection())) {
                                         exchange.setPersistent(false);
                                     }
                                     handler.handle(call);
                                 }));
-        // At a takeover all workers come within a second.
-        int backlog = Math.max(MIN_BACKLOG, most / 4);
+        // After a failover all workers connect within a second.
+        int backlog = Math.max(MIN_BACKLOG, maxSockets / 4);
         ChannelListener<AcceptingChannel<StreamConnection>> acceptor =
                 ChannelListeners.openListenerAdapter(
                         connection -> {
-                            admission.admit(connection);
+                            connections.accept(connection);
                             listener.handleEvent(connection);
                         });
         AcceptingChannel<StreamConnection> channel =
@@ -90,8 +104,8 @@
                                 .set(Options.TCP_NODELAY, true)
                                 .set(Options.REUSE_ADDRESSES, true)
                                 .set(Options.BACKLOG, backlog)
-                                .set(Options.CONNECTION_HIGH_WATER, most)
-                                .set(Options.CONNECTION_LOW_WATER, most - 4)
+                                .set(Options.CONNECTION_HIGH_WATER, maxSockets)
+                                .set(Options.CONNECTION_LOW_WATER, maxSockets - LOW_WATER_DISTANCE)
                                 .getMap());
         channel.resumeAccepts();
         return channel.getLocalAddress(InetSocketAddress.class).getPort();
@@ -107,19 +121,21 @@
             deliver(exchange, new byte[0], handler);
             return;
         }
-        EventLoop.Timer limit =
-                loop.after(REQUEST_MS / 1000.0, () -> IoUtils.safeClose(exchange.getConnection()));
-        // The limit for bodies of undeclared length has to be set before the request's channel is
-        // taken.
+        EventLoop.Timer timeout =
+                loop.after(
+                        REQUEST_TIMEOUT_MILLISECONDS / MILLISECONDS_PER_SECOND,
+                        () -> IoUtils.safeClose(exchange.getConnection()));
+        // The limit of bodies without a declared length has to be set before the channel of the
+        // request is obtained.
         exchange.setMaxEntitySize(MAX_BODY_BYTES);
         exchange.getRequestReceiver()
                 .receiveFullBytes(
                         (e, body) -> {
-                            limit.cancel();
+                            timeout.cancel();
                             deliver(e, body, handler);
                         },
                         (e, error) -> {
-                            limit.cancel();
+                            timeout.cancel();
                             if (error instanceof Receiver.RequestToLargeException) {
                                 e.setPersistent(false);
                                 deliver(e, null, handler);
@@ -146,7 +162,7 @@
     private static final class UndertowCall implements HttpHandler.Call {
         private final HttpServerExchange exchange;
         private final byte[] body;
-        private boolean replied;
+        private boolean answered;
 
         UndertowCall(HttpServerExchange exchange, byte[] body) {
             this.exchange = exchange;
@@ -175,10 +191,10 @@
 
         @Override
         public void reply(int status, byte[] answer, int retryAfterSeconds) {
-            if (replied || exchange.isComplete()) {
+            if (answered || exchange.isComplete()) {
                 return;
             }
-            replied = true;
+            answered = true;
             exchange.setStatusCode(status);
             if (retryAfterSeconds > 0) {
                 exchange.getResponseHeaders().put(Headers.RETRY_AFTER, retryAfterSeconds);
--- a/src/main/java/org/springmill/transport/XnioEventLoop.java
+++ b/src/main/java/org/springmill/transport/XnioEventLoop.java
@@ -6,10 +6,13 @@
 import org.xnio.XnioExecutor;
 import org.xnio.XnioIoThread;
 
-/** The loop on XNIO's only I/O thread. */
+/** The event loop on XNIO's only I/O thread. */
 final class XnioEventLoop implements EventLoop {
     private static final Logger LOG = LoggerFactory.getLogger(XnioEventLoop.class);
 
+    private static final double NANOSECONDS_PER_SECOND = 1e9;
+    private static final double MILLISECONDS_PER_SECOND = 1e3;
+
     private final XnioIoThread thread;
 
     XnioEventLoop(XnioIoThread thread) {
@@ -18,12 +21,12 @@
 
     @Override
     public double now() {
-        return System.nanoTime() / 1e9;
+        return System.nanoTime() / NANOSECONDS_PER_SECOND;
     }
 
     @Override
     public double timeOfDay() {
-        return System.currentTimeMillis() / 1e3;
+        return System.currentTimeMillis() / MILLISECONDS_PER_SECOND;
     }
 
     @Override
@@ -33,13 +36,12 @@
             thread.execute(guarded);
             return () -> {};
         }
-        XnioExecutor.Key key =
-                thread.executeAfter(
-                        guarded, Math.max(1, Math.round(seconds * 1000)), TimeUnit.MILLISECONDS);
+        long milliseconds = Math.max(1, Math.round(seconds * MILLISECONDS_PER_SECOND));
+        XnioExecutor.Key key = thread.executeAfter(guarded, milliseconds, TimeUnit.MILLISECONDS);
         return key::remove;
     }
 
-    /** A defect in one task must not end the thread that serves all the others. */
+    /** Runs a task; an exception of one must not end the thread that runs all others. */
     static void runGuarded(Runnable task) {
         try {
             task.run();
--- a/src/main/java/org/springmill/transport/XnioPeerLink.java
+++ b/src/main/java/org/springmill/transport/XnioPeerLink.java
@@ -21,31 +21,35 @@
 import org.xnio.conduits.ConduitStreamSourceChannel;
 
 /**
- * Records over TCP, each behind its length. Every controller sends on connections that it opened
- * itself and only reads from those it accepted, so that a half-dead connection of one direction
- * never holds up the other.
+ * Records over TCP, each after its length. Every controller sends on connections that it opened
+ * itself and only reads from those it accepted, so that a half-open connection of one direction
+ * never blocks the other.
  */
 final class XnioPeerLink implements PeerLink {
     private static final Logger LOG = LoggerFactory.getLogger(XnioPeerLink.class);
 
     private static final int MAX_RECORD_BYTES = 32 * 1024;
-    private static final int MAX_QUEUED = 16;
+    private static final int MAX_QUEUED_RECORDS = 16;
     private static final double CONNECT_TIMEOUT_SECONDS = 2.0;
+
+    /** Bytes of the length before each record. */
+    private static final int LENGTH_BYTES = Integer.BYTES;
+
     private static final OptionMap OPTIONS = OptionMap.create(Options.TCP_NODELAY, true);
 
     private final XnioIoThread thread;
     private final EventLoop loop;
-    private final Map<String, Outgoing> outgoing = new HashMap<>();
+    private final Map<String, Sender> senders = new HashMap<>();
     private Listener listener =
             new Listener() {
                 @Override
                 public void received(byte[] record) {
-                    LOG.debug("a record came before anyone takes them");
+                    LOG.debug("dropped a peer record: no listener yet");
                 }
 
                 @Override
                 public void refused(String node) {
-                    LOG.debug("{} refused before anyone listens", node);
+                    LOG.debug("connection refused by {}: no listener yet", node);
                 }
             };
 
@@ -59,21 +63,11 @@
         this.thread = thread;
         this.loop = loop;
         peers.forEach(
-                (node, address) ->
-                        outgoing.put(node, new Outgoing(node, Addresses.parse(address))));
+                (node, address) -> senders.put(node, new Sender(node, Addresses.parse(address))));
         AcceptingChannel<StreamConnection> server =
                 worker.createStreamConnectionServer(
                         listen,
-                        channel -> {
-                            try {
-                                StreamConnection connection;
-                                while ((connection = channel.accept()) != null) {
-                                    read(connection);
-                                }
-                            } catch (IOException e) {
-                                LOG.debug("accepting a peer: {}", e.getMessage());
-                            }
-                        },
+                        this::accept,
                         OptionMap.builder()
                                 .set(Options.TCP_NODELAY, true)
                                 .set(Options.REUSE_ADDRESSES, true)
@@ -82,32 +76,43 @@
     }
 
     @Override
-    public void onRecord(Listener taker) {
-        listener = taker;
+    public void onRecord(Listener newListener) {
+        listener = newListener;
     }
 
     @Override
     public void send(String node, byte[] record) {
-        Outgoing to = outgoing.get(node);
-        if (to != null) {
-            to.send(record);
+        Sender sender = senders.get(node);
+        if (sender != null) {
+            sender.send(record);
+        }
+    }
+
+    private void accept(AcceptingChannel<StreamConnection> channel) {
+        try {
+            StreamConnection connection;
+            while ((connection = channel.accept()) != null) {
+                read(connection);
+            }
+        } catch (IOException e) {
+            LOG.debug("accepting a peer connection failed: {}", e.getMessage());
         }
     }
 
     private void read(StreamConnection connection) {
-        ByteBuffer buffer = ByteBuffer.allocate(4 + MAX_RECORD_BYTES);
+        ByteBuffer buffer = ByteBuffer.allocate(LENGTH_BYTES + MAX_RECORD_BYTES);
         ConduitStreamSourceChannel source = connection.getSourceChannel();
         ChannelListener<ConduitStreamSourceChannel> reader =
                 channel -> {
                     try {
-                        int n;
-                        while ((n = channel.read(buffer)) > 0) {
+                        int bytesRead;
+                        while ((bytesRead = channel.read(buffer)) > 0) {
                             if (!deliver(buffer)) {
                                 IoUtils.safeClose(connection);
                                 return;
                             }
                         }
-                        if (n < 0) {
+                        if (bytesRead < 0) {
                             IoUtils.safeClose(connection);
                         }
                     } catch (IOException e) {
@@ -118,15 +123,15 @@
         source.resumeReads();
     }
 
-    /** Hands over every whole record; false if the sender breaks the bound. */
+    /** Delivers every whole record; false if the sender exceeds the size limit. */
     private boolean deliver(ByteBuffer buffer) {
         buffer.flip();
-        while (buffer.remaining() >= 4) {
+        while (buffer.remaining() >= LENGTH_BYTES) {
             int length = buffer.getInt(buffer.position());
             if (length < 0 || length > MAX_RECORD_BYTES) {
                 return false;
             }
-            if (buffer.remaining() < 4 + length) {
+            if (buffer.remaining() < LENGTH_BYTES + length) {
                 break;
             }
             buffer.getInt();
@@ -138,28 +143,31 @@
         return true;
     }
 
-    private final class Outgoing {
+    /** The connection to one peer, with the records that wait for it. */
+    private final class Sender {
         private final String node;
         private final InetSocketAddress address;
         private final ArrayDeque<ByteBuffer> queue = new ArrayDeque<>();
         private StreamConnection connection;
         private IoFuture<StreamConnection> attempt;
 
-        Outgoing(String node, InetSocketAddress address) {
+        Sender(String node, InetSocketAddress address) {
             this.node = node;
             this.address = address;
         }
 
         void send(byte[] record) {
-            if (queue.size() >= MAX_QUEUED) {
-                // The peer does not read: what is queued is stale by now, and so is the connection.
+            if (queue.size() >= MAX_QUEUED_RECORDS) {
+                // The peer does not read: the queue is stale by now, and so is the connection.
                 queue.clear();
                 close();
             }
-            ByteBuffer framed =
-                    ByteBuffer.allocate(4 + record.length).putInt(record.length).put(record);
-            framed.flip();
-            queue.add(framed);
+            ByteBuffer frame =
+                    ByteBuffer.allocate(LENGTH_BYTES + record.length)
+                            .putInt(record.length)
+                            .put(record);
+            frame.flip();
+            queue.add(frame);
             if (connection != null && connection.isOpen()) {
                 flush();
             } else if (attempt == null) {
@@ -194,15 +202,15 @@
         private void opened(StreamConnection opened) {
             attempt = null;
             connection = opened;
-            // Nothing is ever sent back on this connection; reading only tells when the peer has
-            // ended.
+            // Nothing is ever sent back on this connection; reading only detects that the peer has
+            // closed it.
             ConduitStreamSourceChannel source = opened.getSourceChannel();
-            ByteBuffer scrap = ByteBuffer.allocate(64);
+            ByteBuffer discarded = ByteBuffer.allocate(64);
             source.setReadListener(
                     channel -> {
                         try {
-                            scrap.clear();
-                            if (channel.read(scrap) < 0) {
+                            discarded.clear();
+                            if (channel.read(discarded) < 0) {
                                 close();
                             }
                         } catch (IOException e) {
--- a/src/main/java/org/springmill/transport/package-info.java
+++ b/src/main/java/org/springmill/transport/package-info.java
@@ -1,6 +1,8 @@
 /**
- * Event loop, HTTP server and clients, and the link between controllers, behind small interfaces.
+ * Event loop, HTTP servers and clients, and the link between controllers, behind small interfaces.
+ * Owns the only I/O thread and all sockets of a process, and bounds their number.
  *
- * <p>Knows nothing of what the messages mean.
+ * <p>Uses Undertow and XNIO, and no other package; does not know what the messages mean.
+ * Controllers and the emulator send and receive through it.
  */
 package org.springmill.transport;
