--- a/src/main/java/org/springmill/cli/EmulateCommand.java
+++ b/src/main/java/org/springmill/cli/EmulateCommand.java
@@ -13,7 +13,7 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
-/** Runs real controllers inside an emulated deployment on this machine, and measures them. */
+/** Runs real controllers in an emulated deployment on this machine, and measures them. */
 @Command(
         name = "emulate",
         mixinStandardHelpOptions = true,
@@ -31,7 +31,7 @@
     private Path scenarioFile;
 
     @Option(names = "--out", description = "File for the result, in JSON.")
-    private Path out;
+    private Path resultFile;
 
     @Option(
             names = "--logs",
@@ -53,8 +53,8 @@
     @Override
     public Integer call() {
         try {
-            OptionalLong given = seed == null ? OptionalLong.empty() : OptionalLong.of(seed);
-            return emulate(ScenarioFile.read(scenarioFile, given));
+            OptionalLong seedOverride = seed == null ? OptionalLong.empty() : OptionalLong.of(seed);
+            return emulate(ScenarioFile.read(scenarioFile, seedOverride));
         } catch (SettingsException e) {
             System.err.println("springmill: " + e.getMessage());
             return RunCommand.BAD_SETTINGS;
@@ -67,7 +67,7 @@
     private int emulate(Scenario scenario) throws Exception {
         Files.createDirectories(logs);
         try (Emulation emulation = new Emulation(scenario, network, logs, EmulateCommand::print)) {
-            // Also when interrupted: no controller outlives its emulation.
+            // Also on an interrupt, so that no controller process outlives the emulation.
             Runtime.getRuntime().addShutdownHook(new Thread(emulation::close));
             EmulationResult result = emulation.run();
             write(result);
@@ -81,8 +81,8 @@
     }
 
     private void write(EmulationResult result) throws IOException {
-        if (out != null) {
-            result.write(out);
+        if (resultFile != null) {
+            result.write(resultFile);
         }
     }
 }
--- a/src/main/java/org/springmill/cli/Main.java
+++ b/src/main/java/org/springmill/cli/Main.java
@@ -23,6 +23,7 @@
 
     @CommandLine.Spec private CommandLine.Model.CommandSpec spec;
 
+    /** Runs a command; exits with its code, unless the command keeps the process running. */
     public static void main(String[] args) {
         setLogLevel(System.getenv("LOG_LEVEL"));
         int code = new CommandLine(new Main()).execute(args);
@@ -31,7 +32,11 @@
         }
     }
 
-    /** Has to come before the first logger is made. */
+    /**
+     * Sets the level of the log; must be called before the first logger is created.
+     *
+     * @param level "error" or "debug"; any other, or null, stands for "info"
+     */
     static void setLogLevel(String level) {
         String known = level == null ? "info" : level.toLowerCase(Locale.ROOT);
         if (!known.equals("error") && !known.equals("debug")) {
@@ -46,6 +51,7 @@
         spec.commandLine().usage(System.out);
     }
 
+    /** Reads the version that the build wrote into the jar. */
     static final class Version implements CommandLine.IVersionProvider {
         @Override
         public String[] getVersion() throws IOException {
--- a/src/main/java/org/springmill/cli/RunCommand.java
+++ b/src/main/java/org/springmill/cli/RunCommand.java
@@ -19,10 +19,12 @@
         mixinStandardHelpOptions = true,
         description = "Runs one controller until it is killed.")
 final class RunCommand implements Callable<Integer> {
-    /** Not an exit code: the threads of the transport keep the process going. */
+    /** Not an exit code: the threads of the transport keep the process running. */
     static final int KEEPS_RUNNING = -1;
 
+    /** Exit code for settings that cannot be used. */
     static final int BAD_SETTINGS = 2;
+
     private static final int CANNOT_START = 1;
 
     @Mixin private SettingsOptions options;
@@ -41,11 +43,14 @@
         }
     }
 
+    /**
+     * Starts a controller on the threads of a transport.
+     *
+     * @throws IOException if an address cannot be bound
+     */
     static void start(Settings settings) throws IOException {
-        // Both may stand at one address, as they do in the archive training run: it failed unseen
-        // on a set of
-        // two, and processes
-        // started without an archive of their classes.
+        // Both may have the same address, as in the training run of the class-data archive: Set.of
+        // rejects duplicates.
         Transport transport =
                 new Transport(
                         settings.limits().maxSockets(),
@@ -64,9 +69,9 @@
     }
 
     /**
-     * Differs between the processes of a node, which is all that an incarnation needs. The
-     * process's id is not used: asking for it makes the JVM read files of the system in native
-     * code, which has ended processes at their start.
+     * A seed that differs between the processes of a node, which is all that their incarnations
+     * need. The process id is not part of it: to obtain it, the JVM reads system files in native
+     * code, which has crashed processes at their start.
      */
     private static long seed(Settings settings) {
         return System.currentTimeMillis() << 20 ^ System.nanoTime() ^ settings.node().hashCode();
--- a/src/main/java/org/springmill/cli/SettingsOptions.java
+++ b/src/main/java/org/springmill/cli/SettingsOptions.java
@@ -7,7 +7,7 @@
 import org.springmill.protocol.SettingsWarnings;
 import picocli.CommandLine.Option;
 
-/** The files that settings come from. */
+/** The options that name the settings files. */
 final class SettingsOptions {
     private static final double BYTES_PER_MB = 1024.0 * 1024.0;
 
@@ -24,16 +24,21 @@
             description = "Operators' own settings (HCL, optional).")
     private Path operator;
 
+    /** The platform's settings file. */
     Path config() {
         return config;
     }
 
-    /** Reads and checks the settings; what looks mistaken is told on standard error. */
+    /**
+     * Reads and checks the settings; warnings go to standard error.
+     *
+     * @throws SettingsException if a file cannot be read, or a field is missing or invalid
+     */
     Settings read() throws SettingsException {
         Settings settings = SettingsFile.read(config, operator);
         double heapMb = Runtime.getRuntime().totalMemory() / BYTES_PER_MB;
-        double heapBoundMb = Runtime.getRuntime().maxMemory() / BYTES_PER_MB;
-        for (String warning : SettingsWarnings.of(settings, heapMb, heapBoundMb)) {
+        double maxHeapMb = Runtime.getRuntime().maxMemory() / BYTES_PER_MB;
+        for (String warning : SettingsWarnings.of(settings, heapMb, maxHeapMb)) {
             System.err.println("springmill: warning: " + config + ": " + warning);
         }
         return settings;
--- a/src/main/java/org/springmill/cli/TrainArchiveCommand.java
+++ b/src/main/java/org/springmill/cli/TrainArchiveCommand.java
@@ -1,6 +1,7 @@
 package org.springmill.cli;
 
 import java.io.IOException;
+import java.net.ServerSocket;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.List;
@@ -9,6 +10,8 @@
 import org.springmill.protocol.ArchiveTrainingMessages;
 import org.springmill.protocol.ArchiveTrainingMessages.Answer;
 import org.springmill.protocol.MalformedMessageException;
+import org.springmill.protocol.PeerMessages;
+import org.springmill.protocol.PeerMessages.CancellationNotice;
 import org.springmill.protocol.UserMessages;
 import org.springmill.protocol.WorkerMessages;
 import org.springmill.transport.HttpClient.Request;
@@ -18,10 +21,9 @@
 import picocli.CommandLine.Command;
 
 /**
- * Plays a few seconds of a controller's life on loopback, for the build to record which classes it
- * needs. A process that is started again has little processor time and leases that run out: what is
- * not recorded it would have to read from the jar and verify at the very moment at which it takes
- * over.
+ * Runs a controller for a few seconds on loopback, for the build to record which classes it loads.
+ * A restarted process has little CPU time while leases expire: classes that are not in the archive
+ * would have to be read from the jar and verified during the failover.
  */
 @Command(name = "train-archive", hidden = true)
 final class TrainArchiveCommand implements Callable<Integer> {
@@ -72,58 +74,78 @@
     private static final double STEP_SECONDS = 0.15;
     private static final int STEPS = 24;
 
-    private ArchiveTrainingMessages world;
+    /** Steps after which the next kind of request is sent. */
+    private static final int STEPS_PER_REQUEST = 3;
+
+    private static final int MAX_SOCKETS = 100;
+    private static final double REQUEST_TIMEOUT_SECONDS = 1;
+    private static final double MILLISECONDS_PER_SECOND = 1000;
+
+    private ArchiveTrainingMessages messages;
 
     @Override
     public Integer call() throws Exception {
         Path file = Files.createTempFile("training", ".toml");
-        Transport around = new Transport(100, Set.of());
+        Transport surroundings = new Transport(MAX_SOCKETS, Set.of());
         try {
-            int port = around.serve("127.0.0.1:0", this::play);
-            world = new ArchiveTrainingMessages("127.0.0.1:" + port);
+            int port = surroundings.serve("127.0.0.1:0", this::answer);
+            messages = new ArchiveTrainingMessages("127.0.0.1:" + port);
             int api = freePort();
             Files.writeString(file, SETTINGS.formatted(api, "127.0.0.1:" + port));
-            // By the real command line, which has classes of its own that a start needs.
+            // Through the command line, which loads classes that a start needs.
             new CommandLine(new Main()).execute("run", "--config", file.toString());
-            visit(around, "127.0.0.1:" + api, 0);
-            Thread.sleep((long) ((STEPS + 2) * STEP_SECONDS * 1000));
+            loadPeerRecordReader();
+            sendRequests(surroundings, "127.0.0.1:" + api, 0);
+            Thread.sleep((long) ((STEPS + 2) * STEP_SECONDS * MILLISECONDS_PER_SECOND));
         } finally {
             Files.delete(file);
         }
         return 0;
     }
 
+    /** No peer sends a record in this run, but one does so soon after a start. */
+    private static void loadPeerRecordReader() throws MalformedMessageException {
+        PeerMessages.decode(PeerMessages.encode(new CancellationNotice("other", List.of())));
+    }
+
     private static int freePort() throws IOException {
-        try (java.net.ServerSocket socket = new java.net.ServerSocket(0)) {
+        try (ServerSocket socket = new ServerSocket(0)) {
             return socket.getLocalPort();
         }
     }
 
-    private void play(HttpHandler.Call call) {
+    private void answer(HttpHandler.Call call) {
         try {
-            Answer answer = world.answer(call.method(), call.path(), call.body());
+            Answer answer = messages.answer(call.method(), call.path(), call.body());
             call.reply(answer.status(), answer.body(), 0);
         } catch (MalformedMessageException e) {
             call.reply(400, new byte[0], 0);
         }
     }
 
-    /** One user and one worker, taking turns. */
-    private void visit(Transport around, String api, int step) {
-        List<Request> visits =
+    /**
+     * Sends the next request of a user and the next heartbeat of the worker, and so on in steps.
+     */
+    private void sendRequests(Transport surroundings, String api, int step) {
+        List<Request> requests =
                 List.of(
-                        post(api, WorkerMessages.HEARTBEAT_PATH, world.heartbeat()),
+                        post(api, WorkerMessages.HEARTBEAT_PATH, messages.heartbeat()),
                         post(
                                 api,
                                 UserMessages.SUBMISSIONS,
                                 ArchiveTrainingMessages.submission("run-000001", true)),
-                        new Request(api, "GET", UserMessages.READY, new byte[0], 1),
+                        new Request(
+                                api,
+                                "GET",
+                                UserMessages.READY,
+                                new byte[0],
+                                REQUEST_TIMEOUT_SECONDS),
                         new Request(
                                 api,
                                 "GET",
                                 UserMessages.SUBMISSIONS + "/run-000001",
                                 new byte[0],
-                                1),
+                                REQUEST_TIMEOUT_SECONDS),
                         post(
                                 api,
                                 UserMessages.SUBMISSIONS,
@@ -132,14 +154,18 @@
                                 api,
                                 UserMessages.SUBMISSIONS + "/run-000001" + UserMessages.WITHDRAW,
                                 new byte[0]));
-        around.client().send(visits.get(step / 3 % visits.size()), reply -> {});
-        around.client().send(visits.get(0), reply -> {});
+        surroundings
+                .client()
+                .send(requests.get(step / STEPS_PER_REQUEST % requests.size()), reply -> {});
+        surroundings.client().send(requests.get(0), reply -> {});
         if (step < STEPS) {
-            around.loop().after(STEP_SECONDS, () -> visit(around, api, step + 1));
+            surroundings
+                    .loop()
+                    .after(STEP_SECONDS, () -> sendRequests(surroundings, api, step + 1));
         }
     }
 
     private static Request post(String api, String path, byte[] body) {
-        return new Request(api, "POST", path, body, 1);
+        return new Request(api, "POST", path, body, REQUEST_TIMEOUT_SECONDS);
     }
 }
