--- a/src/main/java/org/springmill/cli/Main.java
+++ b/src/main/java/org/springmill/cli/Main.java
@@ -23,7 +23,11 @@
 
     @CommandLine.Spec private CommandLine.Model.CommandSpec spec;
 
-    /** Runs a command; exits with its code, unless the command keeps the process running. */
+    /**
+     * Runs a command; exits with its code, unless the command keeps the process running.
+     *
+     * @param args the command with its options
+     */
     public static void main(String[] args) {
         setLogLevel(System.getenv("LOG_LEVEL"));
         int code = new CommandLine(new Main()).execute(args);
--- a/src/main/java/org/springmill/transport/EventLoop.java
+++ b/src/main/java/org/springmill/transport/EventLoop.java
@@ -6,12 +6,18 @@
  */
 public interface EventLoop {
 
-    /** Seconds on the monotonic clock, from an arbitrary origin. */
+    /**
+     * Seconds on the monotonic clock, from an arbitrary origin.
+     *
+     * @return seconds, which never decrease
+     */
     double now();
 
     /**
      * Time of day, in seconds since 1970; the clocks of the controllers agree within the skew bound
      * of the settings.
+     *
+     * @return seconds, which may jump
      */
     double timeOfDay();
 
@@ -19,6 +25,8 @@
      * Runs a task once after a delay.
      *
      * @param seconds the delay; 0 or less runs it as soon as the loop is free
+     * @param task what to run
+     * @return the pending task
      */
     Timer after(double seconds, Runnable task);
 
--- a/src/main/java/org/springmill/transport/HttpClient.java
+++ b/src/main/java/org/springmill/transport/HttpClient.java
@@ -8,6 +8,7 @@
     /**
      * Sends a request.
      *
+     * @param request what to send
      * @param done takes the outcome, once
      */
     void send(Request request, Consumer<Reply> done);
@@ -42,17 +43,30 @@
         /** The request was sent, at least in part, and there is no response. */
         public static final Reply LOST = new Reply(0, new byte[0]);
 
-        /** A response without {@code Retry-After}. */
+        /**
+         * A response without {@code Retry-After}.
+         *
+         * @param status HTTP status
+         * @param body of the response
+         */
         public Reply(int status, byte[] body) {
             this(status, body, 0);
         }
 
-        /** Whether there is a response, whatever its status. */
+        /**
+         * Whether there is a response, whatever its status.
+         *
+         * @return whether the status is that of a response
+         */
         public boolean answered() {
             return status > 0;
         }
 
-        /** Whether the request succeeded. */
+        /**
+         * Whether the request succeeded.
+         *
+         * @return whether the status is 200
+         */
         public boolean ok() {
             return status == 200;
         }
--- a/src/main/java/org/springmill/transport/HttpHandler.java
+++ b/src/main/java/org/springmill/transport/HttpHandler.java
@@ -3,23 +3,43 @@
 /** Handles requests on the event loop; each is answered at once or later. */
 public interface HttpHandler {
 
-    /** Handles one request. */
+    /**
+     * Handles one request.
+     *
+     * @param call the request, which the handler answers
+     */
     void handle(Call call);
 
     /** One request, to be answered exactly once. */
     interface Call {
-        /** The HTTP method. */
+        /**
+         * The HTTP method.
+         *
+         * @return the method, such as "GET"
+         */
         String method();
 
-        /** The path, without the query. */
+        /**
+         * The path, without the query.
+         *
+         * @return the path, which begins with a slash
+         */
         String path();
 
-        /** The query, without its question mark; empty if there is none. */
+        /**
+         * The query, without its question mark; empty if there is none.
+         *
+         * @return the query as it was sent
+         */
         default String query() {
             return "";
         }
 
-        /** The body; null if it was larger than the limit. */
+        /**
+         * The body; null if it was larger than the limit.
+         *
+         * @return the whole body; empty if there is none
+         */
         byte[] body();
 
         /**
--- a/src/main/java/org/springmill/transport/PeerLink.java
+++ b/src/main/java/org/springmill/transport/PeerLink.java
@@ -6,18 +6,35 @@
  */
 public interface PeerLink {
 
-    /** Sends a record to a node, without blocking. Records to unknown nodes are dropped. */
+    /**
+     * Sends a record to a node, without blocking. Records to unknown nodes are dropped.
+     *
+     * @param node name of the receiver
+     * @param record at most 32 KiB
+     */
     void send(String node, byte[] record);
 
-    /** Sets the listener that receives all records from now on. */
+    /**
+     * Sets the listener that receives all records from now on.
+     *
+     * @param listener replaces the one before it
+     */
     void onRecord(Listener listener);
 
     /** Receives records, on the event loop. */
     interface Listener {
-        /** A record has arrived; its content names the sender. */
+        /**
+         * A record has arrived; its content names the sender.
+         *
+         * @param record as it was sent
+         */
         void received(byte[] record);
 
-        /** A node refused a connection: a hint that its process has ended, but no proof. */
+        /**
+         * A node refused a connection: a hint that its process has ended, but no proof.
+         *
+         * @param node name of the node
+         */
         void refused(String node);
     }
 }
--- a/src/main/java/org/springmill/transport/Transport.java
+++ b/src/main/java/org/springmill/transport/Transport.java
@@ -73,12 +73,20 @@
                         (int) (maxSockets * PREFERRED_ADDRESS_SHARE));
     }
 
-    /** The event loop on which all callbacks run. */
+    /**
+     * The event loop on which all callbacks run.
+     *
+     * @return the loop on the I/O thread
+     */
     public EventLoop loop() {
         return loop;
     }
 
-    /** The client for all outgoing requests. */
+    /**
+     * The client for all outgoing requests.
+     *
+     * @return the client that has the sockets of the client share
+     */
     public HttpClient client() {
         return client;
     }
@@ -87,6 +95,7 @@
      * Creates another client, with connections of its own, as another host would have.
      *
      * @param maxSockets its most open connections
+     * @return a client without preferred addresses
      */
     public HttpClient newClient(int maxSockets) {
         return new UndertowHttpClient(clientContext, maxSockets, Set.of(), 0);
@@ -96,6 +105,7 @@
      * Starts an HTTP server.
      *
      * @param address to listen on, as "ip:port"; port 0 takes any free one
+     * @param handler answers the requests
      * @return the port that was bound
      * @throws IOException if the address cannot be bound
      */
@@ -109,6 +119,7 @@
      *
      * @param listen address to listen on, as "ip:port"
      * @param peers addresses of the other controllers, by node
+     * @return the link, which drops records until it has a listener
      * @throws IOException if the address cannot be bound
      */
     public PeerLink peers(String listen, Map<String, String> peers) throws IOException {
