--- a/src/test/java/org/springmill/cli/SettingsTest.java
+++ b/src/test/java/org/springmill/cli/SettingsTest.java
@@ -111,7 +111,7 @@
                 "txn_ops = 16          | txn_ops = 1              | 2 | cluster.state.txn_ops must be at least 4",
                 "[cluster.cloud]       | [cluster.cloud           | 2 | not valid TOML",
             })
-    void settingsAreCheckedWithTheFieldNamed(String from, String to, int code, String says)
+    void theErrorNamesTheInvalidField(String from, String to, int code, String says)
             throws IOException {
         assertTrue(GOOD.contains(from));
         Path file = Files.writeString(folder.resolve("service.toml"), GOOD.replace(from, to));
@@ -155,7 +155,8 @@
                 "rentals = 5                             | 2 | rentals must be a block",
                 "rentals { idle_boots =                  | 2 | operator.hcl",
             })
-    void operatorsSettingsAreCheckedLikewise(String hcl, int code, String says) throws IOException {
+    void theErrorNamesTheInvalidOperatorSetting(String hcl, int code, String says)
+            throws IOException {
         Path file = Files.writeString(folder.resolve("service.toml"), GOOD);
         Path operator = Files.writeString(folder.resolve("operator.hcl"), hcl);
         Ran ran = run("check", "--config", file.toString(), "--operator", operator.toString());
@@ -237,7 +238,7 @@
         "run, 2, --config",
         "dance, 2, dance"
     })
-    void theCommandLineExplainsItself(String args, int code, String says) {
+    void theCommandLinePrintsHelpVersionAndErrors(String args, int code, String says) {
         Ran ran = run(args.split(" "));
         assertEquals(code, ran.code());
         assertTrue((ran.out() + ran.err()).contains(says), ran.out() + ran.err());
--- a/src/test/java/org/springmill/protocol/PeerMessagesTest.java
+++ b/src/test/java/org/springmill/protocol/PeerMessagesTest.java
@@ -77,7 +77,7 @@
 
     @ParameterizedTest
     @MethodSource("records")
-    void recordsSurviveAndBrokenOnesAreRefused(PeerRecord message)
+    void recordsAreDecodedAsEncodedAndTruncatedOnesAreRefused(PeerRecord message)
             throws MalformedMessageException {
         byte[] bytes = PeerMessages.encode(message);
         assertEquals(message, PeerMessages.decode(bytes));
@@ -97,8 +97,7 @@
      * wrote and read.
      */
     @Test
-    void theFirstVersionsStatusIsUnderstoodAndUnderstandsThisOne()
-            throws MalformedMessageException {
+    void aStatusOfTheFirstVersionIsCompatibleBothWays() throws MalformedMessageException {
         byte[] first =
                 HexFormat.of()
                         .parseHex(
@@ -163,7 +162,7 @@
 
     @ParameterizedTest
     @MethodSource("bytesOfEarlierVersions")
-    void everyVersionsBytesAreReadAndWrittenAsTheyWere(PeerRecord message, String hex)
+    void theBytesOfEveryVersionAreEncodedAndDecodedUnchanged(PeerRecord message, String hex)
             throws MalformedMessageException {
         assertEquals(message, PeerMessages.decode(HexFormat.of().parseHex(hex)));
         assertEquals(hex, HexFormat.of().formatHex(PeerMessages.encode(message)));
@@ -178,7 +177,7 @@
 
     /** Told only by those who take part, so that every other status keeps its bytes. */
     @Test
-    void theBoundedHistoryIsOneByteAfterTheNews() throws MalformedMessageException {
+    void theHistoryFlagIsOneByteAfterTheCancellationDelta() throws MalformedMessageException {
         CancellationDelta delta = new CancellationDelta(41, 7, false, true, List.of());
         PeerStatus without =
                 new PeerStatus("n-1", 7, 3, true, false, true, 3, false, 250, 99, delta);
@@ -191,7 +190,7 @@
     }
 
     @Test
-    void aRecordIsBounded() {
+    void aRecordIsTruncatedAtItsBound() {
         byte[] longer =
                 PeerMessages.encode(
                         new CancellationNotice(
--- a/src/test/java/org/springmill/protocol/SettingsWarningsTest.java
+++ b/src/test/java/org/springmill/protocol/SettingsWarningsTest.java
@@ -21,10 +21,10 @@
         "a heap that cannot follow ram_mb, a, 5, 26, 56, 414, 56, ram_mb is 414: beyond 56 MB: -Xmx342m or more",
         "enough heap for any fleet, a, 5, 26, 56, 4000, 512, ''",
     })
-    void settingsThatWereHardlyMeantAreWarnedOf(
+    void unintendedSettingsCauseWarnings(
             String situation,
             String zone,
-            double reportSeconds,
+            double heartbeatIntervalSeconds,
             double leaseSeconds,
             double cancelSeconds,
             double memoryMb,
@@ -33,7 +33,7 @@
         Settings settings =
                 SettingsFixtures.with(
                         zone,
-                        new Settings.Workers(reportSeconds, leaseSeconds, cancelSeconds),
+                        new Settings.Workers(heartbeatIntervalSeconds, leaseSeconds, cancelSeconds),
                         new Settings.Limits(0.1, memoryMb, 600));
         List<String> warnings = SettingsWarnings.of(settings, 56, heapBoundMb);
         assertEquals(expected.isEmpty() ? 0 : 1, warnings.size(), () -> situation + warnings);
--- a/src/test/java/org/springmill/protocol/SubmissionTest.java
+++ b/src/test/java/org/springmill/protocol/SubmissionTest.java
@@ -23,7 +23,7 @@
     }
 
     @Test
-    void whatIsStoredIsReadBackTheSame() throws MalformedMessageException {
+    void aStoredSubmissionIsReadBackUnchanged() throws MalformedMessageException {
         Submission job = parse(GOOD);
         assertEquals(job, Submission.parse(job.toJson()));
         assertEquals(16, job.tasks());
@@ -55,7 +55,7 @@
                 "\"loaner\":true,          | ``                           | loaner",
                 "\"dueS\":900.0            | \"dueS\":-3                  | dueS",
             })
-    void aWrongFieldIsNamed(String from, String to, String field) {
+    void theErrorNamesTheInvalidField(String from, String to, String field) {
         assertTrue(GOOD.contains(from));
         MalformedMessageException e =
                 assertThrows(MalformedMessageException.class, () -> parse(GOOD.replace(from, to)));
@@ -66,13 +66,13 @@
     @CsvSource(
             delimiter = '|',
             value = {"[]", "17", "{", "''", "nonsense", "{} {}", "null"})
-    void whatIsNoObjectIsRefused(String body) {
+    void aBodyThatIsNoObjectIsRefused(String body) {
         assertThrows(MalformedMessageException.class, () -> parse(body));
     }
 
     @ParameterizedTest
     @CsvSource({"1, 1", "2, 1", "5, 3", "9, 5"})
-    void halfOfASpreadJobRoundedUpMayShareAZone(int tasks, int perZone)
+    void aZoneMayHoldHalfOfASpreadJobRoundedUp(int tasks, int perZone)
             throws MalformedMessageException {
         assertEquals(
                 perZone,
@@ -128,7 +128,7 @@
                 "[~run-1234567890123456789~] | waitsOn holds something that is no job's id",
                 "[~run-7~,~run-000412~]      | waitsOn names the job itself",
             })
-    void dependenciesOfAWrongFormAreRefused(String names, String message) {
+    void malformedDependenciesAreRefused(String names, String message) {
         MalformedMessageException e =
                 assertThrows(MalformedMessageException.class, () -> parse(withDependencies(names)));
         assertEquals(message, e.getMessage());
--- a/src/test/java/org/springmill/transport/TransportTest.java
+++ b/src/test/java/org/springmill/transport/TransportTest.java
@@ -23,10 +23,11 @@
     private static final String REQUEST = "GET /ready HTTP/1.1\r\nHost: x\r\n\r\n";
 
     /**
-     * More workers than places: each is answered, and those without a place are asked to come anew.
+     * More workers than connections: each is answered, and those above the limit are asked to
+     * reconnect.
      */
     @Test
-    void whoeverFindsNoPlaceIsAnsweredAndToldToClose() throws Exception {
+    void connectionsAboveTheLimitAreAnsweredAndClosed() throws Exception {
         try (Transport server = new Transport(100, Set.of())) {
             int port = server.serve("127.0.0.1:0", call -> call.reply(200, new byte[0], 0));
             List<Socket> workers = new ArrayList<>();
@@ -71,7 +72,7 @@
 
     /** More machines than sockets: commands to them wait for a connection and all are sent. */
     @Test
-    void connectionsToWorkersAreBoundedTogether() throws Exception {
+    void connectionsToAllWorkersShareOneLimit() throws Exception {
         int machines = 30;
         AtomicInteger held = new AtomicInteger();
         AtomicInteger most = new AtomicInteger();
