--- a/src/main/java/org/springmill/control/cluster/BootTimes.java
+++ b/src/main/java/org/springmill/control/cluster/BootTimes.java
@@ -13,19 +13,19 @@
      * Most machines are up within one and a half nominal boot times. Before that none is late,
      * however quick the last ones were: boots that were quick for a while are normal again later.
      */
-    private static final double LEAST_BOOTS = 1.6;
+    private static final double MIN_BOOT_TIMES = 1.6;
 
     /** None is waited for much longer than operators are ready to wait. */
-    private static final double MAX_PATIENCES = 2;
+    private static final double MAX_PATIENCE_FACTOR = 2;
 
     /** Of the first time that is measured: the spread that the cloud names, and some more. */
-    private static final double FIRST_DEVIATION = 1 / 8.0;
+    private static final double INITIAL_DEVIATION_SHARE = 1 / 8.0;
 
     private static final double MEAN_GAIN = 1 / 8.0;
     private static final double DEVIATION_GAIN = 1 / 4.0;
-    private static final double DEVIATIONS = 4;
+    private static final double DEVIATION_FACTOR = 4;
 
-    private final double patienceBoots;
+    private final double patienceBootTimes;
 
     /** By type and zone, and by type alone. */
     private final Map<String, Estimate> estimates = new HashMap<>();
@@ -43,7 +43,7 @@
      * @param patienceBoots how many nominal boot times operators are ready to wait
      */
     BootTimes(double patienceBoots) {
-        this.patienceBoots = patienceBoots;
+        this.patienceBootTimes = patienceBoots;
     }
 
     /** Notes that a machine came up for the first time. */
@@ -58,7 +58,7 @@
         estimates.put(
                 key,
                 known == null
-                        ? new Estimate(seconds, seconds * FIRST_DEVIATION)
+                        ? new Estimate(seconds, seconds * INITIAL_DEVIATION_SHARE)
                         : known.with(seconds));
     }
 
@@ -70,9 +70,11 @@
         Estimate ofType = estimates.get(type.name());
         Estimate known = estimates.getOrDefault(key(type, zone), ofType);
         double measured =
-                known == null ? 0 : known.meanSeconds() + DEVIATIONS * known.deviationSeconds();
-        double most = MAX_PATIENCES * patienceBoots * type.bootSeconds();
-        return Math.min(most, Math.max(LEAST_BOOTS * type.bootSeconds(), measured));
+                known == null
+                        ? 0
+                        : known.meanSeconds() + DEVIATION_FACTOR * known.deviationSeconds();
+        double most = MAX_PATIENCE_FACTOR * patienceBootTimes * type.bootSeconds();
+        return Math.min(most, Math.max(MIN_BOOT_TIMES * type.bootSeconds(), measured));
     }
 
     /** Spot machines boot like others. */
--- a/src/main/java/org/springmill/control/cluster/ClusterState.java
+++ b/src/main/java/org/springmill/control/cluster/ClusterState.java
@@ -23,7 +23,7 @@
     private final Map<String, Job> jobs = new LinkedHashMap<>();
     private final Map<String, TeamUsage> teams = new HashMap<>();
     private final Set<TaskAttempt> ended = new LinkedHashSet<>();
-    private final Map<Priority, Integer> attempts = new EnumMap<>(Priority.class);
+    private final Map<Priority, Integer> attemptsByPriority = new EnumMap<>(Priority.class);
 
     public ClusterState(Settings settings) {
         settings.teams().forEach(team -> teams.put(team.name(), new TeamUsage(team)));
@@ -43,9 +43,9 @@
 
     /** Gives a job the place that follows from those that need it. */
     void rank(Job job, Priority priority, double latestStart) {
-        attempts.merge(job.priority(), -job.liveCount(), Integer::sum);
+        attemptsByPriority.merge(job.priority(), -job.liveCount(), Integer::sum);
         job.rank(priority, latestStart);
-        attempts.merge(job.priority(), job.liveCount(), Integer::sum);
+        attemptsByPriority.merge(job.priority(), job.liveCount(), Integer::sum);
     }
 
     public void dropJob(Job job) {
@@ -73,15 +73,15 @@
         attempt.job().remove(attempt);
         attempt.machine().remove(attempt, now);
         charge(attempt, -1);
-        if (attempt.markLeaving(false)) {
-            usage(attempt.job().spec().team()).leaving(attempt.job().spec(), -1);
+        if (attempt.markStopRequested(false)) {
+            usage(attempt.job().spec().team()).stopping(attempt.job().spec(), -1);
         }
     }
 
     /** Notes that an attempt was told to stop: it still counts, but gives nothing more back. */
     public void noteLeaving(TaskAttempt attempt) {
-        if (attempt.markLeaving(true)) {
-            usage(attempt.job().spec().team()).leaving(attempt.job().spec(), 1);
+        if (attempt.markStopRequested(true)) {
+            usage(attempt.job().spec().team()).stopping(attempt.job().spec(), 1);
         }
     }
 
@@ -91,8 +91,8 @@
                 attempt.state() == TaskAttempt.State.STOPPING
                         || attempt.state() == TaskAttempt.State.ENDED
                         || attempt.state() == TaskAttempt.State.CLOSED;
-        if (!told && attempt.markLeaving(false)) {
-            usage(attempt.job().spec().team()).leaving(attempt.job().spec(), -1);
+        if (!told && attempt.markStopRequested(false)) {
+            usage(attempt.job().spec().team()).stopping(attempt.job().spec(), -1);
         }
         return !told;
     }
@@ -100,32 +100,32 @@
     private void charge(TaskAttempt attempt, int sign) {
         Submission spec = attempt.job().spec();
         usage(spec.team()).charge(spec, sign);
-        attempts.merge(attempt.job().priority(), sign, Integer::sum);
+        attemptsByPriority.merge(attempt.job().priority(), sign, Integer::sum);
     }
 
     /** Whether anything at all may be stopped for a job: most find at a glance that nothing may. */
     public boolean mayPreemptFor(Job job) {
         String team = job.spec().team();
-        return runsBelow(job.priority())
-                || (usage(team).guaranteedFor(job.spec()) && otherAboveGuarantee(team));
+        return hasAttemptBelow(job.priority())
+                || (usage(team).guaranteedFor(job.spec()) && isOtherTeamAboveGuarantee(team));
     }
 
     /** Whether anything of a lower priority holds a place. */
-    private boolean runsBelow(Priority priority) {
-        return attempts.entrySet().stream()
+    private boolean hasAttemptBelow(Priority priority) {
+        return attemptsByPriority.entrySet().stream()
                 .anyMatch(e -> e.getValue() > 0 && priority.above(e.getKey()));
     }
 
-    private boolean otherAboveGuarantee(String team) {
+    private boolean isOtherTeamAboveGuarantee(String team) {
         return teams.entrySet().stream()
-                .anyMatch(e -> !e.getKey().equals(team) && e.getValue().aboveGuarantee());
+                .anyMatch(e -> !e.getKey().equals(team) && e.getValue().isAboveGuarantee());
     }
 
     public void releaseHeld() {
-        teams.values().forEach(TeamUsage::releaseHeld);
+        teams.values().forEach(TeamUsage::releaseReservations);
     }
 
-    void noteEnded(TaskAttempt attempt) {
+    void enqueueEnded(TaskAttempt attempt) {
         ended.add(attempt);
     }
 
--- a/src/main/java/org/springmill/control/cluster/DependencyPriority.java
+++ b/src/main/java/org/springmill/control/cluster/DependencyPriority.java
@@ -29,22 +29,22 @@
  */
 public final class DependencyPriority {
     /** Steps of one call of {@link #settle}. */
-    private static final int MOST_STEPS = 5_000;
+    private static final int MAX_STEPS = 5_000;
 
     /** Steps for one change: enough for any ordinary pipeline to be up to date at once. */
-    private static final int MOST_STEPS_PER_CHANGE = 250;
+    private static final int MAX_STEPS_PER_CHANGE = 250;
 
     private final JobDirectory directory;
     private final ClusterState clusterState;
-    private final PriorityQueue<Job> stale =
-            new PriorityQueue<>(Comparator.comparingLong(Job::accepted).reversed());
-    private final Set<String> queued = new HashSet<>();
+    private final PriorityQueue<Job> pendingJobs =
+            new PriorityQueue<>(Comparator.comparingLong(Job::acceptedRevision).reversed());
+    private final Set<String> pendingIds = new HashSet<>();
 
     /** By the id of the dependency, which need not be known yet. */
     private final Map<String, DependentRanks> dependentRanks = new HashMap<>();
 
     /** What each active job with dependencies last told them. */
-    private final Map<String, Rank> told = new HashMap<>();
+    private final Map<String, Rank> propagatedRanks = new HashMap<>();
 
     public DependencyPriority(JobDirectory directory, ClusterState clusterState) {
         this.directory = directory;
@@ -60,11 +60,11 @@
     public int changed(Job job) {
         int steps = 1;
         if (!job.active()) {
-            steps += tellDependencies(job, null);
-        } else if (hasRankOfItsOwn(job) || dependentRanks.containsKey(job.id())) {
-            queue(job);
+            steps += propagateToDependencies(job, null);
+        } else if (hasOwnRank(job) || dependentRanks.containsKey(job.id())) {
+            enqueue(job);
         }
-        return steps + settle(MOST_STEPS_PER_CHANGE);
+        return steps + settle(MAX_STEPS_PER_CHANGE);
     }
 
     /**
@@ -73,32 +73,32 @@
      * @return the steps that this took; 0 if nothing was left to do
      */
     public int settle() {
-        return settle(MOST_STEPS);
+        return settle(MAX_STEPS);
     }
 
     private int settle(int mostSteps) {
         int steps = 0;
-        while (steps < mostSteps && !stale.isEmpty()) {
-            Job job = stale.poll();
-            queued.remove(job.id());
+        while (steps < mostSteps && !pendingJobs.isEmpty()) {
+            Job job = pendingJobs.poll();
+            pendingIds.remove(job.id());
             steps++;
             if (job.active()) {
                 Rank rank = derive(job);
                 apply(job, rank);
-                steps += tellDependencies(job, rank);
+                steps += propagateToDependencies(job, rank);
             }
         }
         return steps;
     }
 
     /** A pipeline may have a single job, which then has the deadline. */
-    private static boolean hasRankOfItsOwn(Job job) {
+    private static boolean hasOwnRank(Job job) {
         return job.spec().deadlineSeconds() != null || !job.spec().dependencies().isEmpty();
     }
 
-    private void queue(Job job) {
-        if (queued.add(job.id())) {
-            stale.add(job);
+    private void enqueue(Job job) {
+        if (pendingIds.add(job.id())) {
+            pendingJobs.add(job);
         }
     }
 
@@ -134,25 +134,28 @@
      * @param rank null once the job has ended
      * @return how many were told
      */
-    private int tellDependencies(Job job, Rank rank) {
+    private int propagateToDependencies(Job job, Rank rank) {
         if (job.spec().dependencies().isEmpty()) {
             return 0;
         }
-        Rank before = rank == null ? told.remove(job.id()) : told.put(job.id(), rank);
+        Rank before =
+                rank == null
+                        ? propagatedRanks.remove(job.id())
+                        : propagatedRanks.put(job.id(), rank);
         if (rank == null ? before == null : rank.equals(before)) {
             return 0;
         }
         for (String dependency : job.spec().dependencies()) {
-            replace(dependency, before, rank);
+            replaceRank(dependency, before, rank);
             Job needed = clusterState.job(dependency);
             if (needed != null && needed.active()) {
-                queue(needed);
+                enqueue(needed);
             }
         }
         return job.spec().dependencies().size();
     }
 
-    private void replace(String dependency, Rank before, Rank after) {
+    private void replaceRank(String dependency, Rank before, Rank after) {
         DependentRanks ranks =
                 dependentRanks.computeIfAbsent(dependency, id -> new DependentRanks());
         if (before != null) {
--- a/src/main/java/org/springmill/control/cluster/DependentRanks.java
+++ b/src/main/java/org/springmill/control/cluster/DependentRanks.java
@@ -36,11 +36,11 @@
     /** Takes out a rank that was added before. */
     void remove(Rank rank) {
         size--;
-        takeOne(priorities, rank.priority());
-        takeOne(latestStarts, rank.latestStart());
+        decrement(priorities, rank.priority());
+        decrement(latestStarts, rank.latestStart());
     }
 
-    private static <K> void takeOne(Map<K, Integer> counts, K key) {
+    private static <K> void decrement(Map<K, Integer> counts, K key) {
         counts.computeIfPresent(key, (same, count) -> count == 1 ? null : count - 1);
     }
 
--- a/src/main/java/org/springmill/control/cluster/EquivalenceClass.java
+++ b/src/main/java/org/springmill/control/cluster/EquivalenceClass.java
@@ -27,7 +27,7 @@
     public static Optional<EquivalenceClass> of(Job job) {
         Submission spec = job.spec();
         boolean dependsOnOtherTasks = spec.oneZone() || spec.spread();
-        if (dependsOnOtherTasks || job.failures().avoidsAny()) {
+        if (dependsOnOtherTasks || job.failures().hasExclusions()) {
             return Optional.empty();
         }
         return Optional.of(
--- a/src/main/java/org/springmill/control/cluster/Fleet.java
+++ b/src/main/java/org/springmill/control/cluster/Fleet.java
@@ -19,21 +19,21 @@
  */
 public final class Fleet {
     /** A margin for slow members: what a gang has saved counts only if all of its members have. */
-    private static final double GANG_SAVE_TIMES = 2;
+    private static final double GANG_CHECKPOINT_SAVE_FACTOR = 2;
 
     /**
      * Late copies of reports come up to some leases after they were sent. Taken for a machine that
      * is up, a deleted one costs the work that is given to it some time, but breaks no rule.
      */
-    private static final double LEASES_TO_REMEMBER_DELETED = 60;
+    private static final double DELETED_RETENTION_LEASES = 60;
 
     private final Map<String, Machine> machines = new LinkedHashMap<>();
     private final ClusterState clusterState;
     private final MachineTypeCatalog catalog;
     private final EventLoop loop;
     private final long term;
-    private final double reportSeconds;
-    private final double rememberDeletedSeconds;
+    private final double heartbeatIntervalSeconds;
+    private final double deletedRetentionSeconds;
 
     /** When the deletion of each machine was confirmed, the earliest first. */
     private final Map<String, Double> deletedMachines = new LinkedHashMap<>();
@@ -55,9 +55,9 @@
         this.catalog = catalog;
         this.loop = loop;
         this.term = term;
-        this.reportSeconds = timeouts.heartbeatIntervalSeconds();
+        this.heartbeatIntervalSeconds = timeouts.heartbeatIntervalSeconds();
         this.bootTimes = new BootTimes(bootPatience);
-        rememberDeletedSeconds = LEASES_TO_REMEMBER_DELETED * timeouts.workerLeaseSeconds();
+        deletedRetentionSeconds = DELETED_RETENTION_LEASES * timeouts.workerLeaseSeconds();
     }
 
     /** A live view of all machines, in the order in which they were first heard of. */
@@ -106,7 +106,7 @@
 
     /** Notes that the cloud has confirmed that a machine and everything on it are gone. */
     public void deleted(Machine machine) {
-        double oldest = loop.now() - rememberDeletedSeconds;
+        double oldest = loop.now() - deletedRetentionSeconds;
         deletedMachines.values().removeIf(deletedAt -> deletedAt < oldest);
         deletedMachines.putIfAbsent(machine.name(), loop.now());
     }
@@ -123,7 +123,7 @@
     }
 
     private void adoptImages(Machine machine) {
-        storedLocations.of(machine.name()).forEach(machine.images()::adopt);
+        storedLocations.of(machine.name()).forEach(machine.images()::restore);
     }
 
     /** Which images the machines that are up hold, to be stored for a later leader. */
@@ -170,7 +170,7 @@
             return;
         }
         clusterState.noteLeaving(attempt);
-        clusterState.noteEnded(attempt);
+        clusterState.enqueueEnded(attempt);
         if (attempt.job().spec().gang() && cause != ExitCause.DONE) {
             abortGang(attempt.job());
         }
@@ -181,14 +181,16 @@
      * together.
      */
     private void abortGang(Job gang) {
-        double graceSeconds = gang.spec().checkpointSaveSeconds() * GANG_SAVE_TIMES;
+        double graceSeconds = gang.spec().checkpointSaveSeconds() * GANG_CHECKPOINT_SAVE_FACTOR;
         gang.attempts().forEach(attempt -> stop(attempt, graceSeconds));
     }
 
     /** Has an attempt stopped to make way, with time to save what it can and to be told of it. */
     public void stopWithCheckpoint(TaskAttempt attempt) {
         Submission spec = attempt.job().spec();
-        stop(attempt, spec.checkpoints() ? spec.checkpointSaveSeconds() + reportSeconds : 0);
+        stop(
+                attempt,
+                spec.checkpoints() ? spec.checkpointSaveSeconds() + heartbeatIntervalSeconds : 0);
     }
 
     /**
--- a/src/main/java/org/springmill/control/cluster/ImageCache.java
+++ b/src/main/java/org/springmill/control/cluster/ImageCache.java
@@ -14,26 +14,29 @@
      * Notes that a task needs an image. One that is missing is fetched after those that are being
      * fetched already.
      */
-    void need(String image, double gb, double capacityGb, double gbPerSecond, double now) {
+    void recordNeeded(String image, double gb, double capacityGb, double gbPerSecond, double now) {
         Image held = images.get(image);
         put(
                 image,
-                new Image(gb, now, held == null ? freeAt(now) + gb / gbPerSecond : held.readyAt()),
+                new Image(
+                        gb,
+                        now,
+                        held == null ? fetchQueueEmptyAt(now) + gb / gbPerSecond : held.readyAt()),
                 capacityGb);
     }
 
     /** Notes that a task runs, so that its image is there. */
-    void use(String image, double gb, double capacityGb, double now) {
+    void recordUsed(String image, double gb, double capacityGb, double now) {
         put(image, new Image(gb, now, now), capacityGb);
     }
 
     /** Notes that no task waits for an image any more: what was not yet there is given up. */
-    void abandon(String image, double now) {
+    void cancelFetch(String image, double now) {
         images.computeIfPresent(image, (name, held) -> held.readyAt() > now ? null : held);
     }
 
     /** When all that is being fetched should be there. */
-    private double freeAt(double now) {
+    private double fetchQueueEmptyAt(double now) {
         return images.values().stream().mapToDouble(Image::readyAt).reduce(now, Math::max);
     }
 
@@ -42,10 +45,10 @@
      * which a machine fetches: one that fetched several large ones kept small services, sent there
      * since it had room, waiting for half a minute.
      */
-    double waitSeconds(String image, double gb, double gbPerSecond, double now) {
+    double fetchWaitSeconds(String image, double gb, double gbPerSecond, double now) {
         Image held = images.get(image);
         return held == null
-                ? freeAt(now) - now + gb / gbPerSecond
+                ? fetchQueueEmptyAt(now) - now + gb / gbPerSecond
                 : Math.max(0, held.readyAt() - now);
     }
 
@@ -68,7 +71,7 @@
     }
 
     /** Takes over what an earlier leader noted, as used longest ago. */
-    void adopt(String image, double gb) {
+    void restore(String image, double gb) {
         images.putIfAbsent(
                 image, new Image(gb, Double.NEGATIVE_INFINITY, Double.NEGATIVE_INFINITY));
     }
--- a/src/main/java/org/springmill/control/cluster/Job.java
+++ b/src/main/java/org/springmill/control/cluster/Job.java
@@ -17,24 +17,24 @@
     private static final Logger LOG = LoggerFactory.getLogger(Job.class);
 
     private final Submission spec;
-    private final long accepted;
+    private final long acceptedRevision;
     private long arrival;
     private Priority priority;
     private double latestStart = Double.POSITIVE_INFINITY;
-    private final BitSet done = new BitSet();
-    private final Int2ObjectHashMap<TaskAttempt> live = new Int2ObjectHashMap<>();
-    private final ArrayDeque<Integer> returned = new ArrayDeque<>();
+    private final BitSet doneTasks = new BitSet();
+    private final Int2ObjectHashMap<TaskAttempt> attemptsByTask = new Int2ObjectHashMap<>();
+    private final ArrayDeque<Integer> requeuedTasks = new ArrayDeque<>();
     private final JobFailures failures;
 
     /** Machines from which waiting tasks were recalled. */
     private final Int2ObjectHashMap<Machine> recalledFrom = new Int2ObjectHashMap<>();
 
-    private int fresh;
+    private int nextNeverClaimedTask;
     private State state;
     private JobPhase phase = JobPhase.QUEUED;
     private long version;
     private double endedAt;
-    private boolean ending;
+    private boolean completionBegun;
 
     /** How far a job is on its way. Its tasks have states of their own. */
     enum State {
@@ -57,7 +57,7 @@
         this.spec = spec;
         this.failures = new JobFailures(spec.id());
         this.state = spec.dependencies().isEmpty() ? State.ELIGIBLE : State.WAITING;
-        this.accepted = version;
+        this.acceptedRevision = version;
         this.arrival = version;
         this.priority = spec.priority();
         this.version = version;
@@ -80,8 +80,8 @@
     }
 
     /** Revision at which the job was accepted: later than those of all that it needs. */
-    long accepted() {
-        return accepted;
+    long acceptedRevision() {
+        return acceptedRevision;
     }
 
     /** The highest of its own priority and those of all that need it. */
@@ -155,15 +155,15 @@
     }
 
     public List<TaskAttempt> attempts() {
-        return new ArrayList<>(live.values());
+        return new ArrayList<>(attemptsByTask.values());
     }
 
     public int liveCount() {
-        return live.size();
+        return attemptsByTask.size();
     }
 
     public int doneCount() {
-        return done.cardinality();
+        return doneTasks.cardinality();
     }
 
     /** How many tasks are done and how many run, for display. */
@@ -178,22 +178,22 @@
     }
 
     public boolean complete() {
-        return !spec.service() && done.cardinality() == spec.tasks();
+        return !spec.service() && doneTasks.cardinality() == spec.tasks();
     }
 
     /** True once, when the job is found complete. */
     public boolean beginEnding() {
-        boolean first = !ending;
-        ending = true;
+        boolean first = !completionBegun;
+        completionBegun = true;
         return first;
     }
 
     public void markDone(BitSet tasks) {
-        done.or(tasks);
+        doneTasks.or(tasks);
     }
 
     public void markDone(int task) {
-        done.set(task);
+        doneTasks.set(task);
     }
 
     /**
@@ -201,27 +201,29 @@
      * first.
      */
     public int nextTask() {
-        while (!returned.isEmpty()) {
-            int task = returned.peek();
-            if (!done.get(task) && !live.containsKey(task)) {
+        while (!requeuedTasks.isEmpty()) {
+            int task = requeuedTasks.peek();
+            if (!doneTasks.get(task) && !attemptsByTask.containsKey(task)) {
                 return task;
             }
-            returned.poll();
+            requeuedTasks.poll();
         }
-        while (fresh < spec.tasks() && (done.get(fresh) || live.containsKey(fresh))) {
-            fresh++;
+        while (nextNeverClaimedTask < spec.tasks()
+                && (doneTasks.get(nextNeverClaimedTask)
+                        || attemptsByTask.containsKey(nextNeverClaimedTask))) {
+            nextNeverClaimedTask++;
         }
-        return fresh < spec.tasks() ? fresh : -1;
+        return nextNeverClaimedTask < spec.tasks() ? nextNeverClaimedTask : -1;
     }
 
     public int waiting() {
-        return eligible() ? spec.tasks() - done.cardinality() - liveNotDone() : 0;
+        return eligible() ? spec.tasks() - doneTasks.cardinality() - unfinishedAttemptCount() : 0;
     }
 
-    private int liveNotDone() {
+    private int unfinishedAttemptCount() {
         int count = 0;
-        for (TaskAttempt attempt : live.values()) {
-            if (!done.get(attempt.claim().task().index())) {
+        for (TaskAttempt attempt : attemptsByTask.values()) {
+            if (!doneTasks.get(attempt.claim().task().index())) {
                 count++;
             }
         }
@@ -229,14 +231,14 @@
     }
 
     void add(TaskAttempt attempt) {
-        live.put(attempt.claim().task().index(), attempt);
+        attemptsByTask.put(attempt.claim().task().index(), attempt);
         recalledFrom.remove(attempt.claim().task().index());
     }
 
     void remove(TaskAttempt attempt) {
         int task = attempt.claim().task().index();
-        if (live.remove(task) != null) {
-            returned.add(task);
+        if (attemptsByTask.remove(task) != null) {
+            requeuedTasks.add(task);
             if (attempt.recalled() && active()) {
                 recalledFrom.put(task, attempt.machine());
             }
@@ -254,7 +256,7 @@
     }
 
     TaskAttempt attempt(int task) {
-        return live.get(task);
+        return attemptsByTask.get(task);
     }
 
     /**
@@ -269,7 +271,7 @@
             return true;
         }
         int here = 0;
-        for (TaskAttempt attempt : live.values()) {
+        for (TaskAttempt attempt : attemptsByTask.values()) {
             String other = attempt.machine().zone();
             if (other.isEmpty() || other.equals(zone)) {
                 here++;
@@ -283,7 +285,7 @@
 
     public int inZone(String zone) {
         int here = 0;
-        for (TaskAttempt attempt : live.values()) {
+        for (TaskAttempt attempt : attemptsByTask.values()) {
             if (attempt.machine().zone().equals(zone)) {
                 here++;
             }
@@ -298,16 +300,16 @@
 
     /** Whether a task waits, and may be started now. */
     public boolean mayStartAnother() {
-        return nextTask() >= 0 && live.size() < mostAtOnce();
+        return nextTask() >= 0 && attemptsByTask.size() < maxConcurrentTasks();
     }
 
     /** How many of its waiting tasks may be started now. */
     public int startable() {
-        return Math.min(waiting(), Math.max(0, mostAtOnce() - live.size()));
+        return Math.min(waiting(), Math.max(0, maxConcurrentTasks() - attemptsByTask.size()));
     }
 
     /** All members of a gang start together, and all replicas of a service are owed. */
-    private int mostAtOnce() {
-        return spec.gang() || spec.service() ? Integer.MAX_VALUE : failures.mostAtOnce();
+    private int maxConcurrentTasks() {
+        return spec.gang() || spec.service() ? Integer.MAX_VALUE : failures.maxConcurrentTasks();
     }
 }
--- a/src/main/java/org/springmill/control/cluster/JobFailures.java
+++ b/src/main/java/org/springmill/control/cluster/JobFailures.java
@@ -14,7 +14,7 @@
  */
 public final class JobFailures {
     /** Failures on so many machines in a row are the job's fault rather than the machines'. */
-    private static final int MACHINES_UNTIL_SUSPECT = 2;
+    private static final int SUSPECT_AFTER_MACHINES = 2;
 
     private static final int MAX_PAUSE_STEPS = 32;
     private static final int MAX_DOUBLINGS = 5;
@@ -25,18 +25,18 @@
     /** Pauses differ by up to so much of their length from one job to the next. */
     private static final double JITTER_SHARE = 0.25;
 
-    private static final int UNLIMITED = Integer.MAX_VALUE;
+    private static final int UNLIMITED_TASKS = Integer.MAX_VALUE;
 
     private final double jitter;
     private final Map<String, Double> excludedUntil = new HashMap<>();
 
     /** Machines on which it failed since a task last succeeded. */
-    private final Set<String> failedOn = new HashSet<>();
+    private final Set<String> failedMachines = new HashSet<>();
 
     private int failedTrials;
     private double trialFailedAt = Double.NEGATIVE_INFINITY;
     private double notBefore;
-    private int mostAtOnce = UNLIMITED;
+    private int maxConcurrentTasks = UNLIMITED_TASKS;
 
     /**
      * @param jobId from which the job's part of the jitter follows, alike at every leader
@@ -54,12 +54,12 @@
      * @param stepSeconds the shortest pause
      */
     public void failed(String machine, double placedAt, double now, double stepSeconds) {
-        failedOn.add(machine);
+        failedMachines.add(machine);
         excludedUntil.put(machine, now + EXCLUSION_STEPS * stepSeconds);
         if (!isSuspect()) {
             return;
         }
-        mostAtOnce = 1;
+        maxConcurrentTasks = 1;
         if (placedAt < trialFailedAt) {
             return;
         }
@@ -75,28 +75,31 @@
             // The job was at fault and is no longer: its machines are none to avoid.
             excludedUntil.clear();
         }
-        failedOn.clear();
+        failedMachines.clear();
         failedTrials = 0;
         notBefore = 0;
-        if (mostAtOnce < UNLIMITED) {
-            mostAtOnce = mostAtOnce > UNLIMITED / 2 ? UNLIMITED : mostAtOnce * 2;
+        if (maxConcurrentTasks < UNLIMITED_TASKS) {
+            maxConcurrentTasks =
+                    maxConcurrentTasks > UNLIMITED_TASKS / 2
+                            ? UNLIMITED_TASKS
+                            : maxConcurrentTasks * 2;
         }
     }
 
     /** Notes that another task of the job runs well, so that a failure is the machine's. */
     public void othersRunWell() {
-        failedOn.clear();
+        failedMachines.clear();
         failedTrials = 0;
     }
 
     /** Whether the job rather than its machines is taken to be at fault. */
     public boolean isSuspect() {
-        return failedOn.size() >= MACHINES_UNTIL_SUSPECT;
+        return failedMachines.size() >= SUSPECT_AFTER_MACHINES;
     }
 
     /** On how many machines it failed since a task last succeeded. */
-    int machines() {
-        return failedOn.size();
+    int failedMachineCount() {
+        return failedMachines.size();
     }
 
     /** Whether the job failed on a machine lately, so that any other is better. */
@@ -113,7 +116,7 @@
     }
 
     /** Whether machines differ for it by where it failed. */
-    boolean avoidsAny() {
+    boolean hasExclusions() {
         return !excludedUntil.isEmpty();
     }
 
@@ -123,7 +126,7 @@
     }
 
     /** How many tasks may be on machines at once. */
-    int mostAtOnce() {
-        return mostAtOnce;
+    int maxConcurrentTasks() {
+        return maxConcurrentTasks;
     }
 }
--- a/src/main/java/org/springmill/control/cluster/Machine.java
+++ b/src/main/java/org/springmill/control/cluster/Machine.java
@@ -113,7 +113,7 @@
     public void describe(String newAddress, MachineType newType, String newZone, boolean newSpot) {
         address = newAddress;
         type = newType;
-        allocation.size(newType);
+        allocation.capacity(newType);
         zone = newZone;
         spot = newSpot;
     }
@@ -345,7 +345,7 @@
             if (attempt.runningSince() == 0
                     && attempts.values().stream()
                             .noneMatch(a -> a.job().spec().image().equals(image))) {
-                images.abandon(image, now);
+                images.cancelFetch(image, now);
             }
             if (attempts.isEmpty()) {
                 idleSince = now;
@@ -403,7 +403,7 @@
      * in a moment. One that hears nobody begins its next session within a lease.
      */
     public boolean hasJustBooted() {
-        return state == State.UP && workerEpoch.isNew() && !commandsFailing();
+        return state == State.UP && workerEpoch.hasSeenNoLeader() && !commandsFailing();
     }
 
     /** Whether its worker has shown a token of this term. */
@@ -413,7 +413,7 @@
 
     /** Notes that a task that is to start here needs its image. */
     public void needsImage(Submission spec, double now) {
-        images.need(
+        images.recordNeeded(
                 spec.image(),
                 spec.imageGb(),
                 type == null ? 0 : type.cacheGb(),
@@ -426,7 +426,7 @@
      * out of the cache.
      */
     public void usesImage(Submission spec, double now) {
-        images.use(spec.image(), spec.imageGb(), type == null ? 0 : type.cacheGb(), now);
+        images.recordUsed(spec.image(), spec.imageGb(), type == null ? 0 : type.cacheGb(), now);
     }
 
     /**
@@ -435,7 +435,7 @@
      */
     public double imageFetchSeconds(Submission spec, double now) {
         return (images.holds(spec.image()) ? 0 : 1)
-                + images.waitSeconds(spec.image(), spec.imageGb(), fetchGbPerSecond(), now);
+                + images.fetchWaitSeconds(spec.image(), spec.imageGb(), fetchGbPerSecond(), now);
     }
 
     private double fetchGbPerSecond() {
--- a/src/main/java/org/springmill/control/cluster/MachineAllocation.java
+++ b/src/main/java/org/springmill/control/cluster/MachineAllocation.java
@@ -8,7 +8,7 @@
 
 /** What of one machine is taken, what is counted on for work to come, and for whom room is kept. */
 public final class MachineAllocation {
-    private Resources size = Resources.NONE;
+    private Resources capacity = Resources.NONE;
     private Resources used = Resources.NONE;
 
     /** The difference of the two; placement asks for it for each job and machine, so it is kept. */
@@ -19,29 +19,29 @@
     private double reservedUntil;
 
     /** Notes what a machine of its type has. */
-    void size(MachineType type) {
-        size =
+    void capacity(MachineType type) {
+        capacity =
                 type == null
                         ? Resources.NONE
                         : new Resources(type.cpus(), type.gpus(), type.memoryGb());
-        free = size.minus(used);
+        free = capacity.minus(used);
     }
 
     /** Adds a task to what is taken, or takes it out. */
     void charge(Submission task, int sign) {
         used = used.plus(Resources.of(task).times(sign));
-        free = size.minus(used);
+        free = capacity.minus(used);
     }
 
     /** Nothing is taken any more; rounding errors end with the last task. */
     void reset() {
         used = Resources.NONE;
-        free = size;
+        free = capacity;
     }
 
     /** What no task takes; nothing is there while the machine's type is not known. */
     Resources free() {
-        return size.equals(Resources.NONE) ? Resources.NONE : free;
+        return capacity.equals(Resources.NONE) ? Resources.NONE : free;
     }
 
     /** Notes what of the free room is counted on for tasks that are expected to arrive. */
--- a/src/main/java/org/springmill/control/cluster/MachineTypeCatalog.java
+++ b/src/main/java/org/springmill/control/cluster/MachineTypeCatalog.java
@@ -19,7 +19,7 @@
     private static final Logger LOG = LoggerFactory.getLogger(MachineTypeCatalog.class);
 
     /** Prices move slowly: they are read again after so many leases. */
-    private static final double LEASES_BETWEEN_READS = 4;
+    private static final double READ_INTERVAL_LEASES = 4;
 
     /** Until the types are known no job can be judged: retries come this often in a lease. */
     private static final double RETRIES_PER_LEASE = 14;
@@ -49,17 +49,17 @@
                         leaseSeconds / TIMEOUTS_PER_LEASE),
                 reply -> {
                     if (reply.ok()) {
-                        take(reply.body());
+                        handleResponse(reply.body());
                     }
                     loop.after(
                             known()
-                                    ? leaseSeconds * LEASES_BETWEEN_READS
+                                    ? leaseSeconds * READ_INTERVAL_LEASES
                                     : leaseSeconds / RETRIES_PER_LEASE,
                             this::start);
                 });
     }
 
-    private void take(byte[] body) {
+    private void handleResponse(byte[] body) {
         try {
             List<MachineType> read = CloudMessages.types(body);
             if (!read.isEmpty()) {
--- a/src/main/java/org/springmill/control/cluster/TaskAttempt.java
+++ b/src/main/java/org/springmill/control/cluster/TaskAttempt.java
@@ -64,7 +64,7 @@
     private double runningSince;
     private double graceSeconds;
     private boolean isMigrating;
-    private boolean leaving;
+    private boolean stopRequested;
     private boolean recalled;
     private double lastReported = Double.NEGATIVE_INFINITY;
     private boolean released;
@@ -195,9 +195,9 @@
     }
 
     /** Notes whether its team's usage counts it as leaving; true if that is a change. */
-    boolean markLeaving(boolean now) {
-        boolean change = leaving != now;
-        leaving = now;
+    boolean markStopRequested(boolean now) {
+        boolean change = stopRequested != now;
+        stopRequested = now;
         return change;
     }
 
--- a/src/main/java/org/springmill/control/cluster/TeamUsage.java
+++ b/src/main/java/org/springmill/control/cluster/TeamUsage.java
@@ -14,10 +14,10 @@
     private Resources used = Resources.NONE;
 
     /** Part of the limit that is kept for replicas that wait for a machine. */
-    private Resources held = Resources.NONE;
+    private Resources reserved = Resources.NONE;
 
     /** Part of what is used that was told to stop. */
-    private Resources leaving = Resources.NONE;
+    private Resources stopping = Resources.NONE;
 
     TeamUsage(Settings.Team team) {
         this.team = team;
@@ -29,18 +29,18 @@
     }
 
     /** Adds a task to what was told to stop, or takes it out. */
-    void leaving(Submission task, int sign) {
-        leaving = leaving.plus(Resources.of(task).times(sign));
+    void stopping(Submission task, int sign) {
+        stopping = stopping.plus(Resources.of(task).times(sign));
     }
 
     /** What it uses beside what was told to stop. */
-    private Resources staying() {
-        return used.minus(leaving);
+    private Resources usedUnlessStopping() {
+        return used.minus(stopping);
     }
 
     /** Whether the limit allows one more task beside what is kept for others. */
     public boolean allows(Submission spec) {
-        Resources all = used.plus(held).plus(spec);
+        Resources all = used.plus(reserved).plus(spec);
         return team.withinLimit(all.cpus(), all.gpus());
     }
 
@@ -50,11 +50,11 @@
      * limit left.
      */
     public void hold(Submission spec, int tasks) {
-        held = held.plus(Resources.of(spec).times(tasks));
+        reserved = reserved.plus(Resources.of(spec).times(tasks));
     }
 
-    void releaseHeld() {
-        held = Resources.NONE;
+    void releaseReservations() {
+        reserved = Resources.NONE;
     }
 
     /** Whether the team is guaranteed anything at all. */
@@ -68,13 +68,13 @@
     }
 
     /** Whether the team runs above its guarantee, so that it may have to give something back. */
-    boolean aboveGuarantee() {
-        return Entitlement.hasLoans(team, staying());
+    boolean isAboveGuarantee() {
+        return Entitlement.hasLoans(team, usedUnlessStopping());
     }
 
     /** Whether the team keeps what it is entitled to if so much more of what it runs is stopped. */
     public boolean keepsEntitlementWithout(Resources loss) {
-        return Entitlement.coversLoss(team, staying(), loss);
+        return Entitlement.coversLoss(team, usedUnlessStopping(), loss);
     }
 
     /**
@@ -88,7 +88,7 @@
 
     /** How many more tasks the limit allows. */
     public int roomFor(Submission spec) {
-        return room(spec, team.cpusMax(), team.gpusMax(), used);
+        return tasksWithinBounds(spec, team.cpusMax(), team.gpusMax(), used);
     }
 
     /** How many tasks the limit allows beside what is kept for others. */
@@ -98,7 +98,8 @@
 
     /** How many tasks the limit allows beside what is kept for others and promised. */
     public int roomBesideHeld(Submission spec, Resources promised) {
-        return room(spec, team.cpusMax(), team.gpusMax(), used.plus(held).plus(promised));
+        return tasksWithinBounds(
+                spec, team.cpusMax(), team.gpusMax(), used.plus(reserved).plus(promised));
     }
 
     /** How many more tasks are within the guarantee. */
@@ -108,10 +109,13 @@
 
     /** How many more tasks are within the guarantee beside what is promised to the team. */
     public int guaranteedRoomFor(Submission spec, Resources promised) {
-        return team.hasGuarantee() ? room(spec, team.cpus(), team.gpus(), used.plus(promised)) : 0;
+        return team.hasGuarantee()
+                ? tasksWithinBounds(spec, team.cpus(), team.gpus(), used.plus(promised))
+                : 0;
     }
 
-    private static int room(Submission spec, double cpuBound, double gpuBound, Resources taken) {
+    private static int tasksWithinBounds(
+            Submission spec, double cpuBound, double gpuBound, Resources taken) {
         double byCpus = tasksWithin(cpuBound, taken.cpus(), spec.cpus());
         double byGpus = tasksWithin(gpuBound, taken.gpus(), spec.gpus());
         return (int) Math.max(0, Math.floor(Math.min(byCpus, byGpus)));
--- a/src/main/java/org/springmill/control/cluster/WorkerEpoch.java
+++ b/src/main/java/org/springmill/control/cluster/WorkerEpoch.java
@@ -13,7 +13,7 @@
     private long fencingToken;
     private long highestSeenToken;
     private long epoch;
-    private long sequence;
+    private long lastAcceptedSequence;
     private long lastHeartbeatSequence;
     private double currentTermSeenAt = Double.POSITIVE_INFINITY;
 
@@ -48,7 +48,7 @@
     }
 
     public boolean isNewerThanSeen(Heartbeat heartbeat) {
-        return heartbeat.isNewerThan(epoch, sequence);
+        return heartbeat.isNewerThan(epoch, lastAcceptedSequence);
     }
 
     /**
@@ -73,7 +73,7 @@
             lastHeartbeatSequence = 0;
         }
         epoch = heartbeat.epoch();
-        sequence = heartbeat.sequence();
+        lastAcceptedSequence = heartbeat.sequence();
         highestSeenToken = Math.max(highestSeenToken, heartbeat.fencingToken());
         if (hasSeenCurrentTerm()) {
             currentTermSeenAt = Math.min(currentTermSeenAt, now);
@@ -94,7 +94,7 @@
     }
 
     /** Whether it reports in its first session and has not yet heard any leader. */
-    boolean isNew() {
+    boolean hasSeenNoLeader() {
         return epoch <= 1 && highestSeenToken == 0;
     }
 }
--- a/src/main/java/org/springmill/control/jobs/ArchivedDependencies.java
+++ b/src/main/java/org/springmill/control/jobs/ArchivedDependencies.java
@@ -13,58 +13,58 @@
  * it: the jobs that name it are neither eligible nor cancelled.
  */
 final class ArchivedDependencies {
-    private final Function<String, ArchivedJob> kept;
-    private final Map<String, ArchivedJob> found = new HashMap<>();
-    private final Set<String> missing = new LinkedHashSet<>();
+    private final Function<String, ArchivedJob> archivedInMemory;
+    private final Map<String, ArchivedJob> resolved = new HashMap<>();
+    private final Set<String> unresolved = new LinkedHashSet<>();
 
     /**
      * @param kept the final state of a moved job if it is in memory anyway, else null
      */
     ArchivedDependencies(Function<String, ArchivedJob> kept) {
-        this.kept = kept;
+        this.archivedInMemory = kept;
     }
 
     /** The final state of a moved job, as far as it is known; else null. */
     ArchivedJob of(String id) {
-        ArchivedJob needed = found.get(id);
-        return needed != null ? needed : kept.apply(id);
+        ArchivedJob needed = resolved.get(id);
+        return needed != null ? needed : archivedInMemory.apply(id);
     }
 
     /** A record in memory names a job that has none there. */
     void require(String id) {
         ArchivedJob known = of(id);
         if (known == null) {
-            missing.add(id);
+            unresolved.add(id);
         } else {
-            found.put(id, known);
+            resolved.put(id, known);
         }
     }
 
     /** Takes in a final state that a record in memory needs. */
-    void learn(ArchivedJob job) {
-        missing.remove(job.id());
-        found.put(job.id(), job);
+    void resolve(ArchivedJob job) {
+        unresolved.remove(job.id());
+        resolved.put(job.id(), job);
     }
 
     /** The state could not be read now: others are read before it is tried again. */
     void postpone(String id) {
-        if (missing.remove(id)) {
-            missing.add(id);
+        if (unresolved.remove(id)) {
+            unresolved.add(id);
         }
     }
 
     /** The job has a record in memory, or no record in memory names it any more. */
     void release(String id) {
-        missing.remove(id);
-        found.remove(id);
+        unresolved.remove(id);
+        resolved.remove(id);
     }
 
     /** The job whose final state has been needed for longest; null if none is. */
-    String firstMissing() {
-        return missing.isEmpty() ? null : missing.iterator().next();
+    String firstUnresolved() {
+        return unresolved.isEmpty() ? null : unresolved.iterator().next();
     }
 
-    boolean anyMissing() {
-        return !missing.isEmpty();
+    boolean hasUnresolved() {
+        return !unresolved.isEmpty();
     }
 }
--- a/src/main/java/org/springmill/control/jobs/Cancellations.java
+++ b/src/main/java/org/springmill/control/jobs/Cancellations.java
@@ -21,19 +21,19 @@
      * By the order in which they were learned. Indices count on when entries are dropped, so that
      * bookmarks keep their meaning.
      */
-    private final TreeMap<Long, Cancellation> learned = new TreeMap<>();
+    private final TreeMap<Long, Cancellation> cancellationsByIndex = new TreeMap<>();
 
     private final Map<String, Long> indexByJob = new HashMap<>();
     private long nextIndex;
 
     /** Tells this process's bookmarks from those of an earlier one, which had another order. */
-    private final long tag;
+    private final long processTag;
 
     /**
      * @param tag random, and so most likely another one than that of an earlier process
      */
     Cancellations(int tag) {
-        this.tag = ((long) tag & 0x7fff_ffff) << INDEX_BITS;
+        this.processTag = ((long) tag & 0x7fff_ffff) << INDEX_BITS;
     }
 
     /**
@@ -45,7 +45,7 @@
         if (indexByJob.putIfAbsent(cancellation.job(), nextIndex) != null) {
             return false;
         }
-        learned.put(nextIndex, cancellation);
+        cancellationsByIndex.put(nextIndex, cancellation);
         nextIndex++;
         return true;
     }
@@ -57,19 +57,19 @@
     void drop(String job) {
         Long index = indexByJob.remove(job);
         if (index != null) {
-            learned.remove(index);
+            cancellationsByIndex.remove(index);
         }
     }
 
     /** How many are known. */
     int size() {
-        return learned.size();
+        return cancellationsByIndex.size();
     }
 
     /** The cancellation of a job; null if none is known. */
-    Cancellation of(String job) {
+    Cancellation find(String job) {
         Long index = indexByJob.get(job);
-        return index == null ? null : learned.get(index);
+        return index == null ? null : cancellationsByIndex.get(index);
     }
 
     /**
@@ -84,17 +84,18 @@
             // answer.
             return CancellationDelta.NONE;
         }
-        boolean mine = (known.cursor() & -(1L << INDEX_BITS)) == tag;
+        boolean mine = (known.cursor() & -(1L << INDEX_BITS)) == processTag;
         long from = mine ? Math.min(nextIndex, known.cursor() & 0xffff_ffffL) : 0;
         List<Cancellation> lacked = new ArrayList<>();
-        for (Map.Entry<Long, Cancellation> entry : learned.tailMap(from).entrySet()) {
+        for (Map.Entry<Long, Cancellation> entry : cancellationsByIndex.tailMap(from).entrySet()) {
             if (lacked.size() == CancellationDelta.MAX_CANCELLATIONS) {
-                return new CancellationDelta(0, tag | entry.getKey(), false, informed, lacked);
+                return new CancellationDelta(
+                        0, processTag | entry.getKey(), false, informed, lacked);
             }
             if (entry.getValue().revision() > known.revision()) {
                 lacked.add(entry.getValue());
             }
         }
-        return new CancellationDelta(0, tag | nextIndex, true, informed, lacked);
+        return new CancellationDelta(0, processTag | nextIndex, true, informed, lacked);
     }
 }
--- a/src/main/java/org/springmill/control/jobs/JobDependencies.java
+++ b/src/main/java/org/springmill/control/jobs/JobDependencies.java
@@ -34,7 +34,7 @@
     private static final Logger LOG = LoggerFactory.getLogger(JobDependencies.class);
 
     private final Map<String, JobRecord> jobs;
-    private final ArchivedDependencies moved;
+    private final ArchivedDependencies archived;
     private final Map<String, Set<String>> dependents = new HashMap<>();
 
     /** Ids of jobs whose cancellation is derived and not yet in their own records. */
@@ -46,16 +46,16 @@
      */
     JobDependencies(Map<String, JobRecord> jobs, Function<String, ArchivedJob> kept) {
         this.jobs = jobs;
-        moved = new ArchivedDependencies(kept);
+        archived = new ArchivedDependencies(kept);
     }
 
     /**
      * Takes in a record as it is stored and returns all that change by it, as they now are in
      * effect, itself first.
      */
-    List<JobRecord> learn(JobRecord stored) {
+    List<JobRecord> merge(JobRecord stored) {
         if (!jobs.containsKey(stored.id())) {
-            moved.release(stored.id());
+            archived.release(stored.id());
             addToDependents(stored);
         }
         pendingPersistence.remove(stored.id());
@@ -69,11 +69,11 @@
      * Takes in the final state of a job whose record was moved before its dependents' were read.
      * Returns those in which something may follow from it, as they now are in effect.
      */
-    List<JobRecord> learnArchived(ArchivedJob job) {
+    List<JobRecord> mergeArchived(ArchivedJob job) {
         if (jobs.containsKey(job.id()) || !dependents.containsKey(job.id())) {
             return List.of();
         }
-        moved.learn(job);
+        archived.resolve(job);
         List<JobRecord> changed = new ArrayList<>();
         if (job.cancelled()) {
             cancelDependents(job.id(), job.endedAt(), changed);
@@ -88,7 +88,7 @@
      * Forgets a job whose record has been moved. Records that name it keep its final state; if the
      * record here is an old one, that state is still to be read.
      */
-    void forget(String id) {
+    void evict(String id) {
         JobRecord job = jobs.remove(id);
         if (job == null) {
             return;
@@ -97,9 +97,9 @@
         job.submission().dependencies().forEach(needed -> removeDependent(needed, id));
         if (dependents.containsKey(id)) {
             if (job.active()) {
-                moved.require(id);
+                archived.require(id);
             } else {
-                moved.learn(ArchivedJob.of(job));
+                archived.resolve(ArchivedJob.of(job));
             }
         }
     }
@@ -109,7 +109,7 @@
         others.remove(id);
         if (others.isEmpty()) {
             dependents.remove(needed);
-            moved.release(needed);
+            archived.release(needed);
         }
     }
 
@@ -117,7 +117,7 @@
         for (String needed : job.submission().dependencies()) {
             dependents.computeIfAbsent(needed, id -> new LinkedHashSet<>(2)).add(job.id());
             if (!jobs.containsKey(needed)) {
-                moved.require(needed);
+                archived.require(needed);
             }
         }
     }
@@ -136,7 +136,7 @@
             return new Dependency(
                     job.phase(), job.submission().service(), job.endedAt(), job.version());
         }
-        ArchivedJob gone = moved.of(id);
+        ArchivedJob gone = archived.of(id);
         return gone == null
                 ? null
                 : new Dependency(gone.phase(), gone.service(), gone.endedAt(), gone.endRevision());
@@ -194,13 +194,13 @@
     }
 
     /** The final state of a job could not be read now; others come first. */
-    void postponeMissing(String id) {
-        moved.postpone(id);
+    void postponeUnresolved(String id) {
+        archived.postpone(id);
     }
 
     /** The job whose final state is to be read next, for a record in memory; null if none is. */
-    String firstMissing() {
-        return moved.firstMissing();
+    String firstUnresolved() {
+        return archived.firstUnresolved();
     }
 
     /**
@@ -208,7 +208,9 @@
      * is being read, any job that waits for others may turn out to be cancelled.
      */
     boolean isStatusCertain(JobRecord job) {
-        return !job.active() || job.submission().dependencies().isEmpty() || !moved.anyMissing();
+        return !job.active()
+                || job.submission().dependencies().isEmpty()
+                || !archived.hasUnresolved();
     }
 
     /**
--- a/src/main/java/org/springmill/control/jobs/JobDirectory.java
+++ b/src/main/java/org/springmill/control/jobs/JobDirectory.java
@@ -37,28 +37,28 @@
     private static final Logger LOG = LoggerFactory.getLogger(JobDirectory.class);
 
     private final Map<String, JobRecord> jobs = new HashMap<>();
-    private final ArchivedJobLookup endedJobs;
+    private final ArchivedJobLookup archivedJobs;
     private final JobDependencies dependencies;
     private final Cancellations cancellations;
 
     /** Cancellations of which no record was read yet, by job; told by other controllers. */
-    private final Map<String, Cancellation> unread = new HashMap<>();
+    private final Map<String, Cancellation> cancellationsWithoutRecord = new HashMap<>();
 
     private final JobRecordWatch watch;
     private final EventLoop loop;
-    private final double retryLookupSeconds;
-    private Consumer<JobRecord> listener = job -> {};
-    private Consumer<String> forgetListener = id -> {};
-    private boolean lookingUp;
+    private final double lookupRetrySeconds;
+    private Consumer<JobRecord> changeListener = job -> {};
+    private Consumer<String> evictionListener = id -> {};
+    private boolean lookupInFlight;
 
     /**
      * @param tag tells this process from earlier ones of the same controller
      */
     public JobDirectory(KeyValueStoreClient store, EventLoop loop, Timeouts timeouts, int tag) {
         this.loop = loop;
-        retryLookupSeconds = timeouts.leaderRenewIntervalSeconds();
-        endedJobs = new ArchivedJobLookup(store, loop);
-        dependencies = new JobDependencies(jobs, endedJobs::kept);
+        lookupRetrySeconds = timeouts.leaderRenewIntervalSeconds();
+        archivedJobs = new ArchivedJobLookup(store, loop);
+        dependencies = new JobDependencies(jobs, archivedJobs::kept);
         cancellations = new Cancellations(tag);
         watch = new JobRecordWatch(store, loop, timeouts, new RecordListener());
     }
@@ -81,13 +81,13 @@
                             .filter(job -> job.version() <= revision && !keys.contains(job.key()))
                             .map(JobRecord::id)
                             .toList();
-            gone.forEach(JobDirectory.this::forget);
+            gone.forEach(JobDirectory.this::evict);
         }
 
         @Override
         public void caughtUp() {
-            dropUnreadOfArchivedJobs();
-            lookUpDependencies();
+            dropCancellationsOfArchivedJobs();
+            lookUpNextDependency();
         }
     }
 
@@ -107,13 +107,13 @@
     }
 
     /** Has a listener told of every record that is new or has changed in effect. */
-    public void onChange(Consumer<JobRecord> changeListener) {
-        listener = changeListener;
+    public void onChange(Consumer<JobRecord> newListener) {
+        changeListener = newListener;
     }
 
     /** Has a listener told of every job whose record leaves memory. */
     public void onForget(Consumer<String> newListener) {
-        forgetListener = newListener;
+        evictionListener = newListener;
     }
 
     /** Which job needs which, and what follows from it. */
@@ -131,7 +131,7 @@
 
     /** The final state of a job whose record has been moved, if it is in memory; else null. */
     public ArchivedJob archived(String id) {
-        return endedJobs.kept(id);
+        return archivedJobs.kept(id);
     }
 
     /**
@@ -140,7 +140,7 @@
      * not accepted when the question came.
      */
     public void findArchived(String id, Consumer<Lookup> done) {
-        endedJobs.find(id, done);
+        archivedJobs.find(id, done);
     }
 
     /**
@@ -155,7 +155,7 @@
             done.accept(true);
             return;
         }
-        endedJobs.find(
+        archivedJobs.find(
                 ids.get(0),
                 lookup -> {
                     if (lookup.outcome() == Outcome.FOUND && loop.now() < until) {
@@ -167,57 +167,57 @@
     }
 
     /** Forgets a job whose record has been moved to the history. */
-    private void forget(String id) {
+    private void evict(String id) {
         JobRecord job = jobs.get(id);
         if (job == null) {
             return;
         }
         if (!job.active()) {
-            endedJobs.keep(ArchivedJob.of(job));
+            archivedJobs.keep(ArchivedJob.of(job));
         }
         cancellations.drop(id);
-        dependencies.forget(id);
-        forgetListener.accept(id);
-        lookUpDependencies();
+        dependencies.evict(id);
+        evictionListener.accept(id);
+        lookUpNextDependency();
     }
 
     /** One at a time: there are hardly ever any, and a takeover must not wait for them. */
-    private void lookUpDependencies() {
-        String id = dependencies.firstMissing();
-        if (lookingUp || !watch.loaded() || id == null) {
+    private void lookUpNextDependency() {
+        String id = dependencies.firstUnresolved();
+        if (lookupInFlight || !watch.loaded() || id == null) {
             return;
         }
-        lookingUp = true;
-        endedJobs.find(id, lookup -> dependencyLookedUp(id, lookup));
+        lookupInFlight = true;
+        archivedJobs.find(id, lookup -> handleDependencyLookup(id, lookup));
     }
 
-    private void dependencyLookedUp(String id, Lookup lookup) {
+    private void handleDependencyLookup(String id, Lookup lookup) {
         if (lookup.outcome() == Outcome.FOUND) {
-            lookingUp = false;
-            dependencies.learnArchived(lookup.job()).forEach(listener);
-            lookUpDependencies();
+            lookupInFlight = false;
+            dependencies.mergeArchived(lookup.job()).forEach(changeListener);
+            lookUpNextDependency();
         } else {
             // Its record may just not have been read yet; the feed brings it then. Others must not
             // wait for one that is never found.
-            dependencies.postponeMissing(id);
+            dependencies.postponeUnresolved(id);
             loop.after(
-                    retryLookupSeconds,
+                    lookupRetrySeconds,
                     () -> {
-                        lookingUp = false;
-                        lookUpDependencies();
+                        lookupInFlight = false;
+                        lookUpNextDependency();
                     });
         }
     }
 
     /** Of jobs whose records were moved before this controller learned of their cancellations. */
-    private void dropUnreadOfArchivedJobs() {
-        if (unread.isEmpty() || !watch.loaded()) {
+    private void dropCancellationsOfArchivedJobs() {
+        if (cancellationsWithoutRecord.isEmpty() || !watch.loaded()) {
             return;
         }
-        unread.values().removeIf(this::isReadOrArchived);
+        cancellationsWithoutRecord.values().removeIf(this::hasRecordOrIsArchived);
     }
 
-    private boolean isReadOrArchived(Cancellation reported) {
+    private boolean hasRecordOrIsArchived(Cancellation reported) {
         if (jobs.containsKey(reported.job())) {
             return true;
         }
@@ -240,10 +240,10 @@
             // The commit's answer came so late that the record has been moved meanwhile.
             return;
         }
-        learnStored(job);
+        mergeStored(job);
     }
 
-    private void learnStored(JobRecord job) {
+    private void mergeStored(JobRecord job) {
         JobRecord known = jobs.get(job.id());
         if (known != null && known.version() >= job.version()) {
             return;
@@ -251,10 +251,10 @@
         if (job.cancelled()) {
             cancellations.add(new Cancellation(job.id(), job.version(), job.endedAt()));
         }
-        dependencies.learn(job).forEach(listener);
-        Cancellation reported = cancellations.of(job.id());
+        dependencies.merge(job).forEach(changeListener);
+        Cancellation reported = cancellations.find(job.id());
         if (reported != null && job.active()) {
-            learnEnd(job, reported);
+            applyCancellation(job, reported);
         }
     }
 
@@ -266,13 +266,13 @@
         JobRecord known = jobs.get(reported.job());
         boolean isNew = cancellations.add(reported);
         if (known == null) {
-            unread.put(reported.job(), reported);
+            cancellationsWithoutRecord.put(reported.job(), reported);
         } else if (isNew && known.active()) {
-            learnEnd(known, reported);
+            applyCancellation(known, reported);
         }
     }
 
-    private void learnEnd(JobRecord active, Cancellation reported) {
+    private void applyCancellation(JobRecord active, Cancellation reported) {
         learn(active.ended(JobPhase.CANCELLED, reported.askedAt()).committed(reported.revision()));
     }
 
@@ -285,24 +285,24 @@
 
     /** Cancellations in memory, with those whose records were not read yet. */
     public int cancellationCount() {
-        return cancellations.size() + unread.size();
+        return cancellations.size() + cancellationsWithoutRecord.size();
     }
 
     /** Final states of moved jobs in memory. */
     public int archivedInMemory() {
-        return endedJobs.keptCount();
+        return archivedJobs.keptCount();
     }
 
     /** Whether a job is known to be cancelled, even if its record is not known yet. */
-    boolean cancelled(String id) {
-        return cancellations.of(id) != null;
+    boolean isCancelled(String id) {
+        return cancellations.find(id) != null;
     }
 
     /** Stops what a worker still has of cancelled jobs. */
     public List<Command> stopCommandsFor(Heartbeat heartbeat) {
         return heartbeat.tasks().stream()
                 .filter(task -> task.state() != TaskState.EXITED)
-                .filter(task -> cancelled(task.task().job()))
+                .filter(task -> isCancelled(task.task().job()))
                 .<Command>map(task -> new Stop(task.task(), task.attempt(), 0))
                 .toList();
     }
@@ -329,16 +329,16 @@
      * that cannot be had.
      */
     public void barrier(Consumer<Boolean> done) {
-        watch.barrier(done);
+        watch.readBarrier(done);
     }
 
     private void apply(Change change) {
         if (change.value() == null) {
-            forget(change.key().substring(JobRecord.PREFIX.length()));
+            evict(change.key().substring(JobRecord.PREFIX.length()));
             return;
         }
         try {
-            learnStored(JobRecord.decode(change.key(), change.value(), change.version()));
+            mergeStored(JobRecord.decode(change.key(), change.value(), change.version()));
         } catch (MalformedMessageException e) {
             LOG.error("{} cannot be read: {}", change.key(), e.getMessage());
         }
--- a/src/main/java/org/springmill/control/jobs/JobRecordWatch.java
+++ b/src/main/java/org/springmill/control/jobs/JobRecordWatch.java
@@ -28,9 +28,9 @@
     private final Listener listener;
     private final double barrierIntervalSeconds;
     private List<Consumer<Boolean>> waitingBarriers = new ArrayList<>();
-    private boolean reading;
+    private boolean readInFlight;
     private boolean loaded;
-    private int pauses;
+    private int pauseCount;
     private long cursor;
     private double currentAt = Double.NEGATIVE_INFINITY;
 
@@ -73,18 +73,18 @@
         Set<String> keys = new HashSet<>();
         store.list(
                 JobRecord.PREFIX,
-                entries -> takePage(entries, keys),
+                entries -> handlePage(entries, keys),
                 revision -> {
                     if (revision < 0) {
                         loop.after(timeouts.leaderRenewIntervalSeconds(), this::start);
                         return;
                     }
-                    takenAll(keys, revision, askedAt);
+                    completeList(keys, revision, askedAt);
                     watch();
                 });
     }
 
-    private void takePage(List<Entry> entries, Set<String> keys) {
+    private void handlePage(List<Entry> entries, Set<String> keys) {
         for (Entry entry : entries) {
             keys.add(entry.key());
             // What was passed on before may have been moved since.
@@ -94,7 +94,7 @@
         }
     }
 
-    private void takenAll(Set<String> keys, long revision, double askedAt) {
+    private void completeList(Set<String> keys, long revision, double askedAt) {
         cursor = Math.max(cursor, revision);
         currentAt = Math.max(currentAt, askedAt);
         if (loaded) {
@@ -125,13 +125,13 @@
      * Calls back with true once every change made before this call was passed on; with false if
      * that cannot be had.
      */
-    void barrier(Consumer<Boolean> done) {
+    void readBarrier(Consumer<Boolean> done) {
         if (!loaded) {
             done.accept(false);
             return;
         }
         waitingBarriers.add(done);
-        if (!reading) {
+        if (!readInFlight) {
             readForBarriers();
         }
     }
@@ -141,12 +141,12 @@
      * anyone with, and is asked for again.
      */
     void resumed() {
-        pauses++;
+        pauseCount++;
     }
 
     private void readForBarriers() {
-        reading = true;
-        int pausesBefore = pauses;
+        readInFlight = true;
+        int pausesBefore = pauseCount;
         List<Consumer<Boolean>> served = waitingBarriers;
         waitingBarriers = new ArrayList<>();
         double askedAt = loop.now();
@@ -158,9 +158,9 @@
                     boolean read = result.changes() != null;
                     if (read) {
                         currentAt = Math.max(currentAt, askedAt);
-                        take(result.changes());
+                        applyChanges(result.changes());
                     }
-                    if (read && pauses > pausesBefore) {
+                    if (read && pauseCount > pausesBefore) {
                         waitingBarriers.addAll(0, served);
                     } else {
                         served.forEach(barrier -> barrier.accept(read));
@@ -170,19 +170,20 @@
     }
 
     private void readForWaitingBarriers() {
-        reading = false;
+        readInFlight = false;
         if (!waitingBarriers.isEmpty()) {
             readForBarriers();
         }
     }
 
     private void watch() {
-        store.changes(JobRecord.PREFIX, cursor, timeouts.workerLeaseSeconds(), this::watched);
+        store.changes(
+                JobRecord.PREFIX, cursor, timeouts.workerLeaseSeconds(), this::handleWatchResult);
     }
 
-    private void watched(ChangesResult result) {
+    private void handleWatchResult(ChangesResult result) {
         if (result.changes() != null) {
-            take(result.changes());
+            applyChanges(result.changes());
             watch();
         } else if (result.tooOld()) {
             start();
@@ -191,7 +192,7 @@
         }
     }
 
-    private void take(Changes changes) {
+    private void applyChanges(Changes changes) {
         for (Change change : changes.changes()) {
             // The watch and barriers read the same changes. One that is passed on again after a
             // later one of the same key would bring back a record that has been moved.
--- a/src/main/java/org/springmill/control/metrics/Metrics.java
+++ b/src/main/java/org/springmill/control/metrics/Metrics.java
@@ -48,7 +48,7 @@
     private final EventLoop loop;
     private final Timer acceptance;
     private final Timer placementRound;
-    private final Timer stateServiceCommit;
+    private final Timer storeCommit;
     private final Timer taskStart;
     private final Counter claimsCommitted;
     private final Counter attemptsEnded;
@@ -66,7 +66,7 @@
         registry = new SimpleMeterRegistry(SimpleConfig.DEFAULT, new LoopClock(loop));
         acceptance = timer("acceptance", "from a submission's arrival to its 201");
         placementRound = timer("placement_round", "from the start of a round to its commit");
-        stateServiceCommit = timer("state_service_commit", "one transaction of the state service");
+        storeCommit = timer("state_service_commit", "one transaction of the state service");
         taskStart = timer("start", "from a claim to the report that its task runs");
         claimsCommitted = counter("claims_committed");
         attemptsEnded = counter("attempts_ended");
@@ -106,7 +106,7 @@
 
     /** Records a commit that the key-value store answered, and that was sent at the given time. */
     public void commitAnswered(double sentAt) {
-        recordSince(stateServiceCommit, sentAt);
+        recordSince(storeCommit, sentAt);
     }
 
     /** Records that a task, which was claimed at the given time, runs now. */
--- a/src/main/java/org/springmill/control/timing/ProcessPauseDetector.java
+++ b/src/main/java/org/springmill/control/timing/ProcessPauseDetector.java
@@ -18,10 +18,10 @@
     private static final Logger LOG = LoggerFactory.getLogger(ProcessPauseDetector.class);
 
     /** A timer keeps turns coming; it may fire late without that being taken for a pause. */
-    private static final double TURNS_PER_BOUND = 4;
+    private static final double TURNS_PER_THRESHOLD = 4;
 
     private final EventLoop loop;
-    private final double boundSeconds;
+    private final double thresholdSeconds;
     private final List<Runnable> listeners = new ArrayList<>();
     private double lastTurnAt;
 
@@ -30,7 +30,7 @@
      */
     public ProcessPauseDetector(EventLoop loop, double boundSeconds) {
         this.loop = loop;
-        this.boundSeconds = boundSeconds;
+        this.thresholdSeconds = boundSeconds;
         lastTurnAt = loop.now();
     }
 
@@ -42,12 +42,12 @@
     /** Begins to watch: until then the controller is still being put together. */
     public void start() {
         lastTurnAt = loop.now();
-        beat();
+        keepTurning();
     }
 
-    private void beat() {
+    private void keepTurning() {
         beginLoopTurn();
-        loop.after(boundSeconds / TURNS_PER_BOUND, this::beat);
+        loop.after(thresholdSeconds / TURNS_PER_THRESHOLD, this::keepTurning);
     }
 
     /** Called at the beginning of each turn of the event loop. */
@@ -55,7 +55,7 @@
         double now = loop.now();
         double gap = now - lastTurnAt;
         lastTurnAt = now;
-        if (gap > boundSeconds) {
+        if (gap > thresholdSeconds) {
             LOG.info("nothing was done for {} s", Math.round(gap));
             listeners.forEach(Runnable::run);
         }
--- a/src/test/java/org/springmill/control/cluster/ImageCacheTest.java
+++ b/src/test/java/org/springmill/control/cluster/ImageCacheTest.java
@@ -17,8 +17,8 @@
 
     @BeforeEach
     void twoFetches() {
-        images.need("large", 60, 100, 2, 10);
-        images.need("small", 2, 100, 2, 10);
+        images.recordNeeded("large", 60, 100, 2, 10);
+        images.recordNeeded("small", 2, 100, 2, 10);
     }
 
     /**
@@ -36,29 +36,29 @@
         "large, 60, 60, 0"
     })
     void aFetchWaitsForThoseBeforeIt(String image, double gb, double now, double waits) {
-        assertEquals(waits, images.waitSeconds(image, gb, 2, now), 1e-9);
+        assertEquals(waits, images.fetchWaitSeconds(image, gb, 2, now), 1e-9);
     }
 
     @Test
     void aRunningTaskShowsThatItsImageIsThere() {
-        images.use("large", 60, 100, 15);
-        images.use("small", 2, 100, 15);
-        assertEquals(0, images.waitSeconds("large", 60, 2, 15));
-        assertEquals(2, images.waitSeconds("other", 4, 2, 15));
+        images.recordUsed("large", 60, 100, 15);
+        images.recordUsed("small", 2, 100, 15);
+        assertEquals(0, images.fetchWaitSeconds("large", 60, 2, 15));
+        assertEquals(2, images.fetchWaitSeconds("other", 4, 2, 15));
     }
 
     @Test
     void aFetchIsGivenUpWithTheLastTaskThatWaitsForIt() {
-        images.abandon("large", 20);
+        images.cancelFetch("large", 20);
         assertFalse(images.holds("large"));
-        images.abandon("small", 50);
-        assertEquals(0, images.waitSeconds("small", 2, 2, 50), "it was there already");
+        images.cancelFetch("small", 50);
+        assertEquals(0, images.fetchWaitSeconds("small", 2, 2, 50), "it was there already");
     }
 
     @Test
     void theLeastRecentlyUsedFallsOut() {
-        images.use("large", 60, 100, 20);
-        images.need("third", 50, 100, 2, 30);
+        images.recordUsed("large", 60, 100, 20);
+        images.recordNeeded("third", 50, 100, 2, 30);
         assertFalse(images.holds("small"));
         assertFalse(images.holds("large"));
     }
--- a/src/test/java/org/springmill/control/cluster/JobFailuresTest.java
+++ b/src/test/java/org/springmill/control/cluster/JobFailuresTest.java
@@ -27,7 +27,7 @@
         failures.failed("host-000001", 0, 1, STEP);
         assertFalse(failures.isSuspect());
         assertEquals(0, failures.notBefore());
-        assertEquals(Integer.MAX_VALUE, failures.mostAtOnce());
+        assertEquals(Integer.MAX_VALUE, failures.maxConcurrentTasks());
         assertTrue(failures.excludes("host-000001", 2));
         assertFalse(failures.excludes("host-000002", 2));
     }
@@ -43,14 +43,14 @@
     @Test
     void eachSuccessDoublesWhatMayRun() {
         JobFailures failures = failedOnTwoMachines("run-000001");
-        assertEquals(1, failures.mostAtOnce());
+        assertEquals(1, failures.maxConcurrentTasks());
         failures.succeeded();
         assertFalse(failures.isSuspect());
-        assertEquals(2, failures.mostAtOnce());
+        assertEquals(2, failures.maxConcurrentTasks());
         for (int i = 0; i < 40; i++) {
             failures.succeeded();
         }
-        assertEquals(Integer.MAX_VALUE, failures.mostAtOnce());
+        assertEquals(Integer.MAX_VALUE, failures.maxConcurrentTasks());
         assertEquals(0, failures.notBefore());
     }
 
--- a/src/test/java/org/springmill/control/jobs/ArchivedDependenciesTest.java
+++ b/src/test/java/org/springmill/control/jobs/ArchivedDependenciesTest.java
@@ -19,11 +19,11 @@
     void aDependencyThatIsNotFoundLetsTheOthersBeReadFirst() {
         moved.require(FIRST);
         moved.require(SECOND);
-        assertEquals(FIRST, moved.firstMissing());
+        assertEquals(FIRST, moved.firstUnresolved());
         moved.postpone(FIRST);
-        assertEquals(SECOND, moved.firstMissing());
-        moved.learn(new ArchivedJob(SECOND, JobPhase.DONE, 1, false, 0, 1));
-        assertEquals(FIRST, moved.firstMissing());
+        assertEquals(SECOND, moved.firstUnresolved());
+        moved.resolve(new ArchivedJob(SECOND, JobPhase.DONE, 1, false, 0, 1));
+        assertEquals(FIRST, moved.firstUnresolved());
     }
 
     /** Released while it was being looked up, it must not come back. */
@@ -32,7 +32,7 @@
         moved.require(FIRST);
         moved.release(FIRST);
         moved.postpone(FIRST);
-        assertNull(moved.firstMissing());
-        assertFalse(moved.anyMissing());
+        assertNull(moved.firstUnresolved());
+        assertFalse(moved.hasUnresolved());
     }
 }
--- a/src/test/java/org/springmill/control/jobs/JobDependenciesTest.java
+++ b/src/test/java/org/springmill/control/jobs/JobDependenciesTest.java
@@ -94,7 +94,7 @@
             for (JobRecord next : records) {
                 JobRecord known = jobs.get(next.id());
                 if (known == null || known.version() < next.version()) {
-                    again.learn(next);
+                    again.merge(next);
                 }
             }
             assertEquals(expected, cancelled(), records.toString());
@@ -105,14 +105,14 @@
     @Test
     void aCancellationReachesAllOfADeepAndWideGraph() throws MalformedMessageException {
         int deep = 50_000;
-        dependencies.learn(record("1", JobPhase.QUEUED, 1));
+        dependencies.merge(record("1", JobPhase.QUEUED, 1));
         for (int i = 2; i <= deep; i++) {
-            dependencies.learn(record(i + "<" + (i % 2 == 0 ? 1 : i - 1), JobPhase.QUEUED, i));
+            dependencies.merge(record(i + "<" + (i % 2 == 0 ? 1 : i - 1), JobPhase.QUEUED, i));
         }
-        assertEquals(deep, dependencies.learn(record("1", JobPhase.CANCELLED, deep + 1)).size());
+        assertEquals(deep, dependencies.merge(record("1", JobPhase.CANCELLED, deep + 1)).size());
         assertEquals(deep - 1, dependencies.pendingPersistence(deep).size());
         // Written down, a record is a change no more, and only the others are still to be written.
-        assertEquals(1, dependencies.learn(record("2<1", JobPhase.CANCELLED, deep + 2)).size());
+        assertEquals(1, dependencies.merge(record("2<1", JobPhase.CANCELLED, deep + 2)).size());
         assertEquals(deep - 2, dependencies.pendingPersistence(deep).size());
     }
 
@@ -121,13 +121,13 @@
         Submission last = job("4<1,2,3");
         assertEquals("needs run-1, which was never accepted", dependencies.refusal(last));
         for (int i = 1; i <= 3; i++) {
-            dependencies.learn(record(Integer.toString(i), JobPhase.QUEUED, i));
+            dependencies.merge(record(Integer.toString(i), JobPhase.QUEUED, i));
         }
         assertEquals(null, dependencies.refusal(last));
-        dependencies.learn(record("1", JobPhase.DONE, 11));
-        dependencies.learn(record("3", JobPhase.DONE, 13));
+        dependencies.merge(record("1", JobPhase.DONE, 11));
+        dependencies.merge(record("3", JobPhase.DONE, 13));
         assertFalse(dependencies.ready(last));
-        dependencies.learn(record("2", JobPhase.DONE, 12));
+        dependencies.merge(record("2", JobPhase.DONE, 12));
         assertTrue(dependencies.ready(last));
         assertEquals(13, dependencies.readySince(last));
     }
--- a/src/test/java/org/springmill/control/jobs/JobRecordWatchTest.java
+++ b/src/test/java/org/springmill/control/jobs/JobRecordWatchTest.java
@@ -82,7 +82,7 @@
     void aChangeThatABarrierHasPassedOnIsNotPassedOnAgain() {
         watch.start();
         answer(0, 200, EMPTY_LIST);
-        watch.barrier(current -> passedOn.add("barrier " + current));
+        watch.readBarrier(current -> passedOn.add("barrier " + current));
         assertEquals(3, requests.size(), "list, watch, barrier");
         answer(2, 200, changes(9, CREATED, ENDED, DELETED));
         answer(1, 200, changes(6, CREATED));
@@ -135,7 +135,7 @@
     void aRecordThatWasPassedOnBeforeIsNotPassedOnFromAList() {
         watch.start();
         answer(0, 200, EMPTY_LIST);
-        watch.barrier(current -> passedOn.add("barrier " + current));
+        watch.readBarrier(current -> passedOn.add("barrier " + current));
         answer(1, 410, "{}");
         answer(2, 200, changes(9, CREATED, ENDED, DELETED));
         answer(
@@ -156,7 +156,7 @@
 
     @Test
     void aBarrierBeforeTheFirstReadingIsRefused() {
-        watch.barrier(current -> passedOn.add("barrier " + current));
+        watch.readBarrier(current -> passedOn.add("barrier " + current));
         assertEquals(List.of("barrier false"), passedOn);
         assertEquals(List.of(), requests);
     }
