--- a/src/main/java/org/springmill/control/cluster/Machine.java
+++ b/src/main/java/org/springmill/control/cluster/Machine.java
@@ -2,11 +2,9 @@
 
 import java.util.ArrayList;
 import java.util.Collection;
-import java.util.HashSet;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import java.util.Set;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 import org.slf4j.event.Level;
@@ -17,52 +15,62 @@
 import org.springmill.protocol.WorkerMessages.Heartbeat;
 import org.springmill.protocol.WorkerMessages.TaskStatus;
 
-/** A rented machine with its worker, its attempts and what this leader's messages with it prove. */
+/**
+ * A rented machine as one leader knows it: its life cycle, its description, its task attempts, and
+ * what the messages exchanged with its worker prove. Times are seconds on the leader's steady clock.
+ */
 public final class Machine {
     private static final Logger LOG = LoggerFactory.getLogger(Machine.class);
 
-    /** A machine on which so many jobs failed in a row is taken to be faulty. */
-    private static final int FAULTY_AFTER_JOBS = 2;
-
+    /** The life cycle of a machine. */
     public enum State {
-        /** Rented or listed; its worker has not reported to this leader. */
+        /** Rented or listed; its worker has sent no heartbeat to this leader. */
         PROVISIONING,
+        /** Its worker has sent a heartbeat and may hold a lease. */
         UP,
-        /** No lease of its worker can still hold: whatever it ran is gone. */
+        /** No lease of its worker can still be valid: none of its tasks runs any more. */
         LEASE_EXPIRED,
-        /** Its deletion was asked for. */
+        /** Its deletion was requested. */
         TERMINATING,
         /** Deleted, or failed on its own. */
-        TERMINATED
+        TERMINATED;
+
+        private boolean mayBecome(State next) {
+            return switch (next) {
+                case PROVISIONING -> false;
+                case UP -> this == PROVISIONING || this == LEASE_EXPIRED;
+                case LEASE_EXPIRED -> this == UP || this == PROVISIONING;
+                case TERMINATING -> this != TERMINATED;
+                case TERMINATED -> true;
+            };
+        }
     }
 
     private final String name;
     private final Map<TaskId, TaskAttempt> attempts = new LinkedHashMap<>();
     private final ImageCache images = new ImageCache();
-    private final Set<Job> failedJobs = new HashSet<>();
-    private State state = State.PROVISIONING;
-    private String address = "";
-    private MachineType type;
-    private String zone = "";
-    private boolean spot;
-    private final WorkerEpoch workerEpoch;
     private final MachineAllocation allocation = new MachineAllocation();
-    private double lastHeartbeatAnsweredAt = Double.NEGATIVE_INFINITY;
-    private double answeredSince;
-    private double lastHeartbeatAt = Double.NEGATIVE_INFINITY;
-    private double firstSeen;
+    private final MachineFaults faults = new MachineFaults();
+    private final WorkerLiveness liveness = new WorkerLiveness();
+    private final CommandChannel commandChannel = new CommandChannel();
+    private final WorkerEpoch workerEpoch;
+    private final double firstSeen;
+    private MachineDescription description = MachineDescription.UNKNOWN;
+    private State state = State.PROVISIONING;
     private double rentedAt;
     private boolean listedAsRunning;
     private double listedAt = Double.NEGATIVE_INFINITY;
     private double idleSince;
     private double preemptionAt = Double.POSITIVE_INFINITY;
-    private boolean commandsFailing;
-    private double cordonUntil = Double.NEGATIVE_INFINITY;
     private List<TaskStatus> reportedTasks = List.of();
     private boolean reportedTasksAllKnown = true;
     private boolean draining;
-    private final CommandChannel commandChannel = new CommandChannel();
 
+    /**
+     * A machine that this leader has just heard of.
+     *
+     * @param term of the leader, to which the worker's fencing tokens belong
+     */
     public Machine(String name, long term, double now) {
         this.name = name;
         workerEpoch = new WorkerEpoch(term);
@@ -71,69 +79,65 @@
         this.idleSince = now;
     }
 
+    /** The name that the cloud gave it. */
     public String name() {
         return name;
     }
 
+    /** Where it is in its life cycle. */
     public State state() {
         return state;
     }
 
-    /** The one place where a machine's state changes. */
+    /**
+     * The one place where a machine's state changes. A change to the same state does nothing; one
+     * that {@link State} does not allow is logged as an error and not made.
+     */
     public void transition(State next) {
-        boolean legal =
-                switch (next) {
-                    case PROVISIONING -> false;
-                    case UP -> state == State.PROVISIONING || state == State.LEASE_EXPIRED;
-                    case LEASE_EXPIRED -> state == State.UP || state == State.PROVISIONING;
-                    case TERMINATING -> state != State.TERMINATED;
-                    case TERMINATED -> true;
-                };
         if (state == next) {
             return;
         }
-        if (!legal) {
+        if (!state.mayBecome(next)) {
             LOG.error("machine {} cannot go from {} to {}", name, state, next);
             return;
         }
-        // After a takeover all machines come up at once, when there is least time to spare for
-        // telling of it.
+        // After a failover all machines come up at once, when the leader has least time for logs.
         LOG.atLevel(next == State.UP ? Level.DEBUG : Level.INFO)
-                .log(
-                        "machine {} ({} {}{}): {} -> {}",
-                        name,
-                        type == null ? "?" : type.name(),
-                        zone,
-                        spot ? " spot" : "",
-                        state,
-                        next);
+                .log("machine {} ({}): {} -> {}", name, description, state, next);
         state = next;
     }
 
+    /**
+     * Sets what the cloud or the worker says that the machine is.
+     *
+     * @param newType null if the cloud does not offer a type of that name
+     */
     public void describe(String newAddress, MachineType newType, String newZone, boolean newSpot) {
-        address = newAddress;
-        type = newType;
-        allocation.capacity(newType);
-        zone = newZone;
-        spot = newSpot;
+        description = new MachineDescription(newAddress, newType, newZone, newSpot);
+        allocation.setCapacity(newType);
     }
 
+    /** Address of its worker; empty while unknown. */
     public String address() {
-        return address;
+        return description.address();
     }
 
+    /** Null while unknown. */
     public MachineType type() {
-        return type;
+        return description.type();
     }
 
+    /** Empty while unknown. */
     public String zone() {
-        return zone;
+        return description.zone();
     }
 
+    /** Whether the cloud may take it back at short notice. */
     public boolean spot() {
-        return spot;
+        return description.spot();
     }
 
+    /** When this leader first heard of it. */
     public double firstSeen() {
         return firstSeen;
     }
@@ -143,60 +147,65 @@
         return rentedAt;
     }
 
-    /** Whether it has not come up as far as the cloud's lists and its worker tell. */
+    /** Whether neither the cloud's list nor its worker has shown that it is up. */
     public boolean isBooting() {
         return state == State.PROVISIONING && !listedAsRunning && attempts.isEmpty();
     }
 
+    /** Records that the cloud's list names it. */
     public void listed(double now) {
         listedAt = now;
     }
 
-    /** Notes that a list tells how long ago it had been rented. */
+    /** Records the time of its rental as the cloud's list gives it. */
     public void rentedAt(double time) {
         rentedAt = Math.min(rentedAt, time);
     }
 
-    /** Notes that a list names it as up: its silence is no sign of a slow boot. */
+    /** Records that the cloud's list names it as running: its silence is no sign of a slow boot. */
     public void listedAsRunning() {
         listedAsRunning = true;
     }
 
+    /** When the cloud's list last named it; negative infinity for never. */
     public double listedAt() {
         return listedAt;
     }
 
+    /** When its last attempt was removed; when it was first heard of, if it never had one. */
     public double idleSince() {
         return idleSince;
     }
 
-    /** How far the sending of commands to its worker is. */
+    /** The state of sending commands to its worker. */
     public CommandChannel commandChannel() {
         return commandChannel;
     }
 
-    /** How far the messages exchanged with its worker have come. */
+    /** Epoch, sequence number and fencing tokens of its worker. */
     public WorkerEpoch workerEpoch() {
         return workerEpoch;
     }
 
+    /** The fencing token that commands to its worker carry. */
     public long fencingToken() {
         return workerEpoch.fencingToken();
     }
 
+    /** The latest epoch that its worker has shown. */
     public long epoch() {
         return workerEpoch.epoch();
     }
 
-    /** Takes in a worker's message that is newer than any before. */
+    /** Accepts a heartbeat that is newer than any before. */
     public void acceptHeartbeat(Heartbeat heartbeat, double now) {
         workerEpoch.accept(heartbeat, now);
         if (state == State.PROVISIONING) {
-            // Commands of a new leader failed while it booted. Counted against it once it was up,
-            // they had another machine rented in its place.
-            commandsFailing = false;
+            // A new leader's commands fail while a machine boots. Counted against it once it is up,
+            // they would make the leader rent another machine in its place.
+            faults.commandsSucceeded();
         }
-        lastHeartbeatAt = now;
+        liveness.heartbeatReceived(now);
         reportedTasks = heartbeat.tasks();
         reportedTasksAllKnown = false;
         preemptionAt =
@@ -205,19 +214,20 @@
                         : now + heartbeat.preemptionNoticeSeconds();
     }
 
+    /** The tasks in its latest heartbeat. */
     public List<TaskStatus> reportedTasks() {
         return reportedTasks;
     }
 
     /**
-     * Whether every reported task was found to have an attempt, and neither has changed since.
-     * Looking again would find nothing new.
+     * Whether every reported task was found to have an attempt, and neither has changed since:
+     * reconciliation would find nothing new.
      */
     public boolean reportedTasksAllKnown() {
         return reportedTasksAllKnown;
     }
 
-    /** Notes that every reported task has an attempt here. */
+    /** Records that every reported task has an attempt here. */
     public void markReportedTasksKnown() {
         reportedTasksAllKnown = true;
     }
@@ -225,99 +235,106 @@
     /**
      * Records that a heartbeat of its worker was answered.
      *
-     * @param leaseSeconds after a longer silence its worker begins anew with this leader
+     * @param leaseSeconds a silence of two leases restarts the time counted by {@link
+     *     #missesResponses}
      */
     public void heartbeatAnswered(double now, double leaseSeconds) {
-        if (now - lastHeartbeatAnsweredAt > 2 * leaseSeconds) {
-            answeredSince = now;
-        }
-        lastHeartbeatAnsweredAt = now;
+        liveness.heartbeatAnswered(now, leaseSeconds);
     }
 
     /**
-     * Whether it was answered again and again for so long and has shown no token of this term: it
-     * does not hear.
+     * Whether its heartbeats have been answered for so long and none has shown a token of this
+     * term: the answers do not reach it.
      */
     public boolean missesResponses(double now, double forSeconds) {
-        return !hasSeenCurrentTerm()
-                && lastHeartbeatAnsweredAt > Double.NEGATIVE_INFINITY
-                && now - answeredSince > forSeconds;
+        return !hasSeenCurrentTerm() && liveness.isAnsweredForLongerThan(forSeconds, now);
     }
 
+    /** When a heartbeat was last answered; negative infinity for never. */
     public double lastHeartbeatAnsweredAt() {
-        return lastHeartbeatAnsweredAt;
+        return liveness.lastAnsweredAt();
     }
 
+    /** When its latest heartbeat arrived; negative infinity for never. */
     public double lastHeartbeatAt() {
-        return lastHeartbeatAt;
+        return liveness.lastHeartbeatAt();
     }
 
+    /** Whether its latest heartbeat tells of a spot preemption notice. */
     public boolean hasPreemptionNotice() {
         return preemptionAt < Double.POSITIVE_INFINITY;
     }
 
+    /** When the cloud will take it back; infinite without a notice. */
     public double preemptionAt() {
         return preemptionAt;
     }
 
+    /** Records that a request with commands failed. */
     public void commandsFailed() {
-        commandsFailing = true;
+        faults.commandsFailed();
     }
 
+    /** Records that a request with commands was answered. */
     public void commandsSucceeded() {
-        commandsFailing = false;
+        faults.commandsSucceeded();
     }
 
+    /** Whether the latest request with commands failed. */
     public boolean commandsFailing() {
-        return commandsFailing;
+        return faults.commandsFailing();
     }
 
+    /** Cordons it: no new work is placed here before the given time. */
     public void cordonUntil(double time) {
-        cordonUntil = Math.max(cordonUntil, time);
+        faults.cordonUntil(time);
     }
 
     /**
      * Whether the machine is at fault for what failed here: several jobs did, none has succeeded
-     * since, and they are not known to fail everywhere. It is judged anew each time, for a job may
-     * only later be found to be at fault itself.
+     * since, and those jobs are not known to fail on every machine.
      */
     public boolean quarantined() {
-        return !failedJobs.isEmpty()
-                && failedJobs.stream().filter(job -> !job.failures().isSuspect()).count()
-                        >= FAULTY_AFTER_JOBS;
+        return faults.isQuarantined();
     }
 
+    /** Whether its tasks are being evicted so that it can be scaled in. */
     public boolean draining() {
         return draining;
     }
 
+    /** Starts the drain, which is never taken back. */
     public void drain() {
         draining = true;
     }
 
-    /** Notes that a task of a job failed here. */
+    /** Records that a task of a job failed here. */
     public void taskFailed(Job job) {
-        failedJobs.add(job);
+        faults.taskFailed(job);
     }
 
-    /** Notes that a task succeeded here. */
+    /** Records that a task succeeded here. */
     public void taskSucceeded() {
-        failedJobs.clear();
+        faults.taskSucceeded();
     }
 
+    /** A live view of its attempts, in the order in which they were added. */
     public Collection<TaskAttempt> attempts() {
         return attempts.values();
     }
 
+    /** A copy of {@link #attempts}, for loops that change them. */
     public List<TaskAttempt> attemptsNow() {
         return new ArrayList<>(attempts.values());
     }
 
+    /** The attempt that a reported task belongs to; null if there is none. */
     public TaskAttempt find(TaskStatus task) {
         TaskAttempt attempt = attempts.get(task.task());
         return attempt != null && attempt.claim().round() == task.attempt() ? attempt : null;
     }
 
+    /** Adds an attempt and allocates its resources. */
     public void add(TaskAttempt attempt) {
         reportedTasksAllKnown = false;
         attempts.put(attempt.claim().task(), attempt);
@@ -325,8 +342,8 @@
     }
 
     /**
-     * Counts the room of an attempt as free from now on, since one transaction commits its end and
-     * the claims that use its room.
+     * Frees the resources of an attempt whose end is not committed yet, since the same transaction
+     * commits its end and the claims that use its resources.
      */
     public void release(TaskAttempt attempt) {
         if (!attempt.released() && attempts.get(attempt.claim().task()) == attempt) {
@@ -336,116 +353,120 @@
     }
 
     void remove(TaskAttempt attempt, double now) {
-        if (attempts.remove(attempt.claim().task(), attempt)) {
-            reportedTasksAllKnown = false;
-            if (!attempt.released()) {
-                allocation.charge(attempt.job().spec(), -1);
-            }
-            String image = attempt.job().spec().image();
-            if (attempt.runningSince() == 0
-                    && attempts.values().stream()
-                            .noneMatch(a -> a.job().spec().image().equals(image))) {
-                images.cancelFetch(image, now);
-            }
-            if (attempts.isEmpty()) {
-                idleSince = now;
-                allocation.reset();
-            }
+        if (!attempts.remove(attempt.claim().task(), attempt)) {
+            return;
+        }
+        reportedTasksAllKnown = false;
+        if (!attempt.released()) {
+            allocation.charge(attempt.job().spec(), -1);
+        }
+        String image = attempt.job().spec().image();
+        if (attempt.runningSince() == 0 && !hasAttemptWithImage(image)) {
+            images.cancelFetch(image, now);
         }
+        if (attempts.isEmpty()) {
+            idleSince = now;
+            allocation.reset();
+        }
+    }
+
+    private boolean hasAttemptWithImage(String image) {
+        return attempts.values().stream()
+                .anyMatch(attempt -> attempt.job().spec().image().equals(image));
     }
 
+    /** CPUs that no task here takes. */
     public double freeCpus() {
         return free().cpus();
     }
 
+    /** GPUs that no task here takes. */
     public double freeGpus() {
         return free().gpus();
     }
 
-    /** What no task here takes. */
+    /** Resources that no task here takes; none while the type is unknown. */
     public Resources free() {
         return allocation.free();
     }
 
-    /** What of it is kept, and for whom. */
+    /** What of its resources is taken and reserved. */
     public MachineAllocation allocation() {
         return allocation;
     }
 
-    /** Whether a task fits in beside room that is withheld from it. */
+    /** Whether a task fits into the free resources without those withheld from it. */
     public boolean fitsBeside(Resources withheld, Submission spec) {
         Resources left = withheld.equals(Resources.NONE) ? free() : free().minus(withheld);
         return left.hold(spec);
     }
 
-    /** Whether this kind of machine is one that the job may run on. */
+    /** Whether its type, zone and spot flag allow the job. */
     public boolean isAllowedFor(Submission spec) {
-        return type != null
-                && type.fits(spec)
-                && (!spot || spec.spot())
-                && (spec.zone() == null || spec.zone().equals(zone));
+        return description.isAllowedFor(spec);
     }
 
-    /** Whether new work may be sent here at all. */
-    public boolean isSchedulable(double now, double quietSeconds) {
+    /**
+     * Whether new work may be placed here at all.
+     *
+     * @param suspectAfterSeconds a worker without a heartbeat for this long gets no new work
+     */
+    public boolean isSchedulable(double now, double suspectAfterSeconds) {
         return state == State.UP
                 && !hasPreemptionNotice()
                 && !quarantined()
                 && !draining
                 && !commandsFailing()
-                && now - lastHeartbeatAt < quietSeconds
-                && now >= cordonUntil
+                && now - lastHeartbeatAt() < suspectAfterSeconds
+                && !faults.isCordoned(now)
                 && hasSeenCurrentTerm();
     }
 
     /**
-     * Whether it reports in its first session and has not yet heard any leader: it will take work
-     * in a moment. One that hears nobody begins its next session within a lease.
+     * Whether its worker sends heartbeats in its first epoch and has not yet seen any leader: it
+     * becomes schedulable in a moment. A worker that sees no leader begins its next epoch within a
+     * lease.
      */
     public boolean hasJustBooted() {
         return state == State.UP && workerEpoch.hasSeenNoLeader() && !commandsFailing();
     }
 
-    /** Whether its worker has shown a token of this term. */
+    /** Whether its worker has shown a fencing token of this term. */
     public boolean hasSeenCurrentTerm() {
         return workerEpoch.hasSeenCurrentTerm();
     }
 
-    /** Notes that a task that is to start here needs its image. */
+    /** Records that a task to be started here needs its image. */
     public void needsImage(Submission spec, double now) {
         images.recordNeeded(
                 spec.image(),
                 spec.imageGb(),
-                type == null ? 0 : type.cacheGb(),
-                fetchGbPerSecond(),
+                description.cacheGb(),
+                description.fetchGbPerSecond(),
                 now);
     }
 
-    /**
-     * Notes that a task runs here, so that its image is there; the least recently used ones fall
-     * out of the cache.
-     */
+    /** Records that a task runs here, so that its image is in the cache. */
     public void usesImage(Submission spec, double now) {
-        images.recordUsed(spec.image(), spec.imageGb(), type == null ? 0 : type.cacheGb(), now);
+        images.recordUsed(spec.image(), spec.imageGb(), description.cacheGb(), now);
     }
 
     /**
-     * How long a task would have to wait here for its image; what a start costs besides is within
-     * the second.
+     * Estimated wait of a task here for its image, in seconds. A missing image costs one second
+     * more than its fetch; the rest of a start is within the second.
      */
     public double imageFetchSeconds(Submission spec, double now) {
         return (images.holds(spec.image()) ? 0 : 1)
-                + images.fetchWaitSeconds(spec.image(), spec.imageGb(), fetchGbPerSecond(), now);
-    }
-
-    private double fetchGbPerSecond() {
-        return type == null ? 1 : Math.max(1e-3, type.fetchGbPerSecond());
+                + images.fetchWaitSeconds(
+                        spec.image(), spec.imageGb(), description.fetchGbPerSecond(), now);
     }
 
+    /** Whether an image is in its cache or being fetched. */
     public boolean holdsImage(String image) {
         return images.holds(image);
     }
 
+    /** The estimated content of its image cache. */
     public ImageCache images() {
         return images;
     }
--- a/src/main/java/org/springmill/control/cluster/MachineAllocation.java
+++ b/src/main/java/org/springmill/control/cluster/MachineAllocation.java
@@ -19,7 +19,7 @@
     private double reservedUntil;
 
     /** Notes what a machine of its type has. */
-    void capacity(MachineType type) {
+    void setCapacity(MachineType type) {
         capacity =
                 type == null
                         ? Resources.NONE
