--- a/src/main/java/org/springmill/control/cluster/BootTimes.java
+++ b/src/main/java/org/springmill/control/cluster/BootTimes.java
@@ -6,7 +6,8 @@
 
 /**
  * How long machines of each type take to boot in each zone: mean and mean deviation of what was
- * measured, smoothed as TCP does for its round trips (RFC 6298). Known anew in each term.
+ * measured, smoothed as TCP does for its round trips (RFC 6298). Each term starts without
+ * measurements.
  */
 public final class BootTimes {
     /**
@@ -15,10 +16,10 @@
      */
     private static final double MIN_BOOT_TIMES = 1.6;
 
-    /** None is waited for much longer than operators are ready to wait. */
+    /** No machine is waited for longer than this many times what operators are ready to wait. */
     private static final double MAX_PATIENCE_FACTOR = 2;
 
-    /** Of the first time that is measured: the spread that the cloud names, and some more. */
+    /** Deviation assumed after the first measurement: the cloud's stated spread and a margin. */
     private static final double INITIAL_DEVIATION_SHARE = 1 / 8.0;
 
     private static final double MEAN_GAIN = 1 / 8.0;
@@ -46,7 +47,7 @@
         this.patienceBootTimes = patienceBoots;
     }
 
-    /** Notes that a machine came up for the first time. */
+    /** Records that a machine came up for the first time. */
     public void cameUp(Machine machine, double now) {
         double seconds = now - machine.rentedAt();
         add(key(machine.type(), machine.zone()), seconds);
@@ -63,8 +64,8 @@
     }
 
     /**
-     * After how long a machine that has not come up is late. Where none has come up in its zone,
-     * other zones tell how long its type takes.
+     * After how many seconds a machine that has not come up is overdue. Where none has come up in
+     * its zone, the measurements of its type in other zones count.
      */
     public double lateAfterSeconds(MachineType type, String zone) {
         Estimate ofType = estimates.get(type.name());
@@ -77,7 +78,7 @@
         return Math.min(most, Math.max(MIN_BOOT_TIMES * type.bootSeconds(), measured));
     }
 
-    /** Spot machines boot like others. */
+    /** Key of an estimate. Spot machines boot like others, and share theirs. */
     public static String key(MachineType type, String zone) {
         return type.name() + '/' + zone;
     }
--- a/src/main/java/org/springmill/control/cluster/ClusterState.java
+++ b/src/main/java/org/springmill/control/cluster/ClusterState.java
@@ -15,8 +15,8 @@
 import org.springmill.protocol.Submission;
 
 /**
- * All jobs and attempts that count: everything not proven gone is held against team limits, zones
- * and machines.
+ * All jobs of one leadership term and their attempts. An attempt counts against the limits of its
+ * team, zone and machine until its end is committed.
  */
 public final class ClusterState {
 
@@ -25,76 +25,89 @@
     private final Set<TaskAttempt> ended = new LinkedHashSet<>();
     private final Map<Priority, Integer> attemptsByPriority = new EnumMap<>(Priority.class);
 
+    /** A cluster without jobs, with the teams of the settings. */
     public ClusterState(Settings settings) {
         settings.teams().forEach(team -> teams.put(team.name(), new TeamUsage(team)));
     }
 
+    /** A live view of all jobs by id, in the order in which they were added. */
     public Map<String, Job> jobs() {
         return jobs;
     }
 
+    /** The job of an id; null if it is not known. */
     public Job job(String id) {
         return jobs.get(id);
     }
 
+    /** Adds a job that has no attempts yet. */
     public void add(Job job) {
         jobs.put(job.id(), job);
     }
 
-    /** Gives a job the place that follows from those that need it. */
+    /** Sets a job's place in the queue, derived from its dependents. */
     void rank(Job job, Priority priority, double latestStart) {
         attemptsByPriority.merge(job.priority(), -job.liveCount(), Integer::sum);
         job.rank(priority, latestStart);
         attemptsByPriority.merge(job.priority(), job.liveCount(), Integer::sum);
     }
 
+    /** Removes a job without attempts. */
     public void dropJob(Job job) {
         jobs.remove(job.id());
     }
 
     /**
-     * A job of a team that has since left the settings may run nothing new, and what it runs is
-     * still counted.
+     * The usage of a team. A team that has since been removed from the settings gets no new
+     * attempts, and those that it has are still counted.
      */
     public TeamUsage usage(String team) {
         return teams.computeIfAbsent(
                 team, name -> new TeamUsage(new Settings.Team(name, 0, 1e-9, 0, 1e-9)));
     }
 
+    /** Adds an attempt, and charges it to its job, machine and team. */
     public void add(TaskAttempt attempt) {
         attempt.job().add(attempt);
         attempt.machine().add(attempt);
         charge(attempt, 1);
     }
 
-    /** Takes an attempt out: its end is committed, or its claim never was to be. */
+    /** Removes an attempt whose end is committed, or whose claim was not. */
     public void remove(TaskAttempt attempt, double now) {
         ended.remove(attempt);
         attempt.job().remove(attempt);
         attempt.machine().remove(attempt, now);
         charge(attempt, -1);
         if (attempt.markStopRequested(false)) {
-            usage(attempt.job().spec().team()).stopping(attempt.job().spec(), -1);
+            usage(attempt.job().spec().team()).chargeStopping(attempt.job().spec(), -1);
         }
     }
 
-    /** Notes that an attempt was told to stop: it still counts, but gives nothing more back. */
+    /**
+     * Records that an attempt is to be stopped. It still counts as used, but stopping it again
+     * would free nothing more.
+     */
     public void noteLeaving(TaskAttempt attempt) {
         if (attempt.markStopRequested(true)) {
-            usage(attempt.job().spec().team()).stopping(attempt.job().spec(), 1);
+            usage(attempt.job().spec().team()).chargeStopping(attempt.job().spec(), 1);
         }
     }
 
-    /** Takes back that an attempt is to stop; false if it was told already, or is over. */
+    /**
+     * Retracts that an attempt is to be stopped.
+     *
+     * @return false if its stop has begun or it has ended, so that this is too late
+     */
     public boolean noteStaying(TaskAttempt attempt) {
-        boolean told =
+        boolean isTooLate =
                 attempt.state() == TaskAttempt.State.STOPPING
                         || attempt.state() == TaskAttempt.State.ENDED
                         || attempt.state() == TaskAttempt.State.CLOSED;
-        if (!told && attempt.markStopRequested(false)) {
-            usage(attempt.job().spec().team()).stopping(attempt.job().spec(), -1);
+        if (!isTooLate && attempt.markStopRequested(false)) {
+            usage(attempt.job().spec().team()).chargeStopping(attempt.job().spec(), -1);
         }
-        return !told;
+        return !isTooLate;
     }
 
     private void charge(TaskAttempt attempt, int sign) {
@@ -103,14 +116,17 @@
         attemptsByPriority.merge(attempt.job().priority(), sign, Integer::sum);
     }
 
-    /** Whether anything at all may be stopped for a job: most find at a glance that nothing may. */
+    /**
+     * Whether any attempt at all may be preempted for a job. Cheap: for most jobs it spares the
+     * search for victims.
+     */
     public boolean mayPreemptFor(Job job) {
         String team = job.spec().team();
         return hasAttemptBelow(job.priority())
                 || (usage(team).guaranteedFor(job.spec()) && isOtherTeamAboveGuarantee(team));
     }
 
-    /** Whether anything of a lower priority holds a place. */
+    /** Whether an attempt of a lower priority exists. */
     private boolean hasAttemptBelow(Priority priority) {
         return attemptsByPriority.entrySet().stream()
                 .anyMatch(e -> e.getValue() > 0 && priority.above(e.getKey()));
@@ -121,6 +137,7 @@
                 .anyMatch(e -> !e.getKey().equals(team) && e.getValue().isAboveGuarantee());
     }
 
+    /** Drops the limit reservations of all teams; see {@link TeamUsage#hold}. */
     public void releaseHeld() {
         teams.values().forEach(TeamUsage::releaseReservations);
     }
@@ -129,6 +146,7 @@
         ended.add(attempt);
     }
 
+    /** Removes and returns up to so many of {@link #ended}, the earliest first. */
     public List<TaskAttempt> drainEnded(int most) {
         List<TaskAttempt> taken = new ArrayList<>();
         for (TaskAttempt attempt : ended) {
@@ -146,6 +164,7 @@
         return Collections.unmodifiableSet(ended);
     }
 
+    /** Whether an attempt has ended whose end is not yet being committed. */
     public boolean hasEnded() {
         return !ended.isEmpty();
     }
--- a/src/main/java/org/springmill/control/cluster/CommandChannel.java
+++ b/src/main/java/org/springmill/control/cluster/CommandChannel.java
@@ -1,8 +1,8 @@
 package org.springmill.control.cluster;
 
 /**
- * How far the sending of commands to one worker is: one request at a time, with pauses after
- * failures. Times are seconds on the steady clock of the leader.
+ * The state of sending commands to one worker: one request at a time, with pauses after failures.
+ * Times are seconds on the leader's steady clock.
  */
 public final class CommandChannel {
     private boolean requestInFlight;
--- a/src/main/java/org/springmill/control/cluster/DependencyPriority.java
+++ b/src/main/java/org/springmill/control/cluster/DependencyPriority.java
@@ -12,26 +12,26 @@
 import org.springmill.protocol.Priority;
 
 /**
- * Priority and deadline flow from jobs to their dependencies: whoever sets them does so on the last
- * job of a pipeline. A job has the highest priority of its own and those of its dependents, and has
- * to start by the time that leaves the rest of its pipeline its estimated run before the deadline.
- * Both are derived, never stored, and are no more than an order: owners' estimates are often wrong,
- * and no rule hangs on them.
+ * Propagates priorities and deadlines from jobs to their dependencies, since owners set them on the
+ * last job of a pipeline. A job gets the highest priority of its own and those of its dependents.
+ * Its latest start leaves the rest of its pipeline its estimated run before the deadline. Both are
+ * derived, never stored, and only order the queue: owners' estimates are often wrong, so no
+ * guarantee depends on them.
  *
- * <p>Kept up as jobs come and end. A job whose rank has changed tells its dependencies, which keep
- * the ranks of all their dependents and so need not look at each of them again. The latest accepted
- * is looked at first, and since a job can only need earlier ones each is looked at once for a
- * change. The work of one call is bounded; what is left over waits for the next, so that many
- * changes share one walk through a long chain.
+ * <p>Updated incrementally as jobs are added and end. A job whose rank has changed passes it to its
+ * dependencies. These keep the ranks of all their dependents and need not read them again. The
+ * latest accepted job is processed first: a job depends only on earlier ones, so each is processed
+ * once for a change. The work of one call is bounded. The rest waits for the next call, so that
+ * many changes share one walk through a long chain.
  *
- * <p>Work is counted in steps: a job looked at, or one of its dependencies told. A call may go over
- * its bound by the dependencies of one job, of which a record holds some hundreds at most.
+ * <p>Work is counted in steps: one job processed, or one of its dependencies updated. A call may
+ * exceed its bound by the dependencies of one job, of which a record holds some hundreds at most.
  */
 public final class DependencyPriority {
     /** Steps of one call of {@link #settle}. */
     private static final int MAX_STEPS = 5_000;
 
-    /** Steps for one change: enough for any ordinary pipeline to be up to date at once. */
+    /** Steps for one change, enough to update any ordinary pipeline at once. */
     private static final int MAX_STEPS_PER_CHANGE = 250;
 
     private final JobDirectory directory;
@@ -40,22 +40,23 @@
             new PriorityQueue<>(Comparator.comparingLong(Job::acceptedRevision).reversed());
     private final Set<String> pendingIds = new HashSet<>();
 
-    /** By the id of the dependency, which need not be known yet. */
+    /** By the id of the dependency, whose record need not be known yet. */
     private final Map<String, DependentRanks> dependentRanks = new HashMap<>();
 
-    /** What each active job with dependencies last told them. */
+    /** The rank that each active job with dependencies last passed to them. */
     private final Map<String, Rank> propagatedRanks = new HashMap<>();
 
+    /** Starts without jobs. */
     public DependencyPriority(JobDirectory directory, ClusterState clusterState) {
         this.directory = directory;
         this.clusterState = clusterState;
     }
 
     /**
-     * Takes note of a job that has come or ended, and brings the order up to date as far as one
-     * change may.
+     * Records that a job was added or has ended, and propagates ranks within the bound for one
+     * change.
      *
-     * @return the steps that this took
+     * @return the steps taken
      */
     public int changed(Job job) {
         int steps = 1;
@@ -68,17 +69,17 @@
     }
 
     /**
-     * Brings the order up to date as far as one call may.
+     * Propagates ranks within the bound for one call.
      *
-     * @return the steps that this took; 0 if nothing was left to do
+     * @return the steps taken; 0 if nothing was pending
      */
     public int settle() {
         return settle(MAX_STEPS);
     }
 
-    private int settle(int mostSteps) {
+    private int settle(int maxSteps) {
         int steps = 0;
-        while (steps < mostSteps && !pendingJobs.isEmpty()) {
+        while (steps < maxSteps && !pendingJobs.isEmpty()) {
             Job job = pendingJobs.poll();
             pendingIds.remove(job.id());
             steps++;
@@ -91,7 +92,7 @@
         return steps;
     }
 
-    /** A pipeline may have a single job, which then has the deadline. */
+    /** A job with a deadline and no dependencies is a pipeline of its own. */
     private static boolean hasOwnRank(Job job) {
         return job.spec().deadlineSeconds() != null || !job.spec().dependencies().isEmpty();
     }
@@ -113,7 +114,7 @@
         return new Rank(priority, due - job.spec().estimatedRunSeconds());
     }
 
-    /** Time of day; infinite without a deadline, or if it is not known since when it counts. */
+    /** Time of day in seconds; infinite without a deadline or a known time of acceptance. */
     private double ownDeadline(Job job) {
         JobRecord record = directory.get(job.id());
         Double deadlineSeconds = job.spec().deadlineSeconds();
@@ -129,10 +130,10 @@
     }
 
     /**
-     * Tells a job's dependencies its rank if they do not know it.
+     * Passes a job's rank to its dependencies if it has changed.
      *
      * @param rank null once the job has ended
-     * @return how many were told
+     * @return how many dependencies were updated
      */
     private int propagateToDependencies(Job job, Rank rank) {
         if (job.spec().dependencies().isEmpty()) {
@@ -147,9 +148,9 @@
         }
         for (String dependency : job.spec().dependencies()) {
             replaceRank(dependency, before, rank);
-            Job needed = clusterState.job(dependency);
-            if (needed != null && needed.active()) {
-                enqueue(needed);
+            Job dependencyJob = clusterState.job(dependency);
+            if (dependencyJob != null && dependencyJob.active()) {
+                enqueue(dependencyJob);
             }
         }
         return job.spec().dependencies().size();
--- a/src/main/java/org/springmill/control/cluster/DependentRanks.java
+++ b/src/main/java/org/springmill/control/cluster/DependentRanks.java
@@ -6,8 +6,8 @@
 import org.springmill.protocol.Priority;
 
 /**
- * The ranks of the active dependents of one job, as they last told them. The highest is known
- * without looking at each, also after it has been taken out.
+ * The ranks that the active dependents of one job last passed to it. The highest is found without
+ * reading each of them, also after it was removed.
  */
 final class DependentRanks {
     /** How many dependents have a priority. */
@@ -19,9 +19,9 @@
     private int size;
 
     /**
-     * A job's place in the order.
+     * A job's place in the queue.
      *
-     * @param latestStart time of day; infinite for no deadline
+     * @param latestStart time of day in seconds; infinite for no deadline
      */
     record Rank(Priority priority, double latestStart) {}
 
@@ -33,7 +33,7 @@
         }
     }
 
-    /** Takes out a rank that was added before. */
+    /** Removes a rank that was added before. */
     void remove(Rank rank) {
         size--;
         decrement(priorities, rank.priority());
--- a/src/main/java/org/springmill/control/cluster/EquivalenceClass.java
+++ b/src/main/java/org/springmill/control/cluster/EquivalenceClass.java
@@ -6,8 +6,8 @@
 import org.springmill.protocol.Submission;
 
 /**
- * What decides which machines have room for a task. Where one task finds no room, no other of the
- * same shape does, so that thousands of waiting jobs of a few shapes are looked at shape by shape.
+ * Tasks with the same requirements, which fit on the same machines. Where one of them cannot be
+ * placed no other can, so thousands of waiting jobs of a few classes are tried class by class.
  */
 public record EquivalenceClass(
         String team,
@@ -21,8 +21,8 @@
         boolean service) {
 
     /**
-     * The shape of a job's tasks; empty if the job's own history or its other tasks decide as well
-     * where one may go.
+     * The class of a job's tasks; empty if the job's own failures or its other tasks also decide
+     * where one may be placed.
      */
     public static Optional<EquivalenceClass> of(Job job) {
         Submission spec = job.spec();
--- a/src/main/java/org/springmill/control/cluster/ExhaustedEquivalenceClasses.java
+++ b/src/main/java/org/springmill/control/cluster/ExhaustedEquivalenceClasses.java
@@ -1,35 +1,39 @@
 package org.springmill.control.cluster;
 
 import java.util.HashSet;
-import java.util.Optional;
 import java.util.Set;
 
 /**
- * The shapes of tasks that found no room in one pass over the waiting jobs. Room only shrinks
- * during a pass, so later jobs of these shapes need not look. Ranking all machines for each of some
- * hundred one-task jobs, in every round, took a leader all of its processor time.
+ * The equivalence classes that could not be placed in one pass over the waiting jobs. Free
+ * resources only shrink during a pass, so later jobs of these classes need not be tried. Ranking
+ * all machines for each of some hundred one-task jobs, in every round, took a leader all of its
+ * processor time.
  */
 public final class ExhaustedEquivalenceClasses {
     private final Set<EquivalenceClass> classes = new HashSet<>();
 
-    /** Jobs for which some machine keeps room that others of their shape do not have. */
+    /** Jobs with a reserved machine, which others of their class may not use. */
     private final Set<Job> jobsWithReservedCapacity;
 
-    public ExhaustedEquivalenceClasses(Set<Job> jobsWithOwnRoom) {
-        this.jobsWithReservedCapacity = jobsWithOwnRoom;
+    /**
+     * Starts a pass.
+     *
+     * @param jobsWithReservedCapacity are tried even if their class could not be placed
+     */
+    public ExhaustedEquivalenceClasses(Set<Job> jobsWithReservedCapacity) {
+        this.jobsWithReservedCapacity = jobsWithReservedCapacity;
     }
 
-    /** Notes that no machine has room for one more task of a job. */
+    /** Records that one more task of a job fits on no machine. */
     public void add(Job job) {
         EquivalenceClass.of(job).ifPresent(classes::add);
     }
 
-    /** Whether it is known without a look that no machine has room for a job. */
+    /** Whether a job is already known to fit on no machine. */
     public boolean cover(Job job) {
         if (classes.isEmpty() || jobsWithReservedCapacity.contains(job)) {
             return false;
         }
-        Optional<EquivalenceClass> shape = EquivalenceClass.of(job);
-        return shape.isPresent() && classes.contains(shape.get());
+        return EquivalenceClass.of(job).filter(classes::contains).isPresent();
     }
 }
--- a/src/main/java/org/springmill/control/cluster/Fleet.java
+++ b/src/main/java/org/springmill/control/cluster/Fleet.java
@@ -13,17 +13,17 @@
 import org.springmill.transport.EventLoop;
 
 /**
- * The machines that a leader knows of, with what every part of it needs to act on them. A machine
- * is added when it is first heard of, whether from the cloud, its worker or a stored claim, and
- * stays until it is forgotten.
+ * The machines that a leader knows of, with the state that every part of the leader needs to act on
+ * them. A machine is added when the cloud, its worker or a stored claim first names it, and stays
+ * until {@link #forget}.
  */
 public final class Fleet {
-    /** A margin for slow members: what a gang has saved counts only if all of its members have. */
+    /** A margin for slow members: a gang's checkpoint counts only once all members have saved. */
     private static final double GANG_CHECKPOINT_SAVE_FACTOR = 2;
 
     /**
-     * Late copies of reports come up to some leases after they were sent. Taken for a machine that
-     * is up, a deleted one costs the work that is given to it some time, but breaks no rule.
+     * Duplicates of heartbeats may arrive some leases late. If one revives a deleted machine, the
+     * work placed there is delayed, but no guarantee is broken.
      */
     private static final double DELETED_RETENTION_LEASES = 60;
 
@@ -35,13 +35,16 @@
     private final double heartbeatIntervalSeconds;
     private final double deletedRetentionSeconds;
 
-    /** When the deletion of each machine was confirmed, the earliest first. */
+    /** When the deletion of each machine was confirmed, by name, the earliest first. */
     private final Map<String, Double> deletedMachines = new LinkedHashMap<>();
 
     private final BootTimes bootTimes;
     private ImageLocations storedLocations = new ImageLocations();
 
     /**
+     * A fleet without machines.
+     *
+     * @param term of the leader
      * @param bootPatience how many boot times operators are ready to wait for a machine
      */
     public Fleet(
@@ -60,7 +63,7 @@
         deletedRetentionSeconds = DELETED_RETENTION_LEASES * timeouts.workerLeaseSeconds();
     }
 
-    /** A live view of all machines, in the order in which they were first heard of. */
+    /** A live view of all machines, in the order in which they were added. */
     public Collection<Machine> machines() {
         return machines.values();
     }
@@ -70,12 +73,12 @@
         return new ArrayList<>(machines.values());
     }
 
-    /** Null for a machine that is not known. */
+    /** The machine of a name; null if it is not known. */
     Machine find(String name) {
         return machines.get(name);
     }
 
-    /** Returns a machine by its name, and adds it if it is not known yet. */
+    /** The machine of a name, which is added if it is not known yet. */
     public Machine machine(String name) {
         return machines.computeIfAbsent(name, this::newMachine);
     }
@@ -86,7 +89,7 @@
         return machine;
     }
 
-    /** Returns the machine of a report, described by it if it was not yet. */
+    /** The machine of a heartbeat, which is added and described by it if that is still to do. */
     public Machine machine(Heartbeat heartbeat) {
         Machine machine = machine(heartbeat.machine());
         if (machine.type() == null || machine.address().isEmpty()) {
@@ -99,24 +102,24 @@
         return machine;
     }
 
-    /** Removes a machine that is gone. */
+    /** Removes a machine that has been terminated. */
     public void forget(Machine machine) {
         machines.remove(machine.name());
     }
 
-    /** Notes that the cloud has confirmed that a machine and everything on it are gone. */
+    /** Records that the cloud has confirmed the deletion of a machine. */
     public void deleted(Machine machine) {
         double oldest = loop.now() - deletedRetentionSeconds;
         deletedMachines.values().removeIf(deletedAt -> deletedAt < oldest);
         deletedMachines.putIfAbsent(machine.name(), loop.now());
     }
 
-    /** Whether a machine's deletion is confirmed, so that all that is still heard of it is old. */
+    /** Whether a machine's deletion is confirmed, so that heartbeats still arriving are old. */
     public boolean wasDeleted(String name) {
         return deletedMachines.containsKey(name);
     }
 
-    /** Takes over what an earlier leader stored of the machines' images. */
+    /** Adopts the image locations that an earlier leader stored. */
     public void adopt(ImageLocations stored) {
         storedLocations = stored;
         machines.values().forEach(this::adoptImages);
@@ -126,7 +129,7 @@
         storedLocations.of(machine.name()).forEach(machine.images()::restore);
     }
 
-    /** Which images the machines that are up hold, to be stored for a later leader. */
+    /** The images on the machines that are up, to be stored for a later leader. */
     public ImageLocations imageLocations() {
         ImageLocations locations = new ImageLocations();
         for (Machine machine : machines.values()) {
@@ -139,7 +142,7 @@
         return locations;
     }
 
-    /** The leader's term, which all tokens of its machines belong to. */
+    /** The leader's term, which all fencing tokens of its machines belong to. */
     public long term() {
         return term;
     }
@@ -154,7 +157,7 @@
         return catalog;
     }
 
-    /** How long machines took to boot in this term. */
+    /** The boot times measured in this term. */
     public BootTimes bootTimes() {
         return bootTimes;
     }
@@ -164,7 +167,7 @@
         return loop.now();
     }
 
-    /** Notes that an attempt is known to be over; the next round commits it. */
+    /** Records that an attempt has ended; the next round commits its end. */
     public void end(TaskAttempt attempt, ExitCause cause) {
         if (!attempt.end(cause, now())) {
             return;
@@ -177,15 +180,15 @@
     }
 
     /**
-     * A gang without one of its members gets nowhere: the others stop too, and all are claimed anew
-     * together.
+     * Stops the other members of a gang: without one of them they make no progress. All are claimed
+     * again together.
      */
     private void abortGang(Job gang) {
         double graceSeconds = gang.spec().checkpointSaveSeconds() * GANG_CHECKPOINT_SAVE_FACTOR;
         gang.attempts().forEach(attempt -> stop(attempt, graceSeconds));
     }
 
-    /** Has an attempt stopped to make way, with time to save what it can and to be told of it. */
+    /** Stops an attempt with time to receive the command and to save a checkpoint. */
     public void stopWithCheckpoint(TaskAttempt attempt) {
         Submission spec = attempt.job().spec();
         stop(
@@ -194,8 +197,10 @@
     }
 
     /**
-     * Has an attempt stopped; what never was sent ends at once. The grace of one that is stopping
-     * already is only ever shortened.
+     * Stops an attempt. One whose start was never sent ends at once; the grace of one that is
+     * stopping already is only ever shortened.
+     *
+     * @param graceSeconds how long its task may still run after the stop command
      */
     public void stop(TaskAttempt attempt, double graceSeconds) {
         switch (attempt.state()) {
@@ -210,7 +215,8 @@
                     attempt.setGraceSeconds(graceSeconds);
                 }
             }
-            // While its round is being committed it can only be dropped afterwards; see Rounds.
+            // While its round is being committed it can only be removed afterwards; see
+            // PlacementRounds.
             case CLAIMING, ENDED, CLOSED -> {}
         }
     }
--- a/src/main/java/org/springmill/control/cluster/ImageCache.java
+++ b/src/main/java/org/springmill/control/cluster/ImageCache.java
@@ -3,15 +3,15 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** What a machine's image cache should hold, estimated from what was started on it. */
+/** The likely content of a machine's image cache, estimated from the tasks started there. */
 public final class ImageCache {
-    /** An image with its size, its last use, and when it should be there. */
+    /** An image with its size, its last use, and when its fetch should be complete. */
     record Image(double gb, double usedAt, double readyAt) {}
 
     private final Map<String, Image> images = new HashMap<>();
 
     /**
-     * Notes that a task needs an image. One that is missing is fetched after those that are being
+     * Records that a task needs an image. A missing one is fetched after those that are being
      * fetched already.
      */
     void recordNeeded(String image, double gb, double capacityGb, double gbPerSecond, double now) {
@@ -25,25 +25,25 @@
                 capacityGb);
     }
 
-    /** Notes that a task runs, so that its image is there. */
+    /** Records that a task runs, so that its image is in the cache. */
     void recordUsed(String image, double gb, double capacityGb, double now) {
         put(image, new Image(gb, now, now), capacityGb);
     }
 
-    /** Notes that no task waits for an image any more: what was not yet there is given up. */
+    /** Records that no task waits for an image any more: a fetch that is not complete ends. */
     void cancelFetch(String image, double now) {
         images.computeIfPresent(image, (name, held) -> held.readyAt() > now ? null : held);
     }
 
-    /** When all that is being fetched should be there. */
+    /** When all fetches under way should be complete. */
     private double fetchQueueEmptyAt(double now) {
         return images.values().stream().mapToDouble(Image::readyAt).reduce(now, Math::max);
     }
 
     /**
-     * How long a task that needs an image should have to wait for it. Images share the rate at
-     * which a machine fetches: one that fetched several large ones kept small services, sent there
-     * since it had room, waiting for half a minute.
+     * Estimated wait of a task for an image, in seconds. Images share a machine's fetch rate, so a
+     * fetch waits for those before it: machines that fetched several large images, and had free
+     * resources, kept small services waiting for half a minute.
      */
     double fetchWaitSeconds(String image, double gb, double gbPerSecond, double now) {
         Image held = images.get(image);
@@ -53,7 +53,8 @@
     }
 
     /**
-     * The least recently used images fall out when the cache is full; the one in use never does.
+     * Adds an image. The least recently used ones are evicted when the cache is full, but never the
+     * one just added.
      */
     private void put(String image, Image entry, double capacityGb) {
         images.put(image, entry);
@@ -70,7 +71,7 @@
         }
     }
 
-    /** Takes over what an earlier leader noted, as used longest ago. */
+    /** Adds an image that an earlier leader stored, as the least recently used. */
     void restore(String image, double gb) {
         images.putIfAbsent(
                 image, new Image(gb, Double.NEGATIVE_INFINITY, Double.NEGATIVE_INFINITY));
@@ -80,17 +81,17 @@
         return images.values().stream().mapToDouble(Image::gb).sum();
     }
 
-    /** Whether an image is there or being fetched. */
+    /** Whether an image is in the cache or being fetched. */
     boolean holds(String image) {
         return images.containsKey(image);
     }
 
-    /** All images that are there or being fetched, by name. */
+    /** All images in the cache or being fetched, by name. */
     Map<String, Image> all() {
         return images;
     }
 
-    /** Forgets all images. */
+    /** Removes all images. */
     public void clear() {
         images.clear();
     }
--- a/src/main/java/org/springmill/control/cluster/Job.java
+++ b/src/main/java/org/springmill/control/cluster/Job.java
@@ -12,7 +12,10 @@
 import org.springmill.protocol.Submission;
 import org.springmill.protocol.UserMessages.JobPhase;
 
-/** A job as its leader sees it: which tasks are done, which are claimed, which wait. */
+/**
+ * A job as the leader knows it: which of its tasks are done, which have an attempt and which wait,
+ * its place in the queue, and what its failures say.
+ */
 public final class Job {
     private static final Logger LOG = LoggerFactory.getLogger(Job.class);
 
@@ -26,7 +29,7 @@
     private final ArrayDeque<Integer> requeuedTasks = new ArrayDeque<>();
     private final JobFailures failures;
 
-    /** Machines from which waiting tasks were recalled. */
+    /** The machines from which waiting tasks were recalled, by task index. */
     private final Int2ObjectHashMap<Machine> recalledFrom = new Int2ObjectHashMap<>();
 
     private int nextNeverClaimedTask;
@@ -36,12 +39,9 @@
     private double endedAt;
     private boolean completionBegun;
 
-    /** How far a job is on its way. Its tasks have states of their own. */
+    /** The life cycle of a job. Its task attempts have states of their own. */
     enum State {
-        /**
-         * Some job that it needs is not done: it takes nothing, asks for nothing and no task of it
-         * is placed.
-         */
+        /** Some dependency is not done: it takes no resources, and none of its tasks is placed. */
         WAITING,
         /** Its tasks may be placed. */
         ELIGIBLE,
@@ -53,6 +53,11 @@
         }
     }
 
+    /**
+     * An accepted job without attempts.
+     *
+     * @param version revision at which it was accepted
+     */
     public Job(Submission spec, long version) {
         this.spec = spec;
         this.failures = new JobFailures(spec.id());
@@ -63,10 +68,12 @@
         this.version = version;
     }
 
+    /** What its owner submitted. */
     public Submission spec() {
         return spec;
     }
 
+    /** The id that its owner submitted it under. */
     public String id() {
         return spec.id();
     }
@@ -79,30 +86,31 @@
         return arrival;
     }
 
-    /** Revision at which the job was accepted: later than those of all that it needs. */
+    /** Revision at which the job was accepted; higher than those of all its dependencies. */
     long acceptedRevision() {
         return acceptedRevision;
     }
 
-    /** The highest of its own priority and those of all that need it. */
+    /** The highest of its own priority and those of all its dependents. */
     public Priority priority() {
         return priority;
     }
 
     /**
-     * Time of day by which it has to start for its chain to keep the deadline; infinite if there is
-     * none.
+     * Time of day in seconds by which it has to start for its pipeline to keep the deadline;
+     * infinite without a deadline.
      */
     public double latestStart() {
         return latestStart;
     }
 
-    /** Only through {@link ClusterState#rank}, which counts what runs by priority. */
+    /** Called only by {@link ClusterState#rank}, which counts attempts by priority. */
     void rank(Priority derived, double startBy) {
         priority = derived;
         latestStart = startBy;
     }
 
+    /** Revision of its record's latest change that is known here. */
     public long version() {
         return version;
     }
@@ -111,11 +119,12 @@
         return phase;
     }
 
+    /** When it ended, in seconds on the leader's steady clock; 0 while it is active. */
     public double endedAt() {
         return endedAt;
     }
 
-    /** The one place where its state changes; false if the change is not a legal one. */
+    /** The one place where its state changes; returns false for a change that is not legal. */
     private boolean transition(State next) {
         if (!state.mayBecome(next)) {
             LOG.error("{} cannot go from {} to {}", spec.id(), state, next);
@@ -126,21 +135,28 @@
         return true;
     }
 
-    /** All that it needs is done, since a revision from which on its times count. */
+    /**
+     * Makes it eligible, since all its dependencies are done.
+     *
+     * @param since revision at which the last of them was done
+     */
     public void becomeEligible(long since) {
         if (transition(State.ELIGIBLE)) {
             arrival = Math.max(arrival, since);
         }
     }
 
+    /** Whether some dependency is not done. */
     public boolean waitsForOthers() {
         return state == State.WAITING;
     }
 
+    /** Whether its tasks may be placed. */
     public boolean eligible() {
         return state == State.ELIGIBLE;
     }
 
+    /** Ends it, as done or cancelled. */
     public void end(JobPhase terminal, long newVersion, double now) {
         if (!transition(State.ENDED)) {
             return;
@@ -150,18 +166,22 @@
         endedAt = now;
     }
 
+    /** Whether it is neither done nor cancelled. */
     public boolean active() {
         return state != State.ENDED;
     }
 
+    /** A copy of the list of its attempts. */
     public List<TaskAttempt> attempts() {
         return new ArrayList<>(attemptsByTask.values());
     }
 
+    /** How many of its tasks have an attempt. */
     public int liveCount() {
         return attemptsByTask.size();
     }
 
+    /** How many of its tasks are done. */
     public int doneCount() {
         return doneTasks.cardinality();
     }
@@ -177,28 +197,31 @@
         return new JobProgress(id(), doneCount(), running);
     }
 
+    /** Whether all its tasks are done; never for a service. */
     public boolean complete() {
         return !spec.service() && doneTasks.cardinality() == spec.tasks();
     }
 
-    /** True once, when the job is found complete. */
+    /** Starts the commit of its end; returns true for the first call only. */
     public boolean beginEnding() {
-        boolean first = !completionBegun;
+        boolean isFirst = !completionBegun;
         completionBegun = true;
-        return first;
+        return isFirst;
     }
 
+    /** Records the tasks, by index, that are done. */
     public void markDone(BitSet tasks) {
         doneTasks.or(tasks);
     }
 
+    /** Records that the task of an index is done. */
     public void markDone(int task) {
         doneTasks.set(task);
     }
 
     /**
-     * The next task that is neither done nor claimed, or -1. Tasks come in order, those given back
-     * first.
+     * Index of the next task that is neither done nor claimed, or -1. Tasks that lost their attempt
+     * come first, then the others by index.
      */
     public int nextTask() {
         while (!requeuedTasks.isEmpty()) {
@@ -216,6 +239,7 @@
         return nextNeverClaimedTask < spec.tasks() ? nextNeverClaimedTask : -1;
     }
 
+    /** How many of its tasks are neither done nor claimed; 0 unless it is eligible. */
     public int waiting() {
         return eligible() ? spec.tasks() - doneTasks.cardinality() - unfinishedAttemptCount() : 0;
     }
@@ -245,12 +269,12 @@
         }
     }
 
-    /** Whether tasks that were recalled wait to go on. */
+    /** Whether tasks that were stopped by a recall wait for a new attempt. */
     public boolean hasRecalledTasks() {
         return !recalledFrom.isEmpty();
     }
 
-    /** The machine from which a waiting task was recalled; null if it was not. */
+    /** The machine from which a waiting task was recalled; null if none was. */
     public Machine recalledFrom(int task) {
         return recalledFrom.get(task);
     }
@@ -260,8 +284,8 @@
     }
 
     /**
-     * Whether one more task may go to a zone, counting every task not proven gone. Where a task's
-     * machine is not yet known to this leader, the task counts in every zone.
+     * Whether one more task may be placed in a zone beside all attempts that may still run. An
+     * attempt on a machine that has not been described yet counts in every zone.
      */
     public boolean zoneAllows(String zone) {
         if (spec.zone() != null && !spec.zone().equals(zone)) {
@@ -283,6 +307,7 @@
         return here < spec.perZone();
     }
 
+    /** How many of its attempts are in a zone. */
     public int inZone(String zone) {
         int here = 0;
         for (TaskAttempt attempt : attemptsByTask.values()) {
@@ -293,22 +318,22 @@
         return here;
     }
 
-    /** What its failed tasks say of the job. */
+    /** The record of its failed tasks, and the limits that follow from it. */
     public JobFailures failures() {
         return failures;
     }
 
-    /** Whether a task waits, and may be started now. */
+    /** Whether a task waits and the limit on concurrent tasks allows it. */
     public boolean mayStartAnother() {
         return nextTask() >= 0 && attemptsByTask.size() < maxConcurrentTasks();
     }
 
-    /** How many of its waiting tasks may be started now. */
+    /** How many of its waiting tasks the limit on concurrent tasks allows. */
     public int startable() {
         return Math.min(waiting(), Math.max(0, maxConcurrentTasks() - attemptsByTask.size()));
     }
 
-    /** All members of a gang start together, and all replicas of a service are owed. */
+    /** Gangs and services have no limit: their tasks start together, or are all owed. */
     private int maxConcurrentTasks() {
         return spec.gang() || spec.service() ? Integer.MAX_VALUE : failures.maxConcurrentTasks();
     }
--- a/src/main/java/org/springmill/control/cluster/JobFailures.java
+++ b/src/main/java/org/springmill/control/cluster/JobFailures.java
@@ -6,23 +6,24 @@
 import java.util.Set;
 
 /**
- * What a job's failed tasks say of the job. Tasks that fail on several machines with none
- * succeeding in between speak against the job: it is tried with one task at a time, after pauses
- * that grow, until a task succeeds; from then on with twice as many after each success.
+ * The failed tasks of a job, and the backoff that follows from them. A job whose tasks fail on
+ * several machines, with none succeeding in between, is suspect: it runs one task at a time, with
+ * exponential backoff, until a task succeeds; each success then doubles the limit on concurrent
+ * tasks.
  *
- * <p>A new leader knows nothing of this and tries such a job once at its full width.
+ * <p>The record is not stored: after a failover such a job is tried once without a limit.
  */
 public final class JobFailures {
-    /** Failures on so many machines in a row are the job's fault rather than the machines'. */
+    /** Failures on so many machines in a row are blamed on the job, not on the machines. */
     private static final int SUSPECT_AFTER_MACHINES = 2;
 
     private static final int MAX_PAUSE_STEPS = 32;
     private static final int MAX_DOUBLINGS = 5;
 
-    /** A machine on which the job failed is left out for this many steps. */
+    /** A machine on which the job failed is excluded for this many steps. */
     private static final int EXCLUSION_STEPS = 32;
 
-    /** Pauses differ by up to so much of their length from one job to the next. */
+    /** The jitter lengthens a pause by up to this share. */
     private static final double JITTER_SHARE = 0.25;
 
     private static final int UNLIMITED_TASKS = Integer.MAX_VALUE;
@@ -39,7 +40,7 @@
     private int maxConcurrentTasks = UNLIMITED_TASKS;
 
     /**
-     * @param jobId from which the job's part of the jitter follows, alike at every leader
+     * @param jobId seeds the jitter, so that it is the same at every leader
      */
     JobFailures(String jobId) {
         int hash = jobId.hashCode();
@@ -47,10 +48,11 @@
     }
 
     /**
-     * Notes that a task failed. Tasks that were placed before the last failure was known belong to
-     * the same trial and lengthen no pause.
+     * Records that a task failed. Tasks that were placed before the last failure was known belong
+     * to the same trial and do not lengthen the pause.
      *
-     * @param placedAt when the task was placed
+     * @param machine name of the machine on which it failed
+     * @param placedAt when the task was placed, on the same clock as {@code now}
      * @param stepSeconds the shortest pause
      */
     public void failed(String machine, double placedAt, double now, double stepSeconds) {
@@ -69,10 +71,10 @@
         failedTrials++;
     }
 
-    /** Notes that a task succeeded. */
+    /** Records that a task succeeded. */
     public void succeeded() {
         if (isSuspect()) {
-            // The job was at fault and is no longer: its machines are none to avoid.
+            // The job was at fault, not the machines that were excluded for it.
             excludedUntil.clear();
         }
         failedMachines.clear();
@@ -86,36 +88,31 @@
         }
     }
 
-    /** Notes that another task of the job runs well, so that a failure is the machine's. */
+    /** Records that other tasks of the job run well, so that failures are the machine's fault. */
     public void othersRunWell() {
         failedMachines.clear();
         failedTrials = 0;
     }
 
-    /** Whether the job rather than its machines is taken to be at fault. */
+    /** Whether the job, and not its machines, is taken to be at fault. */
     public boolean isSuspect() {
         return failedMachines.size() >= SUSPECT_AFTER_MACHINES;
     }
 
-    /** On how many machines it failed since a task last succeeded. */
-    int failedMachineCount() {
-        return failedMachines.size();
-    }
-
-    /** Whether the job failed on a machine lately, so that any other is better. */
+    /** Whether the job failed on a machine recently, so that another one is preferred. */
     public boolean avoids(String machine, double now) {
         return !excludedUntil.isEmpty() && now < excludedUntil.getOrDefault(machine, 0.0);
     }
 
     /**
-     * Whether a machine is left out altogether. Not for a job that is at fault itself: left out
-     * everywhere in turn, it would have new machines rented for it.
+     * Whether a machine must not be used. Never for a suspect job: it would be excluded from every
+     * machine in turn, and new ones would be rented for it.
      */
     public boolean excludes(String machine, double now) {
         return !isSuspect() && avoids(machine, now);
     }
 
-    /** Whether machines differ for it by where it failed. */
+    /** Whether it failed anywhere, so that machines are not equal for it. */
     boolean hasExclusions() {
         return !excludedUntil.isEmpty();
     }
@@ -125,7 +122,7 @@
         return notBefore;
     }
 
-    /** How many tasks may be on machines at once. */
+    /** Limit on its concurrent tasks. */
     int maxConcurrentTasks() {
         return maxConcurrentTasks;
     }
--- a/src/main/java/org/springmill/control/cluster/Machine.java
+++ b/src/main/java/org/springmill/control/cluster/Machine.java
@@ -17,7 +17,8 @@
 
 /**
  * A rented machine as one leader knows it: its life cycle, its description, its task attempts, and
- * what the messages exchanged with its worker prove. Times are seconds on the leader's steady clock.
+ * what the messages exchanged with its worker prove. Times are seconds on the leader's steady
+ * clock.
  */
 public final class Machine {
     private static final Logger LOG = LoggerFactory.getLogger(Machine.class);
--- a/src/main/java/org/springmill/control/cluster/MachineAllocation.java
+++ b/src/main/java/org/springmill/control/cluster/MachineAllocation.java
@@ -6,19 +6,19 @@
 import org.springmill.protocol.Resources;
 import org.springmill.protocol.Submission;
 
-/** What of one machine is taken, what is counted on for work to come, and for whom room is kept. */
+/** The resources of one machine: capacity, used, expected to be needed, and reserved for jobs. */
 public final class MachineAllocation {
     private Resources capacity = Resources.NONE;
     private Resources used = Resources.NONE;
 
-    /** The difference of the two; placement asks for it for each job and machine, so it is kept. */
+    /** Capacity minus used; stored, since placement reads it for each job and machine. */
     private Resources free = Resources.NONE;
 
     private Resources headroom = Resources.NONE;
     private final Set<Job> reservedFor = new HashSet<>();
     private double reservedUntil;
 
-    /** Notes what a machine of its type has. */
+    /** Sets the capacity to that of a machine type; to none for null. */
     void setCapacity(MachineType type) {
         capacity =
                 type == null
@@ -27,50 +27,50 @@
         free = capacity.minus(used);
     }
 
-    /** Adds a task to what is taken, or takes it out. */
+    /** Adds a task to the used resources (sign 1) or removes it (sign -1). */
     void charge(Submission task, int sign) {
         used = used.plus(Resources.of(task).times(sign));
         free = capacity.minus(used);
     }
 
-    /** Nothing is taken any more; rounding errors end with the last task. */
+    /** Sets the used resources to none, which drops the rounding errors of earlier tasks. */
     void reset() {
         used = Resources.NONE;
         free = capacity;
     }
 
-    /** What no task takes; nothing is there while the machine's type is not known. */
+    /** Resources that no task takes; none while the machine's type is unknown. */
     Resources free() {
         return capacity.equals(Resources.NONE) ? Resources.NONE : free;
     }
 
-    /** Notes what of the free room is counted on for tasks that are expected to arrive. */
+    /** Sets which of the free resources are set aside for tasks that are expected to arrive. */
     public void headroom(Resources expected) {
         headroom = expected;
     }
 
-    /** What of the free room is counted on for tasks that are expected to arrive. */
+    /** Free resources that are set aside for tasks that are expected to arrive. */
     public Resources headroom() {
         return headroom;
     }
 
     /**
-     * Keeps the room that is being made for jobs that others gave way to. Tasks stop one by one:
-     * whatever found room between them, mostly the one just stopped, had to be stopped again,
-     * dozens of times a second.
+     * Reserves the machine for a job that others are preempted for. Tasks stop one by one: without
+     * this, other work, mostly the task just preempted, takes the free resources in between and is
+     * preempted again, dozens of times a second.
      */
     public void reserveFor(Job job, double until) {
         reservedFor.add(job);
         reservedUntil = Math.max(reservedUntil, until);
     }
 
-    /** Whether room is kept for other jobs than this one. */
+    /** Whether the machine is reserved for other jobs than this one. */
     public boolean isReservedForOthers(Job job, double now) {
-        Set<Job> kept = reservedFor(now);
-        return !kept.isEmpty() && !kept.contains(job);
+        Set<Job> jobs = reservedFor(now);
+        return !jobs.isEmpty() && !jobs.contains(job);
     }
 
-    /** The jobs for which room is being made. */
+    /** The jobs that the machine is reserved for, without those that have no waiting task. */
     public Set<Job> reservedFor(double now) {
         if (now >= reservedUntil) {
             reservedFor.clear();
--- a/src/main/java/org/springmill/control/cluster/MachineKind.java
+++ b/src/main/java/org/springmill/control/cluster/MachineKind.java
@@ -3,19 +3,19 @@
 import org.springmill.protocol.CloudMessages.MachineType;
 
 /**
- * What the cloud rents as one kind, with capacity of its own: machines of one type in one zone,
- * spot or ordinary.
+ * Machines of one type in one zone, spot or on demand. The cloud has separate capacity for each
+ * kind.
  */
 public record MachineKind(MachineType type, String zone, boolean spot) {
 
-    /** The price of one machine by the hour. */
+    /** The price of one machine per hour. */
     public double price() {
         return type.price(spot);
     }
 
     /**
-     * Names the kind in logs and as a key. Unlike the record itself it stays the same when the
-     * type's price moves.
+     * Names the kind in logs and as a key. Unlike the record itself it does not change with the
+     * type's price.
      */
     public String label() {
         return type.name() + '/' + zone + (spot ? "/spot" : "");
--- a/src/main/java/org/springmill/control/cluster/MachineTypeCatalog.java
+++ b/src/main/java/org/springmill/control/cluster/MachineTypeCatalog.java
@@ -14,14 +14,14 @@
 import org.springmill.transport.EventLoop;
 import org.springmill.transport.HttpClient;
 
-/** The machine types that the cloud offers. Unknown until it has answered once. */
+/** The machine types that the cloud offers; empty until the cloud has answered once. */
 public final class MachineTypeCatalog {
     private static final Logger LOG = LoggerFactory.getLogger(MachineTypeCatalog.class);
 
-    /** Prices move slowly: they are read again after so many leases. */
+    /** Prices change slowly: they are read again after so many leases. */
     private static final double READ_INTERVAL_LEASES = 4;
 
-    /** Until the types are known no job can be judged: retries come this often in a lease. */
+    /** Retries per lease. Frequent, since no job can be validated while no type is known. */
     private static final double RETRIES_PER_LEASE = 14;
 
     private static final double TIMEOUTS_PER_LEASE = 5;
@@ -31,13 +31,14 @@
     private final Settings settings;
     private Map<String, MachineType> types = Map.of();
 
+    /** An empty catalog; {@link #start} fills it. */
     public MachineTypeCatalog(HttpClient http, EventLoop loop, Settings settings) {
         this.http = http;
         this.loop = loop;
         this.settings = settings;
     }
 
-    /** Asks until there is an answer, and now and then after that, for prices move. */
+    /** Reads the types until the cloud has answered, and at long intervals from then on. */
     public void start() {
         double leaseSeconds = settings.workers().leaseSeconds();
         http.send(
@@ -75,7 +76,7 @@
         }
     }
 
-    /** A zone without machines cannot take its part of jobs that are spread over zones. */
+    /** A zone without machines cannot take its share of jobs that are spread over zones. */
     private void warnOfZonesWithoutTypes(Collection<MachineType> offered) {
         for (String zone : settings.zones()) {
             if (offered.stream().noneMatch(type -> type.zones().contains(zone))) {
@@ -89,7 +90,7 @@
         return !types.isEmpty();
     }
 
-    /** The type of a name, or null. */
+    /** The type of a name; null if the cloud does not offer it. */
     public MachineType get(String name) {
         return types.get(name);
     }
@@ -99,7 +100,7 @@
         return types.values();
     }
 
-    /** Boot time of the type that boots slowest. */
+    /** Nominal boot time of the type that boots slowest; 0 while no type is known. */
     public double slowestBootSeconds() {
         double slowest = 0;
         for (MachineType type : types.values()) {
@@ -108,14 +109,14 @@
         return slowest;
     }
 
-    /** Why a job can never run; null if it can. */
+    /** The reason, as users read it, why a job can never run; null if it can. */
     public String impossible(Submission job) {
         Settings.Team team = settings.team(job.team());
         if (team == null) {
             return "unknown team " + job.team();
         }
-        int together = job.service() || job.gang() ? job.tasks() : 1;
-        if (!team.withinLimit(job.cpus() * together, job.gpus() * together)) {
+        int concurrentTasks = job.service() || job.gang() ? job.tasks() : 1;
+        if (!team.withinLimit(job.cpus() * concurrentTasks, job.gpus() * concurrentTasks)) {
             return "needs more than the limit of team " + job.team();
         }
         for (MachineType type : all()) {
--- a/src/main/java/org/springmill/control/cluster/TaskAttempt.java
+++ b/src/main/java/org/springmill/control/cluster/TaskAttempt.java
@@ -6,25 +6,32 @@
 import org.springmill.protocol.WorkerMessages.ExitCause;
 
 /**
- * One decision to run a task on a machine, from the claim to the committed proof that it is gone.
+ * One decision to run a task on a machine, from the claim to the commit of its end. Times are
+ * seconds on the leader's steady clock.
  */
 public final class TaskAttempt {
     private static final Logger LOG = LoggerFactory.getLogger(TaskAttempt.class);
 
+    /** The life cycle of an attempt. */
     public enum State {
         /** Placed; the round that claims it is not yet committed. */
         CLAIMING,
-        /** Committed; no start was sent. */
+        /** The claim is committed; no start command was sent. */
         CLAIMED,
-        /** A start was sent and is not confirmed. */
+        /** A start command was sent and is not confirmed. */
         SENT,
+        /** Its worker fetches the image. */
         FETCHING,
+        /** Its worker has reported it as running. */
         RUNNING,
-        /** Told to stop; it may still run, save, or never have started. */
+        /** A stop command is due or sent; it may still run, save a checkpoint, or never start. */
         STOPPING,
-        /** Unconfirmed past its window: not sent again, but settled from the worker's reports. */
+        /**
+         * Not confirmed before the timeout: the start is not sent again, and reconciliation with
+         * the worker's heartbeats decides.
+         */
         UNKNOWN,
-        /** Known to have ended, or to be gone; the round that says so is not yet committed. */
+        /** Known not to run any more; the round that records its end is not yet committed. */
         ENDED,
         /** The end is committed. */
         CLOSED;
@@ -34,8 +41,8 @@
                 case CLAIMING -> false;
                 case CLAIMED -> this == CLAIMING;
                 case SENT -> this == CLAIMED;
-                // A report may show more than one step at once, and a rebuilt claim starts out as
-                // unknown.
+                // A heartbeat may show more than one step at once, and a claim that is recovered at
+                // failover starts as UNKNOWN.
                 case FETCHING -> this == SENT || this == UNKNOWN;
                 case RUNNING -> this == SENT || this == UNKNOWN || this == FETCHING;
                 case STOPPING ->
@@ -66,9 +73,10 @@
     private boolean isMigrating;
     private boolean stopRequested;
     private boolean recalled;
-    private double lastReported = Double.NEGATIVE_INFINITY;
+    private double lastReportedAt = Double.NEGATIVE_INFINITY;
     private boolean released;
 
+    /** An attempt whose claim is not committed yet. */
     public TaskAttempt(Claim claim, Job job, Machine machine, double now) {
         this.claim = claim;
         this.job = job;
@@ -77,53 +85,67 @@
         this.stateSince = now;
     }
 
+    /** The stored decision that this attempt carries out. */
     public Claim claim() {
         return claim;
     }
 
+    /** The job that its task belongs to. */
     public Job job() {
         return job;
     }
 
+    /** The machine that the claim names. */
     public Machine machine() {
         return machine;
     }
 
+    /** Where it is in its life cycle. */
     public State state() {
         return state;
     }
 
+    /** Why it ended; {@code NONE} until then. */
     public ExitCause cause() {
         return cause;
     }
 
+    /** When its state last changed. */
     public double stateSince() {
         return stateSince;
     }
 
+    /** When it was placed. */
     public double claimedAt() {
         return claimedAt;
     }
 
-    /** When a report named it last. */
+    /** When a heartbeat last named it; negative infinity for never. */
     public double lastReported() {
-        return lastReported;
+        return lastReportedAt;
     }
 
+    /** Records that a heartbeat names it. */
     public void recordReported(double now) {
-        lastReported = now;
+        lastReportedAt = now;
     }
 
-    /** For how long its task has been seen to run; 0 if it does not. */
+    /** For how many seconds its task has been known to run; 0 if it does not run. */
     public double ranSeconds(double now) {
         return state == State.RUNNING ? now - runningSince : 0;
     }
 
+    /** When it was first known to run; 0 for never. */
     double runningSince() {
         return runningSince;
     }
 
-    /** The one place where an attempt's state changes; false if the change is not a legal one. */
+    /**
+     * The one place where an attempt's state changes. A change that {@link State} does not allow is
+     * not made, and logged as an error unless it is to the same state.
+     *
+     * @return whether the state changed
+     */
     public boolean transition(State next, double now) {
         if (!state.mayBecome(next)) {
             if (state != next) {
@@ -151,6 +173,11 @@
         return true;
     }
 
+    /**
+     * Moves it to {@code ENDED}.
+     *
+     * @return whether it had not ended before
+     */
     public boolean end(ExitCause why, double now) {
         if (!transition(State.ENDED, now)) {
             return false;
@@ -160,57 +187,67 @@
     }
 
     /**
-     * The highest token that a command to start it may have carried; it cannot start under a higher
-     * one.
+     * The highest fencing token that a start command may have carried: once the worker has seen a
+     * higher one, the attempt can no longer start.
      */
     public long highestStartToken() {
         return highestStartToken;
     }
 
-    public void recordStartSent(long token, long toSession) {
-        highestStartToken = Math.max(highestStartToken, token);
-        startEpoch = toSession;
+    /** Records the fencing token of a start command and the worker epoch that it was sent to. */
+    public void recordStartSent(long fencingToken, long workerEpoch) {
+        highestStartToken = Math.max(highestStartToken, fencingToken);
+        startEpoch = workerEpoch;
     }
 
-    /** The worker's session its starts were sent to; 0 if an earlier leader sent them. */
+    /** The worker epoch that its start command was sent to; 0 if an earlier leader sent it. */
     public long startEpoch() {
         return startEpoch;
     }
 
+    /** No command for it is sent before this time. */
     public double nextSendAt() {
         return nextSendAt;
     }
 
+    /** Sends no command for it before the given time. */
     public void scheduleResend(double at) {
         nextSendAt = at;
     }
 
+    /** How long its task may still run after the stop command. */
     public double graceSeconds() {
         return graceSeconds;
     }
 
+    /** Sets the grace, and makes the stop command that carries it due at once. */
     void setGraceSeconds(double seconds) {
         graceSeconds = seconds;
         nextSendAt = 0;
     }
 
-    /** Notes whether its team's usage counts it as leaving; true if that is a change. */
-    boolean markStopRequested(boolean now) {
-        boolean change = stopRequested != now;
-        stopRequested = now;
+    /**
+     * Sets whether its team's usage counts it as being stopped.
+     *
+     * @return whether that is a change
+     */
+    boolean markStopRequested(boolean requested) {
+        boolean change = stopRequested != requested;
+        stopRequested = requested;
         return change;
     }
 
-    /** Whether a recall stops it, or will once it is committed. */
+    /** Whether a recall stops it, or will stop it once the recall is committed. */
     public boolean recalled() {
         return recalled;
     }
 
-    public void markRecalled(boolean now) {
-        recalled = now;
+    /** Sets whether a recall stops it. */
+    public void markRecalled(boolean byRecall) {
+        recalled = byRecall;
     }
 
-    /** Whether its machine's room counts as free although its end is not committed yet. */
+    /** Whether its resources count as free although its end is not committed yet. */
     public boolean released() {
         return released;
     }
@@ -219,11 +256,12 @@
         released = true;
     }
 
-    /** Stopped to run elsewhere, so that it should not be stopped for anything else again. */
+    /** Whether it is stopped to run on another machine; nothing else should preempt it then. */
     public boolean isMigrating() {
         return isMigrating;
     }
 
+    /** Records that it is stopped to run on another machine. */
     public void markMigrating() {
         isMigrating = true;
     }
--- a/src/main/java/org/springmill/control/cluster/TeamUsage.java
+++ b/src/main/java/org/springmill/control/cluster/TeamUsage.java
@@ -5,7 +5,7 @@
 import org.springmill.protocol.Settings;
 import org.springmill.protocol.Submission;
 
-/** What a team's attempts take, held against its guarantee and its limit. */
+/** The resources that a team's attempts use, compared with its guaranteed and maximum share. */
 public final class TeamUsage {
     /** How many tasks a resource allows that is not bounded or not needed. */
     private static final double UNBOUNDED_TASKS = 1e9;
@@ -13,41 +13,40 @@
     private final Settings.Team team;
     private Resources used = Resources.NONE;
 
-    /** Part of the limit that is kept for replicas that wait for a machine. */
+    /** Part of the limit that is reserved for replicas that wait for a machine. */
     private Resources reserved = Resources.NONE;
 
-    /** Part of what is used that was told to stop. */
+    /** Part of the used resources whose attempts are being stopped. */
     private Resources stopping = Resources.NONE;
 
     TeamUsage(Settings.Team team) {
         this.team = team;
     }
 
-    /** Adds a task to what is used, or takes it out. */
+    /** Adds a task to the used resources (sign 1) or removes it (sign -1). */
     void charge(Submission task, int sign) {
         used = used.plus(Resources.of(task).times(sign));
     }
 
-    /** Adds a task to what was told to stop, or takes it out. */
-    void stopping(Submission task, int sign) {
+    /** Adds a task to those being stopped (sign 1) or removes it (sign -1). */
+    void chargeStopping(Submission task, int sign) {
         stopping = stopping.plus(Resources.of(task).times(sign));
     }
 
-    /** What it uses beside what was told to stop. */
+    /** The used resources without those of attempts that are being stopped. */
     private Resources usedUnlessStopping() {
         return used.minus(stopping);
     }
 
-    /** Whether the limit allows one more task beside what is kept for others. */
+    /** Whether the limit allows one more task beside the reservations. */
     public boolean allows(Submission spec) {
         Resources all = used.plus(reserved).plus(spec);
         return team.withinLimit(all.cpus(), all.gpus());
     }
 
     /**
-     * Keeps part of the limit for replicas that wait for a machine. A later job of the team would
-     * otherwise take it for as long as it lives, and the earlier one would find a machine and no
-     * limit left.
+     * Reserves part of the limit for replicas that wait for a machine. Otherwise a later job of the
+     * team takes it for as long as it runs, and the earlier one finds a machine but no limit left.
      */
     public void hold(Submission spec, int tasks) {
         reserved = reserved.plus(Resources.of(spec).times(tasks));
@@ -67,20 +66,20 @@
         return team.withinGuarantee(used.cpus() + spec.cpus(), used.gpus() + spec.gpus());
     }
 
-    /** Whether the team runs above its guarantee, so that it may have to give something back. */
+    /** Whether the team uses more than its guarantee, so that others may preempt or recall it. */
     boolean isAboveGuarantee() {
         return Entitlement.hasLoans(team, usedUnlessStopping());
     }
 
-    /** Whether the team keeps what it is entitled to if so much more of what it runs is stopped. */
+    /** Whether the team keeps its entitlement if attempts of so many resources are stopped. */
     public boolean keepsEntitlementWithout(Resources loss) {
         return Entitlement.coversLoss(team, usedUnlessStopping(), loss);
     }
 
     /**
-     * The same, counting only part of what it runs.
+     * The same, counting only part of its attempts.
      *
-     * @param confirmed what is known to run
+     * @param confirmed resources of those that are known to run
      */
     public boolean keepsEntitlementWithout(Resources loss, Resources confirmed) {
         return Entitlement.coversLoss(team, confirmed, loss);
@@ -91,12 +90,12 @@
         return tasksWithinBounds(spec, team.cpusMax(), team.gpusMax(), used);
     }
 
-    /** How many tasks the limit allows beside what is kept for others. */
+    /** How many more tasks the limit allows beside the reservations. */
     public int roomBesideHeld(Submission spec) {
         return roomBesideHeld(spec, Resources.NONE);
     }
 
-    /** How many tasks the limit allows beside what is kept for others and promised. */
+    /** How many more tasks the limit allows beside the reservations and what is promised. */
     public int roomBesideHeld(Submission spec, Resources promised) {
         return tasksWithinBounds(
                 spec, team.cpusMax(), team.gpusMax(), used.plus(reserved).plus(promised));
@@ -107,7 +106,7 @@
         return guaranteedRoomFor(spec, Resources.NONE);
     }
 
-    /** How many more tasks are within the guarantee beside what is promised to the team. */
+    /** How many more tasks are within the guarantee beside what recalls promise the team. */
     public int guaranteedRoomFor(Submission spec, Resources promised) {
         return team.hasGuarantee()
                 ? tasksWithinBounds(spec, team.cpus(), team.gpus(), used.plus(promised))
--- a/src/main/java/org/springmill/control/cluster/WorkerEpoch.java
+++ b/src/main/java/org/springmill/control/cluster/WorkerEpoch.java
@@ -3,11 +3,11 @@
 import org.springmill.protocol.WorkerMessages.Heartbeat;
 
 /**
- * How far the messages exchanged with one worker have come: its session, the number of its latest
- * message, and the fencing tokens that it was sent and has shown. docs/design.md, section 5, has
- * the argument.
+ * The epoch of one worker, the sequence number of its latest heartbeat, and the fencing tokens that
+ * it was sent and has shown. docs/design.md, section 5, has the argument.
  */
 public final class WorkerEpoch {
+    /** A fencing token is the term of a leader, followed by a counter of so many bits. */
     private static final int COUNTER_BITS = 20;
 
     private long fencingToken;
@@ -31,14 +31,14 @@
     }
 
     /**
-     * From now on every command still held up by the network is void once the worker has seen the
-     * new token.
+     * Raises the token. Commands that are still under way are rejected once the worker has seen the
+     * new one.
      */
     public void raiseFencingToken() {
         fencingToken++;
     }
 
-    /** Another copy of this term's tokens is out: never fall behind it. */
+    /** Adopts a token of this term that the worker has shown, if it is higher. */
     public void adoptFencingToken(long seen) {
         fencingToken = Math.max(fencingToken, seen);
     }
@@ -47,19 +47,21 @@
         return epoch;
     }
 
+    /** Whether a heartbeat is newer than all that were accepted. */
     public boolean isNewerThanSeen(Heartbeat heartbeat) {
         return heartbeat.isNewerThan(epoch, lastAcceptedSequence);
     }
 
     /**
-     * Whether the worker may be waiting for the answer: it never sends a report before it is done
-     * with the last.
+     * Whether the worker may be waiting for the answer: it sends no heartbeat before the last one
+     * was answered or timed out.
      */
     public boolean isLatestHeartbeat(Heartbeat heartbeat) {
         return heartbeat.epoch() > epoch
                 || (heartbeat.epoch() == epoch && heartbeat.sequence() > lastHeartbeatSequence);
     }
 
+    /** Records that a heartbeat arrived, whether it is accepted or not. */
     public void recordHeartbeat(Heartbeat heartbeat) {
         if (heartbeat.epoch() > epoch) {
             lastHeartbeatSequence = heartbeat.sequence();
@@ -68,6 +70,7 @@
         }
     }
 
+    /** Accepts a heartbeat that is newer than all before. */
     void accept(Heartbeat heartbeat, double now) {
         if (heartbeat.epoch() > epoch) {
             lastHeartbeatSequence = 0;
@@ -81,8 +84,8 @@
     }
 
     /**
-     * When a message first showed a token of this term; up to then an earlier leader may have
-     * renewed its lease.
+     * When a heartbeat first showed a token of this term; infinite before. Up to then an earlier
+     * leader may have renewed the worker's lease.
      */
     public double currentTermSeenAt() {
         return currentTermSeenAt;
@@ -93,7 +96,7 @@
         return termOf(highestSeenToken) == termOf(fencingToken);
     }
 
-    /** Whether it reports in its first session and has not yet heard any leader. */
+    /** Whether the worker is in its first epoch and has shown no leader's token. */
     boolean hasSeenNoLeader() {
         return epoch <= 1 && highestSeenToken == 0;
     }
--- a/src/main/java/org/springmill/control/cluster/ZoneCounts.java
+++ b/src/main/java/org/springmill/control/cluster/ZoneCounts.java
@@ -3,7 +3,7 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** How many of something there are in each zone. */
+/** A counter for each zone. */
 public final class ZoneCounts {
     private final Map<String, Integer> counts = new HashMap<>();
 
@@ -12,7 +12,7 @@
         counts.merge(zone, 1, Integer::sum);
     }
 
-    /** Zero for a zone to which nothing was added. */
+    /** The count of a zone; 0 for one to which nothing was added. */
     public int count(String zone) {
         return counts.getOrDefault(zone, 0);
     }
