--- a/src/main/java/org/springmill/control/jobs/ArchivedDependencies.java
+++ b/src/main/java/org/springmill/control/jobs/ArchivedDependencies.java
@@ -8,9 +8,8 @@
 import org.springmill.control.storage.ArchivedJob;
 
 /**
- * Final states of jobs whose records have been moved to the history while records in memory still
- * name them as dependencies. Until the state of such a job has been read, nothing is concluded from
- * it: the jobs that name it are neither eligible nor cancelled.
+ * Final states of archived jobs that are dependencies of records in memory. Until such a state has
+ * been looked up, its dependents are neither eligible nor cancelled.
  */
 final class ArchivedDependencies {
     private final Function<String, ArchivedJob> archivedInMemory;
@@ -18,19 +17,20 @@
     private final Set<String> unresolved = new LinkedHashSet<>();
 
     /**
-     * @param kept the final state of a moved job if it is in memory anyway, else null
+     * @param archivedInMemory the final state of an archived job if it is in memory anyway, else
+     *     null
      */
-    ArchivedDependencies(Function<String, ArchivedJob> kept) {
-        this.archivedInMemory = kept;
+    ArchivedDependencies(Function<String, ArchivedJob> archivedInMemory) {
+        this.archivedInMemory = archivedInMemory;
     }
 
-    /** The final state of a moved job, as far as it is known; else null. */
+    /** The final state of an archived job; null if it is not known. */
     ArchivedJob of(String id) {
-        ArchivedJob needed = resolved.get(id);
-        return needed != null ? needed : archivedInMemory.apply(id);
+        ArchivedJob job = resolved.get(id);
+        return job != null ? job : archivedInMemory.apply(id);
     }
 
-    /** A record in memory names a job that has none there. */
+    /** Adds a dependency that has no record in memory. */
     void require(String id) {
         ArchivedJob known = of(id);
         if (known == null) {
@@ -40,30 +40,31 @@
         }
     }
 
-    /** Takes in a final state that a record in memory needs. */
+    /** Sets the final state of a dependency. */
     void resolve(ArchivedJob job) {
         unresolved.remove(job.id());
         resolved.put(job.id(), job);
     }
 
-    /** The state could not be read now: others are read before it is tried again. */
+    /** Moves a dependency that could not be looked up to the end of the queue. */
     void postpone(String id) {
         if (unresolved.remove(id)) {
             unresolved.add(id);
         }
     }
 
-    /** The job has a record in memory, or no record in memory names it any more. */
+    /** Removes a job that has a record in memory, or no dependents any more. */
     void release(String id) {
         unresolved.remove(id);
         resolved.remove(id);
     }
 
-    /** The job whose final state has been needed for longest; null if none is. */
+    /** The unresolved dependency to look up next; null if all are resolved. */
     String firstUnresolved() {
         return unresolved.isEmpty() ? null : unresolved.iterator().next();
     }
 
+    /** Whether the final state of some dependency is not known. */
     boolean hasUnresolved() {
         return !unresolved.isEmpty();
     }
--- a/src/main/java/org/springmill/control/jobs/Cancellations.java
+++ b/src/main/java/org/springmill/control/jobs/Cancellations.java
@@ -9,37 +9,40 @@
 import org.springmill.protocol.PeerMessages.CancellationDelta;
 
 /**
- * The cancellations that this process knows of, in the order in which it learned of them, so that
- * others can be told what they lack. It may know of some whose job records it has not read: it was
- * told of them by another controller. One is forgotten when its job's record is moved to the
- * history.
+ * The cancellations that this process knows, as a log in the order in which they were added, so
+ * that peers can read those that they do not have. Cancellations received from a peer may precede
+ * their job records. A cancellation is dropped when its job is archived.
  */
 final class Cancellations {
+    /** A cursor is the tag of a process, followed by an index of so many bits. */
     private static final int INDEX_BITS = 32;
 
+    private static final long INDEX_MASK = (1L << INDEX_BITS) - 1;
+    private static final int TAG_MASK = 0x7fff_ffff;
+
     /**
-     * By the order in which they were learned. Indices count on when entries are dropped, so that
-     * bookmarks keep their meaning.
+     * By index in the log. Indices are not reused when entries are dropped, so that cursors stay
+     * valid.
      */
     private final TreeMap<Long, Cancellation> cancellationsByIndex = new TreeMap<>();
 
     private final Map<String, Long> indexByJob = new HashMap<>();
     private long nextIndex;
 
-    /** Tells this process's bookmarks from those of an earlier one, which had another order. */
+    /** Marks the cursors of this process: an earlier one had another order. */
     private final long processTag;
 
     /**
-     * @param tag random, and so most likely another one than that of an earlier process
+     * @param tag random, so that it most likely differs from that of an earlier process
      */
     Cancellations(int tag) {
-        this.processTag = ((long) tag & 0x7fff_ffff) << INDEX_BITS;
+        this.processTag = ((long) tag & TAG_MASK) << INDEX_BITS;
     }
 
     /**
-     * Takes in a cancellation.
+     * Adds a cancellation.
      *
-     * @return whether it was not known before
+     * @return false if one of the same job is known
      */
     boolean add(Cancellation cancellation) {
         if (indexByJob.putIfAbsent(cancellation.job(), nextIndex) != null) {
@@ -51,8 +54,8 @@
     }
 
     /**
-     * Forgets the cancellation of a job whose record has been moved: no task of it was left then,
-     * and none can start, so there is nobody who still has to learn of it.
+     * Drops the cancellation of an archived job: none of its tasks was left then and none can
+     * start, so no peer needs it any more.
      */
     void drop(String job) {
         Long index = indexByJob.remove(job);
@@ -61,7 +64,7 @@
         }
     }
 
-    /** How many are known. */
+    /** Number of cancellations. */
     int size() {
         return cancellationsByIndex.size();
     }
@@ -73,29 +76,30 @@
     }
 
     /**
-     * What another controller lacks.
+     * The cancellations that a peer does not have.
      *
-     * @param known what that one says of itself in its question
-     * @param informed whether this process has read the job records, and so forgotten nothing
+     * @param request with the revision up to which the peer has read the job records, and the
+     *     cursor that this process sent it last
+     * @param loaded whether this process has read all job records
      */
-    CancellationDelta deltaFor(CancellationDelta known, boolean informed) {
-        if (known.revision() < 0) {
-            // A controller of the version before this: it would be told everything again in every
-            // answer.
+    CancellationDelta deltaFor(CancellationDelta request, boolean loaded) {
+        if (request.revision() < 0) {
+            // The peer runs the previous version, which keeps no cursor: it would get the whole log
+            // in every response.
             return CancellationDelta.NONE;
         }
-        boolean mine = (known.cursor() & -(1L << INDEX_BITS)) == processTag;
-        long from = mine ? Math.min(nextIndex, known.cursor() & 0xffff_ffffL) : 0;
-        List<Cancellation> lacked = new ArrayList<>();
+        boolean isOwnCursor = (request.cursor() & ~INDEX_MASK) == processTag;
+        long from = isOwnCursor ? Math.min(nextIndex, request.cursor() & INDEX_MASK) : 0;
+        List<Cancellation> missing = new ArrayList<>();
         for (Map.Entry<Long, Cancellation> entry : cancellationsByIndex.tailMap(from).entrySet()) {
-            if (lacked.size() == CancellationDelta.MAX_CANCELLATIONS) {
+            if (missing.size() == CancellationDelta.MAX_CANCELLATIONS) {
                 return new CancellationDelta(
-                        0, processTag | entry.getKey(), false, informed, lacked);
+                        0, processTag | entry.getKey(), false, loaded, missing);
             }
-            if (entry.getValue().revision() > known.revision()) {
-                lacked.add(entry.getValue());
+            if (entry.getValue().revision() > request.revision()) {
+                missing.add(entry.getValue());
             }
         }
-        return new CancellationDelta(0, processTag | nextIndex, true, informed, lacked);
+        return new CancellationDelta(0, processTag | nextIndex, true, loaded, missing);
     }
 }
--- a/src/main/java/org/springmill/control/jobs/JobDependencies.java
+++ b/src/main/java/org/springmill/control/jobs/JobDependencies.java
@@ -16,19 +16,19 @@
 import org.springmill.protocol.UserMessages.JobPhase;
 
 /**
- * The dependency graph of all jobs, and the cancellations derived from it. A job is cancelled if
- * its record says so or if any job that it needs is: a pure function of committed records, so every
- * controller tells the same from the moment at which it knows the one write that cancelled the
- * first of them, after any crash and in whatever order the records come.
+ * The DAG of all job dependencies, and the cancellations derived from it. A job is cancelled if its
+ * record says so or any dependency is cancelled. This is a pure function of committed records, so
+ * all controllers agree as soon as they know the write that cancelled the first job, after any
+ * crash and in whatever order the records arrive.
  *
- * <p>A job of which a dependency is cancelled can never have started. It starts only after the
- * record of every dependency says done; done and cancelled are both written on condition of the
- * version of a record that says neither, so they exclude each other; and what never started is
- * never done, so the same holds for those that need it. Hence a job's own end need not be
- * conditional on any other record, and a late write to a dependent can change nothing.
+ * <p>A job with a cancelled dependency can never have started. It starts only after the record of
+ * every dependency says done. Done and cancelled are both written by compare-and-swap on a record
+ * that says neither, so they exclude each other. A job that never started is never done, so the
+ * same holds for its dependents. Hence a job's own end need not be conditional on any other record,
+ * and a late write to a dependent changes nothing.
  *
- * <p>The graph has no cycles, since only accepted jobs can be named. It is walked without
- * recursion, for chains are as deep as users like.
+ * <p>The graph has no cycles, since only accepted jobs can be dependencies. It is walked without
+ * recursion, since users may submit chains of any depth.
  */
 public final class JobDependencies {
     private static final Logger LOG = LoggerFactory.getLogger(JobDependencies.class);
@@ -41,17 +41,17 @@
     private final Set<String> pendingPersistence = new LinkedHashSet<>();
 
     /**
-     * @param jobs the directory's records as they are in effect; kept up here
-     * @param kept the final state of a job whose record has been moved, if it is in memory
+     * @param jobs the directory's records with derived cancellations applied; updated here
+     * @param archivedInMemory the final state of an archived job if it is in memory, else null
      */
-    JobDependencies(Map<String, JobRecord> jobs, Function<String, ArchivedJob> kept) {
+    JobDependencies(Map<String, JobRecord> jobs, Function<String, ArchivedJob> archivedInMemory) {
         this.jobs = jobs;
-        archived = new ArchivedDependencies(kept);
+        archived = new ArchivedDependencies(archivedInMemory);
     }
 
     /**
-     * Takes in a record as it is stored and returns all that change by it, as they now are in
-     * effect, itself first.
+     * Merges a record as it is stored. Returns all records that change by it, with derived
+     * cancellations applied, itself first.
      */
     List<JobRecord> merge(JobRecord stored) {
         if (!jobs.containsKey(stored.id())) {
@@ -66,8 +66,8 @@
     }
 
     /**
-     * Takes in the final state of a job whose record was moved before its dependents' were read.
-     * Returns those in which something may follow from it, as they now are in effect.
+     * Merges the final state of a job that was archived before the records of its dependents were
+     * read. Returns the dependents that may be affected, with derived cancellations applied.
      */
     List<JobRecord> mergeArchived(ArchivedJob job) {
         if (jobs.containsKey(job.id()) || !dependents.containsKey(job.id())) {
@@ -85,8 +85,8 @@
     }
 
     /**
-     * Forgets a job whose record has been moved. Records that name it keep its final state; if the
-     * record here is an old one, that state is still to be read.
+     * Evicts an archived job. Its final state stays in memory while it has dependents. If the
+     * record here does not say how it ended, that state has to be looked up.
      */
     void evict(String id) {
         JobRecord job = jobs.remove(id);
@@ -94,7 +94,7 @@
             return;
         }
         pendingPersistence.remove(id);
-        job.submission().dependencies().forEach(needed -> removeDependent(needed, id));
+        job.submission().dependencies().forEach(dependency -> removeDependent(dependency, id));
         if (dependents.containsKey(id)) {
             if (job.active()) {
                 archived.require(id);
@@ -104,42 +104,47 @@
         }
     }
 
-    private void removeDependent(String needed, String id) {
-        Set<String> others = dependents.get(needed);
+    private void removeDependent(String dependency, String id) {
+        Set<String> others = dependents.get(dependency);
         others.remove(id);
         if (others.isEmpty()) {
-            dependents.remove(needed);
-            archived.release(needed);
+            dependents.remove(dependency);
+            archived.release(dependency);
         }
     }
 
     private void addToDependents(JobRecord job) {
-        for (String needed : job.submission().dependencies()) {
-            dependents.computeIfAbsent(needed, id -> new LinkedHashSet<>(2)).add(job.id());
-            if (!jobs.containsKey(needed)) {
-                archived.require(needed);
+        for (String dependency : job.submission().dependencies()) {
+            dependents.computeIfAbsent(dependency, id -> new LinkedHashSet<>(2)).add(job.id());
+            if (!jobs.containsKey(dependency)) {
+                archived.require(dependency);
             }
         }
     }
 
     /**
-     * A job that others need, from its record in memory or from its moved one.
+     * What dependents need to know of a job, from its record in memory or its archived state.
      *
-     * @param revision of its latest change, and so of its end if it has ended
+     * @param endedAt time of day in seconds
+     * @param revision of its latest change, which is its end if it has ended
      */
     private record Dependency(JobPhase phase, boolean service, double endedAt, long revision) {}
 
-    /** Null if neither record is known here. */
+    /** Null if neither its record nor its archived state is in memory. */
     private Dependency dependency(String id) {
         JobRecord job = jobs.get(id);
         if (job != null) {
             return new Dependency(
                     job.phase(), job.submission().service(), job.endedAt(), job.version());
         }
-        ArchivedJob gone = archived.of(id);
-        return gone == null
+        ArchivedJob archivedJob = archived.of(id);
+        return archivedJob == null
                 ? null
-                : new Dependency(gone.phase(), gone.service(), gone.endedAt(), gone.endRevision());
+                : new Dependency(
+                        archivedJob.phase(),
+                        archivedJob.service(),
+                        archivedJob.endedAt(),
+                        archivedJob.endRevision());
     }
 
     private JobRecord inEffect(JobRecord stored) {
@@ -147,15 +152,15 @@
             return stored;
         }
         for (String id : stored.submission().dependencies()) {
-            Dependency needed = dependency(id);
-            if (needed != null && needed.phase() == JobPhase.CANCELLED) {
-                return cancelledWith(stored, id, needed.endedAt());
+            Dependency dependency = dependency(id);
+            if (dependency != null && dependency.phase() == JobPhase.CANCELLED) {
+                return cancelledWith(stored, id, dependency.endedAt());
             }
         }
         return stored;
     }
 
-    /** What has changed is also the list of what is still to be looked at. */
+    /** The list of changed records is also the work list: each may cancel its dependents. */
     private void cancelDependentsOfAll(List<JobRecord> changed) {
         for (int next = 0; next < changed.size(); next++) {
             JobRecord job = changed.get(next);
@@ -181,31 +186,31 @@
 
     private JobRecord cancelledWith(JobRecord job, String cause, double endedAt) {
         if (job.phase() == JobPhase.DONE) {
-            LOG.error("{} is done although {}, which it needs, is cancelled", job.id(), cause);
+            LOG.error("{} is done, but its dependency {} is cancelled", job.id(), cause);
         } else {
             pendingPersistence.add(job.id());
         }
         return job.ended(JobPhase.CANCELLED, endedAt);
     }
 
-    /** Jobs that a submission names and of which nothing is in memory. */
+    /** Ids of the dependencies of a submission of which nothing is in memory. */
     public List<String> unknown(Submission submission) {
         return submission.dependencies().stream().filter(id -> dependency(id) == null).toList();
     }
 
-    /** The final state of a job could not be read now; others come first. */
+    /** Moves a job whose final state could not be read to the end of the lookups. */
     void postponeUnresolved(String id) {
         archived.postpone(id);
     }
 
-    /** The job whose final state is to be read next, for a record in memory; null if none is. */
+    /** The archived dependency whose final state is to be looked up next; null if none is. */
     String firstUnresolved() {
         return archived.firstUnresolved();
     }
 
     /**
-     * Whether the state in effect of a job is certain. While the final state of a moved dependency
-     * is being read, any job that waits for others may turn out to be cancelled.
+     * Whether the state of a job is certain. While the final state of an archived dependency is
+     * being looked up, any job with dependencies may turn out to be cancelled.
      */
     boolean isStatusCertain(JobRecord job) {
         return !job.active()
@@ -214,26 +219,25 @@
     }
 
     /**
-     * Whether some job that names this one has not ended, going by the records that are stored: of
-     * those the record here is still needed.
+     * Whether some dependent is {@link #unsettled}, so that this job's record is still dependency.
      */
     public boolean hasUnsettledDependents(String id) {
         return dependents(id).stream().anyMatch(this::unsettled);
     }
 
-    /** Whether a job has not ended or its end is not yet in its own record. */
+    /** Whether a job has not ended, or its end is not yet in its own stored record. */
     public boolean unsettled(String id) {
         return jobs.get(id).active() || pendingPersistence.contains(id);
     }
 
-    /** Why a job cannot wait for its dependencies, as far as is known here; null if it can. */
+    /** The reason, as users read it, why a submission's dependencies are invalid; null if valid. */
     public String refusal(Submission submission) {
         for (String id : submission.dependencies()) {
-            Dependency needed = dependency(id);
-            if (needed == null) {
+            Dependency dependency = dependency(id);
+            if (dependency == null) {
                 return "needs " + id + ", which was never accepted";
             }
-            if (needed.service()) {
+            if (dependency.service()) {
                 return "needs " + id + ", a service, which is never done";
             }
         }
@@ -241,20 +245,20 @@
     }
 
     /**
-     * Whether the records of all that a job needs say done. Only records count: no peer's word and
-     * no number of finished tasks. Done is final, so a later leader finds the same.
+     * Whether the records of all dependencies say done. Only records count, not messages of peers
+     * or counts of finished tasks. Done is final, so a later leader finds the same.
      */
     public boolean ready(Submission submission) {
         for (String id : submission.dependencies()) {
-            Dependency needed = dependency(id);
-            if (needed == null || needed.phase() != JobPhase.DONE) {
+            Dependency dependency = dependency(id);
+            if (dependency == null || dependency.phase() != JobPhase.DONE) {
                 return false;
             }
         }
         return true;
     }
 
-    /** Revision at which a ready job became so: that of the last end among what it needs. */
+    /** Revision at which a ready job became ready: that at which its last dependency ended. */
     public long readySince(Submission submission) {
         long since = 0;
         for (String id : submission.dependencies()) {
@@ -268,12 +272,12 @@
         return dependents.getOrDefault(id, Set.of());
     }
 
-    /** Jobs whose derived cancellation is to be written down, the longest known first. */
+    /** Up to so many records whose derived cancellation is to be persisted, the oldest first. */
     public List<JobRecord> pendingPersistence(int most) {
         return pendingPersistence.stream().limit(most).map(jobs::get).toList();
     }
 
-    /** Leaves records unwritten until a newer version of them is learned. */
+    /** Gives up persisting these records until a newer version of them is merged. */
     public void abandonPersistence(List<JobRecord> records) {
         records.forEach(job -> pendingPersistence.remove(job.id()));
     }
--- a/src/main/java/org/springmill/control/jobs/JobDirectory.java
+++ b/src/main/java/org/springmill/control/jobs/JobDirectory.java
@@ -27,11 +27,11 @@
 import org.springmill.transport.EventLoop;
 
 /**
- * Every controller's copy of the records of live and recent jobs, as they are in effect, and the
- * cancellations of such jobs. What has been moved to the history is read key by key.
+ * Every controller's in-memory copy of the records of active and recent jobs, with derived
+ * cancellations applied, and of the cancellations of such jobs. Archived jobs are looked up by key.
  *
- * <p>The copy may lag, so an answer that could be outdated (a job unknown, or not ended) waits for
- * a {@link #barrier}.
+ * <p>The copy may lag behind the key-value store, so a response that could be stale (a job unknown,
+ * or not ended) waits for a {@link #barrier}.
  */
 public final class JobDirectory {
     private static final Logger LOG = LoggerFactory.getLogger(JobDirectory.class);
@@ -41,7 +41,9 @@
     private final JobDependencies dependencies;
     private final Cancellations cancellations;
 
-    /** Cancellations of which no record was read yet, by job; told by other controllers. */
+    /**
+     * Cancellations received from other controllers whose job records were not read yet, by job.
+     */
     private final Map<String, Cancellation> cancellationsWithoutRecord = new HashMap<>();
 
     private final JobRecordWatch watch;
@@ -52,7 +54,9 @@
     private boolean lookupInFlight;
 
     /**
-     * @param tag tells this process from earlier ones of the same controller
+     * An empty directory; {@link #start} fills it.
+     *
+     * @param tag distinguishes this process from earlier ones of the same controller
      */
     public JobDirectory(KeyValueStoreClient store, EventLoop loop, Timeouts timeouts, int tag) {
         this.loop = loop;
@@ -76,12 +80,12 @@
 
         @Override
         public void reloaded(Set<String> keys, long revision) {
-            List<String> gone =
+            List<String> archivedIds =
                     jobs.values().stream()
                             .filter(job -> job.version() <= revision && !keys.contains(job.key()))
                             .map(JobRecord::id)
                             .toList();
-            gone.forEach(JobDirectory.this::evict);
+            archivedIds.forEach(JobDirectory.this::evict);
         }
 
         @Override
@@ -91,12 +95,12 @@
         }
     }
 
-    /** Begins to read the records, and to follow their changes. */
+    /** Starts to read the records and to watch their changes. */
     public void start() {
         watch.start();
     }
 
-    /** Notes that this controller stood still; see {@link JobRecordWatch#resumed}. */
+    /** Records that this process was paused; see {@link JobRecordWatch#resumed}. */
     public void resumed() {
         watch.resumed();
     }
@@ -106,49 +110,50 @@
         return watch.loaded();
     }
 
-    /** Has a listener told of every record that is new or has changed in effect. */
+    /** Sets the listener that receives every record that is new or has changed. */
     public void onChange(Consumer<JobRecord> newListener) {
         changeListener = newListener;
     }
 
-    /** Has a listener told of every job whose record leaves memory. */
+    /** Sets the listener that receives the id of every job whose record is evicted from memory. */
     public void onForget(Consumer<String> newListener) {
         evictionListener = newListener;
     }
 
-    /** Which job needs which, and what follows from it. */
+    /** The dependency graph and the cancellations derived from it. */
     public JobDependencies dependencies() {
         return dependencies;
     }
 
     /**
-     * The record in effect: a job cancelled with one that it needs counts as cancelled, whatever
-     * its own record says.
+     * The record of a job, or null. A job with a cancelled dependency counts as cancelled, whatever
+     * its own stored record says.
      */
     public JobRecord get(String id) {
         return jobs.get(id);
     }
 
-    /** The final state of a job whose record has been moved, if it is in memory; else null. */
+    /** The final state of an archived job if it is in memory; else null. */
     public ArchivedJob archived(String id) {
         return archivedJobs.kept(id);
     }
 
     /**
-     * Reads the final state of a job whose record may have been moved. A move is atomic: whoever
-     * finds no record after a {@link #barrier}, and nothing here either, asks for a job that was
-     * not accepted when the question came.
+     * Looks up the final state of a job that may have been archived. Archiving is atomic: if no
+     * record is found after a {@link #barrier}, and no archived job either, the job was not
+     * accepted when the request arrived.
      */
     public void findArchived(String id, Consumer<Lookup> done) {
         archivedJobs.find(id, done);
     }
 
     /**
-     * Reads the final states of jobs that have been moved, so that {@link #archived} has them.
-     * Stops at the first that was not moved, for whoever asks needs all of them.
+     * Looks up the final states of archived jobs, one after the other, so that {@link #archived}
+     * has them. Stops at the first that is not archived, since the caller needs all of them.
      *
-     * @param done takes false if one could not be read, or not in time; what was read is kept, so
-     *     that the same asked again gets further
+     * @param until deadline, in seconds on the steady clock
+     * @param done takes false if one could not be read before the deadline; the others stay in
+     *     memory, so that a retry gets further
      */
     public void findAllArchived(List<String> ids, double until, Consumer<Boolean> done) {
         if (ids.isEmpty()) {
@@ -166,7 +171,7 @@
                 });
     }
 
-    /** Forgets a job whose record has been moved to the history. */
+    /** Evicts a job that has been archived. */
     private void evict(String id) {
         JobRecord job = jobs.get(id);
         if (job == null) {
@@ -181,7 +186,10 @@
         lookUpNextDependency();
     }
 
-    /** One at a time: there are hardly ever any, and a takeover must not wait for them. */
+    /**
+     * Looks up the next archived dependency whose final state is not known. One at a time: there
+     * are few, and a failover must not wait for them.
+     */
     private void lookUpNextDependency() {
         String id = dependencies.firstUnresolved();
         if (lookupInFlight || !watch.loaded() || id == null) {
@@ -197,8 +205,9 @@
             dependencies.mergeArchived(lookup.job()).forEach(changeListener);
             lookUpNextDependency();
         } else {
-            // Its record may just not have been read yet; the feed brings it then. Others must not
-            // wait for one that is never found.
+            // Its record may not have been read yet; then the watch brings it. Other lookups must
+            // not
+            // wait for one that never succeeds.
             dependencies.postponeUnresolved(id);
             loop.after(
                     lookupRetrySeconds,
@@ -209,7 +218,7 @@
         }
     }
 
-    /** Of jobs whose records were moved before this controller learned of their cancellations. */
+    /** Drops those of jobs that were archived before their cancellations arrived here. */
     private void dropCancellationsOfArchivedJobs() {
         if (cancellationsWithoutRecord.isEmpty() || !watch.loaded()) {
             return;
@@ -217,27 +226,30 @@
         cancellationsWithoutRecord.values().removeIf(this::hasRecordOrIsArchived);
     }
 
-    private boolean hasRecordOrIsArchived(Cancellation reported) {
-        if (jobs.containsKey(reported.job())) {
+    private boolean hasRecordOrIsArchived(Cancellation received) {
+        if (jobs.containsKey(received.job())) {
             return true;
         }
-        boolean moved = reported.revision() <= watch.cursor();
-        if (moved) {
-            cancellations.drop(reported.job());
+        boolean isArchived = received.revision() <= watch.cursor();
+        if (isArchived) {
+            cancellations.drop(received.job());
         }
-        return moved;
+        return isArchived;
     }
 
-    /** The records in memory: of jobs that have not ended, or not long ago, in no order. */
+    /** A live view of the records in memory, of active and recently ended jobs, in no order. */
     public Collection<JobRecord> all() {
         return jobs.values();
     }
 
-    /** Takes in a record that this controller has just written or read itself. */
+    /**
+     * Merges a record that this controller has just written or read itself. Older versions than the
+     * known one are ignored.
+     */
     public void learn(JobRecord job) {
-        boolean seenByFeed = watch.loaded() && job.version() <= watch.cursor();
-        if (seenByFeed && !jobs.containsKey(job.id())) {
-            // The commit's answer came so late that the record has been moved meanwhile.
+        boolean isSeenByWatch = watch.loaded() && job.version() <= watch.cursor();
+        if (isSeenByWatch && !jobs.containsKey(job.id())) {
+            // The response to the commit was so late that the job has been archived since.
             return;
         }
         mergeStored(job);
@@ -252,43 +264,43 @@
             cancellations.add(new Cancellation(job.id(), job.version(), job.endedAt()));
         }
         dependencies.merge(job).forEach(changeListener);
-        Cancellation reported = cancellations.find(job.id());
-        if (reported != null && job.active()) {
-            applyCancellation(job, reported);
+        Cancellation cancellation = cancellations.find(job.id());
+        if (cancellation != null && job.active()) {
+            applyCancellation(job, cancellation);
         }
     }
 
     /**
-     * Takes in a cancellation reported by another controller, also of a job not yet known here. It
-     * moves no cursor: what was committed before it may still be unknown.
+     * Merges a cancellation received from another controller, also of a job not yet known here. It
+     * does not advance the cursor: changes committed before it may still be unknown.
      */
-    public void learn(Cancellation reported) {
-        JobRecord known = jobs.get(reported.job());
-        boolean isNew = cancellations.add(reported);
+    public void learn(Cancellation received) {
+        JobRecord known = jobs.get(received.job());
+        boolean isNew = cancellations.add(received);
         if (known == null) {
-            cancellationsWithoutRecord.put(reported.job(), reported);
+            cancellationsWithoutRecord.put(received.job(), received);
         } else if (isNew && known.active()) {
-            applyCancellation(known, reported);
+            applyCancellation(known, received);
         }
     }
 
-    private void applyCancellation(JobRecord active, Cancellation reported) {
-        learn(active.ended(JobPhase.CANCELLED, reported.askedAt()).committed(reported.revision()));
+    private void applyCancellation(JobRecord active, Cancellation cancellation) {
+        learn(
+                active.ended(JobPhase.CANCELLED, cancellation.askedAt())
+                        .committed(cancellation.revision()));
     }
 
-    /**
-     * Whether users may be told the state of a job that is in memory; see {@link JobDependencies}.
-     */
+    /** Whether the state of a job in memory may be sent to users; see {@link JobDependencies}. */
     public boolean isStatusCertain(JobRecord job) {
         return dependencies.isStatusCertain(job);
     }
 
-    /** Cancellations in memory, with those whose records were not read yet. */
+    /** Number of cancellations in memory, with those whose records were not read yet. */
     public int cancellationCount() {
         return cancellations.size() + cancellationsWithoutRecord.size();
     }
 
-    /** Final states of moved jobs in memory. */
+    /** Number of final states of archived jobs in memory. */
     public int archivedInMemory() {
         return archivedJobs.keptCount();
     }
@@ -298,7 +310,7 @@
         return cancellations.find(id) != null;
     }
 
-    /** Stops what a worker still has of cancelled jobs. */
+    /** Stop commands for the tasks of cancelled jobs that a worker still has. */
     public List<Command> stopCommandsFor(Heartbeat heartbeat) {
         return heartbeat.tasks().stream()
                 .filter(task -> task.state() != TaskState.EXITED)
@@ -308,25 +320,28 @@
     }
 
     /**
-     * What this controller tells of itself when it asks another one, which handed out the bookmark.
+     * The request for the cancellations that this controller does not have.
+     *
+     * @param peerCursor the cursor that the peer sent last; 0 for none
      */
-    public CancellationDelta deltaRequest(long bookmark) {
-        return new CancellationDelta(watch.cursor(), bookmark, false, watch.loaded(), List.of());
+    public CancellationDelta deltaRequest(long peerCursor) {
+        return new CancellationDelta(watch.cursor(), peerCursor, false, watch.loaded(), List.of());
     }
 
-    /** What another controller lacks, going by its question. */
-    public CancellationDelta deltaFor(CancellationDelta known) {
-        return cancellations.deltaFor(known, watch.loaded());
+    /** The cancellations that the sender of a request does not have. */
+    public CancellationDelta deltaFor(CancellationDelta request) {
+        return cancellations.deltaFor(request, watch.loaded());
     }
 
-    /** Everything that was committed before this moment is known here. */
+    /** Every change committed before this time, on the steady clock, is known here. */
     public double currentAt() {
         return watch.currentAt();
     }
 
     /**
-     * Calls back with true once every change made before this call is in the copy; with false if
-     * that cannot be had.
+     * Waits until every change committed before this call is in the copy (a linearizable read).
+     *
+     * @param done takes true then, and false if the key-value store could not be read
      */
     public void barrier(Consumer<Boolean> done) {
         watch.readBarrier(done);
--- a/src/main/java/org/springmill/control/jobs/JobRecordWatch.java
+++ b/src/main/java/org/springmill/control/jobs/JobRecordWatch.java
@@ -15,11 +15,11 @@
 import org.springmill.transport.EventLoop;
 
 /**
- * Reads the job records from the key-value store: all of them once, and from then on their changes
- * by a watch and by barriers.
+ * Reads the job records from the key-value store: all of them once, then their changes, by a watch
+ * and by read barriers.
  *
- * <p>A barrier reads the changes up to a revision that was current after it was asked for. One read
- * serves all barriers that wait.
+ * <p>A read barrier reads the changes up to a revision that was current after the barrier was
+ * requested. One read serves all waiting barriers.
  */
 final class JobRecordWatch {
     private final KeyValueStoreClient store;
@@ -34,24 +34,24 @@
     private long cursor;
     private double currentAt = Double.NEGATIVE_INFINITY;
 
-    /** Takes what is read. */
+    /** Receives the records. */
     interface Listener {
-        /** A record as it stands, or its change. */
+        /** A record was read, or has changed or been deleted. */
         void changed(Change change);
 
         /** All records were read for the first time. */
         void loaded();
 
         /**
-         * All records were read again, since too many changes had been missed. What was passed on
-         * before and is not among them has been moved.
+         * All records were read again, since too many changes had been missed. Earlier records that
+         * are not among them have been archived.
          *
-         * @param keys of the records that were there
-         * @param revision of which the read is complete
+         * @param keys of the records that were read
+         * @param revision at which the list is complete
          */
         void reloaded(Set<String> keys, long revision);
 
-        /** Every change up to the cursor was passed on. */
+        /** Every change up to the cursor has been delivered. */
         void caughtUp();
     }
 
@@ -65,11 +65,11 @@
     }
 
     /**
-     * Reads all records, and follows their changes from there. They are passed on page by page:
-     * held until the last one came, those of some ten thousand jobs took more memory than all else.
+     * Lists all records, and watches their changes from there. Records are delivered page by page:
+     * collected first, those of some ten thousand jobs took more memory than all else.
      */
     void start() {
-        double askedAt = loop.now();
+        double requestedAt = loop.now();
         Set<String> keys = new HashSet<>();
         store.list(
                 JobRecord.PREFIX,
@@ -79,7 +79,7 @@
                         loop.after(timeouts.leaderRenewIntervalSeconds(), this::start);
                         return;
                     }
-                    completeList(keys, revision, askedAt);
+                    completeList(keys, revision, requestedAt);
                     watch();
                 });
     }
@@ -87,16 +87,16 @@
     private void handlePage(List<Entry> entries, Set<String> keys) {
         for (Entry entry : entries) {
             keys.add(entry.key());
-            // What was passed on before may have been moved since.
+            // A job whose record was delivered before may have been archived since.
             if (entry.version() > cursor) {
                 listener.changed(new Change(entry.key(), entry.value(), entry.version()));
             }
         }
     }
 
-    private void completeList(Set<String> keys, long revision, double askedAt) {
+    private void completeList(Set<String> keys, long revision, double requestedAt) {
         cursor = Math.max(cursor, revision);
-        currentAt = Math.max(currentAt, askedAt);
+        currentAt = Math.max(currentAt, requestedAt);
         if (loaded) {
             listener.reloaded(keys, revision);
         } else {
@@ -111,19 +111,20 @@
         return loaded;
     }
 
-    /** Every change up to this revision was passed on. */
+    /** Every change up to this revision has been delivered. */
     long cursor() {
         return cursor;
     }
 
-    /** Everything that was committed before this moment was passed on. */
+    /** Every change committed before this time, on the steady clock, has been delivered. */
     double currentAt() {
         return currentAt;
     }
 
     /**
-     * Calls back with true once every change made before this call was passed on; with false if
-     * that cannot be had.
+     * Waits until every change committed before this call has been delivered.
+     *
+     * @param done takes true then, and false if the key-value store could not be read
      */
     void readBarrier(Consumer<Boolean> done) {
         if (!loaded) {
@@ -137,8 +138,8 @@
     }
 
     /**
-     * Notes that this controller stood still. What it had asked for before is too old to answer
-     * anyone with, and is asked for again.
+     * Records that this process was paused. A read that began before the pause is too old to
+     * release the barriers that wait for it, and is repeated.
      */
     void resumed() {
         pauseCount++;
@@ -149,21 +150,21 @@
         int pausesBefore = pauseCount;
         List<Consumer<Boolean>> served = waitingBarriers;
         waitingBarriers = new ArrayList<>();
-        double askedAt = loop.now();
+        double requestedAt = loop.now();
         store.changes(
                 JobRecord.PREFIX,
                 cursor,
                 0,
                 result -> {
-                    boolean read = result.changes() != null;
-                    if (read) {
-                        currentAt = Math.max(currentAt, askedAt);
+                    boolean isRead = result.changes() != null;
+                    if (isRead) {
+                        currentAt = Math.max(currentAt, requestedAt);
                         applyChanges(result.changes());
                     }
-                    if (read && pauseCount > pausesBefore) {
+                    if (isRead && pauseCount > pausesBefore) {
                         waitingBarriers.addAll(0, served);
                     } else {
-                        served.forEach(barrier -> barrier.accept(read));
+                        served.forEach(barrier -> barrier.accept(isRead));
                     }
                     loop.after(barrierIntervalSeconds, this::readForWaitingBarriers);
                 });
@@ -194,8 +195,8 @@
 
     private void applyChanges(Changes changes) {
         for (Change change : changes.changes()) {
-            // The watch and barriers read the same changes. One that is passed on again after a
-            // later one of the same key would bring back a record that has been moved.
+            // The watch and barriers read the same changes. Delivered again after a later change of
+            // the same key, one would bring back the record of an archived job.
             if (change.version() > cursor) {
                 listener.changed(change);
             }
--- a/src/main/java/org/springmill/control/jobs/JobStatusResponses.java
+++ b/src/main/java/org/springmill/control/jobs/JobStatusResponses.java
@@ -11,35 +11,41 @@
 import org.springmill.protocol.UserMessages.JobPhase;
 import org.springmill.transport.HttpHandler.Call;
 
-/** The answers that users get about a job, from its record and the progress of its tasks. */
+/**
+ * The HTTP responses to users' requests about a job, from its record and the progress of its tasks.
+ */
 public final class JobStatusResponses {
-    /** Users wait 5 s for an answer; by then they have to have one. */
+    /** Response deadline. Users time out after 5 s; the rest is for the network. */
     public static final double ANSWER_WITHIN_SECONDS = 3.5;
 
+    /** Reason of a 503 while the final state of an archived dependency is looked up. */
     public static final String DEPENDENCY_BEING_READ =
             "the end of a job that it needs is being read";
 
+    /** Reason of a 503 while the key-value store does not respond. */
     public static final String STATE_SERVICE_SILENT = "the state service does not answer";
 
     private static final int RETRY_AFTER_SECONDS = 1;
 
-    private final Function<String, JobProgress> progress;
+    private final Function<String, JobProgress> progressLookup;
 
     /**
-     * @param progress of an active job by its id, as far as it is known here; null if it is not
+     * Responses with the progress that this controller knows.
+     *
+     * @param progressLookup the progress of an active job by its id; null if it is not known here
      */
-    public JobStatusResponses(Function<String, JobProgress> progress) {
-        this.progress = progress;
+    public JobStatusResponses(Function<String, JobProgress> progressLookup) {
+        this.progressLookup = progressLookup;
     }
 
-    /** Answers 200 with the phase that a job is in. */
+    /** Responds 200 with the phase of a job. */
     public void phase(Call call, JobRecord job) {
         call.reply(200, UserMessages.phase(job.id(), phaseOf(job)), 0);
     }
 
-    /** Answers 200 with the phase that a job is in and how many of its tasks are done and run. */
+    /** Responds 200 with the phase of a job and how many of its tasks are done and running. */
     public void progress(Call call, JobRecord job) {
-        JobProgress known = progress.apply(job.id());
+        JobProgress known = progressLookup.apply(job.id());
         int done = known == null ? 0 : known.done();
         int running = known == null ? 0 : known.running();
         if (job.phase() == JobPhase.DONE) {
@@ -51,12 +57,12 @@
         call.reply(200, UserMessages.progress(job.id(), phaseOf(job), done, running), 0);
     }
 
-    /** Answers 200 with the final phase of a job whose record has been moved to the history. */
+    /** Responds 200 with the final phase of an archived job. */
     public static void phase(Call call, ArchivedJob job) {
         call.reply(200, UserMessages.phase(job.id(), job.phase()), 0);
     }
 
-    /** Answers 200 with the final phase and counts of a job whose record has been moved. */
+    /** Responds 200 with the final phase and task counts of an archived job. */
     public static void progress(Call call, ArchivedJob job) {
         int done = job.cancelled() ? 0 : job.tasks();
         call.reply(200, UserMessages.progress(job.id(), job.phase(), done, 0), 0);
@@ -66,11 +72,16 @@
         if (job.phase().terminal()) {
             return job.phase();
         }
-        JobProgress known = progress.apply(job.id());
+        JobProgress known = progressLookup.apply(job.id());
         return known != null && known.running() > 0 ? JobPhase.RUNNING : JobPhase.QUEUED;
     }
 
-    /** Answers from a lookup of a moved job; 503 if that was not served. */
+    /**
+     * Responds by the outcome of the lookup of an archived job.
+     *
+     * @param found responds if it was found
+     * @param absent responds if there is no such archived job
+     */
     public static void lookedUp(
             Call call, Lookup lookup, Consumer<ArchivedJob> found, Runnable absent) {
         switch (lookup.outcome()) {
@@ -80,22 +91,22 @@
         }
     }
 
-    /** Answers 404: the job was never accepted. */
+    /** Responds 404: the job was never accepted. */
     public static void notFound(Call call) {
         call.reply(404, UserMessages.error("no such job"), 0);
     }
 
-    /** Answers 503: what was asked for cannot be decided now. */
+    /** Responds 503: the request cannot be decided now. */
     public static void unavailable(Call call, String reason) {
         call.reply(503, UserMessages.error(reason), RETRY_AFTER_SECONDS);
     }
 
-    /** Answers 422: the job can never run. */
+    /** Responds 422: the job can never run. */
     public static void impossible(Call call, String reason) {
         call.reply(422, UserMessages.error(reason), 0);
     }
 
-    /** Answers 503 with when to come back: the job cannot be taken now. */
+    /** Responds 503 with the seconds after which to retry: the job cannot be accepted now. */
     public static void refused(Call call, AdmissionRefusal refusal) {
         byte[] answer = UserMessages.error(refusal.reason().text());
         call.reply(503, answer, refusal.retryAfterSeconds());
--- a/src/main/java/org/springmill/control/jobs/package-info.java
+++ b/src/main/java/org/springmill/control/jobs/package-info.java
@@ -2,8 +2,11 @@
  * Every controller's copy of the job records: which jobs exist, how they ended, which job depends
  * on which, and which are cancelled.
  *
- * <p>Owns the in-memory copy of {@code job/<id>}, fed by a watch of the key-value store and by what
- * peers tell. Uses {@code storage} and {@code historyArchiver}. The user API, the peers and the
- * leader read it; it knows nothing of machines.
+ * <p>Owns the in-memory copy of the records {@code job/<id>}, updated by a watch of the key-value
+ * store and by the cancellations that peers send. It writes nothing to the store. Uses {@code
+ * storage}, {@code history} (archived jobs), {@code admission} (refusals) and {@code timing}. The
+ * user API, the peers and the leader read it; it knows nothing of machines.
+ *
+ * <p>Start with {@link org.springmill.control.jobs.JobDirectory}.
  */
 package org.springmill.control.jobs;
--- a/src/main/java/org/springmill/control/metrics/Metrics.java
+++ b/src/main/java/org/springmill/control/metrics/Metrics.java
@@ -61,6 +61,7 @@
     private final Map<Outcome, Counter> recallsSettled = new EnumMap<>(Outcome.class);
     private double lastReadAt = Double.NEGATIVE_INFINITY;
 
+    /** A registry with all counters and timers at 0, aged by the clock of the event loop. */
     public Metrics(EventLoop loop) {
         this.loop = loop;
         registry = new SimpleMeterRegistry(SimpleConfig.DEFAULT, new LoopClock(loop));
@@ -92,59 +93,59 @@
         FunctionCounter.builder(PREFIX + name + COUNTER_SUFFIX, source, value).register(registry);
     }
 
-    /** Records that a submission, which arrived at the given time, was accepted now. */
+    /** Records that a submission, which arrived at the given time, has been accepted. */
     public void accepted(double arrivedAt) {
         recordSince(acceptance, arrivedAt);
     }
 
-    /** Records the commit of a placement round, which was started at the given time. */
+    /** Records the commit of a placement round that started at the given time. */
     public void roundCommitted(double startedAt, int claims, int endedAttempts) {
         recordSince(placementRound, startedAt);
         claimsCommitted.increment(claims);
         attemptsEnded.increment(endedAttempts);
     }
 
-    /** Records a commit that the key-value store answered, and that was sent at the given time. */
+    /** Records the response to a commit that was sent to the store at the given time. */
     public void commitAnswered(double sentAt) {
         recordSince(storeCommit, sentAt);
     }
 
-    /** Records that a task, which was claimed at the given time, runs now. */
+    /** Records that a task, which was claimed at the given time, is running. */
     public void started(double claimedAt) {
         recordSince(taskStart, claimedAt);
     }
 
-    /** Records an attempt that ended because its machine was silent beyond its lease. */
+    /** Records an attempt that ended because the lease of its worker expired. */
     public void lost() {
         attemptsLost.increment();
     }
 
-    /** Records that a job was found to fail on one machine after the other. */
+    /** Records that a job became suspect, since its tasks fail on several machines. */
     public void jobSuspected() {
         jobsSuspected.increment();
     }
 
-    /** Records recalls that were committed. */
+    /** Records a number of recalls that were committed. */
     public void recallsCommitted(int recalls) {
         recallsCommitted.increment(recalls);
     }
 
-    /** Records a recall that is over. */
+    /** Records the outcome of a recall. */
     public void recallSettled(Outcome outcome) {
         recallsSettled.get(outcome).increment();
     }
 
-    /** Records a task that was told to stop for a recall. */
+    /** Records a task that is stopped for a recall. */
     public void taskRecalled() {
         tasksRecalled.increment();
     }
 
-    /** Records GPUs times seconds that stayed unlent after a recall. */
+    /** Records GPU-seconds of recalled capacity in hold-down, in which it is not lent again. */
     public void roomHeld(double gpuSeconds) {
         heldGpuSeconds.increment(gpuSeconds);
     }
 
-    /** Records that the record of an ended job was moved to the history. */
+    /** Records that an ended job was archived. */
     public void recordMoved() {
         recordsMoved.increment();
     }
--- a/src/main/java/org/springmill/control/timing/ProcessPauseDetector.java
+++ b/src/main/java/org/springmill/control/timing/ProcessPauseDetector.java
@@ -9,15 +9,15 @@
 import org.springmill.transport.PeerLink;
 
 /**
- * Notices that this controller stood still while its clock ran on: its host was paused, or gave it
- * no processor time. What was true before has to be proven again, and what was not read meanwhile
- * was nobody's silence. Every turn of the event loop passes through here first, so that nothing
- * that came in during a pause is looked at before the listeners know of the pause.
+ * Detects that this process was paused while its clock ran on: its host was suspended, or gave it
+ * no processor time. After a pause, leases and confirmations have to be proven valid again, and
+ * missing heartbeats prove nothing. Every turn of the event loop passes through here first, so that
+ * the listeners know of a pause before any message that arrived during it is handled.
  */
 public final class ProcessPauseDetector {
     private static final Logger LOG = LoggerFactory.getLogger(ProcessPauseDetector.class);
 
-    /** A timer keeps turns coming; it may fire late without that being taken for a pause. */
+    /** A timer keeps the loop turning; it may fire late without being taken for a pause. */
     private static final double TURNS_PER_THRESHOLD = 4;
 
     private final EventLoop loop;
@@ -26,20 +26,22 @@
     private double lastTurnAt;
 
     /**
-     * @param boundSeconds a longer time without a turn is a pause
+     * A detector that starts with {@link #start}.
+     *
+     * @param thresholdSeconds a longer time without a turn is a pause
      */
-    public ProcessPauseDetector(EventLoop loop, double boundSeconds) {
+    public ProcessPauseDetector(EventLoop loop, double thresholdSeconds) {
         this.loop = loop;
-        this.thresholdSeconds = boundSeconds;
+        this.thresholdSeconds = thresholdSeconds;
         lastTurnAt = loop.now();
     }
 
-    /** Has a listener told of each pause, once it is over and before anything else is done. */
+    /** Adds a listener that is called after each pause, before anything else is handled. */
     public void onResume(Runnable listener) {
         listeners.add(listener);
     }
 
-    /** Begins to watch: until then the controller is still being put together. */
+    /** Starts detection; the time that the controller took to start up is not a pause. */
     public void start() {
         lastTurnAt = loop.now();
         keepTurning();
@@ -56,12 +58,12 @@
         double gap = now - lastTurnAt;
         lastTurnAt = now;
         if (gap > thresholdSeconds) {
-            LOG.info("nothing was done for {} s", Math.round(gap));
+            LOG.info("process pause of {} s detected", Math.round(gap));
             listeners.forEach(Runnable::run);
         }
     }
 
-    /** A loop whose tasks begin with a look for a pause. */
+    /** An event loop whose tasks first check for a pause. */
     public EventLoop wrap(EventLoop watched) {
         return new EventLoop() {
             @Override
@@ -86,7 +88,7 @@
         };
     }
 
-    /** A client whose answers begin with a look for a pause. */
+    /** A client whose response handlers first check for a pause. */
     public HttpClient wrap(HttpClient watched) {
         return (request, done) ->
                 watched.send(
@@ -97,7 +99,7 @@
                         });
     }
 
-    /** A link whose records begin with a look for a pause. */
+    /** A link whose record handlers first check for a pause. */
     public PeerLink wrap(PeerLink watched) {
         return new PeerLink() {
             @Override
--- a/src/main/java/org/springmill/control/timing/Timeouts.java
+++ b/src/main/java/org/springmill/control/timing/Timeouts.java
@@ -3,33 +3,40 @@
 import org.springmill.protocol.Settings;
 
 /**
- * The times on which safety and failover depend, all ratios to the workers' lease and report
- * interval. The argument for them is in docs/design.md, "When a task may start again".
+ * The times on which safety and failover depend, all derived from the workers' lease, heartbeat
+ * interval and cancellation deadline. The argument for them is in docs/design.md, "When a task may
+ * start again".
  *
- * @param leaderLeaseSeconds lease of the leader in the key-value store
- * @param leaderRenewIntervalSeconds interval of its renewals, and of the followers' looks at the
- *     leader's record
- * @param leaderGraceSeconds how long after its lease may have run out a leader still answers
- *     reports without its peers' confirmation
- * @param peerConfirmationValiditySeconds how long a peer's answer, such as that it cannot reach the
- *     key-value store, counts, from the question on
- * @param peerPollIntervalSeconds interval in which each peer is asked for its status
- * @param storeRequestTimeoutSeconds after this a request to the key-value store has no answer
- * @param workerLeaseSeconds a worker's lease as seen from another clock
- * @param heartbeatIntervalSeconds interval of a worker's reports
- * @param claimConfirmationTimeoutSeconds after this an unconfirmed start is unknown and has to be
- *     reconciled
- * @param probeAfterSeconds a worker not heard for this long, longer than its reports are apart, is
- *     asked
- * @param suspectAfterSeconds a worker not heard for this long gets no new work
- * @param deadAfterSeconds a worker not heard for this long, and not answering commands either, is
- *     taken to be dead
- * @param commandTimeoutSeconds after this a request with commands has no answer
- * @param cancellationDeletionTimeoutSeconds a cancelled task not gone by then has its machine
- *     deleted
- * @param cancellationKnowledgeValiditySeconds how long after the last moment up to which it knows
- *     every cancellation a controller may renew leases: what is renewed then is over before
- *     anything cancelled since has to be gone
+ * <p>Each is one of three kinds. An interval is the time between two actions of the same kind.
+ * After a timeout, counted from an event, something that has not happened is no longer waited for.
+ * A validity is how long something known, such as a lease or a confirmation, may be relied on.
+ *
+ * @param leaderLeaseSeconds validity of the leader's lease in the key-value store
+ * @param leaderRenewIntervalSeconds interval of the leader's lease renewals, of the followers'
+ *     reads of the leader's record, and of retries after a failed read
+ * @param leaderGraceSeconds validity, from the earliest expiry of the leader's lease: so long the
+ *     leader still answers heartbeats without its peers' confirmation
+ * @param peerConfirmationValiditySeconds validity of a peer's answer, such as that it cannot reach
+ *     the key-value store, from the time of the request
+ * @param peerPollIntervalSeconds interval at which each peer is asked for its status
+ * @param storeRequestTimeoutSeconds timeout of a request to the key-value store
+ * @param workerLeaseSeconds validity of a worker's lease as measured on another clock, with the
+ *     drift between them
+ * @param heartbeatIntervalSeconds interval of a worker's heartbeats
+ * @param claimConfirmationTimeoutSeconds timeout of a start command: a start that is not confirmed
+ *     by then is unknown and has to be reconciled
+ * @param probeAfterSeconds timeout of a heartbeat, longer than the interval: a worker that sent
+ *     none for so long is asked for its status
+ * @param suspectAfterSeconds timeout of a heartbeat: a worker that sent none for so long gets no
+ *     new work
+ * @param deadAfterSeconds timeout of a heartbeat: a worker that sent none for so long, and does not
+ *     answer commands either, is taken to be dead
+ * @param commandTimeoutSeconds timeout of a request with commands to a worker
+ * @param cancellationDeletionTimeoutSeconds timeout of the stop of a cancelled task: if it still
+ *     runs by then, its machine is deleted
+ * @param cancellationKnowledgeValiditySeconds validity of knowing every cancellation up to a time:
+ *     so long after that time a controller may renew leases, since these expire before the deadline
+ *     of any cancellation that it does not know yet
  */
 public record Timeouts(
         double leaderLeaseSeconds,
@@ -48,66 +55,76 @@
         double cancellationDeletionTimeoutSeconds,
         double cancellationKnowledgeValiditySeconds) {
 
-    /** Drift of two clocks against each other, doubled, and timers that fire late. */
+    /**
+     * Factor for the drift of two clocks against each other, doubled, and timers that fire late.
+     */
     public static final double DRIFT = 1.002;
 
+    /** Longest time between two heartbeats, in intervals. */
+    private static final double LONGEST_HEARTBEAT_GAP = 1.25;
+
+    /** Derives the times from the settings, in the order of the components. */
     public static Timeouts of(Settings settings) {
         double lease = settings.workers().leaseSeconds();
-        double report = settings.workers().heartbeatIntervalSeconds();
-        double ttl = lease / 5;
-        double cancel = settings.workers().cancellationDeadlineSeconds();
-        double seenLease = lease * DRIFT + report / 10;
-        // Where cancellations have less time than leases only deletion keeps it; some leases have
-        // to be given all the same.
-        double unknowing = Math.max(lease / 2, cancel / DRIFT - seenLease - report / 2);
+        double heartbeatInterval = settings.workers().heartbeatIntervalSeconds();
+        double cancellationDeadline = settings.workers().cancellationDeadlineSeconds();
+        double leaderLease = lease / 5;
+        double workerLease = lease * DRIFT + heartbeatInterval / 10;
+        // If the cancellation deadline is shorter than a lease, only the deletion of machines keeps
+        // it. Leases are renewed for some time all the same, since tasks could not run otherwise.
+        double cancellationKnowledgeValidity =
+                Math.max(
+                        lease / 2,
+                        cancellationDeadline / DRIFT - workerLease - heartbeatInterval / 2);
         return new Timeouts(
-                ttl,
-                ttl / 4,
-                ttl,
-                ttl / 2,
-                ttl / 8,
-                ttl / 3,
-                seenLease,
-                report,
+                leaderLease,
+                leaderLease / 4,
+                leaderLease,
+                leaderLease / 2,
+                leaderLease / 8,
+                leaderLease / 3,
+                workerLease,
+                heartbeatInterval,
                 lease * 0.3,
-                report * 1.25 * 1.15,
-                report * 1.25 * 1.6,
-                report * 2.1,
-                report * 0.6,
-                cancel * 0.55,
-                unknowing);
+                heartbeatInterval * LONGEST_HEARTBEAT_GAP * 1.15,
+                heartbeatInterval * LONGEST_HEARTBEAT_GAP * 1.6,
+                heartbeatInterval * 2.1,
+                heartbeatInterval * 0.6,
+                cancellationDeadline * 0.55,
+                cancellationKnowledgeValidity);
     }
 
     /**
-     * A controller that has not heard a leader for so long finds it silent. Longer than any
-     * confirmation counts: while a leader still acts on its peers' answers, they still hear it.
+     * Timeout of messages of the leader: after so long without one a controller suspects it. Longer
+     * than the validity of a confirmation, so that no peer suspects a leader that still acts on
+     * that peer's confirmation.
      */
     public double leaderSuspectAfterSeconds() {
         return 2 * peerConfirmationValiditySeconds;
     }
 
     /**
-     * A controller that did nothing for so long stood still. Half of its lease as leader: shorter
-     * pauses leave time to prove that it still leads.
+     * A longer gap between two turns of the event loop is a process pause. Half of the leader's
+     * lease: after a shorter pause there is time to prove that it still leads.
      */
     public double pauseThresholdSeconds() {
         return leaderLeaseSeconds / 2;
     }
 
     /**
-     * How long other controllers keep the leases of workers that come to them after a new leader
-     * was heard of.
+     * Validity, from the first message of a new leader: so long other controllers renew the leases
+     * of workers that still send heartbeats to them.
      */
     public double newLeaderKeepaliveSeconds() {
         return workerLeaseSeconds / 4;
     }
 
-    /** How long after a peer's answer, on any clock, someone may still act on it. */
+    /** Validity of a peer's confirmation as measured on any clock, with the drift between them. */
     public double peerConfirmationValidityOnAnyClockSeconds() {
         return peerConfirmationValiditySeconds * DRIFT;
     }
 
-    /** How long after a leader took over another controller may still renew a worker's lease. */
+    /** Validity, from a failover: so long another controller may still renew a worker's lease. */
     public double followerRenewalLimitSeconds() {
         return Math.max(leaderLeaseSeconds + leaderGraceSeconds, peerConfirmationValiditySeconds)
                 * DRIFT;
