--- a/src/test/java/org/springmill/control/cluster/DependencyPriorityWorkTest.java
+++ b/src/test/java/org/springmill/control/cluster/DependencyPriorityWorkTest.java
@@ -23,15 +23,15 @@
 import org.springmill.protocol.UserMessages.JobPhase;
 import org.springmill.sim.VirtualClock;
 
-/** What is derived for each job, and how much work that takes, counted in steps. */
+/** The derived rank of each job, and the cost of its computation in steps. */
 class DependencyPriorityWorkTest {
     private static final double ESTIMATE_SECONDS = 10;
 
-    /** One call may go on to the end of the list of the job that it looks at last. */
-    private static final int MOST_STEPS_OF_A_CALL = 6_000;
+    /** One call may complete the dependencies of the job that it processes last. */
+    private static final int MAX_STEPS_PER_CALL = 6_000;
 
-    /** The leader's ticks, each of which settles once. */
-    private static final int TICKS_OF_A_SECOND = 4;
+    /** The leader's ticks, each of which makes one call. */
+    private static final int TICKS_PER_SECOND = 4;
 
     private static final Settings SETTINGS = SettingsFixtures.small();
 
@@ -94,46 +94,47 @@
     private Job admit(JobRecord record) {
         Job job = new Job(record.submission(), record.version());
         clusterState.add(job);
-        count(dependencyPriority.changed(job));
+        countSteps(dependencyPriority.changed(job));
         return job;
     }
 
     private void end(Job job) {
         job.end(JobPhase.DONE, ++version, 0);
-        count(dependencyPriority.changed(job));
+        countSteps(dependencyPriority.changed(job));
         clusterState.dropJob(job);
     }
 
-    private void count(int stepsOfCall) {
-        assertTrue(stepsOfCall <= MOST_STEPS_OF_A_CALL, stepsOfCall + " steps in one call");
+    private void countSteps(int stepsOfCall) {
+        assertTrue(stepsOfCall <= MAX_STEPS_PER_CALL, stepsOfCall + " steps in one call");
         steps += stepsOfCall;
     }
 
-    /** How many ticks it takes until nothing is left to be done. */
+    /** The number of ticks until nothing is pending. */
     private int settle() {
         for (int ticks = 0; ; ticks++) {
             int stepsOfCall = dependencyPriority.settle();
             if (stepsOfCall == 0) {
                 return ticks;
             }
-            count(stepsOfCall);
+            countSteps(stepsOfCall);
         }
     }
 
     @Test
-    void eachOfThousandsOfDependentsIsLookedAtAFewTimesInAll() {
+    void thousandsOfDependentsCostAFewStepsEach() {
         int wide = 4_000;
         Job common = accept(1, "normal", null, List.of());
         List<Job> dependents = new ArrayList<>();
         for (int i = 0; i < wide; i++) {
-            // Each has an earlier deadline than all before it, and so changes what they all need.
+            // Each has an earlier deadline than all before it, and so changes the common
+            // dependency.
             dependents.add(accept(2 + i, "normal", 100_000.0 - i, List.of(1)));
         }
         settle();
         assertEquals(1 + 100_000.0 - (wide - 1) - 2 * ESTIMATE_SECONDS, common.latestStart());
         assertTrue(steps <= 8L * wide, steps + " steps to accept " + wide);
         steps = 0;
-        // The one that decides ends first each time.
+        // The dependent with the earliest deadline ends first each time.
         for (int i = wide - 1; i >= 0; i--) {
             end(dependents.get(i));
         }
@@ -143,7 +144,7 @@
     }
 
     @Test
-    void aWideWaveReachesItsEndWithinASecond() {
+    void wideGraphIsUpdatedWithinASecond() {
         int firsts = 500;
         int middles = 20;
         List<Integer> firstIds = new ArrayList<>();
@@ -161,7 +162,7 @@
         steps = 0;
         Job last = accept(10_000, "urgent", 1_000.0, middleIds);
         int ticks = settle();
-        assertTrue(ticks <= TICKS_OF_A_SECOND, ticks + " ticks");
+        assertTrue(ticks <= TICKS_PER_SECOND, ticks + " ticks");
         assertTrue(steps <= 2L * firsts * middles, steps + " steps");
         assertEquals(1 + 1_000.0 - ESTIMATE_SECONDS, last.latestStart());
         for (Job job : jobs) {
@@ -171,7 +172,7 @@
     }
 
     @Test
-    void aDeepChainIsWalkedInBoundedCalls() {
+    void deepChainIsUpdatedInBoundedCalls() {
         int deep = 15_000;
         Job first = accept(1, "normal", null, List.of());
         for (int i = 2; i < deep; i++) {
@@ -184,12 +185,12 @@
         assertEquals(Priority.HIGH, first.priority());
         assertEquals(1 + 1_000_000.0 - deep * ESTIMATE_SECONDS, first.latestStart());
         assertTrue(steps <= 3L * deep, steps + " steps");
-        assertTrue(ticks <= 2 * TICKS_OF_A_SECOND, ticks + " ticks");
+        assertTrue(ticks <= 2 * TICKS_PER_SECOND, ticks + " ticks");
     }
 
-    /** Else each of many dependents of a long chain walks all of it. */
+    /** Otherwise each of many dependents of a long chain walks all of it. */
     @Test
-    void manyChangesOfALongChainShareItsWalk() {
+    void changesOfALongChainShareOneWalk() {
         int deep = 1_000;
         int wide = 1_000;
         Job first = accept(1, "normal", null, List.of());
@@ -208,12 +209,12 @@
     }
 
     @Test
-    void aJobLearnedAfterItsDependentsTakesTheirPlace() {
-        JobRecord needed = record(1, "best_effort", null, List.of(), 1);
+    void jobAddedAfterItsDependentsGetsTheirRank() {
+        JobRecord dependency = record(1, "best_effort", null, List.of(), 1);
         directory.learn(record(2, "urgent", 100.0, List.of(1), 2));
         admit(directory.get(id(2)));
-        directory.learn(needed);
-        Job late = admit(needed);
+        directory.learn(dependency);
+        Job late = admit(dependency);
         settle();
         assertEquals(Priority.HIGH, late.priority());
         assertEquals(1 + 100.0 - 2 * ESTIMATE_SECONDS, late.latestStart());
@@ -221,7 +222,7 @@
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5})
-    void whatIsDerivedIsWhatAWholeWalkGives(long seed) {
+    void incrementalRanksEqualThoseOfAFullComputation(long seed) {
         Random random = new Random(seed);
         String[] urgencies = {"prod", "urgent", "normal", "best_effort"};
         List<Job> jobs = new ArrayList<>();
@@ -252,7 +253,7 @@
                 .toList();
     }
 
-    /** One level at a time is enough: it is asked for every job, from the last to the first. */
+    /** One level is enough, since every job is checked. */
     private static double latestStart(Job job, List<Job> jobs) {
         if (!job.active()) {
             return 0;
--- a/src/test/java/org/springmill/control/cluster/ImageCacheTest.java
+++ b/src/test/java/org/springmill/control/cluster/ImageCacheTest.java
@@ -16,14 +16,13 @@
     private final ImageCache images = new ImageCache();
 
     @BeforeEach
-    void twoFetches() {
+    void startTwoFetches() {
         images.recordNeeded("large", 60, 100, 2, 10);
         images.recordNeeded("small", 2, 100, 2, 10);
     }
 
     /**
-     * What fetches already delays what comes next; it must not look like a machine whose link is
-     * free.
+     * Fetches under way delay the next one: the machine must not look like one whose link is free.
      */
     @ParameterizedTest
     @CsvSource({
@@ -35,12 +34,12 @@
         "other, 4, 60, 2",
         "large, 60, 60, 0"
     })
-    void aFetchWaitsForThoseBeforeIt(String image, double gb, double now, double waits) {
+    void fetchWaitsForEarlierFetches(String image, double gb, double now, double waits) {
         assertEquals(waits, images.fetchWaitSeconds(image, gb, 2, now), 1e-9);
     }
 
     @Test
-    void aRunningTaskShowsThatItsImageIsThere() {
+    void runningTaskProvesThatItsImageIsCached() {
         images.recordUsed("large", 60, 100, 15);
         images.recordUsed("small", 2, 100, 15);
         assertEquals(0, images.fetchWaitSeconds("large", 60, 2, 15));
@@ -48,7 +47,7 @@
     }
 
     @Test
-    void aFetchIsGivenUpWithTheLastTaskThatWaitsForIt() {
+    void cancelledFetchIsDroppedUnlessComplete() {
         images.cancelFetch("large", 20);
         assertFalse(images.holds("large"));
         images.cancelFetch("small", 50);
@@ -56,7 +55,7 @@
     }
 
     @Test
-    void theLeastRecentlyUsedFallsOut() {
+    void leastRecentlyUsedImageIsEvicted() {
         images.recordUsed("large", 60, 100, 20);
         images.recordNeeded("third", 50, 100, 2, 30);
         assertFalse(images.holds("small"));
--- a/src/test/java/org/springmill/control/cluster/JobFailuresTest.java
+++ b/src/test/java/org/springmill/control/cluster/JobFailuresTest.java
@@ -9,7 +9,7 @@
 import net.jqwik.api.constraints.IntRange;
 import org.junit.jupiter.api.Test;
 
-/** Pauses and limits of a job whose tasks fail. */
+/** Backoff and concurrency limit of a job whose tasks fail. */
 class JobFailuresTest {
     private static final double STEP = 3.5;
 
@@ -21,7 +21,7 @@
     }
 
     @Test
-    void oneMachineSpeaksAgainstTheMachine() {
+    void failuresOnOneMachineDoNotMakeTheJobSuspect() {
         JobFailures failures = new JobFailures("run-000001");
         failures.failed("host-000001", 0, 1, STEP);
         failures.failed("host-000001", 0, 1, STEP);
@@ -33,7 +33,7 @@
     }
 
     @Test
-    void tasksOfOneTrialLengthenNoPause() {
+    void tasksOfOneTrialDoNotLengthenThePause() {
         JobFailures failures = failedOnTwoMachines("run-000001");
         double notBefore = failures.notBefore();
         failures.failed("host-000003", 0, 2, STEP);
@@ -41,7 +41,7 @@
     }
 
     @Test
-    void eachSuccessDoublesWhatMayRun() {
+    void eachSuccessDoublesTheConcurrencyLimit() {
         JobFailures failures = failedOnTwoMachines("run-000001");
         assertEquals(1, failures.maxConcurrentTasks());
         failures.succeeded();
@@ -56,7 +56,7 @@
 
     /** The pause doubles with each trial, up to 32 steps, with at most a quarter of jitter. */
     @Property(tries = 200, seed = "42")
-    void pauseDoublesUpToItsBound(
+    void pauseDoublesUpToItsMaximum(
             @ForAll @IntRange(min = 0, max = 999_999) int number,
             @ForAll @IntRange(min = 0, max = 12) int trials) {
         JobFailures failures = failedOnTwoMachines("run-" + number);
--- a/src/test/java/org/springmill/control/cluster/TaskAttemptTest.java
+++ b/src/test/java/org/springmill/control/cluster/TaskAttemptTest.java
@@ -23,7 +23,7 @@
         "CLAIMED CLOSED,                             false",
         "ENDED,                                    false",
     })
-    void onlyLegalChangesAreMade(String path, boolean legal) {
+    void onlyLegalTransitionsAreMade(String path, boolean legal) {
         Claim claim = Claim.decide(new TaskId("run-000001", 0), "host-000001", 7);
         TaskAttempt attempt = new TaskAttempt(claim, null, null, 0);
         boolean all = true;
--- a/src/test/java/org/springmill/control/jobs/ArchivedDependenciesTest.java
+++ b/src/test/java/org/springmill/control/jobs/ArchivedDependenciesTest.java
@@ -12,27 +12,27 @@
     private static final String FIRST = "run-000001";
     private static final String SECOND = "run-000002";
 
-    private final ArchivedDependencies moved = new ArchivedDependencies(id -> null);
+    private final ArchivedDependencies archived = new ArchivedDependencies(id -> null);
 
-    /** One that is never found, such as a record that cannot be read, kept all others waiting. */
+    /** One that is never found, such as a record that cannot be read, would block all others. */
     @Test
-    void aDependencyThatIsNotFoundLetsTheOthersBeReadFirst() {
-        moved.require(FIRST);
-        moved.require(SECOND);
-        assertEquals(FIRST, moved.firstUnresolved());
-        moved.postpone(FIRST);
-        assertEquals(SECOND, moved.firstUnresolved());
-        moved.resolve(new ArchivedJob(SECOND, JobPhase.DONE, 1, false, 0, 1));
-        assertEquals(FIRST, moved.firstUnresolved());
+    void dependencyThatIsNotFoundDoesNotBlockOthers() {
+        archived.require(FIRST);
+        archived.require(SECOND);
+        assertEquals(FIRST, archived.firstUnresolved());
+        archived.postpone(FIRST);
+        assertEquals(SECOND, archived.firstUnresolved());
+        archived.resolve(new ArchivedJob(SECOND, JobPhase.DONE, 1, false, 0, 1));
+        assertEquals(FIRST, archived.firstUnresolved());
     }
 
-    /** Released while it was being looked up, it must not come back. */
+    /** A dependency that is released while it is being looked up must not return to the queue. */
     @Test
-    void whatIsNoLongerNeededIsNotPostponed() {
-        moved.require(FIRST);
-        moved.release(FIRST);
-        moved.postpone(FIRST);
-        assertNull(moved.firstUnresolved());
-        assertFalse(moved.hasUnresolved());
+    void releasedDependencyIsNotPostponed() {
+        archived.require(FIRST);
+        archived.release(FIRST);
+        archived.postpone(FIRST);
+        assertNull(archived.firstUnresolved());
+        assertFalse(archived.hasUnresolved());
     }
 }
--- a/src/test/java/org/springmill/control/jobs/JobDependenciesTest.java
+++ b/src/test/java/org/springmill/control/jobs/JobDependenciesTest.java
@@ -25,7 +25,7 @@
     private final Map<String, JobRecord> jobs = new HashMap<>();
     private final JobDependencies dependencies = new JobDependencies(jobs, id -> null);
 
-    /** From a line such as "3<1,2": job 3 needs 1 and 2. */
+    /** From a line such as "3<1,2": job 3 depends on 1 and 2. */
     private static Submission job(String line) throws MalformedMessageException {
         String[] parts = line.split("<");
         String body =
@@ -103,7 +103,7 @@
     }
 
     @Test
-    void aCancellationReachesAllOfADeepAndWideGraph() throws MalformedMessageException {
+    void cancellationReachesAllOfADeepAndWideGraph() throws MalformedMessageException {
         int deep = 50_000;
         dependencies.merge(record("1", JobPhase.QUEUED, 1));
         for (int i = 2; i <= deep; i++) {
@@ -117,7 +117,7 @@
     }
 
     @Test
-    void aJobIsReadyOnceEveryRecordSaysDone() throws MalformedMessageException {
+    void jobIsReadyOnceAllDependenciesAreDone() throws MalformedMessageException {
         Submission last = job("4<1,2,3");
         assertEquals("needs run-1, which was never accepted", dependencies.refusal(last));
         for (int i = 1; i <= 3; i++) {
--- a/src/test/java/org/springmill/control/jobs/JobRecordWatchTest.java
+++ b/src/test/java/org/springmill/control/jobs/JobRecordWatchTest.java
@@ -17,7 +17,7 @@
 import org.springmill.transport.HttpClient.Reply;
 import org.springmill.transport.HttpClient.Request;
 
-/** In which order the feed passes records and deletions on, with answers that cross. */
+/** The order in which the watch delivers records and deletions when responses overtake others. */
 class JobRecordWatchTest {
     private static final String EMPTY_LIST = "{\"pairs\":[],\"truncated\":false,\"ledgerRev\":5}";
     private static final String CREATED = "{\"write\":\"job/run-1\",\"value\":{},\"stamp\":6}";
@@ -27,10 +27,10 @@
     private final VirtualClock clock = new VirtualClock();
     private final List<Request> requests = new ArrayList<>();
     private final List<Consumer<Reply>> replies = new ArrayList<>();
-    private final List<String> passedOn = new ArrayList<>();
-    private final JobRecordWatch watch = feed();
+    private final List<String> events = new ArrayList<>();
+    private final JobRecordWatch watch = newWatch();
 
-    private JobRecordWatch feed() {
+    private JobRecordWatch newWatch() {
         Settings settings = SettingsFixtures.small();
         Timeouts timeouts = Timeouts.of(settings);
         KeyValueStoreClient store =
@@ -42,30 +42,30 @@
                         clock,
                         settings,
                         timeouts.storeRequestTimeoutSeconds());
-        return new JobRecordWatch(store, clock, timeouts, new Notes());
+        return new JobRecordWatch(store, clock, timeouts, new EventRecorder());
     }
 
-    private final class Notes implements JobRecordWatch.Listener {
+    private final class EventRecorder implements JobRecordWatch.Listener {
         @Override
         public void changed(Change change) {
-            passedOn.add((change.value() == null ? "deleted " : "put ") + change.version());
+            events.add((change.value() == null ? "deleted " : "put ") + change.version());
         }
 
         @Override
         public void loaded() {
-            passedOn.add("loaded");
+            events.add("loaded");
         }
 
         @Override
         public void reloaded(Set<String> keys, long revision) {
-            passedOn.add("read again " + keys + " at " + revision);
+            events.add("read again " + keys + " at " + revision);
         }
 
         @Override
         public void caughtUp() {}
     }
 
-    private void answer(int request, int status, String body) {
+    private void respond(int request, int status, String body) {
         replies.get(request).accept(new Reply(status, body.getBytes(StandardCharsets.UTF_8)));
     }
 
@@ -74,45 +74,44 @@
     }
 
     /**
-     * The watch was answered when the job was created, but its answer comes after a barrier has
-     * brought the job's end and the deletion of its record. Passed on, the creation would bring the
-     * job back, to be run once more.
+     * The response to the watch tells of a job's creation, but arrives after a barrier has
+     * delivered the job's end and the deletion of its record. If the creation were delivered too,
+     * the job would run again.
      */
     @Test
-    void aChangeThatABarrierHasPassedOnIsNotPassedOnAgain() {
+    void changeDeliveredByABarrierIsNotDeliveredByTheWatch() {
         watch.start();
-        answer(0, 200, EMPTY_LIST);
-        watch.readBarrier(current -> passedOn.add("barrier " + current));
+        respond(0, 200, EMPTY_LIST);
+        watch.readBarrier(current -> events.add("barrier " + current));
         assertEquals(3, requests.size(), "list, watch, barrier");
-        answer(2, 200, changes(9, CREATED, ENDED, DELETED));
-        answer(1, 200, changes(6, CREATED));
-        assertEquals(List.of("loaded", "put 6", "put 8", "deleted 9", "barrier true"), passedOn);
+        respond(2, 200, changes(9, CREATED, ENDED, DELETED));
+        respond(1, 200, changes(6, CREATED));
+        assertEquals(List.of("loaded", "put 6", "put 8", "deleted 9", "barrier true"), events);
         assertEquals(9, watch.cursor());
     }
 
     /**
-     * What a second reading of all records lacks has been moved; the listener is told what is
-     * there.
+     * Records that a second list lacks have been archived; the listener gets the keys that it has.
      */
     @Test
-    void recordsAreReadAgainWhenTooManyChangesWereMissed() {
+    void recordsAreListedAgainAfterTooManyMissedChanges() {
         watch.start();
-        answer(0, 200, EMPTY_LIST);
-        answer(1, 410, "{}");
-        answer(
+        respond(0, 200, EMPTY_LIST);
+        respond(1, 410, "{}");
+        respond(
                 2,
                 200,
                 "{\"pairs\":[{\"key\":\"job/run-2\",\"value\":{},\"stamp\":20}],"
                         + "\"truncated\":false,\"ledgerRev\":30}");
-        assertEquals(List.of("loaded", "put 20", "read again [job/run-2] at 30"), passedOn);
+        assertEquals(List.of("loaded", "put 20", "read again [job/run-2] at 30"), events);
     }
 
     /**
-     * Held until the last page came, the records of 24,000 jobs ended a controller for memory that
-     * had missed too many changes while it stood still.
+     * Collected until the last page, the records of 24,000 jobs exhausted the memory of a
+     * controller that had missed too many changes while its process was paused.
      */
     @Test
-    void recordsArePassedOnPageByPageAndReadFromTheFirstAgainIfOneFails() {
+    void recordsAreDeliveredPageByPageAndTheListRestartsAfterAFailure() {
         String first =
                 "{\"pairs\":[{\"key\":\"job/run-1\",\"value\":{},\"stamp\":3}],"
                         + "\"truncated\":true,\"ledgerRev\":7}";
@@ -120,25 +119,27 @@
                 "{\"pairs\":[{\"key\":\"job/run-2\",\"value\":{},\"stamp\":8}],"
                         + "\"truncated\":false,\"ledgerRev\":9}";
         watch.start();
-        answer(0, 200, first);
-        assertEquals(List.of("put 3"), passedOn, "before the second page");
-        answer(1, 503, "{}");
+        respond(0, 200, first);
+        assertEquals(List.of("put 3"), events, "before the second page");
+        respond(1, 503, "{}");
         clock.run(2);
-        answer(2, 200, first);
-        answer(3, 200, last);
-        assertEquals(List.of("put 3", "put 3", "put 8", "loaded"), passedOn);
+        respond(2, 200, first);
+        respond(3, 200, last);
+        assertEquals(List.of("put 3", "put 3", "put 8", "loaded"), events);
         assertEquals(7, watch.cursor(), "a watch goes on from the first page");
     }
 
-    /** A barrier has read of its end and its move while the list was on its way. */
+    /**
+     * A barrier delivers the job's end and the deletion of its record while the list is under way.
+     */
     @Test
-    void aRecordThatWasPassedOnBeforeIsNotPassedOnFromAList() {
+    void recordDeliveredBeforeIsNotDeliveredFromAList() {
         watch.start();
-        answer(0, 200, EMPTY_LIST);
-        watch.readBarrier(current -> passedOn.add("barrier " + current));
-        answer(1, 410, "{}");
-        answer(2, 200, changes(9, CREATED, ENDED, DELETED));
-        answer(
+        respond(0, 200, EMPTY_LIST);
+        watch.readBarrier(current -> events.add("barrier " + current));
+        respond(1, 410, "{}");
+        respond(2, 200, changes(9, CREATED, ENDED, DELETED));
+        respond(
                 3,
                 200,
                 "{\"pairs\":[{\"key\":\"job/run-1\",\"value\":{},\"stamp\":8}],"
@@ -151,13 +152,13 @@
                         "deleted 9",
                         "barrier true",
                         "read again [job/run-1] at 8"),
-                passedOn);
+                events);
     }
 
     @Test
-    void aBarrierBeforeTheFirstReadingIsRefused() {
-        watch.readBarrier(current -> passedOn.add("barrier " + current));
-        assertEquals(List.of("barrier false"), passedOn);
+    void barrierBeforeTheInitialListFails() {
+        watch.readBarrier(current -> events.add("barrier " + current));
+        assertEquals(List.of("barrier false"), events);
         assertEquals(List.of(), requests);
     }
 }
--- a/src/test/java/org/springmill/control/metrics/MetricsTest.java
+++ b/src/test/java/org/springmill/control/metrics/MetricsTest.java
@@ -44,7 +44,7 @@
     }
 
     /** Names of the series that a running controller shows, without what belongs to a summary. */
-    private static Set<String> namesOnAController() {
+    private static Set<String> seriesNamesOfAController() {
         SimulatedCluster cluster = new SimulatedCluster(1);
         cluster.run(20);
         byte[] text = cluster.ask(cluster.leader(), "GET", "/metrics", "").body();
@@ -57,24 +57,24 @@
     }
 
     @Test
-    void everySeriesOfAControllerIsDescribedInTheOperatorsPageAndNoOther() throws IOException {
+    void operationsPageDescribesExactlyTheSeriesOfAController() throws IOException {
         Set<String> described = new TreeSet<>();
         Matcher matcher = METRIC_NAME.matcher(Files.readString(Path.of("docs/operations.md")));
         while (matcher.find()) {
             described.add(matcher.group(1));
         }
-        assertEquals(namesOnAController(), described);
+        assertEquals(seriesNamesOfAController(), described);
     }
 
     @Test
-    void countersAndNoOtherSeriesEndInTotal() {
-        Set<String> totals = new TreeSet<>(namesOnAController());
+    void exactlyTheCountersEndInTotal() {
+        Set<String> totals = new TreeSet<>(seriesNamesOfAController());
         totals.removeIf(name -> !name.endsWith("_total"));
         assertEquals(new TreeSet<>(COUNTERS), totals);
     }
 
     @Test
-    void aDurationIsShownInSecondsWithQuantilesCountAndSum() {
+    void durationIsShownInSecondsWithQuantilesCountAndSum() {
         VirtualClock clock = new VirtualClock();
         Metrics metrics = new Metrics(clock);
         metrics.accepted(clock.now() - 0.5);
@@ -96,7 +96,7 @@
     }
 
     @Test
-    void metricsReadTwiceWithinASecondAreShownOnce() {
+    void secondReadWithinASecondIsRejected() {
         VirtualClock clock = new VirtualClock();
         Metrics metrics = new Metrics(clock);
         assertNotNull(metrics.read());
