--- a/src/main/java/org/springmill/control/cluster/Machine.java
+++ b/src/main/java/org/springmill/control/cluster/Machine.java
@@ -123,12 +123,12 @@
         return description.address();
     }
 
-    /** Null while unknown. */
+    /** Its machine type; null while unknown. */
     public MachineType type() {
         return description.type();
     }
 
-    /** Empty while unknown. */
+    /** The zone that it is in; empty while unknown. */
     public String zone() {
         return description.zone();
     }
@@ -261,7 +261,7 @@
         return liveness.lastHeartbeatAt();
     }
 
-    /** Whether its latest heartbeat tells of a spot preemption notice. */
+    /** Whether its latest heartbeat carries a spot preemption notice. */
     public boolean hasPreemptionNotice() {
         return preemptionAt < Double.POSITIVE_INFINITY;
     }
--- a/src/test/java/org/springmill/control/cluster/TaskAttemptTest.java
+++ b/src/test/java/org/springmill/control/cluster/TaskAttemptTest.java
@@ -11,17 +11,17 @@
 class TaskAttemptTest {
     @ParameterizedTest
     @CsvSource({
-        "CLAIMED SENT FETCHING RUNNING ENDED CLOSED, true",
-        "CLAIMED SENT RUNNING STOPPING ENDED CLOSED, true",
-        "CLAIMED SENT UNKNOWN RUNNING ENDED CLOSED,  true",
-        "UNKNOWN FETCHING RUNNING STOPPING ENDED,  true",
-        "CLAIMED ENDED CLOSED,                       true",
-        "SENT,                                     false",
-        "CLAIMED SENT UNKNOWN SENT,                false",
-        "CLAIMED SENT ENDED RUNNING,               false",
-        "CLAIMED SENT STOPPING RUNNING,            false",
-        "CLAIMED CLOSED,                             false",
-        "ENDED,                                    false",
+        "CLAIMED SENT FETCHING RUNNING ENDED CLOSED,  true",
+        "CLAIMED SENT RUNNING STOPPING ENDED CLOSED,  true",
+        "CLAIMED SENT UNKNOWN RUNNING ENDED CLOSED,   true",
+        "UNKNOWN FETCHING RUNNING STOPPING ENDED,     true",
+        "CLAIMED ENDED CLOSED,                        true",
+        "SENT,                                        false",
+        "CLAIMED SENT UNKNOWN SENT,                   false",
+        "CLAIMED SENT ENDED RUNNING,                  false",
+        "CLAIMED SENT STOPPING RUNNING,               false",
+        "CLAIMED CLOSED,                              false",
+        "ENDED,                                       false",
     })
     void onlyLegalTransitionsAreMade(String path, boolean legal) {
         Claim claim = Claim.decide(new TaskId("run-000001", 0), "host-000001", 7);
