--- a/src/main/java/org/springmill/control/api/CancellationHandler.java
+++ b/src/main/java/org/springmill/control/api/CancellationHandler.java
@@ -32,7 +32,7 @@
     private final EventLoop loop;
     private final Timeouts timeouts;
     private final JobStatusResponses responses;
-    private final Consumer<Cancellation> announce;
+    private final Consumer<Cancellation> broadcast;
 
     /**
      * @param announce told of each cancellation committed here, before its user is
@@ -49,7 +49,7 @@
         this.loop = loop;
         this.timeouts = timeouts;
         this.responses = responses;
-        this.announce = announce;
+        this.broadcast = announce;
     }
 
     /** Cancels a job that may be over already or may never have been submitted. */
@@ -73,7 +73,7 @@
                     if (job != null) {
                         cancel(call, job, answerBy);
                     } else if (current) {
-                        directory.findArchived(id, lookup -> answerMoved(call, lookup));
+                        directory.findArchived(id, lookup -> respondArchived(call, lookup));
                     } else {
                         JobStatusResponses.unavailable(
                                 call, JobStatusResponses.STATE_SERVICE_SILENT);
@@ -82,7 +82,7 @@
     }
 
     /** A job that was moved is over: its cancellation, if it was cancelled, is known to all. */
-    private static void answerMoved(Call call, Lookup lookup) {
+    private static void respondArchived(Call call, Lookup lookup) {
         JobStatusResponses.lookedUp(
                 call,
                 lookup,
@@ -92,7 +92,7 @@
 
     private void cancel(Call call, JobRecord job, double answerBy) {
         if (job.phase().terminal()) {
-            answerEnded(call, job);
+            respondEnded(call, job);
             return;
         }
         JobRecord cancelled = job.ended(JobPhase.CANCELLED, loop.timeOfDay());
@@ -108,11 +108,11 @@
                 });
     }
 
-    private void answerEnded(Call call, JobRecord job) {
+    private void respondEnded(Call call, JobRecord job) {
         if (job.cancelled()) {
             // Perhaps by a write of this very request whose answer was lost: nobody has told the
             // others then.
-            announce(job);
+            broadcast(job);
         }
         responses.phase(call, job);
     }
@@ -120,12 +120,13 @@
     private void committed(Call call, JobRecord cancelled) {
         directory.learn(cancelled);
         LOG.debug("{} cancelled", cancelled.id());
-        announce(cancelled);
+        broadcast(cancelled);
         responses.phase(call, cancelled);
     }
 
-    private void announce(JobRecord cancelled) {
-        announce.accept(new Cancellation(cancelled.id(), cancelled.version(), cancelled.endedAt()));
+    private void broadcast(JobRecord cancelled) {
+        broadcast.accept(
+                new Cancellation(cancelled.id(), cancelled.version(), cancelled.endedAt()));
     }
 
     /**
--- a/src/main/java/org/springmill/control/api/JobQueryHandler.java
+++ b/src/main/java/org/springmill/control/api/JobQueryHandler.java
@@ -43,7 +43,7 @@
         if (!current) {
             JobStatusResponses.unavailable(call, JobStatusResponses.STATE_SERVICE_SILENT);
         } else if (job == null) {
-            directory.findArchived(id, lookup -> answerMoved(call, lookup));
+            directory.findArchived(id, lookup -> respondArchived(call, lookup));
         } else if (directory.isStatusCertain(job)) {
             responses.progress(call, job);
         } else {
@@ -51,7 +51,7 @@
         }
     }
 
-    private static void answerMoved(Call call, Lookup lookup) {
+    private static void respondArchived(Call call, Lookup lookup) {
         JobStatusResponses.lookedUp(
                 call,
                 lookup,
--- a/src/main/java/org/springmill/control/api/SubmissionHandler.java
+++ b/src/main/java/org/springmill/control/api/SubmissionHandler.java
@@ -45,10 +45,10 @@
     private final Metrics metrics;
     private final AdmissionControl admission;
     private final ActiveJobs activeJobs;
-    private final int maxPending;
+    private final int maxUncommitted;
 
     /** Submissions whose records are on their way to the key-value store, the oldest first. */
-    private final Set<Pending> pending = new LinkedHashSet<>();
+    private final Set<PendingSubmission> uncommitted = new LinkedHashSet<>();
 
     /**
      * A submission on its way.
@@ -56,7 +56,7 @@
      * @param job the record to be created
      * @param since when it came in
      */
-    private record Pending(Call call, JobRecord job, double since) {}
+    private record PendingSubmission(Call call, JobRecord job, double since) {}
 
     /**
      * @param activeJobs the account of jobs that are accepted and not over
@@ -83,7 +83,7 @@
         this.metrics = metrics;
         this.admission = admission;
         this.activeJobs = activeJobs;
-        this.maxPending = maxPending;
+        this.maxUncommitted = maxPending;
     }
 
     /** Accepts the job that a request describes, or says why not. */
@@ -97,7 +97,7 @@
 
     private void submit(Call call, Submission submission) {
         if (!unknown(submission.id())) {
-            answerKnown(call, submission.id());
+            respondExisting(call, submission.id());
             return;
         }
         if (!catalog.known() || !directory.loaded()) {
@@ -105,7 +105,7 @@
             return;
         }
         JobRecord job = JobRecord.accepted(submission, loop.timeOfDay());
-        Pending submitted = new Pending(call, job, loop.now());
+        PendingSubmission submitted = new PendingSubmission(call, job, loop.now());
         String impossible = catalog.impossible(submission);
         if (impossible != null) {
             // It may have been accepted long ago, under other limits or machine types.
@@ -135,12 +135,12 @@
      * Decides again once all earlier changes are known: what the job names, or the job itself in a
      * repeated submission, may just have been accepted by another controller.
      */
-    private void decideAfterBarrier(Pending submitted) {
-        directory.barrier(current -> readMovedDependencies(submitted, current));
+    private void decideAfterBarrier(PendingSubmission submitted) {
+        directory.barrier(current -> findArchivedDependencies(submitted, current));
     }
 
     /** What the job names may have ended so long ago that its record has been moved. */
-    private void readMovedDependencies(Pending submitted, boolean current) {
+    private void findArchivedDependencies(PendingSubmission submitted, boolean current) {
         List<String> unknown = directory.dependencies().unknown(submitted.job().submission());
         if (current && unknown(submitted)) {
             double until =
@@ -153,7 +153,7 @@
         }
     }
 
-    private void decide(Pending submitted, boolean current) {
+    private void decide(PendingSubmission submitted, boolean current) {
         String refusal = refusal(submitted.job());
         if (refusal == null && current && unknown(submitted)) {
             accept(submitted);
@@ -164,11 +164,11 @@
 
     /** How the users of jobs that can never run, or not be taken now, are told so. */
     @FunctionalInterface
-    private interface RefusalAnswer {
-        void reply(Call call);
+    private interface RefusalResponse {
+        void respond(Call call);
 
         /** The same while it is not certain that the job was not accepted before. */
-        default void replyUncertain(Call call) {
+        default void respondUncertain(Call call) {
             JobStatusResponses.unavailable(call, JobStatusResponses.STATE_SERVICE_SILENT);
         }
     }
@@ -177,48 +177,48 @@
      * For a job that cannot be taken now. In an overload there are more to be looked up than
      * lookups are allowed; sent away for a second only, their users came back as a wave.
      */
-    private record NotNow(AdmissionRefusal refusal) implements RefusalAnswer {
+    private record OverloadRefusal(AdmissionRefusal refusal) implements RefusalResponse {
         @Override
-        public void reply(Call call) {
+        public void respond(Call call) {
             JobStatusResponses.refused(call, refusal);
         }
 
         @Override
-        public void replyUncertain(Call call) {
-            reply(call);
+        public void respondUncertain(Call call) {
+            respond(call);
         }
     }
 
-    private static RefusalAnswer impossible(String reason) {
+    private static RefusalResponse impossible(String reason) {
         return call -> JobStatusResponses.impossible(call, reason);
     }
 
     /** Refuses a job, unless it turns out to have been accepted before. */
-    private void refuseAfterBarrier(Pending submitted, RefusalAnswer answer) {
-        directory.barrier(current -> refuse(submitted, current, answer));
+    private void refuseAfterBarrier(PendingSubmission submitted, RefusalResponse response) {
+        directory.barrier(current -> refuse(submitted, current, response));
     }
 
-    private void refuse(Pending submitted, boolean current, RefusalAnswer answer) {
+    private void refuse(PendingSubmission submitted, boolean current, RefusalResponse response) {
         if (!unknown(submitted)) {
-            answerKnown(submitted.call(), submitted.job().id());
+            respondExisting(submitted.call(), submitted.job().id());
         } else if (!current) {
-            answer.replyUncertain(submitted.call());
+            response.respondUncertain(submitted.call());
         } else {
             String id = submitted.job().id();
-            directory.findArchived(id, lookup -> refuse(submitted.call(), lookup, answer));
+            directory.findArchived(id, lookup -> refuse(submitted.call(), lookup, response));
         }
     }
 
     /** A repeated submission of an accepted job is never refused, however long ago it ended. */
-    private static void refuse(Call call, Lookup lookup, RefusalAnswer answer) {
+    private static void refuse(Call call, Lookup lookup, RefusalResponse response) {
         switch (lookup.outcome()) {
             case FOUND -> JobStatusResponses.phase(call, lookup.job());
-            case ABSENT -> answer.reply(call);
-            case UNAVAILABLE -> answer.replyUncertain(call);
+            case ABSENT -> response.respond(call);
+            case UNAVAILABLE -> response.respondUncertain(call);
         }
     }
 
-    private boolean unknown(Pending submitted) {
+    private boolean unknown(PendingSubmission submitted) {
         return unknown(submitted.job().id());
     }
 
@@ -226,7 +226,7 @@
         return directory.get(id) == null && directory.archived(id) == null;
     }
 
-    private void accept(Pending submitted) {
+    private void accept(PendingSubmission submitted) {
         if (admission.nearBound(submitted.job().submission())) {
             // What other controllers have accepted meanwhile may have used up what is left.
             directory.barrier(current -> acceptNearBound(submitted, current));
@@ -235,29 +235,29 @@
         }
     }
 
-    private void acceptNearBound(Pending submitted, boolean current) {
+    private void acceptNearBound(PendingSubmission submitted, boolean current) {
         if (!current) {
             JobStatusResponses.unavailable(
                     submitted.call(), JobStatusResponses.STATE_SERVICE_SILENT);
         } else if (unknown(submitted)) {
             admit(submitted);
         } else {
-            answerKnown(submitted.call(), submitted.job().id());
+            respondExisting(submitted.call(), submitted.job().id());
         }
     }
 
-    private void admit(Pending submitted) {
+    private void admit(PendingSubmission submitted) {
         Submission submission = submitted.job().submission();
         Optional<AdmissionRefusal> refusal = admission.refusal(submission, expectedWaitSeconds());
         if (refusal.isPresent()) {
             // A repeated submission is no new work, and its user may be the one whose first answer
             // was lost.
-            refuseAfterBarrier(submitted, new NotNow(refusal.get()));
+            refuseAfterBarrier(submitted, new OverloadRefusal(refusal.get()));
             return;
         }
-        pending.add(submitted);
+        uncommitted.add(submitted);
         activeJobs.add(submission);
-        create(submitted);
+        commit(submitted);
     }
 
     /**
@@ -265,18 +265,18 @@
      * its limits, and at least as long as the oldest that is on its way has waited.
      */
     private double expectedWaitSeconds() {
-        if (pending.size() >= maxPending) {
+        if (uncommitted.size() >= maxUncommitted) {
             return Double.POSITIVE_INFINITY;
         }
         double byShare = store.expectedWaitSeconds(1);
-        return pending.isEmpty() ? byShare : Math.max(byShare, secondsSinceOldest());
+        return uncommitted.isEmpty() ? byShare : Math.max(byShare, secondsSinceOldest());
     }
 
     private double secondsSinceOldest() {
-        return loop.now() - pending.iterator().next().since();
+        return loop.now() - uncommitted.iterator().next().since();
     }
 
-    private void create(Pending submitted) {
+    private void commit(PendingSubmission submitted) {
         JobRecord job = submitted.job();
         // A job whose record has been moved was accepted before, and has ended.
         store.compareAndSwapAcceptance(
@@ -285,23 +285,23 @@
                 submitted.since()
                         + JobStatusResponses.ANSWER_WITHIN_SECONDS
                         - timeouts.storeRequestTimeoutSeconds(),
-                result -> answered(submitted, result));
+                result -> commitAnswered(submitted, result));
     }
 
-    private void answered(Pending submitted, CommitResult result) {
+    private void commitAnswered(PendingSubmission submitted, CommitResult result) {
         if (mayRetry(submitted, result)) {
-            loop.after(timeouts.peerPollIntervalSeconds() / 4, () -> create(submitted));
+            loop.after(timeouts.peerPollIntervalSeconds() / 4, () -> commit(submitted));
             return;
         }
-        pending.remove(submitted);
+        uncommitted.remove(submitted);
         if (result.outcome() != CommitOutcome.COMMITTED && unknown(submitted)) {
             activeJobs.dropped(submitted.job().id());
         }
         switch (result.outcome()) {
-            case COMMITTED -> created(submitted, result.revision());
-            case REJECTED -> refused(submitted, result);
+            case COMMITTED -> commitSucceeded(submitted, result.revision());
+            case REJECTED -> commitRejected(submitted, result);
             case TOO_LARGE -> decideAfterBarrier(submitted);
-            case RETRYABLE -> notSent(submitted);
+            case RETRYABLE -> commitAbandoned(submitted);
             case UNKNOWN ->
                     JobStatusResponses.unavailable(
                             submitted.call(), JobStatusResponses.STATE_SERVICE_SILENT);
@@ -309,7 +309,7 @@
     }
 
     /** Its turn did not come in time, or the key-value store serves nothing. */
-    private void notSent(Pending submitted) {
+    private void commitAbandoned(PendingSubmission submitted) {
         if (store.reachable()) {
             AdmissionRefusal refusal = admission.givenUp(expectedWaitSeconds());
             JobStatusResponses.refused(submitted.call(), refusal);
@@ -323,7 +323,7 @@
      * Whether the same write is to be sent again: it was not executed, or may have been. It is
      * applied once at most.
      */
-    private boolean mayRetry(Pending submitted, CommitResult result) {
+    private boolean mayRetry(PendingSubmission submitted, CommitResult result) {
         boolean outage = result.outcome() == CommitOutcome.RETRYABLE && !store.reachable();
         boolean undecided =
                 result.outcome() == CommitOutcome.RETRYABLE
@@ -334,7 +334,7 @@
                 && loop.now() + timeouts.storeRequestTimeoutSeconds() < answerBy;
     }
 
-    private void created(Pending submitted, long revision) {
+    private void commitSucceeded(PendingSubmission submitted, long revision) {
         JobRecord job = submitted.job().committed(revision);
         directory.learn(job);
         metrics.accepted(submitted.since());
@@ -347,23 +347,23 @@
         // Cancelled already if it names a cancelled one.
         JobRecord inEffect = directory.get(job.id());
         if (inEffect == null || !directory.isStatusCertain(inEffect)) {
-            answerKnown(submitted.call(), job.id());
+            respondExisting(submitted.call(), job.id());
             return;
         }
         byte[] answer = UserMessages.phase(job.id(), inEffect.phase());
         submitted.call().reply(201, answer, 0);
     }
 
-    private void refused(Pending submitted, CommitResult result) {
+    private void commitRejected(PendingSubmission submitted, CommitResult result) {
         if (result.failed().isEmpty()) {
             refuseAfterBarrier(submitted, impossible("the state service takes no such record"));
         } else {
-            answerKnown(submitted.call(), submitted.job().id());
+            respondExisting(submitted.call(), submitted.job().id());
         }
     }
 
     /** Answers for a job that exists, with a state no older than the question. */
-    private void answerKnown(Call call, String id) {
+    private void respondExisting(Call call, String id) {
         JobRecord known = directory.get(id);
         ArchivedJob moved = directory.archived(id);
         if (known != null && known.phase().terminal()) {
@@ -371,16 +371,16 @@
         } else if (known == null && moved != null) {
             JobStatusResponses.phase(call, moved);
         } else {
-            directory.barrier(current -> answerKnown(call, id, current));
+            directory.barrier(current -> respondExisting(call, id, current));
         }
     }
 
-    private void answerKnown(Call call, String id, boolean current) {
+    private void respondExisting(Call call, String id, boolean current) {
         JobRecord job = directory.get(id);
         if (!current) {
             JobStatusResponses.unavailable(call, JobStatusResponses.STATE_SERVICE_SILENT);
         } else if (job == null) {
-            directory.findArchived(id, lookup -> answerMoved(call, lookup));
+            directory.findArchived(id, lookup -> respondArchived(call, lookup));
         } else if (directory.isStatusCertain(job)) {
             responses.phase(call, job);
         } else {
@@ -388,7 +388,7 @@
         }
     }
 
-    private static void answerMoved(Call call, Lookup lookup) {
+    private static void respondArchived(Call call, Lookup lookup) {
         JobStatusResponses.lookedUp(
                 call,
                 lookup,
--- a/src/main/java/org/springmill/control/api/UserApi.java
+++ b/src/main/java/org/springmill/control/api/UserApi.java
@@ -16,7 +16,7 @@
 
     private final SubmissionHandler submissions;
     private final JobQueryHandler queries;
-    private final CancellationHandler withdrawals;
+    private final CancellationHandler cancellations;
 
     /**
      * @param announce told of each cancellation committed here, before its user is
@@ -32,7 +32,7 @@
             SubmissionHandler submissions) {
         this.submissions = submissions;
         queries = new JobQueryHandler(directory, responses);
-        withdrawals =
+        cancellations =
                 new CancellationHandler(directory, store, loop, timeouts, responses, announce);
     }
 
@@ -54,7 +54,7 @@
         if (name.endsWith(UserMessages.WITHDRAW)) {
             if (allowed(call, "POST")) {
                 String id = name.substring(0, name.length() - UserMessages.WITHDRAW.length());
-                withdrawals.withdraw(call, id);
+                cancellations.withdraw(call, id);
             }
         } else if (name.isEmpty() || name.contains("/")) {
             call.reply(404, EMPTY, 0);
--- a/src/main/java/org/springmill/control/leadership/LeaderRecordWatch.java
+++ b/src/main/java/org/springmill/control/leadership/LeaderRecordWatch.java
@@ -43,7 +43,7 @@
 
     private void revisionRead(Page page) {
         if (page == null) {
-            startLater();
+            retryLater();
             return;
         }
         knownRevision = Math.max(1, page.revision());
@@ -53,7 +53,7 @@
     private void changesRead(ChangesResult result) {
         if (result.changes() == null) {
             knownRevision = result.tooOld() ? 0 : knownRevision;
-            startLater();
+            retryLater();
             return;
         }
         knownRevision = Math.max(knownRevision, result.changes().revision());
@@ -61,7 +61,7 @@
         start();
     }
 
-    private void startLater() {
+    private void retryLater() {
         loop.after(timeouts.leaderRenewIntervalSeconds(), this::start);
     }
 }
--- a/src/main/java/org/springmill/control/leadership/Leadership.java
+++ b/src/main/java/org/springmill/control/leadership/Leadership.java
@@ -72,14 +72,14 @@
     private long vacantAtRevision;
 
     /** When the last renewal that was answered had been sent. */
-    private double provenAt = Double.NEGATIVE_INFINITY;
+    private double leaseConfirmedAt = Double.NEGATIVE_INFINITY;
 
     private double resumedAt = Double.NEGATIVE_INFINITY;
     private boolean renewing;
     private boolean recordRead;
 
     /** The last term that this controller ended because its leader refused connections. */
-    private long endedTerm;
+    private long revokedTerm;
 
     /** After resigning, this controller does not stand before this time. */
     private double standsForElectionFrom;
@@ -103,13 +103,13 @@
 
     /** Begins to follow the leader's record, and to stand whenever there is none. */
     public void start() {
-        tick();
-        new LeaderRecordWatch(store, loop, timeouts, this::changed).start();
+        renewOrElect();
+        new LeaderRecordWatch(store, loop, timeouts, this::leaderRecordChanged).start();
     }
 
     /** The state as of now: a lease that has run out is noticed here. */
     public State state() {
-        check();
+        refreshState();
         return state;
     }
 
@@ -139,7 +139,7 @@
      * anyone: after a crash of all controllers, the moments in which they elect and rebuild are
      * those in which leases run out.
      */
-    boolean vacant() {
+    boolean isVacant() {
         return vacantAtRevision > 0
                 && !holdsTerm()
                 && Math.max(knownTerm, peers.highestTerm()) <= vacantAtRevision;
@@ -165,13 +165,13 @@
      * service.
      */
     public boolean mayRespondToWorkers() {
-        check();
-        return holdsTerm() && ((withinGrace() && !unproven()) || outageConfirmed());
+        refreshState();
+        return holdsTerm() && ((withinGrace() && !isLeaseUnconfirmed()) || outageConfirmed());
     }
 
     /** Whether this controller stood still, and has not proven since that it still leads. */
-    private boolean unproven() {
-        return provenAt < resumedAt;
+    private boolean isLeaseUnconfirmed() {
+        return leaseConfirmedAt < resumedAt;
     }
 
     /**
@@ -180,7 +180,7 @@
      */
     public void resumed() {
         resumedAt = loop.now();
-        check();
+        refreshState();
         if (holdsTerm()) {
             transition(State.LEASE_UNCERTAIN);
             renew();
@@ -222,25 +222,25 @@
     public void leaderRefusedConnection(PeerStatus lastStatus) {
         String node = lastStatus.from();
         boolean leadsNow = node.equals(knownLeader) && lastStatus.term() >= knownTerm;
-        if (state == State.FOLLOWING && leadsNow && endedTerm != knownTerm) {
-            store.get(LeaderRecord.KEY, read -> endTermOf(node, read));
+        if (state == State.FOLLOWING && leadsNow && revokedTerm != knownTerm) {
+            store.get(LeaderRecord.KEY, read -> revokeLeaseOf(node, read));
         }
     }
 
-    private void endTermOf(String node, ReadResult read) {
+    private void revokeLeaseOf(String node, ReadResult read) {
         Entry entry = read.entry();
-        if (state != State.FOLLOWING || entry == null || entry.version() <= endedTerm) {
+        if (state != State.FOLLOWING || entry == null || entry.version() <= revokedTerm) {
             return;
         }
         if (LeaderRecord.decode(entry.value()).node().equals(node)) {
-            endedTerm = entry.version();
-            LOG.info("{} refuses connections: ending its term {}", node, endedTerm);
+            revokedTerm = entry.version();
+            LOG.info("{} refuses connections: ending its term {}", node, revokedTerm);
             store.revoke(entry.lease(), this::readRecord);
         }
     }
 
     private void readRecord() {
-        store.get(LeaderRecord.KEY, this::seen);
+        store.get(LeaderRecord.KEY, this::leaderRecordRead);
     }
 
     private void transition(State next) {
@@ -269,7 +269,7 @@
         }
     }
 
-    private void check() {
+    private void refreshState() {
         if (state == State.LEADING && loop.now() >= validUntil) {
             transition(State.LEASE_UNCERTAIN);
         }
@@ -278,14 +278,14 @@
         }
     }
 
-    private void tick() {
-        check();
+    private void renewOrElect() {
+        refreshState();
         if (holdsTerm()) {
             renew();
         } else if (state == State.FOLLOWING) {
             readRecord();
         }
-        loop.after(timeouts.leaderRenewIntervalSeconds(), this::tick);
+        loop.after(timeouts.leaderRenewIntervalSeconds(), this::renewOrElect);
     }
 
     private void renew() {
@@ -306,8 +306,8 @@
         switch (result) {
             case RENEWED -> {
                 validUntil = Math.max(validUntil, sentAt + timeouts.leaderLeaseSeconds());
-                provenAt = sentAt;
-                if (unproven()) {
+                leaseConfirmedAt = sentAt;
+                if (isLeaseUnconfirmed()) {
                     renew();
                 } else if (state == State.LEASE_UNCERTAIN && loop.now() < validUntil) {
                     transition(State.LEADING);
@@ -318,7 +318,7 @@
         }
     }
 
-    private void seen(ReadResult read) {
+    private void leaderRecordRead(ReadResult read) {
         if (!read.served() || state != State.FOLLOWING) {
             return;
         }
@@ -332,11 +332,11 @@
                 campaign();
             }
         } else {
-            recorded(read.entry());
+            leaderRecorded(read.entry());
         }
     }
 
-    private void recorded(Entry entry) {
+    private void leaderRecorded(Entry entry) {
         LeaderRecord leader = LeaderRecord.decode(entry.value());
         knownTerm = Math.max(knownTerm, entry.version());
         knownLeader = leader.node();
@@ -352,24 +352,24 @@
             store.revoke(entry.lease(), this::readRecord);
         } else if (entry.lease() == lease) {
             // A campaign whose answer was lost has been won after all.
-            won(entry.version());
+            elected(entry.version());
         }
     }
 
     private void campaign() {
         transition(State.CAMPAIGNING);
         double askedAt = loop.now();
-        store.grant(timeouts.leaderLeaseSeconds(), granted -> leaseAnswered(granted, askedAt));
+        store.grant(timeouts.leaderLeaseSeconds(), granted -> leaseGrantAnswered(granted, askedAt));
     }
 
-    private void leaseAnswered(long granted, double askedAt) {
+    private void leaseGrantAnswered(long granted, double askedAt) {
         if (granted == 0) {
             transition(State.FOLLOWING);
             return;
         }
         lease = granted;
         validUntil = askedAt + timeouts.leaderLeaseSeconds();
-        provenAt = askedAt;
+        leaseConfirmedAt = askedAt;
         Condition noLeader = new Condition(LeaderRecord.KEY, 0);
         JsonNode record = LeaderRecord.encode(settings, incarnation);
         Write takeOffice = new Write(LeaderRecord.KEY, record, granted);
@@ -381,7 +381,7 @@
             return;
         }
         if (result.outcome() == CommitOutcome.COMMITTED) {
-            won(result.revision());
+            elected(result.revision());
         } else {
             transition(State.FOLLOWING);
             // Whoever won is found out at once; so is an own win whose answer was lost.
@@ -389,7 +389,7 @@
         }
     }
 
-    private void won(long revision) {
+    private void elected(long revision) {
         if (loop.now() >= validUntil) {
             transition(State.FOLLOWING);
             return;
@@ -399,13 +399,13 @@
         knownLeader = settings.node();
         vacantAtRevision = 0;
         transition(State.LEADING);
-        if (unproven()) {
+        if (isLeaseUnconfirmed()) {
             transition(State.LEASE_UNCERTAIN);
             renew();
         }
     }
 
-    private void changed(Change change) {
+    private void leaderRecordChanged(Change change) {
         if (change.value() == null) {
             if (holdsTerm() && change.version() > term) {
                 stepDown("its record is gone");
--- a/src/main/java/org/springmill/control/leadership/LeaseKeepalive.java
+++ b/src/main/java/org/springmill/control/leadership/LeaseKeepalive.java
@@ -26,16 +26,16 @@
     private final CancellationFreshness freshness;
 
     /** Tokens with which workers first came here while this controller has been isolated. */
-    private final Map<String, Long> firstTokens = new HashMap<>();
+    private final Map<String, Long> firstFencingTokens = new HashMap<>();
 
     /** When this controller last heard of anyone before it was isolated. */
-    private double isolatedSince = Double.NEGATIVE_INFINITY;
+    private double lastContactAt = Double.NEGATIVE_INFINITY;
 
     /** Zones whose workers came here while it has been isolated. */
-    private final Set<String> zones = new HashSet<>();
+    private final Set<String> workerZones = new HashSet<>();
 
     private double resumedAt = Double.NEGATIVE_INFINITY;
-    private double reachedByUsersAt = Double.NEGATIVE_INFINITY;
+    private double lastUserRequestAt = Double.NEGATIVE_INFINITY;
 
     public LeaseKeepalive(
             KeyValueStoreClient store,
@@ -60,25 +60,25 @@
     public boolean mayRenewLease(Heartbeat heartbeat, boolean holdsTerm) {
         boolean isolated = !store.reachable() && isIsolated();
         if (isolated) {
-            zones.add(heartbeat.zone());
+            workerZones.add(heartbeat.zone());
         }
         boolean entitled =
-                leadership.vacant()
-                        || keepsForNewLeader(holdsTerm)
-                        || keepsInConfirmedOutage(holdsTerm)
-                        || (isolated && isUnclaimed(heartbeat));
-        boolean keeps = entitled && noCancelledTaskIsKept(isolated);
+                leadership.isVacant()
+                        || renewsForNewLeader(holdsTerm)
+                        || renewsInConfirmedOutage(holdsTerm)
+                        || (isolated && isBeyondReachOfLeaders(heartbeat));
+        boolean keeps = entitled && cancelledTasksWillEnd(isolated);
         if (keeps) {
             peers.recordLeaseRenewal();
         }
         return keeps;
     }
 
-    private boolean keepsForNewLeader(boolean holdsTerm) {
+    private boolean renewsForNewLeader(boolean holdsTerm) {
         return !holdsTerm && peers.keepsLeasesForNewLeader();
     }
 
-    private boolean keepsInConfirmedOutage(boolean holdsTerm) {
+    private boolean renewsInConfirmedOutage(boolean holdsTerm) {
         return !store.reachable() && !holdsTerm && outageIsConfirmed() && !peers.anyLeads();
     }
 
@@ -90,7 +90,7 @@
     }
 
     /** Either its cancellations are known here, or a leader outside removes them by the cloud. */
-    private boolean noCancelledTaskIsKept(boolean isolated) {
+    private boolean cancelledTasksWillEnd(boolean isolated) {
         return freshness.isFresh() || (isolated && zoneIsPartitioned());
     }
 
@@ -100,13 +100,13 @@
      */
     private boolean isIsolated() {
         double lastHeardAt = Math.max(peers.lastHeardAt(), store.lastServed());
-        if (lastHeardAt != isolatedSince) {
+        if (lastHeardAt != lastContactAt) {
             // Tokens remembered from an earlier partition made every worker that a leader had since
             // commanded seem to be within a leader's reach: in a second partition of the zone all
             // of them were sent away until their leases ended.
-            isolatedSince = lastHeardAt;
-            firstTokens.clear();
-            zones.clear();
+            lastContactAt = lastHeardAt;
+            firstFencingTokens.clear();
+            workerZones.clear();
         }
         double silentSince = Math.max(lastHeardAt, resumedAt);
         return loop.now() - silentSince > timeouts.peerConfirmationValidityOnAnyClockSeconds();
@@ -119,7 +119,7 @@
 
     /** Users, or the load balancer, reached this controller. */
     public void recordUserRequest() {
-        reachedByUsersAt = loop.now();
+        lastUserRequestAt = loop.now();
     }
 
     /**
@@ -131,15 +131,16 @@
      */
     private boolean zoneIsPartitioned() {
         boolean reachedByUsers =
-                reachedByUsersAt
-                        >= isolatedSince + timeouts.peerConfirmationValidityOnAnyClockSeconds();
-        return zones.size() == 1 && !reachedByUsers && !store.isRefusing();
+                lastUserRequestAt
+                        >= lastContactAt + timeouts.peerConfirmationValidityOnAnyClockSeconds();
+        return workerZones.size() == 1 && !reachedByUsers && !store.isRefusing();
     }
 
     /** A worker whose token has risen is within some leader's reach and should report there. */
-    private boolean isUnclaimed(Heartbeat heartbeat) {
+    private boolean isBeyondReachOfLeaders(Heartbeat heartbeat) {
         long firstToken =
-                firstTokens.computeIfAbsent(heartbeat.machine(), m -> heartbeat.fencingToken());
+                firstFencingTokens.computeIfAbsent(
+                        heartbeat.machine(), m -> heartbeat.fencingToken());
         long knownTerm = leadership.knownTerm();
         boolean ofLaterTerm =
                 knownTerm > 0 && WorkerEpoch.termOf(heartbeat.fencingToken()) > knownTerm;
--- a/src/main/java/org/springmill/control/membership/CancellationFreshness.java
+++ b/src/main/java/org/springmill/control/membership/CancellationFreshness.java
@@ -19,8 +19,8 @@
     private final Peers peers;
     private final EventLoop loop;
     private final Timeouts timeouts;
-    private final double presumedAt;
-    private boolean covered = true;
+    private final double presumedKnownAt;
+    private boolean wasFresh = true;
 
     public CancellationFreshness(
             JobDirectory directory, Peers peers, EventLoop loop, Timeouts timeouts) {
@@ -28,7 +28,7 @@
         this.peers = peers;
         this.loop = loop;
         this.timeouts = timeouts;
-        presumedAt = loop.now() - timeouts.cancellationKnowledgeValiditySeconds() / 2;
+        presumedKnownAt = loop.now() - timeouts.cancellationKnowledgeValiditySeconds() / 2;
     }
 
     /**
@@ -40,10 +40,10 @@
         if (ageSeconds() > timeouts.workerLeaseSeconds() / 4) {
             directory.barrier(current -> {});
         }
-        if (covered != isFresh()) {
-            covered = !covered;
+        if (wasFresh != isFresh()) {
+            wasFresh = !wasFresh;
             LOG.warn(
-                    covered
+                    wasFresh
                             ? "cancellations are known again: reports are answered"
                             : "cancellations of the last {} s may be unknown here: no report is answered",
                     Math.round(ageSeconds()));
@@ -73,6 +73,6 @@
         double confirmedAt =
                 directory.loaded() ? peers.cancellationsKnownUntil() : Double.NEGATIVE_INFINITY;
         double knownAt = Math.max(directory.currentAt(), confirmedAt);
-        return loop.now() - Math.max(presumedAt, knownAt);
+        return loop.now() - Math.max(presumedKnownAt, knownAt);
     }
 }
--- a/src/main/java/org/springmill/control/membership/PeerCancellations.java
+++ b/src/main/java/org/springmill/control/membership/PeerCancellations.java
@@ -14,15 +14,15 @@
     private final Set<String> nodes;
 
     /** Where each peer goes on telling; only it can read its own bookmark. */
-    private final Map<String, Long> bookmarks = new HashMap<>();
+    private final Map<String, Long> cursors = new HashMap<>();
 
-    private final Map<String, Told> toldByNode = new HashMap<>();
+    private final Map<String, KnownCancellations> knownByNode = new HashMap<>();
 
     /**
      * Up to when a peer has told all that it confirmed to users, and whether it could then have
      * confirmed anything at all.
      */
-    private record Told(double until, boolean reachedState) {}
+    private record KnownCancellations(double until, boolean storeReachable) {}
 
     /**
      * @param nodes all other controllers
@@ -35,20 +35,21 @@
 
     /** The bookmark that a peer handed out last; 0 if none. */
     long cursor(String node) {
-        return bookmarks.getOrDefault(node, 0L);
+        return cursors.getOrDefault(node, 0L);
     }
 
     void cursorReceived(PeerStatus answer) {
-        bookmarks.put(answer.from(), answer.cancellationDelta().cursor());
+        cursors.put(answer.from(), answer.cancellationDelta().cursor());
     }
 
     /** Notes an answer to a question of the time given. */
-    void answered(double askedAt, PeerStatus answer) {
+    void recordAnswer(double askedAt, PeerStatus answer) {
         boolean remembers =
                 answer.cancellationDelta().hasReadJobRecords()
                         || confirmedNothingSince(answer, askedAt);
         if (answer.cancellationDelta().complete() && remembers) {
-            toldByNode.put(answer.from(), new Told(askedAt, answer.storeReachable()));
+            knownByNode.put(
+                    answer.from(), new KnownCancellations(askedAt, answer.storeReachable()));
         }
     }
 
@@ -59,9 +60,9 @@
      * a long outage would end the leases of the whole fleet.
      */
     private boolean confirmedNothingSince(PeerStatus answer, double askedAt) {
-        Told before = toldByNode.get(answer.from());
+        KnownCancellations before = knownByNode.get(answer.from());
         return before != null
-                && !before.reachedState()
+                && !before.storeReachable()
                 && !answer.storeReachable()
                 && askedAt - before.until() < timeouts.cancellationKnowledgeValiditySeconds() / 2;
     }
@@ -72,7 +73,7 @@
     }
 
     private double cancellationsKnownUntil(String node) {
-        Told told = toldByNode.get(node);
+        KnownCancellations told = knownByNode.get(node);
         return told == null ? Double.NEGATIVE_INFINITY : told.until();
     }
 }
--- a/src/main/java/org/springmill/control/membership/PeerConfirmations.java
+++ b/src/main/java/org/springmill/control/membership/PeerConfirmations.java
@@ -26,7 +26,7 @@
     private final Timeouts timeouts;
     private final Set<String> nodes;
     private final Map<String, Answer> answers = new HashMap<>();
-    private double countFrom = Double.NEGATIVE_INFINITY;
+    private double discardAnswersBefore = Double.NEGATIVE_INFINITY;
 
     /** A peer's answer, with the time of the question and that of the answer on this clock. */
     record Answer(double askedAt, double receivedAt, PeerStatus status) {}
@@ -40,7 +40,7 @@
         this.nodes = nodes;
     }
 
-    void answered(double askedAt, PeerStatus status) {
+    void recordAnswer(double askedAt, PeerStatus status) {
         answers.put(status.from(), new Answer(askedAt, loop.now(), status));
     }
 
@@ -64,7 +64,7 @@
      * confirmed.
      */
     boolean quorumConfirmsOutage(long term) {
-        return isQuorum(node -> confirmsOutage(node, term) && remembers(node));
+        return isQuorum(node -> confirmsOutage(node, term) && hasReadLeaderRecord(node));
     }
 
     /** Whether a quorum confirms that and has not heard from a leader for some time either. */
@@ -72,7 +72,7 @@
         return isQuorum(
                 node ->
                         confirmsOutage(node, term)
-                                && remembers(node)
+                                && hasReadLeaderRecord(node)
                                 && answers.get(node).status().leaderSilent());
     }
 
@@ -84,7 +84,7 @@
     }
 
     /** Whether a peer that has answered has read the leader's record since it was started. */
-    private boolean remembers(String node) {
+    private boolean hasReadLeaderRecord(String node) {
         return answers.get(node).status().hasReadLeaderRecord();
     }
 
@@ -104,7 +104,7 @@
     }
 
     /** Whether every peer has lately answered. */
-    boolean allAnswered() {
+    boolean allPeersResponded() {
         return nodes.stream().allMatch(node -> isRecent(answers.get(node)));
     }
 
@@ -125,7 +125,7 @@
     }
 
     /** The greatest number of workers that one of the peers lately heard although it follows. */
-    int maxWorkers() {
+    int maxRedirectedWorkers() {
         return answers.values().stream()
                 .filter(this::isRecent)
                 .mapToInt(answer -> answer.status().redirectedWorkers())
@@ -151,13 +151,13 @@
     }
 
     /** From now on only answers to questions asked since then confirm anything. */
-    void countFrom(double time) {
-        countFrom = time;
+    void discardAnswersBefore(double time) {
+        discardAnswersBefore = time;
     }
 
     private boolean isRecent(Answer answer) {
         return answer != null
-                && answer.askedAt() >= countFrom
+                && answer.askedAt() >= discardAnswersBefore
                 && loop.now() - answer.askedAt() < timeouts.peerConfirmationValiditySeconds();
     }
 }
--- a/src/main/java/org/springmill/control/membership/Peers.java
+++ b/src/main/java/org/springmill/control/membership/Peers.java
@@ -126,7 +126,7 @@
     public void resumed() {
         resumedAt = loop.now();
         lastLeaderHeardAt = Math.max(lastLeaderHeardAt, resumedAt);
-        confirmations.countFrom(resumedAt);
+        confirmations.discardAnswersBefore(resumedAt);
     }
 
     /**
@@ -265,8 +265,8 @@
         cancellations.cursorReceived(answer);
         Double askedAt = askedAtByQuestion.get(answer.answeredQuestion());
         if (askedAt != null) {
-            confirmations.answered(askedAt, answer);
-            cancellations.answered(askedAt, answer);
+            confirmations.recordAnswer(askedAt, answer);
+            cancellations.recordAnswer(askedAt, answer);
             if (answer.storeShare() > 0) {
                 shares.borrow(answer.answeredQuestion(), askedAt, answer.storeShare());
             }
@@ -325,7 +325,7 @@
 
     /** Whether every other controller has lately answered this one. */
     public boolean allPeersResponded() {
-        return confirmations.allAnswered();
+        return confirmations.allPeersResponded();
     }
 
     /** Notes that a worker's lease was renewed by this controller, which does not lead. */
@@ -357,9 +357,9 @@
         return confirmations.anyLeads();
     }
 
-    /** See {@link PeerConfirmations#maxWorkers}. */
+    /** See {@link PeerConfirmations#maxRedirectedWorkers}. */
     public int workersRedirectedByPeers() {
-        return confirmations.maxWorkers();
+        return confirmations.maxRedirectedWorkers();
     }
 
     /** The highest term that a peer has told of; 0 if none. */
--- a/src/main/java/org/springmill/control/membership/RedirectedWorkers.java
+++ b/src/main/java/org/springmill/control/membership/RedirectedWorkers.java
@@ -12,7 +12,7 @@
 public final class RedirectedWorkers {
     private final EventLoop loop;
     private final double maxAgeSeconds;
-    private final Map<String, Double> lastReportAt = new HashMap<>();
+    private final Map<String, Double> lastHeartbeatAt = new HashMap<>();
 
     public RedirectedWorkers(EventLoop loop, Timeouts timeouts) {
         this.loop = loop;
@@ -20,13 +20,13 @@
     }
 
     public void add(String machine) {
-        lastReportAt.put(machine, loop.now());
+        lastHeartbeatAt.put(machine, loop.now());
     }
 
     /** How many workers were sent away lately; forgets all others. */
     public int count() {
         double oldest = loop.now() - maxAgeSeconds;
-        lastReportAt.values().removeIf(reportAt -> reportAt < oldest);
-        return lastReportAt.size();
+        lastHeartbeatAt.values().removeIf(reportAt -> reportAt < oldest);
+        return lastHeartbeatAt.size();
     }
 }
--- a/src/main/java/org/springmill/control/membership/RemoteProgress.java
+++ b/src/main/java/org/springmill/control/membership/RemoteProgress.java
@@ -15,7 +15,7 @@
  */
 public final class RemoteProgress {
     /** After this many report intervals without a broadcast, what was known before is dropped. */
-    private static final double MAX_AGE_REPORT_INTERVALS = 4;
+    private static final double MAX_AGE_HEARTBEAT_INTERVALS = 4;
 
     private final EventLoop loop;
     private final double maxAgeSeconds;
@@ -30,7 +30,7 @@
 
     public RemoteProgress(EventLoop loop, Timeouts timeouts) {
         this.loop = loop;
-        maxAgeSeconds = timeouts.heartbeatIntervalSeconds() * MAX_AGE_REPORT_INTERVALS;
+        maxAgeSeconds = timeouts.heartbeatIntervalSeconds() * MAX_AGE_HEARTBEAT_INTERVALS;
     }
 
     /** Takes in a broadcast; a broadcast may be spread over several messages. */
--- a/src/main/java/org/springmill/control/membership/WorkloadBroadcast.java
+++ b/src/main/java/org/springmill/control/membership/WorkloadBroadcast.java
@@ -28,7 +28,7 @@
     private final String node;
     private final long term;
     private final double intervalSeconds;
-    private boolean toldCongestion;
+    private boolean lastBroadcastCongested;
     private boolean closed;
 
     /**
@@ -64,8 +64,8 @@
         if (closed) {
             return;
         }
-        queueWaits.ifPresent(this::tellCongestion);
-        tellProgress();
+        queueWaits.ifPresent(this::broadcastCongestion);
+        broadcastProgress();
         loop.after(intervalSeconds, this::start);
     }
 
@@ -79,7 +79,7 @@
         waits.started(job.spec().team(), job.priority(), 1, loop.now());
     }
 
-    private void tellProgress() {
+    private void broadcastProgress() {
         List<JobProgress> jobs = new ArrayList<>();
         for (Job job : clusterState.jobs().values()) {
             if (job.active() && job.liveCount() + job.doneCount() > 0) {
@@ -102,7 +102,7 @@
         }
     }
 
-    private void tellCongestion(QueueWaits waits) {
+    private void broadcastCongestion(QueueWaits waits) {
         waits.beginCount();
         for (Job job : clusterState.jobs().values()) {
             if (job.active() && job.eligible() && job.waiting() > 0) {
@@ -111,9 +111,9 @@
         }
         List<CongestedQueue> queues = waits.endCount(loop.now());
         congestion.update(queues, loop.now());
-        if (toldCongestion || !queues.isEmpty()) {
+        if (lastBroadcastCongested || !queues.isEmpty()) {
             peers.broadcast(new CongestionNotice(node, term, queues));
         }
-        toldCongestion = !queues.isEmpty();
+        lastBroadcastCongested = !queues.isEmpty();
     }
 }
--- a/src/test/java/org/springmill/control/membership/PeersTest.java
+++ b/src/test/java/org/springmill/control/membership/PeersTest.java
@@ -42,8 +42,8 @@
                     }
 
                     @Override
-                    public void onRecord(Listener taker) {
-                        listener = taker;
+                    public void onRecord(Listener newListener) {
+                        listener = newListener;
                     }
                 };
         Timeouts timeouts = Timeouts.of(settings);
@@ -85,21 +85,21 @@
         return peers;
     }
 
-    private void hear(PeerStatus status) {
+    private void receive(PeerStatus status) {
         listener.received(PeerMessages.encode(status));
     }
 
     /**
-     * A follower that helps says until when, and the leader counts on no silence before that and a
-     * word's life.
+     * A follower that renews leases for a new leader says until when. The leader takes a worker's
+     * lease for expired only after that time and the validity of a confirmation.
      */
     @ParameterizedTest
     @CsvSource({"0.0, true", "1.0, true", "3.0, true", "4.0, false", "30.0, false"})
-    void aFollowerHelpsANewLeaderForAWhileAndTellsItUntilWhen(double afterSeconds, boolean helps)
-            throws Exception {
+    void aFollowerRenewsLeasesForANewLeaderForAWhileAndAnswersUntilWhen(
+            double afterSeconds, boolean renewsLeases) throws Exception {
         Peers follower = peers(false, 0);
         clock.run(60);
-        hear(
+        receive(
                 new PeerStatus(
                         "n-1",
                         1,
@@ -113,9 +113,9 @@
                         7,
                         CancellationDelta.NONE));
         clock.run(afterSeconds);
-        assertEquals(helps, follower.keepsLeasesForNewLeader());
+        assertEquals(renewsLeases, follower.keepsLeasesForNewLeader());
         sent.clear();
-        hear(
+        receive(
                 new PeerStatus(
                         "n-1",
                         2,
@@ -128,46 +128,50 @@
                         60_000,
                         7,
                         CancellationDelta.NONE));
-        int told = sent.get(sent.size() - 1).confirmedMillisecondsAgo();
-        assertEquals(helps, told < 0);
+        int confirmedMillisecondsAgo = sent.get(sent.size() - 1).confirmedMillisecondsAgo();
+        assertEquals(renewsLeases, confirmedMillisecondsAgo < 0);
 
         Peers leader = peers(true, 7);
         clock.run(60);
-        PeerStatus asked = sent.get(sent.size() - 1);
-        hear(
+        PeerStatus question = sent.get(sent.size() - 1);
+        receive(
                 new PeerStatus(
                         "n-1",
                         0,
-                        asked.question(),
+                        question.question(),
                         true,
                         false,
                         true,
                         0,
                         false,
-                        told,
+                        confirmedMillisecondsAgo,
                         7,
                         CancellationDelta.NONE));
         double until = leader.othersMayRenewUntil() - clock.now();
         assertTrue(
-                until >= -told / 1000.0 + LEASE_SECONDS / 10, "counts on silence after " + until);
+                until >= -confirmedMillisecondsAgo / 1000.0 + LEASE_SECONDS / 10,
+                "counts on silence after " + until);
         clock.run(LEASE_SECONDS / 5);
-        assertEquals(Double.POSITIVE_INFINITY, leader.othersMayRenewUntil(), "an old word is none");
+        assertEquals(
+                Double.POSITIVE_INFINITY,
+                leader.othersMayRenewUntil(),
+                "an outdated answer confirms nothing");
     }
 
-    /** A process that returned would otherwise be borne out by words from before its end. */
+    /** A restarted process would otherwise take answers to its predecessor for confirmations. */
     @Test
-    void answersToQuestionsOfAnEarlierLifeAreNoWords() throws Exception {
+    void answersToQuestionsOfAnEarlierProcessConfirmNothing() throws Exception {
         peers(true, 7);
         clock.run(3);
-        long earlier = sent.get(sent.size() - 1).question();
+        long earlierQuestion = sent.get(sent.size() - 1).question();
         clock.run(0.2);
         Peers returned = peers(true, 7);
         clock.run(3);
-        hear(
+        receive(
                 new PeerStatus(
                         "n-1",
                         0,
-                        earlier,
+                        earlierQuestion,
                         false,
                         false,
                         true,
@@ -178,7 +182,7 @@
                         CancellationDelta.NONE));
         assertFalse(returned.quorumConfirmsOutage(7));
         assertFalse(returned.allPeersResponded());
-        hear(
+        receive(
                 new PeerStatus(
                         "n-1",
                         0,
