--- a/src/main/java/org/springmill/control/leadership/LeaderRecord.java
+++ b/src/main/java/org/springmill/control/leadership/LeaderRecord.java
@@ -5,7 +5,7 @@
 import org.springmill.protocol.Settings;
 
 /**
- * The stored record of the leader, attached to its lease in the key-value store.
+ * The leader record, attached to the leader's lease in the key-value store.
  *
  * @param node the controller that leads
  * @param incarnation random name of its process: a restarted one does not inherit the leadership
@@ -14,19 +14,23 @@
     static final String KEY = "leader";
 
     private static final int FORMAT_VERSION = 1;
+    private static final String VERSION = "v";
     private static final String NODE = "node";
     private static final String INCARNATION = "incarnation";
+    private static final String USER_ADDRESS = "api";
+    private static final String PEER_ADDRESS = "peer";
 
-    /** The record of this process, with the addresses at which others reach it. */
+    /** Writes the record of this process, with the addresses at which others reach it. */
     static JsonNode encode(Settings settings, String incarnation) {
         return Json.newObject()
-                .put("v", FORMAT_VERSION)
+                .put(VERSION, FORMAT_VERSION)
                 .put(NODE, settings.node())
                 .put(INCARNATION, incarnation)
-                .put("api", settings.listen())
-                .put("peer", settings.peerListen());
+                .put(USER_ADDRESS, settings.listen())
+                .put(PEER_ADDRESS, settings.peerListen());
     }
 
+    /** Reads a record; of one without these fields both are empty. */
     static LeaderRecord decode(JsonNode value) {
         return new LeaderRecord(value.path(NODE).asText(), value.path(INCARNATION).asText());
     }
--- a/src/main/java/org/springmill/control/leadership/LeaderRecordWatch.java
+++ b/src/main/java/org/springmill/control/leadership/LeaderRecordWatch.java
@@ -8,15 +8,17 @@
 import org.springmill.protocol.KeyValueStoreMessages.Page;
 import org.springmill.transport.EventLoop;
 
-/** Follows the changes of the leader's record for as long as the process runs. */
+/** Watches the leader record in the key-value store for as long as the process runs. */
 final class LeaderRecordWatch {
+    private static final long UNKNOWN_REVISION = 0;
+
     private final KeyValueStoreClient store;
     private final EventLoop loop;
     private final Timeouts timeouts;
     private final Consumer<Change> onChange;
 
-    /** Revision up to which changes are known; 0 if it has to be read first. */
-    private long knownRevision;
+    /** Revision up to which changes are known, or {@link #UNKNOWN_REVISION}: it is read first. */
+    private long knownRevision = UNKNOWN_REVISION;
 
     LeaderRecordWatch(
             KeyValueStoreClient store,
@@ -29,8 +31,9 @@
         this.onChange = onChange;
     }
 
+    /** Asks for the next changes; each answer leads to the next question. */
     void start() {
-        if (knownRevision == 0) {
+        if (knownRevision == UNKNOWN_REVISION) {
             store.list(LeaderRecord.KEY, this::revisionRead);
         } else {
             store.changes(
@@ -52,7 +55,7 @@
 
     private void changesRead(ChangesResult result) {
         if (result.changes() == null) {
-            knownRevision = result.tooOld() ? 0 : knownRevision;
+            knownRevision = result.tooOld() ? UNKNOWN_REVISION : knownRevision;
             retryLater();
             return;
         }
--- a/src/main/java/org/springmill/control/leadership/Leadership.java
+++ b/src/main/java/org/springmill/control/leadership/Leadership.java
@@ -1,9 +1,9 @@
 package org.springmill.control.leadership;
 
-import com.fasterxml.jackson.databind.JsonNode;
-import java.util.List;
+import java.util.Optional;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
+import org.springmill.control.leadership.LeaderLease.Renewal;
 import org.springmill.control.membership.Peers;
 import org.springmill.control.storage.KeyValueStoreClient;
 import org.springmill.control.storage.KeyValueStoreClient.CommitOutcome;
@@ -14,37 +14,28 @@
 import org.springmill.protocol.KeyValueStoreMessages.Change;
 import org.springmill.protocol.KeyValueStoreMessages.Condition;
 import org.springmill.protocol.KeyValueStoreMessages.Entry;
-import org.springmill.protocol.KeyValueStoreMessages.Write;
 import org.springmill.protocol.PeerMessages.PeerStatus;
 import org.springmill.protocol.Settings;
 import org.springmill.transport.EventLoop;
 
 /**
- * Election and state of the leadership. The leader is whoever's {@link LeaderRecord} stands in the
- * key-value store, attached to a lease there; the revision at which it was written is the term.
+ * Election of the leader and this controller's part in it. The leader is the controller whose
+ * {@link LeaderRecord} is in the key-value store, attached to a lease there; the revision at which
+ * the record was written is the term.
  */
 public final class Leadership {
     private static final Logger LOG = LoggerFactory.getLogger(Leadership.class);
 
-    /** After it has resigned, a controller lets others stand for so many leases. */
-    private static final int LEASES_BEFORE_STANDING_AGAIN = 2;
+    /** After it has resigned, a controller lets others campaign for so many leases. */
+    private static final int LEASES_BEFORE_CAMPAIGNING_AGAIN = 2;
 
-    /** Where this controller stands in the election. */
-    public enum State {
-        /** Another controller leads, or none is known to. */
-        FOLLOWING,
-
-        /** Has asked for a lease, to put its own record on it. */
-        CAMPAIGNING,
-        /** Leading, and the lease is known to hold. */
-        LEADING,
-        /** Leading, but the lease may have run out: nothing is placed. */
-        LEASE_UNCERTAIN
-    }
-
-    /** Takes notice of gained and lost leadership. */
+    /** Is called when this controller gains or loses the leadership. */
     public interface Listener {
-        /** This controller leads from now on. */
+        /**
+         * This controller leads from now on.
+         *
+         * @param term its term, the revision of its leader record
+         */
         void gained(long term);
 
         /** This controller leads no longer. */
@@ -58,32 +49,26 @@
     private final Peers peers;
     private final String incarnation;
     private final Listener listener;
-    private State state = State.FOLLOWING;
-    private long lease;
-    private double validUntil = Double.NEGATIVE_INFINITY;
-    private long term;
-    private long knownTerm;
-    private String knownLeader;
+    private final LeaderLease lease;
+    private final LeaderCampaign campaign;
+    private final KnownLeader knownLeader = new KnownLeader();
+    private LeadershipState state = LeadershipState.FOLLOWING;
 
-    /**
-     * Revision at which the record was last found missing: every term up to it is over. 0 if it is
-     * there.
-     */
-    private long vacantAtRevision;
-
-    /** When the last renewal that was answered had been sent. */
-    private double leaseConfirmedAt = Double.NEGATIVE_INFINITY;
-
-    private double resumedAt = Double.NEGATIVE_INFINITY;
-    private boolean renewing;
-    private boolean recordRead;
+    /** The last term that this controller held or holds; 0 if none. */
+    private long term;
 
-    /** The last term that this controller ended because its leader refused connections. */
+    /** The last term whose lease this controller revoked since its leader refused connections. */
     private long revokedTerm;
 
-    /** After resigning, this controller does not stand before this time. */
-    private double standsForElectionFrom;
+    /** After resigning, this controller does not campaign before this time. */
+    private double mayCampaignFrom;
 
+    /**
+     * Creates the leadership of a controller, which follows until {@link #start}.
+     *
+     * @param incarnation random name of this process, which tells its record from those of earlier
+     *     processes of the node
+     */
     public Leadership(
             KeyValueStoreClient store,
             EventLoop loop,
@@ -99,16 +84,18 @@
         this.peers = peers;
         this.incarnation = incarnation;
         this.listener = listener;
+        lease = new LeaderLease(loop, timeouts);
+        campaign = new LeaderCampaign(store, loop, settings, timeouts, incarnation, lease);
     }
 
-    /** Begins to follow the leader's record, and to stand whenever there is none. */
+    /** Begins to follow the leader record, and to campaign whenever there is none. */
     public void start() {
         renewOrElect();
         new LeaderRecordWatch(store, loop, timeouts, this::leaderRecordChanged).start();
     }
 
-    /** The state as of now: a lease that has run out is noticed here. */
-    public State state() {
+    /** The state as of now, after checking whether the lease has expired or a later term began. */
+    public LeadershipState state() {
         refreshState();
         return state;
     }
@@ -120,121 +107,126 @@
 
     /** The highest term this controller knows of. */
     public long knownTerm() {
-        return Math.max(knownTerm, term);
+        return Math.max(knownLeader.term(), term);
     }
 
     /** The node that leads as far as is known, or null. */
     public String leader() {
-        return holdsTerm() ? settings.node() : knownLeader;
+        return holdsTerm() ? settings.node() : knownLeader.node().orElse(null);
     }
 
-    /** Whether the leader's record was read since this process started. */
+    /** Whether the leader record was read since this process started. */
     public boolean hasReadLeaderRecord() {
-        return recordRead;
+        return knownLeader.hasReadRecord();
     }
 
     /**
-     * Whether the last that was heard of the leader's record is that there is none. Until whoever
-     * wins has asked this controller, and so told it of the new term, workers may be kept by
-     * anyone: after a crash of all controllers, the moments in which they elect and rebuild are
-     * those in which leases run out.
+     * Whether the leader record is known to be missing. Until the winner of the next election has
+     * polled this controller, and so announced the new term, every controller may renew workers'
+     * leases: after a crash of all controllers, leases expire just while they elect a leader and
+     * recover the state.
      */
     boolean isVacant() {
-        return vacantAtRevision > 0
-                && !holdsTerm()
-                && Math.max(knownTerm, peers.highestTerm()) <= vacantAtRevision;
+        return !holdsTerm() && knownLeader.isVacant(peers.highestTerm());
     }
 
-    /** Holds in the key-value store for as long as nobody else has led since this term began. */
+    /** The condition of every write of a leader: nobody else has led since this term began. */
     public Condition termCondition() {
         return new Condition(LeaderRecord.KEY, term);
     }
 
     private boolean holdsTerm() {
-        return state == State.LEADING || state == State.LEASE_UNCERTAIN;
+        return state.holdsTerm();
     }
 
     /** Whether placements may be committed and commands given. */
     public boolean mayPlace() {
-        return state() == State.LEADING;
+        return state() == LeadershipState.LEADING;
     }
 
     /**
-     * Whether reports may be answered: while the lease holds, for the grace after it, and beyond
-     * that only while a quorum of controllers, or all of them, confirm an outage of the state
-     * service.
+     * Whether heartbeats may be answered: while the lease is valid, for the grace period after it,
+     * and beyond that only while a quorum of controllers, or all of them, confirm an outage of the
+     * key-value store.
      */
     public boolean mayRespondToWorkers() {
         refreshState();
-        return holdsTerm() && ((withinGrace() && !isLeaseUnconfirmed()) || outageConfirmed());
-    }
-
-    /** Whether this controller stood still, and has not proven since that it still leads. */
-    private boolean isLeaseUnconfirmed() {
-        return leaseConfirmedAt < resumedAt;
+        if (!holdsTerm()) {
+            return false;
+        }
+        boolean leaseSuffices = lease.isWithinGrace() && lease.isConfirmedSincePause();
+        return leaseSuffices || isOutageConfirmed();
     }
 
     /**
-     * Notes that this controller stood still. However long its lease had to run, it acts as leader
-     * only once a renewal, sent since, has been answered.
+     * Notes that this process was paused. However long its lease has to run, it acts as leader only
+     * once a renewal, sent since, has been answered.
      */
     public void resumed() {
-        resumedAt = loop.now();
+        lease.resumed();
         refreshState();
         if (holdsTerm()) {
-            transition(State.LEASE_UNCERTAIN);
+            transition(LeadershipState.LEASE_UNCERTAIN);
             renew();
         }
     }
 
-    private boolean withinGrace() {
-        return loop.now() < validUntil + timeouts.leaderGraceSeconds();
-    }
-
-    private boolean outageConfirmed() {
+    private boolean isOutageConfirmed() {
         return peers.quorumConfirmsOutage(term) || peers.allConfirmOutage(term);
     }
 
-    /** A message showed a token of a later term: someone else leads. */
-    public void stepDown(String why) {
+    /**
+     * Ends this controller's term, if it holds one.
+     *
+     * @param reason for the log
+     */
+    public void stepDown(String reason) {
         if (holdsTerm()) {
-            LOG.warn("term {} is over: {}", term, why);
-            transition(State.FOLLOWING);
+            LOG.warn("term {} is over: {}", term, reason);
+            transition(LeadershipState.FOLLOWING);
         }
     }
 
-    /** Gives the leadership up so that another controller can take it. */
-    public void resign(String why) {
-        long given = lease;
-        standsForElectionFrom =
-                loop.now() + LEASES_BEFORE_STANDING_AGAIN * timeouts.leaderLeaseSeconds();
-        stepDown(why);
-        if (given != 0) {
-            store.revoke(given, () -> {});
-        }
+    /**
+     * Steps down and revokes the lease so that another controller can be elected at once.
+     *
+     * @param reason for the log
+     */
+    public void resign(String reason) {
+        Optional<Long> leaseOfTerm = lease.held();
+        mayCampaignFrom =
+                loop.now() + LEASES_BEFORE_CAMPAIGNING_AGAIN * timeouts.leaderLeaseSeconds();
+        stepDown(reason);
+        leaseOfTerm.ifPresent(leaseId -> store.revoke(leaseId, () -> {}));
     }
 
     /**
-     * A follower that finds the leader's process gone ends its lease for it, rather than wait. That
-     * is no proof of the leader's end and need not be one: taking a lease away early is safe, since
-     * a new leader allows its predecessor a whole lease and the grace from its own beginning on.
+     * A follower that finds the leader's process ended revokes its lease rather than wait for the
+     * expiry. A refused connection is no proof of the leader's end and need not be one: revoking a
+     * lease early is safe, since a new leader allows its predecessor a whole lease and the grace
+     * period from its own beginning on.
+     *
+     * @param lastStatus the last status of the node that refuses connections
      */
     public void leaderRefusedConnection(PeerStatus lastStatus) {
         String node = lastStatus.from();
-        boolean leadsNow = node.equals(knownLeader) && lastStatus.term() >= knownTerm;
-        if (state == State.FOLLOWING && leadsNow && revokedTerm != knownTerm) {
+        boolean leadsNow = knownLeader.isNode(node) && lastStatus.term() >= knownLeader.term();
+        if (state == LeadershipState.FOLLOWING && leadsNow && revokedTerm != knownLeader.term()) {
             store.get(LeaderRecord.KEY, read -> revokeLeaseOf(node, read));
         }
     }
 
     private void revokeLeaseOf(String node, ReadResult read) {
         Entry entry = read.entry();
-        if (state != State.FOLLOWING || entry == null || entry.version() <= revokedTerm) {
+        if (state != LeadershipState.FOLLOWING || entry == null || entry.version() <= revokedTerm) {
             return;
         }
         if (LeaderRecord.decode(entry.value()).node().equals(node)) {
             revokedTerm = entry.version();
-            LOG.info("{} refuses connections: ending its term {}", node, revokedTerm);
+            LOG.info(
+                    "leader {} refuses connections: revoking its lease, term {}",
+                    node,
+                    revokedTerm);
             store.revoke(entry.lease(), this::readRecord);
         }
     }
@@ -243,18 +235,11 @@
         store.get(LeaderRecord.KEY, this::leaderRecordRead);
     }
 
-    private void transition(State next) {
+    private void transition(LeadershipState next) {
         if (state == next) {
             return;
         }
-        boolean legal =
-                switch (next) {
-                    case FOLLOWING -> true;
-                    case CAMPAIGNING -> state == State.FOLLOWING;
-                    case LEADING -> true;
-                    case LEASE_UNCERTAIN -> state == State.LEADING;
-                };
-        if (!legal) {
+        if (!state.mayBecome(next)) {
             LOG.error("leadership cannot go from {} to {}", state, next);
             return;
         }
@@ -264,14 +249,14 @@
         if (!held && holdsTerm()) {
             listener.gained(term);
         } else if (held && !holdsTerm()) {
-            lease = 0;
+            lease.release();
             listener.lost();
         }
     }
 
     private void refreshState() {
-        if (state == State.LEADING && loop.now() >= validUntil) {
-            transition(State.LEASE_UNCERTAIN);
+        if (state == LeadershipState.LEADING && lease.hasExpired()) {
+            transition(LeadershipState.LEASE_UNCERTAIN);
         }
         if (holdsTerm() && peers.highestTerm() > term) {
             stepDown("a peer knows a later term");
@@ -282,53 +267,50 @@
         refreshState();
         if (holdsTerm()) {
             renew();
-        } else if (state == State.FOLLOWING) {
+        } else if (state == LeadershipState.FOLLOWING) {
             readRecord();
         }
         loop.after(timeouts.leaderRenewIntervalSeconds(), this::renewOrElect);
     }
 
     private void renew() {
-        if (renewing) {
-            return;
-        }
-        renewing = true;
-        double sentAt = loop.now();
-        long renewedLease = lease;
-        store.renew(renewedLease, result -> renewalAnswered(result, renewedLease, sentAt));
+        lease.beginRenewal().ifPresent(this::send);
     }
 
-    private void renewalAnswered(LeaseRenewal result, long renewedLease, double sentAt) {
-        renewing = false;
-        if (!holdsTerm() || lease != renewedLease) {
+    private void send(Renewal renewal) {
+        store.renew(renewal.leaseId(), result -> renewalAnswered(renewal, result));
+    }
+
+    private void renewalAnswered(Renewal renewal, LeaseRenewal result) {
+        boolean ofPresentLease = lease.endRenewal(renewal);
+        if (!holdsTerm() || !ofPresentLease) {
             return;
         }
         switch (result) {
-            case RENEWED -> {
-                validUntil = Math.max(validUntil, sentAt + timeouts.leaderLeaseSeconds());
-                leaseConfirmedAt = sentAt;
-                if (isLeaseUnconfirmed()) {
-                    renew();
-                } else if (state == State.LEASE_UNCERTAIN && loop.now() < validUntil) {
-                    transition(State.LEADING);
-                }
-            }
+            case RENEWED -> renewed(renewal);
             case ENDED -> stepDown("its lease has ended");
-            case UNKNOWN -> LOG.debug("renewal without answer");
+            case UNKNOWN -> LOG.debug("renewal of the leader lease was not answered");
+        }
+    }
+
+    private void renewed(Renewal renewal) {
+        lease.extend(renewal);
+        if (!lease.isConfirmedSincePause()) {
+            renew();
+        } else if (state == LeadershipState.LEASE_UNCERTAIN && !lease.hasExpired()) {
+            transition(LeadershipState.LEADING);
         }
     }
 
     private void leaderRecordRead(ReadResult read) {
-        if (!read.served() || state != State.FOLLOWING) {
+        if (!read.served() || state != LeadershipState.FOLLOWING) {
             return;
         }
-        recordRead = true;
+        knownLeader.recordRead();
         if (read.entry() == null) {
-            knownLeader = null;
-            vacantAtRevision = read.revision();
-            // Having just given the leadership up, this controller stands again only if nobody else
-            // does.
-            if (loop.now() >= standsForElectionFrom) {
+            knownLeader.vacant(read.revision());
+            // Having just resigned, this controller campaigns only if nobody else does.
+            if (loop.now() >= mayCampaignFrom) {
                 campaign();
             }
         } else {
@@ -338,89 +320,71 @@
 
     private void leaderRecorded(Entry entry) {
         LeaderRecord leader = LeaderRecord.decode(entry.value());
-        knownTerm = Math.max(knownTerm, entry.version());
-        knownLeader = leader.node();
-        vacantAtRevision = 0;
+        knownLeader.recorded(leader.node(), entry.version());
         if (!leader.node().equals(settings.node())) {
             return;
         }
         if (!leader.incarnation().equals(incarnation)) {
-            // This node's earlier process is gone, since this one has its address: no need to wait
-            // for its lease.
-            knownLeader = null;
-            LOG.info("ending the lease of an earlier process of this node");
+            // This node's earlier process has ended, since this one has its address: no need to
+            // wait until its lease expires.
+            knownLeader.processEnded();
+            LOG.info("revoking the lease of an earlier process of this node");
             store.revoke(entry.lease(), this::readRecord);
-        } else if (entry.lease() == lease) {
-            // A campaign whose answer was lost has been won after all.
+        } else if (lease.hasId(entry.lease())) {
+            // The campaign was won although the answer to its commit was lost.
             elected(entry.version());
         }
     }
 
     private void campaign() {
-        transition(State.CAMPAIGNING);
-        double askedAt = loop.now();
-        store.grant(timeouts.leaderLeaseSeconds(), granted -> leaseGrantAnswered(granted, askedAt));
-    }
-
-    private void leaseGrantAnswered(long granted, double askedAt) {
-        if (granted == 0) {
-            transition(State.FOLLOWING);
-            return;
-        }
-        lease = granted;
-        validUntil = askedAt + timeouts.leaderLeaseSeconds();
-        leaseConfirmedAt = askedAt;
-        Condition noLeader = new Condition(LeaderRecord.KEY, 0);
-        JsonNode record = LeaderRecord.encode(settings, incarnation);
-        Write takeOffice = new Write(LeaderRecord.KEY, record, granted);
-        store.compareAndSwap(List.of(noLeader), List.of(takeOffice), this::campaignAnswered);
+        transition(LeadershipState.CAMPAIGNING);
+        campaign.run(this::campaignAnswered, () -> transition(LeadershipState.FOLLOWING));
     }
 
     private void campaignAnswered(CommitResult result) {
-        if (state != State.CAMPAIGNING) {
+        if (state != LeadershipState.CAMPAIGNING) {
             return;
         }
         if (result.outcome() == CommitOutcome.COMMITTED) {
             elected(result.revision());
         } else {
-            transition(State.FOLLOWING);
-            // Whoever won is found out at once; so is an own win whose answer was lost.
+            transition(LeadershipState.FOLLOWING);
+            // Finds the winner at once, which may be this controller if only the answer was lost.
             readRecord();
         }
     }
 
     private void elected(long revision) {
-        if (loop.now() >= validUntil) {
-            transition(State.FOLLOWING);
+        if (lease.hasExpired()) {
+            transition(LeadershipState.FOLLOWING);
             return;
         }
         term = revision;
-        knownTerm = Math.max(knownTerm, revision);
-        knownLeader = settings.node();
-        vacantAtRevision = 0;
-        transition(State.LEADING);
-        if (isLeaseUnconfirmed()) {
-            transition(State.LEASE_UNCERTAIN);
+        knownLeader.recorded(settings.node(), revision);
+        transition(LeadershipState.LEADING);
+        if (!lease.isConfirmedSincePause()) {
+            transition(LeadershipState.LEASE_UNCERTAIN);
             renew();
         }
     }
 
     private void leaderRecordChanged(Change change) {
         if (change.value() == null) {
-            if (holdsTerm() && change.version() > term) {
-                stepDown("its record is gone");
-            }
-            knownLeader = null;
-            vacantAtRevision = change.version();
-            if (state == State.FOLLOWING) {
-                readRecord();
-            }
+            leaderRecordDeleted(change.version());
         } else if (change.version() > term && holdsTerm()) {
             stepDown("another controller has taken over");
-        } else if (state == State.FOLLOWING && change.version() > knownTerm) {
-            knownTerm = change.version();
-            vacantAtRevision = 0;
-            knownLeader = LeaderRecord.decode(change.value()).node();
+        } else if (state == LeadershipState.FOLLOWING && change.version() > knownLeader.term()) {
+            knownLeader.recorded(LeaderRecord.decode(change.value()).node(), change.version());
+        }
+    }
+
+    private void leaderRecordDeleted(long revision) {
+        if (holdsTerm() && revision > term) {
+            stepDown("its leader record was deleted");
+        }
+        knownLeader.vacant(revision);
+        if (state == LeadershipState.FOLLOWING) {
+            readRecord();
         }
     }
 }
--- a/src/main/java/org/springmill/control/leadership/LeaseKeepalive.java
+++ b/src/main/java/org/springmill/control/leadership/LeaseKeepalive.java
@@ -13,9 +13,10 @@
 import org.springmill.transport.EventLoop;
 
 /**
- * Decides whether a controller that does not lead keeps a worker's lease all the same, without
- * giving commands: because nobody leads, or because nobody who leads can declare this worker lost
- * for its silence. Leaders elsewhere allow for it; docs/design.md has the argument.
+ * Decides whether a controller that does not lead renews a worker's lease all the same, without
+ * giving commands: because nobody leads, or because no leader can take this worker's lease for
+ * expired after missing its heartbeats. Leaders elsewhere allow for it; docs/design.md has the
+ * argument.
  */
 public final class LeaseKeepalive {
     private final KeyValueStoreClient store;
@@ -25,18 +26,23 @@
     private final Timeouts timeouts;
     private final CancellationFreshness freshness;
 
-    /** Tokens with which workers first came here while this controller has been isolated. */
+    /** By machine: its fencing token when it first came here in the present isolation. */
     private final Map<String, Long> firstFencingTokens = new HashMap<>();
 
-    /** When this controller last heard of anyone before it was isolated. */
+    /** When this controller last heard from anyone before the present isolation. */
     private double lastContactAt = Double.NEGATIVE_INFINITY;
 
-    /** Zones whose workers came here while it has been isolated. */
+    /** Zones of the workers that came here in the present isolation. */
     private final Set<String> workerZones = new HashSet<>();
 
     private double resumedAt = Double.NEGATIVE_INFINITY;
     private double lastUserRequestAt = Double.NEGATIVE_INFINITY;
 
+    /**
+     * Creates the rule for one controller.
+     *
+     * @param freshness bounds the age of the cancellations that this controller knows
+     */
     public LeaseKeepalive(
             KeyValueStoreClient store,
             Peers peers,
@@ -53,7 +59,7 @@
     }
 
     /**
-     * Whether a report is answered so that the worker's lease is renewed.
+     * Whether a heartbeat is answered so that the worker's lease is renewed.
      *
      * @param holdsTerm whether this controller was elected and has not yet learned of a later term
      */
@@ -62,16 +68,16 @@
         if (isolated) {
             workerZones.add(heartbeat.zone());
         }
-        boolean entitled =
+        boolean noLeaderExpiresLease =
                 leadership.isVacant()
                         || renewsForNewLeader(holdsTerm)
                         || renewsInConfirmedOutage(holdsTerm)
                         || (isolated && isBeyondReachOfLeaders(heartbeat));
-        boolean keeps = entitled && cancelledTasksWillEnd(isolated);
-        if (keeps) {
+        boolean renews = noLeaderExpiresLease && cancelledTasksWillEnd(isolated);
+        if (renews) {
             peers.recordLeaseRenewal();
         }
-        return keeps;
+        return renews;
     }
 
     private boolean renewsForNewLeader(boolean holdsTerm) {
@@ -79,71 +85,75 @@
     }
 
     private boolean renewsInConfirmedOutage(boolean holdsTerm) {
-        return !store.reachable() && !holdsTerm && outageIsConfirmed() && !peers.anyLeads();
+        return !store.reachable() && !holdsTerm && isOutageConfirmed() && !peers.anyLeads();
     }
 
-    private boolean outageIsConfirmed() {
+    private boolean isOutageConfirmed() {
         long term = leadership.knownTerm();
         boolean confirmedByQuorum =
                 leadership.hasReadLeaderRecord() && peers.quorumMissesLeader(term);
         return confirmedByQuorum || peers.allConfirmOutage(term);
     }
 
-    /** Either its cancellations are known here, or a leader outside removes them by the cloud. */
+    /**
+     * Whether no cancelled task runs on for the renewal: its cancellation is known here, or a
+     * leader outside the partitioned zone deletes its machine through the cloud.
+     */
     private boolean cancelledTasksWillEnd(boolean isolated) {
-        return freshness.isFresh() || (isolated && zoneIsPartitioned());
+        return freshness.isFresh() || (isolated && isZonePartitioned());
     }
 
     /**
-     * Whether this controller hears neither the key-value store nor any other controller, as is so
-     * for all in a partitioned zone.
+     * Whether this controller hears neither the key-value store nor any other controller, as every
+     * controller in a partitioned zone does.
      */
     private boolean isIsolated() {
-        double lastHeardAt = Math.max(peers.lastHeardAt(), store.lastServed());
-        if (lastHeardAt != lastContactAt) {
+        double latestContactAt = Math.max(peers.lastHeardAt(), store.lastServed());
+        if (latestContactAt != lastContactAt) {
             // Tokens remembered from an earlier partition made every worker that a leader had since
             // commanded seem to be within a leader's reach: in a second partition of the zone all
-            // of them were sent away until their leases ended.
-            lastContactAt = lastHeardAt;
+            // of them were redirected until their leases expired.
+            lastContactAt = latestContactAt;
             firstFencingTokens.clear();
             workerZones.clear();
         }
-        double silentSince = Math.max(lastHeardAt, resumedAt);
+        double silentSince = Math.max(latestContactAt, resumedAt);
         return loop.now() - silentSince > timeouts.peerConfirmationValidityOnAnyClockSeconds();
     }
 
-    /** Notes that this controller stood still, so that it could have heard nobody. */
+    /** Notes that this process was paused, so that it could not hear from anyone. */
     public void resumed() {
         resumedAt = loop.now();
     }
 
-    /** Users, or the load balancer, reached this controller. */
+    /** Notes that a user, or the load balancer, reached this controller. */
     public void recordUserRequest() {
         lastUserRequestAt = loop.now();
     }
 
     /**
      * Whether the zone around this controller is partitioned rather than this controller alone:
-     * then a leader outside removes through the cloud what was cancelled there. One that users or
-     * the workers of several zones still reach is itself what is cut off, and one that the state
-     * service refuses may be in the middle of an outage; nobody is then sure to remove what it
-     * keeps.
+     * then a leader outside removes through the cloud what was cancelled there. A controller that
+     * users or the workers of several zones still reach is itself the one that is isolated, and one
+     * that the key-value store refuses may be in the middle of an outage; nobody is then sure to
+     * remove the tasks whose leases it renews.
      */
-    private boolean zoneIsPartitioned() {
+    private boolean isZonePartitioned() {
         boolean reachedByUsers =
                 lastUserRequestAt
                         >= lastContactAt + timeouts.peerConfirmationValidityOnAnyClockSeconds();
         return workerZones.size() == 1 && !reachedByUsers && !store.isRefusing();
     }
 
-    /** A worker whose token has risen is within some leader's reach and should report there. */
+    /**
+     * Whether no leader seems to reach a worker. One whose fencing token has risen is within some
+     * leader's reach and should send its heartbeats there.
+     */
     private boolean isBeyondReachOfLeaders(Heartbeat heartbeat) {
-        long firstToken =
-                firstFencingTokens.computeIfAbsent(
-                        heartbeat.machine(), m -> heartbeat.fencingToken());
+        long token = heartbeat.fencingToken();
+        long firstToken = firstFencingTokens.computeIfAbsent(heartbeat.machine(), machine -> token);
         long knownTerm = leadership.knownTerm();
-        boolean ofLaterTerm =
-                knownTerm > 0 && WorkerEpoch.termOf(heartbeat.fencingToken()) > knownTerm;
-        return heartbeat.fencingToken() <= firstToken && !ofLaterTerm;
+        boolean ofLaterTerm = knownTerm > 0 && WorkerEpoch.termOf(token) > knownTerm;
+        return token <= firstToken && !ofLaterTerm;
     }
 }
