--- a/src/main/java/org/springmill/control/membership/PeerCancellations.java
+++ b/src/main/java/org/springmill/control/membership/PeerCancellations.java
@@ -7,20 +7,22 @@
 import org.springmill.protocol.PeerMessages.PeerStatus;
 import org.springmill.transport.EventLoop;
 
-/** How far each peer has told the cancellations that it knows of. */
+/** Up to when the cancellations that each peer has confirmed to users are known here. */
 final class PeerCancellations {
     private final EventLoop loop;
     private final Timeouts timeouts;
     private final Set<String> nodes;
 
-    /** Where each peer goes on telling; only it can read its own bookmark. */
+    /** By peer: its cursor of what it has sent here, which only the peer itself can read. */
     private final Map<String, Long> cursors = new HashMap<>();
 
     private final Map<String, KnownCancellations> knownByNode = new HashMap<>();
 
     /**
-     * Up to when a peer has told all that it confirmed to users, and whether it could then have
-     * confirmed anything at all.
+     * The cancellations of a peer that are known here.
+     *
+     * @param until all that the peer confirmed to users before this time are known
+     * @param storeReachable whether the peer could confirm any at that time
      */
     private record KnownCancellations(double until, boolean storeReachable) {}
 
@@ -33,21 +35,22 @@
         this.nodes = nodes;
     }
 
-    /** The bookmark that a peer handed out last; 0 if none. */
+    /** The cursor that a peer handed out last; 0 if none. */
     long cursor(String node) {
         return cursors.getOrDefault(node, 0L);
     }
 
+    /** Takes the cursor of an answer, whichever question it answers. */
     void cursorReceived(PeerStatus answer) {
         cursors.put(answer.from(), answer.cancellationDelta().cursor());
     }
 
-    /** Notes an answer to a question of the time given. */
+    /** Notes an answer to a question sent at the time given. */
     void recordAnswer(double askedAt, PeerStatus answer) {
-        boolean remembers =
+        boolean hasForgottenNone =
                 answer.cancellationDelta().hasReadJobRecords()
                         || confirmedNothingSince(answer, askedAt);
-        if (answer.cancellationDelta().complete() && remembers) {
+        if (answer.cancellationDelta().complete() && hasForgottenNone) {
             knownByNode.put(
                     answer.from(), new KnownCancellations(askedAt, answer.storeReachable()));
         }
@@ -55,9 +58,9 @@
 
     /**
      * Whether a peer that was started in an outage, and has read nothing since, can be taken to
-     * have confirmed nothing untold in its earlier life: it could not reach the key-value store
-     * when last heard then, nor can it now, and there was little time between. Otherwise a crash in
-     * a long outage would end the leases of the whole fleet.
+     * have confirmed nothing unknown here before its restart: it could not reach the key-value
+     * store when last heard from, nor can it now, and there was little time between. Otherwise a
+     * crash in a long outage would let the leases of the whole fleet expire.
      */
     private boolean confirmedNothingSince(PeerStatus answer, double askedAt) {
         KnownCancellations before = knownByNode.get(answer.from());
@@ -67,13 +70,13 @@
                 && askedAt - before.until() < timeouts.cancellationKnowledgeValiditySeconds() / 2;
     }
 
-    /** Whatever peers confirmed to their users before this moment, they have told here. */
+    /** Whatever peers confirmed to their users before this time is known here. */
     double cancellationsKnownUntil() {
         return nodes.stream().mapToDouble(this::cancellationsKnownUntil).min().orElse(loop.now());
     }
 
     private double cancellationsKnownUntil(String node) {
-        KnownCancellations told = knownByNode.get(node);
-        return told == null ? Double.NEGATIVE_INFINITY : told.until();
+        KnownCancellations known = knownByNode.get(node);
+        return known == null ? Double.NEGATIVE_INFINITY : known.until();
     }
 }
--- a/src/main/java/org/springmill/control/membership/PeerConfirmations.java
+++ b/src/main/java/org/springmill/control/membership/PeerConfirmations.java
@@ -2,6 +2,7 @@
 
 import java.util.HashMap;
 import java.util.Map;
+import java.util.Optional;
 import java.util.Set;
 import java.util.function.Predicate;
 import org.springmill.control.timing.Timeouts;
@@ -9,9 +10,9 @@
 import org.springmill.transport.EventLoop;
 
 /**
- * The latest answer of each peer, and what follows from all of them together. An answer is dated by
- * this controller's clock, by when it was asked for, and confirms anything only while it is recent.
- * A quorum is more than half of all controllers, this one included.
+ * The latest answer of each peer, and what follows from all of them together. An answer is dated on
+ * this controller's clock by when its question was sent, and confirms anything only while it is
+ * recent. A quorum is more than half of all controllers, this one included.
  */
 final class PeerConfirmations {
     /**
@@ -26,7 +27,7 @@
     private final Timeouts timeouts;
     private final Set<String> nodes;
     private final Map<String, Answer> answers = new HashMap<>();
-    private double discardAnswersBefore = Double.NEGATIVE_INFINITY;
+    private double countedFrom = Double.NEGATIVE_INFINITY;
 
     /** A peer's answer, with the time of the question and that of the answer on this clock. */
     record Answer(double askedAt, double receivedAt, PeerStatus status) {}
@@ -40,13 +41,14 @@
         this.nodes = nodes;
     }
 
+    /** Notes an answer to a question sent at the time given. */
     void recordAnswer(double askedAt, PeerStatus status) {
         answers.put(status.from(), new Answer(askedAt, loop.now(), status));
     }
 
-    /** The latest answer of a peer, however old, or null. */
-    Answer latest(String node) {
-        return answers.get(node);
+    /** The latest answer of a peer, however old. */
+    Optional<Answer> latest(String node) {
+        return Optional.ofNullable(answers.get(node));
     }
 
     /**
@@ -54,47 +56,45 @@
      * newer leader.
      */
     boolean allConfirmOutage(long term) {
-        return nodes.stream().allMatch(node -> confirmsOutage(node, term));
+        return nodes.stream().allMatch(node -> confirmationOfOutage(node, term).isPresent());
     }
 
     /**
-     * Whether a quorum confirms that. Enough for a leader that is still in office: whoever takes
-     * over waits for a quorum to know of it, and two quorums share a controller. A controller that
-     * was restarted and has read nothing since does not count, for it may have forgotten what it
-     * confirmed.
+     * Whether a quorum confirms that. Enough for a leader that holds its term: whoever takes over
+     * waits until a quorum knows of the new term, and two quorums share a controller. A controller
+     * that was restarted and has not read the leader record since does not count, for it may have
+     * forgotten what it confirmed.
      */
     boolean quorumConfirmsOutage(long term) {
-        return isQuorum(node -> confirmsOutage(node, term) && hasReadLeaderRecord(node));
+        return isQuorum(
+                node ->
+                        confirmationOfOutage(node, term)
+                                .filter(PeerStatus::hasReadLeaderRecord)
+                                .isPresent());
     }
 
     /** Whether a quorum confirms that and has not heard from a leader for some time either. */
     boolean quorumMissesLeader(long term) {
         return isQuorum(
                 node ->
-                        confirmsOutage(node, term)
-                                && hasReadLeaderRecord(node)
-                                && answers.get(node).status().leaderSilent());
+                        confirmationOfOutage(node, term)
+                                .filter(PeerStatus::hasReadLeaderRecord)
+                                .filter(PeerStatus::leaderSilent)
+                                .isPresent());
     }
 
-    private boolean confirmsOutage(String node, long term) {
-        Answer answer = answers.get(node);
-        return isRecent(answer)
-                && !answer.status().storeReachable()
-                && answer.status().term() <= term;
-    }
-
-    /** Whether a peer that has answered has read the leader's record since it was started. */
-    private boolean hasReadLeaderRecord(String node) {
-        return answers.get(node).status().hasReadLeaderRecord();
+    /** The status by which a peer lately confirmed an outage; empty if it did not. */
+    private Optional<PeerStatus> confirmationOfOutage(String node, long term) {
+        return latest(node)
+                .filter(this::isRecent)
+                .map(Answer::status)
+                .filter(status -> !status.storeReachable() && status.term() <= term);
     }
 
     /** Whether a quorum knows of a term. Terms only rise, so that answers of any age count. */
     boolean quorumKnows(long term) {
         return isQuorum(
-                node -> {
-                    Answer answer = answers.get(node);
-                    return answer != null && answer.status().term() >= term;
-                });
+                node -> latest(node).filter(answer -> answer.status().term() >= term).isPresent());
     }
 
     private boolean isQuorum(Predicate<String> condition) {
@@ -105,15 +105,16 @@
 
     /** Whether every peer has lately answered. */
     boolean allPeersResponded() {
-        return nodes.stream().allMatch(node -> isRecent(answers.get(node)));
+        return nodes.stream().allMatch(node -> latest(node).filter(this::isRecent).isPresent());
     }
 
+    /** Whether some peer lately reached the key-value store. */
     boolean anyReachesStore() {
         return answers.values().stream()
                 .anyMatch(answer -> isRecent(answer) && answer.status().storeReachable());
     }
 
-    /** Whether a peer's latest answer, however old, lacks that it takes part in the history. */
+    /** Whether some peer's latest answer, however old, is that it takes no part in the history. */
     boolean anyWithoutHistory() {
         return answers.values().stream().anyMatch(answer -> !answer.status().keepsHistory());
     }
@@ -124,7 +125,7 @@
                 .anyMatch(answer -> isRecent(answer) && answer.status().leading());
     }
 
-    /** The greatest number of workers that one of the peers lately heard although it follows. */
+    /** The greatest number of workers that one of the peers lately redirected. */
     int maxRedirectedWorkers() {
         return answers.values().stream()
                 .filter(this::isRecent)
@@ -152,12 +153,11 @@
 
     /** From now on only answers to questions asked since then confirm anything. */
     void discardAnswersBefore(double time) {
-        discardAnswersBefore = time;
+        countedFrom = time;
     }
 
     private boolean isRecent(Answer answer) {
-        return answer != null
-                && answer.askedAt() >= discardAnswersBefore
+        return answer.askedAt() >= countedFrom
                 && loop.now() - answer.askedAt() < timeouts.peerConfirmationValiditySeconds();
     }
 }
--- /dev/null
+++ b/src/main/java/org/springmill/control/membership/PeerRecordDispatcher.java
@@ -0,0 +1,65 @@
+package org.springmill.control.membership;
+
+import java.util.Set;
+import java.util.function.Consumer;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+import org.springmill.control.jobs.JobDirectory;
+import org.springmill.protocol.MalformedMessageException;
+import org.springmill.protocol.PeerMessages;
+import org.springmill.protocol.PeerMessages.CancellationNotice;
+import org.springmill.protocol.PeerMessages.CongestionNotice;
+import org.springmill.protocol.PeerMessages.PeerRecord;
+import org.springmill.protocol.PeerMessages.PeerStatus;
+import org.springmill.protocol.PeerMessages.ProgressUpdate;
+
+/** Decodes the records that other controllers send and hands each to whoever handles its kind. */
+final class PeerRecordDispatcher {
+    private static final Logger LOG = LoggerFactory.getLogger(PeerRecordDispatcher.class);
+
+    private final Set<String> nodes;
+    private final JobDirectory directory;
+    private final Consumer<PeerStatus> onStatus;
+    private Consumer<ProgressUpdate> onProgressUpdate = update -> {};
+    private Consumer<CongestionNotice> onCongestionNotice = notice -> {};
+
+    /**
+     * @param nodes all other controllers
+     * @param directory learns of the cancellations
+     */
+    PeerRecordDispatcher(Set<String> nodes, JobDirectory directory, Consumer<PeerStatus> onStatus) {
+        this.nodes = nodes;
+        this.directory = directory;
+        this.onStatus = onStatus;
+    }
+
+    void onProgressUpdate(Consumer<ProgressUpdate> consumer) {
+        onProgressUpdate = consumer;
+    }
+
+    void onCongestionNotice(Consumer<CongestionNotice> consumer) {
+        onCongestionNotice = consumer;
+    }
+
+    /** Handles a record; one that cannot be read is logged and dropped. */
+    void dispatch(byte[] bytes) {
+        try {
+            dispatch(PeerMessages.decode(bytes));
+        } catch (MalformedMessageException e) {
+            LOG.warn("{}", e.getMessage());
+        }
+    }
+
+    private void dispatch(PeerRecord message) {
+        boolean fromPeer = nodes.contains(message.from());
+        if (message instanceof PeerStatus status && fromPeer) {
+            onStatus.accept(status);
+        } else if (message instanceof CancellationNotice notice && fromPeer) {
+            notice.cancellations().forEach(directory::learn);
+        } else if (message instanceof ProgressUpdate update) {
+            onProgressUpdate.accept(update);
+        } else if (message instanceof CongestionNotice notice && fromPeer) {
+            onCongestionNotice.accept(notice);
+        }
+    }
+}
--- a/src/main/java/org/springmill/control/membership/RemoteProgress.java
+++ b/src/main/java/org/springmill/control/membership/RemoteProgress.java
@@ -14,7 +14,7 @@
  * not lead. For display only: no decision depends on it.
  */
 public final class RemoteProgress {
-    /** After this many report intervals without a broadcast, what was known before is dropped. */
+    /** After this many heartbeat intervals without a broadcast, older progress is dropped. */
     private static final double MAX_AGE_HEARTBEAT_INTERVALS = 4;
 
     private final EventLoop loop;
@@ -28,23 +28,24 @@
 
     private double currentSince;
 
+    /** Creates an account without any progress. */
     public RemoteProgress(EventLoop loop, Timeouts timeouts) {
         this.loop = loop;
         maxAgeSeconds = timeouts.heartbeatIntervalSeconds() * MAX_AGE_HEARTBEAT_INTERVALS;
     }
 
-    /** Takes in a broadcast; a broadcast may be spread over several messages. */
+    /** Takes one message of a broadcast, which may be spread over several. */
     public void receive(ProgressUpdate received) {
-        double age = loop.now() - currentSince;
-        if (age > maxAgeSeconds) {
-            previous = age > 2 * maxAgeSeconds ? new HashMap<>() : current;
+        double ageSeconds = loop.now() - currentSince;
+        if (ageSeconds > maxAgeSeconds) {
+            previous = ageSeconds > 2 * maxAgeSeconds ? new HashMap<>() : current;
             current = new HashMap<>();
             currentSince = loop.now();
         }
         received.jobs().forEach(progress -> current.put(progress.job(), progress));
     }
 
-    /** Jobs of which a progress is held; those of the last broadcasts, however many came before. */
+    /** How many jobs progress is held of. */
     int size() {
         Set<String> jobs = new HashSet<>(current.keySet());
         jobs.addAll(previous.keySet());
--- a/src/main/java/org/springmill/control/membership/WorkloadBroadcast.java
+++ b/src/main/java/org/springmill/control/membership/WorkloadBroadcast.java
@@ -15,9 +15,9 @@
 import org.springmill.transport.EventLoop;
 
 /**
- * Tells all controllers, once in each report interval, how far running jobs are and which queues
- * wait too long. The records of one interval are spread over it, so that the links between
- * controllers never have to hold those of a whole fleet at once.
+ * The leader's broadcast to all controllers, once in each heartbeat interval: how far running jobs
+ * are and which queues are congested. The records of one interval are spread over it, so that the
+ * links between controllers never have to hold those of a whole fleet at once.
  */
 public final class WorkloadBroadcast {
     private final ClusterState clusterState;
@@ -28,13 +28,19 @@
     private final String node;
     private final long term;
     private final double intervalSeconds;
+
+    /** Whether the last broadcast named a congested queue: the next one then says that none is. */
     private boolean lastBroadcastCongested;
+
     private boolean closed;
 
     /**
-     * @param congestion of this controller, which is told like all others
+     * Creates the broadcast of one term.
+     *
+     * @param congestion of this controller, which learns of congested queues like all others
      * @param queueWaits empty unless the operators bound how long work may wait
      * @param node name of this controller
+     * @param intervalSeconds time from one broadcast to the next
      */
     public WorkloadBroadcast(
             ClusterState clusterState,
@@ -55,11 +61,12 @@
         this.intervalSeconds = intervalSeconds;
     }
 
+    /** Ends the broadcast with the term. */
     public void close() {
         closed = true;
     }
 
-    /** Begins to tell; the next interval follows by itself. */
+    /** Broadcasts now and once in each interval from now on. */
     public void start() {
         if (closed) {
             return;
@@ -69,7 +76,7 @@
         loop.after(intervalSeconds, this::start);
     }
 
-    /** Notes that these attempts were placed. */
+    /** Counts attempts that were placed, as starts of their queues. */
     public void placed(List<TaskAttempt> claimed) {
         queueWaits.ifPresent(waits -> claimed.forEach(attempt -> placed(waits, attempt)));
     }
@@ -80,40 +87,49 @@
     }
 
     private void broadcastProgress() {
-        List<JobProgress> jobs = new ArrayList<>();
-        for (Job job : clusterState.jobs().values()) {
-            if (job.active() && job.liveCount() + job.doneCount() > 0) {
-                jobs.add(job.progress());
-            }
-        }
+        List<JobProgress> jobs = progressOfStartedJobs();
         int parts = (jobs.size() + ProgressUpdate.MAX_JOBS - 1) / ProgressUpdate.MAX_JOBS;
         for (int part = 0; part < parts; part++) {
             int from = part * ProgressUpdate.MAX_JOBS;
             int to = Math.min(jobs.size(), from + ProgressUpdate.MAX_JOBS);
-            ProgressUpdate progress =
+            ProgressUpdate update =
                     new ProgressUpdate(node, term, List.copyOf(jobs.subList(from, to)));
-            loop.after(intervalSeconds * part / parts, () -> send(progress));
+            loop.after(intervalSeconds * part / parts, () -> send(update));
+        }
+    }
+
+    private List<JobProgress> progressOfStartedJobs() {
+        List<JobProgress> jobs = new ArrayList<>();
+        for (Job job : clusterState.jobs().values()) {
+            if (job.active() && job.liveCount() + job.doneCount() > 0) {
+                jobs.add(job.progress());
+            }
         }
+        return jobs;
     }
 
-    private void send(ProgressUpdate progress) {
+    private void send(ProgressUpdate update) {
         if (!closed) {
-            peers.broadcast(progress);
+            peers.broadcast(update);
         }
     }
 
     private void broadcastCongestion(QueueWaits waits) {
+        List<CongestedQueue> queues = congestedQueues(waits);
+        congestion.update(queues, loop.now());
+        if (lastBroadcastCongested || !queues.isEmpty()) {
+            peers.broadcast(new CongestionNotice(node, term, queues));
+        }
+        lastBroadcastCongested = !queues.isEmpty();
+    }
+
+    private List<CongestedQueue> congestedQueues(QueueWaits waits) {
         waits.beginCount();
         for (Job job : clusterState.jobs().values()) {
             if (job.active() && job.eligible() && job.waiting() > 0) {
                 waits.waits(job.spec().team(), job.priority(), job.waiting());
             }
         }
-        List<CongestedQueue> queues = waits.endCount(loop.now());
-        congestion.update(queues, loop.now());
-        if (lastBroadcastCongested || !queues.isEmpty()) {
-            peers.broadcast(new CongestionNotice(node, term, queues));
-        }
-        lastBroadcastCongested = !queues.isEmpty();
+        return waits.endCount(loop.now());
     }
 }
