--- a/src/main/java/org/springmill/control/api/CancellationHandler.java
+++ b/src/main/java/org/springmill/control/api/CancellationHandler.java
@@ -27,6 +27,9 @@
 final class CancellationHandler {
     private static final Logger LOG = LoggerFactory.getLogger(CancellationHandler.class);
 
+    /** A commit is retried so many times in the interval between two polls of the peers. */
+    private static final int RETRIES_PER_POLL_INTERVAL = 4;
+
     private final JobDirectory directory;
     private final KeyValueStoreClient store;
     private final EventLoop loop;
@@ -35,7 +38,7 @@
     private final Consumer<Cancellation> broadcast;
 
     /**
-     * @param announce told of each cancellation committed here, before its user is
+     * @param broadcast gets each cancellation committed here before its user is answered
      */
     CancellationHandler(
             JobDirectory directory,
@@ -43,45 +46,45 @@
             EventLoop loop,
             Timeouts timeouts,
             JobStatusResponses responses,
-            Consumer<Cancellation> announce) {
+            Consumer<Cancellation> broadcast) {
         this.directory = directory;
         this.store = store;
         this.loop = loop;
         this.timeouts = timeouts;
         this.responses = responses;
-        this.broadcast = announce;
+        this.broadcast = broadcast;
     }
 
     /** Cancels a job that may be over already or may never have been submitted. */
-    void withdraw(Call call, String id) {
+    void cancel(Call call, String id) {
         if (!Submission.validId(id)) {
             JobStatusResponses.notFound(call);
             return;
         }
-        withdraw(call, id, loop.now() + JobStatusResponses.ANSWER_WITHIN_SECONDS);
+        cancelById(call, id, loop.now() + JobStatusResponses.ANSWER_WITHIN_SECONDS);
     }
 
-    private void withdraw(Call call, String id, double answerBy) {
+    private void cancelById(Call call, String id, double answerBy) {
         JobRecord known = directory.get(id);
         if (known != null) {
             cancel(call, known, answerBy);
             return;
         }
-        directory.barrier(
-                current -> {
-                    JobRecord job = directory.get(id);
-                    if (job != null) {
-                        cancel(call, job, answerBy);
-                    } else if (current) {
-                        directory.findArchived(id, lookup -> respondArchived(call, lookup));
-                    } else {
-                        JobStatusResponses.unavailable(
-                                call, JobStatusResponses.STATE_SERVICE_SILENT);
-                    }
-                });
+        directory.barrier(current -> cancelAfterBarrier(call, id, answerBy, current));
+    }
+
+    private void cancelAfterBarrier(Call call, String id, double answerBy, boolean current) {
+        JobRecord job = directory.get(id);
+        if (job != null) {
+            cancel(call, job, answerBy);
+        } else if (current) {
+            directory.findArchived(id, lookup -> respondArchived(call, lookup));
+        } else {
+            JobStatusResponses.unavailable(call, JobStatusResponses.STATE_SERVICE_SILENT);
+        }
     }
 
-    /** A job that was moved is over: its cancellation, if it was cancelled, is known to all. */
+    /** An archived job is over: its cancellation, if it was cancelled, is known to all. */
     private static void respondArchived(Call call, Lookup lookup) {
         JobStatusResponses.lookedUp(
                 call,
@@ -99,19 +102,22 @@
         store.compareAndSwap(
                 List.of(new Condition(job.key(), job.version())),
                 List.of(Write.put(job.key(), cancelled.encode(store.limits().valueBytes()))),
-                result -> {
-                    if (result.outcome() == CommitOutcome.COMMITTED) {
-                        committed(call, cancelled.committed(result.revision()));
-                    } else {
-                        notCommitted(call, job.id(), answerBy, result);
-                    }
-                });
+                result -> commitAnswered(call, cancelled, answerBy, result));
+    }
+
+    private void commitAnswered(
+            Call call, JobRecord cancelled, double answerBy, CommitResult result) {
+        if (result.outcome() == CommitOutcome.COMMITTED) {
+            committed(call, cancelled.committed(result.revision()));
+        } else {
+            notCommitted(call, cancelled.id(), answerBy, result);
+        }
     }
 
     private void respondEnded(Call call, JobRecord job) {
         if (job.cancelled()) {
-            // Perhaps by a write of this very request whose answer was lost: nobody has told the
-            // others then.
+            // Perhaps by a write of this very request whose answer was lost: then no other
+            // controller knows of it yet.
             broadcast(job);
         }
         responses.phase(call, job);
@@ -130,8 +136,8 @@
     }
 
     /**
-     * Tries again while there is time. After a refusal the record has moved on; without an answer
-     * the barrier tells whether the write was applied.
+     * Retries while there is time. After a rejection the record has changed; without an answer the
+     * barrier shows whether the write was applied.
      */
     private void notCommitted(Call call, String id, double answerBy, CommitResult result) {
         boolean outage = result.outcome() == CommitOutcome.RETRYABLE && !store.reachable();
@@ -140,7 +146,7 @@
             return;
         }
         loop.after(
-                timeouts.peerPollIntervalSeconds() / 4,
-                () -> directory.barrier(current -> withdraw(call, id, answerBy)));
+                timeouts.peerPollIntervalSeconds() / RETRIES_PER_POLL_INTERVAL,
+                () -> directory.barrier(current -> cancelById(call, id, answerBy)));
     }
 }
--- /dev/null
+++ b/src/main/java/org/springmill/control/api/JobStatusReader.java
@@ -0,0 +1,66 @@
+package org.springmill.control.api;
+
+import org.springmill.control.history.ArchivedJobLookup.Lookup;
+import org.springmill.control.jobs.JobDirectory;
+import org.springmill.control.jobs.JobStatusResponses;
+import org.springmill.control.storage.ArchivedJob;
+import org.springmill.control.storage.JobRecord;
+import org.springmill.transport.HttpHandler.Call;
+
+/**
+ * Finds the status of a job that is no older than the request. A final phase is answered at once;
+ * anything else only after a barrier, since it could be outdated.
+ */
+final class JobStatusReader {
+    private final JobDirectory directory;
+
+    /** The form in which a status is answered. */
+    interface ResponseForm {
+        /** Answers from the record of a job. */
+        void respond(Call call, JobRecord job);
+
+        /** Answers from the archived form of a job that ended long ago. */
+        void respond(Call call, ArchivedJob job);
+
+        /** Answers that there is neither a record nor an archived form. */
+        void respondAbsent(Call call);
+    }
+
+    JobStatusReader(JobDirectory directory) {
+        this.directory = directory;
+    }
+
+    /** Answers with the status of a job, or 503 if it is not certain. */
+    void respond(Call call, String id, ResponseForm form) {
+        JobRecord known = directory.get(id);
+        ArchivedJob archived = directory.archived(id);
+        if (known != null && known.phase().terminal()) {
+            form.respond(call, known);
+        } else if (known == null && archived != null) {
+            form.respond(call, archived);
+        } else {
+            directory.barrier(current -> respondAfterBarrier(call, id, form, current));
+        }
+    }
+
+    private void respondAfterBarrier(Call call, String id, ResponseForm form, boolean current) {
+        JobRecord job = directory.get(id);
+        if (!current) {
+            JobStatusResponses.unavailable(call, JobStatusResponses.STATE_SERVICE_SILENT);
+        } else if (job == null) {
+            directory.findArchived(id, lookup -> respondArchived(call, lookup, form));
+        } else if (directory.isStatusCertain(job)) {
+            form.respond(call, job);
+        } else {
+            JobStatusResponses.unavailable(call, JobStatusResponses.DEPENDENCY_BEING_READ);
+        }
+    }
+
+    private static void respondArchived(Call call, Lookup lookup, ResponseForm form) {
+        JobStatusResponses.lookedUp(
+                call,
+                lookup,
+                archived -> form.respond(call, archived),
+                () -> form.respondAbsent(call));
+    }
+}
--- a/src/main/java/org/springmill/control/api/SubmissionHandler.java
+++ b/src/main/java/org/springmill/control/api/SubmissionHandler.java
@@ -1,9 +1,7 @@
 package org.springmill.control.api;
 
-import java.util.LinkedHashSet;
 import java.util.List;
 import java.util.Optional;
-import java.util.Set;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 import org.springmill.control.admission.ActiveJobs;
@@ -11,6 +9,7 @@
 import org.springmill.control.admission.AdmissionRefusal;
 import org.springmill.control.cluster.MachineTypeCatalog;
 import org.springmill.control.history.ArchivedJobLookup.Lookup;
+import org.springmill.control.history.ArchivedJobLookup.Outcome;
 import org.springmill.control.jobs.JobDirectory;
 import org.springmill.control.jobs.JobStatusResponses;
 import org.springmill.control.metrics.Metrics;
@@ -21,8 +20,6 @@
 import org.springmill.control.storage.KeyValueStoreClient.CommitResult;
 import org.springmill.control.timing.Timeouts;
 import org.springmill.protocol.Json;
-import org.springmill.protocol.KeyValueStoreMessages.Condition;
-import org.springmill.protocol.KeyValueStoreMessages.Write;
 import org.springmill.protocol.MalformedMessageException;
 import org.springmill.protocol.Submission;
 import org.springmill.protocol.UserMessages;
@@ -31,7 +28,9 @@
 
 /**
  * Accepts jobs. A job is accepted by creating its record on condition that there is none, and its
- * user is answered only after the commit. Whatever cannot be accepted is answered at once.
+ * user is answered only after the commit. Whatever cannot be accepted is answered at once. A
+ * repeated submission of an accepted job is an idempotent request: it is answered with the job's
+ * phase and never refused.
  */
 public final class SubmissionHandler {
     private static final Logger LOG = LoggerFactory.getLogger(SubmissionHandler.class);
@@ -40,28 +39,38 @@
     private final KeyValueStoreClient store;
     private final MachineTypeCatalog catalog;
     private final EventLoop loop;
-    private final Timeouts timeouts;
-    private final JobStatusResponses responses;
     private final Metrics metrics;
     private final AdmissionControl admission;
     private final ActiveJobs activeJobs;
-    private final int maxUncommitted;
+    private final AcceptanceCommits commits;
+    private final JobStatusReader reader;
+    private final ExistingJobForm existingJobForm;
 
-    /** Submissions whose records are on their way to the key-value store, the oldest first. */
-    private final Set<PendingSubmission> uncommitted = new LinkedHashSet<>();
+    /** How a submission of a job that was accepted before is answered: with its phase. */
+    private record ExistingJobForm(JobStatusResponses responses)
+            implements JobStatusReader.ResponseForm {
+        @Override
+        public void respond(Call call, JobRecord job) {
+            responses.phase(call, job);
+        }
 
-    /**
-     * A submission on its way.
-     *
-     * @param job the record to be created
-     * @param since when it came in
-     */
-    private record PendingSubmission(Call call, JobRecord job, double since) {}
+        @Override
+        public void respond(Call call, ArchivedJob job) {
+            JobStatusResponses.phase(call, job);
+        }
+
+        @Override
+        public void respondAbsent(Call call) {
+            JobStatusResponses.unavailable(call, JobStatusResponses.STATE_SERVICE_SILENT);
+        }
+    }
 
     /**
+     * Creates the handler of a controller.
+     *
      * @param activeJobs the account of jobs that are accepted and not over
-     * @param maxPending submissions whose records may be on their way to the key-value store at a
-     *     time
+     * @param maxUncommitted submissions whose records may be on their way to the key-value store at
+     *     a time
      */
     public SubmissionHandler(
             JobDirectory directory,
@@ -73,17 +82,17 @@
             Metrics metrics,
             AdmissionControl admission,
             ActiveJobs activeJobs,
-            int maxPending) {
+            int maxUncommitted) {
         this.directory = directory;
         this.store = store;
         this.catalog = catalog;
         this.loop = loop;
-        this.timeouts = timeouts;
-        this.responses = responses;
         this.metrics = metrics;
         this.admission = admission;
         this.activeJobs = activeJobs;
-        this.maxUncommitted = maxPending;
+        commits = new AcceptanceCommits(store, loop, timeouts, maxUncommitted);
+        reader = new JobStatusReader(directory);
+        existingJobForm = new ExistingJobForm(responses);
     }
 
     /** Accepts the job that a request describes, or says why not. */
@@ -96,7 +105,7 @@
     }
 
     private void submit(Call call, Submission submission) {
-        if (!unknown(submission.id())) {
+        if (!isUnknown(submission.id())) {
             respondExisting(call, submission.id());
             return;
         }
@@ -109,26 +118,27 @@
         String impossible = catalog.impossible(submission);
         if (impossible != null) {
             // It may have been accepted long ago, under other limits or machine types.
-            refuseAfterBarrier(submitted, impossible(impossible));
-        } else if (refusal(job) == null) {
+            refuseAfterBarrier(submitted, RefusalResponse.impossible(impossible));
+        } else if (reasonForRefusal(job).isEmpty()) {
             accept(submitted);
         } else {
             decideAfterBarrier(submitted);
         }
     }
 
-    /** Why a job cannot be accepted, as far as is known here; null if it can. */
-    private String refusal(JobRecord job) {
+    /** Why a job cannot be accepted, as far as is known here; empty if it can. */
+    private Optional<String> reasonForRefusal(JobRecord job) {
         int bytes = job.mostBytes(loop.timeOfDay());
-        int mostBytes = store.limits().valueBytes();
-        if (bytes > mostBytes) {
-            return "takes "
-                    + bytes
-                    + " bytes to store, more than "
-                    + mostBytes
-                    + ": names too many jobs or types";
+        int maxBytes = store.limits().valueBytes();
+        if (bytes > maxBytes) {
+            return Optional.of(
+                    "takes "
+                            + bytes
+                            + " bytes to store, more than "
+                            + maxBytes
+                            + ": names too many jobs or types");
         }
-        return directory.dependencies().refusal(job.submission());
+        return Optional.ofNullable(directory.dependencies().refusal(job.submission()));
     }
 
     /**
@@ -139,90 +149,57 @@
         directory.barrier(current -> findArchivedDependencies(submitted, current));
     }
 
-    /** What the job names may have ended so long ago that its record has been moved. */
+    /** The jobs that a job names may have ended so long ago that their records are archived. */
     private void findArchivedDependencies(PendingSubmission submitted, boolean current) {
         List<String> unknown = directory.dependencies().unknown(submitted.job().submission());
-        if (current && unknown(submitted)) {
-            double until =
-                    submitted.since()
-                            + JobStatusResponses.ANSWER_WITHIN_SECONDS
-                            - timeouts.storeRequestTimeoutSeconds();
-            directory.findAllArchived(unknown, until, read -> decide(submitted, read));
+        if (current && isUnknown(submitted.id())) {
+            directory.findAllArchived(
+                    unknown, commits.sendBy(submitted), read -> decide(submitted, read));
         } else {
             decide(submitted, current);
         }
     }
 
     private void decide(PendingSubmission submitted, boolean current) {
-        String refusal = refusal(submitted.job());
-        if (refusal == null && current && unknown(submitted)) {
+        Optional<String> reason = reasonForRefusal(submitted.job());
+        if (reason.isEmpty() && current && isUnknown(submitted.id())) {
             accept(submitted);
         } else {
-            refuse(submitted, current, impossible(refusal));
-        }
-    }
-
-    /** How the users of jobs that can never run, or not be taken now, are told so. */
-    @FunctionalInterface
-    private interface RefusalResponse {
-        void respond(Call call);
-
-        /** The same while it is not certain that the job was not accepted before. */
-        default void respondUncertain(Call call) {
-            JobStatusResponses.unavailable(call, JobStatusResponses.STATE_SERVICE_SILENT);
-        }
-    }
-
-    /**
-     * For a job that cannot be taken now. In an overload there are more to be looked up than
-     * lookups are allowed; sent away for a second only, their users came back as a wave.
-     */
-    private record OverloadRefusal(AdmissionRefusal refusal) implements RefusalResponse {
-        @Override
-        public void respond(Call call) {
-            JobStatusResponses.refused(call, refusal);
-        }
-
-        @Override
-        public void respondUncertain(Call call) {
-            respond(call);
+            // Without a reason the job is known by now, or that is uncertain: none is answered.
+            refuse(submitted, current, RefusalResponse.impossible(reason.orElse("")));
         }
     }
 
-    private static RefusalResponse impossible(String reason) {
-        return call -> JobStatusResponses.impossible(call, reason);
-    }
-
     /** Refuses a job, unless it turns out to have been accepted before. */
     private void refuseAfterBarrier(PendingSubmission submitted, RefusalResponse response) {
         directory.barrier(current -> refuse(submitted, current, response));
     }
 
     private void refuse(PendingSubmission submitted, boolean current, RefusalResponse response) {
-        if (!unknown(submitted)) {
-            respondExisting(submitted.call(), submitted.job().id());
+        if (!isUnknown(submitted.id())) {
+            respondExisting(submitted.call(), submitted.id());
         } else if (!current) {
             response.respondUncertain(submitted.call());
         } else {
-            String id = submitted.job().id();
-            directory.findArchived(id, lookup -> refuse(submitted.call(), lookup, response));
+            directory.findArchived(
+                    submitted.id(), lookup -> refuse(submitted.call(), lookup, response));
         }
     }
 
     /** A repeated submission of an accepted job is never refused, however long ago it ended. */
     private static void refuse(Call call, Lookup lookup, RefusalResponse response) {
-        switch (lookup.outcome()) {
-            case FOUND -> JobStatusResponses.phase(call, lookup.job());
-            case ABSENT -> response.respond(call);
-            case UNAVAILABLE -> response.respondUncertain(call);
+        if (lookup.outcome() == Outcome.UNAVAILABLE) {
+            response.respondUncertain(call);
+        } else {
+            JobStatusResponses.lookedUp(
+                    call,
+                    lookup,
+                    archived -> JobStatusResponses.phase(call, archived),
+                    () -> response.respond(call));
         }
     }
 
-    private boolean unknown(PendingSubmission submitted) {
-        return unknown(submitted.job().id());
-    }
-
-    private boolean unknown(String id) {
+    private boolean isUnknown(String id) {
         return directory.get(id) == null && directory.archived(id) == null;
     }
 
@@ -239,63 +216,30 @@
         if (!current) {
             JobStatusResponses.unavailable(
                     submitted.call(), JobStatusResponses.STATE_SERVICE_SILENT);
-        } else if (unknown(submitted)) {
+        } else if (isUnknown(submitted.id())) {
             admit(submitted);
         } else {
-            respondExisting(submitted.call(), submitted.job().id());
+            respondExisting(submitted.call(), submitted.id());
         }
     }
 
     private void admit(PendingSubmission submitted) {
         Submission submission = submitted.job().submission();
-        Optional<AdmissionRefusal> refusal = admission.refusal(submission, expectedWaitSeconds());
+        Optional<AdmissionRefusal> refusal =
+                admission.refusal(submission, commits.expectedWaitSeconds());
         if (refusal.isPresent()) {
             // A repeated submission is no new work, and its user may be the one whose first answer
             // was lost.
-            refuseAfterBarrier(submitted, new OverloadRefusal(refusal.get()));
+            refuseAfterBarrier(submitted, new RefusalResponse.Overload(refusal.get()));
             return;
         }
-        uncommitted.add(submitted);
         activeJobs.add(submission);
-        commit(submitted);
-    }
-
-    /**
-     * How long one more record would wait for the key-value store: by this controller's share of
-     * its limits, and at least as long as the oldest that is on its way has waited.
-     */
-    private double expectedWaitSeconds() {
-        if (uncommitted.size() >= maxUncommitted) {
-            return Double.POSITIVE_INFINITY;
-        }
-        double byShare = store.expectedWaitSeconds(1);
-        return uncommitted.isEmpty() ? byShare : Math.max(byShare, secondsSinceOldest());
-    }
-
-    private double secondsSinceOldest() {
-        return loop.now() - uncommitted.iterator().next().since();
-    }
-
-    private void commit(PendingSubmission submitted) {
-        JobRecord job = submitted.job();
-        // A job whose record has been moved was accepted before, and has ended.
-        store.compareAndSwapAcceptance(
-                List.of(new Condition(job.key(), 0), new Condition(ArchivedJob.key(job.id()), 0)),
-                List.of(Write.put(job.key(), job.encode())),
-                submitted.since()
-                        + JobStatusResponses.ANSWER_WITHIN_SECONDS
-                        - timeouts.storeRequestTimeoutSeconds(),
-                result -> commitAnswered(submitted, result));
+        commits.commit(submitted, result -> commitAnswered(submitted, result));
     }
 
     private void commitAnswered(PendingSubmission submitted, CommitResult result) {
-        if (mayRetry(submitted, result)) {
-            loop.after(timeouts.peerPollIntervalSeconds() / 4, () -> commit(submitted));
-            return;
-        }
-        uncommitted.remove(submitted);
-        if (result.outcome() != CommitOutcome.COMMITTED && unknown(submitted)) {
-            activeJobs.dropped(submitted.job().id());
+        if (result.outcome() != CommitOutcome.COMMITTED && isUnknown(submitted.id())) {
+            activeJobs.dropped(submitted.id());
         }
         switch (result.outcome()) {
             case COMMITTED -> commitSucceeded(submitted, result.revision());
@@ -308,32 +252,6 @@
         }
     }
 
-    /** Its turn did not come in time, or the key-value store serves nothing. */
-    private void commitAbandoned(PendingSubmission submitted) {
-        if (store.reachable()) {
-            AdmissionRefusal refusal = admission.givenUp(expectedWaitSeconds());
-            JobStatusResponses.refused(submitted.call(), refusal);
-        } else {
-            JobStatusResponses.unavailable(
-                    submitted.call(), JobStatusResponses.STATE_SERVICE_SILENT);
-        }
-    }
-
-    /**
-     * Whether the same write is to be sent again: it was not executed, or may have been. It is
-     * applied once at most.
-     */
-    private boolean mayRetry(PendingSubmission submitted, CommitResult result) {
-        boolean outage = result.outcome() == CommitOutcome.RETRYABLE && !store.reachable();
-        boolean undecided =
-                result.outcome() == CommitOutcome.RETRYABLE
-                        || result.outcome() == CommitOutcome.UNKNOWN;
-        double answerBy = submitted.since() + JobStatusResponses.ANSWER_WITHIN_SECONDS;
-        return undecided
-                && !outage
-                && loop.now() + timeouts.storeRequestTimeoutSeconds() < answerBy;
-    }
-
     private void commitSucceeded(PendingSubmission submitted, long revision) {
         JobRecord job = submitted.job().committed(revision);
         directory.learn(job);
@@ -356,45 +274,26 @@
 
     private void commitRejected(PendingSubmission submitted, CommitResult result) {
         if (result.failed().isEmpty()) {
-            refuseAfterBarrier(submitted, impossible("the state service takes no such record"));
+            refuseAfterBarrier(
+                    submitted,
+                    RefusalResponse.impossible("the state service takes no such record"));
         } else {
-            respondExisting(submitted.call(), submitted.job().id());
+            respondExisting(submitted.call(), submitted.id());
         }
     }
 
-    /** Answers for a job that exists, with a state no older than the question. */
-    private void respondExisting(Call call, String id) {
-        JobRecord known = directory.get(id);
-        ArchivedJob moved = directory.archived(id);
-        if (known != null && known.phase().terminal()) {
-            responses.phase(call, known);
-        } else if (known == null && moved != null) {
-            JobStatusResponses.phase(call, moved);
-        } else {
-            directory.barrier(current -> respondExisting(call, id, current));
-        }
-    }
-
-    private void respondExisting(Call call, String id, boolean current) {
-        JobRecord job = directory.get(id);
-        if (!current) {
-            JobStatusResponses.unavailable(call, JobStatusResponses.STATE_SERVICE_SILENT);
-        } else if (job == null) {
-            directory.findArchived(id, lookup -> respondArchived(call, lookup));
-        } else if (directory.isStatusCertain(job)) {
-            responses.phase(call, job);
+    /** The record was not sent in time, or the key-value store serves nothing. */
+    private void commitAbandoned(PendingSubmission submitted) {
+        if (store.reachable()) {
+            AdmissionRefusal refusal = admission.givenUp(commits.expectedWaitSeconds());
+            JobStatusResponses.refused(submitted.call(), refusal);
         } else {
-            JobStatusResponses.unavailable(call, JobStatusResponses.DEPENDENCY_BEING_READ);
+            JobStatusResponses.unavailable(
+                    submitted.call(), JobStatusResponses.STATE_SERVICE_SILENT);
         }
     }
 
-    private static void respondArchived(Call call, Lookup lookup) {
-        JobStatusResponses.lookedUp(
-                call,
-                lookup,
-                job -> JobStatusResponses.phase(call, job),
-                () ->
-                        JobStatusResponses.unavailable(
-                                call, JobStatusResponses.STATE_SERVICE_SILENT));
+    private void respondExisting(Call call, String id) {
+        reader.respond(call, id, existingJobForm);
     }
 }
--- a/src/main/java/org/springmill/control/api/UserApi.java
+++ b/src/main/java/org/springmill/control/api/UserApi.java
@@ -10,7 +10,7 @@
 import org.springmill.transport.EventLoop;
 import org.springmill.transport.HttpHandler.Call;
 
-/** The user API, which is the same at every controller: submissions, queries and withdrawals. */
+/** The user API, which is the same at every controller: submissions, queries and cancellations. */
 public final class UserApi {
     private static final byte[] EMPTY = new byte[0];
 
@@ -19,7 +19,9 @@
     private final CancellationHandler cancellations;
 
     /**
-     * @param announce told of each cancellation committed here, before its user is
+     * Creates the API of a controller.
+     *
+     * @param broadcast gets each cancellation committed here before its user is answered
      * @param submissions accepts jobs
      */
     public UserApi(
@@ -28,18 +30,18 @@
             EventLoop loop,
             Timeouts timeouts,
             JobStatusResponses responses,
-            Consumer<Cancellation> announce,
+            Consumer<Cancellation> broadcast,
             SubmissionHandler submissions) {
         this.submissions = submissions;
-        queries = new JobQueryHandler(directory, responses);
+        queries = new JobQueryHandler(new JobStatusReader(directory), responses);
         cancellations =
-                new CancellationHandler(directory, store, loop, timeouts, responses, announce);
+                new CancellationHandler(directory, store, loop, timeouts, responses, broadcast);
     }
 
     /** Answers a request whose path is that of the submissions or below it. */
     public void handle(Call call) {
         if (call.path().equals(UserMessages.SUBMISSIONS)) {
-            if (allowed(call, "POST")) {
+            if (hasMethod(call, "POST")) {
                 submissions.submit(call);
             }
             return;
@@ -52,18 +54,19 @@
      */
     private void handleJob(Call call, String name) {
         if (name.endsWith(UserMessages.WITHDRAW)) {
-            if (allowed(call, "POST")) {
+            if (hasMethod(call, "POST")) {
                 String id = name.substring(0, name.length() - UserMessages.WITHDRAW.length());
-                cancellations.withdraw(call, id);
+                cancellations.cancel(call, id);
             }
         } else if (name.isEmpty() || name.contains("/")) {
             call.reply(404, EMPTY, 0);
-        } else if (allowed(call, "GET")) {
+        } else if (hasMethod(call, "GET")) {
             queries.query(call, name);
         }
     }
 
-    private static boolean allowed(Call call, String method) {
+    /** Answers 405 to any other method. */
+    private static boolean hasMethod(Call call, String method) {
         if (!call.method().equals(method)) {
             call.reply(405, EMPTY, 0);
             return false;
