--- a/src/main/java/org/springmill/control/leadership/LeaseKeepalive.java
+++ b/src/main/java/org/springmill/control/leadership/LeaseKeepalive.java
@@ -81,7 +81,7 @@
     }
 
     private boolean renewsForNewLeader(boolean holdsTerm) {
-        return !holdsTerm && peers.keepsLeasesForNewLeader();
+        return !holdsTerm && peers.renewsForNewLeader();
     }
 
     private boolean renewsInConfirmedOutage(boolean holdsTerm) {
--- a/src/main/java/org/springmill/control/membership/Peers.java
+++ b/src/main/java/org/springmill/control/membership/Peers.java
@@ -278,7 +278,7 @@
      * leader: the workers that come here stay, rather than all be redirected to one controller that
      * has just begun. Its answers say until when.
      */
-    public boolean keepsLeasesForNewLeader() {
+    public boolean renewsForNewLeader() {
         return evidence.renewsForNewLeader();
     }
 
--- a/src/test/java/org/springmill/control/membership/PeersTest.java
+++ b/src/test/java/org/springmill/control/membership/PeersTest.java
@@ -113,7 +113,7 @@
                         7,
                         CancellationDelta.NONE));
         clock.run(afterSeconds);
-        assertEquals(renewsLeases, follower.keepsLeasesForNewLeader());
+        assertEquals(renewsLeases, follower.renewsForNewLeader());
         sent.clear();
         receive(
                 new PeerStatus(
