--- a/src/test/java/org/springmill/control/membership/PeersTest.java
+++ b/src/test/java/org/springmill/control/membership/PeersTest.java
@@ -85,6 +85,41 @@
         return peers;
     }
 
+    /** A question of another controller, which leads. */
+    private static PeerStatus questionOfLeader(long question) {
+        return statusOfPeer(question, 0, true, true, 60_000);
+    }
+
+    /** An answer of another controller, which follows. */
+    private static PeerStatus answer(
+            long answeredQuestion, boolean storeReachable, int confirmedMillisecondsAgo) {
+        return statusOfPeer(0, answeredQuestion, storeReachable, false, confirmedMillisecondsAgo);
+    }
+
+    private static PeerStatus statusOfPeer(
+            long question,
+            long answeredQuestion,
+            boolean storeReachable,
+            boolean leading,
+            int confirmedMillisecondsAgo) {
+        return new PeerStatus(
+                "n-1",
+                question,
+                answeredQuestion,
+                storeReachable,
+                leading,
+                true,
+                0,
+                false,
+                confirmedMillisecondsAgo,
+                7,
+                CancellationDelta.NONE);
+    }
+
+    private PeerStatus lastSent() {
+        return sent.get(sent.size() - 1);
+    }
+
     private void receive(PeerStatus status) {
         listener.received(PeerMessages.encode(status));
     }
@@ -99,54 +134,18 @@
             double afterSeconds, boolean renewsLeases) throws Exception {
         Peers follower = peers(false, 0);
         clock.run(60);
-        receive(
-                new PeerStatus(
-                        "n-1",
-                        1,
-                        0,
-                        true,
-                        true,
-                        true,
-                        0,
-                        false,
-                        60_000,
-                        7,
-                        CancellationDelta.NONE));
+        receive(questionOfLeader(1));
         clock.run(afterSeconds);
         assertEquals(renewsLeases, follower.renewsForNewLeader());
         sent.clear();
-        receive(
-                new PeerStatus(
-                        "n-1",
-                        2,
-                        0,
-                        true,
-                        true,
-                        true,
-                        0,
-                        false,
-                        60_000,
-                        7,
-                        CancellationDelta.NONE));
-        int confirmedMillisecondsAgo = sent.get(sent.size() - 1).confirmedMillisecondsAgo();
+        receive(questionOfLeader(2));
+        int confirmedMillisecondsAgo = lastSent().confirmedMillisecondsAgo();
         assertEquals(renewsLeases, confirmedMillisecondsAgo < 0);
 
         Peers leader = peers(true, 7);
         clock.run(60);
-        PeerStatus question = sent.get(sent.size() - 1);
-        receive(
-                new PeerStatus(
-                        "n-1",
-                        0,
-                        question.question(),
-                        true,
-                        false,
-                        true,
-                        0,
-                        false,
-                        confirmedMillisecondsAgo,
-                        7,
-                        CancellationDelta.NONE));
+        PeerStatus question = lastSent();
+        receive(answer(question.question(), true, confirmedMillisecondsAgo));
         double until = leader.othersMayRenewUntil() - clock.now();
         assertTrue(
                 until >= -confirmedMillisecondsAgo / 1000.0 + LEASE_SECONDS / 10,
@@ -163,38 +162,14 @@
     void answersToQuestionsOfAnEarlierProcessConfirmNothing() throws Exception {
         peers(true, 7);
         clock.run(3);
-        long earlierQuestion = sent.get(sent.size() - 1).question();
+        long earlierQuestion = lastSent().question();
         clock.run(0.2);
         Peers returned = peers(true, 7);
         clock.run(3);
-        receive(
-                new PeerStatus(
-                        "n-1",
-                        0,
-                        earlierQuestion,
-                        false,
-                        false,
-                        true,
-                        0,
-                        false,
-                        60_000,
-                        7,
-                        CancellationDelta.NONE));
+        receive(answer(earlierQuestion, false, 60_000));
         assertFalse(returned.quorumConfirmsOutage(7));
         assertFalse(returned.allPeersResponded());
-        receive(
-                new PeerStatus(
-                        "n-1",
-                        0,
-                        sent.get(sent.size() - 1).question(),
-                        false,
-                        false,
-                        true,
-                        0,
-                        false,
-                        60_000,
-                        7,
-                        CancellationDelta.NONE));
+        receive(answer(lastSent().question(), false, 60_000));
         assertTrue(returned.quorumConfirmsOutage(7));
     }
 }
