--- a/src/main/java/org/springmill/control/recall/HoldDownCapacity.java
+++ b/src/main/java/org/springmill/control/recall/HoldDownCapacity.java
@@ -22,13 +22,13 @@
     private final ClusterState clusterState;
     private final HoldDown holdDown;
     private final Metrics metrics;
-    private final Map<Machine, List<Held>> held = new HashMap<>();
+    private final Map<Machine, List<HeldCapacity>> heldByMachine = new HashMap<>();
 
     /** The highest priority for which tasks were recalled in this term; null before the first. */
     private Priority recalledFor;
 
     /** Room on one machine. */
-    private record Held(Resources amount, double since, double until) {}
+    private record HeldCapacity(Resources amount, double since, double until) {}
 
     HoldDownCapacity(ClusterState clusterState, HoldDown holdDown, Metrics metrics) {
         this.metrics = metrics;
@@ -55,7 +55,7 @@
      * Whether a job only uses what others leave: its tasks are those that recalls stop. Urgent work
      * is never held up.
      */
-    private boolean borrows(Job job) {
+    private boolean usesBorrowedCapacity(Job job) {
         return recalledFor != null
                 && !clusterState.usage(job.spec().team()).guaranteedFor(job.spec())
                 && Priority.HIGH.above(job.priority())
@@ -63,50 +63,52 @@
     }
 
     /** Whether recalls make room for work like a job's. */
-    private boolean recalls(Job job) {
+    private boolean isBeneficiaryOfRecalls(Job job) {
         return recalledFor != null && job.spec().service() && !recalledFor.above(job.priority());
     }
 
     /** A task has left a machine. */
-    void taskLeft(TaskAttempt attempt, double now) {
+    void taskReleased(TaskAttempt attempt, double now) {
         Machine machine = attempt.machine();
-        if (machine.type() == null || !recalls(attempt.job())) {
+        if (machine.type() == null || !isBeneficiaryOfRecalls(attempt.job())) {
             return;
         }
         double seconds = holdDown.seconds(machine.type().name(), now);
         if (seconds > 0) {
             Resources amount = Resources.of(attempt.job().spec());
-            held.computeIfAbsent(machine, m -> new ArrayList<>())
-                    .add(new Held(amount, now, now + seconds));
+            heldByMachine
+                    .computeIfAbsent(machine, m -> new ArrayList<>())
+                    .add(new HeldCapacity(amount, now, now + seconds));
         }
     }
 
     /** A task takes room on a machine: what is held there may have been held for it. */
     void taskPlaced(TaskAttempt attempt, double now) {
-        List<Held> here = held.get(attempt.machine());
-        if (here == null || !recalls(attempt.job())) {
+        List<HeldCapacity> here = heldByMachine.get(attempt.machine());
+        if (here == null || !isBeneficiaryOfRecalls(attempt.job())) {
             return;
         }
-        Held used = here.remove(0);
-        account(used, now);
+        HeldCapacity used = here.remove(0);
+        recordHeldGpuSeconds(used, now);
         holdDown.wasOfUse(attempt.machine().type().name(), used.since(), now - used.since(), now);
         if (here.isEmpty()) {
-            held.remove(attempt.machine());
+            heldByMachine.remove(attempt.machine());
         }
     }
 
     /** Lends again what was held for long enough. */
     void expire(double now) {
-        Iterator<Map.Entry<Machine, List<Held>>> machines = held.entrySet().iterator();
+        Iterator<Map.Entry<Machine, List<HeldCapacity>>> machines =
+                heldByMachine.entrySet().iterator();
         while (machines.hasNext()) {
-            Map.Entry<Machine, List<Held>> entry = machines.next();
+            Map.Entry<Machine, List<HeldCapacity>> entry = machines.next();
             boolean gone = entry.getKey().state() != Machine.State.UP;
             entry.getValue()
                     .removeIf(
                             room -> {
                                 boolean over = gone || now >= room.until();
                                 if (over) {
-                                    account(room, now);
+                                    recordHeldGpuSeconds(room, now);
                                 }
                                 return over;
                             });
@@ -116,20 +118,20 @@
         }
     }
 
-    private void account(Held room, double now) {
+    private void recordHeldGpuSeconds(HeldCapacity room, double now) {
         double seconds = Math.max(0, Math.min(now, room.until()) - room.since());
         metrics.roomHeld(room.amount().gpus() * seconds);
     }
 
     /** What a job may not use of the room on a machine. */
     Resources withheldFrom(Job job, Machine machine, double now) {
-        List<Held> here = held.get(machine);
-        if (here == null || !borrows(job)) {
+        List<HeldCapacity> here = heldByMachine.get(machine);
+        if (here == null || !usesBorrowedCapacity(job)) {
             return Resources.NONE;
         }
         Resources sum = Resources.NONE;
         double seconds = job.spec().service() ? 0 : job.spec().estimatedRunSeconds();
-        for (Held room : here) {
+        for (HeldCapacity room : here) {
             boolean admitted = holdDown.admits(machine.type().name(), seconds, now - room.since());
             if (now < room.until() && !admitted) {
                 sum = sum.plus(room.amount());
--- a/src/main/java/org/springmill/control/recall/RecallPlanner.java
+++ b/src/main/java/org/springmill/control/recall/RecallPlanner.java
@@ -45,7 +45,7 @@
 
     private final Fleet fleet;
     private final Placement placement;
-    private final RecallReservations promises;
+    private final RecallReservations reservations;
     private final GracePeriods grace;
 
     /** A task that no report has named for this long may not run any more. */
@@ -93,7 +93,7 @@
     RecallPlanner(
             Fleet fleet,
             Placement placement,
-            RecallReservations promises,
+            RecallReservations reservations,
             GracePeriods grace,
             Timeouts timeouts) {
         silentSeconds = timeouts.deadAfterSeconds();
@@ -101,7 +101,7 @@
         intervalSeconds = timeouts.heartbeatIntervalSeconds() / PLANS_PER_REPORT;
         this.fleet = fleet;
         this.placement = placement;
-        this.promises = promises;
+        this.reservations = reservations;
         this.grace = grace;
     }
 
@@ -134,7 +134,7 @@
         if (waiting.stream().noneMatch(fleet.clusterState()::mayPreemptFor)) {
             return plans;
         }
-        List<Machine> open = placement.open(now);
+        List<Machine> open = placement.schedulableMachines(now);
         ExhaustedEquivalenceClasses exhausted =
                 new ExhaustedEquivalenceClasses(placement.jobsWithReservedCapacity(open, now));
         for (Job job : waiting) {
@@ -144,7 +144,7 @@
             }
             if (wanted <= 0
                     || evaluationsLeft <= 0
-                    || placement.unreached(job)
+                    || placement.skippedByFullRound(job)
                     || !fleet.clusterState().mayPreemptFor(job)
                     || fruitlessUntil.containsKey(job)
                     || exhausted.cover(job)) {
@@ -172,11 +172,12 @@
     private int wanted(Job job) {
         Resources promised = promisedToTeam(job.spec().team());
         int byLimit = usage(job).roomBesideHeld(job.spec(), promised);
-        return Math.min(job.startable() - promises.count(job), byLimit);
+        return Math.min(job.startable() - reservations.count(job), byLimit);
     }
 
     private Resources promisedToTeam(String team) {
-        return promises.reservedForTeam(team)
+        return reservations
+                .reservedForTeam(team)
                 .plus(plannedForTeam.getOrDefault(team, Resources.NONE));
     }
 
@@ -193,7 +194,7 @@
         eligible.removeIf(
                 machine ->
                         avoidedUntil.containsKey(machine)
-                                || !Placement.eligible(job, machine, now));
+                                || !Placement.isEligible(job, machine, now));
         if (eligible.size() > MACHINES_AT_A_TIME) {
             Map<Machine, Double> scores = new HashMap<>();
             eligible.forEach(m -> scores.put(m, placement.score().of(job, m, now)));
@@ -269,7 +270,7 @@
         List<Candidate<Unit>> candidates = new ArrayList<>();
         Resources free =
                 machine.free()
-                        .minus(promises.reservedOn(machine))
+                        .minus(reservations.reservedOn(machine))
                         .minus(plannedOn.getOrDefault(machine, Resources.NONE));
         Map<Job, List<TaskAttempt>> gangs = new LinkedHashMap<>();
         for (TaskAttempt attempt : machine.attempts()) {
@@ -300,7 +301,7 @@
     private Batch batch(int tasks, VictimSelection.Choice<Unit> choice, double scoreSeconds) {
         List<TaskAttempt> victims = new ArrayList<>();
         choice.victims().forEach(unit -> victims.addAll(unit.onMachine()));
-        double cost = tasks * (scoreSeconds + grace.longestSaveSeconds(victims));
+        double cost = tasks * (scoreSeconds + grace.longestCheckpointSeconds(victims));
         return new Batch(tasks, victims, cost + choice.costSeconds());
     }
 
@@ -315,7 +316,7 @@
         List<TaskAttempt> stopped = spec.gang() ? unit.job().attempts() : unit.onMachine();
         double cost = 0;
         for (TaskAttempt attempt : stopped) {
-            cost += PreemptionPolicy.VICTIM_COST_SECONDS + grace.lostWork(attempt, now);
+            cost += PreemptionPolicy.VICTIM_COST_SECONDS + grace.lostWorkSeconds(attempt, now);
         }
         Resources frees = Resources.of(spec).times(unit.onMachine().size());
         return new Candidate<>(unit, unit.job().priority(), frees, cost);
@@ -325,7 +326,7 @@
     private boolean comesFree(TaskAttempt attempt, double now) {
         boolean overdue =
                 attempt.state() == TaskAttempt.State.STOPPING
-                        && now - attempt.stateSince() > grace.boundOnLeaving(attempt);
+                        && now - attempt.stateSince() > grace.stopTimeoutSeconds(attempt);
         return !attempt.released() && !overdue;
     }
 
--- a/src/main/java/org/springmill/control/recall/RecallPreemption.java
+++ b/src/main/java/org/springmill/control/recall/RecallPreemption.java
@@ -39,50 +39,50 @@
     private final Fleet fleet;
     private final EventLoop loop;
     private final Timeouts timeouts;
-    private final RecallLog log;
+    private final RecallLog recallLog;
     private final RecallPlanner planner;
-    private final RecallReservations promises;
+    private final RecallReservations reservations;
     private final HoldDownCapacity heldDownCapacity;
     private final GracePeriods grace;
     private final Metrics metrics;
-    private final Consumer<Machine> poke;
+    private final Consumer<Machine> commandSender;
 
     /** What earlier leaders left, until jobs and attempts are known. */
     private Collection<Recall> inherited = List.of();
 
     private final Set<String> settled = new HashSet<>();
-    private final Set<Machine> toPoke = new LinkedHashSet<>();
-    private List<ActiveRecall> committing = List.of();
+    private final Set<Machine> machinesWithCommands = new LinkedHashSet<>();
+    private List<ActiveRecall> awaitingCommit = List.of();
 
     /**
-     * @param poke sends a machine the commands that are due
+     * @param commandSender sends a machine the commands that are due
      */
     RecallPreemption(
             Fleet fleet,
             EventLoop loop,
             Timeouts timeouts,
-            RecallLog log,
+            RecallLog recallLog,
             RecallPlanner planner,
-            RecallReservations promises,
+            RecallReservations reservations,
             HoldDownCapacity heldDownCapacity,
             GracePeriods grace,
             Metrics metrics,
-            Consumer<Machine> poke) {
+            Consumer<Machine> commandSender) {
         this.fleet = fleet;
         this.loop = loop;
         this.timeouts = timeouts;
-        this.log = log;
+        this.recallLog = recallLog;
         this.planner = planner;
-        this.promises = promises;
+        this.reservations = reservations;
         this.heldDownCapacity = heldDownCapacity;
         this.grace = grace;
         this.metrics = metrics;
-        this.poke = poke;
+        this.commandSender = commandSender;
     }
 
     @Override
     public void load(Consumer<Boolean> done) {
-        log.load(
+        recallLog.load(
                 found -> {
                     inherited = found == null ? List.of() : found;
                     done.accept(found != null);
@@ -109,13 +109,14 @@
             settled.add(recall.key());
             return;
         }
-        List<TaskAttempt> victims = victims(recall, machine);
-        double saving = grace.boundOnSaving(grace.longestSaveSeconds(victims));
+        List<TaskAttempt> victims = knownVictims(recall, machine);
+        double saving = grace.checkpointTimeoutSeconds(grace.longestCheckpointSeconds(victims));
         double graceLeft = recall.graceEndsAt() - loop.timeOfDay();
-        RecallProgress progress = new RecallProgress(recall, saving, grace.boundOnEnding());
+        RecallProgress progress = new RecallProgress(recall, saving, grace.endTimeoutSeconds());
         progress.inherited(
-                Math.max(0, Math.min(graceLeft, saving)) + grace.boundOnEnding(), loop.now());
-        promises.add(new ActiveRecall(progress, beneficiary, machine, victims, 0, 0, loop.now()));
+                Math.max(0, Math.min(graceLeft, saving)) + grace.endTimeoutSeconds(), loop.now());
+        reservations.add(
+                new ActiveRecall(progress, beneficiary, machine, victims, 0, 0, loop.now()));
         victims.forEach(this::markRecalled);
     }
 
@@ -127,7 +128,7 @@
                                         && attempt.claim().round() > recall.round());
     }
 
-    private List<TaskAttempt> victims(Recall recall, Machine machine) {
+    private List<TaskAttempt> knownVictims(Recall recall, Machine machine) {
         Set<TaskId> tasks = new HashSet<>(recall.victims());
         return machine.attemptsNow().stream()
                 .filter(attempt -> tasks.contains(attempt.claim().task()))
@@ -140,7 +141,7 @@
         double now = loop.now();
         for (TaskAttempt attempt : ended) {
             attempt.machine().release(attempt);
-            heldDownCapacity.taskLeft(attempt, now);
+            heldDownCapacity.taskReleased(attempt, now);
         }
     }
 
@@ -149,38 +150,38 @@
         double now = loop.now();
         heldDownCapacity.expire(now);
         claimed.forEach(attempt -> heldDownCapacity.taskPlaced(attempt, now));
-        claimed.forEach(this::fulfil);
-        promises.all().forEach(recall -> advance(recall, now));
-        pokeMachines();
-        promises.beneficiaries().forEach(this::withdrawSurplus);
-        committing = decideNew(round, now);
+        claimed.forEach(this::settleFulfilled);
+        reservations.all().forEach(recall -> enforceTimeouts(recall, now));
+        sendCommands();
+        reservations.beneficiaries().forEach(this::cancelSurplus);
+        awaitingCommit = decideNew(round, now);
         List<Recall> decided =
-                committing.stream().map(active -> active.progress().recall()).toList();
-        return log.stage(round, decided, settled);
+                awaitingCommit.stream().map(active -> active.progress().recall()).toList();
+        return recallLog.stage(round, decided, settled);
     }
 
     /** The claim of a beneficiary and the end of its promise are one transaction. */
-    private void fulfil(TaskAttempt claimed) {
-        promises.recallsFor(claimed.job()).stream()
+    private void settleFulfilled(TaskAttempt claimed) {
+        reservations.recallsFor(claimed.job()).stream()
                 .filter(recall -> recall.machine() == claimed.machine())
                 .findFirst()
                 .ifPresent(recall -> settle(recall, Outcome.FULFILLED));
     }
 
     /** Applies the bounds on each step of a recall. */
-    private void advance(ActiveRecall recall, double now) {
+    private void enforceTimeouts(ActiveRecall recall, double now) {
         if (!recall.machine().isSchedulable(now, timeouts.suspectAfterSeconds())
                 && isKnown(recall.machine())) {
-            giveUp(recall);
+            abandon(recall);
         } else if (recall.progress().state() == State.COMMITTING) {
-            carryOn(recall, now);
+            resume(recall, now);
         } else if (recall.progress().overdue(now)) {
             if (recall.progress().state() == State.SAVING) {
                 recall.progress().graceEnded(now);
                 recall.victims().stream()
                         .filter(victim -> victim.state() == TaskAttempt.State.STOPPING)
                         .forEach(victim -> fleet.stop(victim, 0));
-                toPoke.add(recall.machine());
+                machinesWithCommands.add(recall.machine());
             } else {
                 planner.avoid(recall.machine());
                 settle(recall, Outcome.EXPIRED);
@@ -189,19 +190,19 @@
     }
 
     /** Goes on with an earlier leader's recall once the victims' worker has told of them. */
-    private void carryOn(ActiveRecall recall, double now) {
+    private void resume(ActiveRecall recall, double now) {
         boolean known =
                 recall.victims().stream()
                         .noneMatch(victim -> victim.state() == TaskAttempt.State.UNKNOWN);
         if (known) {
-            tellVictims(recall, now);
+            stopVictims(recall, now);
         } else if (recall.progress().overdue(now)) {
-            giveUp(recall);
+            abandon(recall);
         }
     }
 
     /** Gives a recall up; of its victims those who were not told stay. */
-    private void giveUp(ActiveRecall recall) {
+    private void abandon(ActiveRecall recall) {
         recall.victims().forEach(this::unmarkRecalled);
         settle(recall, Outcome.EXPIRED);
     }
@@ -212,8 +213,8 @@
     }
 
     /** Ends what is promised to a job beyond what it still waits for, the latest first. */
-    private void withdrawSurplus(Job job) {
-        List<ActiveRecall> recalls = promises.recallsFor(job);
+    private void cancelSurplus(Job job) {
+        List<ActiveRecall> recalls = reservations.recallsFor(job);
         int waiting = job.active() ? job.startable() : 0;
         for (int i = recalls.size(); i > waiting; i--) {
             settle(recalls.get(i - 1), Outcome.WITHDRAWN);
@@ -226,13 +227,13 @@
             return;
         }
         LOG.debug("recall {} for {}: {}", recall.key(), recall.beneficiary().id(), outcome);
-        promises.remove(recall);
+        reservations.remove(recall);
         settled.add(recall.key());
         metrics.recallSettled(outcome);
         if (outcome != Outcome.TAKEN_BACK && !recall.victims().isEmpty()) {
             double cost = recall.lostSeconds() + now - recall.decidedAt();
             heldDownCapacity.recalled(
-                    recall.beneficiary(), recall.machine(), cost, recall.loanSeconds(), now);
+                    recall.beneficiary(), recall.machine(), cost, recall.borrowedSeconds(), now);
         }
     }
 
@@ -248,15 +249,16 @@
                 coming.add(plan);
                 continue;
             }
-            double saving = grace.boundOnSaving(grace.longestSaveSeconds(plan.victims()));
+            double saving =
+                    grace.checkpointTimeoutSeconds(grace.longestCheckpointSeconds(plan.victims()));
             Recall recall = recall(plan, round, recalls.size(), loop.timeOfDay() + saving);
-            if (!log.hasRoom(recalls, recall)) {
+            if (!recallLog.hasRoom(recalls, recall)) {
                 continue;
             }
             recalls.add(recall);
-            double lost = average(plan.victims(), victim -> grace.lostWork(victim, now));
+            double lost = average(plan.victims(), victim -> grace.lostWorkSeconds(victim, now));
             double ran = average(plan.victims(), victim -> victim.ranSeconds(now));
-            RecallProgress progress = new RecallProgress(recall, saving, grace.boundOnEnding());
+            RecallProgress progress = new RecallProgress(recall, saving, grace.endTimeoutSeconds());
             ActiveRecall active =
                     new ActiveRecall(
                             progress,
@@ -267,10 +269,10 @@
                             ran,
                             now);
             active.victims().forEach(this::markRecalled);
-            promises.add(active);
+            reservations.add(active);
             decided.add(active);
         }
-        promises.setExpectedCapacity(coming);
+        reservations.setExpectedCapacity(coming);
         return decided;
     }
 
@@ -301,13 +303,13 @@
     /** The recalls decided last are committed: only now is anybody told to stop. */
     @Override
     public void committed() {
-        log.committed();
+        recallLog.committed();
         settled.clear();
         double now = loop.now();
-        List<ActiveRecall> fresh = committing;
-        committing = List.of();
-        fresh.forEach(recall -> tellVictims(recall, now));
-        pokeMachines();
+        List<ActiveRecall> fresh = awaitingCommit;
+        awaitingCommit = List.of();
+        fresh.forEach(recall -> stopVictims(recall, now));
+        sendCommands();
         metrics.recallsCommitted(fresh.size());
     }
 
@@ -315,20 +317,20 @@
      * Has the victims of a committed recall stopped. A commit may take long; if the demand has
      * fallen or a team would now be left with less than it is entitled to, nobody is told.
      */
-    private void tellVictims(ActiveRecall recall, double now) {
-        if (isStillWanted(recall)
+    private void stopVictims(ActiveRecall recall, double now) {
+        if (isStillNeeded(recall)
                 && planner.keepsEntitlements(recall.beneficiary(), recall.victims())) {
             recall.progress().committed(now);
-            halt(recall);
+            sendStops(recall);
         } else {
             recall.victims().forEach(this::unmarkRecalled);
             settle(recall, Outcome.TAKEN_BACK);
         }
     }
 
-    private boolean isStillWanted(ActiveRecall recall) {
+    private boolean isStillNeeded(ActiveRecall recall) {
         Job job = recall.beneficiary();
-        return job.active() && promises.recallsFor(job).indexOf(recall) < job.startable();
+        return job.active() && reservations.recallsFor(job).indexOf(recall) < job.startable();
     }
 
     private void unmarkRecalled(TaskAttempt victim) {
@@ -337,7 +339,7 @@
         }
     }
 
-    private void halt(ActiveRecall recall) {
+    private void sendStops(ActiveRecall recall) {
         for (TaskAttempt victim : recall.victims()) {
             metrics.taskRecalled();
             LOG.debug(
@@ -347,12 +349,12 @@
                     recall.machine().name());
             fleet.stop(victim, grace.graceSeconds(victim));
         }
-        toPoke.add(recall.machine());
+        machinesWithCommands.add(recall.machine());
     }
 
     /** Sends all halts for one machine together. */
-    private void pokeMachines() {
-        toPoke.forEach(poke);
-        toPoke.clear();
+    private void sendCommands() {
+        machinesWithCommands.forEach(commandSender);
+        machinesWithCommands.clear();
     }
 }
--- a/src/main/java/org/springmill/control/recall/RecallReservations.java
+++ b/src/main/java/org/springmill/control/recall/RecallReservations.java
@@ -34,7 +34,7 @@
      *
      * @param victims those of its tasks that this leader knows
      * @param lostSeconds work that was lost by it, on average of the victims
-     * @param loanSeconds how long the victims had run, on average
+     * @param borrowedSeconds how long the victims had run, on average
      */
     record ActiveRecall(
             RecallProgress progress,
@@ -42,7 +42,7 @@
             Machine machine,
             List<TaskAttempt> victims,
             double lostSeconds,
-            double loanSeconds,
+            double borrowedSeconds,
             double decidedAt) {
         String key() {
             return progress.recall().key();
@@ -104,7 +104,7 @@
 
     /** What is promised on a machine. */
     Resources reservedOn(Machine machine) {
-        return sum(machine, null);
+        return sumExcept(machine, null);
     }
 
     /** Replaces what is known of room that comes by itself. */
@@ -115,7 +115,7 @@
 
     /** What is promised on a machine to other jobs than this one. */
     Resources reservedForOthersOn(Machine machine, Job job) {
-        Resources sum = sum(machine, job);
+        Resources sum = sumExcept(machine, job);
         for (RecallPlanner.Plan plan : expectedCapacity.getOrDefault(machine, List.of())) {
             if (plan.beneficiary() != job) {
                 sum = sum.plus(plan.beneficiary().spec());
@@ -133,7 +133,7 @@
         return jobs;
     }
 
-    private Resources sum(Machine machine, Job except) {
+    private Resources sumExcept(Machine machine, Job except) {
         Resources sum = Resources.NONE;
         for (ActiveRecall recall : byMachine.getOrDefault(machine, List.of())) {
             if (recall.beneficiary() != except) {
--- a/src/main/java/org/springmill/control/recall/RecallSetup.java
+++ b/src/main/java/org/springmill/control/recall/RecallSetup.java
@@ -29,7 +29,7 @@
     private final Timeouts timeouts;
     private final Metrics metrics;
     private final GracePeriods grace;
-    private final RecallReservations promises = new RecallReservations();
+    private final RecallReservations reservations = new RecallReservations();
     private final HoldDownCapacity heldDownCapacity;
 
     public RecallSetup(
@@ -57,13 +57,13 @@
         return new CapacityFilter() {
             @Override
             public Resources withheldFrom(Job job, Machine machine) {
-                Resources promised = promises.reservedForOthersOn(machine, job);
+                Resources promised = reservations.reservedForOthersOn(machine, job);
                 return promised.plus(heldDownCapacity.withheldFrom(job, machine, loop.now()));
             }
 
             @Override
             public Set<Job> jobsWithReservedCapacity() {
-                return promises.jobsWithReservedCapacity();
+                return reservations.jobsWithReservedCapacity();
             }
         };
     }
@@ -71,20 +71,20 @@
     /**
      * What decides recalls and carries them out.
      *
-     * @param poke sends a machine the commands that are due
+     * @param commandSender sends a machine the commands that are due
      */
     public RecallPreemption recalls(
-            KeyValueStoreClient store, Placement placement, Consumer<Machine> poke) {
+            KeyValueStoreClient store, Placement placement, Consumer<Machine> commandSender) {
         return new RecallPreemption(
                 fleet,
                 loop,
                 timeouts,
                 new RecallLog(store),
-                new RecallPlanner(fleet, placement, promises, grace, timeouts),
-                promises,
+                new RecallPlanner(fleet, placement, reservations, grace, timeouts),
+                reservations,
                 heldDownCapacity,
                 grace,
                 metrics,
-                poke);
+                commandSender);
     }
 }
--- a/src/main/java/org/springmill/control/scheduling/CompletionBatching.java
+++ b/src/main/java/org/springmill/control/scheduling/CompletionBatching.java
@@ -14,12 +14,12 @@
  */
 final class CompletionBatching {
     /** Longest wait, in gaps between rounds: short against what a start may take. */
-    private static final double MAX_WAIT_GAPS = 4;
+    private static final double MAX_WAIT_INTERVALS = 4;
 
     private final double maxWaitSeconds;
 
-    CompletionBatching(double roundGapSeconds) {
-        this.maxWaitSeconds = MAX_WAIT_GAPS * roundGapSeconds;
+    CompletionBatching(double roundIntervalSeconds) {
+        this.maxWaitSeconds = MAX_WAIT_INTERVALS * roundIntervalSeconds;
     }
 
     /**
--- a/src/main/java/org/springmill/control/scheduling/ImmediatePreemption.java
+++ b/src/main/java/org/springmill/control/scheduling/ImmediatePreemption.java
@@ -40,19 +40,19 @@
     /** Stops work of lower right at once where a waiting job finds no place otherwise. */
     @Override
     public List<Write> decide(long round, List<TaskAttempt> claimed) {
-        makeRoomForWaiting();
+        preemptForWaitingJobs();
         return List.of();
     }
 
-    private void makeRoomForWaiting() {
+    private void preemptForWaitingJobs() {
         double now = fleet.now();
         List<Job> waiting = placement.waiting();
         waiting.removeIf(job -> now < job.failures().notBefore());
         if (waiting.stream().noneMatch(fleet.clusterState()::mayPreemptFor)) {
             return;
         }
-        List<Machine> open = placement.open(now);
-        Map<Machine, Resources> promised = new HashMap<>();
+        List<Machine> open = placement.schedulableMachines(now);
+        Map<Machine, Resources> plannedByMachine = new HashMap<>();
         fleet.clusterState().releaseHeld();
         ExhaustedEquivalenceClasses exhausted =
                 new ExhaustedEquivalenceClasses(placement.jobsWithReservedCapacity(open, now));
@@ -64,7 +64,7 @@
                 usage(job).hold(job.spec(), job.waiting());
             }
             if (wanted <= 0
-                    || placement.unreached(job)
+                    || placement.skippedByFullRound(job)
                     || !fleet.clusterState().mayPreemptFor(job)
                     || exhausted.cover(job)) {
                 continue;
@@ -74,27 +74,35 @@
             MachineRanking ranking =
                     new MachineRanking(
                             open,
-                            machine -> cost(job, made[0] < guaranteed, machine, promised, now));
+                            machine ->
+                                    cost(
+                                            job,
+                                            made[0] < guaranteed,
+                                            machine,
+                                            plannedByMachine,
+                                            now));
             for (; made[0] < wanted; made[0]++) {
                 Machine machine = ranking.best();
                 if (machine == null) {
                     exhausted.add(job);
                     break;
                 }
-                makeRoom(job, made[0] < guaranteed, machine, promised, now);
+                preemptForOneTask(job, made[0] < guaranteed, machine, plannedByMachine, now);
             }
         }
     }
 
     /** Frees room for one task, unless enough is being freed already. */
-    private void makeRoom(
+    private void preemptForOneTask(
             Job job,
             boolean guaranteed,
             Machine machine,
-            Map<Machine, Resources> promised,
+            Map<Machine, Resources> plannedByMachine,
             double now) {
-        List<TaskAttempt> victims = victims(job, guaranteed, machine, promised.get(machine), now);
-        promised.put(machine, promised.getOrDefault(machine, Resources.NONE).plus(job.spec()));
+        List<TaskAttempt> victims =
+                selectVictims(job, guaranteed, machine, plannedByMachine.get(machine), now);
+        plannedByMachine.put(
+                machine, plannedByMachine.getOrDefault(machine, Resources.NONE).plus(job.spec()));
         double savingSeconds = 0;
         for (TaskAttempt victim : victims) {
             Submission spec = victim.job().spec();
@@ -117,18 +125,19 @@
             Job job,
             boolean guaranteed,
             Machine machine,
-            Map<Machine, Resources> promised,
+            Map<Machine, Resources> plannedByMachine,
             double now) {
-        if (!Placement.eligible(job, machine, now)) {
+        if (!Placement.isEligible(job, machine, now)) {
             return Double.POSITIVE_INFINITY;
         }
-        List<TaskAttempt> victims = victims(job, guaranteed, machine, promised.get(machine), now);
+        List<TaskAttempt> victims =
+                selectVictims(job, guaranteed, machine, plannedByMachine.get(machine), now);
         if (victims == null) {
             return Double.POSITIVE_INFINITY;
         }
         double cost = placement.score().of(job, machine, now);
         for (TaskAttempt victim : victims) {
-            cost += VICTIM_COST_SECONDS + lostWork(victim, now);
+            cost += VICTIM_COST_SECONDS + lostWorkSeconds(victim, now);
         }
         return cost;
     }
@@ -136,13 +145,13 @@
     /**
      * What has to be stopped on a machine for one more task of a job to fit; null if it cannot.
      *
-     * @param promised what is being freed there for other tasks, or null
+     * @param plannedByMachine what is being freed there for other tasks, or null
      */
-    private List<TaskAttempt> victims(
-            Job job, boolean guaranteed, Machine machine, Resources promised, double now) {
+    private List<TaskAttempt> selectVictims(
+            Job job, boolean guaranteed, Machine machine, Resources plannedByMachine, double now) {
         Resources free = machine.free();
-        if (promised != null) {
-            free = free.minus(promised);
+        if (plannedByMachine != null) {
+            free = free.minus(plannedByMachine);
         }
         List<TaskAttempt> candidates = new ArrayList<>();
         for (TaskAttempt attempt : machine.attempts()) {
@@ -158,13 +167,13 @@
         candidates.sort(
                 Comparator.comparing((TaskAttempt a) -> a.job().priority())
                         .reversed()
-                        .thenComparingDouble(a -> lostWork(a, now)));
+                        .thenComparingDouble(a -> lostWorkSeconds(a, now)));
         List<TaskAttempt> victims = new ArrayList<>();
         for (TaskAttempt victim : candidates) {
             if (free.hold(job.spec())) {
                 break;
             }
-            if (mayStop(victim, job, guaranteed, victims)) {
+            if (mayPreempt(victim, job, guaranteed, victims)) {
                 free = free.plus(victim.job().spec());
                 victims.add(victim);
             }
@@ -177,7 +186,7 @@
                 || attempt.state() == TaskAttempt.State.ENDED;
     }
 
-    private static double lostWork(TaskAttempt attempt, double now) {
+    private static double lostWorkSeconds(TaskAttempt attempt, double now) {
         Submission spec = attempt.job().spec();
         double ran = attempt.ranSeconds(now);
         return spec.checkpoints() ? Math.min(ran, spec.checkpointSaveSeconds()) : ran;
@@ -189,7 +198,7 @@
      * nothing of a higher priority: else the team that gave way was itself owed its guarantee, or
      * stood first in line again, and the two stopped each other's tasks several times a second.
      */
-    private boolean mayStop(
+    private boolean mayPreempt(
             TaskAttempt victim, Job job, boolean guaranteed, List<TaskAttempt> before) {
         Submission loser = victim.job().spec();
         Priority right = job.priority();
--- a/src/main/java/org/springmill/control/scheduling/MachineRanking.java
+++ b/src/main/java/org/springmill/control/scheduling/MachineRanking.java
@@ -12,13 +12,13 @@
  * controller seconds to place.
  */
 public final class MachineRanking {
-    private record Option(Machine machine, double cost, int order) {}
+    private record Candidate(Machine machine, double cost, int order) {}
 
-    private final PriorityQueue<Option> options =
+    private final PriorityQueue<Candidate> candidates =
             new PriorityQueue<>(
-                    Comparator.comparingDouble(Option::cost).thenComparingInt(Option::order));
+                    Comparator.comparingDouble(Candidate::cost).thenComparingInt(Candidate::order));
     private final ToDoubleFunction<Machine> cost;
-    private Option taken;
+    private Candidate lastReturned;
 
     /**
      * @param cost infinite where the machine cannot be used
@@ -27,29 +27,31 @@
         this.cost = cost;
         int order = 0;
         for (Machine machine : machines) {
-            offer(machine, order++);
+            addCandidate(machine, order++);
         }
     }
 
-    private void offer(Machine machine, int order) {
+    private void addCandidate(Machine machine, int order) {
         double now = cost.applyAsDouble(machine);
         if (now < Double.POSITIVE_INFINITY) {
-            options.add(new Option(machine, now, order));
+            candidates.add(new Candidate(machine, now, order));
         }
     }
 
     /** The machine that costs least now; null if there is none. */
     public Machine best() {
-        if (taken != null) {
-            offer(taken.machine(), taken.order());
+        if (lastReturned != null) {
+            addCandidate(lastReturned.machine(), lastReturned.order());
         }
-        for (taken = options.poll(); taken != null; taken = options.poll()) {
-            double now = cost.applyAsDouble(taken.machine());
-            if (now <= taken.cost()) {
-                return taken.machine();
+        for (lastReturned = candidates.poll();
+                lastReturned != null;
+                lastReturned = candidates.poll()) {
+            double now = cost.applyAsDouble(lastReturned.machine());
+            if (now <= lastReturned.cost()) {
+                return lastReturned.machine();
             }
             if (now < Double.POSITIVE_INFINITY) {
-                options.add(new Option(taken.machine(), now, taken.order()));
+                candidates.add(new Candidate(lastReturned.machine(), now, lastReturned.order()));
             }
         }
         return null;
--- a/src/main/java/org/springmill/control/scheduling/MachineScore.java
+++ b/src/main/java/org/springmill/control/scheduling/MachineScore.java
@@ -15,35 +15,36 @@
      * So much longer a fetch may take for work that can run on a spot machine to be kept off an
      * ordinary one.
      */
-    private static final double ORDINARY_SECONDS = 5;
+    private static final double ON_DEMAND_PENALTY_SECONDS = 5;
 
     /** Worth of keeping room whole for one of the largest replicas; less than any fetch. */
-    private static final double SLOT_SECONDS = 0.6;
+    private static final double FRAGMENTATION_PENALTY_SECONDS = 0.6;
 
     /** For each task that the job has in a machine's zone already, so that replicas spread. */
-    private static final double SAME_ZONE_SECONDS = 0.5;
+    private static final double SAME_ZONE_PENALTY_SECONDS = 0.5;
 
     /**
      * Worth of a machine's free room, all of it: among machines that hold the image the fullest is
      * taken, among others the emptiest.
      */
-    private static final double ROOM_SECONDS = 0.4;
+    private static final double FREE_CAPACITY_WEIGHT_SECONDS = 0.4;
 
     /** For a machine whose report is late: more than most fetches. */
-    private static final double QUIET_SECONDS = 10;
+    private static final double LATE_HEARTBEAT_PENALTY_SECONDS = 10;
 
     /** Reports come at most a quarter of their interval late. */
-    private static final double REPORTS_UNTIL_QUIET = 1.3;
+    private static final double HEARTBEAT_INTERVALS_UNTIL_LATE = 1.3;
 
     private final Timeouts timeouts;
-    private final Submission largest;
+    private final Submission largestReplica;
 
     /**
-     * @param largest the largest replica of any job, for which room should stay whole, or null
+     * @param largestReplica the largest replica of any job, for which room should stay whole, or
+     *     null
      */
-    MachineScore(Timeouts timeouts, Submission largest) {
+    MachineScore(Timeouts timeouts, Submission largestReplica) {
         this.timeouts = timeouts;
-        this.largest = largest;
+        this.largestReplica = largestReplica;
     }
 
     /**
@@ -70,24 +71,25 @@
         double score = machine.imageFetchSeconds(spec, now);
         // Late reports are the first sign of trouble.
         if (now - machine.lastHeartbeatAt()
-                > timeouts.heartbeatIntervalSeconds() * REPORTS_UNTIL_QUIET) {
-            score += QUIET_SECONDS;
+                > timeouts.heartbeatIntervalSeconds() * HEARTBEAT_INTERVALS_UNTIL_LATE) {
+            score += LATE_HEARTBEAT_PENALTY_SECONDS;
         }
-        if (spec.spot() && !machine.spot() && !usesStrandedCpus(spec, machine, largest)) {
+        if (spec.spot() && !machine.spot() && !usesStrandedCpus(spec, machine, largestReplica)) {
             // Ordinary machines are for those that have no other choice; they run out first.
-            score += ORDINARY_SECONDS;
+            score += ON_DEMAND_PENALTY_SECONDS;
         }
         if (spec.service() && spec.tasks() > 1) {
-            score += job.inZone(machine.zone()) * SAME_ZONE_SECONDS;
+            score += job.inZone(machine.zone()) * SAME_ZONE_PENALTY_SECONDS;
         }
-        if (largest != null) {
+        if (largestReplica != null) {
             score +=
-                    SLOT_SECONDS
-                            * (slots(machine, 0, 0, 0)
-                                    - slots(machine, spec.cpus(), spec.gpus(), spec.memoryGb()));
+                    FRAGMENTATION_PENALTY_SECONDS
+                            * (replicaSlots(machine, 0, 0, 0)
+                                    - replicaSlots(
+                                            machine, spec.cpus(), spec.gpus(), spec.memoryGb()));
         }
         // Full machines leave others empty, and only empty ones can be returned.
-        double room = roomShare(machine) * ROOM_SECONDS;
+        double room = freeShare(machine) * FREE_CAPACITY_WEIGHT_SECONDS;
         return machine.holdsImage(spec.image()) ? score + room : score - room;
     }
 
@@ -111,27 +113,27 @@
     }
 
     /** How many of the largest replicas fit a machine once so much more of it is taken. */
-    private int slots(Machine machine, double cpus, double gpus, double memory) {
-        if (!machine.isAllowedFor(largest)) {
+    private int replicaSlots(Machine machine, double cpus, double gpus, double memory) {
+        if (!machine.isAllowedFor(largestReplica)) {
             return 0;
         }
         double byCpus =
-                largest.cpus() == 0
+                largestReplica.cpus() == 0
                         ? 1e6
-                        : (machine.freeCpus() - cpus + Resources.ROUNDING) / largest.cpus();
+                        : (machine.freeCpus() - cpus + Resources.ROUNDING) / largestReplica.cpus();
         double byGpus =
-                largest.gpus() == 0
+                largestReplica.gpus() == 0
                         ? 1e6
-                        : (machine.freeGpus() - gpus + Resources.ROUNDING) / largest.gpus();
+                        : (machine.freeGpus() - gpus + Resources.ROUNDING) / largestReplica.gpus();
         double byMemory =
-                largest.memoryGb() == 0
+                largestReplica.memoryGb() == 0
                         ? 1e6
                         : (machine.free().memoryGb() - memory + Resources.ROUNDING)
-                                / largest.memoryGb();
+                                / largestReplica.memoryGb();
         return (int) Math.max(0, Math.floor(Math.min(byCpus, Math.min(byGpus, byMemory))));
     }
 
-    private static double roomShare(Machine machine) {
+    private static double freeShare(Machine machine) {
         double cpus = machine.freeCpus() / Math.max(1e-6, machine.type().cpus());
         return machine.type().gpus() == 0
                 ? cpus
--- a/src/main/java/org/springmill/control/scheduling/Placement.java
+++ b/src/main/java/org/springmill/control/scheduling/Placement.java
@@ -21,13 +21,13 @@
 /** Chooses machines for waiting tasks. */
 public final class Placement {
     /** For a machine on which the job failed: more than any wait for an image. */
-    private static final double AVOIDED_SECONDS = 1e4;
+    private static final double AVOIDED_MACHINE_PENALTY_SECONDS = 1e4;
 
     private final Fleet fleet;
     private final Timeouts timeouts;
 
     /** Jobs that the last round was full before it came to. */
-    private final Set<Job> unreached = new HashSet<>();
+    private final Set<Job> skippedByFullRound = new HashSet<>();
 
     private final Reservations reservations;
     private final CapacityFilter capacityFilter;
@@ -96,7 +96,7 @@
         double now = fleet.now();
         List<TaskAttempt> placed = new ArrayList<>();
         fleet.clusterState().releaseHeld();
-        unreached.clear();
+        skippedByFullRound.clear();
         List<Job> waiting = waiting();
         reservations.update(waiting, now);
         if (waiting.isEmpty()) {
@@ -106,7 +106,7 @@
                 new MachineScore(
                         timeouts,
                         MachineScore.largestReplica(fleet.clusterState().jobs().values()));
-        List<Machine> open = open(now);
+        List<Machine> open = schedulableMachines(now);
         ExhaustedEquivalenceClasses exhausted =
                 new ExhaustedEquivalenceClasses(jobsWithReservedCapacity(open, now));
         for (Job job : waiting) {
@@ -114,7 +114,7 @@
                 continue;
             }
             if (placed.size() >= most && !job.spec().gang()) {
-                unreached.add(job);
+                skippedByFullRound.add(job);
                 continue;
             }
             if (!job.spec().gang() && !usage(job).allows(job.spec())) {
@@ -125,7 +125,7 @@
                 continue;
             }
             MachineRanking ranking =
-                    new MachineRanking(open, machine -> placingCost(job, machine, now));
+                    new MachineRanking(open, machine -> placementCost(job, machine, now));
             if (job.spec().gang()) {
                 placeGang(job, ranking, round, most, placed);
                 continue;
@@ -161,8 +161,8 @@
      * place for it. Ranking all machines for each job of a long queue, of which a round takes the
      * first few, held the leader up for seconds after an outage with two thousand machines.
      */
-    public boolean unreached(Job job) {
-        return unreached.contains(job);
+    public boolean skippedByFullRound(Job job) {
+        return skippedByFullRound.contains(job);
     }
 
     private boolean placeNext(
@@ -192,7 +192,8 @@
                 machine != null
                         && machine.isSchedulable(fleet.now(), timeouts.suspectAfterSeconds())
                         && machine.holdsImage(job.spec().image())
-                        && placingCost(job, machine, fleet.now()) < AVOIDED_SECONDS;
+                        && placementCost(job, machine, fleet.now())
+                                < AVOIDED_MACHINE_PENALTY_SECONDS;
         return usable ? machine : null;
     }
 
@@ -215,7 +216,7 @@
     }
 
     /** Machines that take new work. */
-    public List<Machine> open(double now) {
+    public List<Machine> schedulableMachines(double now) {
         List<Machine> open = new ArrayList<>();
         for (Machine machine : fleet.machines()) {
             if (machine.isSchedulable(now, timeouts.suspectAfterSeconds())) {
@@ -226,21 +227,21 @@
     }
 
     /** Whether a job may run on a machine, if there is room. */
-    public static boolean eligible(Job job, Machine machine, double now) {
+    public static boolean isEligible(Job job, Machine machine, double now) {
         return machine.isAllowedFor(job.spec())
                 && !job.failures().excludes(machine.name(), now)
                 && job.zoneAllows(machine.zone());
     }
 
     private static double avoidanceCost(Job job, Machine machine, double now) {
-        return job.failures().avoids(machine.name(), now) ? AVOIDED_SECONDS : 0;
+        return job.failures().avoids(machine.name(), now) ? AVOIDED_MACHINE_PENALTY_SECONDS : 0;
     }
 
     /**
      * Work of a team without a guarantee takes what is idle, and not the room that stands ready for
      * others: they would wait until it had given way, longer than many may wait for a start.
      */
-    private boolean hasRoom(Job job, Machine machine) {
+    private boolean hasCapacity(Job job, Machine machine) {
         Resources kept = capacityFilter.withheldFrom(job, machine);
         if (!usage(job).hasGuarantee()) {
             kept = kept.plus(machine.allocation().headroom());
@@ -252,9 +253,9 @@
      * A holder of the image first, the fullest of them; then the quickest fetch, and among equals
      * the one with most free room.
      */
-    private double placingCost(Job job, Machine machine, double now) {
-        return hasRoom(job, machine)
-                        && eligible(job, machine, now)
+    private double placementCost(Job job, Machine machine, double now) {
+        return hasCapacity(job, machine)
+                        && isEligible(job, machine, now)
                         && !machine.allocation().isReservedForOthers(job, now)
                         && !reservations.reservedFrom(job, machine)
                 ? score.of(job, machine, now) + avoidanceCost(job, machine, now)
--- a/src/main/java/org/springmill/control/scheduling/PlacementRounds.java
+++ b/src/main/java/org/springmill/control/scheduling/PlacementRounds.java
@@ -32,36 +32,36 @@
     private final Fleet fleet;
     private final Placement placement;
     private final PreemptionPolicy preemption;
-    private final RoundLog log;
+    private final RoundLog roundLog;
     private final Leadership leadership;
     private final EventLoop loop;
-    private final double gapSeconds;
-    private final CompletionBatching endBatching;
+    private final double minIntervalSeconds;
+    private final CompletionBatching completionBatching;
     private final Listener listener;
     private boolean committing;
-    private boolean wanted;
-    private boolean scheduled;
-    private boolean postponed;
+    private boolean roundRequested;
+    private boolean roundScheduled;
+    private boolean retryScheduled;
     private boolean closed;
-    private double lastRound = Double.NEGATIVE_INFINITY;
+    private double lastRoundAt = Double.NEGATIVE_INFINITY;
 
     public PlacementRounds(
             Fleet fleet,
             Placement placement,
             PreemptionPolicy preemption,
-            RoundLog log,
+            RoundLog roundLog,
             Leadership leadership,
             EventLoop loop,
-            double gapSeconds,
+            double minIntervalSeconds,
             Listener listener) {
         this.fleet = fleet;
         this.placement = placement;
         this.preemption = preemption;
-        this.log = log;
+        this.roundLog = roundLog;
         this.leadership = leadership;
         this.loop = loop;
-        this.gapSeconds = gapSeconds;
-        this.endBatching = new CompletionBatching(gapSeconds);
+        this.minIntervalSeconds = minIntervalSeconds;
+        this.completionBatching = new CompletionBatching(minIntervalSeconds);
         this.listener = listener;
     }
 
@@ -74,27 +74,28 @@
      * service's limits allow.
      */
     public void request() {
-        wanted = true;
-        if (!scheduled && !committing && !closed) {
-            scheduled = true;
-            loop.after(Math.max(0, lastRound + gapSeconds - loop.now()), this::run);
+        roundRequested = true;
+        if (!roundScheduled && !committing && !closed) {
+            roundScheduled = true;
+            loop.after(Math.max(0, lastRoundAt + minIntervalSeconds - loop.now()), this::run);
         }
     }
 
     private void run() {
-        scheduled = false;
-        if (closed || committing || !wanted || !leadership.mayPlace()) {
+        roundScheduled = false;
+        if (closed || committing || !roundRequested || !leadership.mayPlace()) {
             return;
         }
-        if (postponeEnds()) {
+        if (postponeCompletions()) {
             return;
         }
-        wanted = false;
-        lastRound = loop.now();
-        List<TaskAttempt> ended = fleet.clusterState().drainEnded(log.endsPerRound());
+        roundRequested = false;
+        lastRoundAt = loop.now();
+        List<TaskAttempt> ended = fleet.clusterState().drainEnded(roundLog.endsPerRound());
         preemption.release(ended);
-        List<TaskAttempt> claimed = placement.place(log.next(), log.claimsBeside(ended.size()));
-        List<Write> attached = preemption.decide(log.next(), claimed);
+        List<TaskAttempt> claimed =
+                placement.place(roundLog.next(), roundLog.claimsBeside(ended.size()));
+        List<Write> attached = preemption.decide(roundLog.next(), claimed);
         if (ended.isEmpty() && claimed.isEmpty() && attached.isEmpty()) {
             return;
         }
@@ -104,44 +105,45 @@
         ended.forEach(
                 attempt -> ends.add(new End(attempt.claim(), attempt.cause() == ExitCause.DONE)));
         committing = true;
-        long number = log.next();
+        long number = roundLog.next();
         double since = loop.now();
-        log.append(
+        roundLog.append(
                 claims,
                 ends,
                 attached,
                 () -> {
                     committing = false;
                     LOG.debug("round {}: {} claims, {} ends", number, claimed.size(), ended.size());
-                    committed(claimed, ended, since);
+                    applyCommitted(claimed, ended, since);
                 },
                 listener::lost);
     }
 
     /** Puts off a round that would hold only ends on which nothing depends. */
-    private boolean postponeEnds() {
+    private boolean postponeCompletions() {
         if (!fleet.clusterState().hasEnded()) {
             return false;
         }
         boolean workWaits = placement.anyWaiting();
         double seconds =
-                endBatching.postponeSeconds(fleet.clusterState().ended(), workWaits, loop.now());
+                completionBatching.postponeSeconds(
+                        fleet.clusterState().ended(), workWaits, loop.now());
         if (seconds == 0) {
             return false;
         }
-        if (!postponed) {
-            postponed = true;
-            loop.after(seconds, this::resume);
+        if (!retryScheduled) {
+            retryScheduled = true;
+            loop.after(seconds, this::retryPostponed);
         }
         return true;
     }
 
-    private void resume() {
-        postponed = false;
+    private void retryPostponed() {
+        retryScheduled = false;
         request();
     }
 
-    private void committed(List<TaskAttempt> claimed, List<TaskAttempt> ended, double since) {
+    private void applyCommitted(List<TaskAttempt> claimed, List<TaskAttempt> ended, double since) {
         double now = loop.now();
         for (TaskAttempt attempt : ended) {
             if (attempt.cause() == ExitCause.DONE) {
--- a/src/main/java/org/springmill/control/scheduling/Reservations.java
+++ b/src/main/java/org/springmill/control/scheduling/Reservations.java
@@ -39,10 +39,10 @@
      * Since when each job has waited for its first place, or a service for room for all of its
      * replicas.
      */
-    private final Map<Job, Double> waitsSince = new HashMap<>();
+    private final Map<Job, Double> waitingSince = new HashMap<>();
 
     /** Machines that run empty for a job that waited too long. */
-    private final Map<Machine, Job> reserved = new LinkedHashMap<>();
+    private final Map<Machine, Job> jobByMachine = new LinkedHashMap<>();
 
     Reservations(Fleet fleet, Timeouts timeouts) {
         this.fleet = fleet;
@@ -53,36 +53,37 @@
         return fleet.clusterState().usage(job.spec().team());
     }
 
-    private static boolean begun(Job job) {
+    private static boolean hasStarted(Job job) {
         return !job.spec().service() && job.liveCount() > 0;
     }
 
     /** The jobs for which a machine is reserved. */
     public Collection<Job> holders() {
-        return reserved.values();
+        return jobByMachine.values();
     }
 
     /** Notes who waits, and gives up reservations that are of no more use. */
     void update(List<Job> waiting, double now) {
         Set<Job> waits = new HashSet<>(waiting);
-        waits.removeIf(Reservations::begun);
-        waitsSince.keySet().retainAll(waits);
-        waits.forEach(job -> waitsSince.putIfAbsent(job, now));
-        reserved.entrySet()
+        waits.removeIf(Reservations::hasStarted);
+        waitingSince.keySet().retainAll(waits);
+        waits.forEach(job -> waitingSince.putIfAbsent(job, now));
+        jobByMachine
+                .entrySet()
                 .removeIf(
                         e ->
                                 !waits.contains(e.getValue())
-                                        || !isOfUse(e.getKey(), e.getValue(), now));
+                                        || !isUsable(e.getKey(), e.getValue(), now));
     }
 
     /**
      * Whether a job needs no reservation: some of it runs, it has not waited for long, or it fails
      * where it runs and so waits for itself.
      */
-    private boolean mayWaitOn(Job job, double now) {
-        return begun(job)
+    private boolean needsNoReservation(Job job, double now) {
+        return hasStarted(job)
                 || job.failures().isSuspect()
-                || now - waitsSince.get(job)
+                || now - waitingSince.get(job)
                         < LEASES_BEFORE_RESERVATION * timeouts.workerLeaseSeconds();
     }
 
@@ -92,17 +93,17 @@
      * most of a machine never began.
      */
     void reserve(Job job, List<Machine> open, double now) {
-        if (mayWaitOn(job, now)
-                || reserved.containsValue(job)
-                || reserved.size() >= Math.max(1, open.size() * RESERVED_SHARE)) {
+        if (needsNoReservation(job, now)
+                || jobByMachine.containsValue(job)
+                || jobByMachine.size() >= Math.max(1, open.size() * RESERVED_SHARE)) {
             return;
         }
         Machine best = null;
         double soonest = Double.POSITIVE_INFINITY;
         for (Machine machine : open) {
             double seconds =
-                    Placement.eligible(job, machine, now) && !reserved.containsKey(machine)
-                            ? secondsUntilRoom(job, machine, now)
+                    Placement.isEligible(job, machine, now) && !jobByMachine.containsKey(machine)
+                            ? secondsUntilCapacity(job, machine, now)
                             : soonest;
             if (seconds < soonest) {
                 soonest = seconds;
@@ -111,7 +112,7 @@
         }
         if (best != null) {
             LOG.info("{} waits for its turn: {} is kept for it", job.id(), best.name());
-            reserved.put(best, job);
+            jobByMachine.put(best, job);
         }
     }
 
@@ -119,7 +120,7 @@
      * When a machine should have room for a task if nothing else is placed there; never if replicas
      * stand in the way.
      */
-    private static double secondsUntilRoom(Job job, Machine machine, double now) {
+    private static double secondsUntilCapacity(Job job, Machine machine, double now) {
         Resources free = machine.free();
         List<TaskAttempt> ending = new ArrayList<>();
         for (TaskAttempt attempt : machine.attempts()) {
@@ -150,9 +151,9 @@
      * A machine kept for a job that may not be placed there, or not at all by now, would only stand
      * idle.
      */
-    private boolean isOfUse(Machine machine, Job job, double now) {
+    private boolean isUsable(Machine machine, Job job, double now) {
         return machine.isSchedulable(now, timeouts.suspectAfterSeconds())
-                && Placement.eligible(job, machine, now)
+                && Placement.isEligible(job, machine, now)
                 && now >= job.failures().notBefore()
                 && usage(job).allows(job.spec());
     }
@@ -162,7 +163,7 @@
      * case.
      */
     public boolean reservedFrom(Job job, Machine machine) {
-        Job other = reserved.get(machine);
+        Job other = jobByMachine.get(machine);
         if (other == null || other == job || job.priority().above(other.priority())) {
             return false;
         }
--- a/src/test/java/org/springmill/control/scheduling/FullRoundTest.java
+++ b/src/test/java/org/springmill/control/scheduling/FullRoundTest.java
@@ -86,11 +86,11 @@
         machineIsUp();
         jobsWait();
         assertEquals(1, placement.place(1, 1).size());
-        assertFalse(placement.unreached(jobs.get(0)));
-        assertTrue(placement.unreached(jobs.get(1)));
-        assertTrue(placement.unreached(jobs.get(2)));
+        assertFalse(placement.skippedByFullRound(jobs.get(0)));
+        assertTrue(placement.skippedByFullRound(jobs.get(1)));
+        assertTrue(placement.skippedByFullRound(jobs.get(2)));
         assertEquals(2, placement.place(2, 96).size());
-        jobs.forEach(job -> assertFalse(placement.unreached(job)));
+        jobs.forEach(job -> assertFalse(placement.skippedByFullRound(job)));
     }
 
     /** A job that finds no place was come to, and work may be stopped for it. */
@@ -98,6 +98,6 @@
     void aJobWithoutAPlaceWasReached() {
         jobsWait();
         assertEquals(0, placement.place(1, 1).size());
-        jobs.forEach(job -> assertFalse(placement.unreached(job)));
+        jobs.forEach(job -> assertFalse(placement.skippedByFullRound(job)));
     }
 }
