--- /dev/null
+++ b/src/main/java/org/springmill/control/recall/ConfirmedUsage.java
@@ -0,0 +1,64 @@
+package org.springmill.control.recall;
+
+import java.util.HashMap;
+import java.util.Map;
+import org.springmill.control.cluster.Fleet;
+import org.springmill.control.cluster.Machine;
+import org.springmill.control.cluster.TaskAttempt;
+import org.springmill.protocol.Resources;
+import org.springmill.protocol.Submission;
+
+/**
+ * What each team is known to run, by recent heartbeats. A task that no heartbeat has named lately
+ * may not run any more, or may never have: when such tasks were counted, a team could lose more
+ * than its entitlement allows.
+ */
+final class ConfirmedUsage {
+    private final Fleet fleet;
+    private final double validSeconds;
+
+    /** Computed on the first use after a reset; null until then. */
+    private Map<String, Resources> byTeam;
+
+    /**
+     * @param validSeconds how long a heartbeat confirms that a task runs
+     */
+    ConfirmedUsage(Fleet fleet, double validSeconds) {
+        this.fleet = fleet;
+        this.validSeconds = validSeconds;
+    }
+
+    /** Has the usage computed anew when it is next asked for. */
+    void reset() {
+        byTeam = null;
+    }
+
+    /** What a team is known to run, without what is recalled already. */
+    Resources of(String team) {
+        if (byTeam == null) {
+            byTeam = compute();
+        }
+        return byTeam.getOrDefault(team, Resources.NONE);
+    }
+
+    private Map<String, Resources> compute() {
+        Map<String, Resources> usage = new HashMap<>();
+        for (Machine machine : fleet.machines()) {
+            for (TaskAttempt attempt : machine.attempts()) {
+                if (isConfirmed(attempt) && !attempt.recalled()) {
+                    Submission spec = attempt.job().spec();
+                    usage.merge(spec.team(), Resources.of(spec), Resources::plus);
+                }
+            }
+        }
+        return usage;
+    }
+
+    /** Whether a recent heartbeat names a task as running or fetching its image. */
+    boolean isConfirmed(TaskAttempt attempt) {
+        boolean started =
+                attempt.state() == TaskAttempt.State.RUNNING
+                        || attempt.state() == TaskAttempt.State.FETCHING;
+        return started && fleet.now() - attempt.lastReported() < validSeconds;
+    }
+}
--- /dev/null
+++ b/src/main/java/org/springmill/control/recall/RecallBatchSelection.java
@@ -0,0 +1,140 @@
+package org.springmill.control.recall;
+
+import java.util.ArrayList;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.Optional;
+import org.springmill.control.borrowing.VictimSelection;
+import org.springmill.control.borrowing.VictimSelection.Candidate;
+import org.springmill.control.cluster.Job;
+import org.springmill.control.cluster.Machine;
+import org.springmill.control.cluster.TaskAttempt;
+import org.springmill.control.scheduling.PreemptionPolicy;
+import org.springmill.protocol.Resources;
+
+/** Chooses, on one machine, for how many tasks of a job capacity is freed, and by which victims. */
+final class RecallBatchSelection {
+    private final RecallReservations reservations;
+    private final PlannedRecalls planned;
+    private final RecallRules rules;
+    private final GracePeriods grace;
+
+    /** What one machine offers a beneficiary, whatever the number of its tasks. */
+    private record Offer(Resources free, List<Candidate<VictimUnit>> candidates) {}
+
+    /**
+     * The job for which capacity is freed.
+     *
+     * @param maxTasks for how many of its tasks at most
+     * @param guaranteedTasks how many more tasks are within its team's guaranteed quota
+     * @param scoreSeconds score of the machine for the job
+     */
+    record Request(Job job, int maxTasks, int guaranteedTasks, double scoreSeconds) {}
+
+    RecallBatchSelection(
+            RecallReservations reservations,
+            PlannedRecalls planned,
+            RecallRules rules,
+            GracePeriods grace) {
+        this.reservations = reservations;
+        this.planned = planned;
+        this.rules = rules;
+        this.grace = grace;
+    }
+
+    /** The batch with the lowest cost per task; empty if not even one task can be made to fit. */
+    Optional<RecallBatch> best(Request request, Machine machine, double now) {
+        Offer offer = offer(machine, now);
+        RecallBatch best = null;
+        boolean zoneBound = request.job().spec().oneZone() || request.job().spec().spread();
+        int largest = zoneBound ? 1 : request.maxTasks();
+        for (int tasks = 1; tasks <= largest; tasks = nextSize(tasks, largest)) {
+            Optional<RecallBatch> batch = batch(request, tasks, offer);
+            if (batch.isEmpty()) {
+                break;
+            }
+            if (best == null || batch.get().costPerTask() < best.costPerTask()) {
+                best = batch.get();
+            }
+        }
+        return Optional.ofNullable(best);
+    }
+
+    /** One, two, four and so on, and the largest number last. */
+    private static int nextSize(int tasks, int largest) {
+        return tasks < largest ? Math.min(largest, 2 * tasks) : largest + 1;
+    }
+
+    private Optional<RecallBatch> batch(Request request, int tasks, Offer offer) {
+        Job job = request.job();
+        boolean guaranteed = tasks <= request.guaranteedTasks();
+        return VictimSelection.choose(
+                        offer.free(),
+                        Resources.of(job.spec()).times(tasks),
+                        offer.candidates(),
+                        (unit, others) -> rules.mayRecall(unit, job, guaranteed, others))
+                .map(choice -> batch(tasks, choice, request.scoreSeconds()));
+    }
+
+    private RecallBatch batch(
+            int tasks, VictimSelection.Choice<VictimUnit> choice, double scoreSeconds) {
+        List<TaskAttempt> victims = new ArrayList<>();
+        choice.victims().forEach(unit -> victims.addAll(unit.onMachine()));
+        double waitSeconds = tasks * (scoreSeconds + grace.longestCheckpointSeconds(victims));
+        return new RecallBatch(tasks, victims, waitSeconds + choice.costSeconds());
+    }
+
+    /** What is free on a machine or will be, and what could be stopped there. */
+    private Offer offer(Machine machine, double now) {
+        List<Candidate<VictimUnit>> candidates = new ArrayList<>();
+        Resources free =
+                machine.free()
+                        .minus(reservations.reservedOn(machine))
+                        .minus(planned.reservedOn(machine));
+        Map<Job, List<TaskAttempt>> gangs = new LinkedHashMap<>();
+        for (TaskAttempt attempt : machine.attempts()) {
+            if (isEnding(attempt)) {
+                free = willFreeCapacity(attempt, now) ? free.plus(attempt.job().spec()) : free;
+            } else if (isStoppable(attempt) && attempt.job().spec().gang()) {
+                gangs.computeIfAbsent(attempt.job(), gang -> new ArrayList<>()).add(attempt);
+            } else if (isStoppable(attempt)) {
+                candidates.add(candidate(VictimUnit.ofTask(attempt), now));
+            }
+        }
+        gangs.forEach(
+                (gang, members) ->
+                        candidates.add(candidate(VictimUnit.ofGang(gang, members), now)));
+        return new Offer(free, candidates);
+    }
+
+    /** Stopping one member of a gang costs what all of its members have done. */
+    private Candidate<VictimUnit> candidate(VictimUnit unit, double now) {
+        double cost = 0;
+        for (TaskAttempt attempt : unit.stopped()) {
+            cost += PreemptionPolicy.VICTIM_COST_SECONDS + grace.lostWorkSeconds(attempt, now);
+        }
+        Resources frees = Resources.of(unit.job().spec()).times(unit.onMachine().size());
+        return new Candidate<>(unit, unit.job().priority(), frees, cost);
+    }
+
+    private boolean isEnding(TaskAttempt attempt) {
+        return attempt.recalled()
+                || planned.isVictim(attempt)
+                || attempt.state() == TaskAttempt.State.STOPPING
+                || attempt.state() == TaskAttempt.State.ENDED;
+    }
+
+    /** Before its claim is committed there is nothing to stop. */
+    private static boolean isStoppable(TaskAttempt attempt) {
+        return attempt.state() != TaskAttempt.State.CLAIMING;
+    }
+
+    /** Whether the capacity of a task that is ending is not free yet, but expected to be soon. */
+    private boolean willFreeCapacity(TaskAttempt attempt, double now) {
+        boolean overdue =
+                attempt.state() == TaskAttempt.State.STOPPING
+                        && now - attempt.stateSince() > grace.stopTimeoutSeconds(attempt);
+        return !attempt.released() && !overdue;
+    }
+}
--- a/src/main/java/org/springmill/control/recall/RecallPreemption.java
+++ b/src/main/java/org/springmill/control/recall/RecallPreemption.java
@@ -241,11 +241,11 @@
         if (!planner.isDue()) {
             return List.of();
         }
-        List<RecallPlanner.Plan> coming = new ArrayList<>();
+        List<RecallPlan> coming = new ArrayList<>();
         List<ActiveRecall> decided = new ArrayList<>();
         List<Recall> recalls = new ArrayList<>();
-        for (RecallPlanner.Plan plan : planner.plan()) {
-            if (plan.roomComes()) {
+        for (RecallPlan plan : planner.plan()) {
+            if (plan.needsNoVictims()) {
                 coming.add(plan);
                 continue;
             }
@@ -281,8 +281,7 @@
         return victims.stream().mapToDouble(seconds).average().orElse(0);
     }
 
-    private static Recall recall(
-            RecallPlanner.Plan plan, long round, int ordinal, double graceEndsAt) {
+    private static Recall recall(RecallPlan plan, long round, int ordinal, double graceEndsAt) {
         List<TaskId> victims =
                 plan.victims().stream().map(victim -> victim.claim().task()).toList();
         return Recall.decide(
--- a/src/main/java/org/springmill/control/recall/RecallReservations.java
+++ b/src/main/java/org/springmill/control/recall/RecallReservations.java
@@ -27,7 +27,7 @@
      * not committed, since nobody is stopped for it. Piece by piece it would go to work of lower
      * right, which then had to be stopped.
      */
-    private Map<Machine, List<RecallPlanner.Plan>> expectedCapacity = Map.of();
+    private Map<Machine, List<RecallPlan>> expectedCapacity = Map.of();
 
     /**
      * A recall with what it is about.
@@ -108,15 +108,14 @@
     }
 
     /** Replaces what is known of room that comes by itself. */
-    void setExpectedCapacity(List<RecallPlanner.Plan> plans) {
-        expectedCapacity =
-                plans.stream().collect(Collectors.groupingBy(RecallPlanner.Plan::machine));
+    void setExpectedCapacity(List<RecallPlan> plans) {
+        expectedCapacity = plans.stream().collect(Collectors.groupingBy(RecallPlan::machine));
     }
 
     /** What is promised on a machine to other jobs than this one. */
     Resources reservedForOthersOn(Machine machine, Job job) {
         Resources sum = sumExcept(machine, job);
-        for (RecallPlanner.Plan plan : expectedCapacity.getOrDefault(machine, List.of())) {
+        for (RecallPlan plan : expectedCapacity.getOrDefault(machine, List.of())) {
             if (plan.beneficiary() != job) {
                 sum = sum.plus(plan.beneficiary().spec());
             }
--- /dev/null
+++ b/src/main/java/org/springmill/control/recall/VictimUnit.java
@@ -0,0 +1,28 @@
+package org.springmill.control.recall;
+
+import java.util.List;
+import org.springmill.control.cluster.Job;
+import org.springmill.control.cluster.TaskAttempt;
+import org.springmill.protocol.Resources;
+
+/**
+ * Tasks that can only be stopped together: one task, or the members of a gang.
+ *
+ * @param onMachine those on the machine in question
+ * @param loss what their team loses, on all machines
+ */
+record VictimUnit(Job job, List<TaskAttempt> onMachine, Resources loss) {
+    static VictimUnit ofTask(TaskAttempt attempt) {
+        return new VictimUnit(attempt.job(), List.of(attempt), Resources.of(attempt.job().spec()));
+    }
+
+    static VictimUnit ofGang(Job gang, List<TaskAttempt> onMachine) {
+        Resources loss = Resources.of(gang.spec()).times(gang.liveCount());
+        return new VictimUnit(gang, onMachine, loss);
+    }
+
+    /** All attempts that end if these are stopped. */
+    List<TaskAttempt> stopped() {
+        return job.spec().gang() ? job.attempts() : onMachine;
+    }
+}
--- a/src/main/java/org/springmill/control/scheduling/CapacityFilter.java
+++ b/src/main/java/org/springmill/control/scheduling/CapacityFilter.java
@@ -5,7 +5,7 @@
 import org.springmill.control.cluster.Machine;
 import org.springmill.protocol.Resources;
 
-/** Free room on machines that some jobs may not use. */
+/** Withholds free capacity of machines from jobs that may not use it. */
 public interface CapacityFilter {
     /** Nothing is withheld. */
     CapacityFilter NONE =
@@ -21,9 +21,9 @@
                 }
             };
 
-    /** What a job may not use of a machine's free room. */
+    /** The part of a machine's free capacity that a job may not use. */
     Resources withheldFrom(Job job, Machine machine);
 
-    /** Jobs that may use room which others of their shape may not. */
+    /** Jobs that may use capacity which others of their equivalence class may not. */
     Set<Job> jobsWithReservedCapacity();
 }
--- a/src/main/java/org/springmill/control/scheduling/CompletionBatching.java
+++ b/src/main/java/org/springmill/control/scheduling/CompletionBatching.java
@@ -8,35 +8,39 @@
 import org.springmill.protocol.WorkerMessages.ExitCause;
 
 /**
- * Decides whether ended attempts may wait for a later round. Every round costs writes of the state
- * service, and at a low limit a round for each single end kept the claims of new work waiting for
- * the budget. An end that nothing depends on is committed together with later ones.
+ * Decides for how long ended attempts may wait to be committed with later ones. Each round costs
+ * writes of the key-value store; at a low rate limit a round for each single end delayed the claims
+ * of new tasks. Only ends that nothing depends on are batched.
  */
 final class CompletionBatching {
-    /** Longest wait, in gaps between rounds: short against what a start may take. */
+    /** Longest wait, in intervals between rounds: short against the time a start may take. */
     private static final double MAX_WAIT_INTERVALS = 4;
 
     private final double maxWaitSeconds;
 
+    /**
+     * @param roundIntervalSeconds least time between two rounds
+     */
     CompletionBatching(double roundIntervalSeconds) {
         this.maxWaitSeconds = MAX_WAIT_INTERVALS * roundIntervalSeconds;
     }
 
     /**
-     * Seconds for which a round with nothing but these ends may be put off; 0 if something depends
-     * on one of them.
+     * Seconds for which a round with only these ends may be postponed; 0 if something depends on
+     * one of them.
      *
-     * @param workWaits whether any task waits to be placed, perhaps for the room that an end frees
+     * @param tasksWait whether any task waits to be placed, perhaps for the capacity that an end
+     *     frees
      */
-    double postponeSeconds(Collection<TaskAttempt> ended, boolean workWaits, double now) {
-        if (workWaits) {
+    double postponeSeconds(Collection<TaskAttempt> ended, boolean tasksWait, double now) {
+        if (tasksWait) {
             return 0;
         }
         Map<Job, Integer> finishedTasks = new HashMap<>();
-        double firstEnd = now;
+        double firstEndAt = now;
         for (TaskAttempt attempt : ended) {
             Job job = attempt.job();
-            firstEnd = Math.min(firstEnd, attempt.stateSince());
+            firstEndAt = Math.min(firstEndAt, attempt.stateSince());
             if (job.active() && attempt.cause() != ExitCause.DONE) {
                 return 0;
             }
@@ -45,6 +49,6 @@
                 return 0;
             }
         }
-        return Math.max(0, firstEnd + maxWaitSeconds - now);
+        return Math.max(0, firstEndAt + maxWaitSeconds - now);
     }
 }
--- a/src/main/java/org/springmill/control/scheduling/MachineRanking.java
+++ b/src/main/java/org/springmill/control/scheduling/MachineRanking.java
@@ -1,15 +1,16 @@
 package org.springmill.control.scheduling;
 
 import java.util.Comparator;
+import java.util.Optional;
 import java.util.PriorityQueue;
 import java.util.function.ToDoubleFunction;
 import org.springmill.control.cluster.Machine;
 
 /**
- * Machines by what it costs to use them for one job. Using a machine changes the cost of that one,
- * and can only raise that of others in its zone, so each task looks at the few machines on top
- * rather than at all of them: with hundreds of machines, arrays of a hundred tasks took a
- * controller seconds to place.
+ * Machines by the cost of using them for one job. Using a machine changes its own cost, and can
+ * only raise that of others in its zone, so each task compares the few machines on top rather than
+ * all of them: with hundreds of machines, arrays of a hundred tasks took a controller seconds to
+ * place.
  */
 public final class MachineRanking {
     private record Candidate(Machine machine, double cost, int order) {}
@@ -18,9 +19,13 @@
             new PriorityQueue<>(
                     Comparator.comparingDouble(Candidate::cost).thenComparingInt(Candidate::order));
     private final ToDoubleFunction<Machine> cost;
+
+    /** Not among the candidates until its cost is known again; null before the first. */
     private Candidate lastReturned;
 
     /**
+     * Ranks machines; among equal costs the earlier one is preferred.
+     *
      * @param cost infinite where the machine cannot be used
      */
     public MachineRanking(Iterable<Machine> machines, ToDoubleFunction<Machine> cost) {
@@ -32,28 +37,29 @@
     }
 
     private void addCandidate(Machine machine, int order) {
-        double now = cost.applyAsDouble(machine);
-        if (now < Double.POSITIVE_INFINITY) {
-            candidates.add(new Candidate(machine, now, order));
+        double currentCost = cost.applyAsDouble(machine);
+        if (currentCost < Double.POSITIVE_INFINITY) {
+            candidates.add(new Candidate(machine, currentCost, order));
         }
     }
 
-    /** The machine that costs least now; null if there is none. */
-    public Machine best() {
+    /** The machine of the lowest cost at present; empty if none can be used. */
+    public Optional<Machine> best() {
         if (lastReturned != null) {
             addCandidate(lastReturned.machine(), lastReturned.order());
         }
         for (lastReturned = candidates.poll();
                 lastReturned != null;
                 lastReturned = candidates.poll()) {
-            double now = cost.applyAsDouble(lastReturned.machine());
-            if (now <= lastReturned.cost()) {
-                return lastReturned.machine();
+            Machine machine = lastReturned.machine();
+            double currentCost = cost.applyAsDouble(machine);
+            if (currentCost <= lastReturned.cost()) {
+                return Optional.of(machine);
             }
-            if (now < Double.POSITIVE_INFINITY) {
-                candidates.add(new Candidate(lastReturned.machine(), now, lastReturned.order()));
+            if (currentCost < Double.POSITIVE_INFINITY) {
+                candidates.add(new Candidate(machine, currentCost, lastReturned.order()));
             }
         }
-        return null;
+        return Optional.empty();
     }
 }
--- a/src/main/java/org/springmill/control/scheduling/MachineScore.java
+++ b/src/main/java/org/springmill/control/scheduling/MachineScore.java
@@ -7,40 +7,45 @@
 import org.springmill.protocol.Submission;
 
 /**
- * Says how well a machine suits a task of a job, in seconds: less is better. What a task waits for
- * its image counts most; the other terms decide between machines on which it waits about as long.
+ * Scores a machine for a task of a job, in seconds: less is better. The wait for the image counts
+ * most; the other terms decide between machines on which that wait is about equal.
  */
 public final class MachineScore {
     /**
-     * So much longer a fetch may take for work that can run on a spot machine to be kept off an
-     * ordinary one.
+     * For work that may run on spot machines, on an on-demand machine: it rather waits this much
+     * longer for its image.
      */
     private static final double ON_DEMAND_PENALTY_SECONDS = 5;
 
-    /** Worth of keeping room whole for one of the largest replicas; less than any fetch. */
+    /** For each of the largest replicas that would no longer fit; less than any image fetch. */
     private static final double FRAGMENTATION_PENALTY_SECONDS = 0.6;
 
-    /** For each task that the job has in a machine's zone already, so that replicas spread. */
+    /** For each task that the job has in the machine's zone already, so that replicas spread. */
     private static final double SAME_ZONE_PENALTY_SECONDS = 0.5;
 
     /**
-     * Worth of a machine's free room, all of it: among machines that hold the image the fullest is
-     * taken, among others the emptiest.
+     * Weight of a machine's free share: among machines that hold the image the fullest is taken
+     * (bin packing), among others the emptiest.
      */
     private static final double FREE_CAPACITY_WEIGHT_SECONDS = 0.4;
 
-    /** For a machine whose report is late: more than most fetches. */
+    /** For a machine whose heartbeat is late: more than most image fetches. */
     private static final double LATE_HEARTBEAT_PENALTY_SECONDS = 10;
 
-    /** Reports come at most a quarter of their interval late. */
+    /** Heartbeats come at most a quarter of their interval late. */
     private static final double HEARTBEAT_INTERVALS_UNTIL_LATE = 1.3;
 
+    /** How many replicas a resource allows that they do not need. */
+    private static final double UNBOUNDED_REPLICAS = 1e6;
+
+    /** Smallest divisor for a machine type without CPUs. */
+    private static final double MIN_CPUS = 1e-6;
+
     private final Timeouts timeouts;
     private final Submission largestReplica;
 
     /**
-     * @param largestReplica the largest replica of any job, for which room should stay whole, or
-     *     null
+     * @param largestReplica the largest replica of any job, or null if no service is null
      */
     MachineScore(Timeouts timeouts, Submission largestReplica) {
         this.timeouts = timeouts;
@@ -48,7 +53,8 @@
     }
 
     /**
-     * The replica that is hardest to place: room for it should not be broken up by smaller work.
+     * The replica that is hardest to place, so that smaller tasks do not fragment the capacity for
+     * it; null if no service is eligible.
      */
     static Submission largestReplica(Iterable<Job> jobs) {
         Submission found = null;
@@ -65,17 +71,17 @@
         return found;
     }
 
-    /** Seconds that a task of a job waits on a machine, and what its place there is worth. */
+    /** The score, in seconds, of a machine for a task of a job; the machine's type is known. */
     public double of(Job job, Machine machine, double now) {
         Submission spec = job.spec();
         double score = machine.imageFetchSeconds(spec, now);
-        // Late reports are the first sign of trouble.
+        // A late heartbeat is the first sign that a machine is failing.
         if (now - machine.lastHeartbeatAt()
                 > timeouts.heartbeatIntervalSeconds() * HEARTBEAT_INTERVALS_UNTIL_LATE) {
             score += LATE_HEARTBEAT_PENALTY_SECONDS;
         }
         if (spec.spot() && !machine.spot() && !usesStrandedCpus(spec, machine, largestReplica)) {
-            // Ordinary machines are for those that have no other choice; they run out first.
+            // On-demand machines run out first, so they are left to work that may not use spot.
             score += ON_DEMAND_PENALTY_SECONDS;
         }
         if (spec.service() && spec.tasks() > 1) {
@@ -88,16 +94,16 @@
                                     - replicaSlots(
                                             machine, spec.cpus(), spec.gpus(), spec.memoryGb()));
         }
-        // Full machines leave others empty, and only empty ones can be returned.
-        double room = freeShare(machine) * FREE_CAPACITY_WEIGHT_SECONDS;
-        return machine.holdsImage(spec.image()) ? score + room : score - room;
+        // Full machines leave others empty, and only empty ones can be scaled in.
+        double freeCapacity = freeShare(machine) * FREE_CAPACITY_WEIGHT_SECONDS;
+        return machine.holdsImage(spec.image()) ? score + freeCapacity : score - freeCapacity;
     }
 
     /**
-     * Whether a task without GPUs takes only what the free GPUs of a machine leave over, going by
-     * the largest replica: no replica could use it, and the machine is kept for its GPU tasks in
-     * any case. Such room on an ordinary machine costs less than a spot machine's, and a job does
-     * not lose it without notice.
+     * Whether a task without GPUs takes only stranded CPUs: those left over when the free GPUs of a
+     * machine are filled with the largest replica. No replica could use them, and the machine stays
+     * up for its GPU tasks in any case. On an on-demand machine they cost less than a spot machine
+     * and are not preempted without notice.
      */
     static boolean usesStrandedCpus(Submission spec, Machine machine, Submission largest) {
         if (largest == null || largest.gpus() == 0 || spec.gpus() > 0) {
@@ -112,29 +118,30 @@
                 && machine.free().memoryGb() - spec.memoryGb() >= replicas * largest.memoryGb();
     }
 
-    /** How many of the largest replicas fit a machine once so much more of it is taken. */
+    /** How many of the largest replicas fit a machine once so much more of it is in use. */
     private int replicaSlots(Machine machine, double cpus, double gpus, double memory) {
         if (!machine.isAllowedFor(largestReplica)) {
             return 0;
         }
         double byCpus =
                 largestReplica.cpus() == 0
-                        ? 1e6
+                        ? UNBOUNDED_REPLICAS
                         : (machine.freeCpus() - cpus + Resources.ROUNDING) / largestReplica.cpus();
         double byGpus =
                 largestReplica.gpus() == 0
-                        ? 1e6
+                        ? UNBOUNDED_REPLICAS
                         : (machine.freeGpus() - gpus + Resources.ROUNDING) / largestReplica.gpus();
         double byMemory =
                 largestReplica.memoryGb() == 0
-                        ? 1e6
+                        ? UNBOUNDED_REPLICAS
                         : (machine.free().memoryGb() - memory + Resources.ROUNDING)
                                 / largestReplica.memoryGb();
         return (int) Math.max(0, Math.floor(Math.min(byCpus, Math.min(byGpus, byMemory))));
     }
 
+    /** The free share of a machine's CPUs, or of its GPUs if that is less. */
     private static double freeShare(Machine machine) {
-        double cpus = machine.freeCpus() / Math.max(1e-6, machine.type().cpus());
+        double cpus = machine.freeCpus() / Math.max(MIN_CPUS, machine.type().cpus());
         return machine.type().gpus() == 0
                 ? cpus
                 : Math.min(cpus, machine.freeGpus() / machine.type().gpus());
--- a/src/main/java/org/springmill/control/scheduling/PlacementRounds.java
+++ b/src/main/java/org/springmill/control/scheduling/PlacementRounds.java
@@ -1,6 +1,5 @@
 package org.springmill.control.scheduling;
 
-import java.util.ArrayList;
 import java.util.List;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -16,19 +15,49 @@
 import org.springmill.transport.EventLoop;
 
 /**
- * Runs rounds: placement and ends are committed together, one commit at a time, before anything is
- * sent.
+ * Runs the rounds of a leader: claims and ends of attempts are committed in one transaction, one
+ * round at a time, before anything is sent to a worker.
  */
 public final class PlacementRounds {
     private static final Logger LOG = LoggerFactory.getLogger(PlacementRounds.class);
 
-    /** What follows from a committed round. */
+    /** Takes the outcomes of rounds. */
     public interface Listener {
+        /**
+         * Called once a round is committed and applied to the cluster state.
+         *
+         * @param since when its commit began, in seconds on the event loop's clock
+         */
         void committed(List<TaskAttempt> claimed, List<TaskAttempt> ended, double since);
 
+        /** Called if a round's transaction is refused: another leader has taken over. */
         void lost();
     }
 
+    /**
+     * What one round commits.
+     *
+     * @param attached writes of the preemption policy
+     */
+    private record Round(
+            long number, List<TaskAttempt> claimed, List<TaskAttempt> ended, List<Write> attached) {
+        boolean isEmpty() {
+            return ended.isEmpty() && claimed.isEmpty() && attached.isEmpty();
+        }
+
+        List<Claim> claims() {
+            return claimed.stream().map(TaskAttempt::claim).toList();
+        }
+
+        List<End> ends() {
+            return ended.stream().map(Round::end).toList();
+        }
+
+        private static End end(TaskAttempt attempt) {
+            return new End(attempt.claim(), attempt.cause() == ExitCause.DONE);
+        }
+    }
+
     private final Fleet fleet;
     private final Placement placement;
     private final PreemptionPolicy preemption;
@@ -45,6 +74,11 @@
     private boolean closed;
     private double lastRoundAt = Double.NEGATIVE_INFINITY;
 
+    /**
+     * Creates the rounds of one leader's term.
+     *
+     * @param minIntervalSeconds least time between the beginnings of two rounds
+     */
     public PlacementRounds(
             Fleet fleet,
             Placement placement,
@@ -65,13 +99,14 @@
         this.listener = listener;
     }
 
+    /** Runs no further rounds. */
     public void close() {
         closed = true;
     }
 
     /**
-     * Asks for a round soon: at once if none ran lately, else after the gap that the state
-     * service's limits allow.
+     * Requests a round: at once if none ran lately, else after the interval that the key-value
+     * store's rate limit allows.
      */
     public void request() {
         roundRequested = true;
@@ -91,43 +126,49 @@
         }
         roundRequested = false;
         lastRoundAt = loop.now();
+        Round round = decide();
+        if (!round.isEmpty()) {
+            commit(round);
+        }
+    }
+
+    private Round decide() {
         List<TaskAttempt> ended = fleet.clusterState().drainEnded(roundLog.endsPerRound());
         preemption.release(ended);
-        List<TaskAttempt> claimed =
-                placement.place(roundLog.next(), roundLog.claimsBeside(ended.size()));
-        List<Write> attached = preemption.decide(roundLog.next(), claimed);
-        if (ended.isEmpty() && claimed.isEmpty() && attached.isEmpty()) {
-            return;
-        }
-        List<Claim> claims = new ArrayList<>();
-        claimed.forEach(attempt -> claims.add(attempt.claim()));
-        List<End> ends = new ArrayList<>();
-        ended.forEach(
-                attempt -> ends.add(new End(attempt.claim(), attempt.cause() == ExitCause.DONE)));
-        committing = true;
         long number = roundLog.next();
+        List<TaskAttempt> claimed = placement.place(number, roundLog.claimsBeside(ended.size()));
+        List<Write> attached = preemption.decide(number, claimed);
+        return new Round(number, claimed, ended, attached);
+    }
+
+    private void commit(Round round) {
+        committing = true;
         double since = loop.now();
         roundLog.append(
-                claims,
-                ends,
-                attached,
+                round.claims(),
+                round.ends(),
+                round.attached(),
                 () -> {
                     committing = false;
-                    LOG.debug("round {}: {} claims, {} ends", number, claimed.size(), ended.size());
-                    applyCommitted(claimed, ended, since);
+                    LOG.debug(
+                            "round {}: {} claims, {} ends",
+                            round.number(),
+                            round.claimed().size(),
+                            round.ended().size());
+                    applyCommitted(round, since);
                 },
                 listener::lost);
     }
 
-    /** Puts off a round that would hold only ends on which nothing depends. */
+    /** Postpones a round that would hold only ends on which nothing depends. */
     private boolean postponeCompletions() {
         if (!fleet.clusterState().hasEnded()) {
             return false;
         }
-        boolean workWaits = placement.anyWaiting();
+        boolean tasksWait = placement.anyWaiting();
         double seconds =
                 completionBatching.postponeSeconds(
-                        fleet.clusterState().ended(), workWaits, loop.now());
+                        fleet.clusterState().ended(), tasksWait, loop.now());
         if (seconds == 0) {
             return false;
         }
@@ -143,27 +184,31 @@
         request();
     }
 
-    private void applyCommitted(List<TaskAttempt> claimed, List<TaskAttempt> ended, double since) {
+    private void applyCommitted(Round round, double since) {
         double now = loop.now();
-        for (TaskAttempt attempt : ended) {
-            if (attempt.cause() == ExitCause.DONE) {
-                attempt.job().markDone(attempt.claim().task().index());
-            }
-            attempt.transition(TaskAttempt.State.CLOSED, now);
-            fleet.clusterState().remove(attempt, now);
-        }
-        for (TaskAttempt attempt : claimed) {
-            attempt.transition(TaskAttempt.State.CLAIMED, now);
-            boolean machineThere =
-                    attempt.machine().state() == Machine.State.UP
-                            && !attempt.machine().hasPreemptionNotice();
-            if (!attempt.job().active() || !machineThere) {
-                // Overtaken while the round was committed: nothing was sent, so it is over.
-                fleet.end(attempt, ExitCause.STOPPED);
-            }
-        }
+        round.ended().forEach(attempt -> close(attempt, now));
+        round.claimed().forEach(attempt -> confirmClaim(attempt, now));
         preemption.committed();
-        listener.committed(claimed, ended, since);
+        listener.committed(round.claimed(), round.ended(), since);
         request();
     }
+
+    private void close(TaskAttempt attempt, double now) {
+        if (attempt.cause() == ExitCause.DONE) {
+            attempt.job().markDone(attempt.claim().task().index());
+        }
+        attempt.transition(TaskAttempt.State.CLOSED, now);
+        fleet.clusterState().remove(attempt, now);
+    }
+
+    private void confirmClaim(TaskAttempt attempt, double now) {
+        attempt.transition(TaskAttempt.State.CLAIMED, now);
+        boolean machineIsUsable =
+                attempt.machine().state() == Machine.State.UP
+                        && !attempt.machine().hasPreemptionNotice();
+        if (!attempt.job().active() || !machineIsUsable) {
+            // Cancelled or preempted during the commit: nothing was sent, so it ends here.
+            fleet.end(attempt, ExitCause.STOPPED);
+        }
+    }
 }
--- a/src/main/java/org/springmill/control/scheduling/PreemptionPolicy.java
+++ b/src/main/java/org/springmill/control/scheduling/PreemptionPolicy.java
@@ -5,34 +5,38 @@
 import org.springmill.control.cluster.TaskAttempt;
 import org.springmill.protocol.KeyValueStoreMessages.Write;
 
-/** Makes room for waiting jobs that find no place otherwise, by stopping work of lower right. */
+/** Frees capacity for waiting jobs that fit no machine, by stopping tasks that yield to them. */
 public interface PreemptionPolicy {
-    /** What stopping a task costs beside its lost work, so that few large ones are preferred. */
+    /** Cost of stopping a task beside its lost work, so that few large victims are preferred. */
     double VICTIM_COST_SECONDS = 10;
 
-    /** Reads what earlier leaders decided; tells whether that could be done. */
+    /**
+     * Reads the decisions of earlier leaders from the key-value store.
+     *
+     * @param done takes whether they could be read
+     */
     default void load(Consumer<Boolean> done) {
         done.accept(true);
     }
 
-    /** The jobs and attempts of earlier leaders are known now. */
+    /** Called once the jobs and attempts of earlier leaders are recovered. */
     default void stateRecovered() {}
 
     /**
-     * Takes back the room of attempts whose ends this round commits, before it places anything, if
-     * one transaction may hold the end of one task and the claim of the next in its room.
+     * Frees the capacity of attempts whose ends this round commits, before it places anything, if
+     * one transaction may hold the end of a task and the claim that reuses its capacity.
      */
     default void release(List<TaskAttempt> ended) {}
 
     /**
-     * Decides what is stopped, after a round has placed what finds room.
+     * Decides which tasks are stopped, after a round has placed the tasks that fit.
      *
      * @param round number of the round
-     * @param claimed what the round places
-     * @return changes that have to be part of the round's transaction
+     * @param claimed the attempts that the round placed
+     * @return writes that have to be part of the round's transaction
      */
     List<Write> decide(long round, List<TaskAttempt> claimed);
 
-    /** The round is committed, with the changes that were decided. */
+    /** Called once the round is committed, with the writes that were decided. */
     default void committed() {}
 }
--- /dev/null
+++ b/src/main/java/org/springmill/control/scheduling/PreemptionVictims.java
@@ -0,0 +1,101 @@
+package org.springmill.control.scheduling;
+
+import java.util.ArrayList;
+import java.util.Comparator;
+import java.util.List;
+import java.util.Optional;
+import org.springmill.control.cluster.ClusterState;
+import org.springmill.control.cluster.Job;
+import org.springmill.control.cluster.Machine;
+import org.springmill.control.cluster.TaskAttempt;
+import org.springmill.protocol.Priority;
+import org.springmill.protocol.Resources;
+import org.springmill.protocol.Submission;
+
+/** Chooses which tasks of a machine are preempted for one task of a waiting job. */
+final class PreemptionVictims {
+    private final ClusterState clusterState;
+
+    PreemptionVictims(ClusterState clusterState) {
+        this.clusterState = clusterState;
+    }
+
+    /**
+     * What has to be preempted on a machine for one more task of a job to fit, the lowest priority
+     * and the least lost work first; empty if it cannot be made to fit.
+     *
+     * @param guaranteed whether the task is within its team's guaranteed quota
+     * @param planned what is being freed there for other tasks
+     */
+    Optional<List<TaskAttempt>> select(
+            Job job, boolean guaranteed, Machine machine, Resources planned, double now) {
+        Resources free = machine.free().minus(planned);
+        List<TaskAttempt> candidates = new ArrayList<>();
+        for (TaskAttempt attempt : machine.attempts()) {
+            if (isEnding(attempt)) {
+                free = free.plus(attempt.job().spec());
+            } else if (attempt.state() != TaskAttempt.State.CLAIMING) {
+                candidates.add(attempt);
+            }
+        }
+        if (free.hold(job.spec())) {
+            return Optional.of(List.of());
+        }
+        candidates.sort(
+                Comparator.comparing((TaskAttempt attempt) -> attempt.job().priority())
+                        .reversed()
+                        .thenComparingDouble(attempt -> lostWorkSeconds(attempt, now)));
+        List<TaskAttempt> victims = new ArrayList<>();
+        for (TaskAttempt candidate : candidates) {
+            if (free.hold(job.spec())) {
+                break;
+            }
+            if (mayPreempt(candidate, job, guaranteed, victims)) {
+                free = free.plus(candidate.job().spec());
+                victims.add(candidate);
+            }
+        }
+        return free.hold(job.spec()) ? Optional.of(victims) : Optional.empty();
+    }
+
+    private static boolean isEnding(TaskAttempt attempt) {
+        return attempt.state() == TaskAttempt.State.STOPPING
+                || attempt.state() == TaskAttempt.State.ENDED;
+    }
+
+    /** Seconds of work that are lost if a task is stopped now, or the time its checkpoint takes. */
+    static double lostWorkSeconds(TaskAttempt attempt, double now) {
+        Submission spec = attempt.job().spec();
+        double ran = attempt.ranSeconds(now);
+        return spec.checkpoints() ? Math.min(ran, spec.checkpointSaveSeconds()) : ran;
+    }
+
+    /**
+     * The protocol's grounds for preempting one job's task for another's. For a guaranteed quota,
+     * only what a team runs above its own quota is preempted, counting what is being stopped
+     * already, and nothing of a higher priority. Otherwise the victim's team was itself owed its
+     * quota, or stood first in line again, and the two teams preempted each other several times a
+     * second.
+     */
+    private boolean mayPreempt(
+            TaskAttempt candidate, Job job, boolean guaranteed, List<TaskAttempt> victims) {
+        Submission victim = candidate.job().spec();
+        Priority priority = job.priority();
+        Priority victimPriority = candidate.job().priority();
+        if (priority.above(victimPriority)) {
+            return true;
+        }
+        if (!guaranteed
+                || victim.team().equals(job.spec().team())
+                || victimPriority.above(priority)) {
+            return false;
+        }
+        Resources loss = Resources.of(victim);
+        for (TaskAttempt other : victims) {
+            if (other.job().spec().team().equals(victim.team())) {
+                loss = loss.plus(other.job().spec());
+            }
+        }
+        return clusterState.usage(victim.team()).keepsEntitlementWithout(loss);
+    }
+}
--- a/src/main/java/org/springmill/control/scheduling/Reservations.java
+++ b/src/main/java/org/springmill/control/scheduling/Reservations.java
@@ -20,28 +20,28 @@
 import org.springmill.protocol.Resources;
 
 /**
- * Guards jobs against starvation: a job that has waited very long for its first place gets a
- * machine reserved, on which nothing of lower right is placed until it fits.
+ * Protects jobs from starvation: for a job that has waited very long to start, a machine is
+ * reserved, on which nothing of a lower scheduling order is placed until the job fits.
  */
 public final class Reservations {
     private static final Logger LOG = LoggerFactory.getLogger(Reservations.class);
 
-    /** After so many leases without a place a machine is reserved for a job. */
+    /** A machine is reserved for a job that has waited for so many worker leases. */
     private static final double LEASES_BEFORE_RESERVATION = 4;
 
-    /** So much of the fleet, one machine at least, is reserved at a time. */
-    private static final double RESERVED_SHARE = 1 / 8.0;
+    /** At most this share of the schedulable machines, but at least one, is reserved. */
+    private static final double MAX_RESERVED_SHARE = 1 / 8.0;
 
     private final Fleet fleet;
     private final Timeouts timeouts;
 
     /**
-     * Since when each job has waited for its first place, or a service for room for all of its
-     * replicas.
+     * Since when each job has waited for its first task to be placed, or a service for all of its
+     * replicas; seconds on the leader's clock.
      */
     private final Map<Job, Double> waitingSince = new HashMap<>();
 
-    /** Machines that run empty for a job that waited too long. */
+    /** Reserved machines; each is kept from other work until its job fits. */
     private final Map<Machine, Job> jobByMachine = new LinkedHashMap<>();
 
     Reservations(Fleet fleet, Timeouts timeouts) {
@@ -57,28 +57,29 @@
         return !job.spec().service() && job.liveCount() > 0;
     }
 
-    /** The jobs for which a machine is reserved. */
+    /** The jobs for which a machine is reserved; a view, earliest reservation first. */
     public Collection<Job> holders() {
         return jobByMachine.values();
     }
 
-    /** Notes who waits, and gives up reservations that are of no more use. */
+    /** Records which jobs wait, and drops reservations that are obsolete. */
     void update(List<Job> waiting, double now) {
-        Set<Job> waits = new HashSet<>(waiting);
-        waits.removeIf(Reservations::hasStarted);
-        waitingSince.keySet().retainAll(waits);
-        waits.forEach(job -> waitingSince.putIfAbsent(job, now));
+        Set<Job> starving = new HashSet<>(waiting);
+        starving.removeIf(Reservations::hasStarted);
+        waitingSince.keySet().retainAll(starving);
+        starving.forEach(job -> waitingSince.putIfAbsent(job, now));
         jobByMachine
                 .entrySet()
                 .removeIf(
-                        e ->
-                                !waits.contains(e.getValue())
-                                        || !isUsable(e.getKey(), e.getValue(), now));
+                        reservation ->
+                                !starving.contains(reservation.getValue())
+                                        || !isUsable(
+                                                reservation.getKey(), reservation.getValue(), now));
     }
 
     /**
-     * Whether a job needs no reservation: some of it runs, it has not waited for long, or it fails
-     * where it runs and so waits for itself.
+     * Whether a job needs no reservation: some of its tasks run, it has not waited for long, or it
+     * waits only because its own tasks fail.
      */
     private boolean needsNoReservation(Job job, double now) {
         return hasStarted(job)
@@ -88,37 +89,37 @@
     }
 
     /**
-     * Keeps the machine that should have room soonest from work of no higher priority. Where there
-     * is more work than room, what is small takes each piece as it comes free; a task that needs
-     * most of a machine never began.
+     * Reserves, for a job that is starving, the machine that should have enough free capacity
+     * soonest. Without it, on a full fleet, small tasks take each piece of capacity as it comes
+     * free, and a task that needs most of a machine never starts.
      */
-    void reserve(Job job, List<Machine> open, double now) {
+    void reserve(Job job, List<Machine> machines, double now) {
         if (needsNoReservation(job, now)
                 || jobByMachine.containsValue(job)
-                || jobByMachine.size() >= Math.max(1, open.size() * RESERVED_SHARE)) {
+                || jobByMachine.size() >= Math.max(1, machines.size() * MAX_RESERVED_SHARE)) {
             return;
         }
         Machine best = null;
-        double soonest = Double.POSITIVE_INFINITY;
-        for (Machine machine : open) {
+        double leastSeconds = Double.POSITIVE_INFINITY;
+        for (Machine machine : machines) {
             double seconds =
                     Placement.isEligible(job, machine, now) && !jobByMachine.containsKey(machine)
                             ? secondsUntilCapacity(job, machine, now)
-                            : soonest;
-            if (seconds < soonest) {
-                soonest = seconds;
+                            : leastSeconds;
+            if (seconds < leastSeconds) {
+                leastSeconds = seconds;
                 best = machine;
             }
         }
         if (best != null) {
-            LOG.info("{} waits for its turn: {} is kept for it", job.id(), best.name());
+            LOG.info("starvation: machine {} reserved for job {}", best.name(), job.id());
             jobByMachine.put(best, job);
         }
     }
 
     /**
-     * When a machine should have room for a task if nothing else is placed there; never if replicas
-     * stand in the way.
+     * Seconds until a machine should have capacity for a task if nothing else is placed there;
+     * infinite if services occupy it, since these do not end by themselves.
      */
     private static double secondsUntilCapacity(Job job, Machine machine, double now) {
         Resources free = machine.free();
@@ -148,7 +149,7 @@
     }
 
     /**
-     * A machine kept for a job that may not be placed there, or not at all by now, would only stand
+     * Whether the job may still be placed on the machine. Otherwise the machine would only stay
      * idle.
      */
     private boolean isUsable(Machine machine, Job job, double now) {
@@ -159,8 +160,8 @@
     }
 
     /**
-     * Whether a machine is kept for another job, but for work that comes before that one in any
-     * case.
+     * Whether a machine is reserved for another job, unless this one comes before that in the
+     * scheduling order.
      */
     public boolean reservedFrom(Job job, Machine machine) {
         Job other = jobByMachine.get(machine);
--- /dev/null
+++ b/src/main/java/org/springmill/control/scheduling/WaitingJobs.java
@@ -0,0 +1,56 @@
+package org.springmill.control.scheduling;
+
+import java.util.ArrayList;
+import java.util.Comparator;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import org.springmill.control.cluster.ClusterState;
+import org.springmill.control.cluster.Job;
+
+/** The jobs that have tasks to place, and the order in which they are scheduled. */
+final class WaitingJobs {
+    private final ClusterState clusterState;
+
+    WaitingJobs(ClusterState clusterState) {
+        this.clusterState = clusterState;
+    }
+
+    /**
+     * Waiting jobs by priority; among equals those within their team's guaranteed quota first, then
+     * services, then jobs with recalled tasks, then the earliest latest start, then the earliest
+     * arrival.
+     */
+    List<Job> inSchedulingOrder() {
+        List<Job> waiting = new ArrayList<>();
+        for (Job job : clusterState.jobs().values()) {
+            if (isWaiting(job)) {
+                waiting.add(job);
+            }
+        }
+        Map<Job, Boolean> guaranteed = new HashMap<>();
+        waiting.forEach(job -> guaranteed.put(job, isWithinGuarantee(job)));
+        waiting.sort(
+                Comparator.comparing(Job::priority)
+                        .thenComparing(job -> !guaranteed.get(job))
+                        .thenComparing(job -> !job.spec().service())
+                        .thenComparing(job -> !job.hasRecalledTasks())
+                        // All jobs share one clock, so the latest start orders them by slack.
+                        .thenComparingDouble(Job::latestStart)
+                        .thenComparingLong(Job::arrival));
+        return waiting;
+    }
+
+    /** Whether any job has a task to place. */
+    boolean any() {
+        return clusterState.jobs().values().stream().anyMatch(WaitingJobs::isWaiting);
+    }
+
+    private static boolean isWaiting(Job job) {
+        return job.eligible() && job.nextTask() >= 0;
+    }
+
+    private boolean isWithinGuarantee(Job job) {
+        return clusterState.usage(job.spec().team()).guaranteedFor(job.spec());
+    }
+}
--- a/src/main/java/org/springmill/control/scheduling/package-info.java
+++ b/src/main/java/org/springmill/control/scheduling/package-info.java
@@ -1,7 +1,12 @@
 /**
- * Placement of waiting tasks on machines: order, machine scores, reservations, immediate
- * preemption, and the rounds that commit claims before anything is started.
+ * Scheduling: the order of waiting jobs, placement of their tasks on machines by score, gang
+ * scheduling, reservations against starvation, immediate preemption, and the rounds that commit
+ * claims and ends before anything is sent.
  *
- * <p>Owns the round under way and the reservations. Nothing is sent to a worker from here.
+ * <p>Owns the round under way, the reservations and which jobs the last round skipped. Uses the
+ * cluster state (jobs, machines, attempts, quotas) and the round log. Nothing is sent to a worker
+ * from here. Called by the leader, which requests rounds; the autoscaler reads the waiting jobs and
+ * reservations; recalls implement {@link org.springmill.control.scheduling.PreemptionPolicy} and
+ * {@link org.springmill.control.scheduling.CapacityFilter}.
  */
 package org.springmill.control.scheduling;
