--- a/src/main/java/org/springmill/control/recall/HoldDownCapacity.java
+++ b/src/main/java/org/springmill/control/recall/HoldDownCapacity.java
@@ -15,8 +15,8 @@
 import org.springmill.protocol.Resources;
 
 /**
- * Room that came back from work for which others were recalled, and that is not lent again before
- * the hold-down is over. A new leader begins without: what it forgets costs one recall at most.
+ * Capacity that was released by beneficiaries of recalls and may not be borrowed again before the
+ * hold-down is over. It is not recovered at failover: what is forgotten costs one recall at most.
  */
 final class HoldDownCapacity {
     private final ClusterState clusterState;
@@ -24,10 +24,12 @@
     private final Metrics metrics;
     private final Map<Machine, List<HeldCapacity>> heldByMachine = new HashMap<>();
 
-    /** The highest priority for which tasks were recalled in this term; null before the first. */
-    private Priority recalledFor;
+    /**
+     * Highest priority for which tasks were recalled in this term; null before the first recall.
+     */
+    private Priority highestBeneficiary;
 
-    /** Room on one machine. */
+    /** Capacity on one machine; times are seconds on the leader's clock. */
     private record HeldCapacity(Resources amount, double since, double until) {}
 
     HoldDownCapacity(ClusterState clusterState, HoldDown holdDown, Metrics metrics) {
@@ -37,37 +39,46 @@
     }
 
     /**
-     * Notes a recall that made room for a job.
+     * Records a recall that freed capacity for a job.
      *
-     * @param costSeconds lost work, and waiting until it was settled
-     * @param loanSeconds how long what was stopped had run
+     * @param costSeconds lost work, and the wait until the recall was settled
+     * @param borrowedSeconds how long the victims had run
      */
     void recalled(
-            Job beneficiary, Machine machine, double costSeconds, double loanSeconds, double now) {
+            Job beneficiary,
+            Machine machine,
+            double costSeconds,
+            double borrowedSeconds,
+            double now) {
         Priority priority = beneficiary.priority();
-        recalledFor = recalledFor == null || priority.above(recalledFor) ? priority : recalledFor;
+        highestBeneficiary =
+                highestBeneficiary == null || priority.above(highestBeneficiary)
+                        ? priority
+                        : highestBeneficiary;
         if (machine.type() != null) {
-            holdDown.recalled(machine.type().name(), costSeconds, loanSeconds, now);
+            holdDown.recalled(machine.type().name(), costSeconds, borrowedSeconds, now);
         }
     }
 
     /**
-     * Whether a job only uses what others leave: its tasks are those that recalls stop. Urgent work
-     * is never held up.
+     * Whether a job runs on borrowed capacity: its tasks are those that recalls stop. Jobs of high
+     * priority are never held up.
      */
     private boolean usesBorrowedCapacity(Job job) {
-        return recalledFor != null
+        return highestBeneficiary != null
                 && !clusterState.usage(job.spec().team()).guaranteedFor(job.spec())
                 && Priority.HIGH.above(job.priority())
-                && (recalledFor.above(job.priority()) || !job.spec().service());
+                && (highestBeneficiary.above(job.priority()) || !job.spec().service());
     }
 
-    /** Whether recalls make room for work like a job's. */
+    /** Whether tasks are recalled for jobs like this one. */
     private boolean isBeneficiaryOfRecalls(Job job) {
-        return recalledFor != null && job.spec().service() && !recalledFor.above(job.priority());
+        return highestBeneficiary != null
+                && job.spec().service()
+                && !highestBeneficiary.above(job.priority());
     }
 
-    /** A task has left a machine. */
+    /** Holds down the capacity of a beneficiary's task that has ended. */
     void taskReleased(TaskAttempt attempt, double now) {
         Machine machine = attempt.machine();
         if (machine.type() == null || !isBeneficiaryOfRecalls(attempt.job())) {
@@ -82,33 +93,33 @@
         }
     }
 
-    /** A task takes room on a machine: what is held there may have been held for it. */
+    /** Releases the earliest capacity held on a machine if a beneficiary's task is placed there. */
     void taskPlaced(TaskAttempt attempt, double now) {
-        List<HeldCapacity> here = heldByMachine.get(attempt.machine());
-        if (here == null || !isBeneficiaryOfRecalls(attempt.job())) {
+        List<HeldCapacity> held = heldByMachine.get(attempt.machine());
+        if (held == null || !isBeneficiaryOfRecalls(attempt.job())) {
             return;
         }
-        HeldCapacity used = here.remove(0);
+        HeldCapacity used = held.remove(0);
         recordHeldGpuSeconds(used, now);
         holdDown.wasOfUse(attempt.machine().type().name(), used.since(), now - used.since(), now);
-        if (here.isEmpty()) {
+        if (held.isEmpty()) {
             heldByMachine.remove(attempt.machine());
         }
     }
 
-    /** Lends again what was held for long enough. */
+    /** Ends the hold-down of capacity whose time is over or whose machine is not up. */
     void expire(double now) {
         Iterator<Map.Entry<Machine, List<HeldCapacity>>> machines =
                 heldByMachine.entrySet().iterator();
         while (machines.hasNext()) {
             Map.Entry<Machine, List<HeldCapacity>> entry = machines.next();
-            boolean gone = entry.getKey().state() != Machine.State.UP;
+            boolean machineDown = entry.getKey().state() != Machine.State.UP;
             entry.getValue()
                     .removeIf(
-                            room -> {
-                                boolean over = gone || now >= room.until();
+                            capacity -> {
+                                boolean over = machineDown || now >= capacity.until();
                                 if (over) {
-                                    recordHeldGpuSeconds(room, now);
+                                    recordHeldGpuSeconds(capacity, now);
                                 }
                                 return over;
                             });
@@ -118,25 +129,26 @@
         }
     }
 
-    private void recordHeldGpuSeconds(HeldCapacity room, double now) {
-        double seconds = Math.max(0, Math.min(now, room.until()) - room.since());
-        metrics.roomHeld(room.amount().gpus() * seconds);
+    private void recordHeldGpuSeconds(HeldCapacity capacity, double now) {
+        double seconds = Math.max(0, Math.min(now, capacity.until()) - capacity.since());
+        metrics.roomHeld(capacity.amount().gpus() * seconds);
     }
 
-    /** What a job may not use of the room on a machine. */
+    /** The part of a machine's free capacity that is held down for a job. */
     Resources withheldFrom(Job job, Machine machine, double now) {
-        List<HeldCapacity> here = heldByMachine.get(machine);
-        if (here == null || !usesBorrowedCapacity(job)) {
+        List<HeldCapacity> held = heldByMachine.get(machine);
+        if (held == null || !usesBorrowedCapacity(job)) {
             return Resources.NONE;
         }
-        Resources sum = Resources.NONE;
-        double seconds = job.spec().service() ? 0 : job.spec().estimatedRunSeconds();
-        for (HeldCapacity room : here) {
-            boolean admitted = holdDown.admits(machine.type().name(), seconds, now - room.since());
-            if (now < room.until() && !admitted) {
-                sum = sum.plus(room.amount());
+        Resources withheld = Resources.NONE;
+        double workSeconds = job.spec().service() ? 0 : job.spec().estimatedRunSeconds();
+        for (HeldCapacity capacity : held) {
+            boolean admitted =
+                    holdDown.admits(machine.type().name(), workSeconds, now - capacity.since());
+            if (now < capacity.until() && !admitted) {
+                withheld = withheld.plus(capacity.amount());
             }
         }
-        return sum;
+        return withheld;
     }
 }
--- /dev/null
+++ b/src/main/java/org/springmill/control/recall/InheritedRecalls.java
@@ -0,0 +1,115 @@
+package org.springmill.control.recall;
+
+import java.util.Collection;
+import java.util.HashSet;
+import java.util.List;
+import java.util.Set;
+import java.util.function.Consumer;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+import org.springmill.control.borrowing.Recall;
+import org.springmill.control.borrowing.RecallLog;
+import org.springmill.control.borrowing.RecallProgress;
+import org.springmill.control.cluster.Fleet;
+import org.springmill.control.cluster.Job;
+import org.springmill.control.cluster.Machine;
+import org.springmill.control.cluster.TaskAttempt;
+import org.springmill.control.recall.RecallReservations.ActiveRecall;
+import org.springmill.protocol.TaskId;
+import org.springmill.transport.EventLoop;
+
+/** Failover: takes over the recalls that earlier leaders committed. */
+final class InheritedRecalls {
+    private static final Logger LOG = LoggerFactory.getLogger(InheritedRecalls.class);
+
+    private final Fleet fleet;
+    private final EventLoop loop;
+    private final RecallLog recallLog;
+    private final RecallReservations reservations;
+    private final RecallSettlement settlement;
+    private final VictimStops victimStops;
+    private final GracePeriods grace;
+
+    /** The committed recalls, until jobs and attempts are recovered. */
+    private Collection<Recall> loaded = List.of();
+
+    InheritedRecalls(
+            RecallContext context,
+            RecallLog recallLog,
+            RecallReservations reservations,
+            RecallSettlement settlement,
+            VictimStops victimStops,
+            GracePeriods grace) {
+        this.fleet = context.fleet();
+        this.loop = context.loop();
+        this.recallLog = recallLog;
+        this.reservations = reservations;
+        this.settlement = settlement;
+        this.victimStops = victimStops;
+        this.grace = grace;
+    }
+
+    /**
+     * Reads the committed recalls from the key-value store.
+     *
+     * @param done takes whether they could be read
+     */
+    void load(Consumer<Boolean> done) {
+        recallLog.load(
+                found -> {
+                    loaded = found == null ? List.of() : found;
+                    done.accept(found != null);
+                });
+    }
+
+    /** Takes the loaded recalls over, once jobs and attempts are recovered. */
+    void adoptAll() {
+        loaded.forEach(this::adopt);
+        loaded = List.of();
+    }
+
+    /**
+     * Takes over a committed recall. Whether its victims were sent stop commands is unknown until
+     * their workers' heartbeats show their state; only then is it resumed, and it expires if they
+     * do not in time.
+     */
+    private void adopt(Recall recall) {
+        Job beneficiary = fleet.clusterState().job(recall.beneficiary());
+        Machine machine = fleet.machine(recall.machine());
+        boolean claimed = beneficiary != null && hasClaimSince(beneficiary, machine, recall);
+        if (beneficiary == null || !beneficiary.active() || claimed) {
+            LOG.info("inherited recall {} is obsolete", recall.key());
+            settlement.deleteRecord(recall.key());
+            return;
+        }
+        List<TaskAttempt> victims = knownVictims(recall, machine);
+        double saveSeconds =
+                grace.checkpointTimeoutSeconds(grace.longestCheckpointSeconds(victims));
+        double graceLeftSeconds = recall.graceEndsAt() - loop.timeOfDay();
+        RecallProgress progress =
+                new RecallProgress(recall, saveSeconds, grace.endTimeoutSeconds());
+        progress.inherited(
+                Math.max(0, Math.min(graceLeftSeconds, saveSeconds)) + grace.endTimeoutSeconds(),
+                loop.now());
+        ActiveRecall active =
+                new ActiveRecall(progress, beneficiary, machine, victims, 0, 0, loop.now());
+        reservations.add(active);
+        victimStops.mark(active);
+    }
+
+    private static boolean hasClaimSince(Job job, Machine machine, Recall recall) {
+        return job.attempts().stream()
+                .anyMatch(
+                        attempt ->
+                                attempt.machine() == machine
+                                        && attempt.claim().round() > recall.round());
+    }
+
+    private static List<TaskAttempt> knownVictims(Recall recall, Machine machine) {
+        Set<TaskId> tasks = new HashSet<>(recall.victims());
+        return machine.attemptsNow().stream()
+                .filter(attempt -> tasks.contains(attempt.claim().task()))
+                .filter(attempt -> attempt.claim().round() <= recall.round())
+                .toList();
+    }
+}
--- a/src/main/java/org/springmill/control/recall/RecallReservations.java
+++ b/src/main/java/org/springmill/control/recall/RecallReservations.java
@@ -15,7 +15,7 @@
 import org.springmill.control.cluster.TaskAttempt;
 import org.springmill.protocol.Resources;
 
-/** The recalls under way on a leader, by machine, by beneficiary and by the beneficiary's team. */
+/** The active recalls, whose capacity is reserved, by machine, beneficiary and its team. */
 final class RecallReservations {
     private final Map<String, ActiveRecall> byKey = new LinkedHashMap<>();
     private final Map<Machine, List<ActiveRecall>> byMachine = new HashMap<>();
@@ -23,17 +23,17 @@
     private final Map<String, Resources> byTeam = new HashMap<>();
 
     /**
-     * Room that comes by itself, from what is leaving already: kept from one round to the next, and
-     * not committed, since nobody is stopped for it. Piece by piece it would go to work of lower
-     * right, which then had to be stopped.
+     * Capacity that ending tasks are about to free: reserved from one plan to the next, and not
+     * committed, since nothing is stopped for it. Otherwise, piece by piece, it would go to work of
+     * lower priority, which would then have to be preempted.
      */
-    private Map<Machine, List<RecallPlan>> expectedCapacity = Map.of();
+    private Map<Machine, List<RecallPlan>> expectedByMachine = Map.of();
 
     /**
-     * A recall with what it is about.
+     * A recall that is not settled, with the objects that its record names.
      *
-     * @param victims those of its tasks that this leader knows
-     * @param lostSeconds work that was lost by it, on average of the victims
+     * @param victims those of its victims that this leader knows
+     * @param lostSeconds work that is lost by it, on average of the victims
      * @param borrowedSeconds how long the victims had run, on average
      */
     record ActiveRecall(
@@ -82,7 +82,7 @@
         return List.copyOf(byKey.values());
     }
 
-    /** The jobs to which room is promised. */
+    /** The jobs for which capacity is reserved by recalls. */
     Collection<Job> beneficiaries() {
         return List.copyOf(byJob.keySet());
     }
@@ -92,30 +92,30 @@
         return List.copyOf(byJob.getOrDefault(job, List.of()));
     }
 
-    /** For how many tasks of a job room is promised. */
+    /** For how many tasks of a job capacity is reserved by recalls. */
     int count(Job job) {
         return byJob.getOrDefault(job, List.of()).size();
     }
 
-    /** What is promised to a team's jobs. */
+    /** What recalls reserve for a team's jobs. */
     Resources reservedForTeam(String team) {
         return byTeam.getOrDefault(team, Resources.NONE);
     }
 
-    /** What is promised on a machine. */
+    /** What recalls reserve on a machine. */
     Resources reservedOn(Machine machine) {
         return sumExcept(machine, null);
     }
 
-    /** Replaces what is known of room that comes by itself. */
+    /** Replaces the reservations of capacity that is freed without a recall. */
     void setExpectedCapacity(List<RecallPlan> plans) {
-        expectedCapacity = plans.stream().collect(Collectors.groupingBy(RecallPlan::machine));
+        expectedByMachine = plans.stream().collect(Collectors.groupingBy(RecallPlan::machine));
     }
 
-    /** What is promised on a machine to other jobs than this one. */
+    /** What is reserved on a machine for other jobs than this one. */
     Resources reservedForOthersOn(Machine machine, Job job) {
         Resources sum = sumExcept(machine, job);
-        for (RecallPlan plan : expectedCapacity.getOrDefault(machine, List.of())) {
+        for (RecallPlan plan : expectedByMachine.getOrDefault(machine, List.of())) {
             if (plan.beneficiary() != job) {
                 sum = sum.plus(plan.beneficiary().spec());
             }
@@ -123,15 +123,18 @@
         return sum;
     }
 
-    /** The jobs that may use room which is kept from others. */
+    /** The jobs that may use capacity which is withheld from others. */
     Set<Job> jobsWithReservedCapacity() {
         Set<Job> jobs = new HashSet<>(byJob.keySet());
-        expectedCapacity
+        expectedByMachine
                 .values()
                 .forEach(plans -> plans.forEach(plan -> jobs.add(plan.beneficiary())));
         return jobs;
     }
 
+    /**
+     * @param except a job whose recalls do not count, or null
+     */
     private Resources sumExcept(Machine machine, Job except) {
         Resources sum = Resources.NONE;
         for (ActiveRecall recall : byMachine.getOrDefault(machine, List.of())) {
--- a/src/main/java/org/springmill/control/recall/RecallSetup.java
+++ b/src/main/java/org/springmill/control/recall/RecallSetup.java
@@ -16,7 +16,7 @@
 import org.springmill.protocol.Resources;
 import org.springmill.transport.EventLoop;
 
-/** Puts together what a leader needs to carry recalls out. */
+/** Assembles what a leader needs for preemption by recalls. */
 public final class RecallSetup {
     /** The hold-down stays below so many leases, however much work a recall lost. */
     private static final double MAX_HOLD_DOWN_LEASES = 2;
@@ -24,41 +24,41 @@
     /** Recalls closer together than a lease divided by this belong to one wave. */
     private static final double WAVES_PER_LEASE = 2;
 
-    private final Fleet fleet;
-    private final EventLoop loop;
-    private final Timeouts timeouts;
-    private final Metrics metrics;
+    private final RecallContext context;
     private final GracePeriods grace;
     private final RecallReservations reservations = new RecallReservations();
     private final HoldDownCapacity heldDownCapacity;
 
+    /**
+     * Assembles the parts of one leader's term.
+     *
+     * @param settings the operator's settings for borrowed capacity
+     */
     public RecallSetup(
             Fleet fleet,
             EventLoop loop,
             Timeouts timeouts,
-            OperatorSettings.Borrowing terms,
+            OperatorSettings.Borrowing settings,
             Metrics metrics) {
-        this.metrics = metrics;
-        this.fleet = fleet;
-        this.loop = loop;
-        this.timeouts = timeouts;
-        grace = new GracePeriods(timeouts, terms);
+        context = new RecallContext(fleet, loop, timeouts, metrics);
+        grace = new GracePeriods(timeouts, settings);
         HoldDown holdDown =
                 new HoldDown(
-                        terms.holdDownHalfLifeLeases() * timeouts.workerLeaseSeconds(),
-                        terms.holdDownRatio(),
+                        settings.holdDownHalfLifeLeases() * timeouts.workerLeaseSeconds(),
+                        settings.holdDownRatio(),
                         MAX_HOLD_DOWN_LEASES * timeouts.workerLeaseSeconds(),
                         timeouts.workerLeaseSeconds() / WAVES_PER_LEASE);
         heldDownCapacity = new HoldDownCapacity(fleet.clusterState(), holdDown, metrics);
     }
 
-    /** Room that is promised to others, or not lent again yet. */
+    /** Withholds capacity that is reserved for beneficiaries, or held down after a recall. */
     public CapacityFilter withheld() {
         return new CapacityFilter() {
             @Override
             public Resources withheldFrom(Job job, Machine machine) {
-                Resources promised = reservations.reservedForOthersOn(machine, job);
-                return promised.plus(heldDownCapacity.withheldFrom(job, machine, loop.now()));
+                Resources reserved = reservations.reservedForOthersOn(machine, job);
+                return reserved.plus(
+                        heldDownCapacity.withheldFrom(job, machine, context.loop().now()));
             }
 
             @Override
@@ -69,22 +69,20 @@
     }
 
     /**
-     * What decides recalls and carries them out.
+     * The preemption policy that recalls borrowed capacity.
      *
      * @param commandSender sends a machine the commands that are due
      */
     public RecallPreemption recalls(
             KeyValueStoreClient store, Placement placement, Consumer<Machine> commandSender) {
         return new RecallPreemption(
-                fleet,
-                loop,
-                timeouts,
+                context,
                 new RecallLog(store),
-                new RecallPlanner(fleet, placement, reservations, grace, timeouts),
+                new RecallPlanner(
+                        context.fleet(), placement, reservations, grace, context.timeouts()),
                 reservations,
                 heldDownCapacity,
                 grace,
-                metrics,
-                commandSender);
+                new VictimStops(context, grace, commandSender));
     }
 }
