--- a/src/test/java/org/springmill/control/recall/RecallCostMeasurement.java
+++ b/src/test/java/org/springmill/control/recall/RecallCostMeasurement.java
@@ -36,14 +36,14 @@
  */
 public final class RecallCostMeasurement {
     private static final int TEAMS = 200;
-    private static final int WARM_UP = 20;
+    private static final int WARM_UP_RUNS = 20;
     private static final int RUNS = 50;
     private static final double MICROSECONDS_PER_NANO = 1e-3;
     private static final double MILLISECONDS_PER_MICRO = 1e-3;
-    private static final int DIGITS = 3;
+    private static final int SIGNIFICANT_DIGITS = 3;
 
-    /** Of the first term, which the fleet has. */
-    private static final long TOKEN = 1L << 20;
+    /** Fencing token of the first term, which is that of the fleet. */
+    private static final long FENCING_TOKEN = 1L << 20;
 
     private final VirtualClock clock = new VirtualClock();
     private final Settings settings;
@@ -51,7 +51,7 @@
     private final ClusterState clusterState;
     private final Fleet fleet;
     private final RecallPlanner planner;
-    private int numbers;
+    private int lastJobNumber;
 
     private RecallCostMeasurement(int machines) {
         settings = settings(machines);
@@ -74,15 +74,15 @@
         int replicas = Integer.parseInt(arguments[2]);
         double gpus = Double.parseDouble(arguments[3]);
         RecallCostMeasurement measurement = new RecallCostMeasurement(machines);
-        measurement.fill(machines, tasks);
-        measurement.ask(replicas, gpus);
-        Histogram micros = new Histogram(DIGITS);
+        measurement.fillMachines(machines, tasks);
+        measurement.submitService(replicas, gpus);
+        Histogram micros = new Histogram(SIGNIFICANT_DIGITS);
         int plans = 0;
-        for (int i = 0; i < WARM_UP + RUNS; i++) {
+        for (int i = 0; i < WARM_UP_RUNS + RUNS; i++) {
             long before = System.nanoTime();
             plans = measurement.planner.plan().size();
             long nanos = System.nanoTime() - before;
-            if (i >= WARM_UP) {
+            if (i >= WARM_UP_RUNS) {
                 micros.recordValue((long) (nanos * MICROSECONDS_PER_NANO));
             }
         }
@@ -123,7 +123,7 @@
                 OperatorSettings.DEFAULTS);
     }
 
-    private void fill(int machines, int tasks) {
+    private void fillMachines(int machines, int tasks) {
         MachineType type = PackingFixtures.type("g8", 1, "a", "b");
         List<Job> batch = new ArrayList<>();
         for (int i = 1; i < TEAMS; i++) {
@@ -140,7 +140,7 @@
             for (int task = 0; task < tasks; task++) {
                 reported.add(start(batch.get((i * tasks + task) % batch.size()), machine));
             }
-            machine.acceptHeartbeat(report(machine, reported), clock.now());
+            machine.acceptHeartbeat(heartbeat(machine, reported), clock.now());
         }
     }
 
@@ -155,24 +155,33 @@
         return new TaskStatus(claim.task(), 1, TaskState.RUNNING, ExitCause.NONE);
     }
 
-    private static Heartbeat report(Machine machine, List<TaskStatus> tasks) {
+    private static Heartbeat heartbeat(Machine machine, List<TaskStatus> tasks) {
         return new Heartbeat(
-                machine.name(), "a:1", "g8", machine.zone(), false, 1, 1, TOKEN, null, tasks);
+                machine.name(),
+                "a:1",
+                "g8",
+                machine.zone(),
+                false,
+                1,
+                1,
+                FENCING_TOKEN,
+                null,
+                tasks);
     }
 
-    private void ask(int replicas, double gpus) {
+    private void submitService(int replicas, double gpus) {
         clusterState.add(
                 new Job(
                         spec("team-0", JobKind.SERVICE, Priority.PRODUCTION, replicas, gpus),
                         1000));
     }
 
-    private Submission spec(String team, JobKind shape, Priority priority, int tasks, double gpus) {
+    private Submission spec(String team, JobKind kind, Priority priority, int tasks, double gpus) {
         return new Submission(
-                String.format("run-%06d", ++numbers),
+                String.format("run-%06d", ++lastJobNumber),
                 "c",
                 team,
-                shape,
+                kind,
                 priority,
                 tasks,
                 0.1,
--- a/src/test/java/org/springmill/control/scheduling/CompletionBatchingTest.java
+++ b/src/test/java/org/springmill/control/scheduling/CompletionBatchingTest.java
@@ -17,9 +17,9 @@
 import org.springmill.protocol.UserMessages.JobPhase;
 import org.springmill.protocol.WorkerMessages.ExitCause;
 
-/** Which ends are committed at once and which may share a later round. */
+/** Which ends of attempts are committed at once and which may be batched into a later round. */
 class CompletionBatchingTest {
-    private static final double GAP_SECONDS = 0.25;
+    private static final double ROUND_INTERVAL_SECONDS = 0.25;
     private static final double NOW = 100;
 
     private static Job job(int tasks) throws MalformedMessageException {
@@ -48,17 +48,17 @@
         "the wait is over,                            5, 2, DONE, 1.0, false, false, 0.0",
         "the last task of its job is done,            2, 2, DONE, 0.0, false, false, 0.0",
         "a task has to run again,                     5, 1, STOPPED, 0.0, false, false, 0.0",
-        "a task of a cancelled job is gone,           5, 1, STOPPED, 0.0, true, false, 1.0",
+        "a task of a cancelled job has ended,         5, 1, STOPPED, 0.0, true, false, 1.0",
         "a task waits to be placed,                   5, 1, DONE, 0.0, false, true, 0.0",
     })
-    void endsWaitOnlyWhileNothingDependsOnThem(
+    void endsAreBatchedOnlyWhileNothingDependsOnThem(
             String situation,
             int tasks,
             int endedTasks,
             ExitCause cause,
             double secondsAgo,
             boolean cancelled,
-            boolean workWaits,
+            boolean tasksWait,
             double expectedSeconds)
             throws MalformedMessageException {
         Job job = job(tasks);
@@ -69,8 +69,8 @@
         for (int task = 0; task < endedTasks; task++) {
             ended.add(ended(job, task, cause, NOW - secondsAgo));
         }
-        CompletionBatching batching = new CompletionBatching(GAP_SECONDS);
+        CompletionBatching batching = new CompletionBatching(ROUND_INTERVAL_SECONDS);
         assertEquals(
-                expectedSeconds, batching.postponeSeconds(ended, workWaits, NOW), 1e-9, situation);
+                expectedSeconds, batching.postponeSeconds(ended, tasksWait, NOW), 1e-9, situation);
     }
 }
--- a/src/test/java/org/springmill/control/scheduling/FullRoundTest.java
+++ b/src/test/java/org/springmill/control/scheduling/FullRoundTest.java
@@ -20,16 +20,16 @@
 import org.springmill.sim.VirtualClock;
 
 /**
- * Which jobs a round that is full has not come to. A leader that ranked thousands of machines for
- * each of a thousand such jobs, and looked for work to preempt, stood still for seconds and lost
- * its lease, again and again: after an outage of the key-value store at the target size.
+ * Which jobs a full round skips. When a leader ranked thousands of machines for each of a thousand
+ * such jobs, and searched victims to preempt, it blocked for seconds and lost its lease, again and
+ * again: after an outage of the key-value store at the target size.
  */
 class FullRoundTest {
     private static final Settings SETTINGS = SettingsFixtures.small();
     private static final int JOBS = 3;
 
-    /** Of the first term, which the fleet has. */
-    private static final long TOKEN = 1L << 20;
+    /** Fencing token of the first term, which is that of the fleet. */
+    private static final long FENCING_TOKEN = 1L << 20;
 
     private final VirtualClock clock = new VirtualClock();
     private final Timeouts timeouts = Timeouts.of(SETTINGS);
@@ -38,65 +38,78 @@
     private final Placement placement = new Placement(fleet, timeouts, CapacityFilter.NONE);
     private final List<Job> jobs = new ArrayList<>();
 
-    private void machineIsUp() {
+    private void bringUpMachine() {
         Machine machine = fleet.machine("host-000001");
         machine.describe("a:1", PackingFixtures.type("t", 1, "a"), "a", false);
         machine.transition(Machine.State.UP);
         Heartbeat heartbeat =
-                new Heartbeat("host-000001", "a:1", "t", "a", false, 1, 1, TOKEN, null, List.of());
+                new Heartbeat(
+                        "host-000001",
+                        "a:1",
+                        "t",
+                        "a",
+                        false,
+                        1,
+                        1,
+                        FENCING_TOKEN,
+                        null,
+                        List.of());
         machine.acceptHeartbeat(heartbeat, clock.now());
     }
 
-    private void jobsWait() {
+    private void submitJobs() {
         for (int i = 0; i < JOBS; i++) {
-            Submission like = PackingFixtures.job(1).size(0, 0, 0).build();
-            Job job = new Job(named(like, "run-00000" + i), i + 1);
+            Submission template = PackingFixtures.job(1).size(0, 0, 0).build();
+            Job job = new Job(withId(template, "run-00000" + i), i + 1);
             jobs.add(job);
             clusterState.add(job);
         }
     }
 
-    private static Submission named(Submission like, String id) {
+    private static Submission withId(Submission template, String id) {
         return new Submission(
                 id,
-                like.jobClass(),
-                like.team(),
-                like.shape(),
-                like.priority(),
-                like.tasks(),
-                like.cpus(),
-                like.gpus(),
-                like.memoryGb(),
-                like.image(),
-                like.imageGb(),
-                like.types(),
-                like.zone(),
-                like.oneZone(),
-                like.spread(),
-                like.spot(),
-                like.estimatedRunSeconds(),
-                like.checkpointIntervalSeconds(),
-                like.checkpointSaveSeconds(),
-                like.deadlineSeconds(),
-                like.dependencies());
+                template.jobClass(),
+                template.team(),
+                template.shape(),
+                template.priority(),
+                template.tasks(),
+                template.cpus(),
+                template.gpus(),
+                template.memoryGb(),
+                template.image(),
+                template.imageGb(),
+                template.types(),
+                template.zone(),
+                template.oneZone(),
+                template.spread(),
+                template.spot(),
+                template.estimatedRunSeconds(),
+                template.checkpointIntervalSeconds(),
+                template.checkpointSaveSeconds(),
+                template.deadlineSeconds(),
+                template.dependencies());
     }
 
     @Test
-    void jobsBeyondAFullRoundAreUnreachedAndTheNextRoundComesToThem() {
-        machineIsUp();
-        jobsWait();
+    void aFullRoundSkipsTheRemainingJobsAndTheNextRoundPlacesThem() {
+        bringUpMachine();
+        submitJobs();
+
         assertEquals(1, placement.place(1, 1).size());
         assertFalse(placement.skippedByFullRound(jobs.get(0)));
         assertTrue(placement.skippedByFullRound(jobs.get(1)));
         assertTrue(placement.skippedByFullRound(jobs.get(2)));
+
         assertEquals(2, placement.place(2, 96).size());
         jobs.forEach(job -> assertFalse(placement.skippedByFullRound(job)));
     }
 
-    /** A job that finds no place was come to, and work may be stopped for it. */
+    /** A job that fits no machine was considered, so work may be preempted for it. */
     @Test
-    void aJobWithoutAPlaceWasReached() {
-        jobsWait();
+    void aJobThatFitsNoMachineIsNotSkipped() {
+        submitJobs();
+
         assertEquals(0, placement.place(1, 1).size());
         jobs.forEach(job -> assertFalse(placement.skippedByFullRound(job)));
     }
