--- a/src/main/java/org/springmill/control/controller/Controller.java
+++ b/src/main/java/org/springmill/control/controller/Controller.java
@@ -228,12 +228,12 @@
         }
         metrics.gauge("cancellations", directory, JobDirectory::cancellationCount);
         metrics.gauge("moved_jobs_in_memory", directory, JobDirectory::archivedInMemory);
-        addLeaderGauge("job_records_to_move", Leader::recordsToMove);
+        addLeaderGauge("job_records_to_move", Leader::recordsToArchive);
         addLeaderGauge("tasks_waiting", Leader::waitingTasks);
         addLeaderGauge("tasks_running", Leader::runningTasks);
         addLeaderGauge("machines_up", Leader::machinesUp);
-        addLeaderGauge("machines_late", Leader::machinesLate);
-        addLeaderGauge("rounds_stored", Leader::roundsKept);
+        addLeaderGauge("machines_late", Leader::overdueBoots);
+        addLeaderGauge("rounds_stored", Leader::storedRounds);
     }
 
     /** Adds a gauge that only a leader has a value for; any other controller shows 0. */
@@ -375,7 +375,7 @@
         }
         boolean mayLead = leader != null && leadership.mayRespondToWorkers();
         if (mayLead && cancellationFreshness.isFresh()) {
-            leader.report(call, heartbeat);
+            leader.respondToHeartbeat(call, heartbeat);
         } else if (leaseKeepalive.mayRenewLease(heartbeat, leader != null)) {
             renewLease(call, heartbeat);
         } else {
@@ -414,7 +414,7 @@
             activeJobs.ended(job.id(), loop.now());
         }
         if (leader != null) {
-            leader.jobChanged(job);
+            leader.jobRecordChanged(job);
         }
     }
 
@@ -427,19 +427,21 @@
         @Override
         public void gained(long term) {
             leader =
-                    new Leader(
-                            store,
-                            http,
-                            loop,
-                            settings,
-                            timeouts,
-                            leadership,
-                            directory,
-                            peers,
-                            catalog,
-                            metrics,
-                            congestion,
-                            historyMembership);
+                    new LeaderFactory(
+                                    new ControllerServices(
+                                            store,
+                                            http,
+                                            loop,
+                                            settings,
+                                            timeouts,
+                                            leadership,
+                                            directory,
+                                            peers,
+                                            catalog,
+                                            metrics,
+                                            congestion,
+                                            historyMembership))
+                            .create();
             leader.start();
         }
 
--- /dev/null
+++ b/src/main/java/org/springmill/control/controller/LeaderTick.java
@@ -0,0 +1,87 @@
+package org.springmill.control.controller;
+
+import org.springmill.control.autoscaling.Autoscaler;
+import org.springmill.control.cluster.DependencyPriority;
+import org.springmill.control.cluster.Machine;
+import org.springmill.control.leadership.Leadership;
+import org.springmill.control.scheduling.PlacementRounds;
+import org.springmill.control.workers.Reconciliation;
+import org.springmill.transport.EventLoop;
+
+/** What a leader does periodically, from recovery until its term is closed. */
+final class LeaderTick {
+    private static final double TICKS_PER_HEARTBEAT = 8;
+
+    private final EventLoop loop;
+    private final double intervalSeconds;
+    private final Leadership leadership;
+    private final TermLifecycle lifecycle;
+    private final JobCompletion jobCompletion;
+    private final Autoscaler autoscaler;
+    private final LeaderIsolationCheck isolationCheck;
+    private final Reconciliation reconciliation;
+    private final DependencyPriority dependencyPriority;
+    private final MachineSweep machineSweep;
+    private final PlacementRounds rounds;
+
+    LeaderTick(
+            ControllerServices services,
+            TermLifecycle lifecycle,
+            JobCompletion jobCompletion,
+            Autoscaler autoscaler,
+            LeaderIsolationCheck isolationCheck,
+            Reconciliation reconciliation,
+            DependencyPriority dependencyPriority,
+            MachineSweep machineSweep,
+            PlacementRounds rounds) {
+        loop = services.loop();
+        intervalSeconds = services.timeouts().heartbeatIntervalSeconds() / TICKS_PER_HEARTBEAT;
+        leadership = services.leadership();
+        this.lifecycle = lifecycle;
+        this.jobCompletion = jobCompletion;
+        this.autoscaler = autoscaler;
+        this.isolationCheck = isolationCheck;
+        this.reconciliation = reconciliation;
+        this.dependencyPriority = dependencyPriority;
+        this.machineSweep = machineSweep;
+        this.rounds = rounds;
+    }
+
+    /** Runs one tick and schedules the next, unless the term is closed. */
+    void run() {
+        if (lifecycle.isClosed()) {
+            return;
+        }
+        loop.after(intervalSeconds, this::run);
+        // Reading the state ends a term whose lease has expired, which closes this leader.
+        leadership.state();
+        if (lifecycle.isClosed()) {
+            return;
+        }
+        releaseMachinesWithOverdueTasks();
+        if (!leadership.mayRespondToWorkers()) {
+            return;
+        }
+        isolationCheck.resignIfIsolated();
+        if (lifecycle.isClosed()) {
+            return;
+        }
+        reconciliation.tick();
+        dependencyPriority.settle();
+        machineSweep.run();
+        if (leadership.mayPlace()) {
+            autoscaler.tick();
+            rounds.request();
+        }
+    }
+
+    /**
+     * Whoever holds the term, sure of it or not, may be the only one who knows where cancelled
+     * tasks are.
+     */
+    private void releaseMachinesWithOverdueTasks() {
+        for (Machine machine : jobCompletion.machinesWithOverdueTasks()) {
+            autoscaler.release(machine, "a cancelled task on it cannot be stopped");
+        }
+    }
+}
--- /dev/null
+++ b/src/main/java/org/springmill/control/controller/MachineSweep.java
@@ -0,0 +1,44 @@
+package org.springmill.control.controller;
+
+import org.springmill.control.cluster.Fleet;
+import org.springmill.control.cluster.Machine;
+import org.springmill.control.timing.Timeouts;
+import org.springmill.control.workers.CommandDispatcher;
+import org.springmill.transport.EventLoop;
+
+/** Probes silent workers, sends the commands that are due, and forgets terminated machines. */
+final class MachineSweep {
+    private final Fleet fleet;
+    private final CommandDispatcher dispatcher;
+    private final EventLoop loop;
+    private final Timeouts timeouts;
+
+    MachineSweep(Fleet fleet, CommandDispatcher dispatcher, EventLoop loop, Timeouts timeouts) {
+        this.fleet = fleet;
+        this.dispatcher = dispatcher;
+        this.loop = loop;
+        this.timeouts = timeouts;
+    }
+
+    /** Goes through all machines once. */
+    void run() {
+        for (Machine machine : fleet.machinesNow()) {
+            if (isProbeDue(machine)) {
+                machine.commandChannel().requestStatus();
+            }
+            dispatcher.requestSend(machine);
+            if (isOver(machine)) {
+                fleet.forget(machine);
+            }
+        }
+    }
+
+    private boolean isProbeDue(Machine machine) {
+        return machine.state() == Machine.State.UP
+                && loop.now() - machine.lastHeartbeatAt() > timeouts.probeAfterSeconds();
+    }
+
+    private static boolean isOver(Machine machine) {
+        return machine.state() == Machine.State.TERMINATED && machine.attempts().isEmpty();
+    }
+}
--- a/src/main/java/org/springmill/control/workers/HeartbeatHandler.java
+++ b/src/main/java/org/springmill/control/workers/HeartbeatHandler.java
@@ -19,15 +19,15 @@
     private final JobDirectory directory;
     private final EventLoop loop;
     private final Timeouts timeouts;
-    private final Term term;
+    private final TermStatus term;
 
     /** How far the leader's term is. */
-    public interface Term {
-        /** Whether what earlier leaders committed has been taken in. */
-        boolean rebuilt();
+    public interface TermStatus {
+        /** Whether the cluster state is recovered and the term has not ended. */
+        boolean isActive();
 
         /** Whether the term has ended. */
-        boolean closed();
+        boolean isClosed();
     }
 
     public HeartbeatHandler(
@@ -37,7 +37,7 @@
             JobDirectory directory,
             EventLoop loop,
             Timeouts timeouts,
-            Term term) {
+            TermStatus term) {
         this.fleet = fleet;
         this.reconciliation = reconciliation;
         this.dispatcher = dispatcher;
@@ -62,17 +62,17 @@
             call.reply(503, WorkerMessages.encodeRedirect(null), 0);
             return;
         }
-        if (term.rebuilt()) {
+        if (term.isActive()) {
             reconciliation.accept(machine, heartbeat);
         }
-        if (term.closed()) {
+        if (term.isClosed()) {
             call.reply(421, WorkerMessages.encodeRedirect(null), 0);
             return;
         }
         machine.workerEpoch().recordHeartbeat(heartbeat);
         machine.heartbeatAnswered(loop.now(), timeouts.workerLeaseSeconds());
-        List<Command> commands = term.rebuilt() ? List.of() : directory.stopCommandsFor(heartbeat);
-        if (term.rebuilt()
+        List<Command> commands = term.isActive() ? List.of() : directory.stopCommandsFor(heartbeat);
+        if (term.isActive()
                 && machine.commandsFailing()
                 && !machine.commandChannel().isRequestInFlight()
                 && heartbeat.epoch() == machine.epoch()) {
@@ -80,7 +80,7 @@
         }
         call.reply(
                 200, WorkerMessages.encodeHeartbeatResponse(machine.fencingToken(), commands), 0);
-        if (term.rebuilt()) {
+        if (term.isActive()) {
             dispatcher.requestSend(machine);
         }
     }
