--- a/src/main/java/org/springmill/control/controller/ArchivableJobs.java
+++ b/src/main/java/org/springmill/control/controller/ArchivableJobs.java
@@ -9,10 +9,7 @@
 import org.springmill.control.storage.JobRecord;
 import org.springmill.protocol.KeyValueStoreMessages.Condition;
 
-/**
- * What a leader knows of ended jobs: whether anything still needs their records, so that they may
- * not be moved to the history yet.
- */
+/** Tells which records of ended jobs may be archived: those that nothing needs any more. */
 final class ArchivableJobs implements HistoryArchiver.Jobs {
     private final JobDirectory directory;
     private final ClusterState clusterState;
@@ -46,8 +43,8 @@
     }
 
     /**
-     * The cluster state holds an ended job for as long as an attempt of it has not been proven gone
-     * and that been committed; a later leader needs the record to count what such attempts use.
+     * The cluster state holds an ended job until it is proven and committed that all its attempts
+     * are gone; until then a later leader needs the record to count the capacity they use.
      */
     @Override
     public boolean settled(JobRecord record) {
@@ -59,8 +56,8 @@
     }
 
     /**
-     * The record is forgotten only when the feed brings its deletion: changes before that may not
-     * have been read yet, and would bring it back.
+     * Keeps the record until the watch delivers its deletion: changes before that may not have been
+     * read yet, and would bring it back.
      */
     @Override
     public void moved(ArchivedJob job) {
--- a/src/main/java/org/springmill/control/controller/CancellationPersister.java
+++ b/src/main/java/org/springmill/control/controller/CancellationPersister.java
@@ -16,16 +16,16 @@
 /**
  * Persists derived cancellations: the records of jobs that were cancelled with one of their
  * dependencies. Nothing depends on it, since every controller derives the same from the record of
- * the first cancelled job; so it has the lowest standing among all that is written, and a wave of
- * cancellations costs no round its turn.
+ * the first cancelled job. So these writes have the lowest priority, and a wave of cancellations
+ * delays no placement round.
  *
- * <p>A transaction is refused as a whole, also when only one of its records is at fault. Its
- * records are then written one by one, and only a record that is refused alone is left as it is.
+ * <p>A compare-and-swap is rejected as a whole, also when only one of its records is at fault. Its
+ * records are then written one by one, and only a record that is rejected alone is abandoned.
  */
 final class CancellationPersister {
     private static final Logger LOG = LoggerFactory.getLogger(CancellationPersister.class);
 
-    /** Share of the changes that the key-value store takes. */
+    /** Share of the writes a second that the key-value store takes. */
     private static final double WRITE_SHARE = 0.1;
 
     private final KeyValueStoreClient store;
@@ -34,7 +34,7 @@
     private final EventLoop loop;
     private boolean closed;
 
-    /** How many of the records that come next are to be written alone. */
+    /** How many of the next records are to be written alone. */
     private int singleWrites;
 
     CancellationPersister(
@@ -48,11 +48,12 @@
         this.loop = loop;
     }
 
+    /** Writes nothing more. */
     void close() {
         closed = true;
     }
 
-    /** Writes the next batch if there is one and nothing else waits; goes on until closed. */
+    /** Writes the next batch if there is one and nothing else is queued; repeats until closed. */
     void run() {
         if (closed) {
             return;
@@ -69,10 +70,10 @@
         return singleWrites > 0 ? 1 : Math.max(1, store.limits().writesPerCommit() / 2);
     }
 
-    /** Waits for as long as a batch of that size uses up the share of the changes. */
+    /** Waits for as long as a batch of that size takes at the write share. */
     private void runAfter(List<JobRecord> batch) {
-        double changesPerSecond = WRITE_SHARE * store.limits().writesPerSecond();
-        loop.after(Math.max(1, batch.size()) / changesPerSecond, this::run);
+        double writesPerSecond = WRITE_SHARE * store.limits().writesPerSecond();
+        loop.after(Math.max(1, batch.size()) / writesPerSecond, this::run);
     }
 
     private void write(List<JobRecord> batch) {
@@ -88,23 +89,23 @@
                 conditions,
                 writes,
                 result -> {
-                    written(batch, valueBytes, result);
+                    handleResult(batch, valueBytes, result);
                     runAfter(batch);
                 });
     }
 
-    private void written(List<JobRecord> batch, int valueBytes, CommitResult result) {
+    private void handleResult(List<JobRecord> batch, int valueBytes, CommitResult result) {
         switch (result.outcome()) {
             case COMMITTED -> committed(batch, result.revision());
             case REJECTED -> {
-                // A leader that has been replaced leaves the records to the next one.
+                // A leader whose term is over leaves the records to the next one.
                 if (!result.failed().contains(leadership.termCondition().key())) {
-                    refused(batch);
+                    retrySinglyOrAbandon(batch);
                 }
             }
             case TOO_LARGE -> {
                 if (batch.size() > 1 || !isShorterNow(batch.get(0), valueBytes)) {
-                    refused(batch);
+                    retrySinglyOrAbandon(batch);
                 }
             }
             case RETRYABLE, UNKNOWN -> {}
@@ -116,14 +117,14 @@
         batch.forEach(job -> directory.learn(job.committed(revision)));
     }
 
-    /** Retries a batch record by record; gives up on a single record. */
-    private void refused(List<JobRecord> batch) {
+    /** Has a batch retried record by record; abandons a single record. */
+    private void retrySinglyOrAbandon(List<JobRecord> batch) {
         if (batch.size() > 1) {
             singleWrites = batch.size();
             return;
         }
         singleWrites = Math.max(0, singleWrites - 1);
-        LOG.warn("the cancellation of {} cannot be written down", batch.get(0).id());
+        LOG.warn("the derived cancellation of {} cannot be persisted", batch.get(0).id());
         directory.dependencies().abandonPersistence(batch);
     }
 
--- a/src/main/java/org/springmill/control/controller/ClusterStateRecovery.java
+++ b/src/main/java/org/springmill/control/controller/ClusterStateRecovery.java
@@ -16,9 +16,11 @@
 import org.springmill.control.storage.RoundLog;
 import org.springmill.transport.EventLoop;
 
-/** Makes a new leader's jobs and attempts of what earlier leaders have committed. */
+/** Recovers the jobs and task attempts of a new leader from what earlier leaders committed. */
 final class ClusterStateRecovery {
     private static final Logger LOG = LoggerFactory.getLogger(ClusterStateRecovery.class);
+    private static final long START_EPOCH_UNKNOWN = 0;
+    private static final double NO_GRACE = 0;
 
     private final JobDirectory directory;
     private final ClusterState clusterState;
@@ -40,44 +42,49 @@
     }
 
     /** The records of jobs that have not ended, in the order in which they were accepted. */
-    List<JobRecord> activeJobs() {
+    List<JobRecord> activeRecords() {
         return directory.all().stream()
                 .filter(JobRecord::active)
                 .sorted(Comparator.comparingLong(JobRecord::version))
                 .toList();
     }
 
-    /** The records of jobs that have ended and are not moved yet. */
-    List<JobRecord> endedJobs() {
+    /** The records of jobs that have ended and are not archived yet. */
+    List<JobRecord> endedRecords() {
         return directory.all().stream().filter(record -> !record.active()).toList();
     }
 
-    /** A job with what is done of it. */
-    Job job(JobRecord record, RoundLog.Rebuilt found) {
+    /** Recovers an active job, with those of its tasks marked that are done. */
+    Job recoverJob(JobRecord record, RoundLog.Rebuilt rounds) {
         Job job = new Job(record.submission(), record.version());
-        BitSet done = found.done().get(record.id());
-        if (done != null) {
-            job.markDone(done);
+        BitSet doneTasks = rounds.done().get(record.id());
+        if (doneTasks != null) {
+            job.markDone(doneTasks);
         }
         return job;
     }
 
-    /** Takes in a claim that has not ended: whether its task was ever started is unknown. */
-    void adopt(Claim claim) {
-        Job known = clusterState.job(claim.task().job());
-        if (known == null && directory.get(claim.task().job()) == null) {
-            // A record is moved only once no claim of its job is left.
-            LOG.error("claim of {} although its record has been moved", claim.task());
+    /**
+     * Recovers the attempt of a claim that has not ended. Whether its task was ever started is
+     * unknown until reconciliation.
+     */
+    void recoverAttempt(Claim claim) {
+        String jobId = claim.task().job();
+        Job knownJob = clusterState.job(jobId);
+        if (knownJob == null && directory.get(jobId) == null) {
+            // A record is archived only once no claim of its job is left.
+            LOG.error("live claim of {} although its job record is archived", claim.task());
             return;
         }
-        Job job = known == null ? jobCompletion.endedJob(claim.task().job()) : known;
+        Job job = knownJob == null ? jobCompletion.recoverEndedJob(jobId) : knownJob;
         Machine machine = fleet.machine(claim.machine());
         TaskAttempt attempt = new TaskAttempt(claim, job, machine, loop.now());
-        attempt.recordStartSent(machine.fencingToken() - 1, 0);
+        // Any fencing token of this term is above those of earlier leaders' starts (claim 6.1).
+        attempt.recordStartSent(machine.fencingToken() - 1, START_EPOCH_UNKNOWN);
         clusterState.add(attempt);
         attempt.transition(TaskAttempt.State.UNKNOWN, loop.now());
         if (!job.active()) {
-            fleet.stop(attempt, 0);
+            fleet.stop(attempt, NO_GRACE);
         }
     }
 }
--- a/src/main/java/org/springmill/control/controller/ImageLocationPersister.java
+++ b/src/main/java/org/springmill/control/controller/ImageLocationPersister.java
@@ -10,8 +10,8 @@
 import org.springmill.transport.EventLoop;
 
 /**
- * Notes which machines hold which images for the next leader, once in a while and only if nothing
- * else has to be written. Only start times depend on it.
+ * Persists which machines hold which images, as a hint for the next leader: periodically, and only
+ * if nothing else is queued. Without it tasks start later, since images are fetched again.
  */
 final class ImageLocationPersister {
     private final KeyValueStoreClient store;
@@ -19,9 +19,12 @@
     private final Leadership leadership;
     private final EventLoop loop;
     private final double intervalSeconds;
-    private JsonNode lastNotes;
+    private JsonNode lastWritten;
     private boolean closed;
 
+    /**
+     * @param intervalSeconds time between two writes
+     */
     ImageLocationPersister(
             KeyValueStoreClient store,
             Fleet fleet,
@@ -35,11 +38,12 @@
         this.intervalSeconds = intervalSeconds;
     }
 
+    /** Writes nothing more. */
     void close() {
         closed = true;
     }
 
-    /** Takes in what the last leader noted, and goes on from there. */
+    /** Reads what the last leader persisted, then begins to persist. */
     void start() {
         store.get(
                 ImageLocations.KEY,
@@ -47,21 +51,21 @@
                     if (read.entry() != null) {
                         fleet.adopt(ImageLocations.decode(read.entry().value()));
                     }
-                    loop.after(intervalSeconds, this::note);
+                    loop.after(intervalSeconds, this::run);
                 });
     }
 
-    private void note() {
+    private void run() {
         if (closed) {
             return;
         }
-        loop.after(intervalSeconds, this::note);
-        JsonNode notes = fleet.imageLocations().encode(store.limits().valueBytes());
-        if (leadership.mayPlace() && !notes.equals(lastNotes) && store.backlog() == 0) {
-            lastNotes = notes;
+        loop.after(intervalSeconds, this::run);
+        JsonNode locations = fleet.imageLocations().encode(store.limits().valueBytes());
+        if (leadership.mayPlace() && !locations.equals(lastWritten) && store.backlog() == 0) {
+            lastWritten = locations;
             store.compareAndSwap(
                     List.of(leadership.termCondition()),
-                    List.of(Write.put(ImageLocations.KEY, notes)),
+                    List.of(Write.put(ImageLocations.KEY, locations)),
                     result -> {});
         }
     }
--- a/src/main/java/org/springmill/control/controller/JobCompletion.java
+++ b/src/main/java/org/springmill/control/controller/JobCompletion.java
@@ -19,7 +19,10 @@
 import org.springmill.protocol.UserMessages.JobPhase;
 import org.springmill.transport.EventLoop;
 
-/** Ends the jobs of one leader's term: records that they are done, and drops what is over. */
+/**
+ * Completes the jobs of one term: writes to their records that they are done, and drops ended jobs
+ * from the cluster state once none of their attempts is left.
+ */
 final class JobCompletion {
     private static final Logger LOG = LoggerFactory.getLogger(JobCompletion.class);
 
@@ -52,15 +55,16 @@
         this.skewSeconds = skewSeconds;
     }
 
+    /** Writes nothing more. */
     void close() {
         closed = true;
     }
 
     /**
-     * A job that ended while tasks of it may still be on machines: they count until they are proven
-     * gone.
+     * Adds a job to the cluster state that ended while attempts of it may still be on machines:
+     * they use capacity until they are proven gone.
      */
-    Job endedJob(String id) {
+    Job recoverEndedJob(String id) {
         JobRecord record = directory.get(id);
         Job job = new Job(record.submission(), record.version());
         job.end(record.phase(), record.version(), endedSince(record));
@@ -69,27 +73,22 @@
     }
 
     /**
-     * Since when a job is to be counted as ended, by this clock; its end may have become known here
-     * only later.
+     * When a job ended, in seconds of the loop's clock. The record holds the time of day, and may
+     * have become known here only later.
      */
     double endedSince(JobRecord record) {
-        // A machine that can be reached answers within a report or so. Others are left alone for as
-        // long as the time
-        // allows: counting from the takeover, each new leader gave up a cut zone's machines with
-        // all that ran on them.
-        double ago = loop.timeOfDay() - record.endedAt() + 2 * skewSeconds;
-        return loop.now()
-                - Math.max(
-                        0,
-                        Math.min(
-                                ago,
-                                timeouts.cancellationDeletionTimeoutSeconds()
-                                        - timeouts.heartbeatIntervalSeconds()));
+        // A heartbeat interval of the timeout is always left: a machine that can be reached answers
+        // within that. Otherwise a new leader would delete a partitioned zone's machines at once,
+        // with all that runs on them.
+        double endedAgoSeconds = loop.timeOfDay() - record.endedAt() + 2 * skewSeconds;
+        double maxAgoSeconds =
+                timeouts.cancellationDeletionTimeoutSeconds() - timeouts.heartbeatIntervalSeconds();
+        return loop.now() - Math.max(0, Math.min(endedAgoSeconds, maxAgoSeconds));
     }
 
     /**
-     * Machines with cancelled tasks that could not be stopped in time: the tasks can only go with
-     * their machines.
+     * Machines with cancelled tasks that could not be stopped in time: such tasks end only when
+     * their machines are deleted.
      */
     List<Machine> machinesWithOverdueTasks() {
         double now = loop.now();
@@ -102,21 +101,21 @@
                 .toList();
     }
 
-    /** Forgets a job that has ended and of which nothing runs any more. */
+    /** Drops a job that has ended and has no live attempt any more. */
     void dropIfOver(Job job) {
         if (!job.active() && job.liveCount() == 0) {
             clusterState.dropJob(job);
         }
     }
 
-    /** Records that a job is done once all of its tasks are. */
+    /** Writes that a job is done once all of its tasks are. */
     void finishIfComplete(Job job) {
         if (job.active() && job.complete() && job.beginEnding()) {
             writeDone(job);
         }
     }
 
-    /** The job's record decides between done and cancelled: whichever is written first stays. */
+    /** The compare-and-swap decides between done and cancelled: whichever is first stays. */
     private void writeDone(Job job) {
         if (closed || !job.active()) {
             return;
@@ -125,27 +124,28 @@
         store.compareAndSwap(
                 List.of(leadership.termCondition(), new Condition(done.key(), job.version())),
                 List.of(Write.put(done.key(), done.encode(store.limits().valueBytes()))),
-                result -> answered(job, done, result));
+                result -> handleResult(job, done, result));
     }
 
-    private void answered(Job job, JobRecord done, CommitResult result) {
+    private void handleResult(Job job, JobRecord done, CommitResult result) {
         if (closed) {
             return;
         }
         if (result.outcome() == CommitOutcome.COMMITTED) {
             directory.learn(done.committed(result.revision()));
         } else if (result.outcome() == CommitOutcome.REJECTED && result.failed().isEmpty()) {
-            // The same again would be refused for ever. A later leader tries once more.
-            LOG.error("{} is done, but its record is refused by the state service", job.id());
+            // The same write would be rejected for ever. A later leader tries once more.
+            LOG.error("the key-value store rejects the record of {}, which is done", job.id());
         } else if (result.outcome() == CommitOutcome.REJECTED) {
-            // Cancelled meanwhile, or an earlier copy of this write was applied: the record tells.
-            directory.barrier(read -> writeDoneAgain(job));
+            // Cancelled meanwhile, or an earlier copy of this write was applied: the record shows
+            // it.
+            directory.barrier(read -> retryLater(job));
         } else {
             loop.after(timeouts.peerPollIntervalSeconds(), () -> writeDone(job));
         }
     }
 
-    private void writeDoneAgain(Job job) {
+    private void retryLater(Job job) {
         if (job.active()) {
             loop.after(timeouts.leaderRenewIntervalSeconds(), () -> writeDone(job));
         }
--- a/src/main/java/org/springmill/control/controller/Leader.java
+++ b/src/main/java/org/springmill/control/controller/Leader.java
@@ -111,18 +111,21 @@
                         components.fleet(),
                         components.jobCompletion(),
                         services.loop());
-        List<JobRecord> active = recovery.activeJobs();
-        recovery.endedJobs()
+        List<JobRecord> activeRecords = recovery.activeRecords();
+        recovery.endedRecords()
                 .forEach(record -> historyArchiver.ifPresent(archiver -> archiver.ended(record)));
-        active.forEach(
-                record -> components.jobAdmission().admitRecovered(recovery.job(record, rounds)));
-        rounds.live().forEach(recovery::adopt);
+        activeRecords.forEach(
+                record ->
+                        components
+                                .jobAdmission()
+                                .admitRecovered(recovery.recoverJob(record, rounds)));
+        rounds.live().forEach(recovery::recoverAttempt);
         components.preemption().stateRecovered();
         lifecycle.activate();
         LOG.info(
                 "cluster state of term {} recovered: {} active jobs, {} claims in {} rounds",
                 components.fleet().term(),
-                active.size(),
+                activeRecords.size(),
                 rounds.live().size(),
                 components.roundLog().kept());
     }
--- a/src/main/java/org/springmill/control/controller/package-info.java
+++ b/src/main/java/org/springmill/control/controller/package-info.java
@@ -1,7 +1,14 @@
 /**
- * One controller, and one term of its leadership: the wiring of all other packages, the recovery of
- * cluster state after failover, and the completion of jobs.
+ * One controller and the terms that it leads: the wiring of all other packages, the recovery of
+ * cluster state after failover, the periodic tick, and the completion of jobs.
  *
- * <p>The top of the controller's layers; only the command line uses it.
+ * <p>{@link org.springmill.control.controller.Controller} lives as long as the process. For each
+ * term that it wins, {@code LeaderFactory} makes a {@code Leader}, which is thrown away when the
+ * term ends. The package owns the state machine of a term ({@code TermLifecycle}) and the writes of
+ * completed jobs, of derived cancellations and of image locations; the cluster state itself belongs
+ * to {@code cluster}.
+ *
+ * <p>The top of the controller's layers: it uses every package of {@code control}, and only the
+ * command line uses it.
  */
 package org.springmill.control.controller;
