--- /dev/null
+++ b/src/main/java/org/springmill/control/workers/DueCommands.java
@@ -0,0 +1,139 @@
+package org.springmill.control.workers;
+
+import java.util.ArrayList;
+import java.util.Comparator;
+import java.util.List;
+import org.springmill.control.cluster.Fleet;
+import org.springmill.control.cluster.Machine;
+import org.springmill.control.cluster.TaskAttempt;
+import org.springmill.protocol.WorkerMessages.Command;
+import org.springmill.protocol.WorkerMessages.Forget;
+import org.springmill.protocol.WorkerMessages.Start;
+import org.springmill.protocol.WorkerMessages.Stop;
+import org.springmill.protocol.WorkerMessages.TaskState;
+import org.springmill.protocol.WorkerMessages.TaskStatus;
+
+/**
+ * Derives the commands that bring a worker from what it reported to what the cluster state says.
+ * Nothing is queued: a command is due again until the worker's heartbeat confirms it.
+ */
+final class DueCommands {
+    private static final double NO_GRACE = 0;
+
+    private final Fleet fleet;
+    private final double resendIntervalSeconds;
+
+    /**
+     * @param resendIntervalSeconds after which an unconfirmed command is due again
+     */
+    DueCommands(Fleet fleet, double resendIntervalSeconds) {
+        this.fleet = fleet;
+        this.resendIntervalSeconds = resendIntervalSeconds;
+    }
+
+    /**
+     * Returns the commands that are due now and schedules when each is due again. Raises the
+     * worker's fencing token where an older start could still arrive.
+     */
+    List<Command> collect(Machine machine) {
+        double now = fleet.now();
+        List<TaskAttempt> starts = new ArrayList<>();
+        List<Command> commands = new ArrayList<>();
+        boolean raiseToken = false;
+        for (TaskAttempt attempt : machine.attempts()) {
+            if (now < attempt.nextSendAt()) {
+                continue;
+            }
+            switch (attempt.state()) {
+                case CLAIMED, SENT -> {
+                    if (isStartDue(machine, attempt)) {
+                        recordStartDue(attempt, now);
+                        starts.add(attempt);
+                    }
+                }
+                case STOPPING -> {
+                    attempt.scheduleResend(now + resendIntervalSeconds);
+                    commands.add(stop(attempt));
+                    raiseToken |= mayStartStillArrive(machine, attempt);
+                }
+                case UNKNOWN -> {
+                    attempt.scheduleResend(now + resendIntervalSeconds);
+                    machine.commandChannel().requestStatus();
+                    raiseToken |= mayStartStillArrive(machine, attempt);
+                }
+                default -> {}
+            }
+        }
+        raiseToken |= removeUnknownTasks(machine, now, commands);
+        if (raiseToken) {
+            machine.workerEpoch().raiseFencingToken();
+        }
+        addStarts(machine, starts, commands);
+        return commands;
+    }
+
+    /** A start that was sent to an earlier epoch must not start anew under the same key. */
+    private static boolean isStartDue(Machine machine, TaskAttempt attempt) {
+        return attempt.startEpoch() == 0 || attempt.startEpoch() == machine.epoch();
+    }
+
+    private void recordStartDue(TaskAttempt attempt, double now) {
+        if (attempt.state() == TaskAttempt.State.CLAIMED) {
+            attempt.transition(TaskAttempt.State.SENT, now);
+        }
+        attempt.scheduleResend(now + resendIntervalSeconds);
+    }
+
+    private static Stop stop(TaskAttempt attempt) {
+        return new Stop(attempt.claim().task(), attempt.claim().round(), attempt.graceSeconds());
+    }
+
+    /** If so, the attempt's absence is a proof only under a higher fencing token (claim 6.1). */
+    private static boolean mayStartStillArrive(Machine machine, TaskAttempt attempt) {
+        return attempt.highestStartToken() >= machine.fencingToken();
+    }
+
+    /**
+     * Adds commands that stop, or forget once they have exited, the reported tasks that the cluster
+     * state doesn't know.
+     *
+     * @return whether the fencing token has to be raised: once an attempt is forgotten, a start
+     *     still delayed by the network would run anew, so it is fenced off first
+     */
+    private boolean removeUnknownTasks(Machine machine, double now, List<Command> commands) {
+        if (!machine.commandChannel().isCleanupDue(now) || machine.reportedTasksAllKnown()) {
+            return false;
+        }
+        boolean raiseToken = false;
+        boolean allKnown = true;
+        for (TaskStatus status : machine.reportedTasks()) {
+            if (machine.find(status) != null) {
+                continue;
+            }
+            allKnown = false;
+            machine.commandChannel().postponeCleanupUntil(now + resendIntervalSeconds);
+            if (status.state() == TaskState.EXITED) {
+                commands.add(new Forget(status.task(), status.attempt()));
+                raiseToken = true;
+            } else {
+                commands.add(new Stop(status.task(), status.attempt(), NO_GRACE));
+            }
+        }
+        if (allKnown) {
+            machine.markReportedTasksKnown();
+        }
+        return raiseToken;
+    }
+
+    /**
+     * Smallest image first: a worker fetches in this order, and a small one delays a large least.
+     */
+    private static void addStarts(
+            Machine machine, List<TaskAttempt> starts, List<Command> commands) {
+        starts.sort(Comparator.comparingDouble(attempt -> attempt.job().spec().imageGb()));
+        for (TaskAttempt attempt : starts) {
+            attempt.recordStartSent(machine.fencingToken(), machine.epoch());
+            commands.add(new Start(attempt.claim().task(), attempt.claim().round()));
+        }
+    }
+}
--- a/src/main/java/org/springmill/control/workers/HeartbeatHandler.java
+++ b/src/main/java/org/springmill/control/workers/HeartbeatHandler.java
@@ -11,8 +11,12 @@
 import org.springmill.transport.EventLoop;
 import org.springmill.transport.HttpHandler.Call;
 
-/** Answers the reports of workers for a leader, from the first moment of its term. */
+/** Answers the heartbeats of workers for a leader, from the first moment of its term. */
 public final class HeartbeatHandler {
+    private static final int OK = 200;
+    private static final int MISDIRECTED = 421;
+    private static final int UNAVAILABLE = 503;
+
     private final Fleet fleet;
     private final Reconciliation reconciliation;
     private final CommandDispatcher dispatcher;
@@ -30,6 +34,17 @@
         boolean isClosed();
     }
 
+    /**
+     * Makes the handler of one term.
+     *
+     * @param fleet the machines of this term
+     * @param reconciliation takes each heartbeat once the term is active
+     * @param dispatcher sends commands, which are derived from the state after each heartbeat
+     * @param directory knows which reported tasks are cancelled
+     * @param loop tells the time
+     * @param timeouts the duration of a worker's lease
+     * @param term tells how far the term is
+     */
     public HeartbeatHandler(
             Fleet fleet,
             Reconciliation reconciliation,
@@ -47,41 +62,56 @@
         this.term = term;
     }
 
-    /** Answers a worker's report. */
+    /** Answers a worker's heartbeat; 200 renews the worker's lease. */
     public void respond(Call call, Heartbeat heartbeat) {
         if (fleet.wasDeleted(heartbeat.machine())) {
-            // A late copy. The machine that it seemed to bring back was given work, which waited
-            // until it was missed.
-            call.reply(503, WorkerMessages.encodeRedirect(null), 0);
+            // A late copy. It would bring the machine back, which would then be given work that
+            // waits until the machine is missed.
+            refuse(call, UNAVAILABLE);
             return;
         }
         Machine machine = fleet.machine(heartbeat);
         if (!machine.workerEpoch().isLatestHeartbeat(heartbeat)) {
-            // A late copy: whoever sent it waits no longer, and its answer must not count as a
+            // A late copy: its sender waits no longer, and the response must not count as a
             // renewal.
-            call.reply(503, WorkerMessages.encodeRedirect(null), 0);
+            refuse(call, UNAVAILABLE);
             return;
         }
         if (term.isActive()) {
             reconciliation.accept(machine, heartbeat);
         }
+        // A heartbeat that shows a later term ends this one.
         if (term.isClosed()) {
-            call.reply(421, WorkerMessages.encodeRedirect(null), 0);
+            refuse(call, MISDIRECTED);
             return;
         }
-        machine.workerEpoch().recordHeartbeat(heartbeat);
-        machine.heartbeatAnswered(loop.now(), timeouts.workerLeaseSeconds());
-        List<Command> commands = term.isActive() ? List.of() : directory.stopCommandsFor(heartbeat);
-        if (term.isActive()
-                && machine.commandsFailing()
-                && !machine.commandChannel().isRequestInFlight()
-                && heartbeat.epoch() == machine.epoch()) {
-            commands = dispatcher.due(machine);
-        }
-        call.reply(
-                200, WorkerMessages.encodeHeartbeatResponse(machine.fencingToken(), commands), 0);
+        renewLease(call, machine, heartbeat);
         if (term.isActive()) {
             dispatcher.requestSend(machine);
         }
     }
+
+    private static void refuse(Call call, int status) {
+        call.reply(status, WorkerMessages.encodeRedirect(null), 0);
+    }
+
+    private void renewLease(Call call, Machine machine, Heartbeat heartbeat) {
+        machine.workerEpoch().recordHeartbeat(heartbeat);
+        machine.heartbeatAnswered(loop.now(), timeouts.workerLeaseSeconds());
+        // The commands may raise the fencing token, so they are derived before it is read.
+        List<Command> commands = commandsFor(machine, heartbeat);
+        byte[] response = WorkerMessages.encodeHeartbeatResponse(machine.fencingToken(), commands);
+        call.reply(OK, response, 0);
+    }
+
+    /** Before recovery the stops of cancelled tasks, afterwards what requests failed to deliver. */
+    private List<Command> commandsFor(Machine machine, Heartbeat heartbeat) {
+        if (!term.isActive()) {
+            return directory.stopCommandsFor(heartbeat);
+        }
+        boolean requestsFail =
+                machine.commandsFailing() && !machine.commandChannel().isRequestInFlight();
+        boolean isSameEpoch = heartbeat.epoch() == machine.epoch();
+        return requestsFail && isSameEpoch ? dispatcher.dueCommands(machine) : List.of();
+    }
 }
--- a/src/main/java/org/springmill/control/workers/Reconciliation.java
+++ b/src/main/java/org/springmill/control/workers/Reconciliation.java
@@ -1,52 +1,61 @@
 package org.springmill.control.workers;
 
-import java.util.HashSet;
 import java.util.Set;
 import java.util.function.Consumer;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 import org.springmill.control.cluster.Fleet;
-import org.springmill.control.cluster.Job;
-import org.springmill.control.cluster.JobFailures;
 import org.springmill.control.cluster.Machine;
 import org.springmill.control.cluster.TaskAttempt;
 import org.springmill.control.cluster.WorkerEpoch;
 import org.springmill.control.membership.Peers;
 import org.springmill.control.metrics.Metrics;
 import org.springmill.control.timing.Timeouts;
+import org.springmill.protocol.Submission;
 import org.springmill.protocol.WorkerMessages.ExitCause;
 import org.springmill.protocol.WorkerMessages.Heartbeat;
-import org.springmill.protocol.WorkerMessages.TaskStatus;
 
 /**
- * Decides from workers' messages, and from their silence, which attempts stand and which are proven
- * gone. A task may be placed again only after one of the proofs here; docs/design.md has the
- * argument.
+ * Reconciles the cluster state with the heartbeats of workers, and with their silence: decides
+ * which task attempts are alive and which are proven gone.
+ *
+ * <p>A task may be placed again only after one of the proofs of docs/design.md, section 6:
+ *
+ * <ul>
+ *   <li>claim 6.1, a newer heartbeat without the attempt under a higher fencing token: {@link
+ *       #isFencedOff};
+ *   <li>claim 6.2, a heartbeat of a later epoch: {@link #isOfEarlierEpoch};
+ *   <li>claim 6.3, an expired lease: {@link WorkerLeases} and {@link #leaseExpired};
+ *   <li>claim 6.4, a deleted machine, is decided by the autoscaling package.
+ * </ul>
  */
 public final class Reconciliation {
     private static final Logger LOG = LoggerFactory.getLogger(Reconciliation.class);
 
-    /** The shortest pause of a job that fails is a lease divided by this. */
-    private static final double PAUSES_PER_LEASE = 4;
-
     /** A worker sends so many messages, lost ones included, within moments of its start. */
     private static final int FIRST_MESSAGES = 4;
 
+    private static final long FIRST_EPOCH = 1;
+
     private final Fleet fleet;
     private final Timeouts timeouts;
     private final Peers peers;
     private final Metrics metrics;
-    private final double tookOverAt;
-
-    /** When a quorum of controllers was first seen to know this term. */
-    private double quorumKnewTermAt = Double.POSITIVE_INFINITY;
-
+    private final WorkerLeases leases;
+    private final TaskStatusHandler taskStatuses;
     private final Runnable onChange;
     private final Consumer<String> onLaterTerm;
 
     /**
-     * @param onChange called when a round may have something to do
-     * @param onLaterTerm called when a worker has seen a token of a later term
+     * Begins the reconciliation of a term that was won just now.
+     *
+     * @param fleet the machines and attempts of this term
+     * @param timeouts the limits of leases and confirmations
+     * @param peers tells until when other controllers may renew leases
+     * @param metrics counts starts, losses and suspected jobs
+     * @param onChange called when a placement round may have something to do
+     * @param onLaterTerm called with a reason when a worker has seen a fencing token of a later
+     *     term
      */
     public Reconciliation(
             Fleet fleet,
@@ -59,14 +68,13 @@
         this.timeouts = timeouts;
         this.peers = peers;
         this.metrics = metrics;
-        this.tookOverAt = fleet.now();
+        this.leases = new WorkerLeases(fleet, timeouts, peers);
+        this.taskStatuses = new TaskStatusHandler(fleet, timeouts, metrics);
         this.onChange = onChange;
         this.onLaterTerm = onLaterTerm;
     }
 
-    /**
-     * Takes in a worker's message, unless a newer one was seen before: late copies prove nothing.
-     */
+    /** Reconciles one heartbeat, unless a newer one was seen before: late copies prove nothing. */
     public void accept(Machine machine, Heartbeat heartbeat) {
         if (WorkerEpoch.termOf(heartbeat.fencingToken()) > fleet.term()) {
             onLaterTerm.accept(machine.name() + " has seen a later term");
@@ -76,195 +84,97 @@
             return;
         }
         double now = fleet.now();
-        boolean tookWork = machine.isSchedulable(now, timeouts.suspectAfterSeconds());
+        boolean wasSchedulable = isSchedulable(machine, now);
         machine.workerEpoch().adoptFencingToken(heartbeat.fencingToken());
         machine.acceptHeartbeat(heartbeat, now);
-        boolean wasExpected = machine.state() == Machine.State.PROVISIONING;
-        if (wasExpected && machine.type() != null && isFirstOfItsWorker(heartbeat)) {
-            fleet.bootTimes().cameUp(machine, now);
-        }
-        if (wasExpected || machine.state() == Machine.State.LEASE_EXPIRED) {
-            machine.transition(Machine.State.UP);
-        }
-        Set<TaskAttempt> present = takeReportedTasks(machine, heartbeat, now);
-        for (TaskAttempt attempt : machine.attemptsNow()) {
-            if (!present.contains(attempt) && provenGone(attempt, heartbeat)) {
-                fleet.end(attempt, ExitCause.NONE);
-            }
-        }
+        markUp(machine, heartbeat, now);
+        Set<TaskAttempt> reported = taskStatuses.apply(machine, heartbeat, now);
+        endAttemptsProvenGone(machine, heartbeat, reported);
         if (machine.hasPreemptionNotice()) {
             evacuate(machine);
         }
-        // Hundreds of workers report every few seconds, mostly that nothing has changed: no reason
-        // for a round.
-        boolean takesWorkAgain =
-                !tookWork && machine.isSchedulable(now, timeouts.suspectAfterSeconds());
-        if (fleet.clusterState().hasEnded() || takesWorkAgain) {
+        // Hundreds of workers send heartbeats every few seconds, mostly without any change: those
+        // are no reason for a round.
+        boolean becameSchedulable = !wasSchedulable && isSchedulable(machine, now);
+        if (fleet.clusterState().hasEnded() || becameSchedulable) {
             onChange.run();
         }
     }
 
-    /** Whether a worker has only just begun to send messages. */
-    private static boolean isFirstOfItsWorker(Heartbeat heartbeat) {
-        return heartbeat.epoch() <= 1 && heartbeat.sequence() <= FIRST_MESSAGES;
+    private boolean isSchedulable(Machine machine, double now) {
+        return machine.isSchedulable(now, timeouts.suspectAfterSeconds());
     }
 
-    private Set<TaskAttempt> takeReportedTasks(Machine machine, Heartbeat heartbeat, double now) {
-        Set<TaskAttempt> present = new HashSet<>();
-        for (TaskStatus task : heartbeat.tasks()) {
-            TaskAttempt attempt = machine.find(task);
-            if (attempt != null) {
-                present.add(attempt);
-                attempt.recordReported(now);
-                seen(machine, attempt, task, now);
-            }
+    private void markUp(Machine machine, Heartbeat heartbeat, double now) {
+        boolean wasProvisioning = machine.state() == Machine.State.PROVISIONING;
+        if (wasProvisioning && machine.type() != null && isJustStarted(heartbeat)) {
+            fleet.bootTimes().cameUp(machine, now);
         }
-        return present;
-    }
-
-    private void seen(Machine machine, TaskAttempt attempt, TaskStatus task, double now) {
-        switch (task.state()) {
-            case FETCHING -> {
-                if (attempt.state() == TaskAttempt.State.SENT
-                        || attempt.state() == TaskAttempt.State.UNKNOWN) {
-                    attempt.transition(TaskAttempt.State.FETCHING, now);
-                    machine.needsImage(attempt.job().spec(), now);
-                }
-            }
-            case RUNNING -> {
-                if (attempt.state() == TaskAttempt.State.SENT
-                        || attempt.state() == TaskAttempt.State.UNKNOWN
-                        || attempt.state() == TaskAttempt.State.FETCHING) {
-                    if (attempt.state() != TaskAttempt.State.UNKNOWN) {
-                        metrics.started(attempt.claimedAt());
-                    }
-                    attempt.transition(TaskAttempt.State.RUNNING, now);
-                    machine.usesImage(attempt.job().spec(), now);
-                    if (attempt.job().spec().service()) {
-                        machine.taskSucceeded();
-                    }
-                }
-            }
-            case SAVING -> {
-                if (attempt.state() == TaskAttempt.State.UNKNOWN) {
-                    attempt.transition(TaskAttempt.State.STOPPING, now);
-                    fleet.clusterState().noteLeaving(attempt);
-                }
-            }
-            case EXITED -> exited(machine, attempt, task.cause(), now);
+        if (wasProvisioning || machine.state() == Machine.State.LEASE_EXPIRED) {
+            machine.transition(Machine.State.UP);
         }
     }
 
-    private void exited(Machine machine, TaskAttempt attempt, ExitCause cause, double now) {
-        if (attempt.state() == TaskAttempt.State.ENDED
-                || attempt.state() == TaskAttempt.State.CLAIMING) {
-            return;
-        }
-        Job job = attempt.job();
-        switch (cause) {
-            case DONE -> {
-                machine.taskSucceeded();
-                job.failures().succeeded();
-            }
-            case ERROR -> failed(machine, attempt, now);
-            case NO_ROOM, BUSY, UNKNOWN_JOB -> {
-                LOG.info("{} refused on {}: {}", attempt.claim().task(), machine.name(), cause);
-                machine.cordonUntil(now + timeouts.heartbeatIntervalSeconds());
-            }
-            default -> {}
-        }
-        fleet.end(attempt, cause);
+    /** Whether a worker has only just begun to send messages. */
+    private static boolean isJustStarted(Heartbeat heartbeat) {
+        return heartbeat.epoch() <= FIRST_EPOCH && heartbeat.sequence() <= FIRST_MESSAGES;
     }
 
-    private void failed(Machine machine, TaskAttempt attempt, double now) {
-        LOG.info("{} failed on {}", attempt.claim().task(), machine.name());
-        Job job = attempt.job();
-        JobFailures failures = job.failures();
-        if (job.spec().service() && anotherRunsWell(job, attempt, now)) {
-            failures.othersRunWell();
-        }
-        boolean wasSuspect = failures.isSuspect();
-        failures.failed(
-                machine.name(),
-                attempt.claimedAt(),
-                now,
-                timeouts.workerLeaseSeconds() / PAUSES_PER_LEASE);
-        if (!wasSuspect && failures.isSuspect()) {
-            metrics.jobSuspected();
-            LOG.warn("{} fails wherever it runs: tried with few tasks, after pauses", job.id());
-        }
-        boolean wasQuarantined = machine.quarantined();
-        machine.taskFailed(job);
-        if (!wasQuarantined && machine.quarantined()) {
-            LOG.warn("machine {} fails what it starts: no new work for it", machine.name());
+    private void endAttemptsProvenGone(
+            Machine machine, Heartbeat heartbeat, Set<TaskAttempt> reported) {
+        for (TaskAttempt attempt : machine.attemptsNow()) {
+            if (!reported.contains(attempt) && isProvenGone(attempt, heartbeat)) {
+                fleet.end(attempt, ExitCause.NONE);
+            }
         }
     }
 
-    /** A replica that has run for a whole lease shows that the job itself is in order. */
-    private boolean anotherRunsWell(Job job, TaskAttempt failed, double now) {
-        return job.attempts().stream()
-                .anyMatch(
-                        other ->
-                                other != failed
-                                        && other.ranSeconds(now) > timeouts.workerLeaseSeconds());
-    }
-
     /**
-     * Absence from a newer message proves that an attempt is gone if the worker had by then seen a
-     * token above every one its start was sent with, or has since begun a new session; otherwise a
-     * start may still be on the way.
+     * Whether the absence of an attempt from a newer heartbeat proves that it is gone. Without one
+     * of the two claims its start may still be on the way.
      */
-    private boolean provenGone(TaskAttempt attempt, Heartbeat heartbeat) {
+    private static boolean isProvenGone(TaskAttempt attempt, Heartbeat heartbeat) {
         return switch (attempt.state()) {
             case CLAIMING, CLAIMED, ENDED, CLOSED -> false;
-            default ->
-                    heartbeat.fencingToken() > attempt.highestStartToken()
-                            || (attempt.startEpoch() != 0
-                                    && heartbeat.epoch() > attempt.startEpoch());
+            default -> isFencedOff(attempt, heartbeat) || isOfEarlierEpoch(attempt, heartbeat);
         };
     }
 
-    /** When the last lease that anyone may have granted to a machine's worker has run out. */
-    private double leaseGoneAt(Machine machine, double othersUntil) {
-        double lastRenewal = Math.max(machine.lastHeartbeatAnsweredAt(), othersUntil);
-        double lastUnderEarlierTerm =
-                Math.min(machine.workerEpoch().currentTermSeenAt(), earlierLeaderUntil());
-        return Math.max(lastRenewal, lastUnderEarlierTerm) + timeouts.workerLeaseSeconds();
+    /**
+     * Claim 6.1: the worker has seen a fencing token above every one that the start was sent with,
+     * so it refuses the start wherever the network still holds it.
+     */
+    private static boolean isFencedOff(TaskAttempt attempt, Heartbeat heartbeat) {
+        return heartbeat.fencingToken() > attempt.highestStartToken();
     }
 
     /**
-     * Until when an earlier leader may have renewed leases. A worker may obey it until it has seen
-     * this term's token, and the leader's last answer is not known here: a worker that showed the
-     * token and then fell silent has its full lease from then on. An earlier leader whose outage a
-     * quorum confirms may go on until a quorum knows this term.
+     * Claim 6.2: the worker has begun a later epoch than the one that the start was sent to. It
+     * ended everything before, and refuses commands to earlier epochs.
      */
-    private double earlierLeaderUntil() {
-        double afterTakeover = tookOverAt + timeouts.followerRenewalLimitSeconds();
-        double afterQuorumKnew =
-                quorumKnewTermAt + timeouts.peerConfirmationValidityOnAnyClockSeconds();
-        return Math.max(afterTakeover, afterQuorumKnew);
+    private static boolean isOfEarlierEpoch(TaskAttempt attempt, Heartbeat heartbeat) {
+        boolean startEpochKnown = attempt.startEpoch() != 0;
+        return startEpochKnown && heartbeat.epoch() > attempt.startEpoch();
     }
 
-    /** Looks for claims past their window and for machines silent beyond their lease. */
+    /** Looks for expired leases and for starts that were not confirmed in time. */
     public void tick() {
         double now = fleet.now();
-        if (quorumKnewTermAt == Double.POSITIVE_INFINITY && peers.quorumKnows(fleet.term())) {
-            quorumKnewTermAt = now;
-        }
-        double othersUntil = peers.othersMayRenewUntil();
+        leases.observeQuorum(now);
+        double peersMayRenewUntil = peers.othersMayRenewUntil();
         for (Machine machine : fleet.machinesNow()) {
             if (machine.state() == Machine.State.TERMINATED) {
                 continue;
             }
-            if (now > leaseGoneAt(machine, othersUntil)) {
+            if (now > leases.expiresAt(machine, peersMayRenewUntil)) {
                 leaseExpired(machine);
             } else {
-                checkClaimWindows(machine, now);
+                checkClaimConfirmations(machine, now);
             }
         }
     }
 
-    /** All attempts on a machine have ended with its worker's lease. */
+    /** Claim 6.3: all attempts on a machine have ended with its worker's lease. */
     private void leaseExpired(Machine machine) {
         for (TaskAttempt attempt : machine.attemptsNow()) {
             if (attempt.state() != TaskAttempt.State.CLAIMING) {
@@ -273,15 +183,15 @@
             }
         }
         if (machine.state() == Machine.State.UP) {
-            LOG.warn("machine {} was silent for a whole lease", machine.name());
+            LOG.warn("lease of worker {} expired", machine.name());
             machine.transition(Machine.State.LEASE_EXPIRED);
             machine.images().clear();
             onChange.run();
         }
     }
 
-    /** A start that no report has confirmed within the window is unknown from then on. */
-    private void checkClaimWindows(Machine machine, double now) {
+    /** A start that no heartbeat confirms within the timeout is unknown from then on. */
+    private void checkClaimConfirmations(Machine machine, double now) {
         for (TaskAttempt attempt : machine.attemptsNow()) {
             boolean overdue =
                     now - attempt.stateSince() > timeouts.claimConfirmationTimeoutSeconds();
@@ -293,20 +203,23 @@
     }
 
     /**
-     * Moves everything off a machine that is about to be taken: what ends in time is known to be
-     * gone.
+     * Migrates all attempts off a machine that the cloud is about to preempt: what stops in time is
+     * known to be gone.
      */
     private void evacuate(Machine machine) {
-        double left = machine.preemptionAt() - fleet.now();
+        double secondsLeft = machine.preemptionAt() - fleet.now();
         for (TaskAttempt attempt : machine.attemptsNow()) {
             if (!attempt.isMigrating()) {
                 attempt.markMigrating();
-                double save =
-                        attempt.job().spec().checkpoints()
-                                ? attempt.job().spec().checkpointSaveSeconds()
-                                : 0;
-                fleet.stop(attempt, save < left ? left : 0);
+                fleet.stop(attempt, evacuationGraceSeconds(attempt, secondsLeft));
             }
         }
     }
+
+    /** All the time that is left if a checkpoint can be saved in it, otherwise none. */
+    private static double evacuationGraceSeconds(TaskAttempt attempt, double secondsLeft) {
+        Submission spec = attempt.job().spec();
+        double saveSeconds = spec.checkpoints() ? spec.checkpointSaveSeconds() : 0;
+        return saveSeconds < secondsLeft ? secondsLeft : 0;
+    }
 }
--- a/src/main/java/org/springmill/control/workers/package-info.java
+++ b/src/main/java/org/springmill/control/workers/package-info.java
@@ -1,8 +1,14 @@
 /**
- * The leader's dialogue with workers: heartbeats and their responses, direct commands, and the
- * reconciliation of task attempts with what workers report.
+ * The leader's dialogue with workers: heartbeats and their responses, the dispatch of commands, and
+ * the reconciliation of task attempts with what workers report.
  *
- * <p>Owns the probes under way. It is the only package that declares a task attempt gone, by the
- * proofs in docs/design.md, section 6.
+ * <p>Owns the probes in flight and the times from which expired leases follow; attempts and
+ * machines belong to {@code cluster}. It applies the proofs of docs/design.md, section 6, by which
+ * an attempt is gone: claims 6.1 and 6.2 in {@link org.springmill.control.workers.Reconciliation},
+ * claim 6.3 with {@code WorkerLeases}; claim 6.4, a deleted machine, is applied by {@code
+ * autoscaling}.
+ *
+ * <p>Uses {@code cluster}, {@code jobs}, {@code membership}, {@code metrics} and {@code timing};
+ * {@code controller} wires it and calls it.
  */
 package org.springmill.control.workers;
