--- a/src/main/java/org/springmill/control/autoscaling/ArrivalRateEstimator.java
+++ b/src/main/java/org/springmill/control/autoscaling/ArrivalRateEstimator.java
@@ -23,18 +23,18 @@
      */
     private static final double WINDOW_BOOTS = 3;
 
-    private static final double TIGHT_BOOTS = 4;
+    private static final double TIGHT_OBJECTIVE_BOOTS = 4;
 
     /** Machines fetch at their type's rate, give or take a third. */
-    private static final double SLOW_FETCH = 4 / 3.0;
+    private static final double SLOWEST_FETCH_FACTOR = 4 / 3.0;
 
     /** No room is kept for more tasks of one job than this. */
-    private static final int MOST_TASKS = 100;
+    private static final int MAX_TASKS_PER_JOB = 100;
 
     private final Settings settings;
     private final double startedAt;
     private final Map<String, Deque<Arrival>> arrivals = new HashMap<>();
-    private final Map<String, Submission> latest = new HashMap<>();
+    private final Map<String, Submission> latestJobs = new HashMap<>();
 
     private record Arrival(double at, int tasks) {}
 
@@ -49,13 +49,13 @@
      * @param counted whether the job arrived just now, rather than being read back from storage
      */
     public void arrived(Submission job, double now, boolean counted) {
-        latest.put(job.jobClass(), job);
+        latestJobs.put(job.jobClass(), job);
         // What comes in the first moments of a term has mostly been waiting for it and says nothing
         // of the rate: at the
         // start of a fleet it had machines rented for as much again, which then never stood empty.
         if (counted && now - startedAt > settings.workers().leaseSeconds() / 2) {
             arrivals.computeIfAbsent(job.jobClass(), c -> new ArrayDeque<>())
-                    .add(new Arrival(now, Math.min(job.tasks(), MOST_TASKS)));
+                    .add(new Arrival(now, Math.min(job.tasks(), MAX_TASKS_PER_JOB)));
         }
     }
 
@@ -63,20 +63,21 @@
      * Classes that have to start sooner than a machine boots, or to be finished within so few boots
      * that none of them may go by in waiting; each with a job to stand for it.
      */
-    List<Submission> urgent(double bootSeconds) {
+    List<Submission> latencyCriticalJobs(double bootSeconds) {
         Set<String> classes = new HashSet<>();
         for (Settings.Objective objective : settings.objectives()) {
             boolean tight =
                     (objective.kind().equals("wait") && objective.withinSeconds() < bootSeconds)
                             || (objective.kind().equals("finished")
-                                    && objective.withinSeconds() < TIGHT_BOOTS * bootSeconds);
+                                    && objective.withinSeconds()
+                                            < TIGHT_OBJECTIVE_BOOTS * bootSeconds);
             if (tight && objective.jobClass() != null) {
                 classes.add(objective.jobClass());
             }
         }
         List<Submission> jobs = new ArrayList<>();
         for (String jobClass : classes) {
-            Submission job = latest.get(jobClass);
+            Submission job = latestJobs.get(jobClass);
             if (job != null) {
                 jobs.add(job);
             }
@@ -89,13 +90,13 @@
      * There the images that a machine holds are worth more than the machine costs, and the few that
      * hold one are not given up.
      */
-    boolean boundToImages(MachineType type) {
+    boolean isBoundToCachedImages(MachineType type) {
         for (Settings.Objective objective : settings.objectives()) {
             Submission job =
-                    objective.kind().equals("wait") ? latest.get(objective.jobClass()) : null;
+                    objective.kind().equals("wait") ? latestJobs.get(objective.jobClass()) : null;
             if (job != null
                     && type.fits(job)
-                    && job.imageGb() * SLOW_FETCH
+                    && job.imageGb() * SLOWEST_FETCH_FACTOR
                             > objective.withinSeconds() * type.fetchGbPerSecond()) {
                 return true;
             }
@@ -108,7 +109,7 @@
      * come at random, but each brings all of its tasks at once, so chance is as large as the jobs
      * are.
      */
-    int expected(String jobClass, double bootSeconds, double now) {
+    int expectedTasks(String jobClass, double bootSeconds, double now) {
         Deque<Arrival> jobs = arrivals.get(jobClass);
         if (jobs == null) {
             return 1;
--- a/src/main/java/org/springmill/control/autoscaling/Autoscaler.java
+++ b/src/main/java/org/springmill/control/autoscaling/Autoscaler.java
@@ -109,7 +109,7 @@
         partitions.update(now);
         overdueBoots.update(now);
         health.deleteUnusable(now);
-        scaleOutRequests.forgetOldRefusals(now);
+        scaleOutRequests.removeExpiredRefusals(now);
         scaleOutPlanner.plan(now);
     }
 
--- a/src/main/java/org/springmill/control/autoscaling/Bin.java
+++ b/src/main/java/org/springmill/control/autoscaling/Bin.java
@@ -84,7 +84,7 @@
     }
 
     /** Notes that a task which was packed here has yet to arrive. */
-    void noteExpected(Submission spec) {
+    void recordExpected(Submission spec) {
         expected = expected.plus(spec);
     }
 
@@ -119,17 +119,17 @@
     }
 
     /** How many of a job's tasks find room here, whatever other zones hold of it. */
-    int holds(Submission spec) {
-        if (!suits(spec)) {
+    int capacityFor(Submission spec) {
+        if (!isAllowedFor(spec)) {
             return 0;
         }
-        double byCpus = holds(freeCpus, spec.cpus(), spec.tasks());
-        double byGpus = holds(freeGpus, spec.gpus(), spec.tasks());
-        double byMemory = holds(freeMemoryGb, spec.memoryGb(), spec.tasks());
+        double byCpus = capacityFor(freeCpus, spec.cpus(), spec.tasks());
+        double byGpus = capacityFor(freeGpus, spec.gpus(), spec.tasks());
+        double byMemory = capacityFor(freeMemoryGb, spec.memoryGb(), spec.tasks());
         return (int) Math.min(spec.tasks(), Math.min(byCpus, Math.min(byGpus, byMemory)));
     }
 
-    private static double holds(double free, double each, int tasks) {
+    private static double capacityFor(double free, double each, int tasks) {
         return each == 0 ? tasks : (free + Resources.ROUNDING) / each;
     }
 
@@ -141,7 +141,7 @@
      */
     boolean pack(Submission spec, ZoneCounts tasksPerZone) {
         boolean zoneIsOpen = tasksPerZone.count(kind.zone()) < spec.perZone();
-        if (!suits(spec) || !hasRoom(spec) || !zoneIsOpen) {
+        if (!isAllowedFor(spec) || !fits(spec) || !zoneIsOpen) {
             return false;
         }
         freeCpus -= spec.cpus();
@@ -157,13 +157,13 @@
         return machine != null && excluded.test(machine);
     }
 
-    private boolean suits(Submission spec) {
+    private boolean isAllowedFor(Submission spec) {
         boolean spotAllowed = !kind.spot() || spec.spot();
         boolean zoneAllowed = spec.zone() == null || spec.zone().equals(kind.zone());
         return kind.type().fits(spec) && spotAllowed && zoneAllowed;
     }
 
-    private boolean hasRoom(Submission spec) {
+    private boolean fits(Submission spec) {
         return new Resources(freeCpus, freeGpus, freeMemoryGb).hold(spec);
     }
 }
--- a/src/main/java/org/springmill/control/autoscaling/CloudClient.java
+++ b/src/main/java/org/springmill/control/autoscaling/CloudClient.java
@@ -47,7 +47,7 @@
     }
 
     /** The pause before a request is repeated, be it a regular one or one that failed. */
-    double repeatSeconds() {
+    double retryIntervalSeconds() {
         return Math.max(
                 timeouts.heartbeatIntervalSeconds() / 2,
                 REQUESTS_PER_REPEAT / settings.cloudLimits().requestsPerSecond());
--- a/src/main/java/org/springmill/control/autoscaling/DemandPacking.java
+++ b/src/main/java/org/springmill/control/autoscaling/DemandPacking.java
@@ -21,30 +21,30 @@
      * A plan rents no more machines than can be asked for in so many requests. A bound on all
      * machines together would end rentals for good in a fleet that has grown past it.
      */
-    private static final int MAX_PLANNED = CloudMessages.MAX_RENTALS * 4;
+    private static final int MAX_PLANNED_MACHINES = CloudMessages.MAX_RENTALS * 4;
 
     /**
      * Per task of the job in a zone: less than any difference in price that matters, so that among
      * equal prices a job's tasks are spread over zones.
      */
-    private static final double PRICE_PER_TASK_IN_ZONE = 1e-3;
+    private static final double SURCHARGE_PER_TASK_IN_ZONE = 1e-3;
 
     /**
      * Per machine in a zone: a tenth of that, so that the spread of the fleet decides only between
      * zones that hold as many tasks of the job.
      */
-    private static final double PRICE_PER_MACHINE_IN_ZONE = 1e-4;
+    private static final double SURCHARGE_PER_MACHINE_IN_ZONE = 1e-4;
 
     /** More than any machine costs: kinds that do not come up are the last choice. */
-    private static final double PRICE_IF_FAILING = 1e6;
+    private static final double SURCHARGE_IF_BOOTS_FAIL = 1e6;
 
     private final Iterable<MachineType> types;
     private final List<String> zones;
-    private final Predicate<MachineKind> rentable;
-    private final Predicate<MachineKind> failing;
+    private final Predicate<MachineKind> available;
+    private final Predicate<MachineKind> bootsFailing;
     private final ZoneCounts machinesPerZone;
     private final List<Bin> bins;
-    private int planned;
+    private int plannedMachines;
 
     /** The first bin that may have room for a shape: those before it were found to have none. */
     private final Map<EquivalenceClass, Integer> firstOpenBin = new HashMap<>();
@@ -67,8 +67,8 @@
             List<Bin> bins) {
         this.types = types;
         this.zones = zones;
-        this.rentable = rentable;
-        this.failing = failing;
+        this.available = rentable;
+        this.bootsFailing = failing;
         this.machinesPerZone = machinesPerZone;
         this.bins = bins;
     }
@@ -86,7 +86,10 @@
     /** Finds room for tasks or plans machines for them, as far as some may be rented. */
     void pack(PackingRequest request) {
         // What has no room for one task has none for the next: each bin is looked at once for all.
-        int binIndex = request.shape().map(shape -> firstOpenBin.getOrDefault(shape, 0)).orElse(0);
+        int binIndex =
+                request.equivalenceClass()
+                        .map(shape -> firstOpenBin.getOrDefault(shape, 0))
+                        .orElse(0);
         int left = request.tasks();
         while (left > 0) {
             ZoneCounts tasksPerZone = request.tasksPerZone().get();
@@ -100,7 +103,7 @@
             }
         }
         int firstOpen = binIndex;
-        request.shape().ifPresent(shape -> firstOpenBin.put(shape, firstOpen));
+        request.equivalenceClass().ifPresent(shape -> firstOpenBin.put(shape, firstOpen));
     }
 
     /**
@@ -110,7 +113,7 @@
      *
      * @param tasks how many wait
      */
-    Submission inZoneWithMostRoom(Submission spec, int tasks) {
+    Submission inZoneWithMostCapacity(Submission spec, int tasks) {
         Submission best = spec;
         int mostHeld = -1;
         for (String zone : zones) {
@@ -119,8 +122,8 @@
                 continue;
             }
             Submission inZone = spec.inZone(zone);
-            int held = bins.stream().mapToInt(bin -> bin.holds(inZone)).sum();
-            if (held > mostHeld && (held >= tasks || isRentable(inZone, tasks))) {
+            int held = bins.stream().mapToInt(bin -> bin.capacityFor(inZone)).sum();
+            if (held > mostHeld && (held >= tasks || isAnyKindAvailable(inZone, tasks))) {
                 best = inZone;
                 mostHeld = held;
             }
@@ -132,14 +135,14 @@
         boolean packed =
                 !bin.isExcluded(request.excluded()) && bin.pack(request.spec(), tasksPerZone);
         if (packed && request.expected()) {
-            bin.noteExpected(request.spec());
+            bin.recordExpected(request.spec());
         }
         return packed;
     }
 
     /** Plans one more machine; false if none may be rented for such tasks. */
     private boolean plan(PackingRequest request, int tasks, ZoneCounts tasksPerZone) {
-        if (planned == MAX_PLANNED) {
+        if (plannedMachines == MAX_PLANNED_MACHINES) {
             return false;
         }
         Optional<MachineKind> kind =
@@ -147,12 +150,12 @@
         if (kind.isEmpty()) {
             return false;
         }
-        planned++;
+        plannedMachines++;
         bins.add(Bin.planned(kind.get()));
         return true;
     }
 
-    private boolean isRentable(Submission spec, int tasks) {
+    private boolean isAnyKindAvailable(Submission spec, int tasks) {
         return cheapest(spec, tasks, new ZoneCounts(), Double.POSITIVE_INFINITY).isPresent();
     }
 
@@ -207,14 +210,14 @@
     private Offer offer(MachineKind kind, int tasksOnMachine, ZoneCounts tasksPerZone) {
         double price =
                 kind.price() / tasksOnMachine
-                        + PRICE_PER_TASK_IN_ZONE * tasksPerZone.count(kind.zone())
-                        + PRICE_PER_MACHINE_IN_ZONE * machinesPerZone.count(kind.zone())
-                        + (failing.test(kind) ? PRICE_IF_FAILING : 0);
+                        + SURCHARGE_PER_TASK_IN_ZONE * tasksPerZone.count(kind.zone())
+                        + SURCHARGE_PER_MACHINE_IN_ZONE * machinesPerZone.count(kind.zone())
+                        + (bootsFailing.test(kind) ? SURCHARGE_IF_BOOTS_FAIL : 0);
         return new Offer(kind, price);
     }
 
     private Offer better(Offer best, Offer other) {
-        return other.price() < best.price() && rentable.test(other.kind()) ? other : best;
+        return other.price() < best.price() && available.test(other.kind()) ? other : best;
     }
 
     /** A kind of machine at its price for each task, with the surcharges that spread work. */
--- a/src/main/java/org/springmill/control/autoscaling/Headroom.java
+++ b/src/main/java/org/springmill/control/autoscaling/Headroom.java
@@ -21,7 +21,7 @@
     private static final double FAILOVER_COST_SHARE = 0.01;
 
     /** Keeps a price per task from being zero. */
-    private static final double LEAST_PRICE = 1e-6;
+    private static final double MIN_PRICE_PER_TASK = 1e-6;
 
     private final Fleet fleet;
     private final ArrivalRateEstimator arrivalRates;
@@ -37,8 +37,8 @@
     void reserve(DemandPacking packing, double now) {
         double bootSeconds = fleet.catalog().slowestBootSeconds();
         double failoverBudget = FAILOVER_COST_SHARE * fleetCost();
-        for (Submission job : arrivalRates.urgent(bootSeconds)) {
-            int expected = arrivalRates.expected(job.jobClass(), bootSeconds, now);
+        for (Submission job : arrivalRates.latencyCriticalJobs(bootSeconds)) {
+            int expected = arrivalRates.expectedTasks(job.jobClass(), bootSeconds, now);
             int failover = failoverReplicas(job, failoverBudget);
             reserve(job, expected + failover, packing);
         }
@@ -67,12 +67,12 @@
         if (!job.service()) {
             return 0;
         }
-        double lost = running(job.jobClass()) * MachineHealth.CORRELATED_FAILURE_SHARE;
-        double affordable = budget / Math.max(LEAST_PRICE, leastPricePerTask(job));
+        double lost = runningTasks(job.jobClass()) * MachineHealth.CORRELATED_FAILURE_SHARE;
+        double affordable = budget / Math.max(MIN_PRICE_PER_TASK, leastPricePerTask(job));
         return (int) Math.min(lost, affordable);
     }
 
-    private int running(String jobClass) {
+    private int runningTasks(String jobClass) {
         int running = 0;
         for (Job job : fleet.clusterState().jobs().values()) {
             if (job.spec().jobClass().equals(jobClass)) {
--- a/src/main/java/org/springmill/control/autoscaling/HeartbeatSilence.java
+++ b/src/main/java/org/springmill/control/autoscaling/HeartbeatSilence.java
@@ -25,7 +25,7 @@
     }
 
     /** Whether a machine is one whose worker has to report. */
-    boolean shouldReport(Machine machine) {
+    boolean isHeartbeatExpected(Machine machine) {
         return machine.state() == Machine.State.UP
                 || (machine.state() == Machine.State.PROVISIONING && !machine.attempts().isEmpty());
     }
@@ -35,7 +35,7 @@
      * how many machines are silent together has to show by the time at which the first of them
      * might be deleted.
      */
-    boolean isOverdue(Machine machine, double now) {
+    boolean isHeartbeatOverdue(Machine machine, double now) {
         return silentSeconds(machine, now) > timeouts.probeAfterSeconds() && !isUnlisted(machine);
     }
 
@@ -44,7 +44,7 @@
      * machines time to find it.
      */
     double silentSeconds(Machine machine, double now) {
-        if (!shouldReport(machine)) {
+        if (!isHeartbeatExpected(machine)) {
             return 0;
         }
         double listenedSince = listeningSince + timeouts.deadAfterSeconds() / 2;
--- a/src/main/java/org/springmill/control/autoscaling/IdleMachines.java
+++ b/src/main/java/org/springmill/control/autoscaling/IdleMachines.java
@@ -10,7 +10,7 @@
  */
 final class IdleMachines {
     /** By the protocol a deleted machine costs at least so much of its time. */
-    private static final double LEAST_CHARGED_SECONDS = 60;
+    private static final double MIN_CHARGED_SECONDS = 60;
 
     private final MachineDeletion deletion;
     private final OverdueBoots overdueBoots;
@@ -31,15 +31,15 @@
                 deletion.delete(bin.machine(), DeletionReason.IDLE);
             }
         }
-        if (bins.stream().noneMatch(IdleMachines::isWaitedFor)) {
+        if (bins.stream().noneMatch(IdleMachines::isAwaitedByTasks)) {
             overdueBoots
                     .replaced()
-                    .forEach(machine -> deletion.delete(machine, DeletionReason.REPLACED));
+                    .forEach(machine -> deletion.delete(machine, DeletionReason.BOOT_OVERDUE));
         }
     }
 
     /** Whether something is to run on a machine that is not up yet. */
-    private static boolean isWaitedFor(Bin bin) {
+    private static boolean isAwaitedByTasks(Bin bin) {
         return bin.isUsed() && (bin.isPlanned() || bin.activity() == Bin.Activity.BOOTING);
     }
 
@@ -49,7 +49,7 @@
         }
         double patienceSeconds = settings.operator().idleBoots() * machine.type().bootSeconds();
         return now - machine.idleSince() >= patienceSeconds
-                && now - machine.firstSeen() >= LEAST_CHARGED_SECONDS;
+                && now - machine.firstSeen() >= MIN_CHARGED_SECONDS;
     }
 
     private static boolean isIdle(Machine machine) {
--- a/src/main/java/org/springmill/control/autoscaling/MachineDeletion.java
+++ b/src/main/java/org/springmill/control/autoscaling/MachineDeletion.java
@@ -56,7 +56,7 @@
     }
 
     /** Ends all attempts of a machine that is known to be gone with everything on it. */
-    void declareLost(Machine machine) {
+    void closeAttempts(Machine machine) {
         for (TaskAttempt attempt : machine.attemptsNow()) {
             fleet.end(attempt, ExitCause.NONE);
         }
@@ -71,21 +71,23 @@
         queue.add(machine);
         boolean sendingIsScheduled = queue.size() > 1;
         if (!sendingIsScheduled) {
-            loop.after(cloud.secondsUntil(1), this::sendQueued);
+            loop.after(cloud.secondsUntil(1), this::sendBatch);
         }
     }
 
-    private void sendQueued() {
+    private void sendBatch() {
         if (cloud.isClosed()) {
             return;
         }
         List<Machine> batch = takeBatch();
         if (!queue.isEmpty()) {
             // One request is for this batch, the other for the next.
-            loop.after(cloud.secondsUntil(2), this::sendQueued);
+            loop.after(cloud.secondsUntil(2), this::sendBatch);
         }
         byte[] body = CloudMessages.encodeDeletion(batch.stream().map(Machine::name).toList());
-        cloud.send(cloud.post(CloudMessages.DELETIONS_PATH, body), reply -> answered(batch, reply));
+        cloud.send(
+                cloud.post(CloudMessages.DELETIONS_PATH, body),
+                reply -> responseReceived(batch, reply));
     }
 
     private List<Machine> takeBatch() {
@@ -95,7 +97,7 @@
         return batch;
     }
 
-    private void answered(List<Machine> batch, Reply reply) {
+    private void responseReceived(List<Machine> batch, Reply reply) {
         if (cloud.isClosed()) {
             return;
         }
@@ -103,13 +105,13 @@
             batch.forEach(this::confirmDeleted);
             changed.run();
         } else {
-            loop.after(cloud.repeatSeconds(), () -> batch.forEach(this::enqueue));
+            loop.after(cloud.retryIntervalSeconds(), () -> batch.forEach(this::enqueue));
         }
     }
 
     private void confirmDeleted(Machine machine) {
         fleet.deleted(machine);
-        declareLost(machine);
+        closeAttempts(machine);
         machine.transition(Machine.State.TERMINATED);
     }
 }
--- a/src/main/java/org/springmill/control/autoscaling/MachineDraining.java
+++ b/src/main/java/org/springmill/control/autoscaling/MachineDraining.java
@@ -24,19 +24,19 @@
     private static final Logger LOG = LoggerFactory.getLogger(MachineDraining.class);
 
     /** A machine of which less is free is not drained: moves would cost more than it saves. */
-    private static final double LEAST_FREE_SHARE = 0.5;
+    private static final double MIN_FREE_SHARE = 0.5;
 
     /** Until then a new leader may not have heard of all that runs. */
     private static final double LEASES_AFTER_START = 2;
 
     /** By then the reports show where the tasks of the last machine have gone. */
-    private static final double REPORTS_BETWEEN = 2;
+    private static final double HEARTBEATS_BETWEEN_DRAINS = 2;
 
     /** Machines looked at in one call, so that a large fleet costs little processor time. */
     private static final int MAX_CANDIDATES = 8;
 
     /** An attempt that ran for so long has paid for its start. */
-    private static final double LEASES_RUNNING = 3;
+    private static final double MIN_LEASES_RUNNING = 3;
 
     private final Fleet fleet;
     private final ArrivalRateEstimator arrivalRates;
@@ -64,10 +64,10 @@
      * @param bins what is left of the fleet's free resources by all that waits or is expected
      */
     void drainOne(List<Bin> bins, double now) {
-        if (!isCalm(bins, now)) {
+        if (!isFleetSettled(bins, now)) {
             return;
         }
-        Machine machine = firstThatFitsElsewhere(mostCostlyToKeep(bins, now), bins);
+        Machine machine = firstEvictable(mostCostlyToKeep(bins, now), bins);
         if (machine != null) {
             drain(machine, now);
         }
@@ -78,11 +78,11 @@
      * While only the most costly machine was looked at, one that could not be emptied kept all
      * others from it for minutes.
      */
-    static Machine firstThatFitsElsewhere(List<Bin> candidates, List<Bin> bins) {
+    static Machine firstEvictable(List<Bin> candidates, List<Bin> bins) {
         for (Bin candidate : candidates) {
             // A candidate that does not fit must leave the room of the next one as it was.
             List<Bin> room = bins.stream().map(Bin::copy).toList();
-            if (fitElsewhere(candidate, room)) {
+            if (fitsElsewhere(candidate, room)) {
                 return candidate.machine();
             }
         }
@@ -97,16 +97,16 @@
     }
 
     /** Whether nothing is to be rented, no machine is silent, and none is being drained. */
-    private boolean isCalm(List<Bin> bins, double now) {
+    private boolean isFleetSettled(List<Bin> bins, double now) {
         return now - startedAt > LEASES_AFTER_START * timeouts.workerLeaseSeconds()
-                && now - drainedAt > REPORTS_BETWEEN * timeouts.heartbeatIntervalSeconds()
+                && now - drainedAt > HEARTBEATS_BETWEEN_DRAINS * timeouts.heartbeatIntervalSeconds()
                 && bins.stream().noneMatch(Bin::isPlanned)
                 && fleet.machines().stream().noneMatch(machine -> isUnsettled(machine, now));
     }
 
     private boolean isUnsettled(Machine machine, double now) {
         boolean beingDrained = machine.draining() && !machine.attempts().isEmpty();
-        return beingDrained || silence.isOverdue(machine, now);
+        return beingDrained || silence.isHeartbeatOverdue(machine, now);
     }
 
     /** Machines that may be drained, the one with most to save first. */
@@ -115,28 +115,28 @@
         return bins.stream()
                 .filter(MachineDraining::isMostlyFree)
                 .filter(bin -> !isBoundToImages(bin, boundToImages))
-                .filter(bin -> mayMoveAll(bin.machine(), now))
+                .filter(bin -> mayEvictAll(bin.machine(), now))
                 .sorted(Comparator.comparingDouble(Bin::freeCost).reversed())
                 .limit(MAX_CANDIDATES)
                 .toList();
     }
 
     private boolean isBoundToImages(Bin bin, Map<MachineType, Boolean> known) {
-        return known.computeIfAbsent(bin.kind().type(), arrivalRates::boundToImages);
+        return known.computeIfAbsent(bin.kind().type(), arrivalRates::isBoundToCachedImages);
     }
 
     private static boolean isMostlyFree(Bin bin) {
         return !bin.isUsed()
-                && bin.freeShare() >= LEAST_FREE_SHARE
+                && bin.freeShare() >= MIN_FREE_SHARE
                 && bin.activity() == Bin.Activity.RUNNING_TASKS;
     }
 
-    private boolean mayMoveAll(Machine machine, double now) {
-        return machine.attempts().stream().allMatch(attempt -> mayMove(attempt, now));
+    private boolean mayEvictAll(Machine machine, double now) {
+        return machine.attempts().stream().allMatch(attempt -> mayEvict(attempt, now));
     }
 
-    private boolean mayMove(TaskAttempt attempt, double now) {
-        return attempt.ranSeconds(now) > LEASES_RUNNING * timeouts.workerLeaseSeconds()
+    private boolean mayEvict(TaskAttempt attempt, double now) {
+        return attempt.ranSeconds(now) > MIN_LEASES_RUNNING * timeouts.workerLeaseSeconds()
                 && !losesMostOfItsWork(attempt, now);
     }
 
@@ -151,14 +151,14 @@
     }
 
     /** Whether everything on a machine finds room on others; packs it there. */
-    private static boolean fitElsewhere(Bin from, List<Bin> bins) {
+    private static boolean fitsElsewhere(Bin from, List<Bin> bins) {
         for (TaskAttempt attempt : from.machine().attempts()) {
             Submission spec = attempt.job().spec();
             boolean packed =
                     bins.stream()
                             .anyMatch(
                                     bin ->
-                                            mayMoveTo(bin, from, spec)
+                                            isEvictionTarget(bin, from, spec)
                                                     && bin.pack(spec, new ZoneCounts()));
             if (!packed) {
                 return false;
@@ -168,7 +168,7 @@
     }
 
     /** Whether a bin is another busy machine of the same zone that holds the job's image. */
-    private static boolean mayMoveTo(Bin bin, Bin from, Submission spec) {
+    private static boolean isEvictionTarget(Bin bin, Bin from, Submission spec) {
         return bin.machine() != from.machine()
                 && bin.activity() == Bin.Activity.RUNNING_TASKS
                 && bin.kind().zone().equals(from.kind().zone())
--- a/src/main/java/org/springmill/control/autoscaling/MachineHealth.java
+++ b/src/main/java/org/springmill/control/autoscaling/MachineHealth.java
@@ -21,7 +21,7 @@
     private static final double LEASES_TO_FIND_LEADER = 2;
 
     /** Where none comes up, machines that are late are waited for so much longer. */
-    private static final double FAILING_PATIENCES = 2;
+    private static final double PATIENCES_IF_BOOTS_FAIL = 2;
 
     private final Fleet fleet;
     private final MachineListing listing;
@@ -74,7 +74,7 @@
             if (machine.state() == Machine.State.UP) {
                 up++;
             }
-            if (silence.isOverdue(machine, now)) {
+            if (silence.isHeartbeatOverdue(machine, now)) {
                 silent++;
             }
         }
@@ -89,11 +89,11 @@
                     : Optional.empty();
         }
         return switch (machine.state()) {
-            case PROVISIONING -> reasonToDeleteExpected(machine, fewSilent, now);
+            case PROVISIONING -> reasonToDeleteProvisioning(machine, fewSilent, now);
             case UP -> reasonToDeleteUp(machine, fewSilent, now);
             case LEASE_EXPIRED ->
                     machine.attempts().isEmpty()
-                            ? Optional.of(DeletionReason.WORKER_LOST)
+                            ? Optional.of(DeletionReason.LEASE_EXPIRED)
                             : Optional.empty();
             case TERMINATING, TERMINATED -> Optional.empty();
         };
@@ -110,14 +110,14 @@
         return !machine.attempts().isEmpty() && listedSeconds > listing.longestLagSeconds();
     }
 
-    private Optional<DeletionReason> reasonToDeleteExpected(
+    private Optional<DeletionReason> reasonToDeleteProvisioning(
             Machine machine, boolean fewSilent, double now) {
         boolean partitionedLately = partitions.wasRecently(machine.zone(), now);
         if (!partitionedLately && isUnresponsive(machine, fewSilent, now)) {
             return Optional.of(DeletionReason.UNRESPONSIVE);
         }
-        if (!partitionedLately && hasNeverReported(machine, now)) {
-            return Optional.of(DeletionReason.NEVER_REPORTED);
+        if (!partitionedLately && hasSentNoHeartbeat(machine, now)) {
+            return Optional.of(DeletionReason.NO_HEARTBEAT);
         }
         // A late list names machines that the leader before this one has deleted. They never
         // report, and while they counted as booting nothing was rented in their place.
@@ -125,7 +125,7 @@
             return Optional.of(DeletionReason.NO_LONGER_LISTED);
         }
         if (isBootOverdue(machine, now)) {
-            return Optional.of(DeletionReason.NEVER_BOOTED);
+            return Optional.of(DeletionReason.BOOT_TIMED_OUT);
         }
         return Optional.empty();
     }
@@ -135,8 +135,8 @@
         if (isUnresponsive(machine, fewSilent, now)) {
             return Optional.of(DeletionReason.UNRESPONSIVE);
         }
-        if (ignoresLeader(machine, now)) {
-            return Optional.of(DeletionReason.IGNORES_LEADER);
+        if (missesLeaderResponses(machine, now)) {
+            return Optional.of(DeletionReason.MISSES_LEADER_RESPONSES);
         }
         if (machine.quarantined() && machine.attempts().isEmpty()) {
             return Optional.of(DeletionReason.QUARANTINED);
@@ -158,11 +158,11 @@
         return silence.silentSeconds(machine, now) > timeouts.deadAfterSeconds()
                 && machine.commandsFailing()
                 && !machine.attempts().isEmpty()
-                && isSilenceItsOwn(machine, fewSilent);
+                && isSingleMachineFailure(machine, fewSilent);
     }
 
     /** Whether a machine's silence has to do with that machine and not with the network. */
-    private boolean isSilenceItsOwn(Machine machine, boolean fewSilent) {
+    private boolean isSingleMachineFailure(Machine machine, boolean fewSilent) {
         boolean singleFailure = fewSilent && !partitions.contains(machine.zone());
         return silence.isUnlisted(machine) || singleFailure;
     }
@@ -171,7 +171,7 @@
      * Whether a machine has claims and never reported to this leader. With no word from every other
      * controller its silence proves nothing: only its deletion does.
      */
-    private boolean hasNeverReported(Machine machine, double now) {
+    private boolean hasSentNoHeartbeat(Machine machine, double now) {
         return isEstablished(now) && !machine.attempts().isEmpty();
     }
 
@@ -183,8 +183,8 @@
         double nominalSeconds = machine.type().bootSeconds() * settings.operator().bootPatience();
         double measuredSeconds = fleet.bootTimes().lateAfterSeconds(machine.type(), machine.zone());
         double patienceSeconds =
-                overdueBoots.isFailing(machine.type(), machine.zone())
-                        ? FAILING_PATIENCES * nominalSeconds
+                overdueBoots.areBootsFailing(machine.type(), machine.zone())
+                        ? PATIENCES_IF_BOOTS_FAIL * nominalSeconds
                         : Math.max(nominalSeconds, measuredSeconds);
         double since = machine.isBooting() ? machine.rentedAt() : machine.firstSeen();
         return now - since > patienceSeconds
@@ -198,7 +198,7 @@
      * given time to hear: when a partition is over, all machines of the zone come with an older
      * token at first.
      */
-    private boolean ignoresLeader(Machine machine, double now) {
+    private boolean missesLeaderResponses(Machine machine, double now) {
         return isEstablished(now)
                 && !partitions.contains(machine.zone())
                 && !machine.attempts().isEmpty()
--- a/src/main/java/org/springmill/control/autoscaling/MachineListing.java
+++ b/src/main/java/org/springmill/control/autoscaling/MachineListing.java
@@ -26,7 +26,7 @@
     private static final double NOMINAL_LAGS = 2;
 
     /** Leaves half a lag for the time that a list of several pages takes to be read. */
-    private static final double LAGS_UNTIL_GONE = 1.5;
+    private static final double LAGS_UNTIL_DELETED = 1.5;
 
     private final Fleet fleet;
     private final CloudClient cloud;
@@ -76,7 +76,8 @@
      */
     boolean provesGone(Machine machine) {
         boolean wasListed = machine.listedAt() > Double.NEGATIVE_INFINITY;
-        return wasListed && listedAt - machine.listedAt() > LAGS_UNTIL_GONE * longestLagSeconds();
+        return wasListed
+                && listedAt - machine.listedAt() > LAGS_UNTIL_DELETED * longestLagSeconds();
     }
 
     /** By how much a list may lag behind the fleet. */
@@ -90,14 +91,14 @@
      */
     private void requestPage(String after, List<ListedMachine> found) {
         if (!cloud.isClosed()) {
-            cloud.get(CloudMessages.listPath(after), reply -> pageAnswered(found, reply));
+            cloud.get(CloudMessages.listPath(after), reply -> pageReceived(found, reply));
         }
     }
 
-    private void pageAnswered(List<ListedMachine> found, Reply reply) {
+    private void pageReceived(List<ListedMachine> found, Reply reply) {
         MachinePage page = parse(reply);
         if (page == null) {
-            startLater();
+            scheduleNext();
             return;
         }
         found.addAll(page.machines());
@@ -106,8 +107,8 @@
             requestPage(last, found);
             return;
         }
-        completed(found);
-        startLater();
+        listCompleted(found);
+        scheduleNext();
     }
 
     /** Null if there is no page to be read in the reply. */
@@ -123,11 +124,11 @@
         }
     }
 
-    private void startLater() {
-        loop.after(cloud.repeatSeconds(), this::start);
+    private void scheduleNext() {
+        loop.after(cloud.retryIntervalSeconds(), this::start);
     }
 
-    private void completed(List<ListedMachine> found) {
+    private void listCompleted(List<ListedMachine> found) {
         boolean first = !hasListed();
         listedAt = loop.now();
         for (ListedMachine listed : found) {
@@ -156,7 +157,7 @@
         }
         boolean failed = listed.phase() == MachinePhase.FAILED;
         if (failed && machine.state() != Machine.State.TERMINATING) {
-            deletion.declareLost(machine);
+            deletion.closeAttempts(machine);
             deletion.delete(machine, DeletionReason.FAILED);
         }
     }
--- a/src/main/java/org/springmill/control/autoscaling/OverdueBoots.java
+++ b/src/main/java/org/springmill/control/autoscaling/OverdueBoots.java
@@ -25,7 +25,7 @@
  */
 final class OverdueBoots {
     /** Fewer machines of a type that are late at once say nothing of others. */
-    private static final int FAILING_FROM = 2;
+    private static final int MIN_OVERDUE_TO_FAIL = 2;
 
     /** This part of the late machines is replaced at a time while boots fail in every zone. */
     private static final double REPLACED_SHARE = 0.25;
@@ -38,7 +38,7 @@
     private final Timeouts timeouts;
 
     /** The late machines of each type, the earliest rented first. */
-    private final Map<MachineType, List<Machine>> late = new HashMap<>();
+    private final Map<MachineType, List<Machine>> overdueByType = new HashMap<>();
 
     /** How many machines boot and are not late, by type and zone. */
     private final Map<String, Integer> booting = new HashMap<>();
@@ -59,27 +59,29 @@
 
     /** Looks at all machines as they are now. */
     void update(double now) {
-        late.clear();
+        overdueByType.clear();
         booting.clear();
         lastRented.clear();
         lastRentedOfThoseUp.clear();
         replaced.clear();
         for (Machine machine : fleet.machines()) {
             if (machine.type() != null) {
-                look(machine, now);
+                classify(machine, now);
             }
         }
-        late.values().forEach(some -> some.sort(Comparator.comparingDouble(Machine::rentedAt)));
-        late.values().forEach(this::chooseReplaced);
+        overdueByType
+                .values()
+                .forEach(some -> some.sort(Comparator.comparingDouble(Machine::rentedAt)));
+        overdueByType.values().forEach(this::chooseReplaced);
     }
 
-    private void look(Machine machine, double now) {
+    private void classify(Machine machine, double now) {
         String key = key(machine);
         lastRented.merge(key, machine.rentedAt(), Math::max);
         if (machine.state() == Machine.State.UP) {
             lastRentedOfThoseUp.merge(key, machine.rentedAt(), Math::max);
-        } else if (machine.isBooting() && isLate(machine, now)) {
-            late.computeIfAbsent(machine.type(), type -> new ArrayList<>()).add(machine);
+        } else if (machine.isBooting() && isOverdue(machine, now)) {
+            overdueByType.computeIfAbsent(machine.type(), type -> new ArrayList<>()).add(machine);
         } else if (machine.isBooting()) {
             booting.merge(key, 1, Integer::sum);
         }
@@ -90,7 +92,7 @@
     }
 
     /** A machine of which a list has just told may be up, and its worker on the way to here. */
-    private boolean isLate(Machine machine, double now) {
+    private boolean isOverdue(Machine machine, double now) {
         double patience = fleet.bootTimes().lateAfterSeconds(machine.type(), machine.zone());
         return !partitions.contains(machine.zone())
                 && now - machine.firstSeen() > timeouts.workerLeaseSeconds()
@@ -99,7 +101,8 @@
 
     private void chooseReplaced(List<Machine> lateOfType) {
         MachineType type = lateOfType.get(0).type();
-        boolean failsEverywhere = type.zones().stream().allMatch(zone -> isFailing(type, zone));
+        boolean failsEverywhere =
+                type.zones().stream().allMatch(zone -> areBootsFailing(type, zone));
         int most =
                 failsEverywhere
                         ? (int) Math.ceil(REPLACED_SHARE * lateOfType.size())
@@ -108,9 +111,9 @@
     }
 
     /** Whether machines of a type do not come up in a zone at present. */
-    boolean isFailing(MachineType type, String zone) {
-        List<Machine> lateOfType = late.get(type);
-        if (lateOfType == null || lateOfType.size() < FAILING_FROM) {
+    boolean areBootsFailing(MachineType type, String zone) {
+        List<Machine> lateOfType = overdueByType.get(type);
+        if (lateOfType == null || lateOfType.size() < MIN_OVERDUE_TO_FAIL) {
             return false;
         }
         double lastRented =
@@ -120,16 +123,16 @@
     }
 
     /** Whether machines of a kind do not come up at present. */
-    boolean isFailing(MachineKind kind) {
-        return isFailing(kind.type(), kind.zone());
+    boolean areBootsFailing(MachineKind kind) {
+        return areBootsFailing(kind.type(), kind.zone());
     }
 
     /**
      * Whether one more machine may be rented, going by whether others of its type come up. While
      * they do not, one is tried now and then, the more seldom the more are being tried.
      */
-    boolean mayRent(MachineKind kind, double now) {
-        if (!isFailing(kind)) {
+    boolean mayScaleOut(MachineKind kind, double now) {
+        if (!areBootsFailing(kind)) {
             return true;
         }
         String key = BootTimes.key(kind.type(), kind.zone());
@@ -141,8 +144,8 @@
     }
 
     /** How many machines of a kind may be rented at a time. */
-    int mostAtOnce(MachineKind kind) {
-        return isFailing(kind) ? 1 : Integer.MAX_VALUE;
+    int maxPerRequest(MachineKind kind) {
+        return areBootsFailing(kind) ? 1 : Integer.MAX_VALUE;
     }
 
     /** Whether a machine is no longer counted on, so that another one is rented in its place. */
@@ -157,6 +160,6 @@
 
     /** How many machines are late. */
     int count() {
-        return late.values().stream().mapToInt(List::size).sum();
+        return overdueByType.values().stream().mapToInt(List::size).sum();
     }
 }
--- a/src/main/java/org/springmill/control/autoscaling/PackingRequest.java
+++ b/src/main/java/org/springmill/control/autoscaling/PackingRequest.java
@@ -15,7 +15,7 @@
  * @param tasks how many there are
  * @param tasksPerZone asked for each task: what the zones hold of its job
  * @param excluded machines that are no room for them
- * @param shape their shape, if all tasks of that shape find room on the same machines
+ * @param equivalenceClass their shape, if all tasks of that shape find room on the same machines
  * @param expected whether they have yet to arrive
  * @param maxPriceRatio machines are planned for them only up to so many times the least price
  */
@@ -24,7 +24,7 @@
         int tasks,
         Supplier<ZoneCounts> tasksPerZone,
         Predicate<Machine> excluded,
-        Optional<EquivalenceClass> shape,
+        Optional<EquivalenceClass> equivalenceClass,
         boolean expected,
         double maxPriceRatio) {
 
@@ -54,7 +54,7 @@
     }
 
     /** The same, where all tasks of a shape find room on the same machines. */
-    PackingRequest withShape(EquivalenceClass newShape) {
+    PackingRequest withEquivalenceClass(EquivalenceClass newShape) {
         return new PackingRequest(
                 spec,
                 tasks,
@@ -67,6 +67,7 @@
 
     /** The same, with machines planned only up to so many times the least price. */
     PackingRequest withMaxPriceRatio(double ratio) {
-        return new PackingRequest(spec, tasks, tasksPerZone, excluded, shape, expected, ratio);
+        return new PackingRequest(
+                spec, tasks, tasksPerZone, excluded, equivalenceClass, expected, ratio);
     }
 }
--- a/src/main/java/org/springmill/control/autoscaling/PartitionedZones.java
+++ b/src/main/java/org/springmill/control/autoscaling/PartitionedZones.java
@@ -22,10 +22,10 @@
      * After so many leases without word from every controller a zone counts as reachable again,
      * however silent it is, so that machines that are lost for good are replaced in the end.
      */
-    private static final double MOST_LEASES = 10;
+    private static final double MAX_PARTITION_LEASES = 10;
 
     /** Once a partition is over, the workers need this part of a lease to find their way back. */
-    private static final double RETURN_LEASES = 0.5;
+    private static final double RECONNECT_LEASES = 0.5;
 
     private final Fleet fleet;
     private final Peers peers;
@@ -39,8 +39,8 @@
     private final Set<String> partitioned = new HashSet<>();
 
     private final Map<String, Double> lastPartitionedAt = new HashMap<>();
-    private double allPeersHeardAt;
-    private double peerMissedAt = Double.NEGATIVE_INFINITY;
+    private double allPeersRespondedAt;
+    private double peerUnresponsiveAt = Double.NEGATIVE_INFINITY;
 
     PartitionedZones(
             Fleet fleet, Peers peers, HeartbeatSilence silence, Timeouts timeouts, double now) {
@@ -48,21 +48,21 @@
         this.peers = peers;
         this.silence = silence;
         this.timeouts = timeouts;
-        this.allPeersHeardAt = now;
+        this.allPeersRespondedAt = now;
     }
 
     /** Judges all zones anew. */
     void update(double now) {
         if (peers.allPeersResponded()) {
-            allPeersHeardAt = now;
+            allPeersRespondedAt = now;
         } else {
-            peerMissedAt = now;
+            peerUnresponsiveAt = now;
         }
         partitioned.clear();
         if (!mayBePartitioned(now)) {
             return;
         }
-        reportsByZone(now)
+        heartbeatsByZone(now)
                 .forEach(
                         (zone, reports) -> {
                             if (reports.mostAreOverdue()) {
@@ -87,25 +87,26 @@
     }
 
     private boolean mayBePartitioned(double now) {
-        return now - peerMissedAt < RETURN_LEASES * timeouts.workerLeaseSeconds()
-                && now - allPeersHeardAt < MOST_LEASES * timeouts.workerLeaseSeconds();
+        return now - peerUnresponsiveAt < RECONNECT_LEASES * timeouts.workerLeaseSeconds()
+                && now - allPeersRespondedAt < MAX_PARTITION_LEASES * timeouts.workerLeaseSeconds();
     }
 
-    private Map<String, ZoneReports> reportsByZone(double now) {
-        Map<String, ZoneReports> zones = new HashMap<>();
+    private Map<String, ZoneHeartbeats> heartbeatsByZone(double now) {
+        Map<String, ZoneHeartbeats> zones = new HashMap<>();
         for (Machine machine : fleet.machines()) {
-            if (silence.shouldReport(machine) && !silence.isUnlisted(machine)) {
-                ZoneReports one = new ZoneReports(1, silence.isOverdue(machine, now) ? 1 : 0);
-                zones.merge(machine.zone(), one, ZoneReports::plus);
+            if (silence.isHeartbeatExpected(machine) && !silence.isUnlisted(machine)) {
+                ZoneHeartbeats one =
+                        new ZoneHeartbeats(1, silence.isHeartbeatOverdue(machine, now) ? 1 : 0);
+                zones.merge(machine.zone(), one, ZoneHeartbeats::plus);
             }
         }
         return zones;
     }
 
     /** How many machines of a zone should report, and how many of those are overdue. */
-    private record ZoneReports(int expected, int overdue) {
-        ZoneReports plus(ZoneReports other) {
-            return new ZoneReports(expected + other.expected, overdue + other.overdue);
+    private record ZoneHeartbeats(int expected, int overdue) {
+        ZoneHeartbeats plus(ZoneHeartbeats other) {
+            return new ZoneHeartbeats(expected + other.expected, overdue + other.overdue);
         }
 
         /** A single silent machine is no partition. */
--- a/src/main/java/org/springmill/control/autoscaling/ScaleOutPlanner.java
+++ b/src/main/java/org/springmill/control/autoscaling/ScaleOutPlanner.java
@@ -30,7 +30,7 @@
      * Tasks are short if several of them follow each other within a boot. Where one does, as with
      * arrays that run for about a boot, half of a job would wait for the other half.
      */
-    private static final double SHORT_BOOTS = 0.25;
+    private static final double SHORT_TASK_BOOTS = 0.25;
 
     private final Fleet fleet;
     private final Placement placement;
@@ -82,16 +82,16 @@
 
     /** Makes one plan and carries it out. */
     void plan(double now) {
-        if (!areEarlierRentalsListed(now)) {
+        if (!areEarlierMachinesListed(now)) {
             return;
         }
         DemandPacking packing = packing(now);
         List<Job> waiting = placement.waiting();
         waiting.stream().filter(this::hasGuarantee).forEach(job -> pack(job, packing, now));
         headroom.reserve(packing, now);
-        noteHeadroom(packing.bins());
+        recordHeadroom(packing.bins());
         waiting.stream().filter(job -> !hasGuarantee(job)).forEach(job -> pack(job, packing, now));
-        scaleOutRequests.rent(packing.plannedBins());
+        scaleOutRequests.requestMachines(packing.plannedBins());
         idleMachines.delete(packing.bins(), now);
         if (waiting.isEmpty()) {
             draining.drainOne(packing.bins(), now);
@@ -102,7 +102,7 @@
         return fleet.clusterState().usage(job.spec().team()).hasGuarantee();
     }
 
-    private static void noteHeadroom(List<Bin> bins) {
+    private static void recordHeadroom(List<Bin> bins) {
         for (Bin bin : bins) {
             if (!bin.isPlanned()) {
                 bin.machine().allocation().headroom(bin.expected());
@@ -111,7 +111,7 @@
     }
 
     /** Machines rented just before a change of leader may not be listed yet. */
-    private boolean areEarlierRentalsListed(double now) {
+    private boolean areEarlierMachinesListed(double now) {
         return firstTerm || now - startedAt >= listing.longestLagSeconds();
     }
 
@@ -121,22 +121,22 @@
         return new DemandPacking(
                 fleet.catalog().all(),
                 settings.zones(),
-                kind -> isRentable(kind, now),
-                overdueBoots::isFailing,
+                kind -> isAvailable(kind, now),
+                overdueBoots::areBootsFailing,
                 machinesPerZone,
-                usableBins(now));
+                schedulableBins(now));
     }
 
-    private boolean isRentable(MachineKind kind, double now) {
+    private boolean isAvailable(MachineKind kind, double now) {
         return !partitions.contains(kind.zone())
                 && !scaleOutRequests.isRefused(kind, now)
-                && overdueBoots.mayRent(kind, now);
+                && overdueBoots.mayScaleOut(kind, now);
     }
 
-    private List<Bin> usableBins(double now) {
+    private List<Bin> schedulableBins(double now) {
         List<Bin> bins = new ArrayList<>();
         for (Machine machine : fleet.machines()) {
-            if (isUsable(machine, now)) {
+            if (isSchedulable(machine, now)) {
                 bins.add(Bin.of(machine));
             }
         }
@@ -145,8 +145,8 @@
     }
 
     /** Whether a machine takes new work, or will once it has booted. */
-    private boolean isUsable(Machine machine, double now) {
-        if (machine.type() == null || isToBeEmptied(machine)) {
+    private boolean isSchedulable(Machine machine, double now) {
+        if (machine.type() == null || isBeingEvacuated(machine)) {
             return false;
         }
         return switch (machine.state()) {
@@ -160,7 +160,7 @@
         };
     }
 
-    private static boolean isToBeEmptied(Machine machine) {
+    private static boolean isBeingEvacuated(Machine machine) {
         return machine.quarantined() || machine.draining() || machine.hasPreemptionNotice();
     }
 
@@ -170,14 +170,14 @@
      * that are reserved for another job.
      */
     private void pack(Job job, DemandPacking packing, double now) {
-        int tasks = slots(job, Math.min(job.startable(), tasksWithinLimit(job)));
+        int tasks = slotsNeeded(job, Math.min(job.startable(), tasksWithinQuota(job)));
         Submission spec = job.spec().oneZone() ? inOneZone(job, tasks, packing) : job.spec();
         ZoneCounts tasksPerZone = new ZoneCounts();
         job.attempts().forEach(attempt -> tasksPerZone.add(attempt.machine().zone()));
         PackingRequest request =
                 PackingRequest.ofJob(
                         spec, tasks, tasksPerZone, machine -> isExcluded(machine, job, now));
-        packing.pack(withShape(job, withPriceBound(job, request)));
+        packing.pack(withEquivalenceClass(job, withPriceBound(job, request)));
     }
 
     private PackingRequest withPriceBound(Job job, PackingRequest request) {
@@ -186,11 +186,11 @@
                 : request.withMaxPriceRatio(settings.operator().unguaranteedPriceRatio());
     }
 
-    private PackingRequest withShape(Job job, PackingRequest request) {
+    private PackingRequest withEquivalenceClass(Job job, PackingRequest request) {
         boolean hasOwnRoom = placement.reservations().holders().contains(job);
         return hasOwnRoom
                 ? request
-                : EquivalenceClass.of(job).map(request::withShape).orElse(request);
+                : EquivalenceClass.of(job).map(request::withEquivalenceClass).orElse(request);
     }
 
     /**
@@ -198,12 +198,12 @@
      * boot. Tasks that are much shorter than that follow each other in the same room: a machine for
      * each of some ten thousand short tasks would come up when most of them are done.
      */
-    private int slots(Job job, int waiting) {
+    private int slotsNeeded(Job job, int waiting) {
         Submission spec = job.spec();
         double bootSeconds = fleet.catalog().slowestBootSeconds();
         boolean isShort =
                 spec.estimatedRunSeconds() > 0
-                        && spec.estimatedRunSeconds() < SHORT_BOOTS * bootSeconds;
+                        && spec.estimatedRunSeconds() < SHORT_TASK_BOOTS * bootSeconds;
         if (spec.service() || spec.gang() || !isShort) {
             return waiting;
         }
@@ -217,7 +217,7 @@
                 || placement.reservations().reservedFrom(job, machine);
     }
 
-    private int tasksWithinLimit(Job job) {
+    private int tasksWithinQuota(Job job) {
         return fleet.clusterState().usage(job.spec().team()).roomFor(job.spec());
     }
 
@@ -232,6 +232,6 @@
                 return job.spec().inZone(zone);
             }
         }
-        return packing.inZoneWithMostRoom(job.spec(), tasks);
+        return packing.inZoneWithMostCapacity(job.spec(), tasks);
     }
 }
--- a/src/main/java/org/springmill/control/autoscaling/ScaleOutRequests.java
+++ b/src/main/java/org/springmill/control/autoscaling/ScaleOutRequests.java
@@ -41,11 +41,11 @@
     /** By the kind's label. */
     private final Map<String, Double> refusedUntil = new HashMap<>();
 
-    private final List<Rental> unanswered = new ArrayList<>();
+    private final List<PendingRequest> pending = new ArrayList<>();
     private int lastRequestNumber;
 
     /** A request for so many machines of a kind. */
-    private record Rental(MachineKind kind, int count, Request request) {}
+    private record PendingRequest(MachineKind kind, int count, Request request) {}
 
     ScaleOutRequests(Fleet fleet, CloudClient cloud, OverdueBoots overdueBoots, EventLoop loop) {
         this.fleet = fleet;
@@ -60,19 +60,19 @@
     }
 
     /** Forgets the refusals that no longer hold. */
-    void forgetOldRefusals(double now) {
+    void removeExpiredRefusals(double now) {
         refusedUntil.values().removeIf(until -> until < now);
     }
 
     /** Rents the machines of planned bins, unless an earlier request is still unanswered. */
-    void rent(List<Bin> planned) {
-        if (!unanswered.isEmpty()) {
+    void requestMachines(List<Bin> planned) {
+        if (!pending.isEmpty()) {
             return;
         }
         for (List<MachineKind> machines : groupByLabel(planned)) {
             MachineKind kind = machines.get(0);
-            int most = Math.min(CloudMessages.MAX_RENTALS, overdueBoots.mostAtOnce(kind));
-            rent(kind, Math.min(machines.size(), most));
+            int most = Math.min(CloudMessages.MAX_RENTALS, overdueBoots.maxPerRequest(kind));
+            requestMachines(kind, Math.min(machines.size(), most));
         }
     }
 
@@ -85,54 +85,55 @@
         return groups.values();
     }
 
-    private void rent(MachineKind kind, int count) {
+    private void requestMachines(MachineKind kind, int count) {
         LOG.info("renting {} of {}", count, kind.label());
         byte[] body =
                 CloudMessages.encodeRental(
-                        nextRequestName(), kind.type().name(), kind.zone(), kind.spot(), count);
-        Rental rental = new Rental(kind, count, cloud.post(CloudMessages.RENTALS_PATH, body));
-        unanswered.add(rental);
+                        nextIdempotencyKey(), kind.type().name(), kind.zone(), kind.spot(), count);
+        PendingRequest rental =
+                new PendingRequest(kind, count, cloud.post(CloudMessages.RENTALS_PATH, body));
+        pending.add(rental);
         send(rental);
     }
 
     /** Term and number: no other leader, nor this one again, ever uses the same name. */
-    private String nextRequestName() {
+    private String nextIdempotencyKey() {
         lastRequestNumber++;
         return "r-" + fleet.term() + "-" + lastRequestNumber;
     }
 
-    private void send(Rental rental) {
-        cloud.send(rental.request(), reply -> answered(rental, reply));
+    private void send(PendingRequest rental) {
+        cloud.send(rental.request(), reply -> responseReceived(rental, reply));
     }
 
-    private void answered(Rental rental, Reply reply) {
+    private void responseReceived(PendingRequest rental, Reply reply) {
         if (cloud.isClosed()) {
             return;
         }
         if (reply.ok()) {
-            unanswered.remove(rental);
-            rented(rental, reply);
+            pending.remove(rental);
+            requestGranted(rental, reply);
         } else if (reply.status() == NO_CAPACITY || reply.status() == MALFORMED) {
-            unanswered.remove(rental);
-            refuse(rental.kind());
+            pending.remove(rental);
+            recordRefusal(rental.kind());
         } else {
             // The same name again tells which machines it gave, if it was carried out.
-            loop.after(cloud.repeatSeconds(), () -> sendAgain(rental));
+            loop.after(cloud.retryIntervalSeconds(), () -> resend(rental));
         }
     }
 
-    private void sendAgain(Rental rental) {
+    private void resend(PendingRequest rental) {
         if (!cloud.isClosed()) {
             send(rental);
         }
     }
 
-    private void rented(Rental rental, Reply reply) {
+    private void requestGranted(PendingRequest rental, Reply reply) {
         try {
             List<String> names = CloudMessages.decodeRental(reply.body());
             names.forEach(name -> describe(name, rental.kind()));
             if (names.size() < rental.count()) {
-                refuse(rental.kind());
+                recordRefusal(rental.kind());
             }
         } catch (MalformedMessageException e) {
             LOG.warn("cloud: {}", e.getMessage());
@@ -144,7 +145,7 @@
         machine.describe(machine.address(), kind.type(), kind.zone(), kind.spot());
     }
 
-    private void refuse(MachineKind kind) {
+    private void recordRefusal(MachineKind kind) {
         double forSeconds = REFUSAL_BOOTS * kind.type().bootSeconds();
         refusedUntil.put(kind.label(), loop.now() + forSeconds);
     }
--- a/src/test/java/org/springmill/control/autoscaling/ArrivalRateEstimatorTest.java
+++ b/src/test/java/org/springmill/control/autoscaling/ArrivalRateEstimatorTest.java
@@ -32,6 +32,7 @@
         for (double at = FIRST_ARRIVAL; at <= LAST_ARRIVAL; at += ARRIVAL_INTERVAL) {
             arrivalRates.arrived(job, at, true);
         }
-        assertEquals(expected, arrivalRates.expected(job.jobClass(), BOOT_SECONDS, now), situation);
+        assertEquals(
+                expected, arrivalRates.expectedTasks(job.jobClass(), BOOT_SECONDS, now), situation);
     }
 }
--- a/src/test/java/org/springmill/control/autoscaling/BinTest.java
+++ b/src/test/java/org/springmill/control/autoscaling/BinTest.java
@@ -30,7 +30,8 @@
             int tasks, double cpus, double gpus, double memoryGb, int held) {
         Bin bin = Bin.planned(ORDINARY);
         assertEquals(
-                held, bin.holds(PackingFixtures.job(tasks).size(cpus, gpus, memoryGb).build()));
+                held,
+                bin.capacityFor(PackingFixtures.job(tasks).size(cpus, gpus, memoryGb).build()));
     }
 
     @Test
@@ -70,9 +71,9 @@
 
     @Test
     void aSpotMachineIsRoomOnlyForJobsThatAllowIt() {
-        assertEquals(0, Bin.planned(SPOT).holds(PackingFixtures.job(1).build()));
-        assertEquals(1, Bin.planned(SPOT).holds(PackingFixtures.job(1).spot().build()));
-        assertEquals(1, Bin.planned(ORDINARY).holds(PackingFixtures.job(1).spot().build()));
+        assertEquals(0, Bin.planned(SPOT).capacityFor(PackingFixtures.job(1).build()));
+        assertEquals(1, Bin.planned(SPOT).capacityFor(PackingFixtures.job(1).spot().build()));
+        assertEquals(1, Bin.planned(ORDINARY).capacityFor(PackingFixtures.job(1).spot().build()));
     }
 
     @Test
--- a/src/test/java/org/springmill/control/autoscaling/DemandPackingTest.java
+++ b/src/test/java/org/springmill/control/autoscaling/DemandPackingTest.java
@@ -149,7 +149,7 @@
         for (int i = 0; i < 7; i++) {
             packing.pack(
                     PackingRequest.ofJob(job, 1, new ZoneCounts(), machine -> false)
-                            .withShape(shape));
+                            .withEquivalenceClass(shape));
         }
         assertEquals(2, packing.plannedBins().size());
     }
@@ -166,19 +166,19 @@
     @Test
     void tasksThatBelongTogetherGoWhereMostOfThemFindRoom() {
         Submission small = PackingFixtures.job(2).size(48, 0, 1).build();
-        assertEquals("a", packing(Objects::nonNull).inZoneWithMostRoom(small, 2).zone());
+        assertEquals("a", packing(Objects::nonNull).inZoneWithMostCapacity(small, 2).zone());
     }
 
     @Test
     void tasksThatBelongTogetherGoWhereTheRestCanBeRented() {
         Submission large = PackingFixtures.job(4).size(48, 0, 1).build();
         Predicate<MachineKind> onlyInC = kind -> kind.zone().equals("c");
-        assertEquals("c", packing(onlyInC).inZoneWithMostRoom(large, 4).zone());
+        assertEquals("c", packing(onlyInC).inZoneWithMostCapacity(large, 4).zone());
     }
 
     @Test
     void tasksThatBelongTogetherKeepToTheJobsOwnZone() {
         Submission bound = PackingFixtures.job(2).size(48, 0, 1).zone("b").build();
-        assertEquals("b", packing(Objects::nonNull).inZoneWithMostRoom(bound, 2).zone());
+        assertEquals("b", packing(Objects::nonNull).inZoneWithMostCapacity(bound, 2).zone());
     }
 }
--- a/src/test/java/org/springmill/control/autoscaling/MachineDrainingTest.java
+++ b/src/test/java/org/springmill/control/autoscaling/MachineDrainingTest.java
@@ -42,9 +42,9 @@
         List<Bin> bins = List.of(stuck, movable, target);
         assertEquals(
                 movable.machine(),
-                MachineDraining.firstThatFitsElsewhere(
+                MachineDraining.firstEvictable(
                         List.of(stuck, movable), List.of(stuck, movable, target)));
-        assertNull(MachineDraining.firstThatFitsElsewhere(List.of(stuck), List.of(stuck, target)));
+        assertNull(MachineDraining.firstEvictable(List.of(stuck), List.of(stuck, target)));
         // Trying a candidate takes nothing of the room that was counted.
         assertEquals(List.of(6.0, 86.0, 16.0), bins.stream().map(this::freeCpus).toList());
     }
