--- a/src/main/java/org/springmill/control/autoscaling/MachineDeletion.java
+++ b/src/main/java/org/springmill/control/autoscaling/MachineDeletion.java
@@ -50,7 +50,7 @@
         if (isDeletionRequested(machine)) {
             return;
         }
-        LOG.info("giving back {}: {}", machine.name(), reason);
+        LOG.info("deleting machine {}: {}", machine.name(), reason);
         machine.transition(Machine.State.TERMINATING);
         enqueue(machine);
     }
--- a/src/main/java/org/springmill/control/autoscaling/MachineListing.java
+++ b/src/main/java/org/springmill/control/autoscaling/MachineListing.java
@@ -119,7 +119,7 @@
         try {
             return CloudMessages.list(reply.body());
         } catch (MalformedMessageException e) {
-            LOG.warn("cloud: {}", e.getMessage());
+            LOG.warn("malformed machine list of the cloud: {}", e.getMessage());
             return null;
         }
     }
--- a/src/main/java/org/springmill/control/autoscaling/ScaleOutRequests.java
+++ b/src/main/java/org/springmill/control/autoscaling/ScaleOutRequests.java
@@ -86,7 +86,7 @@
     }
 
     private void requestMachines(MachineKind kind, int count) {
-        LOG.info("renting {} of {}", count, kind.label());
+        LOG.info("scaling out: requesting {} machines of kind {}", count, kind.label());
         byte[] body =
                 CloudMessages.encodeRental(
                         nextIdempotencyKey(), kind.type().name(), kind.zone(), kind.spot(), count);
@@ -136,7 +136,7 @@
                 recordRefusal(rental.kind());
             }
         } catch (MalformedMessageException e) {
-            LOG.warn("cloud: {}", e.getMessage());
+            LOG.warn("malformed response of the cloud to a rental: {}", e.getMessage());
         }
     }
 
