--- a/src/main/java/org/springmill/control/autoscaling/Autoscaler.java
+++ b/src/main/java/org/springmill/control/autoscaling/Autoscaler.java
@@ -44,13 +44,14 @@
         cloud = new CloudClient(http, loop, settings, timeouts);
         deletion = new MachineDeletion(fleet, cloud, loop, changed);
         listing = new MachineListing(fleet, cloud, deletion, loop, settings, changed);
-        silence = new HeartbeatSilence(listing, timeouts, now);
-        partitions = new PartitionedZones(fleet, peers, silence, timeouts, now);
+        UnlistedMachines unlistedMachines = new UnlistedMachines(listing, now);
+        silence = new HeartbeatSilence(unlistedMachines, timeouts, now);
+        partitions = new PartitionedZones(fleet, peers, unlistedMachines, silence, timeouts, now);
         overdueBoots = new OverdueBoots(fleet, partitions, timeouts);
         health =
                 new MachineHealth(
                         fleet,
-                        listing,
+                        unlistedMachines,
                         silence,
                         partitions,
                         overdueBoots,
--- a/src/main/java/org/springmill/control/autoscaling/DemandPacking.java
+++ b/src/main/java/org/springmill/control/autoscaling/DemandPacking.java
@@ -162,7 +162,7 @@
     /** The kind of machine that runs so many tasks at the least price for each. */
     private Optional<MachineKind> cheapest(
             Submission spec, int tasks, ZoneCounts tasksPerZone, double maxPriceRatio) {
-        double maxPrice = maxPriceRatio * leastPrice(spec, tasks);
+        double maxPrice = maxPriceRatio * PricePerTask.least(types, spec, spec.spot(), tasks);
         Offer best = Offer.NONE;
         for (MachineType type : types) {
             if (!type.fits(spec)) {
@@ -190,18 +190,6 @@
                 : List.of(ordinary);
     }
 
-    /** The least that a task costs on any machine, whether one can be rented now or not. */
-    private double leastPrice(Submission spec, int tasks) {
-        double least = Double.POSITIVE_INFINITY;
-        for (MachineType type : types) {
-            if (type.fits(spec)) {
-                double price = type.price(spec.spot()) / Math.min(tasks, type.holds(spec));
-                least = Math.min(least, price);
-            }
-        }
-        return least;
-    }
-
     private static boolean isZoneOpen(String zone, Submission spec, ZoneCounts tasksPerZone) {
         boolean allowed = spec.zone() == null || spec.zone().equals(zone);
         return allowed && tasksPerZone.count(zone) < spec.perZone();
--- a/src/main/java/org/springmill/control/autoscaling/Headroom.java
+++ b/src/main/java/org/springmill/control/autoscaling/Headroom.java
@@ -4,7 +4,6 @@
 import org.springmill.control.cluster.Fleet;
 import org.springmill.control.cluster.Job;
 import org.springmill.control.cluster.Machine;
-import org.springmill.protocol.CloudMessages.MachineType;
 import org.springmill.protocol.Settings;
 import org.springmill.protocol.Submission;
 
@@ -82,15 +81,8 @@
         return running;
     }
 
-    /** Infinite if no type of machine fits. */
     private double leastPricePerTask(Submission job) {
-        double least = Double.POSITIVE_INFINITY;
-        for (MachineType type : fleet.catalog().all()) {
-            if (type.fits(job)) {
-                least = Math.min(least, type.price() / type.holds(job));
-            }
-        }
-        return least;
+        return PricePerTask.least(fleet.catalog().all(), job, false, Integer.MAX_VALUE);
     }
 
     /** What all machines cost by the hour. */
--- a/src/main/java/org/springmill/control/autoscaling/HeartbeatSilence.java
+++ b/src/main/java/org/springmill/control/autoscaling/HeartbeatSilence.java
@@ -3,45 +3,49 @@
 import org.springmill.control.cluster.Machine;
 import org.springmill.control.timing.Timeouts;
 
-/** Tells how long the machines that should report have been silent. */
+/** Tells for how long the machines whose heartbeats are expected have been silent. */
 final class HeartbeatSilence {
-    private final MachineListing listing;
+    private final UnlistedMachines unlistedMachines;
     private final Timeouts timeouts;
     private double listeningSince;
 
-    HeartbeatSilence(MachineListing listing, Timeouts timeouts, double now) {
-        this.listing = listing;
+    /**
+     * @param now start of the leader's term in seconds
+     */
+    HeartbeatSilence(UnlistedMachines unlistedMachines, Timeouts timeouts, double now) {
+        this.unlistedMachines = unlistedMachines;
         this.timeouts = timeouts;
         this.listeningSince = now;
     }
 
     /**
-     * Notes that no report could be read up to now, because this process stood still. All machines
-     * get time to report again: a leader that woke from a pause would otherwise take the whole
-     * fleet for dead before it has read a single report.
+     * Counts silence from now on only, because this process was paused and read no heartbeats. A
+     * leader that resumes would otherwise take the whole fleet for dead before it has read a single
+     * heartbeat.
      */
     void restart(double now) {
         listeningSince = now;
     }
 
-    /** Whether a machine is one whose worker has to report. */
+    /** Whether a machine is one whose worker has to send heartbeats. */
     boolean isHeartbeatExpected(Machine machine) {
         return machine.state() == Machine.State.UP
                 || (machine.state() == Machine.State.PROVISIONING && !machine.attempts().isEmpty());
     }
 
     /**
-     * Whether a listed machine's report is overdue. That is well before its silence is acted on:
+     * Whether a listed machine's heartbeat is overdue. That is well before its silence is acted on:
      * how many machines are silent together has to show by the time at which the first of them
      * might be deleted.
      */
     boolean isHeartbeatOverdue(Machine machine, double now) {
-        return silentSeconds(machine, now) > timeouts.probeAfterSeconds() && !isUnlisted(machine);
+        return silentSeconds(machine, now) > timeouts.probeAfterSeconds()
+                && !unlistedMachines.contains(machine);
     }
 
     /**
-     * How long a machine that should report has not; zero for all others. A new leader gives all
-     * machines time to find it.
+     * Seconds since the last heartbeat of a machine whose heartbeats are expected; zero for all
+     * others. A new leader gives all machines time to find it.
      */
     double silentSeconds(Machine machine, double now) {
         if (!isHeartbeatExpected(machine)) {
@@ -50,11 +54,4 @@
         double listenedSince = listeningSince + timeouts.deadAfterSeconds() / 2;
         return now - Math.max(machine.lastHeartbeatAt(), listenedSince);
     }
-
-    /** Whether the cloud has stopped listing a machine for longer than its list may lag. */
-    boolean isUnlisted(Machine machine) {
-        double unheardSeconds = listing.listedAt() - machine.lastHeartbeatAt();
-        return machine.listedAt() < listing.listedAt()
-                && unheardSeconds > listing.longestLagSeconds();
-    }
 }
--- a/src/main/java/org/springmill/control/autoscaling/MachineDraining.java
+++ b/src/main/java/org/springmill/control/autoscaling/MachineDraining.java
@@ -90,7 +90,10 @@
     }
 
     private void drain(Machine machine, double now) {
-        LOG.info("draining machine {}: evicting {} tasks", machine.name(), machine.attempts().size());
+        LOG.info(
+                "draining machine {}: evicting {} tasks",
+                machine.name(),
+                machine.attempts().size());
         drainedAt = now;
         machine.drain();
         machine.attemptsNow().forEach(fleet::stopWithCheckpoint);
--- a/src/main/java/org/springmill/control/autoscaling/MachineHealth.java
+++ b/src/main/java/org/springmill/control/autoscaling/MachineHealth.java
@@ -7,24 +7,24 @@
 import org.springmill.protocol.Settings;
 
 /**
- * Judges by boot time, reports and answers which machines are of no more use, and has those
+ * Decides by boot time, heartbeats and responses which machines are unusable, and has those
  * deleted.
  */
 final class MachineHealth {
     /**
-     * This share of the fleet, a rack, may fall silent at once and be taken for dead like single
-     * machines. A larger share shows rather that this controller is cut off, or that they are.
+     * This share of the fleet, a rack, may fall silent at once and be declared dead like single
+     * machines. A larger share rather shows a network partition of this controller or of them.
      */
     static final double CORRELATED_FAILURE_SHARE = 1 / 3.0;
 
     /** A worker's own lease, and as much again to find the new leader. */
     private static final double LEASES_TO_FIND_LEADER = 2;
 
-    /** Where none comes up, machines that are late are waited for so much longer. */
+    /** Where boots fail in every zone, overdue machines get so many times the patience. */
     private static final double PATIENCES_IF_BOOTS_FAIL = 2;
 
     private final Fleet fleet;
-    private final MachineListing listing;
+    private final UnlistedMachines unlistedMachines;
     private final HeartbeatSilence silence;
     private final PartitionedZones partitions;
     private final OverdueBoots overdueBoots;
@@ -35,7 +35,7 @@
 
     MachineHealth(
             Fleet fleet,
-            MachineListing listing,
+            UnlistedMachines unlistedMachines,
             HeartbeatSilence silence,
             PartitionedZones partitions,
             OverdueBoots overdueBoots,
@@ -44,7 +44,7 @@
             Timeouts timeouts,
             double now) {
         this.fleet = fleet;
-        this.listing = listing;
+        this.unlistedMachines = unlistedMachines;
         this.silence = silence;
         this.partitions = partitions;
         this.overdueBoots = overdueBoots;
@@ -54,7 +54,7 @@
         this.startedAt = now;
     }
 
-    /** Has every machine deleted that is of no more use. */
+    /** Has every unusable machine deleted. */
     void deleteUnusable(double now) {
         boolean fewSilent = areFewSilent(now);
         for (Machine machine : fleet.machinesNow()) {
@@ -84,9 +84,7 @@
     private Optional<DeletionReason> reasonToDelete(
             Machine machine, boolean fewSilent, double now) {
         if (machine.type() == null) {
-            return isClaimedButUnlisted(machine)
-                    ? Optional.of(DeletionReason.CLAIMED_BUT_UNLISTED)
-                    : Optional.empty();
+            return unlistedMachines.reasonToDelete(machine);
         }
         return switch (machine.state()) {
             case PROVISIONING -> reasonToDeleteProvisioning(machine, fewSilent, now);
@@ -99,17 +97,6 @@
         };
     }
 
-    /**
-     * Whether a machine is known from claims alone: an earlier leader asked for its deletion, and
-     * ended before that was committed. Without word from every other controller its silence proves
-     * nothing, and it has no address to be asked at; its claims would stand, and their tasks wait,
-     * for as long as one controller is away.
-     */
-    private boolean isClaimedButUnlisted(Machine machine) {
-        double listedSeconds = listing.listedAt() - startedAt;
-        return !machine.attempts().isEmpty() && listedSeconds > listing.longestLagSeconds();
-    }
-
     private Optional<DeletionReason> reasonToDeleteProvisioning(
             Machine machine, boolean fewSilent, double now) {
         boolean partitionedLately = partitions.wasRecently(machine.zone(), now);
@@ -119,15 +106,13 @@
         if (!partitionedLately && hasSentNoHeartbeat(machine, now)) {
             return Optional.of(DeletionReason.NO_HEARTBEAT);
         }
-        // A late list names machines that the leader before this one has deleted. They never
-        // report, and while they counted as booting nothing was rented in their place.
-        if (listing.provesGone(machine)) {
-            return Optional.of(DeletionReason.NO_LONGER_LISTED);
-        }
-        if (isBootOverdue(machine, now)) {
+        // A stale list names machines that the previous leader has deleted. They never send a
+        // heartbeat, and while they counted as booting no machine was requested in their place.
+        Optional<DeletionReason> reason = unlistedMachines.reasonToDelete(machine);
+        if (reason.isEmpty() && hasBootTimedOut(machine, now)) {
             return Optional.of(DeletionReason.BOOT_TIMED_OUT);
         }
-        return Optional.empty();
+        return reason;
     }
 
     private Optional<DeletionReason> reasonToDeleteUp(
@@ -148,11 +133,11 @@
     }
 
     /**
-     * Whether a machine is to be replaced for its silence. Deletion proves that what it ran is
-     * gone, well before its lease could. Not when many listed machines are silent at once: this
-     * controller may be cut off, or they may. What they run is lost only with their leases, and by
-     * then their silence proves it; deleting a fleet that was out of reach for 15 s cost it all it
-     * ran.
+     * Whether a machine is to be replaced for its silence. Its deletion proves that its tasks have
+     * ended, well before its lease expiry could. Not when many listed machines are silent at once:
+     * this controller or they may be partitioned. Their tasks are lost only when their leases
+     * expire, and by then their silence proves it; deleting a fleet that was unreachable for 15 s
+     * cost it all its tasks.
      */
     private boolean isUnresponsive(Machine machine, boolean fewSilent, double now) {
         return silence.silentSeconds(machine, now) > timeouts.deadAfterSeconds()
@@ -161,25 +146,25 @@
                 && isSingleMachineFailure(machine, fewSilent);
     }
 
-    /** Whether a machine's silence has to do with that machine and not with the network. */
+    /** Whether a machine's silence is a failure of that machine and not of the network. */
     private boolean isSingleMachineFailure(Machine machine, boolean fewSilent) {
         boolean singleFailure = fewSilent && !partitions.contains(machine.zone());
-        return silence.isUnlisted(machine) || singleFailure;
+        return unlistedMachines.contains(machine) || singleFailure;
     }
 
     /**
-     * Whether a machine has claims and never reported to this leader. With no word from every other
-     * controller its silence proves nothing: only its deletion does.
+     * Whether a machine has claims and sent this leader no heartbeat. Without responses of every
+     * other controller its silence proves nothing: only its deletion does.
      */
     private boolean hasSentNoHeartbeat(Machine machine, double now) {
         return isEstablished(now) && !machine.attempts().isEmpty();
     }
 
     /**
-     * Whether a machine is given up. Where machines take long at present, a new one would come up
-     * no sooner.
+     * Whether a machine has taken too long to boot. Where boots take long at present, a new machine
+     * would be ready no sooner.
      */
-    private boolean isBootOverdue(Machine machine, double now) {
+    private boolean hasBootTimedOut(Machine machine, double now) {
         double nominalSeconds = machine.type().bootSeconds() * settings.operator().bootPatience();
         double measuredSeconds = fleet.bootTimes().lateAfterSeconds(machine.type(), machine.zone());
         double patienceSeconds =
@@ -192,11 +177,11 @@
     }
 
     /**
-     * Whether a machine's reports arrive, and no answer ever does. They renew nothing and prove
-     * nothing, and while they come the machine is not silent. What it ran was killed with its
-     * lease, and only its deletion proves that. A machine that has only just found its way here is
-     * given time to hear: when a partition is over, all machines of the zone come with an older
-     * token at first.
+     * Whether a machine's heartbeats arrive, and none of the responses to them. Such heartbeats
+     * renew and prove nothing, and while they arrive the machine is not silent. Its tasks were
+     * killed at its lease expiry, and only its deletion proves that. A machine that has only just
+     * connected is given time: when a partition is over, all machines of the zone come with an
+     * older fencing token at first.
      */
     private boolean missesLeaderResponses(Machine machine, double now) {
         return isEstablished(now)
@@ -205,9 +190,7 @@
                 && machine.missesResponses(now, timeouts.workerLeaseSeconds());
     }
 
-    /**
-     * Whether a worker that obeyed an earlier leader has had more than its lease to find this one.
-     */
+    /** Whether workers of an earlier leader have had more than their lease to find this one. */
     private boolean isEstablished(double now) {
         double neededSeconds =
                 timeouts.followerRenewalLimitSeconds()
--- a/src/main/java/org/springmill/control/autoscaling/MachineListing.java
+++ b/src/main/java/org/springmill/control/autoscaling/MachineListing.java
@@ -25,9 +25,6 @@
     /** By the protocol a list may lag by twice its nominal lag. */
     private static final double NOMINAL_LAGS = 2;
 
-    /** Leaves half a lag for the time that a list of several pages takes to be read. */
-    private static final double LAGS_UNTIL_DELETED = 1.5;
-
     private final Fleet fleet;
     private final CloudClient cloud;
     private final MachineDeletion deletion;
@@ -69,17 +66,6 @@
         return listedAt;
     }
 
-    /**
-     * Whether a machine that was listed is gone by the cloud's word. A machine stays listed until
-     * it is gone, but a list may be older than the one before it; so only one read longer after the
-     * last that named the machine than any list lags, answers and further pages included, is proof.
-     */
-    boolean provesGone(Machine machine) {
-        boolean wasListed = machine.listedAt() > Double.NEGATIVE_INFINITY;
-        return wasListed
-                && listedAt - machine.listedAt() > LAGS_UNTIL_DELETED * longestLagSeconds();
-    }
-
     /** By how much a list may lag behind the fleet. */
     double longestLagSeconds() {
         return NOMINAL_LAGS * settings.cloudLimits().listLagSeconds();
--- a/src/main/java/org/springmill/control/autoscaling/PartitionedZones.java
+++ b/src/main/java/org/springmill/control/autoscaling/PartitionedZones.java
@@ -19,22 +19,23 @@
  */
 final class PartitionedZones {
     /**
-     * After so many leases without word from every controller a zone counts as reachable again,
+     * After so many leases without responses of every controller a zone counts as reachable again,
      * however silent it is, so that machines that are lost for good are replaced in the end.
      */
     private static final double MAX_PARTITION_LEASES = 10;
 
-    /** Once a partition is over, the workers need this part of a lease to find their way back. */
+    /** Once a partition is over, the workers need this part of a lease to reconnect. */
     private static final double RECONNECT_LEASES = 0.5;
 
     private final Fleet fleet;
     private final Peers peers;
+    private final UnlistedMachines unlistedMachines;
     private final HeartbeatSilence silence;
     private final Timeouts timeouts;
 
     /**
      * The zones that the latest update found. They cannot be read from {@link #lastPartitionedAt}:
-     * two updates at the same time may differ, for a peer may have answered between them.
+     * two updates at the same time may differ, for a peer may have responded between them.
      */
     private final Set<String> partitioned = new HashSet<>();
 
@@ -43,15 +44,21 @@
     private double peerUnresponsiveAt = Double.NEGATIVE_INFINITY;
 
     PartitionedZones(
-            Fleet fleet, Peers peers, HeartbeatSilence silence, Timeouts timeouts, double now) {
+            Fleet fleet,
+            Peers peers,
+            UnlistedMachines unlistedMachines,
+            HeartbeatSilence silence,
+            Timeouts timeouts,
+            double now) {
         this.fleet = fleet;
         this.peers = peers;
+        this.unlistedMachines = unlistedMachines;
         this.silence = silence;
         this.timeouts = timeouts;
         this.allPeersRespondedAt = now;
     }
 
-    /** Judges all zones anew. */
+    /** Finds the partitioned zones by the heartbeats and responses so far. */
     void update(double now) {
         if (peers.allPeersResponded()) {
             allPeersRespondedAt = now;
@@ -64,22 +71,22 @@
         }
         heartbeatsByZone(now)
                 .forEach(
-                        (zone, reports) -> {
-                            if (reports.mostAreOverdue()) {
+                        (zone, heartbeats) -> {
+                            if (heartbeats.mostAreOverdue()) {
                                 partitioned.add(zone);
                                 lastPartitionedAt.put(zone, now);
                             }
                         });
     }
 
-    /** Whether the latest update took a zone for partitioned. */
+    /** Whether the latest update found a zone partitioned. */
     boolean contains(String zone) {
         return partitioned.contains(zone);
     }
 
     /**
      * Whether a zone was partitioned within the last lease. Once a partition is over, the zone's
-     * machines are heard one by one, and the last of them are not dead.
+     * heartbeats arrive one by one, and the machines with the last of them are not dead.
      */
     boolean wasRecently(String zone, double now) {
         double since = now - lastPartitionedAt.getOrDefault(zone, Double.NEGATIVE_INFINITY);
@@ -94,16 +101,16 @@
     private Map<String, ZoneHeartbeats> heartbeatsByZone(double now) {
         Map<String, ZoneHeartbeats> zones = new HashMap<>();
         for (Machine machine : fleet.machines()) {
-            if (silence.isHeartbeatExpected(machine) && !silence.isUnlisted(machine)) {
-                ZoneHeartbeats one =
+            if (silence.isHeartbeatExpected(machine) && !unlistedMachines.contains(machine)) {
+                ZoneHeartbeats ofMachine =
                         new ZoneHeartbeats(1, silence.isHeartbeatOverdue(machine, now) ? 1 : 0);
-                zones.merge(machine.zone(), one, ZoneHeartbeats::plus);
+                zones.merge(machine.zone(), ofMachine, ZoneHeartbeats::plus);
             }
         }
         return zones;
     }
 
-    /** How many machines of a zone should report, and how many of those are overdue. */
+    /** Of how many machines of a zone heartbeats are expected, and of how many they are overdue. */
     private record ZoneHeartbeats(int expected, int overdue) {
         ZoneHeartbeats plus(ZoneHeartbeats other) {
             return new ZoneHeartbeats(expected + other.expected, overdue + other.overdue);
