--- a/src/main/java/org/springmill/control/autoscaling/OverdueBoots.java
+++ b/src/main/java/org/springmill/control/autoscaling/OverdueBoots.java
@@ -15,41 +15,70 @@
 import org.springmill.protocol.CloudMessages.MachineType;
 
 /**
- * Which booting machines are late, and for how many of them others are rented meanwhile.
+ * Which booting machines are overdue, and for how many of them replacements are requested.
  *
- * <p>A single machine that is late is replaced at once. Where several of a type are, and none that
- * was rented as late as the first of them has come up in a zone, boots of the type fail in that
- * zone: other zones come first, and one machine at a time is tried there until one comes up. Where
- * they fail in every zone, only a part of the late ones is replaced at a time, so that a general
- * delay does not have everything rented twice.
+ * <p>A single overdue machine is replaced at once. Where several of a type are overdue, and none
+ * that was requested as late as the first of them is ready in a zone, boots of the type fail in
+ * that zone: other zones come first, and one machine at a time is tried there until one is ready.
+ * Where they fail in every zone, only a part of the overdue ones is replaced at a time, so that a
+ * general delay does not have every machine requested twice.
  */
 final class OverdueBoots {
-    /** Fewer machines of a type that are late at once say nothing of others. */
+    /** Fewer overdue machines of a type say nothing of its other machines. */
     private static final int MIN_OVERDUE_TO_FAIL = 2;
 
-    /** This part of the late machines is replaced at a time while boots fail in every zone. */
+    /** This part of the overdue machines is replaced at a time while boots fail in every zone. */
     private static final double REPLACED_SHARE = 0.25;
 
-    /** Part of a boot between two machines that are tried where none comes up. */
+    /** Part of a boot between two machines that are tried where none is ready. */
     private static final double TRIAL_INTERVAL_BOOTS = 0.25;
 
     private final Fleet fleet;
     private final PartitionedZones partitions;
     private final Timeouts timeouts;
 
-    /** The late machines of each type, the earliest rented first. */
+    /** The boots of each type in each zone, by {@link BootTimes#key}. */
+    private Map<String, BootHistory> boots = Map.of();
+
+    /**
+     * The overdue machines of each type, the earliest requested first. Cleared rather than created
+     * anew, as {@link #replaced} is: the order of iteration depends on the capacity that a
+     * collection has grown to, and the order of deletions depends on the order of iteration.
+     */
     private final Map<MachineType, List<Machine>> overdueByType = new HashMap<>();
 
-    /** How many machines boot and are not late, by type and zone. */
-    private final Map<String, Integer> booting = new HashMap<>();
+    private final Set<Machine> replaced = new HashSet<>();
+
+    /**
+     * The boots of one type in one zone.
+     *
+     * @param inTime how many machines boot and are not overdue
+     * @param lastRequestedAt when the last machine was requested, in seconds
+     * @param lastReadyRequestedAt when the last of those that are ready was requested, in seconds
+     */
+    private record BootHistory(int inTime, double lastRequestedAt, double lastReadyRequestedAt) {
+        private static final BootHistory NONE =
+                new BootHistory(0, Double.NEGATIVE_INFINITY, Double.NEGATIVE_INFINITY);
 
-    /** When the last machine was rented, by type and zone. */
-    private final Map<String, Double> lastRented = new HashMap<>();
+        static BootHistory ofReady(Machine machine) {
+            return new BootHistory(0, machine.rentedAt(), machine.rentedAt());
+        }
 
-    /** When the last machine that has come up was rented, by type and zone. */
-    private final Map<String, Double> lastRentedOfThoseUp = new HashMap<>();
+        static BootHistory ofBooting(Machine machine) {
+            return new BootHistory(1, machine.rentedAt(), Double.NEGATIVE_INFINITY);
+        }
 
-    private final Set<Machine> replaced = new HashSet<>();
+        static BootHistory ofOther(Machine machine) {
+            return new BootHistory(0, machine.rentedAt(), Double.NEGATIVE_INFINITY);
+        }
+
+        BootHistory plus(BootHistory other) {
+            return new BootHistory(
+                    inTime + other.inTime,
+                    Math.max(lastRequestedAt, other.lastRequestedAt),
+                    Math.max(lastReadyRequestedAt, other.lastReadyRequestedAt));
+        }
+    }
 
     OverdueBoots(Fleet fleet, PartitionedZones partitions, Timeouts timeouts) {
         this.fleet = fleet;
@@ -57,98 +86,97 @@
         this.timeouts = timeouts;
     }
 
-    /** Looks at all machines as they are now. */
+    /** Classifies all machines as they are now. */
     void update(double now) {
+        Map<String, BootHistory> found = new HashMap<>();
         overdueByType.clear();
-        booting.clear();
-        lastRented.clear();
-        lastRentedOfThoseUp.clear();
         replaced.clear();
         for (Machine machine : fleet.machines()) {
             if (machine.type() != null) {
-                classify(machine, now);
+                String key = BootTimes.key(machine.type(), machine.zone());
+                found.merge(key, classify(machine, now), BootHistory::plus);
             }
         }
+        boots = Map.copyOf(found);
         overdueByType
                 .values()
-                .forEach(some -> some.sort(Comparator.comparingDouble(Machine::rentedAt)));
+                .forEach(ofType -> ofType.sort(Comparator.comparingDouble(Machine::rentedAt)));
         overdueByType.values().forEach(this::chooseReplaced);
     }
 
-    private void classify(Machine machine, double now) {
-        String key = key(machine);
-        lastRented.merge(key, machine.rentedAt(), Math::max);
+    /** The machine's part in the boots of its type and zone; lists it if it is overdue. */
+    private BootHistory classify(Machine machine, double now) {
         if (machine.state() == Machine.State.UP) {
-            lastRentedOfThoseUp.merge(key, machine.rentedAt(), Math::max);
-        } else if (machine.isBooting() && isOverdue(machine, now)) {
-            overdueByType.computeIfAbsent(machine.type(), type -> new ArrayList<>()).add(machine);
-        } else if (machine.isBooting()) {
-            booting.merge(key, 1, Integer::sum);
+            return BootHistory.ofReady(machine);
         }
+        if (!machine.isBooting()) {
+            return BootHistory.ofOther(machine);
+        }
+        if (!isOverdue(machine, now)) {
+            return BootHistory.ofBooting(machine);
+        }
+        overdueByType.computeIfAbsent(machine.type(), type -> new ArrayList<>()).add(machine);
+        return BootHistory.ofOther(machine);
     }
 
-    private static String key(Machine machine) {
-        return BootTimes.key(machine.type(), machine.zone());
-    }
-
-    /** A machine of which a list has just told may be up, and its worker on the way to here. */
+    /** A machine that a list has just named may be ready, and its first heartbeat on the way. */
     private boolean isOverdue(Machine machine, double now) {
-        double patience = fleet.bootTimes().lateAfterSeconds(machine.type(), machine.zone());
+        double patienceSeconds = fleet.bootTimes().lateAfterSeconds(machine.type(), machine.zone());
         return !partitions.contains(machine.zone())
                 && now - machine.firstSeen() > timeouts.workerLeaseSeconds()
-                && now - machine.rentedAt() > patience;
+                && now - machine.rentedAt() > patienceSeconds;
     }
 
-    private void chooseReplaced(List<Machine> lateOfType) {
-        MachineType type = lateOfType.get(0).type();
-        boolean failsEverywhere =
+    private void chooseReplaced(List<Machine> overdueOfType) {
+        MachineType type = overdueOfType.get(0).type();
+        boolean failEverywhere =
                 type.zones().stream().allMatch(zone -> areBootsFailing(type, zone));
-        int most =
-                failsEverywhere
-                        ? (int) Math.ceil(REPLACED_SHARE * lateOfType.size())
-                        : lateOfType.size();
-        replaced.addAll(lateOfType.subList(0, most));
+        int count =
+                failEverywhere
+                        ? (int) Math.ceil(REPLACED_SHARE * overdueOfType.size())
+                        : overdueOfType.size();
+        replaced.addAll(overdueOfType.subList(0, count));
     }
 
-    /** Whether machines of a type do not come up in a zone at present. */
+    /** Whether machines of a type fail to boot in a zone at present. */
     boolean areBootsFailing(MachineType type, String zone) {
-        List<Machine> lateOfType = overdueByType.get(type);
-        if (lateOfType == null || lateOfType.size() < MIN_OVERDUE_TO_FAIL) {
+        List<Machine> overdueOfType = overdueByType.get(type);
+        if (overdueOfType == null || overdueOfType.size() < MIN_OVERDUE_TO_FAIL) {
             return false;
         }
-        double lastRented =
-                lastRentedOfThoseUp.getOrDefault(
-                        BootTimes.key(type, zone), Double.NEGATIVE_INFINITY);
-        return lastRented < lateOfType.get(0).rentedAt();
+        double firstOverdueRequestedAt = overdueOfType.get(0).rentedAt();
+        return boots(type, zone).lastReadyRequestedAt() < firstOverdueRequestedAt;
     }
 
-    /** Whether machines of a kind do not come up at present. */
+    /** Whether machines of a kind fail to boot at present. */
     boolean areBootsFailing(MachineKind kind) {
         return areBootsFailing(kind.type(), kind.zone());
     }
 
+    private BootHistory boots(MachineType type, String zone) {
+        return boots.getOrDefault(BootTimes.key(type, zone), BootHistory.NONE);
+    }
+
     /**
-     * Whether one more machine may be rented, going by whether others of its type come up. While
-     * they do not, one is tried now and then, the more seldom the more are being tried.
+     * Whether one more machine may be requested, going by whether others of its type boot. While
+     * they fail to, one is tried now and then, the more seldom the more are being tried.
      */
     boolean mayScaleOut(MachineKind kind, double now) {
         if (!areBootsFailing(kind)) {
             return true;
         }
-        String key = BootTimes.key(kind.type(), kind.zone());
-        double interval =
-                TRIAL_INTERVAL_BOOTS
-                        * kind.type().bootSeconds()
-                        * (1 + booting.getOrDefault(key, 0));
-        return now - lastRented.getOrDefault(key, Double.NEGATIVE_INFINITY) > interval;
+        BootHistory ofKind = boots(kind.type(), kind.zone());
+        double intervalSeconds =
+                TRIAL_INTERVAL_BOOTS * kind.type().bootSeconds() * (1 + ofKind.inTime());
+        return now - ofKind.lastRequestedAt() > intervalSeconds;
     }
 
-    /** How many machines of a kind may be rented at a time. */
+    /** How many machines of a kind may be requested at a time. */
     int maxPerRequest(MachineKind kind) {
         return areBootsFailing(kind) ? 1 : Integer.MAX_VALUE;
     }
 
-    /** Whether a machine is no longer counted on, so that another one is rented in its place. */
+    /** Whether a machine is no longer counted on, so that another one is requested in its place. */
     boolean isReplaced(Machine machine) {
         return replaced.contains(machine);
     }
@@ -158,7 +186,7 @@
         return replaced;
     }
 
-    /** How many machines are late. */
+    /** How many machines are overdue. */
     int count() {
         return overdueByType.values().stream().mapToInt(List::size).sum();
     }
