--- a/src/main/java/org/springmill/control/autoscaling/Autoscaler.java
+++ b/src/main/java/org/springmill/control/autoscaling/Autoscaler.java
@@ -10,9 +10,11 @@
 import org.springmill.transport.HttpClient;
 
 /**
- * Keeps the fleet of one leader's term at the size that its work needs: rents machines for what
- * waits and what is to be expected, and deletes those that fail or that nobody needs. The parts
- * that decide and act are wired up here.
+ * Scales the fleet out and in during one leader's term: requests machines for waiting and expected
+ * tasks, and deletes machines that are unusable or idle. The parts that decide and act are wired up
+ * here.
+ *
+ * <p>All methods run on the leader's event loop.
  */
 public final class Autoscaler {
     private final EventLoop loop;
@@ -27,6 +29,10 @@
     private final ScaleOutPlanner scaleOutPlanner;
 
     /**
+     * Wires up the parts for one leader's term; nothing is sent before {@link #start}.
+     *
+     * @param arrivalRates the rates at which tasks of each class arrive
+     * @param peers the other controllers, whose responses tell partitions from failures
      * @param changed run when machines were listed or deleted
      */
     public Autoscaler(
@@ -60,26 +66,25 @@
                         timeouts,
                         now);
         scaleOutRequests = new ScaleOutRequests(fleet, cloud, overdueBoots, loop);
+        SchedulableFleet schedulableFleet =
+                new SchedulableFleet(
+                        fleet, partitions, overdueBoots, scaleOutRequests, settings, timeouts);
         scaleOutPlanner =
                 new ScaleOutPlanner(
-                        fleet,
-                        placement,
                         listing,
-                        partitions,
-                        overdueBoots,
-                        scaleOutRequests,
+                        schedulableFleet,
+                        new WaitingDemand(fleet, placement, settings),
                         new Headroom(fleet, arrivalRates, settings),
+                        scaleOutRequests,
                         new IdleMachines(deletion, overdueBoots, settings),
                         new MachineDraining(fleet, arrivalRates, silence, timeouts, now),
-                        settings,
-                        timeouts,
                         now);
     }
 
     /**
-     * Begins to list machines; nothing is rented or deleted before the first list.
+     * Begins to list machines; none is requested or deleted before the first complete list.
      *
-     * @param firstTerm whether no earlier leader can have rented anything
+     * @param firstTerm whether no earlier leader can have requested any machine
      */
     public void start(boolean firstTerm) {
         scaleOutPlanner.start(firstTerm);
@@ -91,17 +96,17 @@
         cloud.close();
     }
 
-    /** How many machines are late to come up. */
+    /** How many machines are overdue: they boot for longer than others of their type and zone. */
     public int machinesLate() {
         return overdueBoots.count();
     }
 
-    /** Notes that for some time nothing was read or done here. */
+    /** Starts to count the silence of machines anew, after this process was paused. */
     public void resumed() {
         silence.restart(loop.now());
     }
 
-    /** Deletes machines that are of no more use and rents what is needed. */
+    /** Deletes machines that are unusable or idle, and requests those that demand needs. */
     public void tick() {
         if (cloud.isClosed() || !listing.hasListed()) {
             return;
@@ -115,10 +120,10 @@
     }
 
     /**
-     * Deletes a machine, unless that was asked for before. What it ran is proven gone by the
-     * cloud's answer, and by nothing before that.
+     * Deletes a machine, unless its deletion was requested before. Only the cloud's confirmation
+     * proves that its tasks have ended.
      *
-     * @param reason for the log
+     * @param reason text for the log
      */
     public void release(Machine machine, String reason) {
         deletion.delete(machine, reason);
--- /dev/null
+++ b/src/main/java/org/springmill/control/autoscaling/WaitingDemand.java
@@ -0,0 +1,128 @@
+package org.springmill.control.autoscaling;
+
+import java.util.List;
+import java.util.function.Predicate;
+import org.springmill.control.cluster.EquivalenceClass;
+import org.springmill.control.cluster.Fleet;
+import org.springmill.control.cluster.Job;
+import org.springmill.control.cluster.Machine;
+import org.springmill.control.cluster.TaskAttempt;
+import org.springmill.control.cluster.ZoneCounts;
+import org.springmill.control.scheduling.Placement;
+import org.springmill.protocol.Settings;
+import org.springmill.protocol.Submission;
+
+/** Packs the waiting tasks of jobs, within quotas and as their jobs may be placed. */
+final class WaitingDemand {
+    /**
+     * Tasks are short if several of them follow each other within a boot. Where one does, as with
+     * job arrays that run for about a boot, half of a job would wait for the other half.
+     */
+    private static final double SHORT_TASK_BOOTS = 0.25;
+
+    private final Fleet fleet;
+    private final Placement placement;
+    private final Settings settings;
+
+    WaitingDemand(Fleet fleet, Placement placement, Settings settings) {
+        this.fleet = fleet;
+        this.placement = placement;
+        this.settings = settings;
+    }
+
+    /** The jobs with waiting tasks, in the order of their placement. */
+    List<Job> jobs() {
+        return placement.waiting();
+    }
+
+    /** Packs the waiting tasks of those jobs whose teams have a guaranteed quota. */
+    void packGuaranteed(List<Job> waiting, DemandPacking packing, double now) {
+        packAll(waiting, this::hasGuarantee, packing, now);
+    }
+
+    /** Packs the waiting tasks of those jobs whose teams have no guaranteed quota. */
+    void packUnguaranteed(List<Job> waiting, DemandPacking packing, double now) {
+        packAll(waiting, job -> !hasGuarantee(job), packing, now);
+    }
+
+    private void packAll(
+            List<Job> waiting, Predicate<Job> included, DemandPacking packing, double now) {
+        waiting.stream().filter(included).forEach(job -> pack(job, packing, now));
+    }
+
+    private boolean hasGuarantee(Job job) {
+        return fleet.clusterState().usage(job.spec().team()).hasGuarantee();
+    }
+
+    /**
+     * Packs the waiting tasks of a job. Machines where it failed are excluded, since it is not
+     * placed there: it would wait for ever where no other machine has free resources. So are those
+     * that are reserved for another job.
+     */
+    private void pack(Job job, DemandPacking packing, double now) {
+        int tasks = slotsNeeded(job, Math.min(job.startable(), tasksWithinQuota(job)));
+        Submission spec = job.spec().oneZone() ? inOneZone(job, tasks, packing) : job.spec();
+        ZoneCounts tasksPerZone = new ZoneCounts();
+        job.attempts().forEach(attempt -> tasksPerZone.add(attempt.machine().zone()));
+        PackingRequest request =
+                PackingRequest.ofJob(
+                        spec, tasks, tasksPerZone, machine -> isExcluded(machine, job, now));
+        packing.pack(withEquivalenceClass(job, withPriceBound(job, request)));
+    }
+
+    private PackingRequest withPriceBound(Job job, PackingRequest request) {
+        return hasGuarantee(job)
+                ? request
+                : request.withMaxPriceRatio(settings.operator().unguaranteedPriceRatio());
+    }
+
+    private PackingRequest withEquivalenceClass(Job job, PackingRequest request) {
+        boolean hasReservedCapacity = placement.reservations().holders().contains(job);
+        return hasReservedCapacity
+                ? request
+                : EquivalenceClass.of(job).map(request::withEquivalenceClass).orElse(request);
+    }
+
+    /**
+     * How many of a job's waiting tasks need resources of their own, so that all of the job's have
+     * run within a boot. Tasks that are much shorter than that follow each other on the same
+     * resources: a machine for each of some ten thousand short tasks would be ready when most of
+     * them are done.
+     */
+    private int slotsNeeded(Job job, int waiting) {
+        Submission spec = job.spec();
+        double bootSeconds = fleet.catalog().slowestBootSeconds();
+        boolean isShort =
+                spec.estimatedRunSeconds() > 0
+                        && spec.estimatedRunSeconds() < SHORT_TASK_BOOTS * bootSeconds;
+        if (spec.service() || spec.gang() || !isShort) {
+            return waiting;
+        }
+        int running = job.liveCount();
+        double atOnce = (waiting + running) * spec.estimatedRunSeconds() / bootSeconds;
+        return Math.max(0, Math.min(waiting, (int) Math.ceil(atOnce) - running));
+    }
+
+    private boolean isExcluded(Machine machine, Job job, double now) {
+        return job.failures().excludes(machine.name(), now)
+                || placement.reservations().reservedFrom(job, machine);
+    }
+
+    private int tasksWithinQuota(Job job) {
+        return fleet.clusterState().usage(job.spec().team()).roomFor(job.spec());
+    }
+
+    /**
+     * A job whose tasks have to be in one zone, as if it were allowed only in the zone of those
+     * that run; if none runs, where most of them fit.
+     */
+    private static Submission inOneZone(Job job, int tasks, DemandPacking packing) {
+        for (TaskAttempt attempt : job.attempts()) {
+            String zone = attempt.machine().zone();
+            if (!zone.isEmpty()) {
+                return job.spec().inZone(zone);
+            }
+        }
+        return packing.inZoneWithMostCapacity(job.spec(), tasks);
+    }
+}
