--- a/src/main/java/org/springmill/control/autoscaling/Bin.java
+++ b/src/main/java/org/springmill/control/autoscaling/Bin.java
@@ -9,8 +9,8 @@
 import org.springmill.protocol.Submission;
 
 /**
- * The free resources of one machine, rented already or planned to be, as the packing of demand sees
- * them. What is packed here takes nothing of the machine itself.
+ * The free resources of one machine of the fleet or of a planned one, as the packing of demand sees
+ * them. Tasks that are packed here take nothing of the machine itself.
  */
 final class Bin {
     /** What a machine does at the moment, in the order in which bins are filled. */
@@ -22,7 +22,7 @@
 
     private final MachineKind kind;
 
-    /** Null for a machine that is not rented yet. */
+    /** Null for a planned machine. */
     private final Machine machine;
 
     private double freeCpus;
@@ -56,13 +56,13 @@
                 machine.free().memoryGb());
     }
 
-    /** An empty machine that would have to be rented. */
+    /** An empty machine that would have to be requested. */
     static Bin planned(MachineKind kind) {
         MachineType type = kind.type();
         return new Bin(kind, null, type.cpus(), type.gpus(), type.memoryGb());
     }
 
-    /** The same room; what is packed into the copy takes nothing of this one. */
+    /** The same free resources; tasks that are packed into the copy take nothing of this one. */
     Bin copy() {
         Bin copy = new Bin(kind, machine, freeCpus, freeGpus, freeMemoryGb);
         copy.used = used;
@@ -78,12 +78,12 @@
         return machine;
     }
 
-    /** Whether the machine would have to be rented. */
+    /** Whether the machine would have to be requested. */
     boolean isPlanned() {
         return machine == null;
     }
 
-    /** Notes that a task which was packed here has yet to arrive. */
+    /** Records that a task which was packed here has yet to arrive. */
     void recordExpected(Submission spec) {
         expected = expected.plus(spec);
     }
@@ -98,7 +98,7 @@
         return used;
     }
 
-    /** What the machine, which must be rented already, does at the moment. */
+    /** What the machine, which must not be a planned one, does at the moment. */
     Activity activity() {
         if (machine.state() != Machine.State.UP) {
             return Activity.BOOTING;
@@ -118,7 +118,7 @@
         return kind.price() * freeShare();
     }
 
-    /** How many of a job's tasks find room here, whatever other zones hold of it. */
+    /** How many of a job's tasks fit here, whatever the job has in other zones. */
     int capacityFor(Submission spec) {
         if (!isAllowedFor(spec)) {
             return 0;
@@ -134,7 +134,7 @@
     }
 
     /**
-     * Packs one task here if there is room and the job may have one more in this zone.
+     * Packs one task here if it fits and the job may have one more in this zone.
      *
      * @param tasksPerZone the job's tasks so far; the packed one is added
      * @return whether it was packed
@@ -152,7 +152,7 @@
         return true;
     }
 
-    /** Whether the machine is rented already and is excluded by a condition. */
+    /** Whether the machine is one of the fleet and is excluded by a condition. */
     boolean isExcluded(Predicate<Machine> excluded) {
         return machine != null && excluded.test(machine);
     }
--- a/src/main/java/org/springmill/control/autoscaling/CloudClient.java
+++ b/src/main/java/org/springmill/control/autoscaling/CloudClient.java
@@ -10,8 +10,8 @@
 import org.springmill.transport.HttpClient.Request;
 
 /**
- * Sends one leader's requests to the cloud at no more than the agreed rate. It is closed at the end
- * of the leader's term; whoever schedules further requests checks that first.
+ * Sends one leader's requests to the cloud within the agreed rate limit. It is closed at the end of
+ * the leader's term; callers that schedule further requests check that first.
  */
 final class CloudClient {
     private static final byte[] NO_BODY = new byte[0];
@@ -37,7 +37,7 @@
         this.rateLimit = new RateLimit(settings.cloudLimits().requestsPerSecond(), loop.now());
     }
 
-    /** Ends the leader's term: no request is scheduled any more, and answers may be ignored. */
+    /** Ends the leader's term: no further request is scheduled, and responses may be ignored. */
     void close() {
         closed = true;
     }
@@ -46,7 +46,7 @@
         return closed;
     }
 
-    /** The pause before a request is repeated, be it a regular one or one that failed. */
+    /** Seconds before a request is repeated, be it a regular one or one that failed. */
     double retryIntervalSeconds() {
         return Math.max(
                 timeouts.heartbeatIntervalSeconds() / 2,
--- a/src/main/java/org/springmill/control/autoscaling/DemandPacking.java
+++ b/src/main/java/org/springmill/control/autoscaling/DemandPacking.java
@@ -13,13 +13,13 @@
 import org.springmill.protocol.Submission;
 
 /**
- * Packs waiting and expected tasks, first fit, into the free resources of the fleet, and plans
- * machines to be rented for those that find no room. One instance serves one plan.
+ * First-fit bin packing of waiting and expected tasks into the free resources of the fleet. Plans
+ * further machines for tasks that fit nowhere. One instance serves one plan.
  */
 final class DemandPacking {
     /**
-     * A plan rents no more machines than can be asked for in so many requests. A bound on all
-     * machines together would end rentals for good in a fleet that has grown past it.
+     * A plan has no more machines than can be requested at a time. A bound on all machines together
+     * would end all scaling out in a fleet that has grown past it.
      */
     private static final int MAX_PLANNED_MACHINES = CloudMessages.MAX_RENTALS * 4;
 
@@ -35,7 +35,7 @@
      */
     private static final double SURCHARGE_PER_MACHINE_IN_ZONE = 1e-4;
 
-    /** More than any machine costs: kinds that do not come up are the last choice. */
+    /** More than any machine costs: kinds whose boots fail are the last choice. */
     private static final double SURCHARGE_IF_BOOTS_FAIL = 1e6;
 
     private final Iterable<MachineType> types;
@@ -46,14 +46,14 @@
     private final List<Bin> bins;
     private int plannedMachines;
 
-    /** The first bin that may have room for a shape: those before it were found to have none. */
+    /** The first bin that may fit an equivalence class: those before it were found not to. */
     private final Map<EquivalenceClass, Integer> firstOpenBin = new HashMap<>();
 
     /**
      * @param types all types that the cloud offers
      * @param zones all zones of the deployment
-     * @param rentable whether a kind of machine may be rented now
-     * @param failing whether machines of a kind do not come up at present
+     * @param rentable whether a kind of machine may be requested now
+     * @param failing whether machines of a kind fail to boot at present
      * @param machinesPerZone all machines of the fleet
      * @param bins the free resources of the fleet in the order in which they are to be filled;
      *     planned machines are added at the end
@@ -78,26 +78,26 @@
         return bins;
     }
 
-    /** The bins of machines that have to be rented. */
+    /** The bins of machines that have to be requested. */
     List<Bin> plannedBins() {
         return bins.stream().filter(Bin::isPlanned).toList();
     }
 
-    /** Finds room for tasks or plans machines for them, as far as some may be rented. */
+    /** Packs tasks into bins or plans machines for them, as far as some may be requested. */
     void pack(PackingRequest request) {
-        // What has no room for one task has none for the next: each bin is looked at once for all.
+        // A bin that does not fit one task does not fit the next: each bin is tried once for all.
         int binIndex =
                 request.equivalenceClass()
                         .map(shape -> firstOpenBin.getOrDefault(shape, 0))
                         .orElse(0);
-        int left = request.tasks();
-        while (left > 0) {
+        int remaining = request.tasks();
+        while (remaining > 0) {
             ZoneCounts tasksPerZone = request.tasksPerZone().get();
-            if (binIndex == bins.size() && !plan(request, left, tasksPerZone)) {
+            if (binIndex == bins.size() && !plan(request, remaining, tasksPerZone)) {
                 break;
             }
             if (pack(request, tasksPerZone, bins.get(binIndex))) {
-                left--;
+                remaining--;
             } else {
                 binIndex++;
             }
@@ -107,9 +107,9 @@
     }
 
     /**
-     * A job whose tasks have to be together, as if it were allowed only in the zone where most of
-     * them find room. Without that, room in one zone would seem to be room for the rest of a job
-     * whose first tasks go to another.
+     * A job whose tasks have to be in one zone, as if it were allowed only in the zone where most
+     * of them fit. Without that, resources in one zone would be counted for the rest of a job whose
+     * first tasks go to another.
      *
      * @param tasks how many wait
      */
@@ -140,7 +140,7 @@
         return packed;
     }
 
-    /** Plans one more machine; false if none may be rented for such tasks. */
+    /** Plans one more machine; false if none may be requested for such tasks. */
     private boolean plan(PackingRequest request, int tasks, ZoneCounts tasksPerZone) {
         if (plannedMachines == MAX_PLANNED_MACHINES) {
             return false;
--- a/src/main/java/org/springmill/control/autoscaling/Headroom.java
+++ b/src/main/java/org/springmill/control/autoscaling/Headroom.java
@@ -8,14 +8,14 @@
 import org.springmill.protocol.Submission;
 
 /**
- * Keeps room ready for tasks that have to start sooner than a machine boots: those that are
- * expected to arrive, and replicas that a correlated failure would end.
+ * Keeps free resources ready for tasks that have to start sooner than a machine boots: those that
+ * are expected to arrive, and replicas that a correlated failure would end.
  */
 final class Headroom {
     /**
-     * Room for the replicas of a failing rack may cost this part of what the fleet costs, for each
-     * class: next to nothing. For large replicas that is no room to speak of; small ones lost with
-     * a rack would otherwise wait for a boot, behind large ones that take the new machines.
+     * Headroom for the replicas of a failing rack may cost this part of what the fleet costs, for
+     * each class: next to nothing. Large replicas get hardly any for that; small ones lost with a
+     * rack would otherwise wait for a boot, behind large ones that take the new machines.
      */
     private static final double FAILOVER_COST_SHARE = 0.01;
 
@@ -32,7 +32,7 @@
         this.settings = settings;
     }
 
-    /** Packs the tasks that room is to be kept for. */
+    /** Packs the tasks that headroom is kept for. */
     void reserve(DemandPacking packing, double now) {
         double bootSeconds = fleet.catalog().slowestBootSeconds();
         double failoverBudget = FAILOVER_COST_SHARE * fleetCost();
@@ -43,7 +43,7 @@
         }
     }
 
-    /** Keeps room for tasks; in equal parts in all zones where their jobs have to be spread. */
+    /** Keeps headroom for tasks; in equal parts in all zones if their jobs have to be spread. */
     private void reserve(Submission job, int tasks, DemandPacking packing) {
         boolean spreadOverZones = job.spread() && job.zone() == null;
         if (!spreadOverZones) {
@@ -58,9 +58,9 @@
     }
 
     /**
-     * How many replicas of a class are to find room should part of the fleet fail at once: as many
-     * as run on the share of machines that is taken for dead without further doubt, as far as the
-     * budget goes.
+     * For how many replicas of a class headroom is kept should part of the fleet fail at once: as
+     * many as run on the share of machines that may be declared dead together, as far as the budget
+     * goes.
      */
     private int failoverReplicas(Submission job, double budget) {
         if (!job.service()) {
--- a/src/main/java/org/springmill/control/autoscaling/IdleMachines.java
+++ b/src/main/java/org/springmill/control/autoscaling/IdleMachines.java
@@ -5,8 +5,8 @@
 import org.springmill.protocol.Settings;
 
 /**
- * Deletes machines that have been idle for some time and that nothing is expected to need, and late
- * ones whose replacements have come up first.
+ * Scales in: deletes machines that have been idle for some time and that no expected task needs,
+ * and overdue boots whose replacements were ready first.
  */
 final class IdleMachines {
     /** By the protocol a deleted machine costs at least so much of its time. */
@@ -23,6 +23,8 @@
     }
 
     /**
+     * Deletes what the fleet no longer needs.
+     *
      * @param bins what is left of the fleet's free resources by all that waits or is expected
      */
     void delete(List<Bin> bins, double now) {
@@ -38,7 +40,7 @@
         }
     }
 
-    /** Whether something is to run on a machine that is not up yet. */
+    /** Whether tasks are to run on a machine that is not ready yet. */
     private static boolean isAwaitedByTasks(Bin bin) {
         return bin.isUsed() && (bin.isPlanned() || bin.activity() == Bin.Activity.BOOTING);
     }
--- a/src/main/java/org/springmill/control/autoscaling/MachineDeletion.java
+++ b/src/main/java/org/springmill/control/autoscaling/MachineDeletion.java
@@ -13,9 +13,9 @@
 import org.springmill.transport.HttpClient.Reply;
 
 /**
- * Deletes machines through the cloud. The cloud's confirmation, and nothing before it, proves that
- * a machine and everything on it are gone. Machines fall silent or idle by the dozen and the cloud
- * accepts few requests, so all deletions that are due share one.
+ * Deletes machines through the cloud. Only the cloud's confirmation proves that a machine is
+ * deleted and its tasks have ended. Machines fall silent or idle by the dozen and the cloud accepts
+ * few requests, so all deletions that are due share one.
  */
 final class MachineDeletion {
     private static final Logger LOG = LoggerFactory.getLogger(MachineDeletion.class);
@@ -36,15 +36,15 @@
         this.changed = changed;
     }
 
-    /** Deletes a machine, unless that was asked for before. */
+    /** Deletes a machine, unless its deletion was requested before. */
     void delete(Machine machine, DeletionReason reason) {
         delete(machine, reason.text());
     }
 
     /**
-     * Deletes a machine, unless that was asked for before.
+     * Deletes a machine, unless its deletion was requested before.
      *
-     * @param reason for the log
+     * @param reason text for the log
      */
     void delete(Machine machine, String reason) {
         if (isDeletionRequested(machine)) {
@@ -55,7 +55,7 @@
         enqueue(machine);
     }
 
-    /** Ends all attempts of a machine that is known to be gone with everything on it. */
+    /** Closes all attempts of a machine that is known to have stopped with all of its tasks. */
     void closeAttempts(Machine machine) {
         for (TaskAttempt attempt : machine.attemptsNow()) {
             fleet.end(attempt, ExitCause.NONE);
@@ -81,7 +81,7 @@
         }
         List<Machine> batch = takeBatch();
         if (!queue.isEmpty()) {
-            // One request is for this batch, the other for the next.
+            // The rate allows the next batch once it allows two requests: this batch takes one.
             loop.after(cloud.secondsUntil(2), this::sendBatch);
         }
         byte[] body = CloudMessages.encodeDeletion(batch.stream().map(Machine::name).toList());
--- a/src/main/java/org/springmill/control/autoscaling/MachineDraining.java
+++ b/src/main/java/org/springmill/control/autoscaling/MachineDraining.java
@@ -4,6 +4,7 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 import org.springmill.control.cluster.Fleet;
@@ -15,24 +16,24 @@
 import org.springmill.protocol.Submission;
 
 /**
- * Empties machines that are mostly free, if what they run finds room on others that hold the images
- * and neither waiting nor expected work needs them. A move costs a replica a moment, a machine
- * costs for as long as it is kept; so the one with most to save goes first, one at a time, and
- * nothing is moved that has just begun.
+ * Scales in: drains machines that are mostly free, if their tasks fit on others that hold the
+ * images and neither waiting nor expected tasks need the machines. An eviction interrupts a replica
+ * for a moment, a machine costs for as long as it is kept; so the one that saves most is drained
+ * first, one at a time, and no task is evicted that has just started.
  */
 final class MachineDraining {
     private static final Logger LOG = LoggerFactory.getLogger(MachineDraining.class);
 
-    /** A machine of which less is free is not drained: moves would cost more than it saves. */
+    /** A machine of which less is free is not drained: evictions would cost more than it saves. */
     private static final double MIN_FREE_SHARE = 0.5;
 
-    /** Until then a new leader may not have heard of all that runs. */
+    /** Until then a new leader may not have the heartbeats of all workers. */
     private static final double LEASES_AFTER_START = 2;
 
-    /** By then the reports show where the tasks of the last machine have gone. */
+    /** By then the heartbeats show where the tasks of the last machine run. */
     private static final double HEARTBEATS_BETWEEN_DRAINS = 2;
 
-    /** Machines looked at in one call, so that a large fleet costs little processor time. */
+    /** Machines considered in one call, so that a large fleet takes little processor time. */
     private static final int MAX_CANDIDATES = 8;
 
     /** An attempt that ran for so long has paid for its start. */
@@ -59,7 +60,7 @@
     }
 
     /**
-     * Begins to drain one machine, if there is one worth it and the fleet is calm.
+     * Begins to drain one machine, if there is one worth it and the fleet is settled.
      *
      * @param bins what is left of the fleet's free resources by all that waits or is expected
      */
@@ -67,26 +68,23 @@
         if (!isFleetSettled(bins, now)) {
             return;
         }
-        Machine machine = firstEvictable(mostCostlyToKeep(bins, now), bins);
-        if (machine != null) {
-            drain(machine, now);
-        }
+        firstEvictable(mostCostlyToKeep(bins, now), bins).ifPresent(machine -> drain(machine, now));
     }
 
     /**
-     * The machine of the first candidate whose tasks find room on others; null if there is none.
-     * While only the most costly machine was looked at, one that could not be emptied kept all
-     * others from it for minutes.
+     * The machine of the first candidate whose tasks fit on others. While only the most costly
+     * machine was considered, one that could not be drained kept all others from being drained for
+     * minutes.
      */
-    static Machine firstEvictable(List<Bin> candidates, List<Bin> bins) {
+    static Optional<Machine> firstEvictable(List<Bin> candidates, List<Bin> bins) {
         for (Bin candidate : candidates) {
-            // A candidate that does not fit must leave the room of the next one as it was.
-            List<Bin> room = bins.stream().map(Bin::copy).toList();
-            if (fitsElsewhere(candidate, room)) {
-                return candidate.machine();
+            // A candidate that does not fit must not take the free resources from the next one.
+            List<Bin> copies = bins.stream().map(Bin::copy).toList();
+            if (fitsElsewhere(candidate, copies)) {
+                return Optional.of(candidate.machine());
             }
         }
-        return null;
+        return Optional.empty();
     }
 
     private void drain(Machine machine, double now) {
@@ -99,7 +97,7 @@
         machine.attemptsNow().forEach(fleet::stopWithCheckpoint);
     }
 
-    /** Whether nothing is to be rented, no machine is silent, and none is being drained. */
+    /** Whether no machine is to be requested, none is silent, and none is being drained. */
     private boolean isFleetSettled(List<Bin> bins, double now) {
         return now - startedAt > LEASES_AFTER_START * timeouts.workerLeaseSeconds()
                 && now - drainedAt > HEARTBEATS_BETWEEN_DRAINS * timeouts.heartbeatIntervalSeconds()
@@ -112,7 +110,7 @@
         return beingDrained || silence.isHeartbeatOverdue(machine, now);
     }
 
-    /** Machines that may be drained, the one with most to save first. */
+    /** Machines that may be drained, the one that saves most first. */
     private List<Bin> mostCostlyToKeep(List<Bin> bins, double now) {
         Map<MachineType, Boolean> boundToImages = new HashMap<>();
         return bins.stream()
@@ -144,8 +142,9 @@
     }
 
     /**
-     * Whether a task that cannot save has done as much as it has left. It is over sooner than it
-     * would be anywhere else; some were moved again and again a few seconds before their end.
+     * Whether a task without checkpoints has run for more than half of its time. It ends sooner
+     * than it would anywhere else; some were evicted again and again a few seconds before their
+     * end.
      */
     private static boolean losesMostOfItsWork(TaskAttempt attempt, double now) {
         Submission spec = attempt.job().spec();
@@ -153,7 +152,7 @@
         return losesItsWork && attempt.ranSeconds(now) > spec.estimatedRunSeconds() / 2;
     }
 
-    /** Whether everything on a machine finds room on others; packs it there. */
+    /** Whether all tasks of a machine fit on others; packs them there. */
     private static boolean fitsElsewhere(Bin from, List<Bin> bins) {
         for (TaskAttempt attempt : from.machine().attempts()) {
             Submission spec = attempt.job().spec();
--- a/src/main/java/org/springmill/control/autoscaling/MachineListing.java
+++ b/src/main/java/org/springmill/control/autoscaling/MachineListing.java
@@ -2,6 +2,7 @@
 
 import java.util.ArrayList;
 import java.util.List;
+import java.util.Optional;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 import org.springmill.control.cluster.Fleet;
@@ -82,11 +83,12 @@
     }
 
     private void pageReceived(List<ListedMachine> found, Reply reply) {
-        MachinePage page = parse(reply);
-        if (page == null) {
+        Optional<MachinePage> parsed = parse(reply);
+        if (parsed.isEmpty()) {
             scheduleNext();
             return;
         }
+        MachinePage page = parsed.get();
         found.addAll(page.machines());
         if (page.more() && !page.machines().isEmpty()) {
             String last = page.machines().get(page.machines().size() - 1).name();
@@ -97,16 +99,16 @@
         scheduleNext();
     }
 
-    /** Null if there is no page to be read in the reply. */
-    private static MachinePage parse(Reply reply) {
+    /** Empty if the reply holds no readable page. */
+    private static Optional<MachinePage> parse(Reply reply) {
         if (!reply.ok()) {
-            return null;
+            return Optional.empty();
         }
         try {
-            return CloudMessages.list(reply.body());
+            return Optional.of(CloudMessages.list(reply.body()));
         } catch (MalformedMessageException e) {
             LOG.warn("malformed machine list of the cloud: {}", e.getMessage());
-            return null;
+            return Optional.empty();
         }
     }
 
@@ -136,8 +138,8 @@
         if (machine.type() == null || machine.address().isEmpty()) {
             describe(machine, listed);
             if (first) {
-                // A new leader's token goes out at once, so that the worker stops obeying the old
-                // one.
+                // The new fencing token is sent at once, so that the worker refuses the previous
+                // leader's commands.
                 machine.commandChannel().requestStatus();
             }
         }
--- a/src/main/java/org/springmill/control/autoscaling/PackingRequest.java
+++ b/src/main/java/org/springmill/control/autoscaling/PackingRequest.java
@@ -9,13 +9,13 @@
 import org.springmill.protocol.Submission;
 
 /**
- * Tasks of the same size for which room is to be found.
+ * Tasks of the same size that are to be packed.
  *
- * @param spec the job that they belong to, or one that stands for theirs
+ * @param spec the job that they belong to, or one that represents their class
  * @param tasks how many there are
- * @param tasksPerZone asked for each task: what the zones hold of its job
- * @param excluded machines that are no room for them
- * @param equivalenceClass their shape, if all tasks of that shape find room on the same machines
+ * @param tasksPerZone called for each task: the number of its job's tasks in each zone
+ * @param excluded machines on which they may not be placed
+ * @param equivalenceClass their class, if all tasks of that class fit on the same machines
  * @param expected whether they have yet to arrive
  * @param maxPriceRatio machines are planned for them only up to so many times the least price
  */
@@ -53,7 +53,7 @@
                 Double.POSITIVE_INFINITY);
     }
 
-    /** The same, where all tasks of a shape find room on the same machines. */
+    /** The same, where all tasks of an equivalence class fit on the same machines. */
     PackingRequest withEquivalenceClass(EquivalenceClass newShape) {
         return new PackingRequest(
                 spec,
--- a/src/main/java/org/springmill/control/autoscaling/ScaleOutRequests.java
+++ b/src/main/java/org/springmill/control/autoscaling/ScaleOutRequests.java
@@ -17,9 +17,10 @@
 import org.springmill.transport.HttpClient.Request;
 
 /**
- * Rents machines from the cloud. A request without an answer may have been carried out, so it is
- * repeated under the same name until it is answered, and nothing else is rented before that. A kind
- * of machine that the cloud refused is not asked for again for some time.
+ * Requests machines from the cloud. A request without a response may have been carried out, so it
+ * is idempotent: it is resent under the same key until it is answered, and nothing else is
+ * requested before that. A kind of machine that the cloud refused is not requested again for some
+ * time.
  */
 final class ScaleOutRequests {
     private static final Logger LOG = LoggerFactory.getLogger(ScaleOutRequests.class);
@@ -28,8 +29,8 @@
     private static final int MALFORMED = 400;
 
     /**
-     * A refused kind is left out for half of its boot time: whether capacity has come back is asked
-     * at least twice in the time in which a machine of that kind boots.
+     * A refused kind is left out for half of its boot time: whether the cloud has capacity again is
+     * asked at least twice in the time in which a machine of that kind boots.
      */
     private static final double REFUSAL_BOOTS = 0.5;
 
@@ -38,13 +39,13 @@
     private final OverdueBoots overdueBoots;
     private final EventLoop loop;
 
-    /** By the kind's label. */
+    /** Until when in seconds a kind counts as refused, by its label. */
     private final Map<String, Double> refusedUntil = new HashMap<>();
 
     private final List<PendingRequest> pending = new ArrayList<>();
     private int lastRequestNumber;
 
-    /** A request for so many machines of a kind. */
+    /** A request for so many machines of a kind, to which there is no response yet. */
     private record PendingRequest(MachineKind kind, int count, Request request) {}
 
     ScaleOutRequests(Fleet fleet, CloudClient cloud, OverdueBoots overdueBoots, EventLoop loop) {
@@ -59,20 +60,20 @@
         return now < refusedUntil.getOrDefault(kind.label(), 0.0);
     }
 
-    /** Forgets the refusals that no longer hold. */
+    /** Removes the refusals that no longer hold. */
     void removeExpiredRefusals(double now) {
         refusedUntil.values().removeIf(until -> until < now);
     }
 
-    /** Rents the machines of planned bins, unless an earlier request is still unanswered. */
+    /** Requests the machines of planned bins, unless an earlier request is still unanswered. */
     void requestMachines(List<Bin> planned) {
         if (!pending.isEmpty()) {
             return;
         }
         for (List<MachineKind> machines : groupByLabel(planned)) {
             MachineKind kind = machines.get(0);
-            int most = Math.min(CloudMessages.MAX_RENTALS, overdueBoots.maxPerRequest(kind));
-            requestMachines(kind, Math.min(machines.size(), most));
+            int limit = Math.min(CloudMessages.MAX_RENTALS, overdueBoots.maxPerRequest(kind));
+            requestMachines(kind, Math.min(machines.size(), limit));
         }
     }
 
@@ -90,50 +91,50 @@
         byte[] body =
                 CloudMessages.encodeRental(
                         nextIdempotencyKey(), kind.type().name(), kind.zone(), kind.spot(), count);
-        PendingRequest rental =
+        PendingRequest pendingRequest =
                 new PendingRequest(kind, count, cloud.post(CloudMessages.RENTALS_PATH, body));
-        pending.add(rental);
-        send(rental);
+        pending.add(pendingRequest);
+        send(pendingRequest);
     }
 
-    /** Term and number: no other leader, nor this one again, ever uses the same name. */
+    /** Term and number: no other leader, nor this one again, ever uses the same key. */
     private String nextIdempotencyKey() {
         lastRequestNumber++;
         return "r-" + fleet.term() + "-" + lastRequestNumber;
     }
 
-    private void send(PendingRequest rental) {
-        cloud.send(rental.request(), reply -> responseReceived(rental, reply));
+    private void send(PendingRequest pendingRequest) {
+        cloud.send(pendingRequest.request(), reply -> responseReceived(pendingRequest, reply));
     }
 
-    private void responseReceived(PendingRequest rental, Reply reply) {
+    private void responseReceived(PendingRequest pendingRequest, Reply reply) {
         if (cloud.isClosed()) {
             return;
         }
         if (reply.ok()) {
-            pending.remove(rental);
-            requestGranted(rental, reply);
+            pending.remove(pendingRequest);
+            requestGranted(pendingRequest, reply);
         } else if (reply.status() == NO_CAPACITY || reply.status() == MALFORMED) {
-            pending.remove(rental);
-            recordRefusal(rental.kind());
+            pending.remove(pendingRequest);
+            recordRefusal(pendingRequest.kind());
         } else {
-            // The same name again tells which machines it gave, if it was carried out.
-            loop.after(cloud.retryIntervalSeconds(), () -> resend(rental));
+            // The response to the same key names the machines, if the request was carried out.
+            loop.after(cloud.retryIntervalSeconds(), () -> resend(pendingRequest));
         }
     }
 
-    private void resend(PendingRequest rental) {
+    private void resend(PendingRequest pendingRequest) {
         if (!cloud.isClosed()) {
-            send(rental);
+            send(pendingRequest);
         }
     }
 
-    private void requestGranted(PendingRequest rental, Reply reply) {
+    private void requestGranted(PendingRequest pendingRequest, Reply reply) {
         try {
             List<String> names = CloudMessages.decodeRental(reply.body());
-            names.forEach(name -> describe(name, rental.kind()));
-            if (names.size() < rental.count()) {
-                recordRefusal(rental.kind());
+            names.forEach(name -> describe(name, pendingRequest.kind()));
+            if (names.size() < pendingRequest.count()) {
+                recordRefusal(pendingRequest.kind());
             }
         } catch (MalformedMessageException e) {
             LOG.warn("malformed response of the cloud to a rental: {}", e.getMessage());
@@ -146,7 +147,7 @@
     }
 
     private void recordRefusal(MachineKind kind) {
-        double forSeconds = REFUSAL_BOOTS * kind.type().bootSeconds();
-        refusedUntil.put(kind.label(), loop.now() + forSeconds);
+        double refusedSeconds = REFUSAL_BOOTS * kind.type().bootSeconds();
+        refusedUntil.put(kind.label(), loop.now() + refusedSeconds);
     }
 }
--- a/src/main/java/org/springmill/control/autoscaling/package-info.java
+++ b/src/main/java/org/springmill/control/autoscaling/package-info.java
@@ -1,7 +1,11 @@
 /**
- * Scaling the fleet out and in: expected arrivals, packing of demand into machines to rent, overdue
- * boots, draining and deletion of machines, and the cloud's list of machines.
+ * Scaling the fleet out and in: estimated arrival rates, bin packing of demand into machines to
+ * request, overdue boots, draining and deletion of machines, and the cloud's list of machines.
  *
- * <p>Owns the rental requests and deletions under way. It is the only package that calls the cloud.
+ * <p>Owns the requests to the cloud that are under way, for machines and for their deletion; no
+ * other package calls the cloud. It reads the fleet and its jobs ({@code cluster}), waiting jobs
+ * and reservations ({@code scheduling}) and the responses of peers ({@code membership}). The leader
+ * ({@code controller}) creates one {@link org.springmill.control.autoscaling.Autoscaler} for each
+ * term and runs it on its event loop.
  */
 package org.springmill.control.autoscaling;
--- a/src/test/java/org/springmill/control/autoscaling/MachineDrainingTest.java
+++ b/src/test/java/org/springmill/control/autoscaling/MachineDrainingTest.java
@@ -1,9 +1,9 @@
 package org.springmill.control.autoscaling;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
-import static org.junit.jupiter.api.Assertions.assertNull;
 
 import java.util.List;
+import java.util.Optional;
 import org.junit.jupiter.api.Test;
 import org.springmill.control.cluster.Job;
 import org.springmill.control.cluster.Machine;
@@ -14,7 +14,7 @@
 import org.springmill.protocol.TaskId;
 import org.springmill.protocol.WorkerMessages.Heartbeat;
 
-/** Which machine is drained, by where its tasks would find room. */
+/** Which machine is drained, by where its tasks would fit. */
 class MachineDrainingTest {
     private static final double NOW = 100;
     private static final String ZONE = "a";
@@ -41,11 +41,13 @@
         Bin target = Bin.of(running("host-000003", 80));
         List<Bin> bins = List.of(stuck, movable, target);
         assertEquals(
-                movable.machine(),
+                Optional.of(movable.machine()),
                 MachineDraining.firstEvictable(
                         List.of(stuck, movable), List.of(stuck, movable, target)));
-        assertNull(MachineDraining.firstEvictable(List.of(stuck), List.of(stuck, target)));
-        // Trying a candidate takes nothing of the room that was counted.
+        assertEquals(
+                Optional.empty(),
+                MachineDraining.firstEvictable(List.of(stuck), List.of(stuck, target)));
+        // Trying a candidate takes nothing of the free resources that were counted.
         assertEquals(List.of(6.0, 86.0, 16.0), bins.stream().map(this::freeCpus).toList());
     }
 
