--- a/src/main/java/org/springmill/emulator/ControllerSettings.java
+++ b/src/main/java/org/springmill/emulator/ControllerSettings.java
@@ -85,7 +85,7 @@
     }
 
     private static String limits(Scenario scenario) {
-        Scenario.StateLimits state = scenario.state();
+        Scenario.StoreLimits state = scenario.storeLimits();
         Scenario.Controllers controllers = scenario.controllers();
         return LIMITS.formatted(
                 scenario.workers().reportSeconds(),
@@ -95,8 +95,8 @@
                 state.writesPerSecond(),
                 state.valueKb(),
                 state.writesPerCommit(),
-                scenario.cloud().requestsPerSecond(),
-                scenario.cloud().listLagSeconds(),
+                scenario.cloudLimits().requestsPerSecond(),
+                scenario.cloudLimits().listLagSeconds(),
                 controllers.cpuShare(),
                 controllers.memoryMb(),
                 controllers.maxSockets());
--- a/src/main/java/org/springmill/emulator/EmulatedCloud.java
+++ b/src/main/java/org/springmill/emulator/EmulatedCloud.java
@@ -159,7 +159,7 @@
 
     /** As things stood a lag ago; what was there at the beginning is always listed. */
     private void list(Call call) {
-        double then = loop.now() - scenario.cloud().listLagSeconds();
+        double then = loop.now() - scenario.cloudLimits().listLagSeconds();
         List<ListedMachine> page = new ArrayList<>();
         boolean more = false;
         String after = CloudSideMessages.listedAfter(call.query());
--- a/src/main/java/org/springmill/emulator/EmulatedKeyValueStore.java
+++ b/src/main/java/org/springmill/emulator/EmulatedKeyValueStore.java
@@ -34,7 +34,7 @@
  * requests on.
  */
 public final class EmulatedKeyValueStore {
-    private static final int MOST_CHANGES_KEPT = 10_000;
+    private static final int MAX_CHANGES_KEPT = 10_000;
     private static final int MAX_COMMIT_BYTES = 64 * 1024;
     private static final int MAX_PAGE_BYTES = 512 * 1024;
     private static final int CONDITIONS_PER_WRITE = 4;
@@ -49,7 +49,7 @@
     private final List<OpenWatch> watches = new ArrayList<>();
     private final Set<String> refused = new HashSet<>();
     private long revision;
-    private long oldestKept;
+    private long compactedRevision;
     private long nextLease = 1;
     private int tooLarge;
     private boolean down;
@@ -91,7 +91,7 @@
 
     /** Begins to end leases that run out. */
     public void start() {
-        expire();
+        expireLeases();
         loop.after(EXPIRY_INTERVAL_SECONDS, this::start);
     }
 
@@ -113,7 +113,7 @@
 
     /** An outage; once it is over every lease has its full time again. */
     public void setDown(boolean nowDown) {
-        expire();
+        expireLeases();
         if (down && !nowDown) {
             leases.values().forEach(lease -> lease.renew(loop.now()));
         }
@@ -147,19 +147,19 @@
     /** The changes so far are no longer kept: whoever asks for them has to read the keys anew. */
     public void forgetChanges() {
         changes.clear();
-        oldestKept = revision;
+        compactedRevision = revision;
     }
 
     /** The value of a key; null if there is none. */
     public JsonNode value(String key) {
-        expire();
+        expireLeases();
         Entry entry = keys.get(key);
         return entry == null ? null : entry.value();
     }
 
     /** All keys with a prefix. */
     public List<String> keysUnder(String prefix) {
-        expire();
+        expireLeases();
         return keys.tailMap(prefix).keySet().stream()
                 .takeWhile(key -> key.startsWith(prefix))
                 .toList();
@@ -185,7 +185,7 @@
 
     /** Answers a request, a watch perhaps later. */
     public void handle(String node, StateRequest request, Consumer<Reply> done) {
-        expire();
+        expireLeases();
         if (!serves(node)) {
             done.accept(new Reply(503, KeyValueStoreServerMessages.error("trouble")));
         } else if (request instanceof Watch watch) {
@@ -215,7 +215,7 @@
             }
             lease.renew(loop.now());
         } else if (request instanceof Revoke revoke) {
-            end(revoke.lease());
+            endLease(revoke.lease());
         }
         return new Reply(200, KeyValueStoreServerMessages.revision(revision));
     }
@@ -240,7 +240,7 @@
     }
 
     private Reply commit(Commit commit) {
-        String malformed = whyMalformed(commit);
+        String malformed = rejection(commit);
         if (malformed != null) {
             return new Reply(400, KeyValueStoreServerMessages.error(malformed));
         }
@@ -267,7 +267,7 @@
         return new Reply(200, KeyValueStoreServerMessages.revision(revision));
     }
 
-    private String whyMalformed(Commit commit) {
+    private String rejection(Commit commit) {
         boolean large =
                 commit.writes().size() > writesPerCommit
                         || commit.conditions().size() > CONDITIONS_PER_WRITE * writesPerCommit
@@ -296,24 +296,24 @@
         } else {
             Entry entry = new Entry(write.key(), write.value(), revision, write.lease());
             keys.put(write.key(), entry);
-            changed(new Change(write.key(), write.value(), revision));
+            recordChange(new Change(write.key(), write.value(), revision));
         }
     }
 
     private void remove(String key) {
         if (keys.remove(key) != null) {
-            changed(new Change(key, null, revision));
+            recordChange(new Change(key, null, revision));
         }
     }
 
-    private void changed(Change change) {
+    private void recordChange(Change change) {
         changes.add(change);
-        if (changes.size() > MOST_CHANGES_KEPT) {
-            oldestKept = changes.poll().version();
+        if (changes.size() > MAX_CHANGES_KEPT) {
+            compactedRevision = changes.poll().version();
         }
     }
 
-    private void end(long lease) {
+    private void endLease(long lease) {
         leases.remove(lease);
         List<String> attached =
                 keys.values().stream()
@@ -328,7 +328,7 @@
     }
 
     /** Leases do not run while the service is down. */
-    private void expire() {
+    private void expireLeases() {
         if (down) {
             return;
         }
@@ -337,7 +337,7 @@
                         .filter(lease -> lease.getValue().endsAt < loop.now())
                         .map(Map.Entry::getKey)
                         .toList();
-        ended.forEach(this::end);
+        ended.forEach(this::endLease);
     }
 
     private void watch(String node, Watch request, Consumer<Reply> done) {
@@ -369,7 +369,7 @@
             return open.over;
         }
         Watch watch = open.watch;
-        if (watch.from() < oldestKept) {
+        if (watch.from() < compactedRevision) {
             open.over = true;
             open.done.accept(new Reply(410, KeyValueStoreServerMessages.revision(revision)));
             return true;
--- a/src/main/java/org/springmill/emulator/EmulatedKeyValueStoreServer.java
+++ b/src/main/java/org/springmill/emulator/EmulatedKeyValueStoreServer.java
@@ -3,7 +3,7 @@
 import java.util.function.Consumer;
 import org.springmill.emulator.Measurements.Latency;
 import org.springmill.emulator.Measurements.Message;
-import org.springmill.emulator.Scenario.StateLimits;
+import org.springmill.emulator.Scenario.StoreLimits;
 import org.springmill.protocol.MalformedMessageException;
 import org.springmill.protocol.counterpart.KeyValueStoreServerMessages;
 import org.springmill.protocol.counterpart.KeyValueStoreServerMessages.Commit;
@@ -55,7 +55,7 @@
     EmulatedKeyValueStoreServer(
             EventLoop loop,
             EmulatedKeyValueStore store,
-            StateLimits limits,
+            StoreLimits limits,
             Measurements measurements) {
         this.loop = loop;
         this.store = store;
--- a/src/main/java/org/springmill/emulator/EmulatedUsers.java
+++ b/src/main/java/org/springmill/emulator/EmulatedUsers.java
@@ -22,15 +22,15 @@
 import org.springmill.transport.HttpClient.Request;
 
 /**
- * Users by the published protocol: submit jobs, ask about each until it is over, cancel services.
- * They reach the controllers that answer the balancer's probes.
+ * Users by the published protocol: submit jobs, poll the status of each until its final phase,
+ * cancel services. They reach the controllers that answer the balancer's probes.
  */
 final class EmulatedUsers {
     private static final double SUBMIT_TIMEOUT_SECONDS = 5;
     private static final double POLL_TIMEOUT_SECONDS = 2;
     private static final double RETRY_SECONDS = 1;
     private static final double PROBE_SECONDS = 1;
-    private static final double GIVE_UP_SECONDS = 60;
+    private static final double ABANDON_AFTER_SECONDS = 60;
     private static final byte[] EMPTY = new byte[0];
 
     private final EventLoop loop;
@@ -43,31 +43,31 @@
     private final SplittableRandom random;
     private final boolean[] healthy;
     private final Map<String, Double> acceptedAt = new HashMap<>();
-    private final Map<String, Order> orders = new HashMap<>();
-    private Consumer<String> onWithdrawal = id -> {};
-    private int numbers;
-    private long gaveUp;
+    private final Map<String, UserJob> services = new HashMap<>();
+    private Consumer<String> onCancellation = id -> {};
+    private int lastNumber;
+    private long abandoned;
     private long acceptedCount;
     private boolean stopped;
 
     /** A job from its submission to its end, as its user sees it. */
-    private final class Order {
+    private final class UserJob {
         private final Submission spec;
         private final double lifeSeconds;
-        private final double since = loop.now();
+        private final double firstSubmittedAt = loop.now();
         private boolean accepted;
         private boolean cancelled;
 
-        Order(Submission spec, double lifeSeconds) {
+        UserJob(Submission spec, double lifeSeconds) {
             this.spec = spec;
             this.lifeSeconds = lifeSeconds;
         }
 
-        /** Calls the job off, once it is accepted. */
+        /** Cancels the job once it is accepted. */
         void cancel() {
             cancelled = true;
             if (accepted) {
-                withdraw();
+                sendCancellation();
             }
         }
 
@@ -75,8 +75,8 @@
             if (stopped) {
                 return;
             }
-            if (loop.now() - since > GIVE_UP_SECONDS) {
-                gaveUp++;
+            if (loop.now() - firstSubmittedAt > ABANDON_AFTER_SECONDS) {
+                abandoned++;
                 return;
             }
             byte[] body = Json.bytes(spec.toJson());
@@ -95,12 +95,12 @@
             accepted = true;
             acceptedCount++;
             acceptedAt.put(spec.id(), loop.now());
-            measurements.latency(Latency.ACCEPTANCE, loop.now() - since);
+            measurements.latency(Latency.ACCEPTANCE, loop.now() - firstSubmittedAt);
             loop.after(scenario.users().pollSeconds() * random.nextDouble(), this::poll);
             if (cancelled) {
-                withdraw();
+                sendCancellation();
             } else if (spec.service()) {
-                loop.after(vary(lifeSeconds), this::withdraw);
+                loop.after(randomised(lifeSeconds), this::sendCancellation);
             }
         }
 
@@ -127,15 +127,15 @@
             }
             if (reply.ok()) {
                 measurements.latency(Latency.QUESTION, loop.now() - askedAt);
-                told(reply.body(), askedAt);
+                phaseReceived(reply.body(), askedAt);
             }
             loop.after(scenario.users().pollSeconds(), this::poll);
         }
 
-        private void told(byte[] body, double askedAt) {
+        private void phaseReceived(byte[] body, double askedAt) {
             try {
                 JobPhase phase = UserSideMessages.phase(body);
-                rules.told(spec.id(), phase, askedAt);
+                rules.phaseReceived(spec.id(), phase, askedAt);
                 if (phase.terminal()) {
                     acceptedAt.remove(spec.id());
                 }
@@ -144,22 +144,27 @@
             }
         }
 
-        private void withdraw() {
+        private void sendCancellation() {
             if (stopped) {
                 return;
             }
             String path = UserMessages.SUBMISSIONS + "/" + spec.id() + UserMessages.WITHDRAW;
             double askedAt = loop.now();
-            send("POST", path, EMPTY, SUBMIT_TIMEOUT_SECONDS, reply -> withdrawn(reply, askedAt));
+            send(
+                    "POST",
+                    path,
+                    EMPTY,
+                    SUBMIT_TIMEOUT_SECONDS,
+                    reply -> cancellationAnswered(reply, askedAt));
         }
 
-        private void withdrawn(Reply reply, double askedAt) {
+        private void cancellationAnswered(Reply reply, double askedAt) {
             measurements.outcome(Message.WITHDRAWAL, reply.status());
             measurements.message(Message.WITHDRAWAL, 0, reply.body().length);
             if (reply.ok()) {
-                told(reply.body(), askedAt);
+                phaseReceived(reply.body(), askedAt);
             } else {
-                loop.after(RETRY_SECONDS, this::withdraw);
+                loop.after(RETRY_SECONDS, this::sendCancellation);
             }
         }
     }
@@ -215,7 +220,7 @@
                 loop.after(random.nextDouble() * jobClass.rampSeconds(), () -> submit(jobClass));
             }
             if (jobClass.perMinute() > 0) {
-                submitOnAndOn(jobClass, loop.now() + interval(jobClass));
+                submitAtRate(jobClass, loop.now() + interval(jobClass));
             }
         }
     }
@@ -229,8 +234,10 @@
         return -Math.log(1 - random.nextDouble()) * 60 / jobClass.perMinute();
     }
 
-    /** Keeps to the rate also when timers fire late: what is due by then is submitted together. */
-    private void submitOnAndOn(JobClass jobClass, double firstAt) {
+    /**
+     * Keeps the rate when timers are delayed too: jobs that are due by then are submitted together.
+     */
+    private void submitAtRate(JobClass jobClass, double firstAt) {
         double nextAt = firstAt;
         while (!stopped && nextAt <= loop.now()) {
             submit(jobClass);
@@ -238,43 +245,44 @@
         }
         if (!stopped) {
             double at = nextAt;
-            loop.after(at - loop.now(), () -> submitOnAndOn(jobClass, at));
+            loop.after(at - loop.now(), () -> submitAtRate(jobClass, at));
         }
     }
 
-    private double vary(double mean) {
+    private double randomised(double mean) {
         return mean * (0.5 + random.nextDouble());
     }
 
     private void submit(JobClass jobClass) {
         Submission spec = describe(jobClass);
-        double runSeconds = spec.service() ? Double.POSITIVE_INFINITY : vary(jobClass.runSeconds());
+        double runSeconds =
+                spec.service() ? Double.POSITIVE_INFINITY : randomised(jobClass.runSeconds());
         jobs.upload(new EmulatedJob(spec, runSeconds));
-        new Order(spec, jobClass.lifeSeconds()).submit();
+        new UserJob(spec, jobClass.lifeSeconds()).submit();
     }
 
     /** The id of a further job. */
     String nextId() {
-        return String.format("run-%06d", ++numbers);
+        return String.format("run-%06d", ++lastNumber);
     }
 
-    /** Submits a service that runs until it is withdrawn. */
+    /** Submits a service that runs until it is cancelled. */
     void submitService(Submission spec) {
         jobs.upload(new EmulatedJob(spec, Double.POSITIVE_INFINITY));
-        Order order = new Order(spec, Double.POSITIVE_INFINITY);
-        orders.put(spec.id(), order);
+        UserJob order = new UserJob(spec, Double.POSITIVE_INFINITY);
+        services.put(spec.id(), order);
         order.submit();
     }
 
-    /** Withdraws a service of {@link #submitService}. */
-    void withdraw(String id) {
-        onWithdrawal.accept(id);
-        orders.remove(id).cancel();
+    /** Cancels a service of {@link #submitService}. */
+    void cancelService(String id) {
+        onCancellation.accept(id);
+        services.remove(id).cancel();
     }
 
-    /** Told of services that are withdrawn, before they are. */
-    void onWithdrawal(Consumer<String> listener) {
-        onWithdrawal = listener;
+    /** Called with each service that is to be cancelled, before it is. */
+    void onCancellation(Consumer<String> listener) {
+        onCancellation = listener;
     }
 
     private Submission describe(JobClass jobClass) {
@@ -285,7 +293,7 @@
                 nextId(),
                 jobClass.name(),
                 teamName(team),
-                jobClass.shape(),
+                jobClass.kind(),
                 jobClass.priority(),
                 tasks,
                 jobClass.cpus(),
@@ -314,7 +322,7 @@
         return acceptedAt.get(job);
     }
 
-    /** Accepted jobs whose users have not been told an end. */
+    /** Accepted jobs whose users have not seen a final phase. */
     int unfinished() {
         return acceptedAt.size();
     }
@@ -324,9 +332,9 @@
         return acceptedCount;
     }
 
-    /** Jobs that no controller took within the users' patience. */
-    long gaveUp() {
-        return gaveUp;
+    /** Submissions that users abandoned, since no controller accepted them in time. */
+    long abandoned() {
+        return abandoned;
     }
 
     private void send(
--- a/src/main/java/org/springmill/emulator/EmulatedWorker.java
+++ b/src/main/java/org/springmill/emulator/EmulatedWorker.java
@@ -40,10 +40,10 @@
  */
 final class EmulatedWorker implements HttpHandler {
     private static final Logger LOG = LoggerFactory.getLogger(EmulatedWorker.class);
-    private static final double REPORT_TIMEOUT_SECONDS = 4;
+    private static final double HEARTBEAT_TIMEOUT_SECONDS = 4;
     private static final double NEXT_CONTROLLER_SECONDS = 1;
-    private static final double MIN_REPORT_INTERVAL_SECONDS = 0.5;
-    private static final double REPORT_JITTER = 0.25;
+    private static final double MIN_HEARTBEAT_INTERVAL_SECONDS = 0.5;
+    private static final double HEARTBEAT_JITTER = 0.25;
     private static final double TOLERANCE = 1e-6;
     private static final int SOCKETS = 2;
 
@@ -59,17 +59,17 @@
     private final Map<Key, Task> tasks = new HashMap<>();
     private final Set<String> images = new HashSet<>();
     private int controller;
-    private long session = 1;
+    private long epoch = 1;
     private long sequence;
-    private long token;
-    private double renewedAt;
-    private double reportedAt = Double.NEGATIVE_INFINITY;
-    private double tokenReportedAt;
-    private boolean reporting;
-    private boolean changed;
-    private boolean reportPlanned;
+    private long fencingToken;
+    private double leaseRenewedAt;
+    private double heartbeatSentAt = Double.NEGATIVE_INFINITY;
+    private double tokenHeartbeatAt;
+    private boolean heartbeatInFlight;
+    private boolean statusChanged;
+    private boolean heartbeatScheduled;
     private boolean silent;
-    private boolean gone;
+    private boolean destroyed;
 
     /** What workers share. */
     record Environment(
@@ -82,7 +82,7 @@
 
     /** Told of what happens on workers, on the worker's loop. */
     interface Observer {
-        void commanded(TaskId task);
+        void startCommanded(TaskId task);
 
         /**
          * A task is on its machine.
@@ -94,7 +94,7 @@
         void ended(TaskId task, String machine, boolean done);
 
         /** A task that is on its machine was told to stop. */
-        void halted(TaskId task);
+        void stopCommanded(TaskId task);
 
         void cleared(String machine);
     }
@@ -169,7 +169,7 @@
 
     /** The machine is up from now on. */
     void start() {
-        renewedAt = loop.now();
+        leaseRenewedAt = loop.now();
         loop.after(
                 random.nextDouble() * environment.scenario().workers().reportSeconds(), this::tick);
     }
@@ -177,10 +177,10 @@
     /** The machine falls silent with all that runs on it, or comes back with nothing. */
     void setSilent(boolean nowSilent) {
         if (nowSilent) {
-            clear();
+            killAllTasks();
         } else if (silent) {
-            session++;
-            renewedAt = loop.now();
+            epoch++;
+            leaseRenewedAt = loop.now();
             images.clear();
         }
         silent = nowSilent;
@@ -188,108 +188,117 @@
 
     /** The machine is gone for good. */
     void destroy() {
-        gone = true;
-        clear();
+        destroyed = true;
+        killAllTasks();
     }
 
-    private void clear() {
-        tasks.values().stream().filter(Task::onMachine).forEach(this::noteKilled);
+    private void killAllTasks() {
+        tasks.values().stream().filter(Task::onMachine).forEach(this::recordKilled);
         tasks.clear();
         environment.observer().cleared(name);
     }
 
     private void tick() {
-        if (gone) {
+        if (destroyed) {
             return;
         }
         if (!silent) {
             checkLease();
-            report();
+            sendHeartbeat();
         }
-        double jitter = 1 + REPORT_JITTER * (2 * random.nextDouble() - 1);
+        double jitter = 1 + HEARTBEAT_JITTER * (2 * random.nextDouble() - 1);
         loop.after(environment.scenario().workers().reportSeconds() * jitter, this::tick);
     }
 
     private void checkLease() {
-        if (loop.now() - renewedAt > environment.scenario().workers().leaseSeconds()) {
-            clear();
-            session++;
-            renewedAt = loop.now();
+        if (loop.now() - leaseRenewedAt > environment.scenario().workers().leaseSeconds()) {
+            killAllTasks();
+            epoch++;
+            leaseRenewedAt = loop.now();
         }
     }
 
-    private Heartbeat describe() {
+    private Heartbeat heartbeat() {
         List<TaskStatus> listed = new ArrayList<>(tasks.size());
         for (Task task : tasks.values()) {
             listed.add(new TaskStatus(task.key.task(), task.key.attempt(), task.state, task.cause));
         }
         return new Heartbeat(
-                name, address, type.type(), zone, false, session, ++sequence, token, null, listed);
+                name,
+                address,
+                type.type(),
+                zone,
+                false,
+                epoch,
+                ++sequence,
+                fencingToken,
+                null,
+                listed);
     }
 
     /** Something changed: reported at once, though not more often than the protocol allows. */
-    private void reportChange() {
-        changed = true;
-        if (reporting || reportPlanned) {
+    private void requestHeartbeat() {
+        statusChanged = true;
+        if (heartbeatInFlight || heartbeatScheduled) {
             return;
         }
-        reportPlanned = true;
-        double wait = reportedAt + MIN_REPORT_INTERVAL_SECONDS - loop.now();
+        heartbeatScheduled = true;
+        double wait = heartbeatSentAt + MIN_HEARTBEAT_INTERVAL_SECONDS - loop.now();
         loop.after(
                 Math.max(0, wait),
                 () -> {
-                    reportPlanned = false;
-                    report();
+                    heartbeatScheduled = false;
+                    sendHeartbeat();
                 });
     }
 
-    private void report() {
-        if (reporting || silent || gone) {
+    private void sendHeartbeat() {
+        if (heartbeatInFlight || silent || destroyed) {
             return;
         }
-        reporting = true;
-        changed = false;
-        reportedAt = loop.now();
-        double sentAt = reportedAt;
-        long sentSession = session;
-        byte[] body = WorkerSideMessages.report(describe());
+        heartbeatInFlight = true;
+        statusChanged = false;
+        heartbeatSentAt = loop.now();
+        double sentAt = heartbeatSentAt;
+        long sentSession = epoch;
+        byte[] body = WorkerSideMessages.report(heartbeat());
         String to = environment.controllerAddresses().get(controller);
         Request request =
                 new Request(
-                        to, "POST", WorkerMessages.HEARTBEAT_PATH, body, REPORT_TIMEOUT_SECONDS);
-        client.send(request, reply -> answered(reply, sentAt, sentSession, body.length));
+                        to, "POST", WorkerMessages.HEARTBEAT_PATH, body, HEARTBEAT_TIMEOUT_SECONDS);
+        client.send(request, reply -> responseReceived(reply, sentAt, sentSession, body.length));
     }
 
-    private void answered(Reply reply, double sentAt, long sentSession, int bytes) {
-        reporting = false;
+    private void responseReceived(Reply reply, double sentAt, long sentSession, int bytes) {
+        heartbeatInFlight = false;
         Measurements measurements = environment.measurements();
         measurements.message(Message.REPORT, bytes, reply.body().length);
         measurements.outcome(Message.REPORT, reply.status());
-        if (silent || gone) {
+        if (silent || destroyed) {
             return;
         }
         checkLease();
         if (reply.status() == 200) {
             measurements.latency(Latency.REPORT, loop.now() - sentAt);
-            take(reply.body(), sentAt, sentSession);
+            accept(reply.body(), sentAt, sentSession);
         } else if (reply.status() == 421) {
-            redirected(reply.body());
+            followRedirect(reply.body());
         } else {
-            tryNext();
+            tryNextController();
         }
-        if (changed) {
-            reportChange();
+        if (statusChanged) {
+            requestHeartbeat();
         }
     }
 
-    private void take(byte[] body, double sentAt, long sentSession) {
+    private void accept(byte[] body, double sentAt, long sentSession) {
         Orders orders = parse(body);
         if (orders != null
                 && orders.hasToken()
-                && orders.token() >= token
-                && session == sentSession) {
-            raise(orders.token());
-            renewedAt = Math.max(renewedAt, sentAt);
+                && orders.token() >= fencingToken
+                && epoch == sentSession) {
+            raiseFencingToken(orders.token());
+            leaseRenewedAt = Math.max(leaseRenewedAt, sentAt);
             orders.commands().forEach(this::execute);
         }
     }
@@ -302,18 +311,18 @@
         }
     }
 
-    private void raise(long shown) {
+    private void raiseFencingToken(long shown) {
         double half = environment.scenario().workers().leaseSeconds() / 2;
-        if (shown > token) {
-            token = shown;
-            if (loop.now() - tokenReportedAt > half) {
-                tokenReportedAt = loop.now();
-                reportChange();
+        if (shown > fencingToken) {
+            fencingToken = shown;
+            if (loop.now() - tokenHeartbeatAt > half) {
+                tokenHeartbeatAt = loop.now();
+                requestHeartbeat();
             }
         }
     }
 
-    private void redirected(byte[] body) {
+    private void followRedirect(byte[] body) {
         Integer leader = null;
         try {
             String node = WorkerSideMessages.redirect(body);
@@ -322,28 +331,28 @@
             // Taken as an answer that names nobody.
         }
         if (leader == null || leader == controller) {
-            tryNext();
+            tryNextController();
         } else {
             controller = leader;
-            loop.after(random.nextDouble() * MIN_REPORT_INTERVAL_SECONDS, this::report);
+            loop.after(random.nextDouble() * MIN_HEARTBEAT_INTERVAL_SECONDS, this::sendHeartbeat);
         }
     }
 
-    private void tryNext() {
+    private void tryNextController() {
         controller = (controller + 1) % environment.controllerAddresses().size();
-        loop.after(NEXT_CONTROLLER_SECONDS, this::report);
+        loop.after(NEXT_CONTROLLER_SECONDS, this::sendHeartbeat);
     }
 
     /** Commands that are sent straight to this worker. */
     @Override
     public void handle(Call call) {
-        if (silent || gone) {
+        if (silent || destroyed) {
             // No answer: whoever asks waits until its time is over.
             return;
         }
         checkLease();
         if (!call.path().equals(WorkerMessages.COMMANDS_PATH)) {
-            call.reply(200, WorkerSideMessages.report(describe()), 0);
+            call.reply(200, WorkerSideMessages.report(heartbeat()), 0);
             return;
         }
         Orders orders = parse(call.body());
@@ -351,12 +360,12 @@
             call.reply(400, new byte[0], 0);
             return;
         }
-        boolean refused = orders.token() < token || orders.session() != session;
+        boolean refused = orders.token() < fencingToken || orders.session() != epoch;
         if (!refused) {
-            raise(orders.token());
+            raiseFencingToken(orders.token());
             orders.commands().forEach(this::execute);
         }
-        byte[] answer = WorkerSideMessages.report(describe());
+        byte[] answer = WorkerSideMessages.report(heartbeat());
         environment.measurements().message(Message.COMMANDS, call.body().length, answer.length);
         call.reply(refused ? 409 : 200, answer, 0);
     }
@@ -390,9 +399,9 @@
 
     private void start(Key key) {
         EmulatedJob job = environment.jobs().find(key.task().job());
-        environment.observer().commanded(key.task());
+        environment.observer().startCommanded(key.task());
         Task task = new Task(key, job == null ? null : job.spec(), loop.now());
-        ExitCause refusal = refusal(task);
+        ExitCause refusal = startRefusal(task);
         tasks.put(key, task);
         if (refusal != ExitCause.NONE) {
             end(task, refusal);
@@ -401,10 +410,10 @@
         boolean cached = images.contains(job.spec().image());
         double fetchSeconds = cached ? 0 : job.spec().imageGb() / type.fetchGbPerSecond();
         loop.after(fetchSeconds, () -> run(task, job));
-        reportChange();
+        requestHeartbeat();
     }
 
-    private ExitCause refusal(Task task) {
+    private ExitCause startRefusal(Task task) {
         if (task.spec == null) {
             return ExitCause.UNKNOWN_JOB;
         }
@@ -426,12 +435,12 @@
                 : ExitCause.NONE;
     }
 
-    private boolean holds(Task task) {
-        return !gone && tasks.get(task.key) == task;
+    private boolean isCurrent(Task task) {
+        return !destroyed && tasks.get(task.key) == task;
     }
 
     private void run(Task task, EmulatedJob job) {
-        if (!holds(task) || task.state != TaskState.FETCHING) {
+        if (!isCurrent(task) || task.state != TaskState.FETCHING) {
             return;
         }
         images.add(task.spec.image());
@@ -450,11 +459,11 @@
             double left = environment.jobs().secondsLeft(task.key.task(), job);
             loop.after(left, () -> finish(task));
         }
-        reportChange();
+        requestHeartbeat();
     }
 
     private void finish(Task task) {
-        if (holds(task) && task.state == TaskState.RUNNING) {
+        if (isCurrent(task) && task.state == TaskState.RUNNING) {
             end(task, ExitCause.DONE);
         }
     }
@@ -464,7 +473,7 @@
             return;
         }
         if (task.onMachine()) {
-            environment.observer().halted(task.key.task());
+            environment.observer().stopCommanded(task.key.task());
         }
         boolean saves =
                 task.state == TaskState.RUNNING
@@ -473,24 +482,24 @@
         if (saves) {
             task.state = TaskState.SAVING;
             double stoppedAt = loop.now();
-            loop.after(task.spec.checkpointSaveSeconds(), () -> saved(task, stoppedAt));
-        } else if (holds(task) && !(task.state == TaskState.SAVING && graceSeconds > 0)) {
+            loop.after(task.spec.checkpointSaveSeconds(), () -> checkpointSaved(task, stoppedAt));
+        } else if (isCurrent(task) && !(task.state == TaskState.SAVING && graceSeconds > 0)) {
             if (task.onMachine()) {
-                noteKilled(task);
+                recordKilled(task);
             }
             end(task, ExitCause.STOPPED);
         }
     }
 
-    private void saved(Task task, double stoppedAt) {
-        if (holds(task) && task.state == TaskState.SAVING) {
+    private void checkpointSaved(Task task, double stoppedAt) {
+        if (isCurrent(task) && task.state == TaskState.SAVING) {
             environment.jobs().progress().saved(task.key.task(), stoppedAt - task.runningSince);
             end(task, ExitCause.STOPPED);
         }
     }
 
     /** A task ends without a save. */
-    private void noteKilled(Task task) {
+    private void recordKilled(Task task) {
         if (task.server != null) {
             task.server.stop();
         }
@@ -509,6 +518,6 @@
         if (wasOnMachine) {
             environment.observer().ended(task.key.task(), name, cause == ExitCause.DONE);
         }
-        reportChange();
+        requestHeartbeat();
     }
 }
--- a/src/main/java/org/springmill/emulator/Emulation.java
+++ b/src/main/java/org/springmill/emulator/Emulation.java
@@ -15,7 +15,7 @@
 import org.springmill.emulator.EmulatedWorker.Environment;
 import org.springmill.emulator.EmulationResult.Point;
 import org.springmill.emulator.EmulationResult.Size;
-import org.springmill.emulator.EmulationResult.StateUse;
+import org.springmill.emulator.EmulationResult.StoreUse;
 import org.springmill.emulator.EmulationResult.Work;
 import org.springmill.emulator.Measurements.Latency;
 import org.springmill.emulator.Measurements.Message;
@@ -56,7 +56,7 @@
     private final JobRegistry jobs = new JobRegistry();
     private final RuleChecker rules;
     private final EmulatedKeyValueStore store;
-    private final EmulatedKeyValueStoreServer stateFront;
+    private final EmulatedKeyValueStoreServer storeServer;
     private final EmulatedFleet fleet;
     private final EmulatedCloud cloud;
     private final EmulatedUsers users;
@@ -94,9 +94,12 @@
         transport = new Transport(MAX_SOCKETS, Set.of());
         loop = transport.loop();
         rules = new RuleChecker(loop, scenario, jobs);
-        int valueBytes = (int) (scenario.state().valueKb() * 1024);
-        store = new EmulatedKeyValueStore(loop, valueBytes, scenario.state().writesPerCommit());
-        stateFront = new EmulatedKeyValueStoreServer(loop, store, scenario.state(), measurements);
+        int valueBytes = (int) (scenario.storeLimits().valueKb() * 1024);
+        store =
+                new EmulatedKeyValueStore(
+                        loop, valueBytes, scenario.storeLimits().writesPerCommit());
+        storeServer =
+                new EmulatedKeyValueStoreServer(loop, store, scenario.storeLimits(), measurements);
         List<Node> nodes = nodes();
         List<String> addresses = nodes.stream().map(Node::api).toList();
         fleet =
@@ -135,7 +138,7 @@
                                                 addresses,
                                                 random.split()));
         String services = host + SERVICES_HOST;
-        int statePort = transport.serve(services + 0, stateFront);
+        int statePort = transport.serve(services + 0, storeServer);
         int cloudPort = transport.serve(services + 0, this::serveCloud);
         controllers =
                 new ControllerGroup(
@@ -176,7 +179,7 @@
     /** Passes on what happens on workers to the loop that checks the rules. */
     private final class ObserverOnLoop implements EmulatedWorker.Observer {
         @Override
-        public void commanded(TaskId task) {
+        public void startCommanded(TaskId task) {
             loop.after(
                     0,
                     () -> {
@@ -208,8 +211,8 @@
         }
 
         @Override
-        public void halted(TaskId task) {
-            loop.after(0, () -> serving.ifPresent(part -> part.halted(task)));
+        public void stopCommanded(TaskId task) {
+            loop.after(0, () -> serving.ifPresent(part -> part.stopCommanded(task)));
         }
 
         @Override
@@ -275,8 +278,8 @@
     private void startMeasuring() {
         measuredSince = loop.now();
         emulatorSecondsBefore = emulatorSeconds();
-        servedBefore = stateFront.served();
-        writtenBefore = stateFront.written();
+        servedBefore = storeServer.served();
+        writtenBefore = storeServer.written();
         controllers.startMeasuring();
         serving.ifPresent(ServingEmulation::startMeasuring);
         measurements.start();
@@ -286,7 +289,7 @@
         if (result.isDone()) {
             return;
         }
-        faults.follow();
+        faults.update();
         int second = (int) Math.round(loop.now() - readyAt);
         Point point =
                 new Point(
@@ -301,7 +304,7 @@
         startsBefore = rules.starts();
         endsBefore = rules.ends();
         timeline.add(point);
-        serving.ifPresent(part -> part.note(second));
+        serving.ifPresent(part -> part.sample(second));
         if (second % PROGRESS_EVERY == 0) {
             progress.accept(describe(point));
         }
@@ -343,10 +346,10 @@
                         controllers.use(seconds),
                         (emulatorSeconds() - emulatorSecondsBefore) / seconds,
                         workerBytesPerSecond(rates),
-                        new StateUse(
-                                (stateFront.served() - servedBefore) / seconds,
-                                (stateFront.written() - writtenBefore) / seconds,
-                                stateFront.refusedForRate(),
+                        new StoreUse(
+                                (storeServer.served() - servedBefore) / seconds,
+                                (storeServer.written() - writtenBefore) / seconds,
+                                storeServer.refusedForRate(),
                                 store.tooLarge(),
                                 store.keyCount()),
                         work(),
@@ -366,7 +369,7 @@
                 timeline.stream().mapToInt(Point::running).max().orElse(0),
                 rules.running(),
                 users.unfinished(),
-                users.gaveUp());
+                users.abandoned());
     }
 
     private double workerBytesPerSecond(Map<String, Rates> rates) {
--- a/src/main/java/org/springmill/emulator/EmulationResult.java
+++ b/src/main/java/org/springmill/emulator/EmulationResult.java
@@ -36,7 +36,7 @@
         List<ControllerUse> controllers,
         double emulatorProcessorShare,
         double workerBytesPerS,
-        StateUse stateService,
+        StoreUse stateService,
         Work work,
         List<FaultRecord> faults,
         List<Point> timeline,
@@ -57,7 +57,7 @@
             double secondsUntilReady) {}
 
     /** What the key-value store was asked for. */
-    public record StateUse(
+    public record StoreUse(
             double requestsPerS,
             double writesPerS,
             long refusedForRate,
--- a/src/main/java/org/springmill/emulator/FaultInjector.java
+++ b/src/main/java/org/springmill/emulator/FaultInjector.java
@@ -24,17 +24,17 @@
     private final EmulatedKeyValueStore store;
     private final ControllerGroup controllers;
     private final RuleChecker rules;
-    private final List<Followed> followed = new ArrayList<>();
+    private final List<ActiveFault> activeFaults = new ArrayList<>();
 
     /** A failure that has begun. */
-    private static final class Followed {
+    private static final class ActiveFault {
         private final Fault fault;
         private final double since;
         private final int runningBefore;
         private int lowestRunning;
         private double recoveredSeconds = -1;
 
-        Followed(Fault fault, double since, int runningBefore) {
+        ActiveFault(Fault fault, double since, int runningBefore) {
             this.fault = fault;
             this.since = since;
             this.runningBefore = runningBefore;
@@ -64,7 +64,7 @@
 
     private void begin(Fault fault) {
         LOG.info("failure {}: {}", fault.name(), fault.kind());
-        followed.add(new Followed(fault, loop.now(), rules.running()));
+        activeFaults.add(new ActiveFault(fault, loop.now(), rules.running()));
         List<String> zones = scenario.zoneNames();
         switch (fault.kind()) {
             case RACK_LOST -> {
@@ -103,9 +103,9 @@
     }
 
     /** Looks at how far failures are over. */
-    void follow() {
+    void update() {
         int running = rules.running();
-        for (Followed one : followed) {
+        for (ActiveFault one : activeFaults) {
             if (one.recoveredSeconds < 0) {
                 one.lowestRunning = Math.min(one.lowestRunning, running);
                 boolean fell = one.lowestRunning < RECOVERED_SHARE * one.runningBefore;
@@ -119,7 +119,7 @@
     /** What came of each failure; one in which hardly a task was lost took no time. */
     List<FaultRecord> records() {
         List<FaultRecord> records = new ArrayList<>();
-        for (Followed one : followed) {
+        for (ActiveFault one : activeFaults) {
             boolean fell = one.lowestRunning < RECOVERED_SHARE * one.runningBefore;
             records.add(
                     new FaultRecord(
--- a/src/main/java/org/springmill/emulator/LoanSampler.java
+++ b/src/main/java/org/springmill/emulator/LoanSampler.java
@@ -23,7 +23,7 @@
     private final Scenario scenario;
     private final JobRegistry jobs;
     private final Map<TaskId, Submission> onMachines = new HashMap<>();
-    private final Set<TaskId> halted = new HashSet<>();
+    private final Set<TaskId> stopCommanded = new HashSet<>();
 
     /** What teams that were pushed below it were entitled to. */
     private final Map<String, Double> entitlements = new HashMap<>();
@@ -45,7 +45,7 @@
     }
 
     void start() {
-        look();
+        sample();
         loop.after(INTERVAL_SECONDS, this::start);
     }
 
@@ -63,7 +63,7 @@
 
     void ended(TaskId task) {
         onMachines.remove(task);
-        halted.remove(task);
+        stopCommanded.remove(task);
     }
 
     /** A user calls a job off: halts of its tasks take nothing from its team. */
@@ -72,13 +72,13 @@
     }
 
     /** A task was told to stop. */
-    void halted(TaskId task) {
+    void stopCommanded(TaskId task) {
         Submission spec = onMachines.get(task);
-        if (spec == null || cancelledJobs.contains(task.job()) || halted.contains(task)) {
+        if (spec == null || cancelledJobs.contains(task.job()) || stopCommanded.contains(task)) {
             return;
         }
         double before = stayingGpus(spec.team());
-        halted.add(task);
+        stopCommanded.add(task);
         // What it had of its guarantee is what it was entitled to: it asks for all it ran.
         double entitlement = Math.min(scenario.teams().gpus(), before);
         if (before - spec.gpus() < entitlement - TOLERANCE) {
@@ -89,24 +89,24 @@
     private double stayingGpus(String team) {
         double gpus = 0;
         for (Map.Entry<TaskId, Submission> entry : onMachines.entrySet()) {
-            if (entry.getValue().team().equals(team) && !halted.contains(entry.getKey())) {
+            if (entry.getValue().team().equals(team) && !stopCommanded.contains(entry.getKey())) {
                 gpus += entry.getValue().gpus();
             }
         }
         return gpus;
     }
 
-    private void look() {
+    private void sample() {
         Map<String, Double> staying = new HashMap<>();
         Map<String, Double> used = gpusByTeam();
         onMachines.forEach(
                 (task, spec) -> {
-                    if (!halted.contains(task)) {
+                    if (!stopCommanded.contains(task)) {
                         staying.merge(spec.team(), spec.gpus(), Double::sum);
                     }
                 });
         for (int team = 0; team < scenario.teams().number(); team++) {
-            lookAt(EmulatedUsers.teamName(team), staying, used);
+            sampleTeam(EmulatedUsers.teamName(team), staying, used);
         }
         batchTaskSeconds += INTERVAL_SECONDS * batchTasks();
         samples += counting ? 1 : 0;
@@ -114,7 +114,7 @@
         idleGpuSeconds += counting ? (totalGpus - inUse) * INTERVAL_SECONDS : 0;
     }
 
-    private void lookAt(String team, Map<String, Double> staying, Map<String, Double> used) {
+    private void sampleTeam(String team, Map<String, Double> staying, Map<String, Double> used) {
         double left = staying.getOrDefault(team, 0.0);
         double limit = scenario.teams().gpusMax();
         if (left >= entitlements.getOrDefault(team, 0.0) - TOLERANCE) {
--- a/src/main/java/org/springmill/emulator/RuleChecker.java
+++ b/src/main/java/org/springmill/emulator/RuleChecker.java
@@ -17,7 +17,7 @@
  * told. Lives on one loop, to which all others pass on what they see.
  */
 final class RuleChecker {
-    private static final int MOST_KEPT = 100;
+    private static final int MAX_KEPT_VIOLATIONS = 100;
     private static final double TOLERANCE = 1e-6;
     private static final double CHECK_SECONDS = 1;
 
@@ -29,7 +29,7 @@
     private final Map<String, double[]> usage = new HashMap<>();
     private final Map<String, Double> cancelledAt = new HashMap<>();
     private final Map<String, JobPhase> finalPhases = new HashMap<>();
-    private final Map<String, Double> finalSince = new HashMap<>();
+    private final Map<String, Double> finalPhaseAt = new HashMap<>();
     private final Map<String, Integer> doneTasks = new HashMap<>();
     private final List<String> violations = new ArrayList<>();
     private long violationCount;
@@ -53,17 +53,17 @@
         starts++;
         String other = machineByTask.put(task, machine);
         if (other != null) {
-            violated("ran_twice", task + " on " + other + " and " + machine);
+            recordViolation("ran_twice", task + " on " + other + " and " + machine);
         }
         tasksByMachine.computeIfAbsent(machine, m -> new HashSet<>()).add(task);
         EmulatedJob job = jobs.find(task.job());
         if (job == null) {
-            violated("invented", task + " on " + machine);
+            recordViolation("invented", task + " on " + machine);
             return;
         }
         charge(job.spec(), 1);
         if (finalPhases.get(task.job()) == JobPhase.DONE) {
-            violated("went_back", task + " starts although its job was called done");
+            recordViolation("went_back", task + " starts although its job was called done");
         }
     }
 
@@ -104,7 +104,8 @@
                 exceeds(used[0], scenario.teams().cpusMax())
                         || exceeds(used[1], scenario.teams().gpusMax());
         if (sign > 0 && above) {
-            violated("quota", spec.team() + " uses " + used[0] + " CPUs, " + used[1] + " GPUs");
+            recordViolation(
+                    "quota", spec.team() + " uses " + used[0] + " CPUs, " + used[1] + " GPUs");
         }
     }
 
@@ -118,16 +119,16 @@
      *
      * @param askedAt when the question was sent
      */
-    void told(String job, JobPhase phase, double askedAt) {
+    void phaseReceived(String job, JobPhase phase, double askedAt) {
         JobPhase before = finalPhases.get(job);
-        boolean askedLater = before != null && askedAt >= finalSince.get(job);
+        boolean askedLater = before != null && askedAt >= finalPhaseAt.get(job);
         boolean differs = before != null && before != phase;
         if (differs && (phase.terminal() || askedLater)) {
-            violated("went_back", job + " from " + before + " to " + phase);
+            recordViolation("went_back", job + " from " + before + " to " + phase);
         }
         if (before == null && phase.terminal()) {
             finalPhases.put(job, phase);
-            finalSince.put(job, loop.now());
+            finalPhaseAt.put(job, loop.now());
             if (phase == JobPhase.CANCELLED) {
                 cancelledAt.put(job, loop.now());
             } else {
@@ -139,13 +140,14 @@
     private void checkDone(String job) {
         int tasks = jobs.find(job).spec().tasks();
         if (doneTasks.getOrDefault(job, 0) < tasks) {
-            violated("not_done", job + " with " + doneTasks.getOrDefault(job, 0) + " of " + tasks);
+            recordViolation(
+                    "not_done", job + " with " + doneTasks.getOrDefault(job, 0) + " of " + tasks);
         }
     }
 
     /** A user was told that an accepted job is not known. */
     void forgotten(String job) {
-        violated("forgotten", job);
+        recordViolation("forgotten", job);
     }
 
     private void checkCancelled() {
@@ -153,7 +155,7 @@
         machineByTask.forEach(
                 (task, machine) -> {
                     if (cancelledAt.getOrDefault(task.job(), Double.MAX_VALUE) < latest) {
-                        violated("ran_cancelled", task + " on " + machine);
+                        recordViolation("ran_cancelled", task + " on " + machine);
                     }
                 });
     }
@@ -161,13 +163,13 @@
     /** The emulation is over: without a single start nothing was tested. */
     void finished() {
         if (starts == 0) {
-            violated("nothing_ran", "no task was started");
+            recordViolation("nothing_ran", "no task was started");
         }
     }
 
-    private void violated(String rule, String what) {
+    private void recordViolation(String rule, String what) {
         violationCount++;
-        if (violations.size() < MOST_KEPT) {
+        if (violations.size() < MAX_KEPT_VIOLATIONS) {
             violations.add(rule + ": " + what);
         }
     }
--- a/src/main/java/org/springmill/emulator/Scenario.java
+++ b/src/main/java/org/springmill/emulator/Scenario.java
@@ -25,8 +25,8 @@
         List<JobClass> jobs,
         Users users,
         Workers workers,
-        StateLimits state,
-        CloudLimits cloud,
+        StoreLimits storeLimits,
+        CloudLimits cloudLimits,
         List<Fault> faults,
         Optional<Serving> serving) {
 
@@ -71,7 +71,7 @@
      */
     public record JobClass(
             String name,
-            JobKind shape,
+            JobKind kind,
             Priority priority,
             int initial,
             double rampSeconds,
@@ -125,7 +125,7 @@
     public record Workers(double reportSeconds, double leaseSeconds, double cancelSeconds) {}
 
     /** Limits and latency of the key-value store. */
-    public record StateLimits(
+    public record StoreLimits(
             double requestsPerSecond,
             double writesPerSecond,
             double valueKb,
--- a/src/main/java/org/springmill/emulator/ScenarioFile.java
+++ b/src/main/java/org/springmill/emulator/ScenarioFile.java
@@ -21,7 +21,7 @@
 import org.springmill.emulator.Scenario.JobClass;
 import org.springmill.emulator.Scenario.MachineGroup;
 import org.springmill.emulator.Scenario.Serving;
-import org.springmill.emulator.Scenario.StateLimits;
+import org.springmill.emulator.Scenario.StoreLimits;
 import org.springmill.emulator.Scenario.Teams;
 import org.springmill.emulator.Scenario.Users;
 import org.springmill.emulator.Scenario.Workers;
@@ -230,9 +230,9 @@
         return workers;
     }
 
-    private static StateLimits state(Block block) throws SettingsException {
-        StateLimits limits =
-                new StateLimits(
+    private static StoreLimits state(Block block) throws SettingsException {
+        StoreLimits limits =
+                new StoreLimits(
                         block.number("requests_per_s", 150, 5, MANY),
                         block.number("writes_per_s", 60, 5, MANY),
                         block.number("value_kb", 8, 2, 64),
--- a/src/main/java/org/springmill/emulator/ServingEmulation.java
+++ b/src/main/java/org/springmill/emulator/ServingEmulation.java
@@ -41,7 +41,7 @@
         this.users = new ServingUsers(loop, client, serving, users, measurements, random);
         loans = new LoanSampler(loop, scenario, jobs);
         counters = new LoanCounters(loop, client, controllers);
-        users.onWithdrawal(loans::cancelled);
+        users.onCancellation(loans::cancelled);
     }
 
     /** The controllers are ready. */
@@ -83,12 +83,12 @@
         users.ended(task);
     }
 
-    void halted(TaskId task) {
-        loans.halted(task);
+    void stopCommanded(TaskId task) {
+        loans.stopCommanded(task);
     }
 
     /** Notes the state at a second. */
-    void note(int second) {
+    void sample(int second) {
         timeline.add(
                 new ServingPoint(
                         second,
--- a/src/main/java/org/springmill/emulator/ServingUsers.java
+++ b/src/main/java/org/springmill/emulator/ServingUsers.java
@@ -18,7 +18,7 @@
 
 /**
  * Stand-in users of a model: they send it requests at a rate that rises at once and falls again,
- * and submit and withdraw replicas as that rate asks for.
+ * and submit and cancel replicas to follow that rate.
  */
 final class ServingUsers {
     /** Path of a model server that answers requests. */
@@ -143,7 +143,7 @@
             users.submitService(replica);
         }
         while (replicas.size() > wanted) {
-            users.withdraw(replicas.removeLast());
+            users.cancelService(replicas.removeLast());
         }
         loop.after(SCALE_INTERVAL_SECONDS, this::scale);
     }
--- a/src/test/java/org/springmill/emulator/EmulationFailureTest.java
+++ b/src/test/java/org/springmill/emulator/EmulationFailureTest.java
@@ -26,7 +26,7 @@
 
     private static final class NoObserver implements EmulatedWorker.Observer {
         @Override
-        public void commanded(TaskId task) {}
+        public void startCommanded(TaskId task) {}
 
         @Override
         public void started(TaskId task, String machine, String address) {}
@@ -35,7 +35,7 @@
         public void ended(TaskId task, String machine, boolean done) {}
 
         @Override
-        public void halted(TaskId task) {}
+        public void stopCommanded(TaskId task) {}
 
         @Override
         public void cleared(String machine) {}
--- a/src/test/java/org/springmill/emulator/RuleCheckerTest.java
+++ b/src/test/java/org/springmill/emulator/RuleCheckerTest.java
@@ -75,10 +75,10 @@
 
     @Test
     void aJobThatRunsOnceAndIsDoneBreaksNothing() {
-        rules.told(JOB, JobPhase.QUEUED, clock.now());
+        rules.phaseReceived(JOB, JobPhase.QUEUED, clock.now());
         runBothTasks();
-        rules.told(JOB, JobPhase.DONE, clock.now());
-        rules.told(JOB, JobPhase.DONE, clock.now());
+        rules.phaseReceived(JOB, JobPhase.DONE, clock.now());
+        rules.phaseReceived(JOB, JobPhase.DONE, clock.now());
         clock.run(100);
         assertEquals(0, rules.violationCount());
         assertEquals(2, rules.ends());
@@ -114,7 +114,7 @@
     @Test
     void aTaskThatOutlivesItsJobsCancellationIsFound() {
         rules.started(TASK, MACHINE);
-        rules.told(JOB, JobPhase.CANCELLED, clock.now());
+        rules.phaseReceived(JOB, JobPhase.CANCELLED, clock.now());
         clock.run(43);
         assertEquals(0, rules.violationCount());
         clock.run(2);
@@ -125,14 +125,14 @@
     void aJobCalledDoneTooEarlyIsFound() {
         rules.started(TASK, MACHINE);
         rules.ended(TASK, MACHINE, true);
-        rules.told(JOB, JobPhase.DONE, clock.now());
+        rules.phaseReceived(JOB, JobPhase.DONE, clock.now());
         assertViolated("not_done");
     }
 
     @Test
     void aFinalStateThatChangesIsFound() {
-        rules.told(JOB, JobPhase.CANCELLED, clock.now());
-        rules.told(JOB, JobPhase.QUEUED, clock.now());
+        rules.phaseReceived(JOB, JobPhase.CANCELLED, clock.now());
+        rules.phaseReceived(JOB, JobPhase.QUEUED, clock.now());
         assertViolated("went_back");
     }
 
@@ -141,17 +141,17 @@
     void anAnswerToAQuestionAskedBeforeTheEndWasToldIsNoViolation() {
         double askedAt = clock.now();
         clock.run(1);
-        rules.told(JOB, JobPhase.CANCELLED, clock.now());
-        rules.told(JOB, JobPhase.RUNNING, askedAt);
+        rules.phaseReceived(JOB, JobPhase.CANCELLED, clock.now());
+        rules.phaseReceived(JOB, JobPhase.RUNNING, askedAt);
         assertEquals(0, rules.violationCount());
-        rules.told(JOB, JobPhase.DONE, askedAt);
+        rules.phaseReceived(JOB, JobPhase.DONE, askedAt);
         assertViolated("went_back");
     }
 
     @Test
     void aTaskThatStartsAfterItsJobWasCalledDoneIsFound() {
         runBothTasks();
-        rules.told(JOB, JobPhase.DONE, clock.now());
+        rules.phaseReceived(JOB, JobPhase.DONE, clock.now());
         rules.started(TASK, MACHINE);
         assertViolated("went_back");
     }
--- a/src/test/java/org/springmill/emulator/ScenarioFileTest.java
+++ b/src/test/java/org/springmill/emulator/ScenarioFileTest.java
@@ -69,7 +69,7 @@
     void aScenarioTakesFromItsBaseWhatItDoesNotSet() throws Exception {
         Scenario base = ScenarioFile.read(SCENARIOS.resolve("target.hcl"));
         Scenario half = ScenarioFile.read(SCENARIOS.resolve("target-half.hcl"));
-        assertEquals(base.state(), half.state());
+        assertEquals(base.storeLimits(), half.storeLimits());
         assertEquals(base.controllers(), half.controllers());
         assertEquals(1100, half.machineCount());
         assertEquals(base.jobs().get(0).images(), half.jobs().get(0).images());
--- a/src/test/java/org/springmill/emulator/ServingStandInsTest.java
+++ b/src/test/java/org/springmill/emulator/ServingStandInsTest.java
@@ -154,10 +154,10 @@
         assertEquals(0, sampler.below(), "its tasks ended by themselves");
         sampler.started(new TaskId(JOB, 0));
         sampler.started(new TaskId(JOB, 1));
-        sampler.halted(new TaskId(JOB, 0));
+        sampler.stopCommanded(new TaskId(JOB, 0));
         clock.run(1);
         assertEquals(0, sampler.below(), "that was a loan");
-        sampler.halted(new TaskId(JOB, 1));
+        sampler.stopCommanded(new TaskId(JOB, 1));
         clock.run(1);
         assertTrue(sampler.below() >= 19, sampler.below() + " samples");
         sampler.ended(new TaskId(JOB, 1));
