--- /dev/null
+++ b/src/main/java/org/springmill/emulator/ScenarioBlock.java
@@ -0,0 +1,131 @@
+package org.springmill.emulator;
+
+import java.nio.file.Path;
+import java.util.ArrayList;
+import java.util.HashSet;
+import java.util.List;
+import java.util.Locale;
+import java.util.Map;
+import java.util.Set;
+import java.util.TreeSet;
+import org.springmill.protocol.SettingsException;
+
+/**
+ * One block of a scenario file. It records the fields that were read, so that the unknown ones can
+ * be refused; each error names file, field and remedy.
+ */
+final class ScenarioBlock {
+    private final Path file;
+    private final String path;
+    private final Map<String, Object> fields;
+    private final Set<String> known = new HashSet<>();
+
+    ScenarioBlock(Path file, String path, Map<String, Object> fields) {
+        this.file = file;
+        this.path = path;
+        this.fields = fields;
+    }
+
+    /** The last name of the path of this block. */
+    String label() {
+        return path.substring(path.lastIndexOf('.') + 1);
+    }
+
+    private String pathOf(String field) {
+        return path.isEmpty() ? field : path + "." + field;
+    }
+
+    /** Whether a field is present; it counts as known from then on. */
+    boolean has(String field) {
+        known.add(field);
+        return fields.containsKey(field);
+    }
+
+    /** Reads a block within this one, which must be present. */
+    @SuppressWarnings("unchecked")
+    ScenarioBlock block(String field) throws SettingsException {
+        if (!has(field) || !(fields.get(field) instanceof Map<?, ?> map)) {
+            throw new SettingsException(
+                    file, pathOf(field), "is missing; add a block " + field + " { ... }");
+        }
+        return new ScenarioBlock(file, pathOf(field), (Map<String, Object>) map);
+    }
+
+    /** The blocks in this one, which are named by its fields. */
+    List<ScenarioBlock> children() throws SettingsException {
+        List<ScenarioBlock> children = new ArrayList<>();
+        for (String name : fields.keySet()) {
+            children.add(block(name));
+        }
+        return children;
+    }
+
+    /** Reads a number that must be present. */
+    double number(String field, double least, double most) throws SettingsException {
+        return number(field, Double.NaN, least, most);
+    }
+
+    /**
+     * Reads a number.
+     *
+     * @param absent the value where the field is absent; NaN if it must be present
+     */
+    double number(String field, double absent, double least, double most) throws SettingsException {
+        if (!has(field) && !Double.isNaN(absent)) {
+            return absent;
+        }
+        Object value = fields.get(field);
+        double number = value instanceof Number given ? given.doubleValue() : Double.NaN;
+        if (!(number >= least && number <= most)) {
+            throw new SettingsException(
+                    file,
+                    pathOf(field),
+                    "must be a number from " + plain(least) + " to " + plain(most));
+        }
+        return number;
+    }
+
+    private static String plain(double number) {
+        return number == Math.rint(number) ? Long.toString((long) number) : Double.toString(number);
+    }
+
+    /** Reads a text that must be present. */
+    String text(String field) throws SettingsException {
+        if (!has(field) || !(fields.get(field) instanceof String text) || text.isBlank()) {
+            throw new SettingsException(file, pathOf(field), "must be a text in quotes");
+        }
+        return text;
+    }
+
+    /** Reads the name of an enum constant, in any case of letters. */
+    <T extends Enum<T>> T oneOf(String field, Class<T> type) throws SettingsException {
+        String name = text(field).toUpperCase(Locale.ROOT);
+        Set<String> names = new TreeSet<>();
+        for (T value : type.getEnumConstants()) {
+            if (value.name().equals(name)) {
+                return value;
+            }
+            names.add(value.name().toLowerCase(Locale.ROOT));
+        }
+        throw new SettingsException(
+                file, pathOf(field), "must be one of " + String.join(", ", names));
+    }
+
+    /**
+     * Refuses fields that were not read.
+     *
+     * @throws SettingsException if there is one
+     */
+    void refuseUnknown() throws SettingsException {
+        for (String field : fields.keySet()) {
+            if (!known.contains(field)) {
+                throw new SettingsException(
+                        file,
+                        pathOf(field),
+                        "is not known; use one of "
+                                + String.join(", ", new TreeSet<>(known))
+                                + " or remove it");
+            }
+        }
+    }
+}
--- a/src/main/java/org/springmill/emulator/ScenarioFile.java
+++ b/src/main/java/org/springmill/emulator/ScenarioFile.java
@@ -6,14 +6,10 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.ArrayList;
-import java.util.HashSet;
 import java.util.List;
-import java.util.Locale;
 import java.util.Map;
 import java.util.Optional;
 import java.util.OptionalLong;
-import java.util.Set;
-import java.util.TreeSet;
 import org.springmill.emulator.Scenario.CloudLimits;
 import org.springmill.emulator.Scenario.Controllers;
 import org.springmill.emulator.Scenario.Fault;
@@ -65,13 +61,13 @@
         ScenarioFile scenario = new ScenarioFile(file);
         Map<String, Object> fields = ScenarioBase.read(file);
         seed.ifPresent(number -> fields.put("seed", number));
-        Block root = new Block(file, "", fields);
+        ScenarioBlock root = new ScenarioBlock(file, "", fields);
         Scenario read = scenario.scenario(root);
         root.refuseUnknown();
         return read;
     }
 
-    private Scenario scenario(Block root) throws SettingsException {
+    private Scenario scenario(ScenarioBlock root) throws SettingsException {
         String fileName = file.getFileName().toString();
         Scenario scenario =
                 new Scenario(
@@ -98,7 +94,7 @@
         return scenario;
     }
 
-    private Controllers controllers(Block block) throws SettingsException {
+    private Controllers controllers(ScenarioBlock block) throws SettingsException {
         String run = block.has("run") ? block.text("run") : runLine();
         if (block.has("operator")) {
             run = run.replaceFirst(CONFIG_OPTION, "--operator " + block.text("operator") + " $0");
@@ -127,9 +123,9 @@
         }
     }
 
-    private static List<MachineGroup> machines(Block block) throws SettingsException {
+    private static List<MachineGroup> machines(ScenarioBlock block) throws SettingsException {
         List<MachineGroup> groups = new ArrayList<>();
-        for (Block group : block.children()) {
+        for (ScenarioBlock group : block.children()) {
             groups.add(
                     new MachineGroup(
                             group.label(),
@@ -144,7 +140,7 @@
         return groups;
     }
 
-    private static Teams teams(Block block) throws SettingsException {
+    private static Teams teams(ScenarioBlock block) throws SettingsException {
         Teams teams =
                 new Teams(
                         (int) block.number("number", 1, 1000),
@@ -156,16 +152,16 @@
         return teams;
     }
 
-    private static List<JobClass> jobs(Block block) throws SettingsException {
+    private static List<JobClass> jobs(ScenarioBlock block) throws SettingsException {
         List<JobClass> classes = new ArrayList<>();
-        for (Block job : block.children()) {
+        for (ScenarioBlock job : block.children()) {
             classes.add(jobClass(job));
             job.refuseUnknown();
         }
         return classes;
     }
 
-    private static JobClass jobClass(Block job) throws SettingsException {
+    private static JobClass jobClass(ScenarioBlock job) throws SettingsException {
         int minTasks = (int) job.number("min_tasks", 1, 1, 100_000);
         return new JobClass(
                 job.label(),
@@ -188,11 +184,11 @@
                 (int) job.number("team", -1, 0, 1000));
     }
 
-    private static Optional<Serving> serving(Block root) throws SettingsException {
+    private static Optional<Serving> serving(ScenarioBlock root) throws SettingsException {
         if (!root.has("serving")) {
             return Optional.empty();
         }
-        Block block = root.block("serving");
+        ScenarioBlock block = root.block("serving");
         Serving serving =
                 new Serving(
                         (int) block.number("team", 0, 0, 1000),
@@ -211,7 +207,7 @@
         return Optional.of(serving);
     }
 
-    private static Users users(Block block) throws SettingsException {
+    private static Users users(ScenarioBlock block) throws SettingsException {
         Users users =
                 new Users(
                         block.number("poll_s", 5, 0.5, 3600),
@@ -220,7 +216,7 @@
         return users;
     }
 
-    private static Workers workers(Block block) throws SettingsException {
+    private static Workers workers(ScenarioBlock block) throws SettingsException {
         Workers workers =
                 new Workers(
                         block.number("report_s", 4, 0.5, 600),
@@ -230,7 +226,7 @@
         return workers;
     }
 
-    private static StoreLimits state(Block block) throws SettingsException {
+    private static StoreLimits state(ScenarioBlock block) throws SettingsException {
         StoreLimits limits =
                 new StoreLimits(
                         block.number("requests_per_s", 150, 5, MANY),
@@ -242,7 +238,7 @@
         return limits;
     }
 
-    private static CloudLimits cloud(Block block) throws SettingsException {
+    private static CloudLimits cloud(ScenarioBlock block) throws SettingsException {
         CloudLimits limits =
                 new CloudLimits(
                         block.number("requests_per_s", 4, 0.1, MANY),
@@ -251,10 +247,10 @@
         return limits;
     }
 
-    private static List<Fault> faults(Block root) throws SettingsException {
+    private static List<Fault> faults(ScenarioBlock root) throws SettingsException {
         List<Fault> faults = new ArrayList<>();
         if (root.has("faults")) {
-            for (Block fault : root.block("faults").children()) {
+            for (ScenarioBlock fault : root.block("faults").children()) {
                 faults.add(
                         new Fault(
                                 fault.label(),
@@ -267,111 +263,4 @@
         }
         return faults;
     }
-
-    /** One block of the file, which remembers the fields that were asked for. */
-    private static final class Block {
-        private final Path file;
-        private final String path;
-        private final Map<String, Object> fields;
-        private final Set<String> known = new HashSet<>();
-
-        Block(Path file, String path, Map<String, Object> fields) {
-            this.file = file;
-            this.path = path;
-            this.fields = fields;
-        }
-
-        String label() {
-            return path.substring(path.lastIndexOf('.') + 1);
-        }
-
-        private String pathOf(String field) {
-            return path.isEmpty() ? field : path + "." + field;
-        }
-
-        boolean has(String field) {
-            known.add(field);
-            return fields.containsKey(field);
-        }
-
-        @SuppressWarnings("unchecked")
-        Block block(String field) throws SettingsException {
-            if (!has(field) || !(fields.get(field) instanceof Map<?, ?> map)) {
-                throw new SettingsException(
-                        file, pathOf(field), "is missing; add a block " + field + " { ... }");
-            }
-            return new Block(file, pathOf(field), (Map<String, Object>) map);
-        }
-
-        /** The blocks in this one, which are named by its fields. */
-        List<Block> children() throws SettingsException {
-            List<Block> children = new ArrayList<>();
-            for (String name : fields.keySet()) {
-                children.add(block(name));
-            }
-            return children;
-        }
-
-        double number(String field, double least, double most) throws SettingsException {
-            return number(field, Double.NaN, least, most);
-        }
-
-        /**
-         * @param absent what counts where the field is absent; not a number if it must be there
-         */
-        double number(String field, double absent, double least, double most)
-                throws SettingsException {
-            if (!has(field) && !Double.isNaN(absent)) {
-                return absent;
-            }
-            Object value = fields.get(field);
-            double number = value instanceof Number given ? given.doubleValue() : Double.NaN;
-            if (!(number >= least && number <= most)) {
-                throw new SettingsException(
-                        file,
-                        pathOf(field),
-                        "must be a number from " + plain(least) + " to " + plain(most));
-            }
-            return number;
-        }
-
-        private static String plain(double number) {
-            return number == Math.rint(number)
-                    ? Long.toString((long) number)
-                    : Double.toString(number);
-        }
-
-        String text(String field) throws SettingsException {
-            if (!has(field) || !(fields.get(field) instanceof String text) || text.isBlank()) {
-                throw new SettingsException(file, pathOf(field), "must be a text in quotes");
-            }
-            return text;
-        }
-
-        <T extends Enum<T>> T oneOf(String field, Class<T> type) throws SettingsException {
-            String name = text(field).toUpperCase(Locale.ROOT);
-            Set<String> names = new TreeSet<>();
-            for (T value : type.getEnumConstants()) {
-                if (value.name().equals(name)) {
-                    return value;
-                }
-                names.add(value.name().toLowerCase(Locale.ROOT));
-            }
-            throw new SettingsException(
-                    file, pathOf(field), "must be one of " + String.join(", ", names));
-        }
-
-        void refuseUnknown() throws SettingsException {
-            for (String field : fields.keySet()) {
-                if (!known.contains(field)) {
-                    throw new SettingsException(
-                            file,
-                            pathOf(field),
-                            "is not known; use one of "
-                                    + String.join(", ", new TreeSet<>(known))
-                                    + " or remove it");
-                }
-            }
-        }
-    }
 }
