--- a/src/main/java/org/springmill/emulator/EmulatedKeyValueStore.java
+++ b/src/main/java/org/springmill/emulator/EmulatedKeyValueStore.java
@@ -7,6 +7,7 @@
 import java.util.HashSet;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.Set;
 import java.util.TreeMap;
 import java.util.function.Consumer;
@@ -29,9 +30,9 @@
 import org.springmill.transport.HttpClient.Reply;
 
 /**
- * A key-value store by the published protocol: keys with versions, transactions, leases and
- * watches, with its limits of size and its outages. Limits of rate are kept by whoever passes
- * requests on.
+ * A key-value store by the published protocol: versioned keys, compare-and-swap transactions,
+ * leases and watches, with size limits and outages. The rate limits are those of the server in
+ * front of it.
  */
 public final class EmulatedKeyValueStore {
     private static final int MAX_CHANGES_KEPT = 10_000;
@@ -68,13 +69,13 @@
         }
     }
 
-    /** An open watch of a node; overdue once its time ran out while the node was not served. */
+    /** An open watch of a node; overdue once it has timed out while the node was not served. */
     private static final class OpenWatch {
         private final String node;
         private final Watch watch;
         private final Consumer<Reply> done;
         private boolean overdue;
-        private boolean over;
+        private boolean completed;
 
         OpenWatch(String node, Watch watch, Consumer<Reply> done) {
             this.node = node;
@@ -83,25 +84,31 @@
         }
     }
 
+    /**
+     * An empty store.
+     *
+     * @param valueBytes the largest value in bytes
+     * @param writesPerCommit the most writes of one transaction
+     */
     public EmulatedKeyValueStore(EventLoop loop, int valueBytes, int writesPerCommit) {
         this.loop = loop;
         this.valueBytes = valueBytes;
         this.writesPerCommit = writesPerCommit;
     }
 
-    /** Begins to end leases that run out. */
+    /** Begins to end expired leases, at regular intervals. */
     public void start() {
         expireLeases();
         loop.after(EXPIRY_INTERVAL_SECONDS, this::start);
     }
 
-    /** Other limits from now on, without notice. What is stored stays. */
+    /** Changes the size limits from now on. Stored values stay. */
     public void limit(int bytes, int writes) {
         valueBytes = bytes;
         writesPerCommit = writes;
     }
 
-    /** Transactions refused for their size so far. */
+    /** Transactions rejected for their size so far. */
     public int tooLarge() {
         return tooLarge;
     }
@@ -111,7 +118,7 @@
         return keys.size();
     }
 
-    /** An outage; once it is over every lease has its full time again. */
+    /** Begins or ends an outage; at its end every lease is renewed. */
     public void setDown(boolean nowDown) {
         expireLeases();
         if (down && !nowDown) {
@@ -121,13 +128,14 @@
         serveWatches();
     }
 
+    /** Whether there is an outage. */
     public boolean down() {
         return down;
     }
 
     /**
-     * Answers one node 503 while the others are served; its leases run out, and its open watches
-     * wait.
+     * Answers one node with 503 while the others are served; its leases expire, and its open
+     * watches wait.
      */
     public void refuse(String node, boolean now) {
         if (now) {
@@ -144,7 +152,7 @@
         setDown(false);
     }
 
-    /** The changes so far are no longer kept: whoever asks for them has to read the keys anew. */
+    /** Compacts the history: watches from earlier revisions get 410 and have to list the keys. */
     public void forgetChanges() {
         changes.clear();
         compactedRevision = revision;
@@ -240,15 +248,15 @@
     }
 
     private Reply commit(Commit commit) {
-        String malformed = rejection(commit);
-        if (malformed != null) {
-            return new Reply(400, KeyValueStoreServerMessages.error(malformed));
+        Optional<String> rejection = rejection(commit);
+        if (rejection.isPresent()) {
+            return new Reply(400, KeyValueStoreServerMessages.error(rejection.get()));
         }
-        boolean leaseEnded =
+        boolean leaseExpired =
                 commit.writes().stream()
                         .anyMatch(
                                 write -> write.lease() != 0 && !leases.containsKey(write.lease()));
-        if (leaseEnded) {
+        if (leaseExpired) {
             return new Reply(400, KeyValueStoreServerMessages.noSuchLease());
         }
         List<String> failed =
@@ -267,7 +275,8 @@
         return new Reply(200, KeyValueStoreServerMessages.revision(revision));
     }
 
-    private String rejection(Commit commit) {
+    /** Why a transaction is rejected for its size; empty if it is not. */
+    private Optional<String> rejection(Commit commit) {
         boolean large =
                 commit.writes().size() > writesPerCommit
                         || commit.conditions().size() > CONDITIONS_PER_WRITE * writesPerCommit
@@ -280,9 +289,9 @@
                                                 && Json.bytes(write.value()).length > valueBytes);
         if (large || largeValue) {
             tooLarge++;
-            return large ? "transaction too large" : "value too large";
+            return Optional.of(large ? "transaction too large" : "value too large");
         }
-        return null;
+        return Optional.empty();
     }
 
     private long version(String key) {
@@ -327,17 +336,17 @@
         }
     }
 
-    /** Leases do not run while the service is down. */
+    /** Leases do not expire during an outage. */
     private void expireLeases() {
         if (down) {
             return;
         }
-        List<Long> ended =
+        List<Long> expired =
                 leases.entrySet().stream()
                         .filter(lease -> lease.getValue().endsAt < loop.now())
                         .map(Map.Entry::getKey)
                         .toList();
-        ended.forEach(this::endLease);
+        expired.forEach(this::endLease);
     }
 
     private void watch(String node, Watch request, Consumer<Reply> done) {
@@ -364,26 +373,26 @@
         }
     }
 
-    private boolean serve(OpenWatch open, boolean evenIfEmpty) {
-        if (open.over || !serves(open.node)) {
-            return open.over;
+    private boolean serve(OpenWatch open, boolean answerIfEmpty) {
+        if (open.completed || !serves(open.node)) {
+            return open.completed;
         }
         Watch watch = open.watch;
         if (watch.from() < compactedRevision) {
-            open.over = true;
+            open.completed = true;
             open.done.accept(new Reply(410, KeyValueStoreServerMessages.revision(revision)));
             return true;
         }
         List<Change> found = changesAfter(watch.from(), watch.prefix());
-        if (found.isEmpty() && !evenIfEmpty) {
+        if (found.isEmpty() && !answerIfEmpty) {
             return false;
         }
-        open.over = true;
+        open.completed = true;
         open.done.accept(new Reply(200, KeyValueStoreServerMessages.changes(found, revision)));
         return true;
     }
 
-    /** From the latest back: a watch mostly asks for few of all that are kept. */
+    /** Searched from the latest backwards: a watch mostly asks for few of all that are kept. */
     private List<Change> changesAfter(long from, String prefix) {
         ArrayDeque<Change> found = new ArrayDeque<>();
         var latestFirst = changes.descendingIterator();
--- a/src/main/java/org/springmill/emulator/EmulatedKeyValueStoreServer.java
+++ b/src/main/java/org/springmill/emulator/EmulatedKeyValueStoreServer.java
@@ -15,7 +15,7 @@
 import org.springmill.transport.HttpClient.Reply;
 import org.springmill.transport.HttpHandler;
 
-/** Serves the emulated key-value store over HTTP, with its latency and its limits of rate. */
+/** Serves the emulated key-value store over HTTP, with its latency and its rate limits. */
 final class EmulatedKeyValueStoreServer implements HttpHandler {
     private static final String ANYBODY = "";
 
@@ -23,19 +23,19 @@
     private final EmulatedKeyValueStore store;
     private final Measurements measurements;
     private final double latencySeconds;
-    private final Bucket requests;
-    private final Bucket writes;
+    private final TokenBucket requests;
+    private final TokenBucket writes;
     private long served;
     private long written;
     private long refusedForRate;
 
-    /** A bucket worth one second, as the protocol has it. */
-    private static final class Bucket {
+    /** A token bucket that holds the tokens of one second, as the protocol specifies. */
+    private static final class TokenBucket {
         private final double perSecond;
         private double left;
         private double filledAt;
 
-        Bucket(double perSecond, double now) {
+        TokenBucket(double perSecond, double now) {
             this.perSecond = perSecond;
             left = perSecond;
             filledAt = now;
@@ -61,8 +61,8 @@
         this.store = store;
         this.measurements = measurements;
         latencySeconds = limits.latencySeconds();
-        requests = new Bucket(limits.requestsPerSecond(), loop.now());
-        writes = new Bucket(limits.writesPerSecond(), loop.now());
+        requests = new TokenBucket(limits.requestsPerSecond(), loop.now());
+        writes = new TokenBucket(limits.writesPerSecond(), loop.now());
     }
 
     @Override
