--- a/src/main/java/org/springmill/emulator/EmulatedFleet.java
+++ b/src/main/java/org/springmill/emulator/EmulatedFleet.java
@@ -39,7 +39,7 @@
 
     /**
      * @param network second number of the addresses on loopback
-     * @param onFailure told, on a worker's loop, of a worker that cannot listen
+     * @param onFailure called on a worker's loop with the error of a worker that cannot listen
      */
     EmulatedFleet(
             Environment environment,
@@ -111,7 +111,7 @@
                 .toList();
     }
 
-    /** Machines fall silent with all that runs on them, or come back with nothing. */
+    /** Machines fail with all of their tasks, or restart without any. */
     void setSilent(List<String> names, boolean silent) {
         for (String name : names) {
             Placed placed = workers.get(name);
--- a/src/main/java/org/springmill/emulator/Emulation.java
+++ b/src/main/java/org/springmill/emulator/Emulation.java
@@ -176,7 +176,7 @@
                 scenario, addresses, numbers, jobs, measurements, new ObserverOnLoop());
     }
 
-    /** Passes on what happens on workers to the loop that checks the rules. */
+    /** Passes events on workers on to the event loop that checks the rules. */
     private final class ObserverOnLoop implements EmulatedWorker.Observer {
         @Override
         public void startCommanded(TaskId task) {
@@ -220,8 +220,8 @@
             loop.after(
                     0,
                     () -> {
-                        Set<TaskId> gone = rules.cleared(machine);
-                        serving.ifPresent(part -> gone.forEach(part::ended));
+                        Set<TaskId> lostTasks = rules.cleared(machine);
+                        serving.ifPresent(part -> lostTasks.forEach(part::ended));
                     });
         }
     }
--- a/src/main/java/org/springmill/emulator/LoanSampler.java
+++ b/src/main/java/org/springmill/emulator/LoanSampler.java
@@ -12,8 +12,8 @@
 
 /**
  * Looks every 50 ms at what the teams have on machines: whether one was pushed below its
- * entitlement or runs above its limit, and how many GPUs stand idle. A team is pushed below if
- * tasks of it that nobody cancelled were halted, until it has again what it had of its guarantee.
+ * entitlement or runs above its limit, and how many GPUs are idle. A team is pushed below if tasks
+ * of it that nobody cancelled were stopped, until it has again what it had of its guarantee.
  */
 final class LoanSampler {
     private static final double INTERVAL_SECONDS = 0.05;
@@ -23,7 +23,7 @@
     private final Scenario scenario;
     private final JobRegistry jobs;
     private final Map<TaskId, Submission> onMachines = new HashMap<>();
-    private final Set<TaskId> stopCommanded = new HashSet<>();
+    private final Set<TaskId> stopping = new HashSet<>();
 
     /** What teams that were pushed below it were entitled to. */
     private final Map<String, Double> entitlements = new HashMap<>();
@@ -63,22 +63,22 @@
 
     void ended(TaskId task) {
         onMachines.remove(task);
-        stopCommanded.remove(task);
+        stopping.remove(task);
     }
 
-    /** A user calls a job off: halts of its tasks take nothing from its team. */
+    /** A user cancels a job: stopping its tasks takes nothing from its team. */
     void cancelled(String job) {
         cancelledJobs.add(job);
     }
 
-    /** A task was told to stop. */
+    /** A stop command for a task has arrived. */
     void stopCommanded(TaskId task) {
         Submission spec = onMachines.get(task);
-        if (spec == null || cancelledJobs.contains(task.job()) || stopCommanded.contains(task)) {
+        if (spec == null || cancelledJobs.contains(task.job()) || stopping.contains(task)) {
             return;
         }
         double before = stayingGpus(spec.team());
-        stopCommanded.add(task);
+        stopping.add(task);
         // What it had of its guarantee is what it was entitled to: it asks for all it ran.
         double entitlement = Math.min(scenario.teams().gpus(), before);
         if (before - spec.gpus() < entitlement - TOLERANCE) {
@@ -89,7 +89,7 @@
     private double stayingGpus(String team) {
         double gpus = 0;
         for (Map.Entry<TaskId, Submission> entry : onMachines.entrySet()) {
-            if (entry.getValue().team().equals(team) && !stopCommanded.contains(entry.getKey())) {
+            if (entry.getValue().team().equals(team) && !stopping.contains(entry.getKey())) {
                 gpus += entry.getValue().gpus();
             }
         }
@@ -101,7 +101,7 @@
         Map<String, Double> used = gpusByTeam();
         onMachines.forEach(
                 (task, spec) -> {
-                    if (!stopCommanded.contains(task)) {
+                    if (!stopping.contains(task)) {
                         staying.merge(spec.team(), spec.gpus(), Double::sum);
                     }
                 });
--- a/src/main/java/org/springmill/emulator/RuleChecker.java
+++ b/src/main/java/org/springmill/emulator/RuleChecker.java
@@ -13,8 +13,8 @@
 import org.springmill.transport.EventLoop;
 
 /**
- * Watches from outside that the protocol's rules hold: by what is on machines and by what users are
- * told. Lives on one loop, to which all others pass on what they see.
+ * Checks from outside that the protocol's rules hold: by the tasks that are on machines and by the
+ * phases that users receive. Runs on one event loop, to which all others pass on their events.
  */
 final class RuleChecker {
     private static final int MAX_KEPT_VIOLATIONS = 100;
@@ -84,16 +84,16 @@
     }
 
     /**
-     * A machine is gone, or its worker's lease has ended: nothing is on it any more. Returns the
-     * tasks that were.
+     * A machine was deleted, or its worker's lease has expired: no task is on it any more. Returns
+     * the tasks that were.
      */
     Set<TaskId> cleared(String machine) {
-        Set<TaskId> gone = Set.copyOf(tasksByMachine.getOrDefault(machine, Set.of()));
-        for (TaskId task : gone) {
+        Set<TaskId> lostTasks = Set.copyOf(tasksByMachine.getOrDefault(machine, Set.of()));
+        for (TaskId task : lostTasks) {
             lost++;
             ended(task, machine, false);
         }
-        return gone;
+        return lostTasks;
     }
 
     private void charge(Submission spec, int sign) {
@@ -114,10 +114,10 @@
     }
 
     /**
-     * A user was told a phase. Answers may overtake each other, but no question asked after a final
-     * phase was told may be answered with less.
+     * A user received a phase. Responses may overtake each other, but no request that was sent
+     * after a final phase was received may be answered with another phase.
      *
-     * @param askedAt when the question was sent
+     * @param askedAt when the request was sent, in seconds
      */
     void phaseReceived(String job, JobPhase phase, double askedAt) {
         JobPhase before = finalPhases.get(job);
@@ -145,7 +145,7 @@
         }
     }
 
-    /** A user was told that an accepted job is not known. */
+    /** A user received that an accepted job is not known. */
     void forgotten(String job) {
         recordViolation("forgotten", job);
     }
@@ -196,7 +196,7 @@
         return ends;
     }
 
-    /** Tasks that went with their machine or with a worker's lease. */
+    /** Tasks that ended with their machine or at the expiry of its worker's lease. */
     long lost() {
         return lost;
     }
