--- /dev/null
+++ b/src/test/java/org/springmill/architecture/DocumentedNamesTest.java
@@ -0,0 +1,238 @@
+package org.springmill.architecture;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.io.IOException;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Locale;
+import java.util.regex.Matcher;
+import java.util.regex.Pattern;
+import java.util.stream.Stream;
+import org.junit.jupiter.api.BeforeAll;
+import org.junit.jupiter.api.Test;
+
+/**
+ * Documents name what exists: each class, member and package that stands in {@code code font} in
+ * the README or in a page of docs is one of the sources, and each link leads to a file and heading.
+ *
+ * <p>Records of the past (docs/records, docs/incidents) keep the names of their time, so only their
+ * links are checked.
+ */
+class DocumentedNamesTest {
+    private static final Path README = Path.of("README.md");
+    private static final Path DOCS = Path.of("docs");
+    private static final List<Path> FOLDERS_OF_RECORDS =
+            List.of(DOCS.resolve("records"), DOCS.resolve("incidents"));
+
+    private static final Pattern CODE_SPAN = Pattern.compile("`([^`]+)`");
+
+    /** {@code Type} or {@code Type.member}, where a {@code *} stands for any part of a name. */
+    private static final Pattern TYPE_OR_MEMBER =
+            Pattern.compile(
+                    "([A-Z][A-Za-z0-9*]*[a-z][A-Za-z0-9*]*(?:\\.[A-Za-z]\\w*)*)(?:\\([^)]*\\))?");
+
+    /** A name of a function that says a whole sentence, as tests have. */
+    private static final Pattern FUNCTION =
+            Pattern.compile("([a-z][a-z0-9]*(?:[A-Z][a-z0-9]*){3,})(?:\\([^)]*\\))?");
+
+    private static final Pattern PACKAGE = Pattern.compile("(org\\.springmill[A-Za-z.]*)");
+
+    private static final Pattern LINK = Pattern.compile("\\]\\(([^)\\s]+)\\)");
+    private static final Pattern PATH_OF_PAGE = Pattern.compile("\\bdocs/[\\w/-]+\\.md\\b");
+
+    private static SourceNames names;
+
+    @BeforeAll
+    static void readSources() throws IOException {
+        names = SourceNames.read();
+    }
+
+    @Test
+    void namesInCodeFontExistInTheSources() throws IOException {
+        List<String> unknown = new ArrayList<>();
+        int checked = 0;
+        for (Path page : currentPages()) {
+            for (Line line : proseLines(page)) {
+                checked += checkNames(line, unknown);
+            }
+        }
+        assertTrue(checked > 0, "no name in code font was found");
+        assertEquals(List.of(), unknown);
+    }
+
+    @Test
+    void linksLeadToFilesAndHeadings() throws IOException {
+        List<String> broken = new ArrayList<>();
+        int checked = 0;
+        for (Path page : allPages()) {
+            for (Line line : proseLines(page)) {
+                checked += checkLinks(line, broken);
+            }
+        }
+        assertTrue(checked > 0, "no link was found");
+        assertEquals(List.of(), broken);
+    }
+
+    @Test
+    void pagesThatAreNamedByTheirPathExist() throws IOException {
+        List<String> absent = new ArrayList<>();
+        for (Path page : currentPages()) {
+            for (Line line : proseLines(page)) {
+                Matcher path = PATH_OF_PAGE.matcher(line.text());
+                while (path.find()) {
+                    if (!Files.exists(Path.of(path.group()))) {
+                        absent.add(line.at(path.group()));
+                    }
+                }
+            }
+        }
+        assertEquals(List.of(), absent);
+    }
+
+    /** Else a mistake in the patterns above would let every document pass. */
+    @Test
+    void wrongNamesAreFoundAndOrdinaryWordsAreNot() {
+        List<String> wrong =
+                List.of(
+                        "`NoSuchClass`",
+                        "`Nosuchclass`",
+                        "`SourceNames.noSuchMember`",
+                        "`SourceNames.noSuchMember(Path)`",
+                        "`NoSuch*Test`",
+                        "`aTestThatWasNeverWritten`",
+                        "`org.springmill.nosuchpackage`");
+        List<String> right =
+                List.of(
+                        "`SourceNames`",
+                        "`SourceNames.read`",
+                        "`SourceNames.read()`",
+                        "`Documented*Test`",
+                        "`wrongNamesAreFoundAndOrdinaryWordsAreNot`",
+                        "`org.springmill.architecture`",
+                        "`lease_s`, `leader`, `waitsOn`, `job/<id>`, `SENT -> RUNNING`, `LOG_LEVEL`",
+                        "`Retry-After`, `springmill_leading`, `mvn -B verify`, `GET /metrics`");
+
+        List<String> unknown = new ArrayList<>();
+        wrong.forEach(text -> checkNames(new Line(README, 1, text), unknown));
+        assertEquals(wrong.stream().map(text -> "README.md:1: " + text).toList(), unknown);
+
+        List<String> none = new ArrayList<>();
+        right.forEach(text -> checkNames(new Line(README, 1, text), none));
+        assertEquals(List.of(), none);
+    }
+
+    /** A line of a page. */
+    private record Line(Path page, int number, String text) {
+        String at(String what) {
+            return page + ":" + number + ": " + what;
+        }
+    }
+
+    /** Checks the names in a line, and returns how many there were. */
+    private static int checkNames(Line line, List<String> unknown) {
+        int checked = 0;
+        Matcher span = CODE_SPAN.matcher(line.text());
+        while (span.find()) {
+            String text = span.group(1);
+            if (isName(text)) {
+                checked++;
+                if (!exists(text)) {
+                    unknown.add(line.at(span.group()));
+                }
+            }
+        }
+        return checked;
+    }
+
+    private static boolean isName(String text) {
+        return Stream.of(TYPE_OR_MEMBER, FUNCTION, PACKAGE)
+                .anyMatch(pattern -> pattern.matcher(text).matches());
+    }
+
+    private static boolean exists(String text) {
+        if (PACKAGE.matcher(text).matches()) {
+            return names.hasPackage(text);
+        }
+        Matcher type = TYPE_OR_MEMBER.matcher(text);
+        if (type.matches()) {
+            return names.hasTypeOrMember(type.group(1));
+        }
+        Matcher function = FUNCTION.matcher(text);
+        return function.matches() && names.hasMemberAnywhere(function.group(1));
+    }
+
+    private static int checkLinks(Line line, List<String> broken) throws IOException {
+        int checked = 0;
+        Matcher link = LINK.matcher(line.text());
+        while (link.find()) {
+            String target = link.group(1);
+            if (!target.contains("://")) {
+                checked++;
+                if (!leadsSomewhere(line.page(), target)) {
+                    broken.add(line.at(target));
+                }
+            }
+        }
+        return checked;
+    }
+
+    private static boolean leadsSomewhere(Path page, String target) throws IOException {
+        String[] pathAndHeading = target.split("#", 2);
+        Path path =
+                pathAndHeading[0].isEmpty() ? page : page.resolveSibling(pathAndHeading[0]);
+        if (!Files.exists(path)) {
+            return false;
+        }
+        return pathAndHeading.length == 1 || headings(path).contains(pathAndHeading[1]);
+    }
+
+    /** The anchors that readers of Markdown make of a page's headings. */
+    private static List<String> headings(Path page) throws IOException {
+        return proseLines(page).stream()
+                .map(Line::text)
+                .filter(text -> text.startsWith("#"))
+                .map(text -> text.replaceFirst("^#+ ", "").toLowerCase(Locale.ROOT))
+                .map(text -> text.replaceAll("[^\\w\\- ]", "").replace(' ', '-'))
+                .toList();
+    }
+
+    /** The lines of a page without those of fenced or indented blocks of code. */
+    private static List<Line> proseLines(Path page) throws IOException {
+        List<Line> lines = new ArrayList<>();
+        boolean fenced = false;
+        int number = 0;
+        for (String text : Files.readAllLines(page)) {
+            number++;
+            if (text.strip().startsWith("```")) {
+                fenced = !fenced;
+            } else if (!fenced && !text.startsWith("    ")) {
+                lines.add(new Line(page, number, text));
+            }
+        }
+        return lines;
+    }
+
+    private static List<Path> currentPages() throws IOException {
+        List<Path> pages = new ArrayList<>(List.of(README));
+        pages.addAll(pagesIn(DOCS));
+        return pages;
+    }
+
+    private static List<Path> allPages() throws IOException {
+        List<Path> pages = currentPages();
+        for (Path folder : FOLDERS_OF_RECORDS) {
+            pages.addAll(pagesIn(folder));
+        }
+        return pages;
+    }
+
+    private static List<Path> pagesIn(Path folder) throws IOException {
+        try (Stream<Path> files = Files.list(folder)) {
+            return files.filter(file -> file.toString().endsWith(".md")).sorted().toList();
+        }
+    }
+}
--- /dev/null
+++ b/src/test/java/org/springmill/architecture/SourceNames.java
@@ -0,0 +1,126 @@
+package org.springmill.architecture;
+
+import com.sun.source.tree.ClassTree;
+import com.sun.source.tree.CompilationUnitTree;
+import com.sun.source.tree.MethodTree;
+import com.sun.source.tree.Tree;
+import com.sun.source.tree.VariableTree;
+import com.sun.source.util.JavacTask;
+import com.sun.source.util.TreeScanner;
+import java.io.IOException;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.util.ArrayList;
+import java.util.HashMap;
+import java.util.HashSet;
+import java.util.List;
+import java.util.Map;
+import java.util.Set;
+import java.util.regex.Pattern;
+import java.util.stream.Stream;
+import javax.tools.JavaCompiler;
+import javax.tools.StandardJavaFileManager;
+import javax.tools.ToolProvider;
+
+/** The packages, types and members that the sources declare, those of the tests included. */
+final class SourceNames {
+    private static final List<Path> ROOTS = List.of(Path.of("src/main/java"), Path.of("src/test/java"));
+
+    private final Set<String> packages = new HashSet<>();
+
+    /** Members of each type, nested types included; types of the same simple name share an entry. */
+    private final Map<String, Set<String>> membersByType = new HashMap<>();
+
+    private SourceNames() {}
+
+    /** Parses all sources. */
+    static SourceNames read() throws IOException {
+        SourceNames names = new SourceNames();
+        List<Path> sources = new ArrayList<>();
+        for (Path root : ROOTS) {
+            try (Stream<Path> tree = Files.walk(root)) {
+                tree.filter(path -> path.toString().endsWith(".java")).forEach(sources::add);
+            }
+        }
+        JavaCompiler compiler = ToolProvider.getSystemJavaCompiler();
+        try (StandardJavaFileManager files = compiler.getStandardFileManager(null, null, null)) {
+            JavacTask task =
+                    (JavacTask)
+                            compiler.getTask(
+                                    null,
+                                    files,
+                                    null,
+                                    null,
+                                    null,
+                                    files.getJavaFileObjectsFromPaths(sources));
+            for (CompilationUnitTree unit : task.parse()) {
+                names.collect(unit);
+            }
+        }
+        return names;
+    }
+
+    private void collect(CompilationUnitTree unit) {
+        packages.add(unit.getPackageName().toString());
+        TreeScanner<Void, Void> scanner =
+                new TreeScanner<>() {
+                    @Override
+                    public Void visitClass(ClassTree type, Void unused) {
+                        Set<String> members =
+                                membersByType.computeIfAbsent(
+                                        type.getSimpleName().toString(), name -> new HashSet<>());
+                        type.getMembers().forEach(member -> addName(member, members));
+                        return super.visitClass(type, null);
+                    }
+                };
+        scanner.scan(unit, null);
+    }
+
+    private static void addName(Tree member, Set<String> names) {
+        if (member instanceof MethodTree method) {
+            names.add(method.getName().toString());
+        } else if (member instanceof VariableTree variable) {
+            names.add(variable.getName().toString());
+        } else if (member instanceof ClassTree type) {
+            names.add(type.getSimpleName().toString());
+        }
+    }
+
+    /** Whether a package, or one below it, has classes. */
+    boolean hasPackage(String name) {
+        return packages.stream()
+                .anyMatch(found -> found.equals(name) || found.startsWith(name + "."));
+    }
+
+    /**
+     * Whether a type is declared, and each further part of the name in the part before it.
+     *
+     * @param name {@code Type}, {@code Type.member} or {@code Outer.Inner.member}; a {@code *} in
+     *     the first part stands for any characters
+     */
+    boolean hasTypeOrMember(String name) {
+        String[] parts = name.split("\\.");
+        if (!hasType(parts[0])) {
+            return false;
+        }
+        for (int i = 1; i < parts.length; i++) {
+            if (!membersByType.getOrDefault(parts[i - 1], Set.of()).contains(parts[i])) {
+                return false;
+            }
+        }
+        return true;
+    }
+
+    private boolean hasType(String name) {
+        if (!name.contains("*")) {
+            return membersByType.containsKey(name);
+        }
+        Pattern pattern = Pattern.compile(name.replace("*", "\\w*"));
+        return membersByType.keySet().stream().anyMatch(type -> pattern.matcher(type).matches());
+    }
+
+    /** Whether some type declares a member of that name. */
+    boolean hasMemberAnywhere(String name) {
+        return membersByType.values().stream().anyMatch(members -> members.contains(name));
+    }
+}
