--- a/src/test/java/org/springmill/architecture/DocumentedNamesTest.java
+++ b/src/test/java/org/springmill/architecture/DocumentedNamesTest.java
@@ -9,6 +9,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Locale;
+import java.util.regex.MatchResult;
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 import java.util.stream.Stream;
@@ -43,6 +44,31 @@
     private static final Pattern PACKAGE =
             Pattern.compile("(org\\.springmill(?:\\.[a-z]\\w*)*)(?:\\.([A-Z].*))?");
 
+    /** A name of a setting, rule or field in lower case, perhaps with those of its tables. */
+    private static final Pattern LOWER_CASE_NAME =
+            Pattern.compile("(?:[a-z0-9_]+\\.)*[a-z0-9]+(?:_[a-z0-9]+)+");
+
+    /** A constant, or a variable of the environment. */
+    private static final Pattern UPPER_CASE_NAME = Pattern.compile("[A-Z]+(?:_[A-Z]+)+");
+
+    private static final Pattern METRIC =
+            Pattern.compile("springmill_([a-z_]+?)(?:_seconds)?(?:_total|_count|_sum)?");
+
+    /** Of a metric's name, what is put together from a text that ends so and a constant. */
+    private static final Pattern METRIC_OF_CONSTANT =
+            Pattern.compile("(recalls_|submissions_refused_)([a-z_]+)");
+
+    private static final Pattern HEADER_OF_LOG_LINES = Pattern.compile("\\| (log )?line \\|.*");
+
+    /**
+     * Where a quoted log line has values in place of the text of the sources, or a text of its own:
+     * after a colon, in brackets, and for states, which are constants.
+     */
+    private static final Pattern PLACEHOLDER =
+            Pattern.compile(": | \\(|\\.\\.\\.|\\b[A-Z]\\b|\\b[A-Z][A-Z_]+\\b|run-N\\b");
+
+    private static final Pattern CONSTANT = Pattern.compile("\\b[A-Z][A-Z_]+\\b");
+
     private static final Pattern LINK = Pattern.compile("\\]\\(([^)\\s]+)\\)");
     private static final Pattern PATH_OF_PAGE = Pattern.compile("\\bdocs/[\\w/-]+\\.md\\b");
 
@@ -95,6 +121,41 @@
         assertEquals(List.of(), absent);
     }
 
+    @Test
+    void metricsSettingsRulesAndConstantsInCodeFontExistInTheSources() throws IOException {
+        List<String> unknown = new ArrayList<>();
+        int checked = 0;
+        for (Path page : currentPages()) {
+            for (Line line : proseLines(page)) {
+                checked += checkSettingsAndConstants(line, unknown);
+            }
+        }
+        assertTrue(checked > 0, "no setting or constant was found");
+        assertEquals(List.of(), unknown);
+    }
+
+    /** Whoever searches the log for a line of operations.md has to find it. */
+    @Test
+    void quotedLogLinesAreThoseOfTheSources() throws IOException {
+        List<String> unknown = new ArrayList<>();
+        int checked = 0;
+        for (Path page : currentPages()) {
+            boolean inTableOfLogLines = false;
+            for (Line line : proseLines(page)) {
+                boolean inTable = line.text().startsWith("|");
+                inTableOfLogLines =
+                        inTable
+                                && (inTableOfLogLines
+                                        || HEADER_OF_LOG_LINES.matcher(line.text()).matches());
+                if (inTableOfLogLines) {
+                    checked += checkLogLine(line, unknown);
+                }
+            }
+        }
+        assertTrue(checked > 0, "no log line was found");
+        assertEquals(List.of(), unknown);
+    }
+
     /** Else a mistake in the patterns above would let every document pass. */
     @Test
     void wrongNamesAreFoundAndOrdinaryWordsAreNot() {
@@ -129,6 +190,38 @@
         assertEquals(List.of(), none);
     }
 
+    @Test
+    void wrongMetricsSettingsAndLogLinesAreFound() {
+        List<String> wrongNames =
+                List.of(
+                        "`no_such_setting`",
+                        "`NO_SUCH_CONSTANT`",
+                        "`cluster.workers.no_such_setting`",
+                        "`springmill_no_such_metric`",
+                        "`springmill_recalls_no_such_outcome_total`");
+        List<String> wrongLines =
+                List.of(
+                        "| `no line of the program says so` | meaning |",
+                        "| `leadership LEADING -> NO_SUCH_STATE` | meaning |",
+                        "| `term N is over: ... no such reason` | meaning |");
+
+        List<String> unknown = new ArrayList<>();
+        wrongNames.forEach(text -> checkSettingsAndConstants(new Line(README, 1, text), unknown));
+        wrongLines.forEach(text -> checkLogLine(new Line(README, 1, text), unknown));
+        assertEquals(wrongNames.size() + wrongLines.size(), unknown.size(), unknown::toString);
+
+        List<String> none = new ArrayList<>();
+        checkSettingsAndConstants(
+                new Line(
+                        README,
+                        1,
+                        "`cluster.workers.lease_s`, `springmill_recalls_expired_total`,"
+                                + " `springmill_start_seconds_count`, `ran_twice`"),
+                none);
+        checkLogLine(new Line(README, 1, "| `leadership LEADING -> FOLLOWING` | meaning |"), none);
+        assertEquals(List.of(), none);
+    }
+
     /** A line of a page. */
     private record Line(Path page, int number, String text) {
         String at(String what) {
@@ -171,6 +264,70 @@
         return function.matches() && names.hasMemberAnywhere(function.group(1));
     }
 
+    private static int checkSettingsAndConstants(Line line, List<String> unknown) {
+        int checked = 0;
+        Matcher span = CODE_SPAN.matcher(line.text());
+        while (span.find()) {
+            String text = span.group(1);
+            if (LOWER_CASE_NAME.matcher(text).matches()
+                    || UPPER_CASE_NAME.matcher(text).matches()) {
+                checked++;
+                boolean known =
+                        text.startsWith("springmill_")
+                                ? isMetric(text)
+                                : Stream.of(text.split("\\."))
+                                        .allMatch(DocumentedNamesTest::isTextOrConstant);
+                if (!known) {
+                    unknown.add(line.at(span.group()));
+                }
+            }
+        }
+        return checked;
+    }
+
+    /** Names of settings and rules are texts; some values of settings are made of constants. */
+    private static boolean isTextOrConstant(String name) {
+        return names.hasText(name) || names.hasMemberAnywhere(name.toUpperCase(Locale.ROOT));
+    }
+
+    private static boolean isMetric(String text) {
+        Matcher metric = METRIC.matcher(text);
+        if (!metric.matches()) {
+            return false;
+        }
+        String name = metric.group(1);
+        Matcher parts = METRIC_OF_CONSTANT.matcher(name);
+        boolean ofConstant =
+                parts.matches()
+                        && names.hasWholeText(parts.group(1))
+                        && names.hasMemberAnywhere(parts.group(2).toUpperCase(Locale.ROOT));
+        return ofConstant || names.hasWholeText(name) || names.hasWholeText(name + "_seconds");
+    }
+
+    /** Checks the log line in the first column of a row of a table. */
+    private static int checkLogLine(Line line, List<String> unknown) {
+        Matcher span = CODE_SPAN.matcher(line.text().split(" \\| ", 2)[0]);
+        if (!span.find()) {
+            return 0;
+        }
+        String quoted = span.group(1);
+        boolean partsExist =
+                PLACEHOLDER
+                        .splitAsStream(quoted)
+                        .map(part -> part.replaceAll("^[^\\w]+|[^\\w]+$", ""))
+                        .allMatch(names::hasText);
+        boolean constantsExist =
+                CONSTANT.matcher(quoted)
+                        .results()
+                        .map(MatchResult::group)
+                        .filter(constant -> constant.length() > 1)
+                        .allMatch(names::hasMemberAnywhere);
+        if (!partsExist || !constantsExist) {
+            unknown.add(line.at(span.group()));
+        }
+        return 1;
+    }
+
     private static int checkLinks(Line line, List<String> broken) throws IOException {
         int checked = 0;
         Matcher link = LINK.matcher(line.text());
--- a/src/test/java/org/springmill/architecture/SourceNames.java
+++ b/src/test/java/org/springmill/architecture/SourceNames.java
@@ -1,7 +1,9 @@
 package org.springmill.architecture;
 
+import com.sun.source.tree.BinaryTree;
 import com.sun.source.tree.ClassTree;
 import com.sun.source.tree.CompilationUnitTree;
+import com.sun.source.tree.LiteralTree;
 import com.sun.source.tree.MethodTree;
 import com.sun.source.tree.Tree;
 import com.sun.source.tree.VariableTree;
@@ -24,8 +26,8 @@
 
 /** The packages, types and members that the sources declare, those of the tests included. */
 final class SourceNames {
-    private static final List<Path> ROOTS =
-            List.of(Path.of("src/main/java"), Path.of("src/test/java"));
+    private static final Path PROGRAM = Path.of("src/main/java");
+    private static final List<Path> ROOTS = List.of(PROGRAM, Path.of("src/test/java"));
 
     private final Set<String> packages = new HashSet<>();
 
@@ -34,6 +36,9 @@
      */
     private final Map<String, Set<String>> membersByType = new HashMap<>();
 
+    /** Texts in the program, without its tests; those that a {@code +} joins stand as one. */
+    private final List<String> texts = new ArrayList<>();
+
     private SourceNames() {}
 
     /** Parses all sources. */
@@ -65,6 +70,7 @@
 
     private void collect(CompilationUnitTree unit) {
         packages.add(unit.getPackageName().toString());
+        boolean isProgram = unit.getSourceFile().getName().contains(PROGRAM.toString());
         TreeScanner<Void, Void> scanner =
                 new TreeScanner<>() {
                     @Override
@@ -75,10 +81,37 @@
                         type.getMembers().forEach(member -> addName(member, members));
                         return super.visitClass(type, null);
                     }
+
+                    @Override
+                    public Void visitLiteral(LiteralTree literal, Void unused) {
+                        if (isProgram && literal.getValue() instanceof String text) {
+                            texts.add(text);
+                        }
+                        return null;
+                    }
+
+                    @Override
+                    public Void visitBinary(BinaryTree sum, Void unused) {
+                        String joined = joinedText(sum);
+                        if (isProgram) {
+                            texts.add(joined);
+                        }
+                        return super.visitBinary(sum, null);
+                    }
                 };
         scanner.scan(unit, null);
     }
 
+    /** The texts of a sum one after the other, with {@code {}} for each part that is no text. */
+    private static String joinedText(Tree part) {
+        if (part instanceof BinaryTree sum && sum.getKind() == Tree.Kind.PLUS) {
+            return joinedText(sum.getLeftOperand()) + joinedText(sum.getRightOperand());
+        }
+        boolean isText =
+                part instanceof LiteralTree literal && literal.getValue() instanceof String;
+        return isText ? (String) ((LiteralTree) part).getValue() : "{}";
+    }
+
     private static void addName(Tree member, Set<String> names) {
         if (member instanceof MethodTree method) {
             names.add(method.getName().toString());
@@ -122,6 +155,16 @@
         return membersByType.keySet().stream().anyMatch(type -> pattern.matcher(type).matches());
     }
 
+    /** Whether some text in the program contains a part. */
+    boolean hasText(String part) {
+        return texts.stream().anyMatch(text -> text.contains(part));
+    }
+
+    /** Whether some text in the program is just this one. */
+    boolean hasWholeText(String text) {
+        return texts.contains(text);
+    }
+
     /** Whether some type declares a member of that name. */
     boolean hasMemberAnywhere(String name) {
         return membersByType.values().stream().anyMatch(members -> members.contains(name));
