--- a/src/test/java/org/springmill/sim/AnswerChecker.java
+++ b/src/test/java/org/springmill/sim/AnswerChecker.java
@@ -4,7 +4,7 @@
 import org.springmill.transport.HttpClient.Reply;
 import org.springmill.transport.HttpClient.Request;
 
-/** Checks each answer to a user against what users asked for and were told before. */
+/** Checks each answer to a user against what users asked for and were answered before. */
 final class AnswerChecker {
     private static final String SUBMISSIONS = "/submissions";
 
@@ -95,7 +95,7 @@
         }
     }
 
-    /** The first positive answer tells that the job is accepted, whatever the question was. */
+    /** The first positive answer says that the job is accepted, whatever the question was. */
     private void positiveAnswer(JobHistory job, double sentAt, Reply reply) {
         job.answered(clock.now());
         if (!job.accepted()) {
@@ -112,7 +112,8 @@
         if (phase.equals("cancelled") && !jobs.cancelRequested(job)) {
             violations.add(Rule.WENT_BACK, job.id() + " cancelled by nobody");
         }
-        // Answers may overtake each other, but no question asked after a final phase was told may
+        // Answers may overtake each other, but no question asked after a final phase was answered
+        // may
         // be answered with less.
         boolean differs = job.over() && !phase.equals(job.finalPhase());
         if (differs && (over || job.overBy(sentAt))) {
--- a/src/test/java/org/springmill/sim/BorrowingChecker.java
+++ b/src/test/java/org/springmill/sim/BorrowingChecker.java
@@ -24,10 +24,10 @@
     private static final String PROMISED = " GPUs are promised or used on ";
     private static final String PREFIX = "recall/";
 
-    /** Until then a leader may count what was lost with a machine: some report intervals. */
+    /** Until then a leader may count what was lost with a machine: some heartbeat intervals. */
     private static final double LOSS_UNKNOWN_SECONDS = 3 * SimSettings.REPORT_SECONDS;
 
-    /** What was halted for a notice so lately may have run when a recall was decided. */
+    /** What was halted for a preemption notice so lately may have run when a recall was decided. */
     private static final double DECIDED_BEFORE_SECONDS = 1;
 
     /** A beneficiary that was claimed is on its machine by then. */
@@ -269,7 +269,7 @@
         }
     }
 
-    /** Whether a task gave way to its own team's work, for which its room is kept meanwhile. */
+    /** Whether a task was preempted by its own team's work, for which its capacity is reserved. */
     private boolean isReplacedByOwnTeam(SimWorker.Task task) {
         Double lastRecorded = recordedAt.get(ownHalts.getOrDefault(task, ""));
         return lastRecorded != null && cluster.clock().now() - lastRecorded < UNTIL_STARTED_SECONDS;
--- a/src/test/java/org/springmill/sim/InvariantChecker.java
+++ b/src/test/java/org/springmill/sim/InvariantChecker.java
@@ -10,8 +10,8 @@
 import org.springmill.transport.HttpClient.Request;
 
 /**
- * The protocol's invariants, watched from outside: by what machines do and by what users are told.
- * Machines are looked at whenever a task starts and at short intervals.
+ * The protocol's invariants, watched from outside: by what machines do and by what users are
+ * answered. Machines are looked at whenever a task starts and at short intervals.
  */
 final class InvariantChecker {
     private static final double INTERVAL_SECONDS = 0.25;
@@ -39,7 +39,10 @@
         return violations.list();
     }
 
-    /** Tasks that started on a command sent after their user was told of the cancellation. */
+    /**
+     * Tasks that started on a command sent after their user got the answer that the job is
+     * cancelled.
+     */
     List<String> startsAfterCancel() {
         return startsAfterCancel;
     }
--- a/src/test/java/org/springmill/sim/JobHistories.java
+++ b/src/test/java/org/springmill/sim/JobHistories.java
@@ -68,7 +68,9 @@
                 || job.dependencies().stream().anyMatch(id -> cancelRequested(jobs.get(id)));
     }
 
-    /** Whether a user was told by then that a job, on which this one depends, is cancelled. */
+    /**
+     * Whether a user had the answer by then that a job, on which this one depends, is cancelled.
+     */
     boolean dependencyCancelledBy(double time, JobHistory job) {
         return job.dependencies().stream()
                 .map(jobs::get)
--- a/src/test/java/org/springmill/sim/JobHistory.java
+++ b/src/test/java/org/springmill/sim/JobHistory.java
@@ -4,7 +4,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** What the user of one job has asked for and was told, by any controller. */
+/** What the user of one job has asked for and was answered, by any controller. */
 final class JobHistory {
     private static final double NEVER = Double.POSITIVE_INFINITY;
 
@@ -47,7 +47,7 @@
         return ids;
     }
 
-    /** Whether the user was told at any time that the job is accepted. */
+    /** Whether the user got the answer at any time that the job is accepted. */
     boolean accepted() {
         return acceptedAt != NEVER;
     }
@@ -68,7 +68,7 @@
         return cancelRequested;
     }
 
-    /** Whether its user was told that it is done or cancelled. */
+    /** Whether its user got the answer that it is done or cancelled. */
     boolean over() {
         return finalPhase != null;
     }
@@ -77,7 +77,7 @@
         return finalPhase;
     }
 
-    /** Whether its user was told by then that it is done or cancelled. */
+    /** Whether its user had the answer by then that it is done or cancelled. */
     boolean overBy(double time) {
         return over() && finalAt <= time;
     }
@@ -99,7 +99,7 @@
         lastAnswerAt = time;
     }
 
-    /** Since when it has waited although there was room for it. */
+    /** Since when it has waited although there was capacity for it. */
     double waitingSince() {
         return waitingSince;
     }
--- a/src/test/java/org/springmill/sim/PlacementRules.java
+++ b/src/test/java/org/springmill/sim/PlacementRules.java
@@ -3,7 +3,7 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import org.springmill.protocol.Settings;
 
-/** Where tasks of a job may be, and whether there is room for one. */
+/** Where tasks of a job may be, and whether there is capacity for one. */
 final class PlacementRules {
     private static final double ROUNDING_ERROR = 1e-6;
 
--- a/src/test/java/org/springmill/sim/ProgressChecker.java
+++ b/src/test/java/org/springmill/sim/ProgressChecker.java
@@ -9,7 +9,9 @@
  * may wait for as long as they have to.
  */
 final class ProgressChecker {
-    /** A job waits no longer than this while there is room for it, once all failures are over. */
+    /**
+     * A job waits no longer than this while there is capacity for it, once all failures are over.
+     */
     private static final double MAX_WAIT_SECONDS = 90;
 
     /** No job goes without an answer for longer than this, once all failures are over. */
--- a/src/test/java/org/springmill/sim/RetryingUsers.java
+++ b/src/test/java/org/springmill/sim/RetryingUsers.java
@@ -9,7 +9,7 @@
 
 /**
  * Users who submit one job each, at random controllers, and submit it again as the protocol has it:
- * after a second, or after the time they were told, for a minute in all.
+ * after a second, or after the time that the answer named, for a minute in all.
  */
 public final class RetryingUsers {
     private static final double ANSWER_SECONDS = 5;
--- a/src/test/java/org/springmill/sim/Rule.java
+++ b/src/test/java/org/springmill/sim/Rule.java
@@ -26,7 +26,7 @@
     ORPHANED,
     /** A job that can never run is accepted. */
     ACCEPTED,
-    /** After all failures a job waits too long while there is room for it. */
+    /** After all failures a job waits too long while there is capacity for it. */
     WAITS;
 
     @Override
--- a/src/test/java/org/springmill/sim/SimCloud.java
+++ b/src/test/java/org/springmill/sim/SimCloud.java
@@ -38,7 +38,7 @@
     private int named;
     private final Set<String> emptyZones = new HashSet<>();
 
-    /** What every list tells from the moment at which lists stood still; null if they do not. */
+    /** What every list shows while lists are frozen; null while they are not. */
     private ObjectNode lateList;
 
     SimCloud(SimulatedCluster cluster) {
@@ -65,22 +65,22 @@
         bootSecondsByZone.put(zone, seconds);
     }
 
-    /** How many machines there have been, gone ones included. */
+    /** How many machines there have been, terminated ones included. */
     public int everRented() {
         return named;
     }
 
-    /** From now on lists tell what is true at this moment. */
+    /** From now on lists show what is true at this moment. */
     public void stopLists() {
         lateList = list();
     }
 
-    /** Lists tell the truth again. */
+    /** Lists show the present state again. */
     public void resumeLists() {
         lateList = null;
     }
 
-    /** A machine stops and is gone, as a spot machine is that was taken without notice. */
+    /** Terminates a machine, as the cloud does with a spot machine that it takes without notice. */
     public void take(SimWorker machine) {
         remove(machine.name());
     }
--- a/src/test/java/org/springmill/sim/SimKeyValueStore.java
+++ b/src/test/java/org/springmill/sim/SimKeyValueStore.java
@@ -76,10 +76,12 @@
         store.heal();
     }
 
+    /** The stored value of a key; null if it is absent. */
     public JsonNode value(String key) {
         return store.value(key);
     }
 
+    /** The stored keys with that prefix. */
     public List<String> keysUnder(String prefix) {
         return store.keysUnder(prefix);
     }
@@ -111,7 +113,7 @@
                 });
     }
 
-    /** Told of each transaction when it is applied. */
+    /** Sets who is called with each transaction when it is applied. */
     void onCommit(Consumer<JsonNode> listener) {
         onCommit = listener;
     }
--- a/src/test/java/org/springmill/sim/SimNetwork.java
+++ b/src/test/java/org/springmill/sim/SimNetwork.java
@@ -71,7 +71,7 @@
         answerDelays = by;
     }
 
-    /** The reports of a machine arrive; answers and direct commands to it are lost. */
+    /** The heartbeats of a machine arrive; answers and direct commands to it are lost. */
     public void blockMessagesTo(SimWorker machine) {
         unreachable.add(machine.name());
         unreachable.add(machine.address());
@@ -87,7 +87,7 @@
         cutFromState.add(controller);
     }
 
-    /** Of that share of the reports a copy arrives again, from 2 s to three leases later. */
+    /** Of that share of the heartbeats a copy arrives again, from 2 s to three leases later. */
     public void duplicateReports(double share) {
         duplicatedReportShare = share;
     }
--- a/src/test/java/org/springmill/sim/SimProgress.java
+++ b/src/test/java/org/springmill/sim/SimProgress.java
@@ -78,7 +78,7 @@
         return Math.max(0, cluster.runSeconds(task) - saved);
     }
 
-    /** A task has saved all that it had done when it was told to stop. */
+    /** A task has saved all that it had done when it was halted. */
     void saved(SimWorker.Task task, double stoppedAt) {
         savedSeconds.merge(task.id, stoppedAt - task.runningSince, Double::sum);
     }
--- a/src/test/java/org/springmill/sim/SimWorker.java
+++ b/src/test/java/org/springmill/sim/SimWorker.java
@@ -78,10 +78,12 @@
         this.spot = spot;
     }
 
+    /** The name by which cloud and controllers know this machine. */
     public String name() {
         return name;
     }
 
+    /** The address at which this worker takes commands. */
     public String address() {
         return address;
     }
@@ -90,6 +92,7 @@
         return type;
     }
 
+    /** The zone that this machine is in. */
     public String zone() {
         return zone;
     }
@@ -98,6 +101,7 @@
         return spot;
     }
 
+    /** Whether this machine has booted and is not terminated. */
     public boolean up() {
         return up;
     }
@@ -113,10 +117,12 @@
         return cluster.clock().now() - renewedAt > SimSettings.LEASE_SECONDS;
     }
 
+    /** How many tasks run here or save a checkpoint. */
     public int running() {
         return expired() ? 0 : (int) tasks.values().stream().filter(Task::onMachine).count();
     }
 
+    /** Whether a task runs here or saves a checkpoint. */
     public boolean runs(String task) {
         return !expired()
                 && tasks.values().stream().anyMatch(t -> t.id.equals(task) && t.onMachine());
@@ -137,7 +143,7 @@
         return reachable() && !failing && noticeSeconds == null && !expired();
     }
 
-    /** The cloud gives notice that it will take this machine away. */
+    /** The cloud gives a preemption notice: it will reclaim this machine. */
     public void notice(double seconds) {
         noticeSeconds = seconds;
         report();
@@ -153,7 +159,7 @@
         hung = now;
     }
 
-    /** Tasks here do not end when they are told to, until they are allowed to. */
+    /** Tasks here do not end when they are halted, until they are allowed to. */
     public void ignoreHalts(boolean now) {
         ignoringHalts = now;
     }
--- a/src/test/java/org/springmill/sim/SimulatedCluster.java
+++ b/src/test/java/org/springmill/sim/SimulatedCluster.java
@@ -100,18 +100,22 @@
         options = options.withStateLimits(limits);
     }
 
+    /** The clock of the whole cluster. */
     public VirtualClock clock() {
         return clock;
     }
 
+    /** The simulated key-value store. */
     public SimKeyValueStore state() {
         return store;
     }
 
+    /** The simulated cloud. */
     public SimCloud cloud() {
         return cloud;
     }
 
+    /** The simulated network, whose failures a test sets. */
     public SimNetwork network() {
         return network;
     }
@@ -128,6 +132,7 @@
         return this;
     }
 
+    /** Lets so many seconds of virtual time pass. */
     public SimulatedCluster run(double seconds) {
         clock.run(seconds);
         return this;
@@ -160,12 +165,13 @@
         return List.copyOf(cloud.machines().values());
     }
 
+    /** Starts a new process of a controller. */
     public void restart(int controller) {
         kill(controller);
         controllers[controller] = newController(controller);
     }
 
-    /** A controller stands still while its clock runs on. */
+    /** Pauses a controller's process while its clock runs on. */
     public void freeze(int controller, double seconds) {
         controllers[controller].freeze(seconds);
     }
@@ -388,8 +394,8 @@
     }
 
     /**
-     * Tasks that a machine was told to start, and started, after their user was told that the job
-     * is cancelled.
+     * Tasks that a machine was commanded to start, and started, after their user was answered that
+     * the job is cancelled.
      */
     public List<String> startsAfterCancel() {
         return invariants.startsAfterCancel();
--- a/src/test/java/org/springmill/sim/VirtualClock.java
+++ b/src/test/java/org/springmill/sim/VirtualClock.java
@@ -34,6 +34,7 @@
         return () -> cancelled[0] = true;
     }
 
+    /** Runs all timers that are due within so many seconds, in order. */
     public void run(double seconds) {
         double until = now + seconds;
         while (!tasks.isEmpty() && tasks.peek().at() <= until) {
