--- a/src/main/java/org/springmill/cli/RunCommand.java
+++ b/src/main/java/org/springmill/cli/RunCommand.java
@@ -55,7 +55,7 @@
                 new Transport(
                         settings.limits().maxSockets(),
                         Set.copyOf(List.of(settings.storeAddress(), settings.cloudAddress())));
-        PeerLink link = transport.peers(settings.peerListen(), settings.peers());
+        PeerLink link = transport.openPeerLink(settings.peerListen(), settings.peers());
         Controller controller =
                 new Controller(
                         settings,
--- a/src/main/java/org/springmill/cli/TrainArchiveCommand.java
+++ b/src/main/java/org/springmill/cli/TrainArchiveCommand.java
@@ -132,27 +132,29 @@
                         post(api, WorkerMessages.HEARTBEAT_PATH, messages.heartbeat()),
                         post(
                                 api,
-                                UserMessages.SUBMISSIONS,
+                                UserMessages.SUBMISSIONS_PATH,
                                 ArchiveTrainingMessages.submission("run-000001", true)),
                         new Request(
                                 api,
                                 "GET",
-                                UserMessages.READY,
+                                UserMessages.READINESS_PATH,
                                 new byte[0],
                                 REQUEST_TIMEOUT_SECONDS),
                         new Request(
                                 api,
                                 "GET",
-                                UserMessages.SUBMISSIONS + "/run-000001",
+                                UserMessages.SUBMISSIONS_PATH + "/run-000001",
                                 new byte[0],
                                 REQUEST_TIMEOUT_SECONDS),
                         post(
                                 api,
-                                UserMessages.SUBMISSIONS,
+                                UserMessages.SUBMISSIONS_PATH,
                                 ArchiveTrainingMessages.submission("run-000002", false)),
                         post(
                                 api,
-                                UserMessages.SUBMISSIONS + "/run-000001" + UserMessages.WITHDRAW,
+                                UserMessages.SUBMISSIONS_PATH
+                                        + "/run-000001"
+                                        + UserMessages.CANCELLATION_SUFFIX,
                                 new byte[0]));
         surroundings
                 .client()
--- a/src/main/java/org/springmill/control/admission/ActiveJobs.java
+++ b/src/main/java/org/springmill/control/admission/ActiveJobs.java
@@ -26,7 +26,7 @@
     /** Time over which the memory of ended jobs is averaged. */
     private static final double ENDS_AVERAGING_SECONDS = 30;
 
-    private final Map<String, Submission> jobs = new HashMap<>();
+    private final Map<String, Submission> jobCount = new HashMap<>();
     private final Map<String, TeamWork> teams = new HashMap<>();
     private final RateMeter endedBytes;
     private long bytes;
@@ -55,14 +55,14 @@
 
     /** Counts a job that is accepted, or about to be. */
     public void add(Submission job) {
-        if (jobs.putIfAbsent(job.id(), job) == null) {
+        if (jobCount.putIfAbsent(job.id(), job) == null) {
             count(job, 1);
         }
     }
 
     /** Removes a job that has ended. */
     public void ended(String id, double now) {
-        Submission job = jobs.remove(id);
+        Submission job = jobCount.remove(id);
         if (job != null) {
             count(job, -1);
             endedBytes.add(bytesOf(job), now);
@@ -70,8 +70,8 @@
     }
 
     /** Removes a job that, as far as this controller knows, was not accepted after all. */
-    public void dropped(String id) {
-        Submission job = jobs.remove(id);
+    public void removeUnaccepted(String id) {
+        Submission job = jobCount.remove(id);
         if (job != null) {
             count(job, -1);
         }
@@ -87,8 +87,8 @@
     }
 
     /** Number of counted jobs. */
-    public int jobs() {
-        return jobs.size();
+    public int jobCount() {
+        return jobCount.size();
     }
 
     /** Bytes of memory that the counted jobs need. */
--- a/src/main/java/org/springmill/control/admission/AdmissionControl.java
+++ b/src/main/java/org/springmill/control/admission/AdmissionControl.java
@@ -88,7 +88,7 @@
      * Whether a job can only be accepted once this controller knows what its peers have accepted,
      * since little is left of the memory that it may need.
      */
-    public boolean nearBound(Submission job) {
+    public boolean isNearMemoryBound(Submission job) {
         return memoryBound.isNear(activeJobs, endedBytes(), job, isGuaranteed(job));
     }
 
@@ -107,7 +107,7 @@
      *
      * @param queueSeconds expected wait of its record for the key-value store now
      */
-    public AdmissionRefusal givenUp(double queueSeconds) {
+    public AdmissionRefusal expired(double queueSeconds) {
         return recordRefusal(AdmissionReason.QUEUE, Math.max(maxQueueSeconds, queueSeconds));
     }
 
@@ -131,7 +131,7 @@
                 "submissions are refused: {} ({} so far; {} active jobs)",
                 reason.text(),
                 refused(reason),
-                activeJobs.jobs());
+                activeJobs.jobCount());
     }
 
     private long endedBytes() {
--- a/src/main/java/org/springmill/control/admission/QueueWaits.java
+++ b/src/main/java/org/springmill/control/admission/QueueWaits.java
@@ -80,7 +80,7 @@
     }
 
     /** Records that tasks of a team were placed. */
-    public void started(String team, Priority priority, int tasks, double now) {
+    public void tasksStarted(String team, Priority priority, int tasks, double now) {
         for (Queue queue : queuesOf(team, priority)) {
             starts.computeIfAbsent(queue, q -> new StartCounter()).add(tasks, now);
         }
@@ -92,7 +92,7 @@
     }
 
     /** Counts waiting tasks of one job. */
-    public void waits(String team, Priority priority, int tasks) {
+    public void addWaiting(String team, Priority priority, int tasks) {
         for (Queue queue : queuesOf(team, priority)) {
             waitingTasks.merge(queue, tasks, Integer::sum);
         }
@@ -126,7 +126,7 @@
     private static Set<Queue> queuesOf(String team, Priority priority) {
         Set<Queue> queues = new HashSet<>();
         for (Priority behind : Priority.values()) {
-            if (!behind.above(priority)) {
+            if (!behind.isAbove(priority)) {
                 queues.add(new Queue(team, behind));
                 queues.add(new Queue(CongestedQueue.ALL_TEAMS, behind));
             }
--- a/src/main/java/org/springmill/control/admission/StoreRateShares.java
+++ b/src/main/java/org/springmill/control/admission/StoreRateShares.java
@@ -110,7 +110,7 @@
     }
 
     /** The share that this controller needs beyond its own; 0 for the leader. */
-    public double wanted() {
+    public double wantedLoan() {
         double now = loop.now();
         if (isLeading(now)) {
             return 0;
--- a/src/main/java/org/springmill/control/api/AcceptanceCommits.java
+++ b/src/main/java/org/springmill/control/api/AcceptanceCommits.java
@@ -99,7 +99,7 @@
      * applied once at most.
      */
     private boolean mayRetry(PendingSubmission submission, CommitResult result) {
-        boolean outage = result.outcome() == CommitOutcome.RETRYABLE && !store.reachable();
+        boolean outage = result.outcome() == CommitOutcome.RETRYABLE && !store.isReachable();
         boolean undecided =
                 result.outcome() == CommitOutcome.RETRYABLE
                         || result.outcome() == CommitOutcome.UNKNOWN;
--- a/src/main/java/org/springmill/control/api/CancellationHandler.java
+++ b/src/main/java/org/springmill/control/api/CancellationHandler.java
@@ -57,11 +57,11 @@
 
     /** Cancels a job that may be over already or may never have been submitted. */
     void cancel(Call call, String id) {
-        if (!Submission.validId(id)) {
-            JobStatusResponses.notFound(call);
+        if (!Submission.isValidId(id)) {
+            JobStatusResponses.respondNotFound(call);
             return;
         }
-        cancelById(call, id, loop.now() + JobStatusResponses.ANSWER_WITHIN_SECONDS);
+        cancelById(call, id, loop.now() + JobStatusResponses.RESPONSE_DEADLINE_SECONDS);
     }
 
     private void cancelById(Call call, String id, double answerBy) {
@@ -70,7 +70,7 @@
             cancel(call, known, answerBy);
             return;
         }
-        directory.barrier(current -> cancelAfterBarrier(call, id, answerBy, current));
+        directory.readBarrier(current -> cancelAfterBarrier(call, id, answerBy, current));
     }
 
     private void cancelAfterBarrier(Call call, String id, double answerBy, boolean current) {
@@ -78,23 +78,23 @@
         if (job != null) {
             cancel(call, job, answerBy);
         } else if (current) {
-            directory.findArchived(id, lookup -> respondArchived(call, lookup));
+            directory.lookUpArchived(id, lookup -> respondArchived(call, lookup));
         } else {
-            JobStatusResponses.unavailable(call, JobStatusResponses.STATE_SERVICE_SILENT);
+            JobStatusResponses.respondUnavailable(call, JobStatusResponses.STORE_UNAVAILABLE);
         }
     }
 
     /** An archived job is over: its cancellation, if it was cancelled, is known to all. */
     private static void respondArchived(Call call, Lookup lookup) {
-        JobStatusResponses.lookedUp(
+        JobStatusResponses.respondLookup(
                 call,
                 lookup,
-                job -> JobStatusResponses.phase(call, job),
-                () -> JobStatusResponses.notFound(call));
+                job -> JobStatusResponses.respondPhase(call, job),
+                () -> JobStatusResponses.respondNotFound(call));
     }
 
     private void cancel(Call call, JobRecord job, double answerBy) {
-        if (job.phase().terminal()) {
+        if (job.phase().isTerminal()) {
             respondEnded(call, job);
             return;
         }
@@ -120,14 +120,14 @@
             // controller knows of it yet.
             broadcast(job);
         }
-        responses.phase(call, job);
+        responses.respondPhase(call, job);
     }
 
     private void committed(Call call, JobRecord cancelled) {
-        directory.learn(cancelled);
+        directory.merge(cancelled);
         LOG.debug("{} cancelled", cancelled.id());
         broadcast(cancelled);
-        responses.phase(call, cancelled);
+        responses.respondPhase(call, cancelled);
     }
 
     private void broadcast(JobRecord cancelled) {
@@ -140,13 +140,13 @@
      * barrier shows whether the write was applied.
      */
     private void notCommitted(Call call, String id, double answerBy, CommitResult result) {
-        boolean outage = result.outcome() == CommitOutcome.RETRYABLE && !store.reachable();
+        boolean outage = result.outcome() == CommitOutcome.RETRYABLE && !store.isReachable();
         if (outage || loop.now() + timeouts.storeRequestTimeoutSeconds() > answerBy) {
-            JobStatusResponses.unavailable(call, JobStatusResponses.STATE_SERVICE_SILENT);
+            JobStatusResponses.respondUnavailable(call, JobStatusResponses.STORE_UNAVAILABLE);
             return;
         }
         loop.after(
                 timeouts.peerPollIntervalSeconds() / RETRIES_PER_POLL_INTERVAL,
-                () -> directory.barrier(current -> cancelById(call, id, answerBy)));
+                () -> directory.readBarrier(current -> cancelById(call, id, answerBy)));
     }
 }
--- a/src/main/java/org/springmill/control/api/JobQueryHandler.java
+++ b/src/main/java/org/springmill/control/api/JobQueryHandler.java
@@ -18,25 +18,25 @@
 
     /** Answers a query for a job that may never have been submitted. */
     void query(Call call, String id) {
-        if (Submission.validId(id)) {
+        if (Submission.isValidId(id)) {
             reader.respond(call, id, this);
         } else {
-            JobStatusResponses.notFound(call);
+            JobStatusResponses.respondNotFound(call);
         }
     }
 
     @Override
     public void respond(Call call, JobRecord job) {
-        responses.progress(call, job);
+        responses.respondProgress(call, job);
     }
 
     @Override
     public void respond(Call call, ArchivedJob job) {
-        JobStatusResponses.progress(call, job);
+        JobStatusResponses.respondProgress(call, job);
     }
 
     @Override
     public void respondAbsent(Call call) {
-        JobStatusResponses.notFound(call);
+        JobStatusResponses.respondNotFound(call);
     }
 }
--- a/src/main/java/org/springmill/control/api/JobStatusReader.java
+++ b/src/main/java/org/springmill/control/api/JobStatusReader.java
@@ -34,30 +34,31 @@
     void respond(Call call, String id, ResponseForm form) {
         JobRecord known = directory.get(id);
         ArchivedJob archived = directory.archived(id);
-        if (known != null && known.phase().terminal()) {
+        if (known != null && known.phase().isTerminal()) {
             form.respond(call, known);
         } else if (known == null && archived != null) {
             form.respond(call, archived);
         } else {
-            directory.barrier(current -> respondAfterBarrier(call, id, form, current));
+            directory.readBarrier(current -> respondAfterBarrier(call, id, form, current));
         }
     }
 
     private void respondAfterBarrier(Call call, String id, ResponseForm form, boolean current) {
         JobRecord job = directory.get(id);
         if (!current) {
-            JobStatusResponses.unavailable(call, JobStatusResponses.STATE_SERVICE_SILENT);
+            JobStatusResponses.respondUnavailable(call, JobStatusResponses.STORE_UNAVAILABLE);
         } else if (job == null) {
-            directory.findArchived(id, lookup -> respondArchived(call, lookup, form));
+            directory.lookUpArchived(id, lookup -> respondArchived(call, lookup, form));
         } else if (directory.isStatusCertain(job)) {
             form.respond(call, job);
         } else {
-            JobStatusResponses.unavailable(call, JobStatusResponses.DEPENDENCY_BEING_READ);
+            JobStatusResponses.respondUnavailable(
+                    call, JobStatusResponses.DEPENDENCY_LOOKUP_PENDING);
         }
     }
 
     private static void respondArchived(Call call, Lookup lookup, ResponseForm form) {
-        JobStatusResponses.lookedUp(
+        JobStatusResponses.respondLookup(
                 call,
                 lookup,
                 archived -> form.respond(call, archived),
--- a/src/main/java/org/springmill/control/api/PendingSubmission.java
+++ b/src/main/java/org/springmill/control/api/PendingSubmission.java
@@ -17,6 +17,6 @@
 
     /** The time by which the user has to have an answer. */
     double answerBy() {
-        return since + JobStatusResponses.ANSWER_WITHIN_SECONDS;
+        return since + JobStatusResponses.RESPONSE_DEADLINE_SECONDS;
     }
 }
--- a/src/main/java/org/springmill/control/api/RefusalResponse.java
+++ b/src/main/java/org/springmill/control/api/RefusalResponse.java
@@ -12,12 +12,12 @@
 
     /** Answers while it is not certain that the job was not accepted before. */
     default void respondUncertain(Call call) {
-        JobStatusResponses.unavailable(call, JobStatusResponses.STATE_SERVICE_SILENT);
+        JobStatusResponses.respondUnavailable(call, JobStatusResponses.STORE_UNAVAILABLE);
     }
 
     /** For a job that can never run. */
     static RefusalResponse impossible(String reason) {
-        return call -> JobStatusResponses.impossible(call, reason);
+        return call -> JobStatusResponses.respondImpossible(call, reason);
     }
 
     /**
@@ -27,7 +27,7 @@
     record Overload(AdmissionRefusal refusal) implements RefusalResponse {
         @Override
         public void respond(Call call) {
-            JobStatusResponses.refused(call, refusal);
+            JobStatusResponses.respondRefused(call, refusal);
         }
 
         @Override
--- a/src/main/java/org/springmill/control/api/SubmissionHandler.java
+++ b/src/main/java/org/springmill/control/api/SubmissionHandler.java
@@ -51,17 +51,17 @@
             implements JobStatusReader.ResponseForm {
         @Override
         public void respond(Call call, JobRecord job) {
-            responses.phase(call, job);
+            responses.respondPhase(call, job);
         }
 
         @Override
         public void respond(Call call, ArchivedJob job) {
-            JobStatusResponses.phase(call, job);
+            JobStatusResponses.respondPhase(call, job);
         }
 
         @Override
         public void respondAbsent(Call call) {
-            JobStatusResponses.unavailable(call, JobStatusResponses.STATE_SERVICE_SILENT);
+            JobStatusResponses.respondUnavailable(call, JobStatusResponses.STORE_UNAVAILABLE);
         }
     }
 
@@ -100,7 +100,7 @@
         try {
             submit(call, Submission.parse(Json.object(call.body())));
         } catch (MalformedMessageException e) {
-            call.reply(400, UserMessages.error(e.getMessage()), 0);
+            call.reply(400, UserMessages.encodeError(e.getMessage()), 0);
         }
     }
 
@@ -109,13 +109,13 @@
             respondExisting(call, submission.id());
             return;
         }
-        if (!catalog.known() || !directory.loaded()) {
-            JobStatusResponses.unavailable(call, "not ready yet");
+        if (!catalog.isKnown() || !directory.isLoaded()) {
+            JobStatusResponses.respondUnavailable(call, "not ready yet");
             return;
         }
         JobRecord job = JobRecord.accepted(submission, loop.timeOfDay());
         PendingSubmission submitted = new PendingSubmission(call, job, loop.now());
-        String impossible = catalog.impossible(submission);
+        String impossible = catalog.impossibilityReason(submission);
         if (impossible != null) {
             // It may have been accepted long ago, under other limits or machine types.
             refuseAfterBarrier(submitted, RefusalResponse.impossible(impossible));
@@ -128,7 +128,7 @@
 
     /** Why a job cannot be accepted, as far as is known here; empty if it can. */
     private Optional<String> reasonForRefusal(JobRecord job) {
-        int bytes = job.mostBytes(loop.timeOfDay());
+        int bytes = job.maxBytes(loop.timeOfDay());
         int maxBytes = store.limits().valueBytes();
         if (bytes > maxBytes) {
             return Optional.of(
@@ -138,7 +138,7 @@
                             + maxBytes
                             + ": names too many jobs or types");
         }
-        return Optional.ofNullable(directory.dependencies().refusal(job.submission()));
+        return Optional.ofNullable(directory.dependencies().rejectionReason(job.submission()));
     }
 
     /**
@@ -146,14 +146,15 @@
      * repeated submission, may just have been accepted by another controller.
      */
     private void decideAfterBarrier(PendingSubmission submitted) {
-        directory.barrier(current -> findArchivedDependencies(submitted, current));
+        directory.readBarrier(current -> findArchivedDependencies(submitted, current));
     }
 
     /** The jobs that a job names may have ended so long ago that their records are archived. */
     private void findArchivedDependencies(PendingSubmission submitted, boolean current) {
-        List<String> unknown = directory.dependencies().unknown(submitted.job().submission());
+        List<String> unknown =
+                directory.dependencies().unknownDependencies(submitted.job().submission());
         if (current && isUnknown(submitted.id())) {
-            directory.findAllArchived(
+            directory.lookUpAllArchived(
                     unknown, commits.sendBy(submitted), read -> decide(submitted, read));
         } else {
             decide(submitted, current);
@@ -172,7 +173,7 @@
 
     /** Refuses a job, unless it turns out to have been accepted before. */
     private void refuseAfterBarrier(PendingSubmission submitted, RefusalResponse response) {
-        directory.barrier(current -> refuse(submitted, current, response));
+        directory.readBarrier(current -> refuse(submitted, current, response));
     }
 
     private void refuse(PendingSubmission submitted, boolean current, RefusalResponse response) {
@@ -181,7 +182,7 @@
         } else if (!current) {
             response.respondUncertain(submitted.call());
         } else {
-            directory.findArchived(
+            directory.lookUpArchived(
                     submitted.id(), lookup -> refuse(submitted.call(), lookup, response));
         }
     }
@@ -191,10 +192,10 @@
         if (lookup.outcome() == Outcome.UNAVAILABLE) {
             response.respondUncertain(call);
         } else {
-            JobStatusResponses.lookedUp(
+            JobStatusResponses.respondLookup(
                     call,
                     lookup,
-                    archived -> JobStatusResponses.phase(call, archived),
+                    archived -> JobStatusResponses.respondPhase(call, archived),
                     () -> response.respond(call));
         }
     }
@@ -204,9 +205,9 @@
     }
 
     private void accept(PendingSubmission submitted) {
-        if (admission.nearBound(submitted.job().submission())) {
+        if (admission.isNearMemoryBound(submitted.job().submission())) {
             // What other controllers have accepted meanwhile may have used up what is left.
-            directory.barrier(current -> acceptNearBound(submitted, current));
+            directory.readBarrier(current -> acceptNearBound(submitted, current));
         } else {
             admit(submitted);
         }
@@ -214,8 +215,8 @@
 
     private void acceptNearBound(PendingSubmission submitted, boolean current) {
         if (!current) {
-            JobStatusResponses.unavailable(
-                    submitted.call(), JobStatusResponses.STATE_SERVICE_SILENT);
+            JobStatusResponses.respondUnavailable(
+                    submitted.call(), JobStatusResponses.STORE_UNAVAILABLE);
         } else if (isUnknown(submitted.id())) {
             admit(submitted);
         } else {
@@ -239,7 +240,7 @@
 
     private void commitAnswered(PendingSubmission submitted, CommitResult result) {
         if (result.outcome() != CommitOutcome.COMMITTED && isUnknown(submitted.id())) {
-            activeJobs.dropped(submitted.id());
+            activeJobs.removeUnaccepted(submitted.id());
         }
         switch (result.outcome()) {
             case COMMITTED -> commitSucceeded(submitted, result.revision());
@@ -247,15 +248,15 @@
             case TOO_LARGE -> decideAfterBarrier(submitted);
             case RETRYABLE -> commitAbandoned(submitted);
             case UNKNOWN ->
-                    JobStatusResponses.unavailable(
-                            submitted.call(), JobStatusResponses.STATE_SERVICE_SILENT);
+                    JobStatusResponses.respondUnavailable(
+                            submitted.call(), JobStatusResponses.STORE_UNAVAILABLE);
         }
     }
 
     private void commitSucceeded(PendingSubmission submitted, long revision) {
         JobRecord job = submitted.job().committed(revision);
-        directory.learn(job);
-        metrics.accepted(submitted.since());
+        directory.merge(job);
+        metrics.recordAcceptance(submitted.since());
         LOG.debug(
                 "{} accepted: {} of {} for {}",
                 job.id(),
@@ -268,7 +269,7 @@
             respondExisting(submitted.call(), job.id());
             return;
         }
-        byte[] answer = UserMessages.phase(job.id(), inEffect.phase());
+        byte[] answer = UserMessages.encodePhase(job.id(), inEffect.phase());
         submitted.call().reply(201, answer, 0);
     }
 
@@ -284,12 +285,12 @@
 
     /** The record was not sent in time, or the key-value store serves nothing. */
     private void commitAbandoned(PendingSubmission submitted) {
-        if (store.reachable()) {
-            AdmissionRefusal refusal = admission.givenUp(commits.expectedWaitSeconds());
-            JobStatusResponses.refused(submitted.call(), refusal);
+        if (store.isReachable()) {
+            AdmissionRefusal refusal = admission.expired(commits.expectedWaitSeconds());
+            JobStatusResponses.respondRefused(submitted.call(), refusal);
         } else {
-            JobStatusResponses.unavailable(
-                    submitted.call(), JobStatusResponses.STATE_SERVICE_SILENT);
+            JobStatusResponses.respondUnavailable(
+                    submitted.call(), JobStatusResponses.STORE_UNAVAILABLE);
         }
     }
 
--- a/src/main/java/org/springmill/control/api/UserApi.java
+++ b/src/main/java/org/springmill/control/api/UserApi.java
@@ -40,22 +40,24 @@
 
     /** Answers a request whose path is that of the submissions or below it. */
     public void handle(Call call) {
-        if (call.path().equals(UserMessages.SUBMISSIONS)) {
+        if (call.path().equals(UserMessages.SUBMISSIONS_PATH)) {
             if (hasMethod(call, "POST")) {
                 submissions.submit(call);
             }
             return;
         }
-        handleJob(call, call.path().substring(UserMessages.SUBMISSIONS.length() + 1));
+        handleJob(call, call.path().substring(UserMessages.SUBMISSIONS_PATH.length() + 1));
     }
 
     /**
      * @param name what follows the path of the submissions
      */
     private void handleJob(Call call, String name) {
-        if (name.endsWith(UserMessages.WITHDRAW)) {
+        if (name.endsWith(UserMessages.CANCELLATION_SUFFIX)) {
             if (hasMethod(call, "POST")) {
-                String id = name.substring(0, name.length() - UserMessages.WITHDRAW.length());
+                String id =
+                        name.substring(
+                                0, name.length() - UserMessages.CANCELLATION_SUFFIX.length());
                 cancellations.cancel(call, id);
             }
         } else if (name.isEmpty() || name.contains("/")) {
--- a/src/main/java/org/springmill/control/autoscaling/ArrivalRateEstimator.java
+++ b/src/main/java/org/springmill/control/autoscaling/ArrivalRateEstimator.java
@@ -62,7 +62,7 @@
      * @param now time in seconds
      * @param counted whether the job arrived just now, rather than being recovered from storage
      */
-    public void arrived(Submission job, double now, boolean counted) {
+    public void recordArrival(Submission job, double now, boolean counted) {
         latestJobs.put(job.jobClass(), job);
         // Jobs that arrive in the first moments of a term have mostly been waiting for it and say
         // nothing of the rate: at the start of a fleet as many machines again were requested for
--- a/src/main/java/org/springmill/control/autoscaling/Autoscaler.java
+++ b/src/main/java/org/springmill/control/autoscaling/Autoscaler.java
@@ -97,7 +97,7 @@
     }
 
     /** How many machines are overdue: they boot for longer than others of their type and zone. */
-    public int machinesLate() {
+    public int overdueMachines() {
         return overdueBoots.count();
     }
 
@@ -125,7 +125,7 @@
      *
      * @param reason text for the log
      */
-    public void release(Machine machine, String reason) {
+    public void deleteMachine(Machine machine, String reason) {
         deletion.delete(machine, reason);
     }
 }
--- a/src/main/java/org/springmill/control/autoscaling/Bin.java
+++ b/src/main/java/org/springmill/control/autoscaling/Bin.java
@@ -140,7 +140,7 @@
      * @return whether it was packed
      */
     boolean pack(Submission spec, ZoneCounts tasksPerZone) {
-        boolean zoneIsOpen = tasksPerZone.count(kind.zone()) < spec.perZone();
+        boolean zoneIsOpen = tasksPerZone.count(kind.zone()) < spec.maxTasksPerZone();
         if (!isAllowedFor(spec) || !fits(spec) || !zoneIsOpen) {
             return false;
         }
@@ -164,6 +164,6 @@
     }
 
     private boolean fits(Submission spec) {
-        return new Resources(freeCpus, freeGpus, freeMemoryGb).hold(spec);
+        return new Resources(freeCpus, freeGpus, freeMemoryGb).canFit(spec);
     }
 }
--- a/src/main/java/org/springmill/control/autoscaling/CloudClient.java
+++ b/src/main/java/org/springmill/control/autoscaling/CloudClient.java
@@ -1,7 +1,7 @@
 package org.springmill.control.autoscaling;
 
 import java.util.function.Consumer;
-import org.springmill.control.storage.RateLimit;
+import org.springmill.control.storage.TokenBucket;
 import org.springmill.control.timing.Timeouts;
 import org.springmill.protocol.Settings;
 import org.springmill.transport.EventLoop;
@@ -26,7 +26,7 @@
     private final EventLoop loop;
     private final Settings settings;
     private final Timeouts timeouts;
-    private final RateLimit rateLimit;
+    private final TokenBucket rateLimit;
     private boolean closed;
 
     CloudClient(HttpClient http, EventLoop loop, Settings settings, Timeouts timeouts) {
@@ -34,7 +34,7 @@
         this.loop = loop;
         this.settings = settings;
         this.timeouts = timeouts;
-        this.rateLimit = new RateLimit(settings.cloudLimits().requestsPerSecond(), loop.now());
+        this.rateLimit = new TokenBucket(settings.cloudLimits().requestsPerSecond(), loop.now());
     }
 
     /** Ends the leader's term: no further request is scheduled, and responses may be ignored. */
--- a/src/main/java/org/springmill/control/autoscaling/DemandPacking.java
+++ b/src/main/java/org/springmill/control/autoscaling/DemandPacking.java
@@ -121,7 +121,7 @@
             if (!allowed) {
                 continue;
             }
-            Submission inZone = spec.inZone(zone);
+            Submission inZone = spec.restrictedToZone(zone);
             int held = bins.stream().mapToInt(bin -> bin.capacityFor(inZone)).sum();
             if (held > mostHeld && (held >= tasks || isAnyKindAvailable(inZone, tasks))) {
                 best = inZone;
@@ -168,7 +168,7 @@
             if (!type.fits(spec)) {
                 continue;
             }
-            int tasksOnMachine = Math.min(tasks, type.holds(spec));
+            int tasksOnMachine = Math.min(tasks, type.tasksPerMachine(spec));
             for (String zone : type.zones()) {
                 if (!isZoneOpen(zone, spec, tasksPerZone)) {
                     continue;
@@ -192,7 +192,7 @@
 
     private static boolean isZoneOpen(String zone, Submission spec, ZoneCounts tasksPerZone) {
         boolean allowed = spec.zone() == null || spec.zone().equals(zone);
-        return allowed && tasksPerZone.count(zone) < spec.perZone();
+        return allowed && tasksPerZone.count(zone) < spec.maxTasksPerZone();
     }
 
     private Offer offer(MachineKind kind, int tasksOnMachine, ZoneCounts tasksPerZone) {
--- a/src/main/java/org/springmill/control/autoscaling/Headroom.java
+++ b/src/main/java/org/springmill/control/autoscaling/Headroom.java
@@ -53,7 +53,7 @@
         List<String> zones = settings.zones();
         int tasksPerZone = (tasks + zones.size() - 1) / zones.size();
         for (String zone : zones) {
-            packing.pack(PackingRequest.ofExpected(job.inZone(zone), tasksPerZone));
+            packing.pack(PackingRequest.ofExpected(job.restrictedToZone(zone), tasksPerZone));
         }
     }
 
@@ -63,7 +63,7 @@
      * goes.
      */
     private int failoverReplicas(Submission job, double budget) {
-        if (!job.service()) {
+        if (!job.isService()) {
             return 0;
         }
         double lost = runningTasks(job.jobClass()) * MachineHealth.CORRELATED_FAILURE_SHARE;
@@ -75,7 +75,7 @@
         int running = 0;
         for (Job job : fleet.clusterState().jobs().values()) {
             if (job.spec().jobClass().equals(jobClass)) {
-                running += job.liveCount();
+                running += job.attemptCount();
             }
         }
         return running;
--- a/src/main/java/org/springmill/control/autoscaling/IdleMachines.java
+++ b/src/main/java/org/springmill/control/autoscaling/IdleMachines.java
@@ -51,7 +51,7 @@
         }
         double patienceSeconds = settings.operator().idleBoots() * machine.type().bootSeconds();
         return now - machine.idleSince() >= patienceSeconds
-                && now - machine.firstSeen() >= MIN_CHARGED_SECONDS;
+                && now - machine.firstSeenAt() >= MIN_CHARGED_SECONDS;
     }
 
     private static boolean isIdle(Machine machine) {
--- a/src/main/java/org/springmill/control/autoscaling/MachineDeletion.java
+++ b/src/main/java/org/springmill/control/autoscaling/MachineDeletion.java
@@ -57,7 +57,7 @@
 
     /** Closes all attempts of a machine that is known to have stopped with all of its tasks. */
     void closeAttempts(Machine machine) {
-        for (TaskAttempt attempt : machine.attemptsNow()) {
+        for (TaskAttempt attempt : machine.attemptsSnapshot()) {
             fleet.end(attempt, ExitCause.NONE);
         }
     }
@@ -110,7 +110,7 @@
     }
 
     private void confirmDeleted(Machine machine) {
-        fleet.deleted(machine);
+        fleet.recordDeleted(machine);
         closeAttempts(machine);
         machine.transition(Machine.State.TERMINATED);
     }
--- a/src/main/java/org/springmill/control/autoscaling/MachineDraining.java
+++ b/src/main/java/org/springmill/control/autoscaling/MachineDraining.java
@@ -94,7 +94,7 @@
                 machine.attempts().size());
         drainedAt = now;
         machine.drain();
-        machine.attemptsNow().forEach(fleet::stopWithCheckpoint);
+        machine.attemptsSnapshot().forEach(fleet::stopWithCheckpoint);
     }
 
     /** Whether no machine is to be requested, none is silent, and none is being drained. */
@@ -106,7 +106,7 @@
     }
 
     private boolean isUnsettled(Machine machine, double now) {
-        boolean beingDrained = machine.draining() && !machine.attempts().isEmpty();
+        boolean beingDrained = machine.isDraining() && !machine.attempts().isEmpty();
         return beingDrained || silence.isHeartbeatOverdue(machine, now);
     }
 
@@ -137,7 +137,7 @@
     }
 
     private boolean mayEvict(TaskAttempt attempt, double now) {
-        return attempt.ranSeconds(now) > MIN_LEASES_RUNNING * timeouts.workerLeaseSeconds()
+        return attempt.runningSeconds(now) > MIN_LEASES_RUNNING * timeouts.workerLeaseSeconds()
                 && !losesMostOfItsWork(attempt, now);
     }
 
@@ -148,8 +148,8 @@
      */
     private static boolean losesMostOfItsWork(TaskAttempt attempt, double now) {
         Submission spec = attempt.job().spec();
-        boolean losesItsWork = !spec.service() && !spec.checkpoints();
-        return losesItsWork && attempt.ranSeconds(now) > spec.estimatedRunSeconds() / 2;
+        boolean losesItsWork = !spec.isService() && !spec.hasCheckpoints();
+        return losesItsWork && attempt.runningSeconds(now) > spec.estimatedRunSeconds() / 2;
     }
 
     /** Whether all tasks of a machine fit on others; packs them there. */
--- a/src/main/java/org/springmill/control/autoscaling/MachineHealth.java
+++ b/src/main/java/org/springmill/control/autoscaling/MachineHealth.java
@@ -57,7 +57,7 @@
     /** Has every unusable machine deleted. */
     void deleteUnusable(double now) {
         boolean fewSilent = areFewSilent(now);
-        for (Machine machine : fleet.machinesNow()) {
+        for (Machine machine : fleet.machinesSnapshot()) {
             reasonToDelete(machine, fewSilent, now)
                     .ifPresent(reason -> deletion.delete(machine, reason));
         }
@@ -123,10 +123,10 @@
         if (missesLeaderResponses(machine, now)) {
             return Optional.of(DeletionReason.MISSES_LEADER_RESPONSES);
         }
-        if (machine.quarantined() && machine.attempts().isEmpty()) {
+        if (machine.isQuarantined() && machine.attempts().isEmpty()) {
             return Optional.of(DeletionReason.QUARANTINED);
         }
-        if (machine.draining() && machine.attempts().isEmpty()) {
+        if (machine.isDraining() && machine.attempts().isEmpty()) {
             return Optional.of(DeletionReason.DRAINED);
         }
         return Optional.empty();
@@ -141,7 +141,7 @@
      */
     private boolean isUnresponsive(Machine machine, boolean fewSilent, double now) {
         return silence.silentSeconds(machine, now) > timeouts.deadAfterSeconds()
-                && machine.commandsFailing()
+                && machine.areCommandsFailing()
                 && !machine.attempts().isEmpty()
                 && isSingleMachineFailure(machine, fewSilent);
     }
@@ -166,14 +166,15 @@
      */
     private boolean hasBootTimedOut(Machine machine, double now) {
         double nominalSeconds = machine.type().bootSeconds() * settings.operator().bootPatience();
-        double measuredSeconds = fleet.bootTimes().lateAfterSeconds(machine.type(), machine.zone());
+        double measuredSeconds =
+                fleet.bootTimes().overdueAfterSeconds(machine.type(), machine.zone());
         double patienceSeconds =
                 overdueBoots.areBootsFailing(machine.type(), machine.zone())
                         ? PATIENCES_IF_BOOTS_FAIL * nominalSeconds
                         : Math.max(nominalSeconds, measuredSeconds);
-        double since = machine.isBooting() ? machine.rentedAt() : machine.firstSeen();
+        double since = machine.isBooting() ? machine.rentedAt() : machine.firstSeenAt();
         return now - since > patienceSeconds
-                && now - machine.firstSeen() > timeouts.workerLeaseSeconds();
+                && now - machine.firstSeenAt() > timeouts.workerLeaseSeconds();
     }
 
     /**
--- a/src/main/java/org/springmill/control/autoscaling/MachineListing.java
+++ b/src/main/java/org/springmill/control/autoscaling/MachineListing.java
@@ -105,7 +105,7 @@
             return Optional.empty();
         }
         try {
-            return Optional.of(CloudMessages.list(reply.body()));
+            return Optional.of(CloudMessages.decodeMachinePage(reply.body()));
         } catch (MalformedMessageException e) {
             LOG.warn("malformed machine list of the cloud: {}", e.getMessage());
             return Optional.empty();
@@ -129,11 +129,11 @@
     }
 
     private void update(ListedMachine listed, boolean first) {
-        Machine machine = fleet.machine(listed.name());
-        machine.listed(listedAt);
+        Machine machine = fleet.getOrAdd(listed.name());
+        machine.recordListed(listedAt);
         machine.rentedAt(listedAt - listed.ageSeconds());
         if (listed.phase() != MachinePhase.BOOTING) {
-            machine.listedAsRunning();
+            machine.markListedAsRunning();
         }
         if (machine.type() == null || machine.address().isEmpty()) {
             describe(machine, listed);
--- a/src/main/java/org/springmill/control/autoscaling/OverdueBoots.java
+++ b/src/main/java/org/springmill/control/autoscaling/OverdueBoots.java
@@ -121,9 +121,10 @@
 
     /** A machine that a list has just named may be ready, and its first heartbeat on the way. */
     private boolean isOverdue(Machine machine, double now) {
-        double patienceSeconds = fleet.bootTimes().lateAfterSeconds(machine.type(), machine.zone());
+        double patienceSeconds =
+                fleet.bootTimes().overdueAfterSeconds(machine.type(), machine.zone());
         return !partitions.contains(machine.zone())
-                && now - machine.firstSeen() > timeouts.workerLeaseSeconds()
+                && now - machine.firstSeenAt() > timeouts.workerLeaseSeconds()
                 && now - machine.rentedAt() > patienceSeconds;
     }
 
--- a/src/main/java/org/springmill/control/autoscaling/PricePerTask.java
+++ b/src/main/java/org/springmill/control/autoscaling/PricePerTask.java
@@ -18,7 +18,7 @@
         double least = Double.POSITIVE_INFINITY;
         for (MachineType type : types) {
             if (type.fits(job)) {
-                int tasksOnMachine = Math.min(tasks, type.holds(job));
+                int tasksOnMachine = Math.min(tasks, type.tasksPerMachine(job));
                 least = Math.min(least, type.price(spot) / tasksOnMachine);
             }
         }
--- a/src/main/java/org/springmill/control/autoscaling/ScaleOutRequests.java
+++ b/src/main/java/org/springmill/control/autoscaling/ScaleOutRequests.java
@@ -142,7 +142,7 @@
     }
 
     private void describe(String name, MachineKind kind) {
-        Machine machine = fleet.machine(name);
+        Machine machine = fleet.getOrAdd(name);
         machine.describe(machine.address(), kind.type(), kind.zone(), kind.spot());
     }
 
--- a/src/main/java/org/springmill/control/autoscaling/SchedulableFleet.java
+++ b/src/main/java/org/springmill/control/autoscaling/SchedulableFleet.java
@@ -90,6 +90,6 @@
     }
 
     private static boolean isBeingEvacuated(Machine machine) {
-        return machine.quarantined() || machine.draining() || machine.hasPreemptionNotice();
+        return machine.isQuarantined() || machine.isDraining() || machine.hasPreemptionNotice();
     }
 }
--- a/src/main/java/org/springmill/control/autoscaling/WaitingDemand.java
+++ b/src/main/java/org/springmill/control/autoscaling/WaitingDemand.java
@@ -32,7 +32,7 @@
 
     /** The jobs with waiting tasks, in the order of their placement. */
     List<Job> jobs() {
-        return placement.waiting();
+        return placement.waitingJobs();
     }
 
     /** Packs the waiting tasks of those jobs whose teams have a guaranteed quota. */
@@ -51,7 +51,7 @@
     }
 
     private boolean hasGuarantee(Job job) {
-        return fleet.clusterState().usage(job.spec().team()).hasGuarantee();
+        return fleet.clusterState().teamUsage(job.spec().team()).hasGuarantee();
     }
 
     /**
@@ -60,7 +60,7 @@
      * that are reserved for another job.
      */
     private void pack(Job job, DemandPacking packing, double now) {
-        int tasks = slotsNeeded(job, Math.min(job.startable(), tasksWithinQuota(job)));
+        int tasks = slotsNeeded(job, Math.min(job.startableTaskCount(), tasksWithinQuota(job)));
         Submission spec = job.spec().oneZone() ? inOneZone(job, tasks, packing) : job.spec();
         ZoneCounts tasksPerZone = new ZoneCounts();
         job.attempts().forEach(attempt -> tasksPerZone.add(attempt.machine().zone()));
@@ -77,7 +77,7 @@
     }
 
     private PackingRequest withEquivalenceClass(Job job, PackingRequest request) {
-        boolean hasReservedCapacity = placement.reservations().holders().contains(job);
+        boolean hasReservedCapacity = placement.reservations().jobsWithReservation().contains(job);
         return hasReservedCapacity
                 ? request
                 : EquivalenceClass.of(job).map(request::withEquivalenceClass).orElse(request);
@@ -95,21 +95,21 @@
         boolean isShort =
                 spec.estimatedRunSeconds() > 0
                         && spec.estimatedRunSeconds() < SHORT_TASK_BOOTS * bootSeconds;
-        if (spec.service() || spec.gang() || !isShort) {
+        if (spec.isService() || spec.isGang() || !isShort) {
             return waiting;
         }
-        int running = job.liveCount();
+        int running = job.attemptCount();
         double atOnce = (waiting + running) * spec.estimatedRunSeconds() / bootSeconds;
         return Math.max(0, Math.min(waiting, (int) Math.ceil(atOnce) - running));
     }
 
     private boolean isExcluded(Machine machine, Job job, double now) {
         return job.failures().excludes(machine.name(), now)
-                || placement.reservations().reservedFrom(job, machine);
+                || placement.reservations().isReservedForOthers(job, machine);
     }
 
     private int tasksWithinQuota(Job job) {
-        return fleet.clusterState().usage(job.spec().team()).roomFor(job.spec());
+        return fleet.clusterState().teamUsage(job.spec().team()).tasksWithinLimit(job.spec());
     }
 
     /**
@@ -120,7 +120,7 @@
         for (TaskAttempt attempt : job.attempts()) {
             String zone = attempt.machine().zone();
             if (!zone.isEmpty()) {
-                return job.spec().inZone(zone);
+                return job.spec().restrictedToZone(zone);
             }
         }
         return packing.inZoneWithMostCapacity(job.spec(), tasks);
--- a/src/main/java/org/springmill/control/borrowing/HoldDown.java
+++ b/src/main/java/org/springmill/control/borrowing/HoldDown.java
@@ -71,7 +71,8 @@
      * @param loanSeconds how long what was recalled had been lent
      * @param now in seconds of the loop's clock
      */
-    public void recalled(String machineType, double costSeconds, double loanSeconds, double now) {
+    public void recordRecall(
+            String machineType, double costSeconds, double loanSeconds, double now) {
         Estimate estimate = estimates.computeIfAbsent(machineType, t -> new Estimate());
         double decayed = decayed(estimate, now);
         boolean newWave = now - estimate.recalledAt > waveSeconds;
@@ -98,7 +99,8 @@
      * @param heldAt when the capacity came back, in seconds of the loop's clock
      * @param idleSeconds how long the capacity was held
      */
-    public void wasOfUse(String machineType, double heldAt, double idleSeconds, double now) {
+    public void heldCapacityUsed(
+            String machineType, double heldAt, double idleSeconds, double now) {
         Estimate estimate = estimates.get(machineType);
         if (estimate == null) {
             return;
@@ -116,7 +118,7 @@
     }
 
     /** Whether work is so short that it should end before the held capacity is needed again. */
-    public boolean admits(String machineType, double workSeconds, double heldForSeconds) {
+    public boolean admitsShortWork(String machineType, double workSeconds, double heldForSeconds) {
         Estimate estimate = estimates.get(machineType);
         if (estimate == null) {
             return true;
--- a/src/main/java/org/springmill/control/borrowing/RecallLog.java
+++ b/src/main/java/org/springmill/control/borrowing/RecallLog.java
@@ -90,7 +90,7 @@
     }
 
     /** Whether one more recall fits into the next round's value beside those decided already. */
-    public boolean hasRoom(List<Recall> decided, Recall next) {
+    public boolean fits(List<Recall> decided, Recall next) {
         int bytes = VALUE_OVERHEAD_BYTES + RecallCodec.bytes(next) + bytes(decided);
         if (bytes > valueLimitBytes()) {
             return false;
--- a/src/main/java/org/springmill/control/borrowing/RecallProgress.java
+++ b/src/main/java/org/springmill/control/borrowing/RecallProgress.java
@@ -98,7 +98,7 @@
      *
      * @param seconds after which the recall is abandoned without these heartbeats
      */
-    public void inherited(double seconds, double now) {
+    public void recovered(double seconds, double now) {
         deadline = now + seconds;
     }
 
@@ -120,7 +120,7 @@
     }
 
     /** Whether the timeout of the present state has passed. */
-    public boolean overdue(double now) {
+    public boolean isOverdue(double now) {
         return now >= deadline;
     }
 }
--- a/src/main/java/org/springmill/control/borrowing/VictimSelection.java
+++ b/src/main/java/org/springmill/control/borrowing/VictimSelection.java
@@ -49,7 +49,7 @@
         List<T> tasks = new ArrayList<>();
         Resources freed = free;
         for (Candidate<T> candidate : ordered) {
-            if (freed.hold(need)) {
+            if (freed.canFit(need)) {
                 break;
             }
             if (freesWhatIsMissing(candidate, freed, need)
@@ -59,7 +59,7 @@
                 freed = freed.plus(candidate.frees());
             }
         }
-        if (!freed.hold(need)) {
+        if (!freed.canFit(need)) {
             return Optional.empty();
         }
         return Optional.of(withoutUnneeded(chosen, freed, need));
@@ -99,7 +99,7 @@
         Resources left = freed;
         for (Candidate<T> candidate : costly) {
             Resources without = left.minus(candidate.frees());
-            if (without.hold(need)) {
+            if (without.canFit(need)) {
                 left = without;
                 kept.remove(candidate);
             }
--- a/src/main/java/org/springmill/control/cluster/BootTimes.java
+++ b/src/main/java/org/springmill/control/cluster/BootTimes.java
@@ -48,7 +48,7 @@
     }
 
     /** Records that a machine came up for the first time. */
-    public void cameUp(Machine machine, double now) {
+    public void recordBoot(Machine machine, double now) {
         double seconds = now - machine.rentedAt();
         add(key(machine.type(), machine.zone()), seconds);
         add(machine.type().name(), seconds);
@@ -67,7 +67,7 @@
      * After how many seconds a machine that has not come up is overdue. Where none has come up in
      * its zone, the measurements of its type in other zones count.
      */
-    public double lateAfterSeconds(MachineType type, String zone) {
+    public double overdueAfterSeconds(MachineType type, String zone) {
         Estimate ofType = estimates.get(type.name());
         Estimate known = estimates.getOrDefault(key(type, zone), ofType);
         double measured =
--- a/src/main/java/org/springmill/control/cluster/ClusterState.java
+++ b/src/main/java/org/springmill/control/cluster/ClusterState.java
@@ -47,13 +47,13 @@
 
     /** Sets a job's place in the queue, derived from its dependents. */
     void rank(Job job, Priority priority, double latestStart) {
-        attemptsByPriority.merge(job.priority(), -job.liveCount(), Integer::sum);
+        attemptsByPriority.merge(job.priority(), -job.attemptCount(), Integer::sum);
         job.rank(priority, latestStart);
-        attemptsByPriority.merge(job.priority(), job.liveCount(), Integer::sum);
+        attemptsByPriority.merge(job.priority(), job.attemptCount(), Integer::sum);
     }
 
     /** Removes a job without attempts. */
-    public void dropJob(Job job) {
+    public void removeJob(Job job) {
         jobs.remove(job.id());
     }
 
@@ -61,7 +61,7 @@
      * The usage of a team. A team that has since been removed from the settings gets no new
      * attempts, and those that it has are still counted.
      */
-    public TeamUsage usage(String team) {
+    public TeamUsage teamUsage(String team) {
         return teams.computeIfAbsent(
                 team, name -> new TeamUsage(new Settings.Team(name, 0, 1e-9, 0, 1e-9)));
     }
@@ -80,7 +80,7 @@
         attempt.machine().remove(attempt, now);
         charge(attempt, -1);
         if (attempt.markStopRequested(false)) {
-            usage(attempt.job().spec().team()).chargeStopping(attempt.job().spec(), -1);
+            teamUsage(attempt.job().spec().team()).chargeStopping(attempt.job().spec(), -1);
         }
     }
 
@@ -88,9 +88,9 @@
      * Records that an attempt is to be stopped. It still counts as used, but stopping it again
      * would free nothing more.
      */
-    public void noteLeaving(TaskAttempt attempt) {
+    public void recordStopRequested(TaskAttempt attempt) {
         if (attempt.markStopRequested(true)) {
-            usage(attempt.job().spec().team()).chargeStopping(attempt.job().spec(), 1);
+            teamUsage(attempt.job().spec().team()).chargeStopping(attempt.job().spec(), 1);
         }
     }
 
@@ -99,20 +99,20 @@
      *
      * @return false if its stop has begun or it has ended, so that this is too late
      */
-    public boolean noteStaying(TaskAttempt attempt) {
+    public boolean retractStopRequest(TaskAttempt attempt) {
         boolean isTooLate =
                 attempt.state() == TaskAttempt.State.STOPPING
                         || attempt.state() == TaskAttempt.State.ENDED
                         || attempt.state() == TaskAttempt.State.CLOSED;
         if (!isTooLate && attempt.markStopRequested(false)) {
-            usage(attempt.job().spec().team()).chargeStopping(attempt.job().spec(), -1);
+            teamUsage(attempt.job().spec().team()).chargeStopping(attempt.job().spec(), -1);
         }
         return !isTooLate;
     }
 
     private void charge(TaskAttempt attempt, int sign) {
         Submission spec = attempt.job().spec();
-        usage(spec.team()).charge(spec, sign);
+        teamUsage(spec.team()).charge(spec, sign);
         attemptsByPriority.merge(attempt.job().priority(), sign, Integer::sum);
     }
 
@@ -123,13 +123,14 @@
     public boolean mayPreemptFor(Job job) {
         String team = job.spec().team();
         return hasAttemptBelow(job.priority())
-                || (usage(team).guaranteedFor(job.spec()) && isOtherTeamAboveGuarantee(team));
+                || (teamUsage(team).isWithinGuarantee(job.spec())
+                        && isOtherTeamAboveGuarantee(team));
     }
 
     /** Whether an attempt of a lower priority exists. */
     private boolean hasAttemptBelow(Priority priority) {
         return attemptsByPriority.entrySet().stream()
-                .anyMatch(e -> e.getValue() > 0 && priority.above(e.getKey()));
+                .anyMatch(e -> e.getValue() > 0 && priority.isAbove(e.getKey()));
     }
 
     private boolean isOtherTeamAboveGuarantee(String team) {
@@ -137,8 +138,8 @@
                 .anyMatch(e -> !e.getKey().equals(team) && e.getValue().isAboveGuarantee());
     }
 
-    /** Drops the limit reservations of all teams; see {@link TeamUsage#hold}. */
-    public void releaseHeld() {
+    /** Drops the limit reservations of all teams; see {@link TeamUsage#reserveLimit}. */
+    public void releaseLimitReservations() {
         teams.values().forEach(TeamUsage::releaseReservations);
     }
 
@@ -147,7 +148,7 @@
     }
 
     /** Removes and returns up to so many of {@link #ended}, the earliest first. */
-    public List<TaskAttempt> drainEnded(int most) {
+    public List<TaskAttempt> pollEnded(int most) {
         List<TaskAttempt> taken = new ArrayList<>();
         for (TaskAttempt attempt : ended) {
             if (taken.size() == most) {
--- a/src/main/java/org/springmill/control/cluster/DependencyPriority.java
+++ b/src/main/java/org/springmill/control/cluster/DependencyPriority.java
@@ -28,7 +28,7 @@
  * exceed its bound by the dependencies of one job, of which a record holds some hundreds at most.
  */
 public final class DependencyPriority {
-    /** Steps of one call of {@link #settle}. */
+    /** Steps of one call of {@link #propagatePending}. */
     private static final int MAX_STEPS = 5_000;
 
     /** Steps for one change, enough to update any ordinary pipeline at once. */
@@ -58,14 +58,14 @@
      *
      * @return the steps taken
      */
-    public int changed(Job job) {
+    public int recordChange(Job job) {
         int steps = 1;
-        if (!job.active()) {
+        if (!job.isActive()) {
             steps += propagateToDependencies(job, null);
         } else if (hasOwnRank(job) || dependentRanks.containsKey(job.id())) {
             enqueue(job);
         }
-        return steps + settle(MAX_STEPS_PER_CHANGE);
+        return steps + propagatePending(MAX_STEPS_PER_CHANGE);
     }
 
     /**
@@ -73,17 +73,17 @@
      *
      * @return the steps taken; 0 if nothing was pending
      */
-    public int settle() {
-        return settle(MAX_STEPS);
+    public int propagatePending() {
+        return propagatePending(MAX_STEPS);
     }
 
-    private int settle(int maxSteps) {
+    private int propagatePending(int maxSteps) {
         int steps = 0;
         while (steps < maxSteps && !pendingJobs.isEmpty()) {
             Job job = pendingJobs.poll();
             pendingIds.remove(job.id());
             steps++;
-            if (job.active()) {
+            if (job.isActive()) {
                 Rank rank = derive(job);
                 apply(job, rank);
                 steps += propagateToDependencies(job, rank);
@@ -124,7 +124,7 @@
     }
 
     private void apply(Job job, Rank rank) {
-        if (rank.priority() != job.priority() || rank.latestStart() != job.latestStart()) {
+        if (rank.priority() != job.priority() || rank.latestStart() != job.latestStartAt()) {
             clusterState.rank(job, rank.priority(), rank.latestStart());
         }
     }
@@ -149,7 +149,7 @@
         for (String dependency : job.spec().dependencies()) {
             replaceRank(dependency, before, rank);
             Job dependencyJob = clusterState.job(dependency);
-            if (dependencyJob != null && dependencyJob.active()) {
+            if (dependencyJob != null && dependencyJob.isActive()) {
                 enqueue(dependencyJob);
             }
         }
--- a/src/main/java/org/springmill/control/cluster/DependentRanks.java
+++ b/src/main/java/org/springmill/control/cluster/DependentRanks.java
@@ -52,7 +52,7 @@
     Priority highestPriority(Priority own) {
         Priority highest = own;
         for (Priority priority : priorities.keySet()) {
-            highest = priority.above(highest) ? priority : highest;
+            highest = priority.isAbove(highest) ? priority : highest;
         }
         return highest;
     }
--- a/src/main/java/org/springmill/control/cluster/EquivalenceClass.java
+++ b/src/main/java/org/springmill/control/cluster/EquivalenceClass.java
@@ -37,9 +37,9 @@
                         spec.cpus(),
                         spec.gpus(),
                         spec.memoryGb(),
-                        spec.types(),
+                        spec.machineTypes(),
                         spec.zone(),
                         spec.spot(),
-                        spec.service()));
+                        spec.isService()));
     }
 }
--- a/src/main/java/org/springmill/control/cluster/ExhaustedEquivalenceClasses.java
+++ b/src/main/java/org/springmill/control/cluster/ExhaustedEquivalenceClasses.java
@@ -30,7 +30,7 @@
     }
 
     /** Whether a job is already known to fit on no machine. */
-    public boolean cover(Job job) {
+    public boolean covers(Job job) {
         if (classes.isEmpty() || jobsWithReservedCapacity.contains(job)) {
             return false;
         }
--- a/src/main/java/org/springmill/control/cluster/Fleet.java
+++ b/src/main/java/org/springmill/control/cluster/Fleet.java
@@ -15,7 +15,7 @@
 /**
  * The machines that a leader knows of, with the state that every part of the leader needs to act on
  * them. A machine is added when the cloud, its worker or a stored claim first names it, and stays
- * until {@link #forget}.
+ * until {@link #remove}.
  */
 public final class Fleet {
     /** A margin for slow members: a gang's checkpoint counts only once all members have saved. */
@@ -69,7 +69,7 @@
     }
 
     /** A copy of {@link #machines}, for loops that change the fleet. */
-    public List<Machine> machinesNow() {
+    public List<Machine> machinesSnapshot() {
         return new ArrayList<>(machines.values());
     }
 
@@ -79,7 +79,7 @@
     }
 
     /** The machine of a name, which is added if it is not known yet. */
-    public Machine machine(String name) {
+    public Machine getOrAdd(String name) {
         return machines.computeIfAbsent(name, this::newMachine);
     }
 
@@ -90,8 +90,8 @@
     }
 
     /** The machine of a heartbeat, which is added and described by it if that is still to do. */
-    public Machine machine(Heartbeat heartbeat) {
-        Machine machine = machine(heartbeat.machine());
+    public Machine getOrAdd(Heartbeat heartbeat) {
+        Machine machine = getOrAdd(heartbeat.machine());
         if (machine.type() == null || machine.address().isEmpty()) {
             machine.describe(
                     heartbeat.address(),
@@ -103,12 +103,12 @@
     }
 
     /** Removes a machine that has been terminated. */
-    public void forget(Machine machine) {
+    public void remove(Machine machine) {
         machines.remove(machine.name());
     }
 
     /** Records that the cloud has confirmed the deletion of a machine. */
-    public void deleted(Machine machine) {
+    public void recordDeleted(Machine machine) {
         double oldest = loop.now() - deletedRetentionSeconds;
         deletedMachines.values().removeIf(deletedAt -> deletedAt < oldest);
         deletedMachines.putIfAbsent(machine.name(), loop.now());
@@ -120,7 +120,7 @@
     }
 
     /** Adopts the image locations that an earlier leader stored. */
-    public void adopt(ImageLocations stored) {
+    public void adoptImageLocations(ImageLocations stored) {
         storedLocations = stored;
         machines.values().forEach(this::adoptImages);
     }
@@ -172,9 +172,9 @@
         if (!attempt.end(cause, now())) {
             return;
         }
-        clusterState.noteLeaving(attempt);
+        clusterState.recordStopRequested(attempt);
         clusterState.enqueueEnded(attempt);
-        if (attempt.job().spec().gang() && cause != ExitCause.DONE) {
+        if (attempt.job().spec().isGang() && cause != ExitCause.DONE) {
             abortGang(attempt.job());
         }
     }
@@ -193,7 +193,9 @@
         Submission spec = attempt.job().spec();
         stop(
                 attempt,
-                spec.checkpoints() ? spec.checkpointSaveSeconds() + heartbeatIntervalSeconds : 0);
+                spec.hasCheckpoints()
+                        ? spec.checkpointSaveSeconds() + heartbeatIntervalSeconds
+                        : 0);
     }
 
     /**
@@ -207,7 +209,7 @@
             case CLAIMED -> end(attempt, ExitCause.STOPPED);
             case SENT, FETCHING, RUNNING, UNKNOWN -> {
                 attempt.transition(TaskAttempt.State.STOPPING, now());
-                clusterState.noteLeaving(attempt);
+                clusterState.recordStopRequested(attempt);
                 attempt.setGraceSeconds(graceSeconds);
             }
             case STOPPING -> {
--- a/src/main/java/org/springmill/control/cluster/Job.java
+++ b/src/main/java/org/springmill/control/cluster/Job.java
@@ -21,9 +21,9 @@
 
     private final Submission spec;
     private final long acceptedRevision;
-    private long arrival;
+    private long eligibleRevision;
     private Priority priority;
-    private double latestStart = Double.POSITIVE_INFINITY;
+    private double latestStartAt = Double.POSITIVE_INFINITY;
     private final BitSet doneTasks = new BitSet();
     private final Int2ObjectHashMap<TaskAttempt> attemptsByTask = new Int2ObjectHashMap<>();
     private final ArrayDeque<Integer> requeuedTasks = new ArrayDeque<>();
@@ -63,7 +63,7 @@
         this.failures = new JobFailures(spec.id());
         this.state = spec.dependencies().isEmpty() ? State.ELIGIBLE : State.WAITING;
         this.acceptedRevision = version;
-        this.arrival = version;
+        this.eligibleRevision = version;
         this.priority = spec.priority();
         this.version = version;
     }
@@ -82,8 +82,8 @@
      * Revision at which the job was accepted, or became eligible if it waited: jobs are served in
      * this order.
      */
-    public long arrival() {
-        return arrival;
+    public long eligibleRevision() {
+        return eligibleRevision;
     }
 
     /** Revision at which the job was accepted; higher than those of all its dependencies. */
@@ -100,14 +100,14 @@
      * Time of day in seconds by which it has to start for its pipeline to keep the deadline;
      * infinite without a deadline.
      */
-    public double latestStart() {
-        return latestStart;
+    public double latestStartAt() {
+        return latestStartAt;
     }
 
     /** Called only by {@link ClusterState#rank}, which counts attempts by priority. */
     void rank(Priority derived, double startBy) {
         priority = derived;
-        latestStart = startBy;
+        latestStartAt = startBy;
     }
 
     /** Revision of its record's latest change that is known here. */
@@ -142,17 +142,17 @@
      */
     public void becomeEligible(long since) {
         if (transition(State.ELIGIBLE)) {
-            arrival = Math.max(arrival, since);
+            eligibleRevision = Math.max(eligibleRevision, since);
         }
     }
 
     /** Whether some dependency is not done. */
-    public boolean waitsForOthers() {
+    public boolean waitsForDependencies() {
         return state == State.WAITING;
     }
 
     /** Whether its tasks may be placed. */
-    public boolean eligible() {
+    public boolean isEligible() {
         return state == State.ELIGIBLE;
     }
 
@@ -167,7 +167,7 @@
     }
 
     /** Whether it is neither done nor cancelled. */
-    public boolean active() {
+    public boolean isActive() {
         return state != State.ENDED;
     }
 
@@ -177,12 +177,12 @@
     }
 
     /** How many of its tasks have an attempt. */
-    public int liveCount() {
+    public int attemptCount() {
         return attemptsByTask.size();
     }
 
     /** How many of its tasks are done. */
-    public int doneCount() {
+    public int doneTaskCount() {
         return doneTasks.cardinality();
     }
 
@@ -194,16 +194,16 @@
                 running++;
             }
         }
-        return new JobProgress(id(), doneCount(), running);
+        return new JobProgress(id(), doneTaskCount(), running);
     }
 
     /** Whether all its tasks are done; never for a service. */
-    public boolean complete() {
-        return !spec.service() && doneTasks.cardinality() == spec.tasks();
+    public boolean isComplete() {
+        return !spec.isService() && doneTasks.cardinality() == spec.tasks();
     }
 
     /** Starts the commit of its end; returns true for the first call only. */
-    public boolean beginEnding() {
+    public boolean beginCompletion() {
         boolean isFirst = !completionBegun;
         completionBegun = true;
         return isFirst;
@@ -223,7 +223,7 @@
      * Index of the next task that is neither done nor claimed, or -1. Tasks that lost their attempt
      * come first, then the others by index.
      */
-    public int nextTask() {
+    public int nextWaitingTask() {
         while (!requeuedTasks.isEmpty()) {
             int task = requeuedTasks.peek();
             if (!doneTasks.get(task) && !attemptsByTask.containsKey(task)) {
@@ -240,8 +240,8 @@
     }
 
     /** How many of its tasks are neither done nor claimed; 0 unless it is eligible. */
-    public int waiting() {
-        return eligible() ? spec.tasks() - doneTasks.cardinality() - unfinishedAttemptCount() : 0;
+    public int waitingTaskCount() {
+        return isEligible() ? spec.tasks() - doneTasks.cardinality() - unfinishedAttemptCount() : 0;
     }
 
     private int unfinishedAttemptCount() {
@@ -263,7 +263,7 @@
         int task = attempt.claim().task().index();
         if (attemptsByTask.remove(task) != null) {
             requeuedTasks.add(task);
-            if (attempt.recalled() && active()) {
+            if (attempt.isRecalled() && isActive()) {
                 recalledFrom.put(task, attempt.machine());
             }
         }
@@ -287,7 +287,7 @@
      * Whether one more task may be placed in a zone beside all attempts that may still run. An
      * attempt on a machine that has not been described yet counts in every zone.
      */
-    public boolean zoneAllows(String zone) {
+    public boolean allowsZone(String zone) {
         if (spec.zone() != null && !spec.zone().equals(zone)) {
             return false;
         }
@@ -304,11 +304,11 @@
                 return false;
             }
         }
-        return here < spec.perZone();
+        return here < spec.maxTasksPerZone();
     }
 
     /** How many of its attempts are in a zone. */
-    public int inZone(String zone) {
+    public int attemptsInZone(String zone) {
         int here = 0;
         for (TaskAttempt attempt : attemptsByTask.values()) {
             if (attempt.machine().zone().equals(zone)) {
@@ -324,17 +324,20 @@
     }
 
     /** Whether a task waits and the limit on concurrent tasks allows it. */
-    public boolean mayStartAnother() {
-        return nextTask() >= 0 && attemptsByTask.size() < maxConcurrentTasks();
+    public boolean canStartAnotherTask() {
+        return nextWaitingTask() >= 0 && attemptsByTask.size() < maxConcurrentTasks();
     }
 
     /** How many of its waiting tasks the limit on concurrent tasks allows. */
-    public int startable() {
-        return Math.min(waiting(), Math.max(0, maxConcurrentTasks() - attemptsByTask.size()));
+    public int startableTaskCount() {
+        return Math.min(
+                waitingTaskCount(), Math.max(0, maxConcurrentTasks() - attemptsByTask.size()));
     }
 
     /** Gangs and services have no limit: their tasks start together, or are all owed. */
     private int maxConcurrentTasks() {
-        return spec.gang() || spec.service() ? Integer.MAX_VALUE : failures.maxConcurrentTasks();
+        return spec.isGang() || spec.isService()
+                ? Integer.MAX_VALUE
+                : failures.maxConcurrentTasks();
     }
 }
--- a/src/main/java/org/springmill/control/cluster/JobFailures.java
+++ b/src/main/java/org/springmill/control/cluster/JobFailures.java
@@ -36,7 +36,7 @@
 
     private int failedTrials;
     private double trialFailedAt = Double.NEGATIVE_INFINITY;
-    private double notBefore;
+    private double retryNotBefore;
     private int maxConcurrentTasks = UNLIMITED_TASKS;
 
     /**
@@ -55,7 +55,7 @@
      * @param placedAt when the task was placed, on the same clock as {@code now}
      * @param stepSeconds the shortest pause
      */
-    public void failed(String machine, double placedAt, double now, double stepSeconds) {
+    public void recordFailure(String machine, double placedAt, double now, double stepSeconds) {
         failedMachines.add(machine);
         excludedUntil.put(machine, now + EXCLUSION_STEPS * stepSeconds);
         if (!isSuspect()) {
@@ -66,20 +66,20 @@
             return;
         }
         int steps = Math.min(MAX_PAUSE_STEPS, 1 << Math.min(MAX_DOUBLINGS, failedTrials));
-        notBefore = now + stepSeconds * steps * jitter;
+        retryNotBefore = now + stepSeconds * steps * jitter;
         trialFailedAt = now;
         failedTrials++;
     }
 
     /** Records that a task succeeded. */
-    public void succeeded() {
+    public void recordSuccess() {
         if (isSuspect()) {
             // The job was at fault, not the machines that were excluded for it.
             excludedUntil.clear();
         }
         failedMachines.clear();
         failedTrials = 0;
-        notBefore = 0;
+        retryNotBefore = 0;
         if (maxConcurrentTasks < UNLIMITED_TASKS) {
             maxConcurrentTasks =
                     maxConcurrentTasks > UNLIMITED_TASKS / 2
@@ -89,7 +89,7 @@
     }
 
     /** Records that other tasks of the job run well, so that failures are the machine's fault. */
-    public void othersRunWell() {
+    public void recordOtherTasksHealthy() {
         failedMachines.clear();
         failedTrials = 0;
     }
@@ -100,7 +100,7 @@
     }
 
     /** Whether the job failed on a machine recently, so that another one is preferred. */
-    public boolean avoids(String machine, double now) {
+    public boolean failedRecentlyOn(String machine, double now) {
         return !excludedUntil.isEmpty() && now < excludedUntil.getOrDefault(machine, 0.0);
     }
 
@@ -109,7 +109,7 @@
      * machine in turn, and new ones would be rented for it.
      */
     public boolean excludes(String machine, double now) {
-        return !isSuspect() && avoids(machine, now);
+        return !isSuspect() && failedRecentlyOn(machine, now);
     }
 
     /** Whether it failed anywhere, so that machines are not equal for it. */
@@ -118,8 +118,8 @@
     }
 
     /** No task is tried before this time. */
-    public double notBefore() {
-        return notBefore;
+    public double retryNotBefore() {
+        return retryNotBefore;
     }
 
     /** Limit on its concurrent tasks. */
--- a/src/main/java/org/springmill/control/cluster/Machine.java
+++ b/src/main/java/org/springmill/control/cluster/Machine.java
@@ -55,17 +55,17 @@
     private final WorkerLiveness liveness = new WorkerLiveness();
     private final CommandChannel commandChannel = new CommandChannel();
     private final WorkerEpoch workerEpoch;
-    private final double firstSeen;
+    private final double firstSeenAt;
     private MachineDescription description = MachineDescription.UNKNOWN;
     private State state = State.PROVISIONING;
     private double rentedAt;
-    private boolean listedAsRunning;
+    private boolean markListedAsRunning;
     private double listedAt = Double.NEGATIVE_INFINITY;
     private double idleSince;
     private double preemptionAt = Double.POSITIVE_INFINITY;
     private List<TaskStatus> reportedTasks = List.of();
-    private boolean reportedTasksAllKnown = true;
-    private boolean draining;
+    private boolean areReportedTasksKnown = true;
+    private boolean isDraining;
 
     /**
      * A machine that this leader has just heard of.
@@ -75,7 +75,7 @@
     public Machine(String name, long term, double now) {
         this.name = name;
         workerEpoch = new WorkerEpoch(term);
-        this.firstSeen = now;
+        this.firstSeenAt = now;
         this.rentedAt = now;
         this.idleSince = now;
     }
@@ -139,8 +139,8 @@
     }
 
     /** When this leader first heard of it. */
-    public double firstSeen() {
-        return firstSeen;
+    public double firstSeenAt() {
+        return firstSeenAt;
     }
 
     /** When it was rented; no later than when this leader first heard of it. */
@@ -150,11 +150,11 @@
 
     /** Whether neither the cloud's list nor its worker has shown that it is up. */
     public boolean isBooting() {
-        return state == State.PROVISIONING && !listedAsRunning && attempts.isEmpty();
+        return state == State.PROVISIONING && !markListedAsRunning && attempts.isEmpty();
     }
 
     /** Records that the cloud's list names it. */
-    public void listed(double now) {
+    public void recordListed(double now) {
         listedAt = now;
     }
 
@@ -164,8 +164,8 @@
     }
 
     /** Records that the cloud's list names it as running: its silence is no sign of a slow boot. */
-    public void listedAsRunning() {
-        listedAsRunning = true;
+    public void markListedAsRunning() {
+        markListedAsRunning = true;
     }
 
     /** When the cloud's list last named it; negative infinity for never. */
@@ -208,7 +208,7 @@
         }
         liveness.heartbeatReceived(now);
         reportedTasks = heartbeat.tasks();
-        reportedTasksAllKnown = false;
+        areReportedTasksKnown = false;
         preemptionAt =
                 heartbeat.preemptionNoticeSeconds() == null
                         ? Double.POSITIVE_INFINITY
@@ -224,13 +224,13 @@
      * Whether every reported task was found to have an attempt, and neither has changed since:
      * reconciliation would find nothing new.
      */
-    public boolean reportedTasksAllKnown() {
-        return reportedTasksAllKnown;
+    public boolean areReportedTasksKnown() {
+        return areReportedTasksKnown;
     }
 
     /** Records that every reported task has an attempt here. */
     public void markReportedTasksKnown() {
-        reportedTasksAllKnown = true;
+        areReportedTasksKnown = true;
     }
 
     /**
@@ -282,8 +282,8 @@
     }
 
     /** Whether the latest request with commands failed. */
-    public boolean commandsFailing() {
-        return faults.commandsFailing();
+    public boolean areCommandsFailing() {
+        return faults.areCommandsFailing();
     }
 
     /** Cordons it: no new work is placed here before the given time. */
@@ -295,18 +295,18 @@
      * Whether the machine is at fault for what failed here: several jobs did, none has succeeded
      * since, and those jobs are not known to fail on every machine.
      */
-    public boolean quarantined() {
+    public boolean isQuarantined() {
         return faults.isQuarantined();
     }
 
     /** Whether its tasks are being evicted so that it can be scaled in. */
-    public boolean draining() {
-        return draining;
+    public boolean isDraining() {
+        return isDraining;
     }
 
     /** Starts the drain, which is never taken back. */
     public void drain() {
-        draining = true;
+        isDraining = true;
     }
 
     /** Records that a task of a job failed here. */
@@ -325,19 +325,19 @@
     }
 
     /** A copy of {@link #attempts}, for loops that change them. */
-    public List<TaskAttempt> attemptsNow() {
+    public List<TaskAttempt> attemptsSnapshot() {
         return new ArrayList<>(attempts.values());
     }
 
     /** The attempt that a reported task belongs to; null if there is none. */
-    public TaskAttempt find(TaskStatus task) {
+    public TaskAttempt findAttempt(TaskStatus task) {
         TaskAttempt attempt = attempts.get(task.task());
         return attempt != null && attempt.claim().round() == task.attempt() ? attempt : null;
     }
 
     /** Adds an attempt and allocates its resources. */
     public void add(TaskAttempt attempt) {
-        reportedTasksAllKnown = false;
+        areReportedTasksKnown = false;
         attempts.put(attempt.claim().task(), attempt);
         allocation.charge(attempt.job().spec(), 1);
     }
@@ -346,8 +346,8 @@
      * Frees the resources of an attempt whose end is not committed yet, since the same transaction
      * commits its end and the claims that use its resources.
      */
-    public void release(TaskAttempt attempt) {
-        if (!attempt.released() && attempts.get(attempt.claim().task()) == attempt) {
+    public void releaseResources(TaskAttempt attempt) {
+        if (!attempt.isReleased() && attempts.get(attempt.claim().task()) == attempt) {
             attempt.markReleased();
             allocation.charge(attempt.job().spec(), -1);
         }
@@ -357,8 +357,8 @@
         if (!attempts.remove(attempt.claim().task(), attempt)) {
             return;
         }
-        reportedTasksAllKnown = false;
-        if (!attempt.released()) {
+        areReportedTasksKnown = false;
+        if (!attempt.isReleased()) {
             allocation.charge(attempt.job().spec(), -1);
         }
         String image = attempt.job().spec().image();
@@ -399,7 +399,7 @@
     /** Whether a task fits into the free resources without those withheld from it. */
     public boolean fitsBeside(Resources withheld, Submission spec) {
         Resources left = withheld.equals(Resources.NONE) ? free() : free().minus(withheld);
-        return left.hold(spec);
+        return left.canFit(spec);
     }
 
     /** Whether its type, zone and spot flag allow the job. */
@@ -415,9 +415,9 @@
     public boolean isSchedulable(double now, double suspectAfterSeconds) {
         return state == State.UP
                 && !hasPreemptionNotice()
-                && !quarantined()
-                && !draining
-                && !commandsFailing()
+                && !isQuarantined()
+                && !isDraining
+                && !areCommandsFailing()
                 && now - lastHeartbeatAt() < suspectAfterSeconds
                 && !faults.isCordoned(now)
                 && hasSeenCurrentTerm();
@@ -429,7 +429,7 @@
      * lease.
      */
     public boolean hasJustBooted() {
-        return state == State.UP && workerEpoch.hasSeenNoLeader() && !commandsFailing();
+        return state == State.UP && workerEpoch.hasSeenNoLeader() && !areCommandsFailing();
     }
 
     /** Whether its worker has shown a fencing token of this term. */
@@ -438,7 +438,7 @@
     }
 
     /** Records that a task to be started here needs its image. */
-    public void needsImage(Submission spec, double now) {
+    public void recordImageNeeded(Submission spec, double now) {
         images.recordNeeded(
                 spec.image(),
                 spec.imageGb(),
@@ -448,7 +448,7 @@
     }
 
     /** Records that a task runs here, so that its image is in the cache. */
-    public void usesImage(Submission spec, double now) {
+    public void recordImageUsed(Submission spec, double now) {
         images.recordUsed(spec.image(), spec.imageGb(), description.cacheGb(), now);
     }
 
--- a/src/main/java/org/springmill/control/cluster/MachineAllocation.java
+++ b/src/main/java/org/springmill/control/cluster/MachineAllocation.java
@@ -75,7 +75,7 @@
         if (now >= reservedUntil) {
             reservedFor.clear();
         } else {
-            reservedFor.removeIf(other -> !other.active() || other.nextTask() < 0);
+            reservedFor.removeIf(other -> !other.isActive() || other.nextWaitingTask() < 0);
         }
         return reservedFor;
     }
--- a/src/main/java/org/springmill/control/cluster/MachineFaults.java
+++ b/src/main/java/org/springmill/control/cluster/MachineFaults.java
@@ -11,19 +11,19 @@
     /** Jobs of which a task failed here since a task last succeeded. */
     private final Set<Job> failedJobs = new HashSet<>();
 
-    private boolean commandsFailing;
+    private boolean areCommandsFailing;
     private double cordonUntil = Double.NEGATIVE_INFINITY;
 
     void commandsFailed() {
-        commandsFailing = true;
+        areCommandsFailing = true;
     }
 
     void commandsSucceeded() {
-        commandsFailing = false;
+        areCommandsFailing = false;
     }
 
-    boolean commandsFailing() {
-        return commandsFailing;
+    boolean areCommandsFailing() {
+        return areCommandsFailing;
     }
 
     /** Cordons the machine until the given time; an earlier end never shortens a cordon. */
--- a/src/main/java/org/springmill/control/cluster/MachineTypeCatalog.java
+++ b/src/main/java/org/springmill/control/cluster/MachineTypeCatalog.java
@@ -53,7 +53,7 @@
                         handleResponse(reply.body());
                     }
                     loop.after(
-                            known()
+                            isKnown()
                                     ? leaseSeconds * READ_INTERVAL_LEASES
                                     : leaseSeconds / RETRIES_PER_LEASE,
                             this::start);
@@ -62,7 +62,7 @@
 
     private void handleResponse(byte[] body) {
         try {
-            List<MachineType> read = CloudMessages.types(body);
+            List<MachineType> read = CloudMessages.decodeMachineTypes(body);
             if (!read.isEmpty()) {
                 Map<String, MachineType> byName = new LinkedHashMap<>();
                 read.forEach(type -> byName.put(type.name(), type));
@@ -86,7 +86,7 @@
     }
 
     /** Whether the cloud has answered. */
-    public boolean known() {
+    public boolean isKnown() {
         return !types.isEmpty();
     }
 
@@ -110,12 +110,12 @@
     }
 
     /** The reason, as users read it, why a job can never run; null if it can. */
-    public String impossible(Submission job) {
+    public String impossibilityReason(Submission job) {
         Settings.Team team = settings.team(job.team());
         if (team == null) {
             return "unknown team " + job.team();
         }
-        int concurrentTasks = job.service() || job.gang() ? job.tasks() : 1;
+        int concurrentTasks = job.isService() || job.isGang() ? job.tasks() : 1;
         if (!team.withinLimit(job.cpus() * concurrentTasks, job.gpus() * concurrentTasks)) {
             return "needs more than the limit of team " + job.team();
         }
--- a/src/main/java/org/springmill/control/cluster/TaskAttempt.java
+++ b/src/main/java/org/springmill/control/cluster/TaskAttempt.java
@@ -62,7 +62,7 @@
     private final Job job;
     private final Machine machine;
     private State state = State.CLAIMING;
-    private ExitCause cause = ExitCause.NONE;
+    private ExitCause exitCause = ExitCause.NONE;
     private long highestStartToken;
     private long startEpoch;
     private final double claimedAt;
@@ -72,9 +72,9 @@
     private double graceSeconds;
     private boolean isMigrating;
     private boolean stopRequested;
-    private boolean recalled;
+    private boolean isRecalled;
     private double lastReportedAt = Double.NEGATIVE_INFINITY;
-    private boolean released;
+    private boolean isReleased;
 
     /** An attempt whose claim is not committed yet. */
     public TaskAttempt(Claim claim, Job job, Machine machine, double now) {
@@ -106,8 +106,8 @@
     }
 
     /** Why it ended; {@code NONE} until then. */
-    public ExitCause cause() {
-        return cause;
+    public ExitCause exitCause() {
+        return exitCause;
     }
 
     /** When its state last changed. */
@@ -121,17 +121,17 @@
     }
 
     /** When a heartbeat last named it; negative infinity for never. */
-    public double lastReported() {
+    public double lastReportedAt() {
         return lastReportedAt;
     }
 
     /** Records that a heartbeat names it. */
-    public void recordReported(double now) {
+    public void recordStatusReported(double now) {
         lastReportedAt = now;
     }
 
     /** For how many seconds its task has been known to run; 0 if it does not run. */
-    public double ranSeconds(double now) {
+    public double runningSeconds(double now) {
         return state == State.RUNNING ? now - runningSince : 0;
     }
 
@@ -182,7 +182,7 @@
         if (!transition(State.ENDED, now)) {
             return false;
         }
-        cause = why;
+        exitCause = why;
         return true;
     }
 
@@ -238,22 +238,22 @@
     }
 
     /** Whether a recall stops it, or will stop it once the recall is committed. */
-    public boolean recalled() {
-        return recalled;
+    public boolean isRecalled() {
+        return isRecalled;
     }
 
     /** Sets whether a recall stops it. */
     public void markRecalled(boolean byRecall) {
-        recalled = byRecall;
+        isRecalled = byRecall;
     }
 
     /** Whether its resources count as free although its end is not committed yet. */
-    public boolean released() {
-        return released;
+    public boolean isReleased() {
+        return isReleased;
     }
 
     void markReleased() {
-        released = true;
+        isReleased = true;
     }
 
     /** Whether it is stopped to run on another machine; nothing else should preempt it then. */
--- a/src/main/java/org/springmill/control/cluster/TeamUsage.java
+++ b/src/main/java/org/springmill/control/cluster/TeamUsage.java
@@ -39,7 +39,7 @@
     }
 
     /** Whether the limit allows one more task beside the reservations. */
-    public boolean allows(Submission spec) {
+    public boolean isWithinLimit(Submission spec) {
         Resources all = used.plus(reserved).plus(spec);
         return team.withinLimit(all.cpus(), all.gpus());
     }
@@ -48,7 +48,7 @@
      * Reserves part of the limit for replicas that wait for a machine. Otherwise a later job of the
      * team takes it for as long as it runs, and the earlier one finds a machine but no limit left.
      */
-    public void hold(Submission spec, int tasks) {
+    public void reserveLimit(Submission spec, int tasks) {
         reserved = reserved.plus(Resources.of(spec).times(tasks));
     }
 
@@ -62,7 +62,7 @@
     }
 
     /** Whether one more task is within the guarantee. */
-    public boolean guaranteedFor(Submission spec) {
+    public boolean isWithinGuarantee(Submission spec) {
         return team.withinGuarantee(used.cpus() + spec.cpus(), used.gpus() + spec.gpus());
     }
 
@@ -86,28 +86,28 @@
     }
 
     /** How many more tasks the limit allows. */
-    public int roomFor(Submission spec) {
+    public int tasksWithinLimit(Submission spec) {
         return tasksWithinBounds(spec, team.cpusMax(), team.gpusMax(), used);
     }
 
     /** How many more tasks the limit allows beside the reservations. */
-    public int roomBesideHeld(Submission spec) {
-        return roomBesideHeld(spec, Resources.NONE);
+    public int tasksWithinUnreservedLimit(Submission spec) {
+        return tasksWithinUnreservedLimit(spec, Resources.NONE);
     }
 
     /** How many more tasks the limit allows beside the reservations and what is promised. */
-    public int roomBesideHeld(Submission spec, Resources promised) {
+    public int tasksWithinUnreservedLimit(Submission spec, Resources promised) {
         return tasksWithinBounds(
                 spec, team.cpusMax(), team.gpusMax(), used.plus(reserved).plus(promised));
     }
 
     /** How many more tasks are within the guarantee. */
-    public int guaranteedRoomFor(Submission spec) {
-        return guaranteedRoomFor(spec, Resources.NONE);
+    public int tasksWithinGuarantee(Submission spec) {
+        return tasksWithinGuarantee(spec, Resources.NONE);
     }
 
     /** How many more tasks are within the guarantee beside what recalls promise the team. */
-    public int guaranteedRoomFor(Submission spec, Resources promised) {
+    public int tasksWithinGuarantee(Submission spec, Resources promised) {
         return team.hasGuarantee()
                 ? tasksWithinBounds(spec, team.cpus(), team.gpus(), used.plus(promised))
                 : 0;
--- a/src/main/java/org/springmill/control/controller/ArchivableJobs.java
+++ b/src/main/java/org/springmill/control/controller/ArchivableJobs.java
@@ -10,7 +10,7 @@
 import org.springmill.protocol.KeyValueStoreMessages.Condition;
 
 /** Tells which records of ended jobs may be archived: those that nothing needs any more. */
-final class ArchivableJobs implements HistoryArchiver.Jobs {
+final class ArchivableJobs implements HistoryArchiver.ArchivableJobSource {
     private final JobDirectory directory;
     private final ClusterState clusterState;
     private final Leadership leadership;
@@ -28,12 +28,12 @@
     }
 
     @Override
-    public Condition leadership() {
+    public Condition termCondition() {
         return leadership.termCondition();
     }
 
     @Override
-    public boolean mayMove() {
+    public boolean mayArchive() {
         return leadership.mayPlace();
     }
 
@@ -47,11 +47,11 @@
      * are gone; until then a later leader needs the record to count the capacity they use.
      */
     @Override
-    public boolean settled(JobRecord record) {
+    public boolean isArchivable(JobRecord record) {
         String id = record.id();
         boolean attemptsMayBeLeft = clusterState.job(id) != null;
         return !attemptsMayBeLeft
-                && !directory.dependencies().unsettled(id)
+                && !directory.dependencies().isUnsettled(id)
                 && !directory.dependencies().hasUnsettledDependents(id);
     }
 
@@ -60,7 +60,7 @@
      * read yet, and would bring it back.
      */
     @Override
-    public void moved(ArchivedJob job) {
-        metrics.recordMoved();
+    public void archived(ArchivedJob job) {
+        metrics.recordArchivedJob();
     }
 }
--- a/src/main/java/org/springmill/control/controller/CancellationPersister.java
+++ b/src/main/java/org/springmill/control/controller/CancellationPersister.java
@@ -114,7 +114,7 @@
 
     private void committed(List<JobRecord> batch, long revision) {
         singleWrites = Math.max(0, singleWrites - batch.size());
-        batch.forEach(job -> directory.learn(job.committed(revision)));
+        batch.forEach(job -> directory.merge(job.committed(revision)));
     }
 
     /** Has a batch retried record by record; abandons a single record. */
--- a/src/main/java/org/springmill/control/controller/ClusterStateRecovery.java
+++ b/src/main/java/org/springmill/control/controller/ClusterStateRecovery.java
@@ -55,7 +55,7 @@
     }
 
     /** Recovers an active job, with those of its tasks marked that are done. */
-    Job recoverJob(JobRecord record, RoundLog.Rebuilt rounds) {
+    Job recoverJob(JobRecord record, RoundLog.RecoveredRounds rounds) {
         Job job = new Job(record.submission(), record.version());
         BitSet doneTasks = rounds.done().get(record.id());
         if (doneTasks != null) {
@@ -77,13 +77,13 @@
             return;
         }
         Job job = knownJob == null ? jobCompletion.recoverEndedJob(jobId) : knownJob;
-        Machine machine = fleet.machine(claim.machine());
+        Machine machine = fleet.getOrAdd(claim.machine());
         TaskAttempt attempt = new TaskAttempt(claim, job, machine, loop.now());
         // Any fencing token of this term is above those of earlier leaders' starts (claim 6.1).
         attempt.recordStartSent(machine.fencingToken() - 1, START_EPOCH_UNKNOWN);
         clusterState.add(attempt);
         attempt.transition(TaskAttempt.State.UNKNOWN, loop.now());
-        if (!job.active()) {
+        if (!job.isActive()) {
             fleet.stop(attempt, NO_GRACE);
         }
     }
--- a/src/main/java/org/springmill/control/controller/CommittedRoundHandler.java
+++ b/src/main/java/org/springmill/control/controller/CommittedRoundHandler.java
@@ -31,7 +31,7 @@
 
     @Override
     public void committed(List<TaskAttempt> claimed, List<TaskAttempt> ended, double startedAt) {
-        metrics.roundCommitted(startedAt, claimed.size(), ended.size());
+        metrics.recordRoundCommit(startedAt, claimed.size(), ended.size());
         broadcast.placed(claimed);
         for (TaskAttempt attempt : claimed) {
             dispatcher.requestSend(attempt.machine());
@@ -44,7 +44,7 @@
     }
 
     @Override
-    public void lost() {
+    public void refused() {
         leadership.stepDown("a round was refused");
     }
 }
--- a/src/main/java/org/springmill/control/controller/Controller.java
+++ b/src/main/java/org/springmill/control/controller/Controller.java
@@ -171,14 +171,15 @@
 
     private AdmissionControl admissionControl(SplittableRandom random, double heapBytes) {
         double answerWithinSeconds =
-                JobStatusResponses.ANSWER_WITHIN_SECONDS - timeouts.storeRequestTimeoutSeconds();
+                JobStatusResponses.RESPONSE_DEADLINE_SECONDS
+                        - timeouts.storeRequestTimeoutSeconds();
         return new AdmissionControl(
                 loop,
                 settings,
                 activeJobs,
                 congestion,
                 random,
-                () -> Math.max(0, directory.all().size() - activeJobs.jobs()),
+                () -> Math.max(0, directory.all().size() - activeJobs.jobCount()),
                 settings.limits().heapBytes(heapBytes),
                 answerWithinSeconds * EXPECTED_WAIT_SHARE);
     }
@@ -231,11 +232,11 @@
     private void addListeners(Metrics metrics) {
         pauseDetector.onResume(this::resumed);
         directory.onChange(this::jobRecordChanged);
-        directory.onForget(id -> activeJobs.ended(id, loop.now()));
-        peers.onProgress(remoteProgress::receive);
-        peers.onCongested(congested -> congestion.update(congested.queues(), loop.now()));
+        directory.onEvict(id -> activeJobs.ended(id, loop.now()));
+        peers.onProgressUpdate(remoteProgress::receive);
+        peers.onCongestionNotice(congested -> congestion.update(congested.queues(), loop.now()));
         peers.onUnresponsiveLeader(leadership::leaderRefusedConnection);
-        store.onCommit(metrics::commitAnswered);
+        store.onCommitAnswered(metrics::recordStoreCommit);
     }
 
     /** Begins to talk to the key-value store, the cloud and the other controllers. */
@@ -254,7 +255,7 @@
     /** This process was paused: nothing that it knew of others before is known still. */
     private void resumed() {
         readiness.resumed();
-        directory.resumed();
+        directory.processResumed();
         peers.resumed();
         leaseKeepalive.resumed();
         leadership.resumed();
@@ -273,7 +274,7 @@
                 settings.node(),
                 0,
                 0,
-                store.reachable(),
+                store.isReachable(),
                 leadership.mayRespondToWorkers(),
                 leadership.hasReadLeaderRecord(),
                 redirectedWorkers.count(),
--- a/src/main/java/org/springmill/control/controller/ControllerGauges.java
+++ b/src/main/java/org/springmill/control/controller/ControllerGauges.java
@@ -28,7 +28,7 @@
     /** Adds the gauges of leadership, key-value store and cancellations. */
     void addStoreGauges(CancellationFreshness cancellationFreshness) {
         metrics.gauge("leading", services.leadership(), l -> l.mayPlace() ? 1 : 0);
-        metrics.gauge("state_service_up", services.store(), s -> s.reachable() ? 1 : 0);
+        metrics.gauge("state_service_up", services.store(), s -> s.isReachable() ? 1 : 0);
         metrics.gauge(
                 "state_service_queued_requests", services.store(), KeyValueStoreClient::backlog);
         metrics.gauge(
@@ -43,7 +43,7 @@
         Congestion congestion = services.congestion();
         EventLoop loop = services.loop();
         metrics.gauge("jobs", directory, d -> d.all().size());
-        metrics.gauge("live_jobs", activeJobs, ActiveJobs::jobs);
+        metrics.gauge("live_jobs", activeJobs, ActiveJobs::jobCount);
         metrics.gauge("job_memory_bytes", admission, AdmissionControl::usedBytes);
         metrics.gauge("job_memory_bound_bytes", admission, AdmissionControl::boundBytes);
         metrics.gauge("congested_queues", congestion, c -> c.queues(loop.now()));
@@ -53,7 +53,7 @@
             metrics.counter(name, admission, a -> a.refused(reason));
         }
         metrics.gauge("cancellations", directory, JobDirectory::cancellationCount);
-        metrics.gauge("moved_jobs_in_memory", directory, JobDirectory::archivedInMemory);
+        metrics.gauge("moved_jobs_in_memory", directory, JobDirectory::archivedCount);
     }
 
     /** Adds the gauges that only a leader has a value for; any other controller shows 0. */
--- a/src/main/java/org/springmill/control/controller/HeartbeatEndpoint.java
+++ b/src/main/java/org/springmill/control/controller/HeartbeatEndpoint.java
@@ -59,7 +59,7 @@
         try {
             heartbeat = WorkerMessages.decodeHeartbeat(call.body());
         } catch (MalformedMessageException e) {
-            call.reply(400, UserMessages.error(e.getMessage()), 0);
+            call.reply(400, UserMessages.encodeError(e.getMessage()), 0);
             return;
         }
         respond(call, heartbeat);
--- a/src/main/java/org/springmill/control/controller/ImageLocationPersister.java
+++ b/src/main/java/org/springmill/control/controller/ImageLocationPersister.java
@@ -49,7 +49,7 @@
                 ImageLocations.KEY,
                 read -> {
                     if (read.entry() != null) {
-                        fleet.adopt(ImageLocations.decode(read.entry().value()));
+                        fleet.adoptImageLocations(ImageLocations.decode(read.entry().value()));
                     }
                     loop.after(intervalSeconds, this::run);
                 });
--- a/src/main/java/org/springmill/control/controller/JobAdmission.java
+++ b/src/main/java/org/springmill/control/controller/JobAdmission.java
@@ -44,11 +44,11 @@
 
     private void admit(Job job, boolean countsAsArrival) {
         clusterState.add(job);
-        dependencyPriority.changed(job);
+        dependencyPriority.recordChange(job);
         if (dependenciesJustDone(job)) {
             makeEligible(job);
         }
-        if (job.eligible()) {
+        if (job.isEligible()) {
             requestPlacement(job, countsAsArrival);
         }
     }
@@ -75,15 +75,15 @@
     }
 
     private boolean dependenciesJustDone(Job job) {
-        return job.waitsForOthers() && directory.dependencies().ready(job.spec());
+        return job.waitsForDependencies() && directory.dependencies().isReady(job.spec());
     }
 
     private void makeEligible(Job job) {
-        job.becomeEligible(directory.dependencies().readySince(job.spec()));
+        job.becomeEligible(directory.dependencies().readySinceRevision(job.spec()));
     }
 
     private void requestPlacement(Job job, boolean countsAsArrival) {
-        arrivalRates.arrived(job.spec(), loop.now(), countsAsArrival);
+        arrivalRates.recordArrival(job.spec(), loop.now(), countsAsArrival);
         rounds.request();
     }
 }
--- a/src/main/java/org/springmill/control/controller/JobCompletion.java
+++ b/src/main/java/org/springmill/control/controller/JobCompletion.java
@@ -93,7 +93,7 @@
     List<Machine> machinesWithOverdueTasks() {
         double now = loop.now();
         return clusterState.jobs().values().stream()
-                .filter(job -> !job.active() && job.liveCount() > 0)
+                .filter(job -> !job.isActive() && job.attemptCount() > 0)
                 .filter(job -> now - job.endedAt() > timeouts.cancellationDeletionTimeoutSeconds())
                 .flatMap(job -> job.attempts().stream())
                 .filter(attempt -> attempt.state() == TaskAttempt.State.STOPPING)
@@ -103,21 +103,21 @@
 
     /** Drops a job that has ended and has no live attempt any more. */
     void dropIfOver(Job job) {
-        if (!job.active() && job.liveCount() == 0) {
-            clusterState.dropJob(job);
+        if (!job.isActive() && job.attemptCount() == 0) {
+            clusterState.removeJob(job);
         }
     }
 
     /** Writes that a job is done once all of its tasks are. */
     void finishIfComplete(Job job) {
-        if (job.active() && job.complete() && job.beginEnding()) {
+        if (job.isActive() && job.isComplete() && job.beginCompletion()) {
             writeDone(job);
         }
     }
 
     /** The compare-and-swap decides between done and cancelled: whichever is first stays. */
     private void writeDone(Job job) {
-        if (closed || !job.active()) {
+        if (closed || !job.isActive()) {
             return;
         }
         JobRecord done = directory.get(job.id()).ended(JobPhase.DONE, loop.timeOfDay());
@@ -132,21 +132,21 @@
             return;
         }
         if (result.outcome() == CommitOutcome.COMMITTED) {
-            directory.learn(done.committed(result.revision()));
+            directory.merge(done.committed(result.revision()));
         } else if (result.outcome() == CommitOutcome.REJECTED && result.failed().isEmpty()) {
             // The same write would be rejected for ever. A later leader tries once more.
             LOG.error("the key-value store rejects the record of {}, which is done", job.id());
         } else if (result.outcome() == CommitOutcome.REJECTED) {
             // Cancelled meanwhile, or an earlier copy of this write was applied: the record shows
             // it.
-            directory.barrier(read -> retryLater(job));
+            directory.readBarrier(read -> retryLater(job));
         } else {
             loop.after(timeouts.peerPollIntervalSeconds(), () -> writeDone(job));
         }
     }
 
     private void retryLater(Job job) {
-        if (job.active()) {
+        if (job.isActive()) {
             loop.after(timeouts.leaderRenewIntervalSeconds(), () -> writeDone(job));
         }
     }
--- a/src/main/java/org/springmill/control/controller/JobRecordHandler.java
+++ b/src/main/java/org/springmill/control/controller/JobRecordHandler.java
@@ -54,12 +54,12 @@
             jobAdmission.releaseDependents(record.id());
         }
         if (!record.active()) {
-            historyArchiver.ifPresent(archiver -> archiver.ended(record));
+            historyArchiver.ifPresent(archiver -> archiver.jobEnded(record));
         }
         Job job = clusterState.job(record.id());
         if (record.active()) {
             activeRecordChanged(record, job);
-        } else if (job != null && job.active()) {
+        } else if (job != null && job.isActive()) {
             end(job, record);
         }
     }
@@ -76,7 +76,7 @@
     /** Ends a job that was cancelled or is done, and stops its attempts. */
     private void end(Job job, JobRecord record) {
         job.end(record.phase(), record.version(), jobCompletion.endedSince(record));
-        dependencyPriority.changed(job);
+        dependencyPriority.recordChange(job);
         for (TaskAttempt attempt : job.attempts()) {
             fleet.stop(attempt, 0);
             dispatcher.requestSend(attempt.machine());
--- a/src/main/java/org/springmill/control/controller/Leader.java
+++ b/src/main/java/org/springmill/control/controller/Leader.java
@@ -53,12 +53,12 @@
      */
     void start() {
         services.directory()
-                .barrier(
+                .readBarrier(
                         current -> {
                             if (lifecycle.isClosed()) {
                                 return;
                             }
-                            if (current && services.catalog().known()) {
+                            if (current && services.catalog().isKnown()) {
                                 loadRounds();
                             } else {
                                 startAgainLater();
@@ -82,7 +82,7 @@
                         });
     }
 
-    private void loadRecalls(RoundLog.Rebuilt rounds) {
+    private void loadRecalls(RoundLog.RecoveredRounds rounds) {
         components
                 .preemption()
                 .load(
@@ -103,7 +103,7 @@
         services.loop().after(services.timeouts().peerPollIntervalSeconds(), this::start);
     }
 
-    private void recover(RoundLog.Rebuilt rounds) {
+    private void recover(RoundLog.RecoveredRounds rounds) {
         ClusterStateRecovery recovery =
                 new ClusterStateRecovery(
                         services.directory(),
@@ -113,7 +113,8 @@
                         services.loop());
         List<JobRecord> activeRecords = recovery.activeRecords();
         recovery.endedRecords()
-                .forEach(record -> historyArchiver.ifPresent(archiver -> archiver.ended(record)));
+                .forEach(
+                        record -> historyArchiver.ifPresent(archiver -> archiver.jobEnded(record)));
         activeRecords.forEach(
                 record ->
                         components
@@ -127,12 +128,12 @@
                 components.fleet().term(),
                 activeRecords.size(),
                 rounds.live().size(),
-                components.roundLog().kept());
+                components.roundLog().storedValueCount());
     }
 
     private void startComponents() {
-        components.autoscaler().start(components.roundLog().kept() == 0);
-        for (Machine machine : components.fleet().machinesNow()) {
+        components.autoscaler().start(components.roundLog().storedValueCount() == 0);
+        for (Machine machine : components.fleet().machinesSnapshot()) {
             machine.commandChannel().requestStatus();
             components.dispatcher().requestSend(machine);
         }
@@ -170,7 +171,9 @@
 
     /** Tasks of eligible jobs that are not done and have no live attempt. */
     int waitingTasks() {
-        return components.clusterState().jobs().values().stream().mapToInt(Job::waiting).sum();
+        return components.clusterState().jobs().values().stream()
+                .mapToInt(Job::waitingTaskCount)
+                .sum();
     }
 
     /** Tasks that workers run, as they reported. */
@@ -189,16 +192,16 @@
 
     /** Machines that boot for longer than expected. */
     int overdueBoots() {
-        return components.autoscaler().machinesLate();
+        return components.autoscaler().overdueMachines();
     }
 
     /** Records of ended jobs that are still to be archived. */
     int recordsToArchive() {
-        return historyArchiver.map(HistoryArchiver::waiting).orElse(0);
+        return historyArchiver.map(HistoryArchiver::pendingCount).orElse(0);
     }
 
     /** Placement rounds in the key-value store. */
     int storedRounds() {
-        return components.roundLog().kept();
+        return components.roundLog().storedValueCount();
     }
 }
--- a/src/main/java/org/springmill/control/controller/LeaderFactory.java
+++ b/src/main/java/org/springmill/control/controller/LeaderFactory.java
@@ -157,7 +157,7 @@
     }
 
     private static boolean isActive(Job job) {
-        return job != null && job.active();
+        return job != null && job.isActive();
     }
 
     private Reconciliation reconciliation(Fleet fleet, RoundTrigger roundTrigger) {
@@ -177,7 +177,9 @@
     }
 
     private static CapacityFilter capacityFilter(Optional<RecallSetup> recallSetup) {
-        return recallSetup.<CapacityFilter>map(RecallSetup::withheld).orElse(CapacityFilter.NONE);
+        return recallSetup
+                .<CapacityFilter>map(RecallSetup::capacityFilter)
+                .orElse(CapacityFilter.NONE);
     }
 
     private PreemptionPolicy preemption(
@@ -187,7 +189,7 @@
             CommandDispatcher dispatcher) {
         return recallSetup
                 .<PreemptionPolicy>map(
-                        setup -> setup.recalls(store, placement, dispatcher::requestSend))
+                        setup -> setup.preemptionPolicy(store, placement, dispatcher::requestSend))
                 .orElseGet(() -> new ImmediatePreemption(fleet, placement, timeouts));
     }
 
--- a/src/main/java/org/springmill/control/controller/LeaderTick.java
+++ b/src/main/java/org/springmill/control/controller/LeaderTick.java
@@ -67,7 +67,7 @@
             return;
         }
         reconciliation.tick();
-        dependencyPriority.settle();
+        dependencyPriority.propagatePending();
         machineSweep.run();
         if (leadership.mayPlace()) {
             autoscaler.tick();
@@ -81,7 +81,7 @@
      */
     private void releaseMachinesWithOverdueTasks() {
         for (Machine machine : jobCompletion.machinesWithOverdueTasks()) {
-            autoscaler.release(machine, "a cancelled task on it cannot be stopped");
+            autoscaler.deleteMachine(machine, "a cancelled task on it cannot be stopped");
         }
     }
 }
--- a/src/main/java/org/springmill/control/controller/MachineSweep.java
+++ b/src/main/java/org/springmill/control/controller/MachineSweep.java
@@ -22,13 +22,13 @@
 
     /** Goes through all machines once. */
     void run() {
-        for (Machine machine : fleet.machinesNow()) {
+        for (Machine machine : fleet.machinesSnapshot()) {
             if (isProbeDue(machine)) {
                 machine.commandChannel().requestStatus();
             }
             dispatcher.requestSend(machine);
             if (isOver(machine)) {
-                fleet.forget(machine);
+                fleet.remove(machine);
             }
         }
     }
--- a/src/main/java/org/springmill/control/controller/Readiness.java
+++ b/src/main/java/org/springmill/control/controller/Readiness.java
@@ -42,7 +42,7 @@
 
     /** Whether users should be sent here. */
     boolean isReady() {
-        if (!directory.loaded() || !catalog.known()) {
+        if (!directory.isLoaded() || !catalog.isKnown()) {
             return false;
         }
         boolean anyPeerReachesStore = peers.anyReachesStore();
@@ -50,8 +50,9 @@
     }
 
     private boolean lacksStore() {
-        double lastServedAt = Math.max(store.lastServed(), resumedAt);
-        return !store.reachable() && loop.now() - lastServedAt > timeouts.leaderLeaseSeconds() / 2;
+        double lastServedAt = Math.max(store.lastServedAt(), resumedAt);
+        return !store.isReachable()
+                && loop.now() - lastServedAt > timeouts.leaderLeaseSeconds() / 2;
     }
 
     /**
@@ -60,7 +61,7 @@
      * lasts, while all others are served.
      */
     private boolean isIsolated() {
-        double lastHeardAt = Math.max(store.lastServed(), peers.lastHeardAt());
+        double lastHeardAt = Math.max(store.lastServedAt(), peers.lastHeardAt());
         return loop.now() - Math.max(lastHeardAt, resumedAt) > timeouts.workerLeaseSeconds();
     }
 }
--- a/src/main/java/org/springmill/control/controller/RequestRouter.java
+++ b/src/main/java/org/springmill/control/controller/RequestRouter.java
@@ -40,7 +40,7 @@
             return;
         }
         leaseKeepalive.recordUserRequest();
-        if (path.equals(UserMessages.READY)) {
+        if (path.equals(UserMessages.READINESS_PATH)) {
             handleReadiness(call);
         } else if (isSubmissionPath(path)) {
             userApi.handle(call);
@@ -52,8 +52,8 @@
     }
 
     private static boolean isSubmissionPath(String path) {
-        return path.equals(UserMessages.SUBMISSIONS)
-                || path.startsWith(UserMessages.SUBMISSIONS + "/");
+        return path.equals(UserMessages.SUBMISSIONS_PATH)
+                || path.startsWith(UserMessages.SUBMISSIONS_PATH + "/");
     }
 
     private static void reply(Call call, int status) {
--- a/src/main/java/org/springmill/control/history/ArchivedJobLookup.java
+++ b/src/main/java/org/springmill/control/history/ArchivedJobLookup.java
@@ -10,7 +10,7 @@
 import org.springmill.control.storage.ArchivedJob;
 import org.springmill.control.storage.KeyValueStoreClient;
 import org.springmill.control.storage.KeyValueStoreClient.ReadResult;
-import org.springmill.control.storage.RateLimit;
+import org.springmill.control.storage.TokenBucket;
 import org.springmill.transport.EventLoop;
 
 /**
@@ -26,11 +26,11 @@
     private static final double MAX_QUEUED_SECONDS = 1;
 
     /** Cached results; each takes some 200 bytes. */
-    static final int MOST_KEPT = 4096;
+    static final int MAX_CACHED = 4096;
 
     private final KeyValueStoreClient store;
     private final EventLoop loop;
-    private final RateLimit rateLimit;
+    private final TokenBucket rateLimit;
     private final int maxQueued;
     private final Map<String, List<Consumer<Lookup>>> callbacksByJob = new HashMap<>();
     private final ArrayDeque<String> queuedIds = new ArrayDeque<>();
@@ -68,7 +68,7 @@
 
         @Override
         protected boolean removeEldestEntry(Map.Entry<String, ArchivedJob> eldest) {
-            return size() > MOST_KEPT;
+            return size() > MAX_CACHED;
         }
     }
 
@@ -77,22 +77,22 @@
         this.store = store;
         this.loop = loop;
         double readsPerSecond = store.lookupsPerSecond();
-        rateLimit = new RateLimit(readsPerSecond, loop.now());
+        rateLimit = new TokenBucket(readsPerSecond, loop.now());
         maxQueued = (int) Math.max(1, MAX_QUEUED_SECONDS * readsPerSecond);
     }
 
     /** The final state of an archived job if it is cached, else null. */
-    public ArchivedJob kept(String id) {
+    public ArchivedJob cached(String id) {
         return cache.get(id);
     }
 
     /** Caches the final state of a job that is known to be archived. */
-    public void keep(ArchivedJob job) {
+    public void cache(ArchivedJob job) {
         cache.put(job.id(), job);
     }
 
     /** Number of cached results. */
-    public int keptCount() {
+    public int cachedCount() {
         return cache.size();
     }
 
@@ -139,7 +139,7 @@
     private void readCompleted(String id, ReadResult read) {
         Lookup lookup = lookup(read);
         if (lookup.job() != null) {
-            keep(lookup.job());
+            cache(lookup.job());
         }
         callbacksByJob.remove(id).forEach(done -> done.accept(lookup));
     }
--- a/src/main/java/org/springmill/control/history/HistoryArchiver.java
+++ b/src/main/java/org/springmill/control/history/HistoryArchiver.java
@@ -36,7 +36,7 @@
     private final KeyValueStoreClient store;
     private final EventLoop loop;
     private final HistoryMembership membership;
-    private final Jobs jobs;
+    private final ArchivableJobSource jobs;
     private final double retentionSeconds;
     private final double backoffSeconds;
     private final RetentionQueue retentionQueue = new RetentionQueue();
@@ -47,12 +47,12 @@
     private boolean isClosed;
 
     /** What the archiver has to know of jobs and of the leader's term. */
-    public interface Jobs {
+    public interface ArchivableJobSource {
         /** The condition that holds as long as this controller leads. */
-        Condition leadership();
+        Condition termCondition();
 
         /** Whether this controller's lease as the leader is certain, so that it may archive. */
-        boolean mayMove();
+        boolean mayArchive();
 
         /** The record of a job as this controller knows it; null once it is archived. */
         JobRecord record(String id);
@@ -61,10 +61,10 @@
          * Whether nothing needs the record any more: its end is stored in it, no task of the job
          * may be left on a machine, and no active job depends on it.
          */
-        boolean settled(JobRecord record);
+        boolean isArchivable(JobRecord record);
 
         /** Called when the archiving of a record is committed. */
-        void moved(ArchivedJob job);
+        void archived(ArchivedJob job);
     }
 
     /**
@@ -78,7 +78,7 @@
             KeyValueStoreClient store,
             EventLoop loop,
             HistoryMembership membership,
-            Jobs jobs,
+            ArchivableJobSource jobs,
             double retentionSeconds,
             double backoffSeconds) {
         this.store = store;
@@ -90,14 +90,14 @@
     }
 
     /** Adds a job that has ended; it is archived once its retention is over. */
-    public void ended(JobRecord record) {
+    public void jobEnded(JobRecord record) {
         // A job that was cancelled by a clock that lags, or whose end has no time, is due at once.
         double age = loop.timeOfDay() - record.endedAt();
         retentionQueue.add(record.id(), loop.now() + Math.max(0, retentionSeconds - age));
     }
 
     /** Number of jobs whose retention has not ended. */
-    public int waiting() {
+    public int pendingCount() {
         return retentionQueue.size();
     }
 
@@ -116,7 +116,7 @@
         if (isClosed) {
             return;
         }
-        boolean busy = store.backlog() > 0 || !jobs.mayMove() || !membership.allParticipate();
+        boolean busy = store.backlog() > 0 || !jobs.mayArchive() || !membership.allParticipate();
         List<JobRecord> batch = busy ? List.of() : takeArchivable();
         if (batch.isEmpty()) {
             scheduleNextBatch(1);
@@ -146,7 +146,7 @@
             if (record == null || record.active()) {
                 continue;
             }
-            if (jobs.settled(record)) {
+            if (jobs.isArchivable(record)) {
                 batch.add(record);
             } else {
                 requeueLater(record);
@@ -161,7 +161,7 @@
 
     private void archive(List<JobRecord> batch) {
         List<Condition> conditions = new ArrayList<>();
-        conditions.add(jobs.leadership());
+        conditions.add(jobs.termCondition());
         List<Write> writes = new ArrayList<>();
         for (JobRecord record : batch) {
             ArchivedJob archived = ArchivedJob.of(record);
@@ -180,7 +180,7 @@
         recordsToCommitSingly = Math.max(0, recordsToCommitSingly - batch.size());
         switch (result.outcome()) {
             case COMMITTED -> {
-                batch.forEach(record -> jobs.moved(ArchivedJob.of(record)));
+                batch.forEach(record -> jobs.archived(ArchivedJob.of(record)));
                 scheduleNextBatch(batch.size());
             }
             case REJECTED -> {
--- a/src/main/java/org/springmill/control/jobs/JobDependencies.java
+++ b/src/main/java/org/springmill/control/jobs/JobDependencies.java
@@ -135,7 +135,7 @@
         JobRecord job = jobs.get(id);
         if (job != null) {
             return new Dependency(
-                    job.phase(), job.submission().service(), job.endedAt(), job.version());
+                    job.phase(), job.submission().isService(), job.endedAt(), job.version());
         }
         ArchivedJob archivedJob = archived.of(id);
         return archivedJob == null
@@ -194,7 +194,7 @@
     }
 
     /** Ids of the dependencies of a submission of which nothing is in memory. */
-    public List<String> unknown(Submission submission) {
+    public List<String> unknownDependencies(Submission submission) {
         return submission.dependencies().stream().filter(id -> dependency(id) == null).toList();
     }
 
@@ -219,19 +219,20 @@
     }
 
     /**
-     * Whether some dependent is {@link #unsettled}, so that this job's record is still dependency.
+     * Whether some dependent is {@link #isUnsettled}, so that this job's record is still
+     * dependency.
      */
     public boolean hasUnsettledDependents(String id) {
-        return dependents(id).stream().anyMatch(this::unsettled);
+        return dependents(id).stream().anyMatch(this::isUnsettled);
     }
 
     /** Whether a job has not ended, or its end is not yet in its own stored record. */
-    public boolean unsettled(String id) {
+    public boolean isUnsettled(String id) {
         return jobs.get(id).active() || pendingPersistence.contains(id);
     }
 
     /** The reason, as users read it, why a submission's dependencies are invalid; null if valid. */
-    public String refusal(Submission submission) {
+    public String rejectionReason(Submission submission) {
         for (String id : submission.dependencies()) {
             Dependency dependency = dependency(id);
             if (dependency == null) {
@@ -248,7 +249,7 @@
      * Whether the records of all dependencies say done. Only records count, not messages of peers
      * or counts of finished tasks. Done is final, so a later leader finds the same.
      */
-    public boolean ready(Submission submission) {
+    public boolean isReady(Submission submission) {
         for (String id : submission.dependencies()) {
             Dependency dependency = dependency(id);
             if (dependency == null || dependency.phase() != JobPhase.DONE) {
@@ -259,7 +260,7 @@
     }
 
     /** Revision at which a ready job became ready: that at which its last dependency ended. */
-    public long readySince(Submission submission) {
+    public long readySinceRevision(Submission submission) {
         long since = 0;
         for (String id : submission.dependencies()) {
             since = Math.max(since, dependency(id).revision());
--- a/src/main/java/org/springmill/control/jobs/JobDirectory.java
+++ b/src/main/java/org/springmill/control/jobs/JobDirectory.java
@@ -31,7 +31,7 @@
  * cancellations applied, and of the cancellations of such jobs. Archived jobs are looked up by key.
  *
  * <p>The copy may lag behind the key-value store, so a response that could be stale (a job unknown,
- * or not ended) waits for a {@link #barrier}.
+ * or not ended) waits for a {@link #readBarrier}.
  */
 public final class JobDirectory {
     private static final Logger LOG = LoggerFactory.getLogger(JobDirectory.class);
@@ -62,7 +62,7 @@
         this.loop = loop;
         lookupRetrySeconds = timeouts.leaderRenewIntervalSeconds();
         archivedJobs = new ArchivedJobLookup(store, loop);
-        dependencies = new JobDependencies(jobs, archivedJobs::kept);
+        dependencies = new JobDependencies(jobs, archivedJobs::cached);
         cancellations = new Cancellations(tag);
         watch = new JobRecordWatch(store, loop, timeouts, new RecordListener());
     }
@@ -100,14 +100,14 @@
         watch.start();
     }
 
-    /** Records that this process was paused; see {@link JobRecordWatch#resumed}. */
-    public void resumed() {
-        watch.resumed();
+    /** Records that this process was paused; see {@link JobRecordWatch#processResumed}. */
+    public void processResumed() {
+        watch.processResumed();
     }
 
     /** Whether all records were read once. */
-    public boolean loaded() {
-        return watch.loaded();
+    public boolean isLoaded() {
+        return watch.isLoaded();
     }
 
     /** Sets the listener that receives every record that is new or has changed. */
@@ -116,7 +116,7 @@
     }
 
     /** Sets the listener that receives the id of every job whose record is evicted from memory. */
-    public void onForget(Consumer<String> newListener) {
+    public void onEvict(Consumer<String> newListener) {
         evictionListener = newListener;
     }
 
@@ -135,15 +135,15 @@
 
     /** The final state of an archived job if it is in memory; else null. */
     public ArchivedJob archived(String id) {
-        return archivedJobs.kept(id);
+        return archivedJobs.cached(id);
     }
 
     /**
      * Looks up the final state of a job that may have been archived. Archiving is atomic: if no
-     * record is found after a {@link #barrier}, and no archived job either, the job was not
+     * record is found after a {@link #readBarrier}, and no archived job either, the job was not
      * accepted when the request arrived.
      */
-    public void findArchived(String id, Consumer<Lookup> done) {
+    public void lookUpArchived(String id, Consumer<Lookup> done) {
         archivedJobs.find(id, done);
     }
 
@@ -155,7 +155,7 @@
      * @param done takes false if one could not be read before the deadline; the others stay in
      *     memory, so that a retry gets further
      */
-    public void findAllArchived(List<String> ids, double until, Consumer<Boolean> done) {
+    public void lookUpAllArchived(List<String> ids, double until, Consumer<Boolean> done) {
         if (ids.isEmpty()) {
             done.accept(true);
             return;
@@ -164,7 +164,7 @@
                 ids.get(0),
                 lookup -> {
                     if (lookup.outcome() == Outcome.FOUND && loop.now() < until) {
-                        findAllArchived(ids.subList(1, ids.size()), until, done);
+                        lookUpAllArchived(ids.subList(1, ids.size()), until, done);
                     } else {
                         done.accept(lookup.outcome() == Outcome.ABSENT);
                     }
@@ -178,7 +178,7 @@
             return;
         }
         if (!job.active()) {
-            archivedJobs.keep(ArchivedJob.of(job));
+            archivedJobs.cache(ArchivedJob.of(job));
         }
         cancellations.drop(id);
         dependencies.evict(id);
@@ -192,7 +192,7 @@
      */
     private void lookUpNextDependency() {
         String id = dependencies.firstUnresolved();
-        if (lookupInFlight || !watch.loaded() || id == null) {
+        if (lookupInFlight || !watch.isLoaded() || id == null) {
             return;
         }
         lookupInFlight = true;
@@ -220,7 +220,7 @@
 
     /** Drops those of jobs that were archived before their cancellations arrived here. */
     private void dropCancellationsOfArchivedJobs() {
-        if (cancellationsWithoutRecord.isEmpty() || !watch.loaded()) {
+        if (cancellationsWithoutRecord.isEmpty() || !watch.isLoaded()) {
             return;
         }
         cancellationsWithoutRecord.values().removeIf(this::hasRecordOrIsArchived);
@@ -246,8 +246,8 @@
      * Merges a record that this controller has just written or read itself. Older versions than the
      * known one are ignored.
      */
-    public void learn(JobRecord job) {
-        boolean isSeenByWatch = watch.loaded() && job.version() <= watch.cursor();
+    public void merge(JobRecord job) {
+        boolean isSeenByWatch = watch.isLoaded() && job.version() <= watch.cursor();
         if (isSeenByWatch && !jobs.containsKey(job.id())) {
             // The response to the commit was so late that the job has been archived since.
             return;
@@ -274,7 +274,7 @@
      * Merges a cancellation received from another controller, also of a job not yet known here. It
      * does not advance the cursor: changes committed before it may still be unknown.
      */
-    public void learn(Cancellation received) {
+    public void merge(Cancellation received) {
         JobRecord known = jobs.get(received.job());
         boolean isNew = cancellations.add(received);
         if (known == null) {
@@ -285,8 +285,8 @@
     }
 
     private void applyCancellation(JobRecord active, Cancellation cancellation) {
-        learn(
-                active.ended(JobPhase.CANCELLED, cancellation.askedAt())
+        merge(
+                active.ended(JobPhase.CANCELLED, cancellation.requestedAtSeconds())
                         .committed(cancellation.revision()));
     }
 
@@ -301,8 +301,8 @@
     }
 
     /** Number of final states of archived jobs in memory. */
-    public int archivedInMemory() {
-        return archivedJobs.keptCount();
+    public int archivedCount() {
+        return archivedJobs.cachedCount();
     }
 
     /** Whether a job is known to be cancelled, even if its record is not known yet. */
@@ -325,17 +325,18 @@
      * @param peerCursor the cursor that the peer sent last; 0 for none
      */
     public CancellationDelta deltaRequest(long peerCursor) {
-        return new CancellationDelta(watch.cursor(), peerCursor, false, watch.loaded(), List.of());
+        return new CancellationDelta(
+                watch.cursor(), peerCursor, false, watch.isLoaded(), List.of());
     }
 
     /** The cancellations that the sender of a request does not have. */
     public CancellationDelta deltaFor(CancellationDelta request) {
-        return cancellations.deltaFor(request, watch.loaded());
+        return cancellations.deltaFor(request, watch.isLoaded());
     }
 
     /** Every change committed before this time, on the steady clock, is known here. */
-    public double currentAt() {
-        return watch.currentAt();
+    public double currentAsOf() {
+        return watch.currentAsOf();
     }
 
     /**
@@ -343,7 +344,7 @@
      *
      * @param done takes true then, and false if the key-value store could not be read
      */
-    public void barrier(Consumer<Boolean> done) {
+    public void readBarrier(Consumer<Boolean> done) {
         watch.readBarrier(done);
     }
 
--- a/src/main/java/org/springmill/control/jobs/JobRecordWatch.java
+++ b/src/main/java/org/springmill/control/jobs/JobRecordWatch.java
@@ -29,10 +29,10 @@
     private final double barrierIntervalSeconds;
     private List<Consumer<Boolean>> waitingBarriers = new ArrayList<>();
     private boolean readInFlight;
-    private boolean loaded;
+    private boolean isLoaded;
     private int pauseCount;
     private long cursor;
-    private double currentAt = Double.NEGATIVE_INFINITY;
+    private double currentAsOf = Double.NEGATIVE_INFINITY;
 
     /** Receives the records. */
     interface Listener {
@@ -96,19 +96,19 @@
 
     private void completeList(Set<String> keys, long revision, double requestedAt) {
         cursor = Math.max(cursor, revision);
-        currentAt = Math.max(currentAt, requestedAt);
-        if (loaded) {
+        currentAsOf = Math.max(currentAsOf, requestedAt);
+        if (isLoaded) {
             listener.reloaded(keys, revision);
         } else {
-            loaded = true;
+            isLoaded = true;
             listener.loaded();
         }
         listener.caughtUp();
     }
 
     /** Whether all records were read once. */
-    boolean loaded() {
-        return loaded;
+    boolean isLoaded() {
+        return isLoaded;
     }
 
     /** Every change up to this revision has been delivered. */
@@ -117,8 +117,8 @@
     }
 
     /** Every change committed before this time, on the steady clock, has been delivered. */
-    double currentAt() {
-        return currentAt;
+    double currentAsOf() {
+        return currentAsOf;
     }
 
     /**
@@ -127,7 +127,7 @@
      * @param done takes true then, and false if the key-value store could not be read
      */
     void readBarrier(Consumer<Boolean> done) {
-        if (!loaded) {
+        if (!isLoaded) {
             done.accept(false);
             return;
         }
@@ -141,7 +141,7 @@
      * Records that this process was paused. A read that began before the pause is too old to
      * release the barriers that wait for it, and is repeated.
      */
-    void resumed() {
+    void processResumed() {
         pauseCount++;
     }
 
@@ -158,7 +158,7 @@
                 result -> {
                     boolean isRead = result.changes() != null;
                     if (isRead) {
-                        currentAt = Math.max(currentAt, requestedAt);
+                        currentAsOf = Math.max(currentAsOf, requestedAt);
                         applyChanges(result.changes());
                     }
                     if (isRead && pauseCount > pausesBefore) {
--- a/src/main/java/org/springmill/control/jobs/JobStatusResponses.java
+++ b/src/main/java/org/springmill/control/jobs/JobStatusResponses.java
@@ -16,14 +16,14 @@
  */
 public final class JobStatusResponses {
     /** Response deadline. Users time out after 5 s; the rest is for the network. */
-    public static final double ANSWER_WITHIN_SECONDS = 3.5;
+    public static final double RESPONSE_DEADLINE_SECONDS = 3.5;
 
     /** Reason of a 503 while the final state of an archived dependency is looked up. */
-    public static final String DEPENDENCY_BEING_READ =
+    public static final String DEPENDENCY_LOOKUP_PENDING =
             "the end of a job that it needs is being read";
 
     /** Reason of a 503 while the key-value store does not respond. */
-    public static final String STATE_SERVICE_SILENT = "the state service does not answer";
+    public static final String STORE_UNAVAILABLE = "the state service does not answer";
 
     private static final int RETRY_AFTER_SECONDS = 1;
 
@@ -39,37 +39,37 @@
     }
 
     /** Responds 200 with the phase of a job. */
-    public void phase(Call call, JobRecord job) {
-        call.reply(200, UserMessages.phase(job.id(), phaseOf(job)), 0);
+    public void respondPhase(Call call, JobRecord job) {
+        call.reply(200, UserMessages.encodePhase(job.id(), phaseOf(job)), 0);
     }
 
     /** Responds 200 with the phase of a job and how many of its tasks are done and running. */
-    public void progress(Call call, JobRecord job) {
+    public void respondProgress(Call call, JobRecord job) {
         JobProgress known = progressLookup.apply(job.id());
         int done = known == null ? 0 : known.done();
         int running = known == null ? 0 : known.running();
         if (job.phase() == JobPhase.DONE) {
             done = job.submission().tasks();
         }
-        if (job.phase().terminal()) {
+        if (job.phase().isTerminal()) {
             running = 0;
         }
-        call.reply(200, UserMessages.progress(job.id(), phaseOf(job), done, running), 0);
+        call.reply(200, UserMessages.encodeProgress(job.id(), phaseOf(job), done, running), 0);
     }
 
     /** Responds 200 with the final phase of an archived job. */
-    public static void phase(Call call, ArchivedJob job) {
-        call.reply(200, UserMessages.phase(job.id(), job.phase()), 0);
+    public static void respondPhase(Call call, ArchivedJob job) {
+        call.reply(200, UserMessages.encodePhase(job.id(), job.phase()), 0);
     }
 
     /** Responds 200 with the final phase and task counts of an archived job. */
-    public static void progress(Call call, ArchivedJob job) {
+    public static void respondProgress(Call call, ArchivedJob job) {
         int done = job.cancelled() ? 0 : job.tasks();
-        call.reply(200, UserMessages.progress(job.id(), job.phase(), done, 0), 0);
+        call.reply(200, UserMessages.encodeProgress(job.id(), job.phase(), done, 0), 0);
     }
 
     private JobPhase phaseOf(JobRecord job) {
-        if (job.phase().terminal()) {
+        if (job.phase().isTerminal()) {
             return job.phase();
         }
         JobProgress known = progressLookup.apply(job.id());
@@ -82,33 +82,33 @@
      * @param found responds if it was found
      * @param absent responds if there is no such archived job
      */
-    public static void lookedUp(
+    public static void respondLookup(
             Call call, Lookup lookup, Consumer<ArchivedJob> found, Runnable absent) {
         switch (lookup.outcome()) {
             case FOUND -> found.accept(lookup.job());
             case ABSENT -> absent.run();
-            case UNAVAILABLE -> unavailable(call, STATE_SERVICE_SILENT);
+            case UNAVAILABLE -> respondUnavailable(call, STORE_UNAVAILABLE);
         }
     }
 
     /** Responds 404: the job was never accepted. */
-    public static void notFound(Call call) {
-        call.reply(404, UserMessages.error("no such job"), 0);
+    public static void respondNotFound(Call call) {
+        call.reply(404, UserMessages.encodeError("no such job"), 0);
     }
 
     /** Responds 503: the request cannot be decided now. */
-    public static void unavailable(Call call, String reason) {
-        call.reply(503, UserMessages.error(reason), RETRY_AFTER_SECONDS);
+    public static void respondUnavailable(Call call, String reason) {
+        call.reply(503, UserMessages.encodeError(reason), RETRY_AFTER_SECONDS);
     }
 
     /** Responds 422: the job can never run. */
-    public static void impossible(Call call, String reason) {
-        call.reply(422, UserMessages.error(reason), 0);
+    public static void respondImpossible(Call call, String reason) {
+        call.reply(422, UserMessages.encodeError(reason), 0);
     }
 
     /** Responds 503 with the seconds after which to retry: the job cannot be accepted now. */
-    public static void refused(Call call, AdmissionRefusal refusal) {
-        byte[] answer = UserMessages.error(refusal.reason().text());
+    public static void respondRefused(Call call, AdmissionRefusal refusal) {
+        byte[] answer = UserMessages.encodeError(refusal.reason().text());
         call.reply(503, answer, refusal.retryAfterSeconds());
     }
 }
--- a/src/main/java/org/springmill/control/leadership/LeaderCampaign.java
+++ b/src/main/java/org/springmill/control/leadership/LeaderCampaign.java
@@ -52,7 +52,7 @@
      */
     void run(Consumer<CommitResult> onAnswer, Runnable onNoLease) {
         double requestedAt = loop.now();
-        store.grant(
+        store.grantLease(
                 timeouts.leaderLeaseSeconds(),
                 leaseId -> {
                     if (leaseId == NO_LEASE) {
--- a/src/main/java/org/springmill/control/leadership/Leadership.java
+++ b/src/main/java/org/springmill/control/leadership/Leadership.java
@@ -197,7 +197,7 @@
         mayCampaignFrom =
                 loop.now() + LEASES_BEFORE_CAMPAIGNING_AGAIN * timeouts.leaderLeaseSeconds();
         stepDown(reason);
-        leaseOfTerm.ifPresent(leaseId -> store.revoke(leaseId, () -> {}));
+        leaseOfTerm.ifPresent(leaseId -> store.revokeLease(leaseId, () -> {}));
     }
 
     /**
@@ -227,7 +227,7 @@
                     "leader {} refuses connections: revoking its lease, term {}",
                     node,
                     revokedTerm);
-            store.revoke(entry.lease(), this::readRecord);
+            store.revokeLease(entry.lease(), this::readRecord);
         }
     }
 
@@ -278,7 +278,7 @@
     }
 
     private void send(Renewal renewal) {
-        store.renew(renewal.leaseId(), result -> renewalAnswered(renewal, result));
+        store.renewLease(renewal.leaseId(), result -> renewalAnswered(renewal, result));
     }
 
     private void renewalAnswered(Renewal renewal, LeaseRenewal result) {
@@ -329,7 +329,7 @@
             // wait until its lease expires.
             knownLeader.processEnded();
             LOG.info("revoking the lease of an earlier process of this node");
-            store.revoke(entry.lease(), this::readRecord);
+            store.revokeLease(entry.lease(), this::readRecord);
         } else if (lease.hasId(entry.lease())) {
             // The campaign was won although the answer to its commit was lost.
             elected(entry.version());
--- a/src/main/java/org/springmill/control/leadership/LeaseKeepalive.java
+++ b/src/main/java/org/springmill/control/leadership/LeaseKeepalive.java
@@ -64,7 +64,7 @@
      * @param holdsTerm whether this controller was elected and has not yet learned of a later term
      */
     public boolean mayRenewLease(Heartbeat heartbeat, boolean holdsTerm) {
-        boolean isolated = !store.reachable() && isIsolated();
+        boolean isolated = !store.isReachable() && isIsolated();
         if (isolated) {
             workerZones.add(heartbeat.zone());
         }
@@ -85,7 +85,7 @@
     }
 
     private boolean renewsInConfirmedOutage(boolean holdsTerm) {
-        return !store.reachable() && !holdsTerm && isOutageConfirmed() && !peers.anyLeads();
+        return !store.isReachable() && !holdsTerm && isOutageConfirmed() && !peers.anyLeads();
     }
 
     private boolean isOutageConfirmed() {
@@ -108,7 +108,7 @@
      * controller in a partitioned zone does.
      */
     private boolean isIsolated() {
-        double latestContactAt = Math.max(peers.lastHeardAt(), store.lastServed());
+        double latestContactAt = Math.max(peers.lastHeardAt(), store.lastServedAt());
         if (latestContactAt != lastContactAt) {
             // Tokens remembered from an earlier partition made every worker that a leader had since
             // commanded seem to be within a leader's reach: in a second partition of the zone all
--- a/src/main/java/org/springmill/control/membership/CancellationFreshness.java
+++ b/src/main/java/org/springmill/control/membership/CancellationFreshness.java
@@ -42,7 +42,7 @@
     public void start() {
         loop.after(timeouts.leaderRenewIntervalSeconds(), this::start);
         if (ageSeconds() > timeouts.workerLeaseSeconds() / READS_PER_LEASE) {
-            directory.barrier(current -> {});
+            directory.readBarrier(current -> {});
         }
         logChange();
     }
@@ -78,8 +78,8 @@
      */
     public double ageSeconds() {
         double confirmedAt =
-                directory.loaded() ? peers.cancellationsKnownUntil() : Double.NEGATIVE_INFINITY;
-        double knownAt = Math.max(directory.currentAt(), confirmedAt);
+                directory.isLoaded() ? peers.cancellationsKnownUntil() : Double.NEGATIVE_INFINITY;
+        double knownAt = Math.max(directory.currentAsOf(), confirmedAt);
         return loop.now() - Math.max(presumedKnownAt, knownAt);
     }
 }
--- a/src/main/java/org/springmill/control/membership/PeerRecordDispatcher.java
+++ b/src/main/java/org/springmill/control/membership/PeerRecordDispatcher.java
@@ -55,7 +55,7 @@
         if (message instanceof PeerStatus status && fromPeer) {
             onStatus.accept(status);
         } else if (message instanceof CancellationNotice notice && fromPeer) {
-            notice.cancellations().forEach(directory::learn);
+            notice.cancellations().forEach(directory::merge);
         } else if (message instanceof ProgressUpdate update) {
             onProgressUpdate.accept(update);
         } else if (message instanceof CongestionNotice notice && fromPeer) {
--- a/src/main/java/org/springmill/control/membership/Peers.java
+++ b/src/main/java/org/springmill/control/membership/Peers.java
@@ -83,17 +83,17 @@
      * controller was still being constructed broke it.
      */
     public void start() {
-        link.onRecord(this);
+        link.setListener(this);
         pollPeers();
     }
 
     /** Names who receives the progress of running jobs that the leader broadcasts. */
-    public void onProgress(Consumer<ProgressUpdate> consumer) {
+    public void onProgressUpdate(Consumer<ProgressUpdate> consumer) {
         dispatcher.onProgressUpdate(consumer);
     }
 
     /** Names who receives the congested queues that the leader of the latest term broadcasts. */
-    public void onCongested(Consumer<CongestionNotice> consumer) {
+    public void onCongestionNotice(Consumer<CongestionNotice> consumer) {
         dispatcher.onCongestionNotice(
                 notice -> {
                     if (notice.term() >= evidence.highestTerm()) {
@@ -143,7 +143,9 @@
         PeerStatus status = ownStatus.get();
         for (String node : nodes) {
             CancellationDelta request = directory.deltaRequest(cancellations.cursor(node));
-            send(node, message(status, question, PeerPolls.NO_QUESTION, request, shares.wanted()));
+            send(
+                    node,
+                    message(status, question, PeerPolls.NO_QUESTION, request, shares.wantedLoan()));
         }
         loop.after(timeouts.peerPollIntervalSeconds(), this::pollPeers);
     }
@@ -159,7 +161,7 @@
         double lent = shares.lend(question.from(), question.storeShare());
         send(
                 question.from(),
-                message(status, PeerPolls.NO_QUESTION, question.question(), delta, lent));
+                message(status, PeerPolls.NO_QUESTION, question.requestNumber(), delta, lent));
     }
 
     /**
@@ -189,14 +191,14 @@
     }
 
     @Override
-    public void received(byte[] bytes) {
+    public void onRecord(byte[] bytes) {
         dispatcher.dispatch(bytes);
     }
 
     private void statusReceived(PeerStatus status) {
         evidence.statusReceived(status);
-        status.cancellationDelta().cancellations().forEach(directory::learn);
-        if (status.answeredQuestion() == PeerPolls.NO_QUESTION) {
+        status.cancellationDelta().cancellations().forEach(directory::merge);
+        if (status.answeredRequestNumber() == PeerPolls.NO_QUESTION) {
             answer(status);
         } else {
             answerReceived(status);
@@ -205,7 +207,7 @@
 
     private void answerReceived(PeerStatus answer) {
         cancellations.cursorReceived(answer);
-        OptionalDouble askedAt = polls.sentAt(answer.answeredQuestion());
+        OptionalDouble askedAt = polls.sentAt(answer.answeredRequestNumber());
         askedAt.ifPresent(time -> recordAnswer(time, answer));
     }
 
@@ -213,12 +215,12 @@
         confirmations.recordAnswer(askedAt, answer);
         cancellations.recordAnswer(askedAt, answer);
         if (answer.storeShare() > 0) {
-            shares.borrow(answer.answeredQuestion(), askedAt, answer.storeShare());
+            shares.borrow(answer.answeredRequestNumber(), askedAt, answer.storeShare());
         }
     }
 
     @Override
-    public void refused(String node) {
+    public void onConnectionRefused(String node) {
         confirmations
                 .latest(node)
                 .filter(latest -> latest.status().leading() && isOverdue(latest))
--- a/src/main/java/org/springmill/control/membership/WorkloadBroadcast.java
+++ b/src/main/java/org/springmill/control/membership/WorkloadBroadcast.java
@@ -83,7 +83,7 @@
 
     private void placed(QueueWaits waits, TaskAttempt attempt) {
         Job job = attempt.job();
-        waits.started(job.spec().team(), job.priority(), 1, loop.now());
+        waits.tasksStarted(job.spec().team(), job.priority(), 1, loop.now());
     }
 
     private void broadcastProgress() {
@@ -101,7 +101,7 @@
     private List<JobProgress> progressOfStartedJobs() {
         List<JobProgress> jobs = new ArrayList<>();
         for (Job job : clusterState.jobs().values()) {
-            if (job.active() && job.liveCount() + job.doneCount() > 0) {
+            if (job.isActive() && job.attemptCount() + job.doneTaskCount() > 0) {
                 jobs.add(job.progress());
             }
         }
@@ -126,8 +126,8 @@
     private List<CongestedQueue> congestedQueues(QueueWaits waits) {
         waits.beginCount();
         for (Job job : clusterState.jobs().values()) {
-            if (job.active() && job.eligible() && job.waiting() > 0) {
-                waits.waits(job.spec().team(), job.priority(), job.waiting());
+            if (job.isActive() && job.isEligible() && job.waitingTaskCount() > 0) {
+                waits.addWaiting(job.spec().team(), job.priority(), job.waitingTaskCount());
             }
         }
         return waits.endCount(loop.now());
--- a/src/main/java/org/springmill/control/metrics/Metrics.java
+++ b/src/main/java/org/springmill/control/metrics/Metrics.java
@@ -55,7 +55,7 @@
     private final Counter attemptsLost;
     private final Counter recordsMoved;
     private final Counter jobsSuspected;
-    private final Counter recallsCommitted;
+    private final Counter recordRecallsCommitted;
     private final Counter tasksRecalled;
     private final Counter heldGpuSeconds;
     private final Map<Outcome, Counter> recallsSettled = new EnumMap<>(Outcome.class);
@@ -74,7 +74,7 @@
         attemptsLost = counter("attempts_lost");
         recordsMoved = counter("job_records_moved");
         jobsSuspected = counter("jobs_suspected");
-        recallsCommitted = counter("recalls_committed");
+        recordRecallsCommitted = counter("recalls_committed");
         tasksRecalled = counter("tasks_recalled");
         heldGpuSeconds = counter("held_gpu_seconds");
         for (Outcome outcome : Outcome.values()) {
@@ -94,59 +94,59 @@
     }
 
     /** Records that a submission, which arrived at the given time, has been accepted. */
-    public void accepted(double arrivedAt) {
+    public void recordAcceptance(double arrivedAt) {
         recordSince(acceptance, arrivedAt);
     }
 
     /** Records the commit of a placement round that started at the given time. */
-    public void roundCommitted(double startedAt, int claims, int endedAttempts) {
+    public void recordRoundCommit(double startedAt, int claims, int endedAttempts) {
         recordSince(placementRound, startedAt);
         claimsCommitted.increment(claims);
         attemptsEnded.increment(endedAttempts);
     }
 
     /** Records the response to a commit that was sent to the store at the given time. */
-    public void commitAnswered(double sentAt) {
+    public void recordStoreCommit(double sentAt) {
         recordSince(storeCommit, sentAt);
     }
 
     /** Records that a task, which was claimed at the given time, is running. */
-    public void started(double claimedAt) {
+    public void recordTaskStart(double claimedAt) {
         recordSince(taskStart, claimedAt);
     }
 
     /** Records an attempt that ended because the lease of its worker expired. */
-    public void lost() {
+    public void recordLostAttempt() {
         attemptsLost.increment();
     }
 
     /** Records that a job became suspect, since its tasks fail on several machines. */
-    public void jobSuspected() {
+    public void recordSuspectJob() {
         jobsSuspected.increment();
     }
 
     /** Records a number of recalls that were committed. */
-    public void recallsCommitted(int recalls) {
-        recallsCommitted.increment(recalls);
+    public void recordRecallsCommitted(int recalls) {
+        recordRecallsCommitted.increment(recalls);
     }
 
     /** Records the outcome of a recall. */
-    public void recallSettled(Outcome outcome) {
+    public void recordRecallOutcome(Outcome outcome) {
         recallsSettled.get(outcome).increment();
     }
 
     /** Records a task that is stopped for a recall. */
-    public void taskRecalled() {
+    public void recordTaskRecalled() {
         tasksRecalled.increment();
     }
 
     /** Records GPU-seconds of recalled capacity in hold-down, in which it is not lent again. */
-    public void roomHeld(double gpuSeconds) {
+    public void recordHoldDownGpuSeconds(double gpuSeconds) {
         heldGpuSeconds.increment(gpuSeconds);
     }
 
     /** Records that an ended job was archived. */
-    public void recordMoved() {
+    public void recordArchivedJob() {
         recordsMoved.increment();
     }
 
--- a/src/main/java/org/springmill/control/recall/ConfirmedUsage.java
+++ b/src/main/java/org/springmill/control/recall/ConfirmedUsage.java
@@ -45,7 +45,7 @@
         Map<String, Resources> usage = new HashMap<>();
         for (Machine machine : fleet.machines()) {
             for (TaskAttempt attempt : machine.attempts()) {
-                if (isConfirmed(attempt) && !attempt.recalled()) {
+                if (isConfirmed(attempt) && !attempt.isRecalled()) {
                     Submission spec = attempt.job().spec();
                     usage.merge(spec.team(), Resources.of(spec), Resources::plus);
                 }
@@ -59,6 +59,6 @@
         boolean started =
                 attempt.state() == TaskAttempt.State.RUNNING
                         || attempt.state() == TaskAttempt.State.FETCHING;
-        return started && fleet.now() - attempt.lastReported() < validSeconds;
+        return started && fleet.now() - attempt.lastReportedAt() < validSeconds;
     }
 }
--- a/src/main/java/org/springmill/control/recall/GracePeriods.java
+++ b/src/main/java/org/springmill/control/recall/GracePeriods.java
@@ -25,7 +25,7 @@
     /** Whether a task may write a checkpoint: not if that takes longer than the settings allow. */
     boolean mayCheckpoint(TaskAttempt attempt) {
         Submission spec = attempt.job().spec();
-        return spec.checkpoints()
+        return spec.hasCheckpoints()
                 && spec.checkpointSaveSeconds() <= maxGraceSeconds
                 && !attempt.machine().hasPreemptionNotice();
     }
@@ -68,10 +68,10 @@
      */
     double lostWorkSeconds(TaskAttempt attempt, double now) {
         Submission spec = attempt.job().spec();
-        double ran = attempt.ranSeconds(now);
+        double ran = attempt.runningSeconds(now);
         if (mayCheckpoint(attempt)) {
             return Math.min(ran, spec.checkpointSaveSeconds());
         }
-        return spec.checkpoints() ? ran % spec.checkpointIntervalSeconds() : ran;
+        return spec.hasCheckpoints() ? ran % spec.checkpointIntervalSeconds() : ran;
     }
 }
--- a/src/main/java/org/springmill/control/recall/HoldDownCapacity.java
+++ b/src/main/java/org/springmill/control/recall/HoldDownCapacity.java
@@ -52,11 +52,11 @@
             double now) {
         Priority priority = beneficiary.priority();
         highestBeneficiary =
-                highestBeneficiary == null || priority.above(highestBeneficiary)
+                highestBeneficiary == null || priority.isAbove(highestBeneficiary)
                         ? priority
                         : highestBeneficiary;
         if (machine.type() != null) {
-            holdDown.recalled(machine.type().name(), costSeconds, borrowedSeconds, now);
+            holdDown.recordRecall(machine.type().name(), costSeconds, borrowedSeconds, now);
         }
     }
 
@@ -66,16 +66,16 @@
      */
     private boolean usesBorrowedCapacity(Job job) {
         return highestBeneficiary != null
-                && !clusterState.usage(job.spec().team()).guaranteedFor(job.spec())
-                && Priority.HIGH.above(job.priority())
-                && (highestBeneficiary.above(job.priority()) || !job.spec().service());
+                && !clusterState.teamUsage(job.spec().team()).isWithinGuarantee(job.spec())
+                && Priority.HIGH.isAbove(job.priority())
+                && (highestBeneficiary.isAbove(job.priority()) || !job.spec().isService());
     }
 
     /** Whether tasks are recalled for jobs like this one. */
     private boolean isBeneficiaryOfRecalls(Job job) {
         return highestBeneficiary != null
-                && job.spec().service()
-                && !highestBeneficiary.above(job.priority());
+                && job.spec().isService()
+                && !highestBeneficiary.isAbove(job.priority());
     }
 
     /** Holds down the capacity of a beneficiary's task that has ended. */
@@ -101,7 +101,8 @@
         }
         HeldCapacity used = held.remove(0);
         recordHeldGpuSeconds(used, now);
-        holdDown.wasOfUse(attempt.machine().type().name(), used.since(), now - used.since(), now);
+        holdDown.heldCapacityUsed(
+                attempt.machine().type().name(), used.since(), now - used.since(), now);
         if (held.isEmpty()) {
             heldByMachine.remove(attempt.machine());
         }
@@ -131,7 +132,7 @@
 
     private void recordHeldGpuSeconds(HeldCapacity capacity, double now) {
         double seconds = Math.max(0, Math.min(now, capacity.until()) - capacity.since());
-        metrics.roomHeld(capacity.amount().gpus() * seconds);
+        metrics.recordHoldDownGpuSeconds(capacity.amount().gpus() * seconds);
     }
 
     /** The part of a machine's free capacity that is held down for a job. */
@@ -141,10 +142,11 @@
             return Resources.NONE;
         }
         Resources withheld = Resources.NONE;
-        double workSeconds = job.spec().service() ? 0 : job.spec().estimatedRunSeconds();
+        double workSeconds = job.spec().isService() ? 0 : job.spec().estimatedRunSeconds();
         for (HeldCapacity capacity : held) {
             boolean admitted =
-                    holdDown.admits(machine.type().name(), workSeconds, now - capacity.since());
+                    holdDown.admitsShortWork(
+                            machine.type().name(), workSeconds, now - capacity.since());
             if (now < capacity.until() && !admitted) {
                 withheld = withheld.plus(capacity.amount());
             }
--- a/src/main/java/org/springmill/control/recall/InheritedRecalls.java
+++ b/src/main/java/org/springmill/control/recall/InheritedRecalls.java
@@ -75,9 +75,9 @@
      */
     private void adopt(Recall recall) {
         Job beneficiary = fleet.clusterState().job(recall.beneficiary());
-        Machine machine = fleet.machine(recall.machine());
+        Machine machine = fleet.getOrAdd(recall.machine());
         boolean claimed = beneficiary != null && hasClaimSince(beneficiary, machine, recall);
-        if (beneficiary == null || !beneficiary.active() || claimed) {
+        if (beneficiary == null || !beneficiary.isActive() || claimed) {
             LOG.info("inherited recall {} is obsolete", recall.key());
             settlement.deleteRecord(recall.key());
             return;
@@ -88,7 +88,7 @@
         double graceLeftSeconds = recall.graceEndsAt() - loop.timeOfDay();
         RecallProgress progress =
                 new RecallProgress(recall, saveSeconds, grace.endTimeoutSeconds());
-        progress.inherited(
+        progress.recovered(
                 Math.max(0, Math.min(graceLeftSeconds, saveSeconds)) + grace.endTimeoutSeconds(),
                 loop.now());
         ActiveRecall active =
@@ -107,7 +107,7 @@
 
     private static List<TaskAttempt> knownVictims(Recall recall, Machine machine) {
         Set<TaskId> tasks = new HashSet<>(recall.victims());
-        return machine.attemptsNow().stream()
+        return machine.attemptsSnapshot().stream()
                 .filter(attempt -> tasks.contains(attempt.claim().task()))
                 .filter(attempt -> attempt.claim().round() <= recall.round())
                 .toList();
--- a/src/main/java/org/springmill/control/recall/PlannedRecalls.java
+++ b/src/main/java/org/springmill/control/recall/PlannedRecalls.java
@@ -90,7 +90,7 @@
 
     /** Stopping one member of a gang stops all of them. */
     private static List<TaskAttempt> stoppedWith(TaskAttempt victim) {
-        return victim.job().spec().gang() ? victim.job().attempts() : List.of(victim);
+        return victim.job().spec().isGang() ? victim.job().attempts() : List.of(victim);
     }
 
     private void addLoss(Submission spec, int sign) {
--- a/src/main/java/org/springmill/control/recall/RecallBatchSelection.java
+++ b/src/main/java/org/springmill/control/recall/RecallBatchSelection.java
@@ -96,7 +96,7 @@
         for (TaskAttempt attempt : machine.attempts()) {
             if (isEnding(attempt)) {
                 free = willFreeCapacity(attempt, now) ? free.plus(attempt.job().spec()) : free;
-            } else if (isStoppable(attempt) && attempt.job().spec().gang()) {
+            } else if (isStoppable(attempt) && attempt.job().spec().isGang()) {
                 gangs.computeIfAbsent(attempt.job(), gang -> new ArrayList<>()).add(attempt);
             } else if (isStoppable(attempt)) {
                 candidates.add(candidate(VictimUnit.ofTask(attempt), now));
@@ -119,7 +119,7 @@
     }
 
     private boolean isEnding(TaskAttempt attempt) {
-        return attempt.recalled()
+        return attempt.isRecalled()
                 || planned.isVictim(attempt)
                 || attempt.state() == TaskAttempt.State.STOPPING
                 || attempt.state() == TaskAttempt.State.ENDED;
@@ -135,6 +135,6 @@
         boolean overdue =
                 attempt.state() == TaskAttempt.State.STOPPING
                         && now - attempt.stateSince() > grace.stopTimeoutSeconds(attempt);
-        return !attempt.released() && !overdue;
+        return !attempt.isReleased() && !overdue;
     }
 }
--- a/src/main/java/org/springmill/control/recall/RecallDecisions.java
+++ b/src/main/java/org/springmill/control/recall/RecallDecisions.java
@@ -52,7 +52,7 @@
             double saveSeconds =
                     grace.checkpointTimeoutSeconds(grace.longestCheckpointSeconds(plan.victims()));
             Recall recall = recall(plan, round, recalls.size(), loop.timeOfDay() + saveSeconds);
-            if (recallLog.hasRoom(recalls, recall)) {
+            if (recallLog.fits(recalls, recall)) {
                 recalls.add(recall);
                 decided.add(activate(plan, recall, saveSeconds, now));
             }
@@ -76,7 +76,7 @@
 
     private ActiveRecall activate(RecallPlan plan, Recall recall, double saveSeconds, double now) {
         double lost = average(plan.victims(), victim -> grace.lostWorkSeconds(victim, now));
-        double ran = average(plan.victims(), victim -> victim.ranSeconds(now));
+        double ran = average(plan.victims(), victim -> victim.runningSeconds(now));
         RecallProgress progress =
                 new RecallProgress(recall, saveSeconds, grace.endTimeoutSeconds());
         ActiveRecall active =
--- a/src/main/java/org/springmill/control/recall/RecallPlanner.java
+++ b/src/main/java/org/springmill/control/recall/RecallPlanner.java
@@ -80,7 +80,7 @@
     }
 
     private TeamUsage usage(Job job) {
-        return fleet.clusterState().usage(job.spec().team());
+        return fleet.clusterState().teamUsage(job.spec().team());
     }
 
     /** Recalls nothing on a machine for a worker lease, since a recall there has expired. */
@@ -102,10 +102,10 @@
     List<RecallPlan> plan() {
         double now = fleet.now();
         reset(now);
-        List<Job> waiting = placement.waiting();
-        waiting.removeIf(job -> now < job.failures().notBefore());
+        List<Job> waiting = placement.waitingJobs();
+        waiting.removeIf(job -> now < job.failures().retryNotBefore());
         List<RecallPlan> plans = new ArrayList<>();
-        fleet.clusterState().releaseHeld();
+        fleet.clusterState().releaseLimitReservations();
         if (waiting.stream().noneMatch(fleet.clusterState()::mayPreemptFor)) {
             return plans;
         }
@@ -114,10 +114,10 @@
                 new ExhaustedEquivalenceClasses(placement.jobsWithReservedCapacity(machines, now));
         for (Job job : waiting) {
             int wantedTasks = wantedTasks(job);
-            if (job.spec().service() && job.startable() > 0) {
-                usage(job).hold(job.spec(), job.waiting());
+            if (job.spec().isService() && job.startableTaskCount() > 0) {
+                usage(job).reserveLimit(job.spec(), job.waitingTaskCount());
             }
-            if (wantedTasks <= 0 || !mayPlanFor(job) || exhausted.cover(job)) {
+            if (wantedTasks <= 0 || !mayPlanFor(job) || exhausted.covers(job)) {
                 continue;
             }
             List<RecallPlan> ofJob = planFor(job, wantedTasks, machines, now);
@@ -149,8 +149,8 @@
     /** For how many tasks of a job capacity is missing, beside what is reserved for it already. */
     private int wantedTasks(Job job) {
         Resources reserved = reservedForTeam(job.spec().team());
-        int withinQuota = usage(job).roomBesideHeld(job.spec(), reserved);
-        return Math.min(job.startable() - reservations.count(job), withinQuota);
+        int withinQuota = usage(job).tasksWithinUnreservedLimit(job.spec(), reserved);
+        return Math.min(job.startableTaskCount() - reservations.count(job), withinQuota);
     }
 
     private Resources reservedForTeam(String team) {
@@ -158,7 +158,7 @@
     }
 
     private int guaranteedTasks(Job job) {
-        return usage(job).guaranteedRoomFor(job.spec(), reservedForTeam(job.spec().team()));
+        return usage(job).tasksWithinGuarantee(job.spec(), reservedForTeam(job.spec().team()));
     }
 
     /**
@@ -177,7 +177,7 @@
             Demand demand = new Demand(job, wantedTasks - plans.size());
             plans.addAll(planOn(eligible.subList(from, to), demand, now));
         }
-        if (job.spec().gang() && plans.size() < wantedTasks) {
+        if (job.spec().isGang() && plans.size() < wantedTasks) {
             // A gang starts with all of its members or not at all.
             plans.forEach(planned::remove);
             return List.of();
--- a/src/main/java/org/springmill/control/recall/RecallPreemption.java
+++ b/src/main/java/org/springmill/control/recall/RecallPreemption.java
@@ -71,7 +71,7 @@
     public void release(List<TaskAttempt> ended) {
         double now = context.loop().now();
         for (TaskAttempt attempt : ended) {
-            attempt.machine().release(attempt);
+            attempt.machine().releaseResources(attempt);
             heldDownCapacity.taskReleased(attempt, now);
         }
     }
@@ -106,7 +106,7 @@
             abandon(recall);
         } else if (state == State.COMMITTING) {
             resume(recall, now);
-        } else if (recall.progress().overdue(now)) {
+        } else if (recall.progress().isOverdue(now)) {
             if (state == State.SAVING) {
                 recall.progress().graceEnded(now);
                 victimStops.endGracePeriod(recall);
@@ -130,7 +130,7 @@
                         .noneMatch(victim -> victim.state() == TaskAttempt.State.UNKNOWN);
         if (victimsKnown) {
             stopVictims(recall, now);
-        } else if (recall.progress().overdue(now)) {
+        } else if (recall.progress().isOverdue(now)) {
             abandon(recall);
         }
     }
@@ -144,7 +144,7 @@
     /** Cancels the recalls of a job beyond the tasks that still wait, the latest first. */
     private void cancelSurplus(Job job) {
         List<ActiveRecall> recalls = reservations.recallsFor(job);
-        int waitingTasks = job.active() ? job.startable() : 0;
+        int waitingTasks = job.isActive() ? job.startableTaskCount() : 0;
         for (int i = recalls.size(); i > waitingTasks; i--) {
             settlement.settle(recalls.get(i - 1), Outcome.WITHDRAWN);
         }
@@ -160,7 +160,7 @@
         awaitingCommit = List.of();
         committed.forEach(recall -> stopVictims(recall, now));
         victimStops.send();
-        context.metrics().recallsCommitted(committed.size());
+        context.metrics().recordRecallsCommitted(committed.size());
     }
 
     /**
@@ -180,6 +180,7 @@
 
     private boolean isStillNeeded(ActiveRecall recall) {
         Job job = recall.beneficiary();
-        return job.active() && reservations.recallsFor(job).indexOf(recall) < job.startable();
+        return job.isActive()
+                && reservations.recallsFor(job).indexOf(recall) < job.startableTaskCount();
     }
 }
--- a/src/main/java/org/springmill/control/recall/RecallRules.java
+++ b/src/main/java/org/springmill/control/recall/RecallRules.java
@@ -34,9 +34,10 @@
         Priority victimPriority = unit.job().priority();
         String team = unit.job().spec().team();
         if (team.equals(job.spec().team())) {
-            return priority.above(victimPriority);
+            return priority.isAbove(victimPriority);
         }
-        if (!priority.above(victimPriority) && (!guaranteed || victimPriority.above(priority))) {
+        if (!priority.isAbove(victimPriority)
+                && (!guaranteed || victimPriority.isAbove(priority))) {
             return false;
         }
         if (!unit.onMachine().stream().allMatch(confirmed::isConfirmed)) {
@@ -48,7 +49,7 @@
                 loss = loss.plus(other.loss());
             }
         }
-        return clusterState.usage(team).keepsEntitlementWithout(loss, confirmed.of(team));
+        return clusterState.teamUsage(team).keepsEntitlementWithout(loss, confirmed.of(team));
     }
 
     /**
@@ -71,6 +72,6 @@
 
     private boolean keepsEntitlement(String team, Resources loss) {
         Resources beforeRecall = confirmed.of(team).plus(loss);
-        return clusterState.usage(team).keepsEntitlementWithout(loss, beforeRecall);
+        return clusterState.teamUsage(team).keepsEntitlementWithout(loss, beforeRecall);
     }
 }
--- a/src/main/java/org/springmill/control/recall/RecallSettlement.java
+++ b/src/main/java/org/springmill/control/recall/RecallSettlement.java
@@ -40,7 +40,7 @@
         LOG.debug("recall {} for {}: {}", recall.key(), recall.beneficiary().id(), outcome);
         reservations.remove(recall);
         settledKeys.add(recall.key());
-        metrics.recallSettled(outcome);
+        metrics.recordRecallOutcome(outcome);
         if (outcome != Outcome.TAKEN_BACK && !recall.victims().isEmpty()) {
             double cost = recall.lostSeconds() + now - recall.decidedAt();
             heldDownCapacity.recalled(
--- a/src/main/java/org/springmill/control/recall/RecallSetup.java
+++ b/src/main/java/org/springmill/control/recall/RecallSetup.java
@@ -52,7 +52,7 @@
     }
 
     /** Withholds capacity that is reserved for beneficiaries, or held down after a recall. */
-    public CapacityFilter withheld() {
+    public CapacityFilter capacityFilter() {
         return new CapacityFilter() {
             @Override
             public Resources withheldFrom(Job job, Machine machine) {
@@ -73,7 +73,7 @@
      *
      * @param commandSender sends a machine the commands that are due
      */
-    public RecallPreemption recalls(
+    public RecallPreemption preemptionPolicy(
             KeyValueStoreClient store, Placement placement, Consumer<Machine> commandSender) {
         return new RecallPreemption(
                 context,
--- a/src/main/java/org/springmill/control/recall/VictimStops.java
+++ b/src/main/java/org/springmill/control/recall/VictimStops.java
@@ -35,14 +35,14 @@
     void mark(ActiveRecall recall) {
         for (TaskAttempt victim : recall.victims()) {
             victim.markRecalled(true);
-            fleet.clusterState().noteLeaving(victim);
+            fleet.clusterState().recordStopRequested(victim);
         }
     }
 
     /** Counts those victims of a recall that were not sent a stop command as staying. */
     void unmark(ActiveRecall recall) {
         for (TaskAttempt victim : recall.victims()) {
-            if (fleet.clusterState().noteStaying(victim)) {
+            if (fleet.clusterState().retractStopRequest(victim)) {
                 victim.markRecalled(false);
             }
         }
@@ -51,7 +51,7 @@
     /** Stops a recall's victims, each with its grace period. */
     void stop(ActiveRecall recall) {
         for (TaskAttempt victim : recall.victims()) {
-            metrics.taskRecalled();
+            metrics.recordTaskRecalled();
             LOG.debug(
                     "preempting {} for {} on {}",
                     victim.claim().task(),
--- a/src/main/java/org/springmill/control/recall/VictimUnit.java
+++ b/src/main/java/org/springmill/control/recall/VictimUnit.java
@@ -17,12 +17,12 @@
     }
 
     static VictimUnit ofGang(Job gang, List<TaskAttempt> onMachine) {
-        Resources loss = Resources.of(gang.spec()).times(gang.liveCount());
+        Resources loss = Resources.of(gang.spec()).times(gang.attemptCount());
         return new VictimUnit(gang, onMachine, loss);
     }
 
     /** All attempts that end if these are stopped. */
     List<TaskAttempt> stopped() {
-        return job.spec().gang() ? job.attempts() : onMachine;
+        return job.spec().isGang() ? job.attempts() : onMachine;
     }
 }
--- a/src/main/java/org/springmill/control/scheduling/CompletionBatching.java
+++ b/src/main/java/org/springmill/control/scheduling/CompletionBatching.java
@@ -41,11 +41,11 @@
         for (TaskAttempt attempt : ended) {
             Job job = attempt.job();
             firstEndAt = Math.min(firstEndAt, attempt.stateSince());
-            if (job.active() && attempt.cause() != ExitCause.DONE) {
+            if (job.isActive() && attempt.exitCause() != ExitCause.DONE) {
                 return 0;
             }
             int finished = finishedTasks.merge(job, 1, Integer::sum);
-            if (job.active() && job.doneCount() + finished >= job.spec().tasks()) {
+            if (job.isActive() && job.doneTaskCount() + finished >= job.spec().tasks()) {
                 return 0;
             }
         }
--- a/src/main/java/org/springmill/control/scheduling/ImmediatePreemption.java
+++ b/src/main/java/org/springmill/control/scheduling/ImmediatePreemption.java
@@ -61,7 +61,7 @@
     }
 
     private TeamUsage usage(Job job) {
-        return fleet.clusterState().usage(job.spec().team());
+        return fleet.clusterState().teamUsage(job.spec().team());
     }
 
     @Override
@@ -72,28 +72,29 @@
 
     private void preemptForWaitingJobs() {
         double now = fleet.now();
-        List<Job> waiting = placement.waiting();
-        waiting.removeIf(job -> now < job.failures().notBefore());
+        List<Job> waiting = placement.waitingJobs();
+        waiting.removeIf(job -> now < job.failures().retryNotBefore());
         if (waiting.stream().noneMatch(fleet.clusterState()::mayPreemptFor)) {
             return;
         }
         List<Machine> machines = placement.schedulableMachines(now);
         plannedByMachine.clear();
-        fleet.clusterState().releaseHeld();
+        fleet.clusterState().releaseLimitReservations();
         ExhaustedEquivalenceClasses exhausted =
                 new ExhaustedEquivalenceClasses(placement.jobsWithReservedCapacity(machines, now));
         for (Job job : waiting) {
             int wantedTasks = wantedTasks(job);
-            if (job.spec().service() && wantedTasks > 0) {
-                usage(job).hold(job.spec(), job.waiting());
+            if (job.spec().isService() && wantedTasks > 0) {
+                usage(job).reserveLimit(job.spec(), job.waitingTaskCount());
             }
             if (wantedTasks <= 0
                     || placement.skippedByFullRound(job)
                     || !fleet.clusterState().mayPreemptFor(job)
-                    || exhausted.cover(job)) {
+                    || exhausted.covers(job)) {
                 continue;
             }
-            Demand demand = new Demand(job, wantedTasks, usage(job).guaranteedRoomFor(job.spec()));
+            Demand demand =
+                    new Demand(job, wantedTasks, usage(job).tasksWithinGuarantee(job.spec()));
             preemptFor(demand, machines, now);
             if (!demand.isMet()) {
                 exhausted.add(job);
@@ -107,7 +108,8 @@
      * tasks were preempted endlessly for a job that placement then refused.
      */
     private int wantedTasks(Job job) {
-        return Math.min(job.startable(), usage(job).roomBesideHeld(job.spec()));
+        return Math.min(
+                job.startableTaskCount(), usage(job).tasksWithinUnreservedLimit(job.spec()));
     }
 
     private void preemptFor(Demand demand, List<Machine> machines, double now) {
--- a/src/main/java/org/springmill/control/scheduling/MachineScore.java
+++ b/src/main/java/org/springmill/control/scheduling/MachineScore.java
@@ -64,7 +64,7 @@
                     found == null
                             || spec.gpus() > found.gpus()
                             || (spec.gpus() == found.gpus() && spec.cpus() > found.cpus());
-            if (job.eligible() && spec.service() && larger) {
+            if (job.isEligible() && spec.isService() && larger) {
                 found = spec;
             }
         }
@@ -84,8 +84,8 @@
             // On-demand machines run out first, so they are left to work that may not use spot.
             score += ON_DEMAND_PENALTY_SECONDS;
         }
-        if (spec.service() && spec.tasks() > 1) {
-            score += job.inZone(machine.zone()) * SAME_ZONE_PENALTY_SECONDS;
+        if (spec.isService() && spec.tasks() > 1) {
+            score += job.attemptsInZone(machine.zone()) * SAME_ZONE_PENALTY_SECONDS;
         }
         if (largestReplica != null) {
             score +=
--- a/src/main/java/org/springmill/control/scheduling/Placement.java
+++ b/src/main/java/org/springmill/control/scheduling/Placement.java
@@ -38,7 +38,7 @@
     }
 
     /** Jobs with waiting tasks, in the order in which they are scheduled; the list is a copy. */
-    public List<Job> waiting() {
+    public List<Job> waitingJobs() {
         return waitingJobs.inSchedulingOrder();
     }
 
@@ -66,9 +66,9 @@
      */
     List<TaskAttempt> place(long round, int limit) {
         double now = fleet.now();
-        fleet.clusterState().releaseHeld();
+        fleet.clusterState().releaseLimitReservations();
         skippedByFullRound = Set.of();
-        List<Job> waiting = waiting();
+        List<Job> waiting = waitingJobs();
         reservations.update(waiting, now);
         if (waiting.isEmpty()) {
             return List.of();
@@ -96,7 +96,7 @@
 
     /** The jobs for which machines reserve capacity that other jobs may not use. */
     public Set<Job> jobsWithReservedCapacity(List<Machine> machines, double now) {
-        Set<Job> jobs = new HashSet<>(reservations.holders());
+        Set<Job> jobs = new HashSet<>(reservations.jobsWithReservation());
         jobs.addAll(capacityFilter.jobsWithReservedCapacity());
         machines.forEach(machine -> jobs.addAll(machine.allocation().reservedFor(now)));
         return jobs;
@@ -127,6 +127,6 @@
     public static boolean isEligible(Job job, Machine machine, double now) {
         return machine.isAllowedFor(job.spec())
                 && !job.failures().excludes(machine.name(), now)
-                && job.zoneAllows(machine.zone());
+                && job.allowsZone(machine.zone());
     }
 }
--- a/src/main/java/org/springmill/control/scheduling/PlacementCost.java
+++ b/src/main/java/org/springmill/control/scheduling/PlacementCost.java
@@ -37,7 +37,7 @@
         return hasCapacity(job, machine)
                 && Placement.isEligible(job, machine, now)
                 && !machine.allocation().isReservedForOthers(job, now)
-                && !reservations.reservedFrom(job, machine);
+                && !reservations.isReservedForOthers(job, machine);
     }
 
     /**
@@ -46,13 +46,15 @@
      */
     private boolean hasCapacity(Job job, Machine machine) {
         Resources withheld = capacityFilter.withheldFrom(job, machine);
-        if (!clusterState.usage(job.spec().team()).hasGuarantee()) {
+        if (!clusterState.teamUsage(job.spec().team()).hasGuarantee()) {
             withheld = withheld.plus(machine.allocation().headroom());
         }
         return machine.fitsBeside(withheld, job.spec());
     }
 
     private static double avoidancePenalty(Job job, Machine machine, double now) {
-        return job.failures().avoids(machine.name(), now) ? AVOIDED_MACHINE_PENALTY_SECONDS : 0;
+        return job.failures().failedRecentlyOn(machine.name(), now)
+                ? AVOIDED_MACHINE_PENALTY_SECONDS
+                : 0;
     }
 }
--- a/src/main/java/org/springmill/control/scheduling/PlacementPass.java
+++ b/src/main/java/org/springmill/control/scheduling/PlacementPass.java
@@ -65,8 +65,8 @@
 
     /** Places as many of a job's waiting tasks as its quota, the round and the machines allow. */
     void place(Job job) {
-        boolean gang = job.spec().gang();
-        if (round.startedAt() < job.failures().notBefore()) {
+        boolean gang = job.spec().isGang();
+        if (round.startedAt() < job.failures().retryNotBefore()) {
             return;
         }
         if (!gang && isFull()) {
@@ -76,7 +76,7 @@
         if (!gang && !isWithinQuota(job)) {
             return;
         }
-        if (exhausted.cover(job)) {
+        if (exhausted.covers(job)) {
             holdQuota(job);
             return;
         }
@@ -95,22 +95,22 @@
     }
 
     private TeamUsage usage(Job job) {
-        return fleet.clusterState().usage(job.spec().team());
+        return fleet.clusterState().teamUsage(job.spec().team());
     }
 
     private boolean isWithinQuota(Job job) {
-        return usage(job).allows(job.spec());
+        return usage(job).isWithinLimit(job.spec());
     }
 
     /** Keeps part of the team's maximum quota for replicas that found no machine. */
     private void holdQuota(Job job) {
-        if (job.spec().service()) {
-            usage(job).hold(job.spec(), job.waiting());
+        if (job.spec().isService()) {
+            usage(job).reserveLimit(job.spec(), job.waitingTaskCount());
         }
     }
 
     private void placeSingleTasks(Job job, MachineRanking ranking) {
-        while (!isFull() && job.mayStartAnother() && isWithinQuota(job)) {
+        while (!isFull() && job.canStartAnotherTask() && isWithinQuota(job)) {
             Optional<TaskAttempt> attempt = placeNextTask(job, ranking);
             if (attempt.isEmpty()) {
                 exhausted.add(job);
@@ -124,13 +124,14 @@
 
     /** Gang scheduling: all members are claimed in one round, or none. */
     private void placeGang(Job job, MachineRanking ranking) {
-        boolean exceedsRound = !placed.isEmpty() && job.waiting() > round.limit() - placed.size();
-        if (job.liveCount() > 0 || exceedsRound) {
+        boolean exceedsRound =
+                !placed.isEmpty() && job.waitingTaskCount() > round.limit() - placed.size();
+        if (job.attemptCount() > 0 || exceedsRound) {
             return;
         }
         List<TaskAttempt> members = new ArrayList<>();
         boolean complete = true;
-        while (complete && job.nextTask() >= 0) {
+        while (complete && job.nextWaitingTask() >= 0) {
             Optional<TaskAttempt> member =
                     isWithinQuota(job) ? placeNextTask(job, ranking) : Optional.empty();
             member.ifPresent(members::add);
@@ -150,11 +151,11 @@
             return Optional.empty();
         }
         Machine machine = chosen.get();
-        TaskId task = new TaskId(job.id(), job.nextTask());
+        TaskId task = new TaskId(job.id(), job.nextWaitingTask());
         Claim claim = Claim.decide(task, machine.name(), round.number());
         TaskAttempt attempt = new TaskAttempt(claim, job, machine, fleet.now());
         fleet.clusterState().add(attempt);
-        machine.needsImage(job.spec(), fleet.now());
+        machine.recordImageNeeded(job.spec(), fleet.now());
         return Optional.of(attempt);
     }
 
@@ -163,7 +164,7 @@
      * holds the image.
      */
     private Optional<Machine> machineOfRecalledTask(Job job) {
-        return Optional.ofNullable(job.recalledFrom(job.nextTask()))
+        return Optional.ofNullable(job.recalledFrom(job.nextWaitingTask()))
                 .filter(
                         machine ->
                                 machine.isSchedulable(fleet.now(), timeouts.suspectAfterSeconds()))
--- a/src/main/java/org/springmill/control/scheduling/PlacementRounds.java
+++ b/src/main/java/org/springmill/control/scheduling/PlacementRounds.java
@@ -9,7 +9,7 @@
 import org.springmill.control.leadership.Leadership;
 import org.springmill.control.storage.Claim;
 import org.springmill.control.storage.RoundLog;
-import org.springmill.control.storage.RoundLog.End;
+import org.springmill.control.storage.RoundLog.ClaimEnd;
 import org.springmill.protocol.KeyValueStoreMessages.Write;
 import org.springmill.protocol.WorkerMessages.ExitCause;
 import org.springmill.transport.EventLoop;
@@ -31,7 +31,7 @@
         void committed(List<TaskAttempt> claimed, List<TaskAttempt> ended, double since);
 
         /** Called if a round's transaction is refused: another leader has taken over. */
-        void lost();
+        void refused();
     }
 
     /**
@@ -49,12 +49,12 @@
             return claimed.stream().map(TaskAttempt::claim).toList();
         }
 
-        List<End> ends() {
+        List<ClaimEnd> ends() {
             return ended.stream().map(Round::end).toList();
         }
 
-        private static End end(TaskAttempt attempt) {
-            return new End(attempt.claim(), attempt.cause() == ExitCause.DONE);
+        private static ClaimEnd end(TaskAttempt attempt) {
+            return new ClaimEnd(attempt.claim(), attempt.exitCause() == ExitCause.DONE);
         }
     }
 
@@ -133,9 +133,9 @@
     }
 
     private Round decide() {
-        List<TaskAttempt> ended = fleet.clusterState().drainEnded(roundLog.endsPerRound());
+        List<TaskAttempt> ended = fleet.clusterState().pollEnded(roundLog.endsPerRound());
         preemption.release(ended);
-        long number = roundLog.next();
+        long number = roundLog.nextNumber();
         List<TaskAttempt> claimed = placement.place(number, roundLog.claimsBeside(ended.size()));
         List<Write> attached = preemption.decide(number, claimed);
         return new Round(number, claimed, ended, attached);
@@ -157,7 +157,7 @@
                             round.ended().size());
                     applyCommitted(round, since);
                 },
-                listener::lost);
+                listener::refused);
     }
 
     /** Postpones a round that would hold only ends on which nothing depends. */
@@ -194,7 +194,7 @@
     }
 
     private void close(TaskAttempt attempt, double now) {
-        if (attempt.cause() == ExitCause.DONE) {
+        if (attempt.exitCause() == ExitCause.DONE) {
             attempt.job().markDone(attempt.claim().task().index());
         }
         attempt.transition(TaskAttempt.State.CLOSED, now);
@@ -206,7 +206,7 @@
         boolean machineIsUsable =
                 attempt.machine().state() == Machine.State.UP
                         && !attempt.machine().hasPreemptionNotice();
-        if (!attempt.job().active() || !machineIsUsable) {
+        if (!attempt.job().isActive() || !machineIsUsable) {
             // Cancelled or preempted during the commit: nothing was sent, so it ends here.
             fleet.end(attempt, ExitCause.STOPPED);
         }
--- a/src/main/java/org/springmill/control/scheduling/PreemptionVictims.java
+++ b/src/main/java/org/springmill/control/scheduling/PreemptionVictims.java
@@ -38,7 +38,7 @@
                 candidates.add(attempt);
             }
         }
-        if (free.hold(job.spec())) {
+        if (free.canFit(job.spec())) {
             return Optional.of(List.of());
         }
         candidates.sort(
@@ -47,7 +47,7 @@
                         .thenComparingDouble(attempt -> lostWorkSeconds(attempt, now)));
         List<TaskAttempt> victims = new ArrayList<>();
         for (TaskAttempt candidate : candidates) {
-            if (free.hold(job.spec())) {
+            if (free.canFit(job.spec())) {
                 break;
             }
             if (mayPreempt(candidate, job, guaranteed, victims)) {
@@ -55,7 +55,7 @@
                 victims.add(candidate);
             }
         }
-        return free.hold(job.spec()) ? Optional.of(victims) : Optional.empty();
+        return free.canFit(job.spec()) ? Optional.of(victims) : Optional.empty();
     }
 
     private static boolean isEnding(TaskAttempt attempt) {
@@ -66,8 +66,8 @@
     /** Seconds of work that are lost if a task is stopped now, or the time its checkpoint takes. */
     static double lostWorkSeconds(TaskAttempt attempt, double now) {
         Submission spec = attempt.job().spec();
-        double ran = attempt.ranSeconds(now);
-        return spec.checkpoints() ? Math.min(ran, spec.checkpointSaveSeconds()) : ran;
+        double ran = attempt.runningSeconds(now);
+        return spec.hasCheckpoints() ? Math.min(ran, spec.checkpointSaveSeconds()) : ran;
     }
 
     /**
@@ -82,12 +82,12 @@
         Submission victim = candidate.job().spec();
         Priority priority = job.priority();
         Priority victimPriority = candidate.job().priority();
-        if (priority.above(victimPriority)) {
+        if (priority.isAbove(victimPriority)) {
             return true;
         }
         if (!guaranteed
                 || victim.team().equals(job.spec().team())
-                || victimPriority.above(priority)) {
+                || victimPriority.isAbove(priority)) {
             return false;
         }
         Resources loss = Resources.of(victim);
@@ -96,6 +96,6 @@
                 loss = loss.plus(other.job().spec());
             }
         }
-        return clusterState.usage(victim.team()).keepsEntitlementWithout(loss);
+        return clusterState.teamUsage(victim.team()).keepsEntitlementWithout(loss);
     }
 }
--- a/src/main/java/org/springmill/control/scheduling/Reservations.java
+++ b/src/main/java/org/springmill/control/scheduling/Reservations.java
@@ -50,15 +50,15 @@
     }
 
     private TeamUsage usage(Job job) {
-        return fleet.clusterState().usage(job.spec().team());
+        return fleet.clusterState().teamUsage(job.spec().team());
     }
 
     private static boolean hasStarted(Job job) {
-        return !job.spec().service() && job.liveCount() > 0;
+        return !job.spec().isService() && job.attemptCount() > 0;
     }
 
     /** The jobs for which a machine is reserved; a view, earliest reservation first. */
-    public Collection<Job> holders() {
+    public Collection<Job> jobsWithReservation() {
         return jobByMachine.values();
     }
 
@@ -125,24 +125,25 @@
         Resources free = machine.free();
         List<TaskAttempt> ending = new ArrayList<>();
         for (TaskAttempt attempt : machine.attempts()) {
-            if (!attempt.job().spec().service() || attempt.state() == TaskAttempt.State.STOPPING) {
+            if (!attempt.job().spec().isService()
+                    || attempt.state() == TaskAttempt.State.STOPPING) {
                 ending.add(attempt);
             }
         }
         ending.sort(Comparator.comparingDouble(attempt -> secondsUntilEnd(attempt, now)));
         double seconds = 0;
         for (TaskAttempt attempt : ending) {
-            if (free.hold(job.spec())) {
+            if (free.canFit(job.spec())) {
                 break;
             }
             free = free.plus(attempt.job().spec());
             seconds = secondsUntilEnd(attempt, now);
         }
-        return free.hold(job.spec()) ? seconds : Double.POSITIVE_INFINITY;
+        return free.canFit(job.spec()) ? seconds : Double.POSITIVE_INFINITY;
     }
 
     private static double secondsUntilEnd(TaskAttempt attempt, double now) {
-        double ran = attempt.ranSeconds(now);
+        double ran = attempt.runningSeconds(now);
         return attempt.state() == TaskAttempt.State.STOPPING
                 ? 0
                 : Math.max(0, attempt.job().spec().estimatedRunSeconds() - ran);
@@ -155,21 +156,21 @@
     private boolean isUsable(Machine machine, Job job, double now) {
         return machine.isSchedulable(now, timeouts.suspectAfterSeconds())
                 && Placement.isEligible(job, machine, now)
-                && now >= job.failures().notBefore()
-                && usage(job).allows(job.spec());
+                && now >= job.failures().retryNotBefore()
+                && usage(job).isWithinLimit(job.spec());
     }
 
     /**
      * Whether a machine is reserved for another job, unless this one comes before that in the
      * scheduling order.
      */
-    public boolean reservedFrom(Job job, Machine machine) {
+    public boolean isReservedForOthers(Job job, Machine machine) {
         Job other = jobByMachine.get(machine);
-        if (other == null || other == job || job.priority().above(other.priority())) {
+        if (other == null || other == job || job.priority().isAbove(other.priority())) {
             return false;
         }
-        return other.priority().above(job.priority())
-                || !usage(job).guaranteedFor(job.spec())
-                || usage(other).guaranteedFor(other.spec());
+        return other.priority().isAbove(job.priority())
+                || !usage(job).isWithinGuarantee(job.spec())
+                || usage(other).isWithinGuarantee(other.spec());
     }
 }
--- a/src/main/java/org/springmill/control/scheduling/WaitingJobs.java
+++ b/src/main/java/org/springmill/control/scheduling/WaitingJobs.java
@@ -33,11 +33,11 @@
         waiting.sort(
                 Comparator.comparing(Job::priority)
                         .thenComparing(job -> !guaranteed.get(job))
-                        .thenComparing(job -> !job.spec().service())
+                        .thenComparing(job -> !job.spec().isService())
                         .thenComparing(job -> !job.hasRecalledTasks())
                         // All jobs share one clock, so the latest start orders them by slack.
-                        .thenComparingDouble(Job::latestStart)
-                        .thenComparingLong(Job::arrival));
+                        .thenComparingDouble(Job::latestStartAt)
+                        .thenComparingLong(Job::eligibleRevision));
         return waiting;
     }
 
@@ -47,10 +47,10 @@
     }
 
     private static boolean isWaiting(Job job) {
-        return job.eligible() && job.nextTask() >= 0;
+        return job.isEligible() && job.nextWaitingTask() >= 0;
     }
 
     private boolean isWithinGuarantee(Job job) {
-        return clusterState.usage(job.spec().team()).guaranteedFor(job.spec());
+        return clusterState.teamUsage(job.spec().team()).isWithinGuarantee(job.spec());
     }
 }
--- a/src/main/java/org/springmill/control/storage/ArchivedJob.java
+++ b/src/main/java/org/springmill/control/storage/ArchivedJob.java
@@ -50,7 +50,7 @@
                 record.id(),
                 record.phase(),
                 record.submission().tasks(),
-                record.submission().service(),
+                record.submission().isService(),
                 record.endedAt(),
                 record.version());
     }
--- a/src/main/java/org/springmill/control/storage/CommitQueue.java
+++ b/src/main/java/org/springmill/control/storage/CommitQueue.java
@@ -33,8 +33,8 @@
     private final double timeoutSeconds;
     private final double commitsPerSecond;
     private final double writesPerSecond;
-    private final RateLimit commitLimit;
-    private final RateLimit writeLimit;
+    private final TokenBucket commitLimit;
+    private final TokenBucket writeLimit;
 
     /** Transactions on which work that was accepted depends. */
     private final ArrayDeque<QueuedCommit> workQueue = new ArrayDeque<>();
@@ -73,8 +73,8 @@
         this.sender = sender;
         commitsPerSecond = limits.requestsPerSecond() * COMMIT_REQUEST_SHARE;
         writesPerSecond = limits.writesPerSecond();
-        commitLimit = new RateLimit(commitsPerSecond, loop.now());
-        writeLimit = new RateLimit(writesPerSecond, loop.now());
+        commitLimit = new TokenBucket(commitsPerSecond, loop.now());
+        writeLimit = new TokenBucket(writesPerSecond, loop.now());
     }
 
     /** Keeps to a share of the rate limits from now on. */
--- a/src/main/java/org/springmill/control/storage/CommitResponses.java
+++ b/src/main/java/org/springmill/control/storage/CommitResponses.java
@@ -55,12 +55,12 @@
     }
 
     private static CommitResult committed(Reply reply) throws MalformedMessageException {
-        long revision = KeyValueStoreMessages.revision(reply.body());
+        long revision = KeyValueStoreMessages.decodeRevision(reply.body());
         return new CommitResult(CommitOutcome.COMMITTED, revision, List.of());
     }
 
     private static CommitResult conditionFailed(Reply reply) throws MalformedMessageException {
-        List<String> failedKeys = KeyValueStoreMessages.failed(reply.body());
+        List<String> failedKeys = KeyValueStoreMessages.decodeFailedKeys(reply.body());
         return new CommitResult(CommitOutcome.REJECTED, 0, failedKeys);
     }
 
@@ -69,7 +69,7 @@
         LOG.debug(
                 "key-value store refused a commit: {}",
                 new String(reply.body(), StandardCharsets.UTF_8));
-        boolean leaseEnded = KeyValueStoreMessages.leaseEnded(reply.body());
+        boolean leaseEnded = KeyValueStoreMessages.isLeaseExpired(reply.body());
         boolean tooLarge = !leaseEnded && mayBeTooLarge(writes, encodedUnder);
         return withoutRevision(tooLarge ? CommitOutcome.TOO_LARGE : CommitOutcome.REJECTED);
     }
--- a/src/main/java/org/springmill/control/storage/JobRecord.java
+++ b/src/main/java/org/springmill/control/storage/JobRecord.java
@@ -80,7 +80,7 @@
 
     /** Whether the job has not ended. */
     public boolean active() {
-        return !phase.terminal();
+        return !phase.isTerminal();
     }
 
     /** Whether the job ended by cancellation. */
@@ -93,7 +93,7 @@
      *
      * @param now time of day in seconds
      */
-    public int mostBytes(double now) {
+    public int maxBytes(double now) {
         return Json.bytes(ended(JobPhase.CANCELLED, now).encode()).length;
     }
 
@@ -101,7 +101,7 @@
     public JsonNode encode() {
         ObjectNode json = Json.newObject();
         json.put(VERSION_FIELD, FORMAT_VERSION);
-        if (phase.terminal()) {
+        if (phase.isTerminal()) {
             json.put(END_FIELD, phase == JobPhase.DONE ? DONE : CANCELLED);
             json.put(ENDED_AT_FIELD, endedAt);
         }
@@ -119,10 +119,13 @@
      */
     public JsonNode encode(int valueBytes) {
         JsonNode whole = encode();
-        if (active() || submission.types() == null || Json.bytes(whole).length <= valueBytes) {
+        if (active()
+                || submission.machineTypes() == null
+                || Json.bytes(whole).length <= valueBytes) {
             return whole;
         }
-        return new JobRecord(id, submission.withoutTypes(), phase, version, endedAt, acceptedAt)
+        return new JobRecord(
+                        id, submission.withoutMachineTypes(), phase, version, endedAt, acceptedAt)
                 .encode();
     }
 
