--- a/src/main/java/org/springmill/control/storage/KeyValueStoreClient.java
+++ b/src/main/java/org/springmill/control/storage/KeyValueStoreClient.java
@@ -38,7 +38,7 @@
     private final KeyValueStoreReads reads;
     private final CommitQueue commitQueue;
     private final CommitResponses commitResponses;
-    private DoubleConsumer onCommit = requestedAt -> {};
+    private DoubleConsumer onCommitAnswered = requestedAt -> {};
 
     /** This controller's share of the rate limits of the key-value store. */
     public interface RateShare {
@@ -145,7 +145,7 @@
     }
 
     /** Whether the latest request that ended was served. */
-    public boolean reachable() {
+    public boolean isReachable() {
         return connection.isReachable();
     }
 
@@ -158,7 +158,7 @@
     }
 
     /** When the latest served request ended, in seconds of the loop's clock. */
-    public double lastServed() {
+    public double lastServedAt() {
         return connection.lastServedAt();
     }
 
@@ -166,8 +166,8 @@
      * Sets what is called for every transaction that was answered, with the time at which it was
      * asked for in seconds of the loop's clock.
      */
-    public void onCommit(DoubleConsumer listener) {
-        onCommit = listener;
+    public void onCommitAnswered(DoubleConsumer listener) {
+        onCommitAnswered = listener;
     }
 
     /** Read barriers that this controller may ask for in a second. */
@@ -257,16 +257,16 @@
 
     private QueuedCommit queuedCommit(
             List<Condition> conditions, List<Write> writes, Consumer<CommitResult> done) {
-        byte[] body = KeyValueStoreMessages.commit(conditions, writes);
+        byte[] body = KeyValueStoreMessages.encodeTransaction(conditions, writes);
         Request request =
-                connection.request("POST", KeyValueStoreMessages.COMMIT, body, timeoutSeconds);
+                connection.request("POST", KeyValueStoreMessages.COMMIT_PATH, body, timeoutSeconds);
         double requestedAt = loop.now();
         Settings.StoreLimits encodedUnder = limits();
         Consumer<Reply> onReply =
                 reply -> {
                     CommitResult result = commitResponses.interpret(reply, writes, encodedUnder);
                     if (result.outcome() != CommitOutcome.UNKNOWN) {
-                        onCommit.accept(requestedAt);
+                        onCommitAnswered.accept(requestedAt);
                     }
                     done.accept(result);
                 };
@@ -278,21 +278,21 @@
      *
      * @param done takes the number of the lease; 0 if none was granted
      */
-    public void grant(double ttlSeconds, LongConsumer done) {
-        byte[] body = KeyValueStoreMessages.grant(Math.round(ttlSeconds * 1000));
+    public void grantLease(double ttlSeconds, LongConsumer done) {
+        byte[] body = KeyValueStoreMessages.encodeLeaseRequest(Math.round(ttlSeconds * 1000));
         connection.post(
-                KeyValueStoreMessages.LEASES,
+                KeyValueStoreMessages.LEASES_PATH,
                 body,
                 timeoutSeconds,
                 reply ->
                         done.accept(
                                 KeyValueStoreConnection.parseIfOk(
-                                                reply, KeyValueStoreMessages::granted)
+                                                reply, KeyValueStoreMessages::decodeLease)
                                         .orElse(0L)));
     }
 
     /** Renews a lease for another whole time to live. */
-    public void renew(long lease, Consumer<LeaseRenewal> done) {
+    public void renewLease(long lease, Consumer<LeaseRenewal> done) {
         connection.post(
                 KeyValueStoreMessages.renewPath(lease),
                 timeoutSeconds,
@@ -311,7 +311,7 @@
      *
      * @param done called whether or not the store answered
      */
-    public void revoke(long lease, Runnable done) {
+    public void revokeLease(long lease, Runnable done) {
         connection.delete(
                 KeyValueStoreMessages.leasePath(lease), timeoutSeconds, reply -> done.run());
     }
--- a/src/main/java/org/springmill/control/storage/KeyValueStoreReads.java
+++ b/src/main/java/org/springmill/control/storage/KeyValueStoreReads.java
@@ -44,12 +44,12 @@
 
     private static ReadResult readResult(Reply reply) {
         if (reply.ok()) {
-            return KeyValueStoreConnection.parse(reply, KeyValueStoreMessages::entry)
+            return KeyValueStoreConnection.parse(reply, KeyValueStoreMessages::decodeEntry)
                     .map(entry -> new ReadResult(true, entry, 0))
                     .orElseGet(KeyValueStoreReads::notServed);
         }
         if (reply.status() == NOT_FOUND) {
-            return KeyValueStoreConnection.parse(reply, KeyValueStoreMessages::revision)
+            return KeyValueStoreConnection.parse(reply, KeyValueStoreMessages::decodeRevision)
                     .map(revision -> new ReadResult(true, null, revision))
                     .orElseGet(KeyValueStoreReads::notServed);
         }
@@ -95,7 +95,8 @@
                     KeyValueStoreMessages.listPath(prefix, afterKey),
                     timeoutSeconds * PAGE_TIMEOUT_RATIO,
                     reply ->
-                            KeyValueStoreConnection.parseIfOk(reply, KeyValueStoreMessages::page)
+                            KeyValueStoreConnection.parseIfOk(
+                                            reply, KeyValueStoreMessages::decodePage)
                                     .ifPresentOrElse(onPage, () -> done.accept(NOT_READ)));
         }
 
@@ -116,14 +117,14 @@
             String prefix, long fromRevision, double waitSeconds, Consumer<ChangesResult> done) {
         long waitMilliseconds = Math.round(waitSeconds * 1000);
         connection.get(
-                KeyValueStoreMessages.changesPath(prefix, fromRevision, waitMilliseconds),
+                KeyValueStoreMessages.watchPath(prefix, fromRevision, waitMilliseconds),
                 timeoutSeconds + waitSeconds,
                 reply -> done.accept(changesResult(reply)));
     }
 
     private static ChangesResult changesResult(Reply reply) {
         Optional<Changes> changes =
-                KeyValueStoreConnection.parseIfOk(reply, KeyValueStoreMessages::changes);
+                KeyValueStoreConnection.parseIfOk(reply, KeyValueStoreMessages::decodeChanges);
         return new ChangesResult(changes.orElse(null), reply.status() == COMPACTED);
     }
 }
--- a/src/main/java/org/springmill/control/storage/RoundIndex.java
+++ b/src/main/java/org/springmill/control/storage/RoundIndex.java
@@ -8,7 +8,7 @@
 import java.util.List;
 import java.util.Map;
 import org.springmill.control.storage.RoundCodec.RoundValue;
-import org.springmill.control.storage.RoundLog.Rebuilt;
+import org.springmill.control.storage.RoundLog.RecoveredRounds;
 import org.springmill.protocol.KeyValueStoreMessages.Entry;
 
 /**
@@ -73,7 +73,7 @@
     }
 
     /** The live claims and completed tasks of all values together. */
-    Rebuilt recover() {
+    RecoveredRounds recover() {
         List<Claim> live = new ArrayList<>();
         Map<String, BitSet> completed = new HashMap<>();
         for (StoredRound value : values) {
@@ -83,7 +83,7 @@
                             (job, tasks) ->
                                     completed.computeIfAbsent(job, j -> new BitSet()).or(tasks));
         }
-        return new Rebuilt(live, completed);
+        return new RecoveredRounds(live, completed);
     }
 
     int storedBytes() {
--- a/src/main/java/org/springmill/control/storage/RoundLog.java
+++ b/src/main/java/org/springmill/control/storage/RoundLog.java
@@ -66,7 +66,7 @@
      *
      * @param done whether the task completed; if not, its attempt is proven to run no more
      */
-    public record End(Claim claim, boolean done) {}
+    public record ClaimEnd(Claim claim, boolean done) {}
 
     /**
      * What is recovered from the stored rounds.
@@ -74,7 +74,7 @@
      * @param live claims that have not ended
      * @param done completed tasks by job, of jobs that may still be active
      */
-    public record Rebuilt(Collection<Claim> live, Map<String, BitSet> done) {}
+    public record RecoveredRounds(Collection<Claim> live, Map<String, BitSet> done) {}
 
     /**
      * A log that holds nothing until it is loaded.
@@ -100,7 +100,7 @@
     }
 
     /** Number of the next round. */
-    public long next() {
+    public long nextNumber() {
         return index.lastNumber() + 1;
     }
 
@@ -129,7 +129,7 @@
     }
 
     /** Number of stored values. */
-    public int kept() {
+    public int storedValueCount() {
         return index.size();
     }
 
@@ -146,11 +146,11 @@
      *
      * @param done takes null if the key-value store could not be read
      */
-    public void load(Consumer<Rebuilt> done) {
+    public void load(Consumer<RecoveredRounds> done) {
         store.list(RoundCodec.PREFIX, page -> pageRead(page, done));
     }
 
-    private void pageRead(Page page, Consumer<Rebuilt> done) {
+    private void pageRead(Page page, Consumer<RecoveredRounds> done) {
         if (writer.isClosed()) {
             return;
         }
@@ -174,7 +174,7 @@
      */
     public void append(
             List<Claim> claims,
-            List<End> ends,
+            List<ClaimEnd> ends,
             List<Write> attached,
             Runnable done,
             Runnable lost) {
--- a/src/main/java/org/springmill/control/storage/RoundWriter.java
+++ b/src/main/java/org/springmill/control/storage/RoundWriter.java
@@ -13,7 +13,7 @@
 import org.springmill.control.storage.KeyValueStoreClient.CommitOutcome;
 import org.springmill.control.storage.KeyValueStoreClient.CommitResult;
 import org.springmill.control.storage.KeyValueStoreClient.ReadResult;
-import org.springmill.control.storage.RoundLog.End;
+import org.springmill.control.storage.RoundLog.ClaimEnd;
 import org.springmill.protocol.KeyValueStoreMessages.Condition;
 import org.springmill.protocol.KeyValueStoreMessages.Write;
 import org.springmill.transport.EventLoop;
@@ -64,7 +64,7 @@
     /** See {@link RoundLog#append}. */
     void append(
             List<Claim> claims,
-            List<End> ends,
+            List<ClaimEnd> ends,
             List<Write> attached,
             Runnable onCommitted,
             Runnable onLeadershipLost) {
@@ -79,7 +79,7 @@
     /** The transaction of one round, until its fate is known. */
     private final class Transaction {
         private final List<Claim> claims;
-        private final List<End> ends;
+        private final List<ClaimEnd> ends;
 
         /** Writes of other records; those of a round that is split go with its first half. */
         private final List<Write> attached;
@@ -102,7 +102,7 @@
 
         Transaction(
                 List<Claim> claims,
-                List<End> ends,
+                List<ClaimEnd> ends,
                 List<Write> attached,
                 long number,
                 Runnable onCommitted,
@@ -128,7 +128,7 @@
 
         private Map<String, BitSet> completedTasks() {
             Map<String, BitSet> completed = new LinkedHashMap<>();
-            for (End end : ends) {
+            for (ClaimEnd end : ends) {
                 if (end.done()) {
                     completed
                             .computeIfAbsent(end.claim().task().job(), j -> new BitSet())
--- a/src/main/java/org/springmill/control/storage/RateLimit.java
+++ b/src/main/java/org/springmill/control/storage/TokenBucket.java
@@ -4,7 +4,7 @@
  * A token bucket that holds the tokens of one second, as the limits of the protocol do, or more.
  * Times are in seconds of one clock.
  */
-public final class RateLimit {
+public final class TokenBucket {
     /** Rounding of waits may leave this much of a token missing. */
     private static final double TOLERANCE = 1e-9;
 
@@ -14,7 +14,7 @@
     private double refilledAt;
 
     /** A full bucket that holds the tokens of one second. */
-    public RateLimit(double perSecond, double now) {
+    public TokenBucket(double perSecond, double now) {
         tokensPerSecond = perSecond;
         capacity = perSecond;
         tokens = perSecond;
--- a/src/main/java/org/springmill/control/timing/ProcessPauseDetector.java
+++ b/src/main/java/org/springmill/control/timing/ProcessPauseDetector.java
@@ -108,8 +108,8 @@
             }
 
             @Override
-            public void onRecord(Listener listener) {
-                watched.onRecord(wrap(listener));
+            public void setListener(Listener listener) {
+                watched.setListener(wrap(listener));
             }
         };
     }
@@ -117,15 +117,15 @@
     private PeerLink.Listener wrap(PeerLink.Listener watched) {
         return new PeerLink.Listener() {
             @Override
-            public void received(byte[] record) {
+            public void onRecord(byte[] record) {
                 beginLoopTurn();
-                watched.received(record);
+                watched.onRecord(record);
             }
 
             @Override
-            public void refused(String node) {
+            public void onConnectionRefused(String node) {
                 beginLoopTurn();
-                watched.refused(node);
+                watched.onConnectionRefused(node);
             }
         };
     }
--- a/src/main/java/org/springmill/control/workers/DueCommands.java
+++ b/src/main/java/org/springmill/control/workers/DueCommands.java
@@ -101,13 +101,13 @@
      *     still delayed by the network would run anew, so it is fenced off first
      */
     private boolean removeUnknownTasks(Machine machine, double now, List<Command> commands) {
-        if (!machine.commandChannel().isCleanupDue(now) || machine.reportedTasksAllKnown()) {
+        if (!machine.commandChannel().isCleanupDue(now) || machine.areReportedTasksKnown()) {
             return false;
         }
         boolean raiseToken = false;
         boolean allKnown = true;
         for (TaskStatus status : machine.reportedTasks()) {
-            if (machine.find(status) != null) {
+            if (machine.findAttempt(status) != null) {
                 continue;
             }
             allKnown = false;
--- a/src/main/java/org/springmill/control/workers/HeartbeatHandler.java
+++ b/src/main/java/org/springmill/control/workers/HeartbeatHandler.java
@@ -70,7 +70,7 @@
             refuse(call, UNAVAILABLE);
             return;
         }
-        Machine machine = fleet.machine(heartbeat);
+        Machine machine = fleet.getOrAdd(heartbeat);
         if (!machine.workerEpoch().isLatestHeartbeat(heartbeat)) {
             // A late copy: its sender waits no longer, and the response must not count as a
             // renewal.
@@ -110,7 +110,7 @@
             return directory.stopCommandsFor(heartbeat);
         }
         boolean requestsFail =
-                machine.commandsFailing() && !machine.commandChannel().isRequestInFlight();
+                machine.areCommandsFailing() && !machine.commandChannel().isRequestInFlight();
         boolean isSameEpoch = heartbeat.epoch() == machine.epoch();
         return requestsFail && isSameEpoch ? dispatcher.dueCommands(machine) : List.of();
     }
--- a/src/main/java/org/springmill/control/workers/Reconciliation.java
+++ b/src/main/java/org/springmill/control/workers/Reconciliation.java
@@ -108,7 +108,7 @@
     private void markUp(Machine machine, Heartbeat heartbeat, double now) {
         boolean wasProvisioning = machine.state() == Machine.State.PROVISIONING;
         if (wasProvisioning && machine.type() != null && isJustStarted(heartbeat)) {
-            fleet.bootTimes().cameUp(machine, now);
+            fleet.bootTimes().recordBoot(machine, now);
         }
         if (wasProvisioning || machine.state() == Machine.State.LEASE_EXPIRED) {
             machine.transition(Machine.State.UP);
@@ -122,7 +122,7 @@
 
     private void endAttemptsProvenGone(
             Machine machine, Heartbeat heartbeat, Set<TaskAttempt> reported) {
-        for (TaskAttempt attempt : machine.attemptsNow()) {
+        for (TaskAttempt attempt : machine.attemptsSnapshot()) {
             if (!reported.contains(attempt) && isProvenGone(attempt, heartbeat)) {
                 fleet.end(attempt, ExitCause.NONE);
             }
@@ -162,7 +162,7 @@
         double now = fleet.now();
         leases.observeQuorum(now);
         double peersMayRenewUntil = peers.othersMayRenewUntil();
-        for (Machine machine : fleet.machinesNow()) {
+        for (Machine machine : fleet.machinesSnapshot()) {
             if (machine.state() == Machine.State.TERMINATED) {
                 continue;
             }
@@ -176,9 +176,9 @@
 
     /** Claim 6.3: all attempts on a machine have ended with its worker's lease. */
     private void leaseExpired(Machine machine) {
-        for (TaskAttempt attempt : machine.attemptsNow()) {
+        for (TaskAttempt attempt : machine.attemptsSnapshot()) {
             if (attempt.state() != TaskAttempt.State.CLAIMING) {
-                metrics.lost();
+                metrics.recordLostAttempt();
                 fleet.end(attempt, ExitCause.NONE);
             }
         }
@@ -192,7 +192,7 @@
 
     /** A start that no heartbeat confirms within the timeout is unknown from then on. */
     private void checkClaimConfirmations(Machine machine, double now) {
-        for (TaskAttempt attempt : machine.attemptsNow()) {
+        for (TaskAttempt attempt : machine.attemptsSnapshot()) {
             boolean overdue =
                     now - attempt.stateSince() > timeouts.claimConfirmationTimeoutSeconds();
             if (attempt.state() == TaskAttempt.State.SENT && overdue) {
@@ -208,7 +208,7 @@
      */
     private void evacuate(Machine machine) {
         double secondsLeft = machine.preemptionAt() - fleet.now();
-        for (TaskAttempt attempt : machine.attemptsNow()) {
+        for (TaskAttempt attempt : machine.attemptsSnapshot()) {
             if (!attempt.isMigrating()) {
                 attempt.markMigrating();
                 fleet.stop(attempt, evacuationGraceSeconds(attempt, secondsLeft));
@@ -219,7 +219,7 @@
     /** All the time that is left if a checkpoint can be saved in it, otherwise none. */
     private static double evacuationGraceSeconds(TaskAttempt attempt, double secondsLeft) {
         Submission spec = attempt.job().spec();
-        double saveSeconds = spec.checkpoints() ? spec.checkpointSaveSeconds() : 0;
+        double saveSeconds = spec.hasCheckpoints() ? spec.checkpointSaveSeconds() : 0;
         return saveSeconds < secondsLeft ? secondsLeft : 0;
     }
 }
--- a/src/main/java/org/springmill/control/workers/TaskStatusHandler.java
+++ b/src/main/java/org/springmill/control/workers/TaskStatusHandler.java
@@ -40,10 +40,10 @@
     Set<TaskAttempt> apply(Machine machine, Heartbeat heartbeat, double now) {
         Set<TaskAttempt> reported = new HashSet<>();
         for (TaskStatus status : heartbeat.tasks()) {
-            TaskAttempt attempt = machine.find(status);
+            TaskAttempt attempt = machine.findAttempt(status);
             if (attempt != null) {
                 reported.add(attempt);
-                attempt.recordReported(now);
+                attempt.recordStatusReported(now);
                 apply(machine, attempt, status, now);
             }
         }
@@ -63,7 +63,7 @@
         switch (attempt.state()) {
             case SENT, UNKNOWN -> {
                 attempt.transition(TaskAttempt.State.FETCHING, now);
-                machine.needsImage(attempt.job().spec(), now);
+                machine.recordImageNeeded(attempt.job().spec(), now);
             }
             default -> {}
         }
@@ -72,7 +72,7 @@
     private void running(Machine machine, TaskAttempt attempt, double now) {
         switch (attempt.state()) {
             case SENT, FETCHING -> {
-                metrics.started(attempt.claimedAt());
+                metrics.recordTaskStart(attempt.claimedAt());
                 recordRunning(machine, attempt, now);
             }
             // When it started is not known.
@@ -83,8 +83,8 @@
 
     private static void recordRunning(Machine machine, TaskAttempt attempt, double now) {
         attempt.transition(TaskAttempt.State.RUNNING, now);
-        machine.usesImage(attempt.job().spec(), now);
-        if (attempt.job().spec().service()) {
+        machine.recordImageUsed(attempt.job().spec(), now);
+        if (attempt.job().spec().isService()) {
             machine.taskSucceeded();
         }
     }
@@ -92,7 +92,7 @@
     private void saving(TaskAttempt attempt, double now) {
         if (attempt.state() == TaskAttempt.State.UNKNOWN) {
             attempt.transition(TaskAttempt.State.STOPPING, now);
-            fleet.clusterState().noteLeaving(attempt);
+            fleet.clusterState().recordStopRequested(attempt);
         }
     }
 
@@ -104,7 +104,7 @@
         switch (cause) {
             case DONE -> {
                 machine.taskSucceeded();
-                attempt.job().failures().succeeded();
+                attempt.job().failures().recordSuccess();
             }
             case ERROR -> failed(machine, attempt, now);
             case NO_ROOM, BUSY, UNKNOWN_JOB -> {
@@ -119,9 +119,9 @@
     private void failed(Machine machine, TaskAttempt attempt, double now) {
         LOG.info("{} failed on {}", attempt.claim().task(), machine.name());
         recordJobFailure(machine, attempt, now);
-        boolean wasQuarantined = machine.quarantined();
+        boolean wasQuarantined = machine.isQuarantined();
         machine.taskFailed(attempt.job());
-        if (!wasQuarantined && machine.quarantined()) {
+        if (!wasQuarantined && machine.isQuarantined()) {
             LOG.warn("machine {} quarantined: tasks of several jobs failed on it", machine.name());
         }
     }
@@ -129,17 +129,17 @@
     private void recordJobFailure(Machine machine, TaskAttempt attempt, double now) {
         Job job = attempt.job();
         JobFailures failures = job.failures();
-        if (job.spec().service() && anotherReplicaRunsWell(job, attempt, now)) {
-            failures.othersRunWell();
+        if (job.spec().isService() && anotherReplicaRunsWell(job, attempt, now)) {
+            failures.recordOtherTasksHealthy();
         }
         boolean wasSuspect = failures.isSuspect();
-        failures.failed(
+        failures.recordFailure(
                 machine.name(),
                 attempt.claimedAt(),
                 now,
                 timeouts.workerLeaseSeconds() / BACKOFFS_PER_LEASE);
         if (!wasSuspect && failures.isSuspect()) {
-            metrics.jobSuspected();
+            metrics.recordSuspectJob();
             LOG.warn("{} failed on several machines: retried with backoff, few tasks", job.id());
         }
     }
@@ -150,6 +150,7 @@
                 .anyMatch(
                         other ->
                                 other != failed
-                                        && other.ranSeconds(now) > timeouts.workerLeaseSeconds());
+                                        && other.runningSeconds(now)
+                                                > timeouts.workerLeaseSeconds());
     }
 }
--- a/src/main/java/org/springmill/emulator/ControllerGroup.java
+++ b/src/main/java/org/springmill/emulator/ControllerGroup.java
@@ -102,7 +102,7 @@
                 new Request(
                         nodes.get(controller).api(),
                         "GET",
-                        UserMessages.READY,
+                        UserMessages.READINESS_PATH,
                         EMPTY,
                         PROBE_SECONDS);
         client.send(
--- a/src/main/java/org/springmill/emulator/EmulatedCloud.java
+++ b/src/main/java/org/springmill/emulator/EmulatedCloud.java
@@ -93,17 +93,17 @@
     void handle(Call call) {
         try {
             if (call.path().equals(CloudMessages.MACHINE_TYPES_PATH)) {
-                call.reply(200, CloudSideMessages.types(machineTypes()), 0);
+                call.reply(200, CloudSideMessages.encodeMachineTypes(machineTypes()), 0);
             } else if (call.path().equals(CloudMessages.DELETIONS_PATH)) {
-                CloudSideMessages.deletion(call.body()).forEach(this::delete);
-                call.reply(200, KeyValueStoreServerMessages.revision(0), 0);
+                CloudSideMessages.decodeDeletion(call.body()).forEach(this::delete);
+                call.reply(200, KeyValueStoreServerMessages.encodeRevision(0), 0);
             } else if (call.method().equals("POST")) {
-                rent(call, CloudSideMessages.rental(call.body()));
+                rent(call, CloudSideMessages.decodeRental(call.body()));
             } else {
                 list(call);
             }
         } catch (MalformedMessageException e) {
-            call.reply(400, KeyValueStoreServerMessages.error(e.getMessage()), 0);
+            call.reply(400, KeyValueStoreServerMessages.encodeError(e.getMessage()), 0);
         }
     }
 
@@ -128,7 +128,7 @@
     private void rent(Call call, Rental rental) {
         List<String> before = answeredRentals.get(rental.request());
         if (before != null) {
-            call.reply(200, CloudSideMessages.rented(before), 0);
+            call.reply(200, CloudSideMessages.encodeRentalResponse(before), 0);
             return;
         }
         MachineGroup group = types.get(rental.type());
@@ -137,7 +137,7 @@
                         ? 0
                         : Math.min(rental.count(), free.getOrDefault(group.type(), 0));
         if (count <= 0) {
-            call.reply(503, CloudSideMessages.noCapacity(), 0);
+            call.reply(503, CloudSideMessages.encodeNoCapacity(), 0);
             return;
         }
         List<String> names = new ArrayList<>();
@@ -145,7 +145,7 @@
             names.add(rent(group, rental.zone(), group.bootSeconds()));
         }
         answeredRentals.put(rental.request(), names);
-        call.reply(200, CloudSideMessages.rented(names), 0);
+        call.reply(200, CloudSideMessages.encodeRentalResponse(names), 0);
     }
 
     private void delete(String name) {
@@ -162,7 +162,7 @@
         double then = loop.now() - scenario.cloudLimits().listLagSeconds();
         List<ListedMachine> page = new ArrayList<>();
         boolean more = false;
-        String after = CloudSideMessages.listedAfter(call.query());
+        String after = CloudSideMessages.decodePageStart(call.query());
         for (Map.Entry<String, Rented> entry : rented.tailMap(after, false).entrySet()) {
             Rented machine = entry.getValue();
             boolean initial = machine.upAt == machine.since;
@@ -174,7 +174,7 @@
                 page.add(listed(entry.getKey(), machine, then));
             }
         }
-        call.reply(200, CloudSideMessages.list(page, more), 0);
+        call.reply(200, CloudSideMessages.encodeMachinePage(page, more), 0);
     }
 
     private static ListedMachine listed(String name, Rented machine, double then) {
--- a/src/main/java/org/springmill/emulator/EmulatedKeyValueStore.java
+++ b/src/main/java/org/springmill/emulator/EmulatedKeyValueStore.java
@@ -24,7 +24,7 @@
 import org.springmill.protocol.counterpart.KeyValueStoreServerMessages.ListKeys;
 import org.springmill.protocol.counterpart.KeyValueStoreServerMessages.Renew;
 import org.springmill.protocol.counterpart.KeyValueStoreServerMessages.Revoke;
-import org.springmill.protocol.counterpart.KeyValueStoreServerMessages.StateRequest;
+import org.springmill.protocol.counterpart.KeyValueStoreServerMessages.StoreRequest;
 import org.springmill.protocol.counterpart.KeyValueStoreServerMessages.Watch;
 import org.springmill.transport.EventLoop;
 import org.springmill.transport.HttpClient.Reply;
@@ -52,7 +52,7 @@
     private long revision;
     private long compactedRevision;
     private long nextLease = 1;
-    private int tooLarge;
+    private int rejectedForSize;
     private boolean down;
 
     private static final class Lease {
@@ -103,14 +103,14 @@
     }
 
     /** Changes the size limits from now on. Stored values stay. */
-    public void limit(int bytes, int writes) {
+    public void setSizeLimits(int bytes, int writes) {
         valueBytes = bytes;
         writesPerCommit = writes;
     }
 
     /** Transactions rejected for their size so far. */
-    public int tooLarge() {
-        return tooLarge;
+    public int rejectedForSize() {
+        return rejectedForSize;
     }
 
     /** How many keys are stored. */
@@ -137,7 +137,7 @@
      * Answers one node with 503 while the others are served; its leases expire, and its open
      * watches wait.
      */
-    public void refuse(String node, boolean now) {
+    public void setRefused(String node, boolean now) {
         if (now) {
             refused.add(node);
         } else {
@@ -147,13 +147,13 @@
     }
 
     /** Serves all nodes again. */
-    public void heal() {
+    public void serveAll() {
         refused.clear();
         setDown(false);
     }
 
     /** Compacts the history: watches from earlier revisions get 410 and have to list the keys. */
-    public void forgetChanges() {
+    public void compactChanges() {
         changes.clear();
         compactedRevision = revision;
     }
@@ -185,17 +185,17 @@
     public void handle(
             String node, String method, String target, byte[] body, Consumer<Reply> done) {
         try {
-            handle(node, KeyValueStoreServerMessages.request(method, target, body), done);
+            handle(node, KeyValueStoreServerMessages.decodeRequest(method, target, body), done);
         } catch (MalformedMessageException e) {
-            done.accept(new Reply(400, KeyValueStoreServerMessages.error(e.getMessage())));
+            done.accept(new Reply(400, KeyValueStoreServerMessages.encodeError(e.getMessage())));
         }
     }
 
     /** Answers a request, a watch perhaps later. */
-    public void handle(String node, StateRequest request, Consumer<Reply> done) {
+    public void handle(String node, StoreRequest request, Consumer<Reply> done) {
         expireLeases();
         if (!serves(node)) {
-            done.accept(new Reply(503, KeyValueStoreServerMessages.error("trouble")));
+            done.accept(new Reply(503, KeyValueStoreServerMessages.encodeError("trouble")));
         } else if (request instanceof Watch watch) {
             watch(node, watch, done);
         } else {
@@ -203,29 +203,29 @@
         }
     }
 
-    private Reply answer(StateRequest request) {
+    private Reply answer(StoreRequest request) {
         if (request instanceof Commit commit) {
             return commit(commit);
         } else if (request instanceof Get get) {
             Entry entry = keys.get(get.key());
             return entry == null
-                    ? new Reply(404, KeyValueStoreServerMessages.revision(revision))
-                    : new Reply(200, KeyValueStoreServerMessages.entry(entry));
+                    ? new Reply(404, KeyValueStoreServerMessages.encodeRevision(revision))
+                    : new Reply(200, KeyValueStoreServerMessages.encodeEntry(entry));
         } else if (request instanceof ListKeys list) {
             return list(list);
         } else if (request instanceof Grant grant) {
             leases.put(nextLease, new Lease(grant.ttlSeconds(), loop.now()));
-            return new Reply(200, KeyValueStoreServerMessages.granted(nextLease++));
+            return new Reply(200, KeyValueStoreServerMessages.encodeLease(nextLease++));
         } else if (request instanceof Renew renew) {
             Lease lease = leases.get(renew.lease());
             if (lease == null) {
-                return new Reply(404, KeyValueStoreServerMessages.revision(revision));
+                return new Reply(404, KeyValueStoreServerMessages.encodeRevision(revision));
             }
             lease.renew(loop.now());
         } else if (request instanceof Revoke revoke) {
             endLease(revoke.lease());
         }
-        return new Reply(200, KeyValueStoreServerMessages.revision(revision));
+        return new Reply(200, KeyValueStoreServerMessages.encodeRevision(revision));
     }
 
     private Reply list(ListKeys list) {
@@ -244,20 +244,20 @@
             entries.add(entry);
             bytes += Json.bytes(entry.value()).length + entry.key().length();
         }
-        return new Reply(200, KeyValueStoreServerMessages.page(entries, more, revision));
+        return new Reply(200, KeyValueStoreServerMessages.encodePage(entries, more, revision));
     }
 
     private Reply commit(Commit commit) {
         Optional<String> rejection = rejection(commit);
         if (rejection.isPresent()) {
-            return new Reply(400, KeyValueStoreServerMessages.error(rejection.get()));
+            return new Reply(400, KeyValueStoreServerMessages.encodeError(rejection.get()));
         }
         boolean leaseExpired =
                 commit.writes().stream()
                         .anyMatch(
                                 write -> write.lease() != 0 && !leases.containsKey(write.lease()));
         if (leaseExpired) {
-            return new Reply(400, KeyValueStoreServerMessages.noSuchLease());
+            return new Reply(400, KeyValueStoreServerMessages.encodeLeaseExpired());
         }
         List<String> failed =
                 commit.conditions().stream()
@@ -265,14 +265,15 @@
                         .map(Condition::key)
                         .toList();
         if (!failed.isEmpty()) {
-            return new Reply(409, KeyValueStoreServerMessages.failed(failed, revision));
+            return new Reply(
+                    409, KeyValueStoreServerMessages.encodeFailedConditions(failed, revision));
         }
         if (!commit.writes().isEmpty()) {
             revision++;
             commit.writes().forEach(this::apply);
             serveWatches();
         }
-        return new Reply(200, KeyValueStoreServerMessages.revision(revision));
+        return new Reply(200, KeyValueStoreServerMessages.encodeRevision(revision));
     }
 
     /** Why a transaction is rejected for its size; empty if it is not. */
@@ -288,7 +289,7 @@
                                         write.value() != null
                                                 && Json.bytes(write.value()).length > valueBytes);
         if (large || largeValue) {
-            tooLarge++;
+            rejectedForSize++;
             return Optional.of(large ? "transaction too large" : "value too large");
         }
         return Optional.empty();
@@ -380,7 +381,7 @@
         Watch watch = open.watch;
         if (watch.from() < compactedRevision) {
             open.completed = true;
-            open.done.accept(new Reply(410, KeyValueStoreServerMessages.revision(revision)));
+            open.done.accept(new Reply(410, KeyValueStoreServerMessages.encodeRevision(revision)));
             return true;
         }
         List<Change> found = changesAfter(watch.from(), watch.prefix());
@@ -388,7 +389,8 @@
             return false;
         }
         open.completed = true;
-        open.done.accept(new Reply(200, KeyValueStoreServerMessages.changes(found, revision)));
+        open.done.accept(
+                new Reply(200, KeyValueStoreServerMessages.encodeChanges(found, revision)));
         return true;
     }
 
--- a/src/main/java/org/springmill/emulator/EmulatedKeyValueStoreServer.java
+++ b/src/main/java/org/springmill/emulator/EmulatedKeyValueStoreServer.java
@@ -9,7 +9,7 @@
 import org.springmill.protocol.counterpart.KeyValueStoreServerMessages.Commit;
 import org.springmill.protocol.counterpart.KeyValueStoreServerMessages.Get;
 import org.springmill.protocol.counterpart.KeyValueStoreServerMessages.ListKeys;
-import org.springmill.protocol.counterpart.KeyValueStoreServerMessages.StateRequest;
+import org.springmill.protocol.counterpart.KeyValueStoreServerMessages.StoreRequest;
 import org.springmill.protocol.counterpart.KeyValueStoreServerMessages.Watch;
 import org.springmill.transport.EventLoop;
 import org.springmill.transport.HttpClient.Reply;
@@ -69,13 +69,15 @@
     public void handle(Call call) {
         String target = call.query().isEmpty() ? call.path() : call.path() + "?" + call.query();
         try {
-            handle(call, KeyValueStoreServerMessages.request(call.method(), target, call.body()));
+            handle(
+                    call,
+                    KeyValueStoreServerMessages.decodeRequest(call.method(), target, call.body()));
         } catch (MalformedMessageException e) {
-            call.reply(400, KeyValueStoreServerMessages.error(e.getMessage()), 0);
+            call.reply(400, KeyValueStoreServerMessages.encodeError(e.getMessage()), 0);
         }
     }
 
-    private void handle(Call call, StateRequest request) {
+    private void handle(Call call, StoreRequest request) {
         double since = loop.now();
         int writesHere = request instanceof Commit commit ? commit.writes().size() : 0;
         served++;
@@ -86,11 +88,12 @@
             loop.after(latencySeconds, () -> store.handle(ANYBODY, request, done));
         } else {
             refusedForRate++;
-            done.accept(new Reply(429, KeyValueStoreServerMessages.error("too many requests")));
+            done.accept(
+                    new Reply(429, KeyValueStoreServerMessages.encodeError("too many requests")));
         }
     }
 
-    private void answer(Call call, StateRequest request, Reply reply, double since) {
+    private void answer(Call call, StoreRequest request, Reply reply, double since) {
         Message kind = kind(request);
         measurements.message(kind, call.body().length, reply.body().length);
         measurements.outcome(kind, reply.status());
@@ -100,7 +103,7 @@
         call.reply(reply.status(), reply.body(), 0);
     }
 
-    private static Message kind(StateRequest request) {
+    private static Message kind(StoreRequest request) {
         if (request instanceof Commit) {
             return Message.STATE_COMMIT;
         } else if (request instanceof Watch) {
--- a/src/main/java/org/springmill/emulator/EmulatedTasks.java
+++ b/src/main/java/org/springmill/emulator/EmulatedTasks.java
@@ -186,12 +186,12 @@
                 environment
                         .scenario()
                         .serving()
-                        .filter(serving -> job.spec().service())
+                        .filter(serving -> job.spec().isService())
                         .map(serving -> serveModel(task, serving))
                         .orElse(address);
         environment.measurements().latency(Latency.START, loop.now() - task.commandedAt);
         environment.observer().started(task.key.task(), machine, modelAddress);
-        if (!job.spec().service()) {
+        if (!job.spec().isService()) {
             double left = environment.jobs().secondsLeft(task.key.task(), job);
             loop.after(left, () -> finish(task));
         }
@@ -213,7 +213,7 @@
         }
         boolean saves =
                 task.state == TaskState.RUNNING
-                        && task.spec.checkpoints()
+                        && task.spec.hasCheckpoints()
                         && graceSeconds >= task.spec.checkpointSaveSeconds();
         if (saves) {
             task.state = TaskState.SAVING;
@@ -239,7 +239,7 @@
         if (task.server != null) {
             task.server.stop();
         }
-        if (!task.spec.service()) {
+        if (!task.spec.isService()) {
             environment
                     .jobs()
                     .progress()
--- a/src/main/java/org/springmill/emulator/EmulatedUsers.java
+++ b/src/main/java/org/springmill/emulator/EmulatedUsers.java
@@ -80,7 +80,12 @@
                 return;
             }
             byte[] body = Json.bytes(spec.toJson());
-            send("POST", UserMessages.SUBMISSIONS, body, SUBMIT_TIMEOUT_SECONDS, this::submitted);
+            send(
+                    "POST",
+                    UserMessages.SUBMISSIONS_PATH,
+                    body,
+                    SUBMIT_TIMEOUT_SECONDS,
+                    this::submitted);
         }
 
         private void submitted(Reply reply) {
@@ -99,14 +104,14 @@
             loop.after(scenario.users().pollSeconds() * random.nextDouble(), this::poll);
             if (cancelled) {
                 sendCancellation();
-            } else if (spec.service()) {
+            } else if (spec.isService()) {
                 loop.after(randomised(lifeSeconds), this::sendCancellation);
             }
         }
 
         private void countRefusal(Reply reply) {
             if (reply.answered()) {
-                measurements.refusal(UserSideMessages.reason(reply.body()));
+                measurements.refusal(UserSideMessages.decodeError(reply.body()));
             }
         }
 
@@ -115,7 +120,7 @@
                 return;
             }
             double askedAt = loop.now();
-            String path = UserMessages.SUBMISSIONS + "/" + spec.id();
+            String path = UserMessages.SUBMISSIONS_PATH + "/" + spec.id();
             send("GET", path, EMPTY, POLL_TIMEOUT_SECONDS, reply -> polled(reply, askedAt));
         }
 
@@ -134,9 +139,9 @@
 
         private void phaseReceived(byte[] body, double askedAt) {
             try {
-                JobPhase phase = UserSideMessages.phase(body);
+                JobPhase phase = UserSideMessages.decodePhase(body);
                 rules.phaseReceived(spec.id(), phase, askedAt);
-                if (phase.terminal()) {
+                if (phase.isTerminal()) {
                     acceptedAt.remove(spec.id());
                 }
             } catch (MalformedMessageException e) {
@@ -148,7 +153,11 @@
             if (stopped) {
                 return;
             }
-            String path = UserMessages.SUBMISSIONS + "/" + spec.id() + UserMessages.WITHDRAW;
+            String path =
+                    UserMessages.SUBMISSIONS_PATH
+                            + "/"
+                            + spec.id()
+                            + UserMessages.CANCELLATION_SUFFIX;
             double askedAt = loop.now();
             send(
                     "POST",
@@ -198,7 +207,11 @@
             int controller = i;
             Request request =
                     new Request(
-                            controllers.get(i), "GET", UserMessages.READY, EMPTY, PROBE_SECONDS);
+                            controllers.get(i),
+                            "GET",
+                            UserMessages.READINESS_PATH,
+                            EMPTY,
+                            PROBE_SECONDS);
             clients.get(0).send(request, reply -> healthy[controller] = reply.ok());
         }
         loop.after(PROBE_SECONDS, this::probe);
@@ -256,7 +269,7 @@
     private void submit(JobClass jobClass) {
         Submission spec = describe(jobClass);
         double runSeconds =
-                spec.service() ? Double.POSITIVE_INFINITY : randomised(jobClass.runSeconds());
+                spec.isService() ? Double.POSITIVE_INFINITY : randomised(jobClass.runSeconds());
         jobs.upload(new EmulatedJob(spec, runSeconds));
         new UserJob(spec, jobClass.lifeSeconds()).submit();
     }
--- a/src/main/java/org/springmill/emulator/EmulatedWorker.java
+++ b/src/main/java/org/springmill/emulator/EmulatedWorker.java
@@ -12,7 +12,7 @@
 import org.springmill.protocol.WorkerMessages;
 import org.springmill.protocol.WorkerMessages.Heartbeat;
 import org.springmill.protocol.counterpart.WorkerSideMessages;
-import org.springmill.protocol.counterpart.WorkerSideMessages.Orders;
+import org.springmill.protocol.counterpart.WorkerSideMessages.CommandBatch;
 import org.springmill.transport.EventLoop;
 import org.springmill.transport.HttpClient;
 import org.springmill.transport.HttpClient.Reply;
@@ -209,7 +209,7 @@
         heartbeatSentAt = loop.now();
         double sentAt = heartbeatSentAt;
         long sentSession = epoch;
-        byte[] body = WorkerSideMessages.report(heartbeat());
+        byte[] body = WorkerSideMessages.encodeHeartbeat(heartbeat());
         String to = environment.controllerAddresses().get(controller);
         Request request =
                 new Request(
@@ -240,20 +240,20 @@
     }
 
     private void accept(byte[] body, double sentAt, long sentSession) {
-        Orders orders = parse(body);
+        CommandBatch orders = parse(body);
         if (orders != null
-                && orders.hasToken()
-                && orders.token() >= fencingToken
+                && orders.hasFencingToken()
+                && orders.fencingToken() >= fencingToken
                 && epoch == sentSession) {
-            raiseFencingToken(orders.token());
+            raiseFencingToken(orders.fencingToken());
             leaseRenewedAt = Math.max(leaseRenewedAt, sentAt);
             orders.commands().forEach(tasks::execute);
         }
     }
 
-    private static Orders parse(byte[] body) {
+    private static CommandBatch parse(byte[] body) {
         try {
-            return WorkerSideMessages.orders(body);
+            return WorkerSideMessages.decodeCommands(body);
         } catch (MalformedMessageException e) {
             return null;
         }
@@ -273,7 +273,7 @@
     private void followRedirect(byte[] body) {
         Integer leader = null;
         try {
-            String node = WorkerSideMessages.redirect(body);
+            String node = WorkerSideMessages.decodeRedirect(body);
             leader = node == null ? null : environment.controllerNumbers().get(node);
         } catch (MalformedMessageException e) {
             // Taken as a response that names no leader.
@@ -300,20 +300,20 @@
         }
         checkLease();
         if (!call.path().equals(WorkerMessages.COMMANDS_PATH)) {
-            call.reply(200, WorkerSideMessages.report(heartbeat()), 0);
+            call.reply(200, WorkerSideMessages.encodeHeartbeat(heartbeat()), 0);
             return;
         }
-        Orders orders = parse(call.body());
-        if (orders == null || !orders.hasToken() || !orders.hasSession()) {
+        CommandBatch orders = parse(call.body());
+        if (orders == null || !orders.hasFencingToken() || !orders.hasEpoch()) {
             call.reply(400, new byte[0], 0);
             return;
         }
-        boolean refused = orders.token() < fencingToken || orders.session() != epoch;
+        boolean refused = orders.fencingToken() < fencingToken || orders.epoch() != epoch;
         if (!refused) {
-            raiseFencingToken(orders.token());
+            raiseFencingToken(orders.fencingToken());
             orders.commands().forEach(tasks::execute);
         }
-        byte[] answer = WorkerSideMessages.report(heartbeat());
+        byte[] answer = WorkerSideMessages.encodeHeartbeat(heartbeat());
         environment.measurements().message(Message.COMMANDS, call.body().length, answer.length);
         call.reply(refused ? 409 : 200, answer, 0);
     }
--- a/src/main/java/org/springmill/emulator/Emulation.java
+++ b/src/main/java/org/springmill/emulator/Emulation.java
@@ -350,7 +350,7 @@
                                 (storeServer.served() - servedBefore) / seconds,
                                 (storeServer.written() - writtenBefore) / seconds,
                                 storeServer.refusedForRate(),
-                                store.tooLarge(),
+                                store.rejectedForSize(),
                                 store.keyCount()),
                         work(),
                         faults.records(),
--- a/src/main/java/org/springmill/emulator/LoanSampler.java
+++ b/src/main/java/org/springmill/emulator/LoanSampler.java
@@ -137,13 +137,13 @@
     /** GPUs that tasks of arrays have. */
     double batchGpus() {
         return onMachines.values().stream()
-                .filter(spec -> !spec.service())
+                .filter(spec -> !spec.isService())
                 .mapToDouble(Submission::gpus)
                 .sum();
     }
 
     private long batchTasks() {
-        return onMachines.values().stream().filter(spec -> !spec.service()).count();
+        return onMachines.values().stream().filter(spec -> !spec.isService()).count();
     }
 
     /** Seconds that tasks of arrays were on machines, from the beginning on. */
--- a/src/main/java/org/springmill/emulator/RuleChecker.java
+++ b/src/main/java/org/springmill/emulator/RuleChecker.java
@@ -123,10 +123,10 @@
         JobPhase before = finalPhases.get(job);
         boolean askedLater = before != null && askedAt >= finalPhaseAt.get(job);
         boolean differs = before != null && before != phase;
-        if (differs && (phase.terminal() || askedLater)) {
+        if (differs && (phase.isTerminal() || askedLater)) {
             recordViolation("went_back", job + " from " + before + " to " + phase);
         }
-        if (before == null && phase.terminal()) {
+        if (before == null && phase.isTerminal()) {
             finalPhases.put(job, phase);
             finalPhaseAt.put(job, loop.now());
             if (phase == JobPhase.CANCELLED) {
--- a/src/main/java/org/springmill/emulator/TaskProgress.java
+++ b/src/main/java/org/springmill/emulator/TaskProgress.java
@@ -40,7 +40,7 @@
         stopped.increment();
         double before = savedSeconds.getOrDefault(task, 0.0);
         double kept = 0;
-        if (spec.checkpoints()) {
+        if (spec.hasCheckpoints()) {
             double checkpoints =
                     Math.floor((before + ranSeconds) / spec.checkpointIntervalSeconds());
             kept = Math.max(0, checkpoints * spec.checkpointIntervalSeconds() - before);
--- a/src/main/java/org/springmill/protocol/ArchiveTrainingMessages.java
+++ b/src/main/java/org/springmill/protocol/ArchiveTrainingMessages.java
@@ -53,9 +53,9 @@
             return ok("{\"pairs\":[],\"truncated\":false,\"ledgerRev\":" + revision + "}");
         } else if (path.equals("/changes")) {
             return ok("{\"ledgerRev\":" + revision + ",\"news\":[]}");
-        } else if (path.startsWith(KeyValueStoreMessages.LEASES)) {
+        } else if (path.startsWith(KeyValueStoreMessages.LEASES_PATH)) {
             return ok("{\"tenancy\":1}");
-        } else if (path.equals(KeyValueStoreMessages.COMMIT)) {
+        } else if (path.equals(KeyValueStoreMessages.COMMIT_PATH)) {
             return ok("{\"ledgerRev\":" + ++revision + "}");
         } else if (path.equals(CloudMessages.MACHINE_TYPES_PATH)) {
             return ok(
--- a/src/main/java/org/springmill/protocol/CloudMessages.java
+++ b/src/main/java/org/springmill/protocol/CloudMessages.java
@@ -65,7 +65,7 @@
         }
 
         private boolean isAllowedBy(Submission job) {
-            return job.types() == null || job.types().contains(name);
+            return job.machineTypes() == null || job.machineTypes().contains(name);
         }
 
         private boolean isOfferedFor(Submission job) {
@@ -77,7 +77,7 @@
          *
          * @param job one that {@link #fits}
          */
-        public int holds(Submission job) {
+        public int tasksPerMachine(Submission job) {
             double byCpus = cpus / Math.max(MIN_AMOUNT, job.cpus());
             double byMemory = memoryGb / Math.max(MIN_AMOUNT, job.memoryGb());
             double byGpus = job.gpus() == 0 ? Integer.MAX_VALUE : gpus / job.gpus();
@@ -138,7 +138,8 @@
      *
      * @throws MalformedMessageException if it is not a JSON object
      */
-    public static List<MachineType> types(byte[] body) throws MalformedMessageException {
+    public static List<MachineType> decodeMachineTypes(byte[] body)
+            throws MalformedMessageException {
         List<MachineType> types = new ArrayList<>();
         for (JsonNode type : Json.object(body).path(WireFields.MACHINE_TYPES)) {
             types.add(machineType(type));
@@ -217,7 +218,7 @@
      *
      * @throws MalformedMessageException if it is not a JSON object
      */
-    public static MachinePage list(byte[] body) throws MalformedMessageException {
+    public static MachinePage decodeMachinePage(byte[] body) throws MalformedMessageException {
         JsonNode json = Json.object(body);
         List<ListedMachine> machines = new ArrayList<>();
         for (JsonNode machine : json.path(WireFields.MACHINES)) {
--- a/src/main/java/org/springmill/protocol/KeyValueStoreMessages.java
+++ b/src/main/java/org/springmill/protocol/KeyValueStoreMessages.java
@@ -10,10 +10,10 @@
 /** Messages between controllers and the key-value store. Unknown fields are ignored. */
 public final class KeyValueStoreMessages {
     /** Path to which transactions are posted. */
-    public static final String COMMIT = "/commit";
+    public static final String COMMIT_PATH = "/commit";
 
     /** Path of leases; posting to it requests one. */
-    public static final String LEASES = "/grants";
+    public static final String LEASES_PATH = "/grants";
 
     private static final String KEYS = "/store";
     private static final String WATCHES = "/changes";
@@ -119,7 +119,7 @@
      * @param from revision after which changes are returned
      * @param waitMs time to wait for a change, in milliseconds
      */
-    public static String changesPath(String prefix, long from, long waitMs) {
+    public static String watchPath(String prefix, long from, long waitMs) {
         return WATCHES + "?under=" + prefix + "&from=" + from + "&waitMs=" + waitMs;
     }
 
@@ -130,7 +130,7 @@
 
     /** Path of a lease; deleting it revokes the lease. */
     public static String leasePath(long lease) {
-        return LEASES + "/" + lease;
+        return LEASES_PATH + "/" + lease;
     }
 
     /**
@@ -138,7 +138,7 @@
      *
      * @param ttlMs time to live, in milliseconds
      */
-    public static byte[] grant(long ttlMs) {
+    public static byte[] encodeLeaseRequest(long ttlMs) {
         return Json.write(
                 json -> json.writeNumberField(WireFields.TIME_TO_LIVE_MILLISECONDS, ttlMs));
     }
@@ -148,7 +148,7 @@
      *
      * @throws MalformedMessageException if the response is not a JSON object
      */
-    public static long granted(byte[] body) throws MalformedMessageException {
+    public static long decodeLease(byte[] body) throws MalformedMessageException {
         return Json.object(body).path(WireFields.LEASE).longValue();
     }
 
@@ -156,7 +156,7 @@
      * Encodes a transaction: all writes are applied, at one revision, if all conditions hold; else
      * none.
      */
-    public static byte[] commit(List<Condition> conditions, List<Write> writes) {
+    public static byte[] encodeTransaction(List<Condition> conditions, List<Write> writes) {
         return Json.write(
                 json -> {
                     json.writeArrayFieldStart(WireFields.CONDITIONS);
@@ -199,7 +199,7 @@
      *
      * @throws MalformedMessageException if the response is not a JSON object
      */
-    public static long revision(byte[] body) throws MalformedMessageException {
+    public static long decodeRevision(byte[] body) throws MalformedMessageException {
         return Json.object(body).path(WireFields.REVISION).longValue();
     }
 
@@ -209,7 +209,7 @@
      *
      * @throws MalformedMessageException if the response is not a JSON object
      */
-    public static boolean leaseEnded(byte[] body) throws MalformedMessageException {
+    public static boolean isLeaseExpired(byte[] body) throws MalformedMessageException {
         return Json.object(body).path(WireFields.ERROR).asText().equals(LEASE_EXPIRED);
     }
 
@@ -218,7 +218,7 @@
      *
      * @throws MalformedMessageException if the response is not a JSON object
      */
-    public static List<String> failed(byte[] body) throws MalformedMessageException {
+    public static List<String> decodeFailedKeys(byte[] body) throws MalformedMessageException {
         List<String> keys = new ArrayList<>();
         Json.object(body).path(WireFields.FAILED_KEYS).forEach(key -> keys.add(key.asText()));
         return keys;
@@ -229,7 +229,7 @@
      *
      * @throws MalformedMessageException if the response is not a JSON object
      */
-    public static Entry entry(byte[] body) throws MalformedMessageException {
+    public static Entry decodeEntry(byte[] body) throws MalformedMessageException {
         return decodeEntry(Json.object(body));
     }
 
@@ -238,7 +238,7 @@
      *
      * @throws MalformedMessageException if the response is not a JSON object
      */
-    public static Page page(byte[] body) throws MalformedMessageException {
+    public static Page decodePage(byte[] body) throws MalformedMessageException {
         JsonNode json = Json.object(body);
         List<Entry> entries = new ArrayList<>();
         for (JsonNode entry : json.path(WireFields.ENTRIES)) {
@@ -255,7 +255,7 @@
      *
      * @throws MalformedMessageException if the response is not a JSON object
      */
-    public static Changes changes(byte[] body) throws MalformedMessageException {
+    public static Changes decodeChanges(byte[] body) throws MalformedMessageException {
         JsonNode json = Json.object(body);
         List<Change> changes = new ArrayList<>();
         for (JsonNode change : json.path(WireFields.CHANGES)) {
--- a/src/main/java/org/springmill/protocol/PeerMessageWriter.java
+++ b/src/main/java/org/springmill/protocol/PeerMessageWriter.java
@@ -55,8 +55,8 @@
 
     private void writeStatus(PeerStatus status) throws IOException {
         out.writeUTF(status.from());
-        out.writeLong(status.question());
-        out.writeLong(status.answeredQuestion());
+        out.writeLong(status.requestNumber());
+        out.writeLong(status.answeredRequestNumber());
         out.writeBoolean(status.storeReachable());
         out.writeBoolean(status.leading());
         out.writeBoolean(status.hasReadLeaderRecord());
@@ -108,7 +108,7 @@
     private void writeCancellation(Cancellation cancellation) throws IOException {
         out.writeUTF(cancellation.job());
         out.writeLong(cancellation.revision());
-        out.writeDouble(cancellation.askedAt());
+        out.writeDouble(cancellation.requestedAtSeconds());
     }
 
     private void writeJobProgress(JobProgress progress) throws IOException {
--- a/src/main/java/org/springmill/protocol/PeerMessages.java
+++ b/src/main/java/org/springmill/protocol/PeerMessages.java
@@ -36,8 +36,8 @@
      * was, can date it by its own clock.
      *
      * @param from name of the sender
-     * @param question sequence number of the sender's own request
-     * @param answeredQuestion sequence number of the request that is answered; 0 for none
+     * @param requestNumber sequence number of the sender's own request
+     * @param answeredRequestNumber sequence number of the request that is answered; 0 for none
      * @param storeReachable whether the sender's last request to the key-value store was served
      * @param leading whether it answers workers as the leader
      * @param hasReadLeaderRecord whether it has read the leader's record since it was started, so
@@ -58,8 +58,8 @@
      */
     public record PeerStatus(
             String from,
-            long question,
-            long answeredQuestion,
+            long requestNumber,
+            long answeredRequestNumber,
             boolean storeReachable,
             boolean leading,
             boolean hasReadLeaderRecord,
@@ -107,9 +107,9 @@
      *
      * @param job id of the cancelled job
      * @param revision of the key-value store at which it was committed
-     * @param askedAt time of day of the user's request, in seconds
+     * @param requestedAtSeconds time of day of the user's request, in seconds
      */
-    public record Cancellation(String job, long revision, double askedAt) {}
+    public record Cancellation(String job, long revision, double requestedAtSeconds) {}
 
     /**
      * Anti-entropy of cancellations. A request says which ones its sender has, a response carries
--- a/src/main/java/org/springmill/protocol/Priority.java
+++ b/src/main/java/org/springmill/protocol/Priority.java
@@ -32,7 +32,7 @@
     }
 
     /** Whether this priority is higher than another one. */
-    public boolean above(Priority other) {
+    public boolean isAbove(Priority other) {
         return compareTo(other) < 0;
     }
 }
--- a/src/main/java/org/springmill/protocol/Resources.java
+++ b/src/main/java/org/springmill/protocol/Resources.java
@@ -41,14 +41,14 @@
     }
 
     /** Whether others fit into these. */
-    public boolean hold(Resources other) {
+    public boolean canFit(Resources other) {
         return other.cpus <= cpus + ROUNDING
                 && other.gpus <= gpus + ROUNDING
                 && other.memoryGb <= memoryGb + ROUNDING;
     }
 
     /** Whether the request of one task of a job fits into these. */
-    public boolean hold(Submission task) {
+    public boolean canFit(Submission task) {
         return task.cpus() <= cpus + ROUNDING
                 && task.gpus() <= gpus + ROUNDING
                 && task.memoryGb() <= memoryGb + ROUNDING;
--- a/src/main/java/org/springmill/protocol/Submission.java
+++ b/src/main/java/org/springmill/protocol/Submission.java
@@ -15,7 +15,7 @@
  * @param id unique id of the job, chosen by its user
  * @param jobClass the class of jobs that it belongs to, for which the settings hold objectives
  * @param team the team whose guarantee and limit apply
- * @param shape how its tasks belong together
+ * @param kind how its tasks belong together
  * @param priority decides which work it may preempt
  * @param tasks number of tasks, which are numbered from 0
  * @param cpus CPUs that each task takes
@@ -23,7 +23,7 @@
  * @param memoryGb memory that each task takes, in GB
  * @param image image that a machine needs before a task can start
  * @param imageGb size of the image, in GB
- * @param types the allowed machine types; null for any
+ * @param machineTypes the allowed machine types; null for any
  * @param zone the only allowed zone; null for any
  * @param oneZone whether all tasks must be in the same zone
  * @param spread whether at most half of the tasks, rounded up, may be in one zone
@@ -39,7 +39,7 @@
         String id,
         String jobClass,
         String team,
-        JobKind shape,
+        JobKind kind,
         Priority priority,
         int tasks,
         double cpus,
@@ -47,7 +47,7 @@
         double memoryGb,
         String image,
         double imageGb,
-        List<String> types,
+        List<String> machineTypes,
         String zone,
         boolean oneZone,
         boolean spread,
@@ -63,7 +63,7 @@
     private static final int MAX_TEXT_LENGTH = 200;
 
     /** Whether a text has the form of a job id, such as {@code run-000412}. */
-    public static boolean validId(String id) {
+    public static boolean isValidId(String id) {
         return ID.matcher(id).matches();
     }
 
@@ -74,7 +74,7 @@
      */
     public static Submission parse(JsonNode json) throws MalformedMessageException {
         String id = text(json, WireFields.JOB_ID);
-        if (!validId(id)) {
+        if (!isValidId(id)) {
             throw new MalformedMessageException(WireFields.JOB_ID + " has not the form run-000412");
         }
         int tasks = taskCount(json);
@@ -110,7 +110,7 @@
         json.put(WireFields.JOB_ID, id)
                 .put(WireFields.JOB_CLASS, jobClass)
                 .put(WireFields.TEAM, team)
-                .put(WireFields.JOB_KIND, shape.wireName())
+                .put(WireFields.JOB_KIND, kind.wireName())
                 .put(WireFields.PRIORITY, priority.wireName())
                 .put(WireFields.TASKS, tasks)
                 .put(WireFields.CPUS, cpus)
@@ -124,8 +124,8 @@
                 .put(WireFields.ESTIMATED_RUN_SECONDS, estimatedRunSeconds)
                 .put(WireFields.CHECKPOINT_INTERVAL_SECONDS, checkpointIntervalSeconds)
                 .put(WireFields.CHECKPOINT_SAVE_SECONDS, checkpointSaveSeconds);
-        if (types != null) {
-            putTexts(json, WireFields.MACHINE_TYPES, types);
+        if (machineTypes != null) {
+            putTexts(json, WireFields.MACHINE_TYPES, machineTypes);
         }
         if (zone != null) {
             json.put(WireFields.ZONE, zone);
@@ -147,22 +147,22 @@
     }
 
     /** Whether the tasks are replicas that run until the job is cancelled. */
-    public boolean service() {
-        return shape == JobKind.SERVICE;
+    public boolean isService() {
+        return kind == JobKind.SERVICE;
     }
 
     /** Whether the tasks run only all together. */
-    public boolean gang() {
-        return shape == JobKind.GANG;
+    public boolean isGang() {
+        return kind == JobKind.GANG;
     }
 
     /** The same job as if it were allowed in one zone only. */
-    public Submission inZone(String onlyZone) {
-        return allowedOn(types, onlyZone);
+    public Submission restrictedToZone(String onlyZone) {
+        return allowedOn(machineTypes, onlyZone);
     }
 
     /** The same job without its list of types, which nobody asks for once the job has ended. */
-    public Submission withoutTypes() {
+    public Submission withoutMachineTypes() {
         return allowedOn(null, zone);
     }
 
@@ -171,7 +171,7 @@
                 id,
                 jobClass,
                 team,
-                shape,
+                kind,
                 priority,
                 tasks,
                 cpus,
@@ -192,12 +192,12 @@
     }
 
     /** How many tasks of the job one zone may hold. */
-    public int perZone() {
+    public int maxTasksPerZone() {
         return spread ? (tasks + 1) / 2 : tasks;
     }
 
     /** Whether the tasks save checkpoints, so that a stopped one does not lose all its work. */
-    public boolean checkpoints() {
+    public boolean hasCheckpoints() {
         return checkpointIntervalSeconds > 0;
     }
 
@@ -280,7 +280,7 @@
         }
         Set<String> ids = new LinkedHashSet<>();
         for (JsonNode id : node) {
-            if (!id.isTextual() || !validId(id.textValue())) {
+            if (!id.isTextual() || !isValidId(id.textValue())) {
                 throw new MalformedMessageException(
                         WireFields.DEPENDENCIES + " holds something that is no job's id");
             }
--- a/src/main/java/org/springmill/protocol/UserMessages.java
+++ b/src/main/java/org/springmill/protocol/UserMessages.java
@@ -5,13 +5,13 @@
 /** Paths and response bodies of the user API. */
 public final class UserMessages {
     /** Path of submissions; a job's own path is this one, a slash and its id. */
-    public static final String SUBMISSIONS = "/submissions";
+    public static final String SUBMISSIONS_PATH = "/submissions";
 
     /** Suffix of a job's path, to which its cancellation is posted. */
-    public static final String WITHDRAW = "/withdraw";
+    public static final String CANCELLATION_SUFFIX = "/withdraw";
 
     /** Path on which the load balancer probes a controller. */
-    public static final String READY = "/ready";
+    public static final String READINESS_PATH = "/ready";
 
     private UserMessages() {}
 
@@ -27,7 +27,7 @@
         CANCELLED;
 
         /** Whether a job in this phase stays in it. */
-        public boolean terminal() {
+        public boolean isTerminal() {
             return this == DONE || this == CANCELLED;
         }
 
@@ -37,7 +37,7 @@
     }
 
     /** Encodes the response to an accepted submission or cancellation. */
-    public static byte[] phase(String id, JobPhase phase) {
+    public static byte[] encodePhase(String id, JobPhase phase) {
         return Json.write(
                 json -> {
                     json.writeStringField(WireFields.JOB_ID, id);
@@ -51,7 +51,7 @@
      * @param done number of tasks that are done
      * @param running number of tasks that run
      */
-    public static byte[] progress(String id, JobPhase phase, int done, int running) {
+    public static byte[] encodeProgress(String id, JobPhase phase, int done, int running) {
         return Json.write(
                 json -> {
                     json.writeStringField(WireFields.JOB_ID, id);
@@ -62,7 +62,7 @@
     }
 
     /** Encodes the reason of a refusal. */
-    public static byte[] error(String message) {
+    public static byte[] encodeError(String message) {
         return Json.write(json -> json.writeStringField(WireFields.ERROR, message));
     }
 }
--- a/src/main/java/org/springmill/protocol/counterpart/CloudSideMessages.java
+++ b/src/main/java/org/springmill/protocol/counterpart/CloudSideMessages.java
@@ -35,7 +35,7 @@
      *
      * @throws MalformedMessageException if the body is not a JSON object
      */
-    public static Rental rental(byte[] body) throws MalformedMessageException {
+    public static Rental decodeRental(byte[] body) throws MalformedMessageException {
         JsonNode json = Json.object(body);
         return new Rental(
                 json.path(WireFields.RENTAL_REQUEST).asText(),
@@ -50,7 +50,7 @@
      *
      * @throws MalformedMessageException if the body is not a JSON object
      */
-    public static List<String> deletion(byte[] body) throws MalformedMessageException {
+    public static List<String> decodeDeletion(byte[] body) throws MalformedMessageException {
         List<String> names = new ArrayList<>();
         Json.object(body).path(WireFields.MACHINES).forEach(name -> names.add(name.asText()));
         return names;
@@ -61,7 +61,7 @@
      *
      * @param query of the request, without its question mark
      */
-    public static String listedAfter(String query) {
+    public static String decodePageStart(String query) {
         for (String pair : query.split("&")) {
             if (pair.startsWith(PAGE_START)) {
                 return pair.substring(PAGE_START.length());
@@ -71,7 +71,7 @@
     }
 
     /** Encodes the response to a rental request: the names of the machines rented. */
-    public static byte[] rented(List<String> names) {
+    public static byte[] encodeRentalResponse(List<String> names) {
         return Json.write(
                 json -> {
                     json.writeArrayFieldStart(WireFields.MACHINES);
@@ -83,12 +83,12 @@
     }
 
     /** Encodes the error of a rental request for which there is no capacity. */
-    public static byte[] noCapacity() {
-        return KeyValueStoreServerMessages.error("no capacity");
+    public static byte[] encodeNoCapacity() {
+        return KeyValueStoreServerMessages.encodeError("no capacity");
     }
 
     /** Encodes the list of machine types. */
-    public static byte[] types(List<MachineType> types) {
+    public static byte[] encodeMachineTypes(List<MachineType> types) {
         return Json.write(
                 json -> {
                     json.writeArrayFieldStart(WireFields.MACHINE_TYPES);
@@ -104,7 +104,7 @@
      *
      * @param more whether further pages follow
      */
-    public static byte[] list(List<ListedMachine> machines, boolean more) {
+    public static byte[] encodeMachinePage(List<ListedMachine> machines, boolean more) {
         return Json.write(
                 json -> {
                     json.writeArrayFieldStart(WireFields.MACHINES);
--- a/src/main/java/org/springmill/protocol/counterpart/KeyValueStoreServerMessages.java
+++ b/src/main/java/org/springmill/protocol/counterpart/KeyValueStoreServerMessages.java
@@ -29,14 +29,14 @@
     private KeyValueStoreServerMessages() {}
 
     /** A request of any kind. */
-    public sealed interface StateRequest {}
+    public sealed interface StoreRequest {}
 
     /**
      * Reads one key.
      *
      * @param key to read
      */
-    public record Get(String key) implements StateRequest {}
+    public record Get(String key) implements StoreRequest {}
 
     /**
      * Reads one page of the keys with a prefix.
@@ -45,7 +45,7 @@
      * @param after the key after which the page begins; empty for the first page
      * @param limit the most keys on the page
      */
-    public record ListKeys(String prefix, String after, int limit) implements StateRequest {}
+    public record ListKeys(String prefix, String after, int limit) implements StoreRequest {}
 
     /**
      * Waits for changes of keys with a prefix.
@@ -54,7 +54,7 @@
      * @param from revision after which changes are returned
      * @param waitSeconds the longest wait
      */
-    public record Watch(String prefix, long from, double waitSeconds) implements StateRequest {}
+    public record Watch(String prefix, long from, double waitSeconds) implements StoreRequest {}
 
     /**
      * A transaction.
@@ -64,28 +64,28 @@
      * @param bytes its size on the wire
      */
     public record Commit(List<Condition> conditions, List<Write> writes, int bytes)
-            implements StateRequest {}
+            implements StoreRequest {}
 
     /**
      * Requests a lease.
      *
      * @param ttlSeconds its time to live
      */
-    public record Grant(double ttlSeconds) implements StateRequest {}
+    public record Grant(double ttlSeconds) implements StoreRequest {}
 
     /**
      * Renews a lease.
      *
      * @param lease id of the lease
      */
-    public record Renew(long lease) implements StateRequest {}
+    public record Renew(long lease) implements StoreRequest {}
 
     /**
      * Revokes a lease.
      *
      * @param lease id of the lease
      */
-    public record Revoke(long lease) implements StateRequest {}
+    public record Revoke(long lease) implements StoreRequest {}
 
     /**
      * Decodes a request.
@@ -94,21 +94,21 @@
      * @param target path and query
      * @throws MalformedMessageException if the path is unknown or the body is not a JSON object
      */
-    public static StateRequest request(String method, String target, byte[] body)
+    public static StoreRequest decodeRequest(String method, String target, byte[] body)
             throws MalformedMessageException {
         int queryStart = target.indexOf('?');
         String path = queryStart < 0 ? target : target.substring(0, queryStart);
         Map<String, String> query =
                 queryStart < 0 ? Map.of() : parseQuery(target.substring(queryStart + 1));
-        if (path.equals(KeyValueStoreMessages.COMMIT)) {
+        if (path.equals(KeyValueStoreMessages.COMMIT_PATH)) {
             return decodeCommit(body);
         }
-        if (path.equals(KeyValueStoreMessages.LEASES)) {
+        if (path.equals(KeyValueStoreMessages.LEASES_PATH)) {
             return new Grant(
                     Json.object(body).path(WireFields.TIME_TO_LIVE_MILLISECONDS).asDouble()
                             / MILLISECONDS_PER_SECOND);
         }
-        if (path.startsWith(KeyValueStoreMessages.LEASES + "/")) {
+        if (path.startsWith(KeyValueStoreMessages.LEASES_PATH + "/")) {
             long lease = Long.parseLong(path.split("/")[2]);
             return method.equals("DELETE") ? new Revoke(lease) : new Renew(lease);
         }
@@ -166,7 +166,7 @@
     }
 
     /** Encodes a response that carries nothing but the revision of the store. */
-    public static byte[] revision(long revision) {
+    public static byte[] encodeRevision(long revision) {
         return Json.write(json -> json.writeNumberField(WireFields.REVISION, revision));
     }
 
@@ -176,7 +176,7 @@
      * @param keys those whose conditions did not hold
      * @param revision of the store
      */
-    public static byte[] failed(List<String> keys, long revision) {
+    public static byte[] encodeFailedConditions(List<String> keys, long revision) {
         return Json.write(
                 json -> {
                     json.writeArrayFieldStart(WireFields.FAILED_KEYS);
@@ -189,22 +189,22 @@
     }
 
     /** Encodes the response to a request for a lease: its id. */
-    public static byte[] granted(long lease) {
+    public static byte[] encodeLease(long lease) {
         return Json.write(json -> json.writeNumberField(WireFields.LEASE, lease));
     }
 
     /** Encodes the error of a write that names a lease which has expired. */
-    public static byte[] noSuchLease() {
-        return error("no such lease");
+    public static byte[] encodeLeaseExpired() {
+        return encodeError("no such lease");
     }
 
     /** Encodes an error. */
-    public static byte[] error(String text) {
+    public static byte[] encodeError(String text) {
         return Json.write(json -> json.writeStringField(WireFields.ERROR, text));
     }
 
     /** Encodes the response to a read of one key. */
-    public static byte[] entry(Entry entry) {
+    public static byte[] encodeEntry(Entry entry) {
         return Json.write(json -> writeEntry(json, entry));
     }
 
@@ -214,7 +214,7 @@
      * @param more whether further pages follow
      * @param revision of the store
      */
-    public static byte[] page(List<Entry> entries, boolean more, long revision) {
+    public static byte[] encodePage(List<Entry> entries, boolean more, long revision) {
         return Json.write(
                 json -> {
                     json.writeArrayFieldStart(WireFields.ENTRIES);
@@ -248,7 +248,7 @@
      *
      * @param revision up to which the changes are complete
      */
-    public static byte[] changes(List<Change> changes, long revision) {
+    public static byte[] encodeChanges(List<Change> changes, long revision) {
         return Json.write(
                 json -> {
                     json.writeNumberField(WireFields.REVISION, revision);
--- a/src/main/java/org/springmill/protocol/counterpart/UserSideMessages.java
+++ b/src/main/java/org/springmill/protocol/counterpart/UserSideMessages.java
@@ -16,7 +16,7 @@
      *
      * @throws MalformedMessageException if the body is not a JSON object or names no known phase
      */
-    public static JobPhase phase(byte[] body) throws MalformedMessageException {
+    public static JobPhase decodePhase(byte[] body) throws MalformedMessageException {
         String phase = Json.object(body).path(WireFields.PHASE).asText();
         try {
             return JobPhase.valueOf(phase.toUpperCase(Locale.ROOT));
@@ -26,7 +26,7 @@
     }
 
     /** Decodes the reason of a refusal; empty if there is none. */
-    public static String reason(byte[] body) {
+    public static String decodeError(byte[] body) {
         try {
             return Json.object(body).path(WireFields.ERROR).asText();
         } catch (MalformedMessageException e) {
--- a/src/main/java/org/springmill/protocol/counterpart/WorkerSideMessages.java
+++ b/src/main/java/org/springmill/protocol/counterpart/WorkerSideMessages.java
@@ -28,20 +28,20 @@
     /**
      * Commands with the fencing token and the epoch that a worker checks before it executes them.
      *
-     * @param token the sender's fencing token; negative if there was none
-     * @param session the worker's epoch that the commands are meant for; negative if there was
-     *     none, as in the response to a heartbeat
+     * @param fencingToken the sender's fencing token; negative if there was none
+     * @param epoch the worker's epoch that the commands are meant for; negative if there was none,
+     *     as in the response to a heartbeat
      * @param commands in the order in which they are executed
      */
-    public record Orders(long token, long session, List<Command> commands) {
+    public record CommandBatch(long fencingToken, long epoch, List<Command> commands) {
         /** Whether there was a fencing token. */
-        public boolean hasToken() {
-            return token != ABSENT;
+        public boolean hasFencingToken() {
+            return fencingToken != ABSENT;
         }
 
         /** Whether there was an epoch. */
-        public boolean hasSession() {
-            return session != ABSENT;
+        public boolean hasEpoch() {
+            return epoch != ABSENT;
         }
     }
 
@@ -50,13 +50,13 @@
      *
      * @throws MalformedMessageException if the body is not a JSON object or a task id is invalid
      */
-    public static Orders orders(byte[] body) throws MalformedMessageException {
+    public static CommandBatch decodeCommands(byte[] body) throws MalformedMessageException {
         JsonNode json = Json.object(body);
         List<Command> commands = new ArrayList<>();
         for (JsonNode command : json.path(WireFields.COMMANDS)) {
             commands.add(decodeCommand(command));
         }
-        return new Orders(
+        return new CommandBatch(
                 wholeNumberOrAbsent(json, WireFields.FENCING_TOKEN),
                 wholeNumberOrAbsent(json, WireFields.EPOCH),
                 commands);
@@ -81,13 +81,13 @@
      *
      * @throws MalformedMessageException if the body is not a JSON object
      */
-    public static String redirect(byte[] body) throws MalformedMessageException {
+    public static String decodeRedirect(byte[] body) throws MalformedMessageException {
         JsonNode node = Json.object(body).path(WireFields.LEADER);
         return node.isTextual() ? node.asText() : null;
     }
 
     /** Encodes a heartbeat. */
-    public static byte[] report(Heartbeat heartbeat) {
+    public static byte[] encodeHeartbeat(Heartbeat heartbeat) {
         return Json.write(
                 json -> {
                     json.writeStringField(WireFields.MACHINE, heartbeat.machine());
--- a/src/main/java/org/springmill/transport/PeerLink.java
+++ b/src/main/java/org/springmill/transport/PeerLink.java
@@ -19,7 +19,7 @@
      *
      * @param listener replaces the one before it
      */
-    void onRecord(Listener listener);
+    void setListener(Listener listener);
 
     /** Receives records, on the event loop. */
     interface Listener {
@@ -28,13 +28,13 @@
          *
          * @param record as it was sent
          */
-        void received(byte[] record);
+        void onRecord(byte[] record);
 
         /**
          * A node refused a connection: a hint that its process has ended, but no proof.
          *
          * @param node name of the node
          */
-        void refused(String node);
+        void onConnectionRefused(String node);
     }
 }
--- a/src/main/java/org/springmill/transport/Transport.java
+++ b/src/main/java/org/springmill/transport/Transport.java
@@ -122,7 +122,7 @@
      * @return the link, which drops records until it has a listener
      * @throws IOException if the address cannot be bound
      */
-    public PeerLink peers(String listen, Map<String, String> peers) throws IOException {
+    public PeerLink openPeerLink(String listen, Map<String, String> peers) throws IOException {
         return new XnioPeerLink(worker, thread, loop, Addresses.parse(listen), peers);
     }
 
--- a/src/main/java/org/springmill/transport/XnioPeerLink.java
+++ b/src/main/java/org/springmill/transport/XnioPeerLink.java
@@ -43,12 +43,12 @@
     private Listener listener =
             new Listener() {
                 @Override
-                public void received(byte[] record) {
+                public void onRecord(byte[] record) {
                     LOG.debug("dropped a peer record: no listener yet");
                 }
 
                 @Override
-                public void refused(String node) {
+                public void onConnectionRefused(String node) {
                     LOG.debug("connection refused by {}: no listener yet", node);
                 }
             };
@@ -76,7 +76,7 @@
     }
 
     @Override
-    public void onRecord(Listener newListener) {
+    public void setListener(Listener newListener) {
         listener = newListener;
     }
 
@@ -137,7 +137,7 @@
             buffer.getInt();
             byte[] record = new byte[length];
             buffer.get(record);
-            XnioEventLoop.runGuarded(() -> listener.received(record));
+            XnioEventLoop.runGuarded(() -> listener.onRecord(record));
         }
         buffer.compact();
         return true;
@@ -193,7 +193,7 @@
                         if (future.getStatus() == IoFuture.Status.FAILED && attempt == started) {
                             attempt = null;
                             queue.clear();
-                            XnioEventLoop.runGuarded(() -> listener.refused(node));
+                            XnioEventLoop.runGuarded(() -> listener.onConnectionRefused(node));
                         }
                     },
                     null);
--- a/src/test/java/org/springmill/control/admission/MemoryBoundTest.java
+++ b/src/test/java/org/springmill/control/admission/MemoryBoundTest.java
@@ -117,12 +117,12 @@
                     expected.remove(number);
                 }
                 default -> {
-                    account.dropped(jobs[number].id());
+                    account.removeUnaccepted(jobs[number].id());
                     expected.remove(number);
                 }
             }
         }
-        assertEquals(expected.size(), account.jobs());
+        assertEquals(expected.size(), account.jobCount());
         assertEquals(
                 expected.values().stream().mapToLong(ActiveJobs::bytesOf).sum(), account.bytes());
         assertEquals(
--- a/src/test/java/org/springmill/control/admission/QueueWaitsTest.java
+++ b/src/test/java/org/springmill/control/admission/QueueWaitsTest.java
@@ -28,7 +28,7 @@
         for (int second = 0; second <= WINDOW_SECONDS; second++) {
             now++;
             if (startsPerSecond > 0) {
-                waits.started("red", Priority.NORMAL, startsPerSecond, now);
+                waits.tasksStarted("red", Priority.NORMAL, startsPerSecond, now);
             }
             congested = count(waitingTasks);
         }
@@ -38,7 +38,7 @@
     private List<CongestedQueue> count(int waitingTasks) {
         waits.beginCount();
         if (waitingTasks > 0) {
-            waits.waits("red", Priority.NORMAL, waitingTasks);
+            waits.addWaiting("red", Priority.NORMAL, waitingTasks);
         }
         return waits.endCount(now);
     }
@@ -91,7 +91,7 @@
             now++;
             waits.beginCount();
             IntStream.range(0, teams)
-                    .forEach(i -> waits.waits("team-" + i, Priority.NORMAL, 1000 + i));
+                    .forEach(i -> waits.addWaiting("team-" + i, Priority.NORMAL, 1000 + i));
             waits.endCount(now);
         }
         List<CongestedQueue> congested = waits.endCount(now);
--- a/src/test/java/org/springmill/control/admission/StoreRateSharesPropertyTest.java
+++ b/src/test/java/org/springmill/control/admission/StoreRateSharesPropertyTest.java
@@ -123,7 +123,7 @@
             if (controller == leader) {
                 return () -> {};
             }
-            double lent = shares.get(leader).lend("n-" + controller, asking.wanted());
+            double lent = shares.get(leader).lend("n-" + controller, asking.wantedLoan());
             return () -> asking.borrow(number, askedAt, lent);
         }
     }
--- a/src/test/java/org/springmill/control/admission/StoreRateSharesTest.java
+++ b/src/test/java/org/springmill/control/admission/StoreRateSharesTest.java
@@ -45,7 +45,7 @@
         leader.current();
         clock.run(1);
         other.queued(30);
-        double lent = leader.lend("n-1", other.wanted());
+        double lent = leader.lend("n-1", other.wantedLoan());
         other.borrow(1, clock.now(), lent);
         assertEquals(0.3, lent, TOLERANCE);
         assertEquals(0.5, other.current(), TOLERANCE);
@@ -83,6 +83,6 @@
         other.borrow(2, clock.now(), 0.1);
         other.borrow(1, clock.now(), 0.3);
         assertEquals(0.3, other.current(), TOLERANCE);
-        assertTrue(other.wanted() < 0.01, "nothing waits");
+        assertTrue(other.wantedLoan() < 0.01, "nothing waits");
     }
 }
--- a/src/test/java/org/springmill/control/autoscaling/ArrivalRateEstimatorTest.java
+++ b/src/test/java/org/springmill/control/autoscaling/ArrivalRateEstimatorTest.java
@@ -30,7 +30,7 @@
         ArrivalRateEstimator arrivalRates = new ArrivalRateEstimator(SettingsFixtures.small(), 0);
         Submission job = PackingFixtures.job(1).build();
         for (double at = FIRST_ARRIVAL; at <= LAST_ARRIVAL; at += ARRIVAL_INTERVAL) {
-            arrivalRates.arrived(job, at, true);
+            arrivalRates.recordArrival(job, at, true);
         }
         assertEquals(
                 expected, arrivalRates.expectedTasks(job.jobClass(), BOOT_SECONDS, now), situation);
--- a/src/test/java/org/springmill/control/autoscaling/DeletedMachinesTest.java
+++ b/src/test/java/org/springmill/control/autoscaling/DeletedMachinesTest.java
@@ -23,12 +23,12 @@
         Settings settings = SettingsFixtures.small();
         Fleet fleet =
                 new Fleet(new ClusterState(settings), null, clock, Timeouts.of(settings), 1, 3.5);
-        fleet.deleted(new Machine("host-000001", 1, clock.now()));
+        fleet.recordDeleted(new Machine("host-000001", 1, clock.now()));
         clock.run(10 * LEASE_SECONDS);
-        fleet.deleted(new Machine("host-000002", 1, clock.now()));
+        fleet.recordDeleted(new Machine("host-000002", 1, clock.now()));
         assertTrue(fleet.wasDeleted("host-000001"));
         clock.run(55 * LEASE_SECONDS);
-        fleet.deleted(new Machine("host-000003", 1, clock.now()));
+        fleet.recordDeleted(new Machine("host-000003", 1, clock.now()));
         assertFalse(fleet.wasDeleted("host-000001"));
         assertTrue(fleet.wasDeleted("host-000002"));
         assertTrue(fleet.wasDeleted("host-000003"));
--- a/src/test/java/org/springmill/control/autoscaling/MachineDrainingTest.java
+++ b/src/test/java/org/springmill/control/autoscaling/MachineDrainingTest.java
@@ -28,7 +28,7 @@
                 new Heartbeat(name, "", "large", ZONE, false, 1, 1, 0, null, List.of()), NOW);
         machine.transition(Machine.State.UP);
         Submission spec = PackingFixtures.job(1).size(cpus, 0, 1).build();
-        machine.usesImage(spec, NOW);
+        machine.recordImageUsed(spec, NOW);
         Claim claim = Claim.decide(new TaskId(spec.id(), 0), name, 1);
         machine.add(new TaskAttempt(claim, new Job(spec, 1), machine, NOW));
         return machine;
--- a/src/test/java/org/springmill/control/borrowing/HoldDownTest.java
+++ b/src/test/java/org/springmill/control/borrowing/HoldDownTest.java
@@ -18,13 +18,13 @@
     @Test
     void isZeroWithoutRecallsAndForOtherMachineTypes() {
         assertEquals(0, holdDown.seconds(TYPE, 0));
-        holdDown.recalled(TYPE, 10, 60, 0);
+        holdDown.recordRecall(TYPE, 10, 60, 0);
         assertEquals(0, holdDown.seconds("other", 0));
     }
 
     @Test
     void isWhatARecallCostAndDecays() {
-        holdDown.recalled(TYPE, 10, 60, 0);
+        holdDown.recordRecall(TYPE, 10, 60, 0);
         assertEquals(10, holdDown.seconds(TYPE, 0));
         assertEquals(5, holdDown.seconds(TYPE, HALF_LIFE), 1e-9);
         assertEquals(0, holdDown.seconds(TYPE, 10 * HALF_LIFE));
@@ -32,16 +32,16 @@
 
     @Test
     void recallsOfOneWaveCountOnceByTheCostliest() {
-        holdDown.recalled(TYPE, 4, 60, 0);
-        holdDown.recalled(TYPE, 10, 60, 1);
-        holdDown.recalled(TYPE, 6, 60, 2);
+        holdDown.recordRecall(TYPE, 4, 60, 0);
+        holdDown.recordRecall(TYPE, 10, 60, 1);
+        holdDown.recordRecall(TYPE, 6, 60, 2);
         assertEquals(10, holdDown.seconds(TYPE, 2), 0.1);
     }
 
     @Test
     void wavesAddUpToTheLongest() {
         for (int i = 0; i < 10; i++) {
-            holdDown.recalled(TYPE, 10, 60, 20.0 * i);
+            holdDown.recordRecall(TYPE, 10, 60, 20.0 * i);
         }
         assertEquals(LONGEST, holdDown.seconds(TYPE, 180));
     }
@@ -49,26 +49,26 @@
     /** Guards against swings a little longer than the hold-down, each with a short, cheap loan. */
     @Test
     void loanThatWasRecalledTooSoonDoublesIt() {
-        holdDown.recalled(TYPE, 10, 60, 0);
-        holdDown.recalled(TYPE, 1, 2, 20);
+        holdDown.recordRecall(TYPE, 10, 60, 0);
+        holdDown.recordRecall(TYPE, 1, 2, 20);
         assertTrue(holdDown.seconds(TYPE, 20) > 17, holdDown.seconds(TYPE, 20) + " s");
     }
 
     @Test
     void roomThatWasUsedByWhomItWasHeldForKeepsItUp() {
-        holdDown.recalled(TYPE, 10, 60, 0);
+        holdDown.recordRecall(TYPE, 10, 60, 0);
         double before = holdDown.seconds(TYPE, 40);
-        holdDown.wasOfUse(TYPE, 40, 8, 48);
+        holdDown.heldCapacityUsed(TYPE, 40, 8, 48);
         assertEquals(before, holdDown.seconds(TYPE, 48), 1e-9);
     }
 
     @Test
     void shortWorkIsAdmittedOnceTheGapIsKnown() {
-        holdDown.recalled(TYPE, 10, 60, 0);
-        assertFalse(holdDown.admits(TYPE, 1, 0), "nothing is known of gaps");
-        holdDown.wasOfUse(TYPE, 10, 12, 22);
-        assertTrue(holdDown.admits(TYPE, 5, 0));
-        assertFalse(holdDown.admits(TYPE, 5, 6), "too little of the gap is left");
-        assertFalse(holdDown.admits(TYPE, 0, 0), "services have no end");
+        holdDown.recordRecall(TYPE, 10, 60, 0);
+        assertFalse(holdDown.admitsShortWork(TYPE, 1, 0), "nothing is known of gaps");
+        holdDown.heldCapacityUsed(TYPE, 10, 12, 22);
+        assertTrue(holdDown.admitsShortWork(TYPE, 5, 0));
+        assertFalse(holdDown.admitsShortWork(TYPE, 5, 6), "too little of the gap is left");
+        assertFalse(holdDown.admitsShortWork(TYPE, 0, 0), "services have no end");
     }
 }
--- a/src/test/java/org/springmill/control/borrowing/RecallLogTest.java
+++ b/src/test/java/org/springmill/control/borrowing/RecallLogTest.java
@@ -82,7 +82,7 @@
     @Test
     void laterRecordsTakeOverEarlierOnesThatFit() {
         for (int round = 1; round <= 20; round++) {
-            assertTrue(log.hasRoom(List.of(), recall(round, 0, 1)));
+            assertTrue(log.fits(List.of(), recall(round, 0, 1)));
             int writes = log.stage(round, List.of(recall(round, 0, 1)), Set.of()).size();
             assertTrue(writes <= 2, writes + " writes");
             log.committed();
@@ -94,7 +94,7 @@
     @Test
     void recordsAreBounded() {
         int round = 1;
-        while (round < 10_000 && log.hasRoom(List.of(), recall(round, 0, 40))) {
+        while (round < 10_000 && log.fits(List.of(), recall(round, 0, 40))) {
             log.stage(round, List.of(recall(round, 0, 40)), Set.of());
             log.committed();
             round++;
@@ -105,6 +105,6 @@
         IntStream.range(0, 2000).forEach(i -> many.add(new TaskId("run-" + (100000 + i), 0)));
         Recall tooLarge =
                 Recall.decide(round, 0, "host-000007", "run-000398", large.amount(), many, 1000.5);
-        assertFalse(new RecallLog(RecallStores.unconnected()).hasRoom(List.of(), tooLarge));
+        assertFalse(new RecallLog(RecallStores.unconnected()).fits(List.of(), tooLarge));
     }
 }
--- a/src/test/java/org/springmill/control/cluster/DependencyPriorityWorkTest.java
+++ b/src/test/java/org/springmill/control/cluster/DependencyPriorityWorkTest.java
@@ -87,21 +87,21 @@
 
     private Job accept(int number, String urgency, Double dueSeconds, List<Integer> dependencies) {
         JobRecord record = record(number, urgency, dueSeconds, dependencies, ++version);
-        directory.learn(record);
+        directory.merge(record);
         return admit(record);
     }
 
     private Job admit(JobRecord record) {
         Job job = new Job(record.submission(), record.version());
         clusterState.add(job);
-        countSteps(dependencyPriority.changed(job));
+        countSteps(dependencyPriority.recordChange(job));
         return job;
     }
 
     private void end(Job job) {
         job.end(JobPhase.DONE, ++version, 0);
-        countSteps(dependencyPriority.changed(job));
-        clusterState.dropJob(job);
+        countSteps(dependencyPriority.recordChange(job));
+        clusterState.removeJob(job);
     }
 
     private void countSteps(int stepsOfCall) {
@@ -112,7 +112,7 @@
     /** The number of ticks until nothing is pending. */
     private int settle() {
         for (int ticks = 0; ; ticks++) {
-            int stepsOfCall = dependencyPriority.settle();
+            int stepsOfCall = dependencyPriority.propagatePending();
             if (stepsOfCall == 0) {
                 return ticks;
             }
@@ -131,7 +131,7 @@
             dependents.add(accept(2 + i, "normal", 100_000.0 - i, List.of(1)));
         }
         settle();
-        assertEquals(1 + 100_000.0 - (wide - 1) - 2 * ESTIMATE_SECONDS, common.latestStart());
+        assertEquals(1 + 100_000.0 - (wide - 1) - 2 * ESTIMATE_SECONDS, common.latestStartAt());
         assertTrue(steps <= 8L * wide, steps + " steps to accept " + wide);
         steps = 0;
         // The dependent with the earliest deadline ends first each time.
@@ -139,7 +139,7 @@
             end(dependents.get(i));
         }
         settle();
-        assertEquals(Double.POSITIVE_INFINITY, common.latestStart());
+        assertEquals(Double.POSITIVE_INFINITY, common.latestStartAt());
         assertTrue(steps <= 8L * wide, steps + " steps to end " + wide);
     }
 
@@ -164,11 +164,11 @@
         int ticks = settle();
         assertTrue(ticks <= TICKS_PER_SECOND, ticks + " ticks");
         assertTrue(steps <= 2L * firsts * middles, steps + " steps");
-        assertEquals(1 + 1_000.0 - ESTIMATE_SECONDS, last.latestStart());
+        assertEquals(1 + 1_000.0 - ESTIMATE_SECONDS, last.latestStartAt());
         for (Job job : jobs) {
             assertEquals(Priority.HIGH, job.priority(), job.id());
         }
-        assertEquals(1 + 1_000.0 - 3 * ESTIMATE_SECONDS, jobs.get(0).latestStart());
+        assertEquals(1 + 1_000.0 - 3 * ESTIMATE_SECONDS, jobs.get(0).latestStartAt());
     }
 
     @Test
@@ -183,7 +183,7 @@
         accept(deep, "urgent", 1_000_000.0, List.of(deep - 1));
         int ticks = settle();
         assertEquals(Priority.HIGH, first.priority());
-        assertEquals(1 + 1_000_000.0 - deep * ESTIMATE_SECONDS, first.latestStart());
+        assertEquals(1 + 1_000_000.0 - deep * ESTIMATE_SECONDS, first.latestStartAt());
         assertTrue(steps <= 3L * deep, steps + " steps");
         assertTrue(ticks <= 2 * TICKS_PER_SECOND, ticks + " ticks");
     }
@@ -204,20 +204,21 @@
         }
         settle();
         assertEquals(
-                1 + 1_000_000.0 - (wide - 1) - (deep + 1) * ESTIMATE_SECONDS, first.latestStart());
+                1 + 1_000_000.0 - (wide - 1) - (deep + 1) * ESTIMATE_SECONDS,
+                first.latestStartAt());
         assertTrue(steps <= 300L * wide, steps + " steps");
     }
 
     @Test
     void jobAddedAfterItsDependentsGetsTheirRank() {
         JobRecord dependency = record(1, "best_effort", null, List.of(), 1);
-        directory.learn(record(2, "urgent", 100.0, List.of(1), 2));
+        directory.merge(record(2, "urgent", 100.0, List.of(1), 2));
         admit(directory.get(id(2)));
-        directory.learn(dependency);
+        directory.merge(dependency);
         Job late = admit(dependency);
         settle();
         assertEquals(Priority.HIGH, late.priority());
-        assertEquals(1 + 100.0 - 2 * ESTIMATE_SECONDS, late.latestStart());
+        assertEquals(1 + 100.0 - 2 * ESTIMATE_SECONDS, late.latestStartAt());
     }
 
     @ParameterizedTest
@@ -235,44 +236,44 @@
             jobs.add(accept(i, urgencies[random.nextInt(4)], dueSeconds, dependencies));
             if (random.nextInt(3) == 0) {
                 Job ended = jobs.get(random.nextInt(jobs.size()));
-                if (ended.active()) {
+                if (ended.isActive()) {
                     end(ended);
                 }
             }
             settle();
             for (Job job : jobs) {
-                assertEquals(latestStart(job, jobs), job.active() ? job.latestStart() : 0);
-                assertEquals(priority(job, jobs), job.active() ? job.priority() : null);
+                assertEquals(latestStart(job, jobs), job.isActive() ? job.latestStartAt() : 0);
+                assertEquals(priority(job, jobs), job.isActive() ? job.priority() : null);
             }
         }
     }
 
     private static List<Job> activeDependents(Job job, List<Job> jobs) {
         return jobs.stream()
-                .filter(other -> other.active() && other.spec().dependencies().contains(job.id()))
+                .filter(other -> other.isActive() && other.spec().dependencies().contains(job.id()))
                 .toList();
     }
 
     /** One level is enough, since every job is checked. */
     private static double latestStart(Job job, List<Job> jobs) {
-        if (!job.active()) {
+        if (!job.isActive()) {
             return 0;
         }
         Double dueSeconds = job.spec().deadlineSeconds();
         double due = dueSeconds == null ? Double.POSITIVE_INFINITY : 1 + dueSeconds;
         for (Job dependent : activeDependents(job, jobs)) {
-            due = Math.min(due, dependent.latestStart());
+            due = Math.min(due, dependent.latestStartAt());
         }
         return due - ESTIMATE_SECONDS;
     }
 
     private static Priority priority(Job job, List<Job> jobs) {
-        if (!job.active()) {
+        if (!job.isActive()) {
             return null;
         }
         Priority highest = job.spec().priority();
         for (Job dependent : activeDependents(job, jobs)) {
-            highest = dependent.priority().above(highest) ? dependent.priority() : highest;
+            highest = dependent.priority().isAbove(highest) ? dependent.priority() : highest;
         }
         return highest;
     }
--- a/src/test/java/org/springmill/control/cluster/JobFailuresTest.java
+++ b/src/test/java/org/springmill/control/cluster/JobFailuresTest.java
@@ -15,18 +15,18 @@
 
     private static JobFailures failedOnTwoMachines(String jobId) {
         JobFailures failures = new JobFailures(jobId);
-        failures.failed("host-000001", 0, 1, STEP);
-        failures.failed("host-000002", 0, 1, STEP);
+        failures.recordFailure("host-000001", 0, 1, STEP);
+        failures.recordFailure("host-000002", 0, 1, STEP);
         return failures;
     }
 
     @Test
     void failuresOnOneMachineDoNotMakeTheJobSuspect() {
         JobFailures failures = new JobFailures("run-000001");
-        failures.failed("host-000001", 0, 1, STEP);
-        failures.failed("host-000001", 0, 1, STEP);
+        failures.recordFailure("host-000001", 0, 1, STEP);
+        failures.recordFailure("host-000001", 0, 1, STEP);
         assertFalse(failures.isSuspect());
-        assertEquals(0, failures.notBefore());
+        assertEquals(0, failures.retryNotBefore());
         assertEquals(Integer.MAX_VALUE, failures.maxConcurrentTasks());
         assertTrue(failures.excludes("host-000001", 2));
         assertFalse(failures.excludes("host-000002", 2));
@@ -35,23 +35,23 @@
     @Test
     void tasksOfOneTrialDoNotLengthenThePause() {
         JobFailures failures = failedOnTwoMachines("run-000001");
-        double notBefore = failures.notBefore();
-        failures.failed("host-000003", 0, 2, STEP);
-        assertEquals(notBefore, failures.notBefore());
+        double notBefore = failures.retryNotBefore();
+        failures.recordFailure("host-000003", 0, 2, STEP);
+        assertEquals(notBefore, failures.retryNotBefore());
     }
 
     @Test
     void eachSuccessDoublesTheConcurrencyLimit() {
         JobFailures failures = failedOnTwoMachines("run-000001");
         assertEquals(1, failures.maxConcurrentTasks());
-        failures.succeeded();
+        failures.recordSuccess();
         assertFalse(failures.isSuspect());
         assertEquals(2, failures.maxConcurrentTasks());
         for (int i = 0; i < 40; i++) {
-            failures.succeeded();
+            failures.recordSuccess();
         }
         assertEquals(Integer.MAX_VALUE, failures.maxConcurrentTasks());
-        assertEquals(0, failures.notBefore());
+        assertEquals(0, failures.retryNotBefore());
     }
 
     /** The pause doubles with each trial, up to 32 steps, with at most a quarter of jitter. */
@@ -62,10 +62,10 @@
         JobFailures failures = failedOnTwoMachines("run-" + number);
         double now = 1;
         for (int i = 0; i < trials; i++) {
-            now = failures.notBefore() + 1;
-            failures.failed("host-000003", now - 0.5, now, STEP);
+            now = failures.retryNotBefore() + 1;
+            failures.recordFailure("host-000003", now - 0.5, now, STEP);
         }
-        double pause = failures.notBefore() - now;
+        double pause = failures.retryNotBefore() - now;
         double nominal = STEP * Math.min(32, Math.pow(2, trials));
         assertTrue(pause >= nominal && pause <= nominal * 1.25, pause + " for " + nominal);
     }
--- a/src/test/java/org/springmill/control/controller/CancellationPersisterTest.java
+++ b/src/test/java/org/springmill/control/controller/CancellationPersisterTest.java
@@ -34,7 +34,7 @@
 
     @AfterEach
     void noRuleIsBroken() {
-        assertEquals(List.of(), cluster.broken());
+        assertEquals(List.of(), cluster.violations());
     }
 
     private static String id(int number) {
@@ -62,7 +62,7 @@
     }
 
     private JsonNode record(int number) {
-        return cluster.state().value("job/" + id(number));
+        return cluster.keyValueStore().value("job/" + id(number));
     }
 
     private List<Integer> unwritten() {
@@ -101,7 +101,7 @@
         submitFirstAndDependents();
         leaderReadsNoMoreChanges();
         rewriteUnseen(4);
-        assertEquals("cancelled", cluster.withdraw(cluster.leader(), id(FIRST)));
+        assertEquals("cancelled", cluster.cancel(cluster.leader(), id(FIRST)));
         cluster.run(20);
         assertEquals(List.of(4), unwritten());
     }
@@ -111,7 +111,7 @@
         submitFirstAndDependents();
         leaderReadsNoMoreChanges();
         rewriteUnseen(4);
-        assertEquals("cancelled", cluster.withdraw(cluster.leader(), id(FIRST)));
+        assertEquals("cancelled", cluster.cancel(cluster.leader(), id(FIRST)));
         cluster.run(10);
         cluster.network().judge((from, request) -> Fate.DELIVER);
         cluster.run(20);
@@ -133,14 +133,14 @@
             submit(job(number, FIRST));
         }
         cluster.run(3);
-        cluster.state().limit(1024, 12);
-        assertEquals("cancelled", cluster.withdraw(cluster.leader(), id(FIRST)));
+        cluster.keyValueStore().limit(1024, 12);
+        assertEquals("cancelled", cluster.cancel(cluster.leader(), id(FIRST)));
         cluster.run(60);
         assertEquals(List.of(2), unwritten());
-        int refusals = cluster.state().tooLarge();
+        int refusals = cluster.keyValueStore().oversizedCommits();
         assertTrue(refusals > 0);
         cluster.run(60);
-        assertEquals(refusals, cluster.state().tooLarge());
+        assertEquals(refusals, cluster.keyValueStore().oversizedCommits());
         assertEquals("cancelled", cluster.phase(cluster.leader(), id(2)));
     }
 }
--- a/src/test/java/org/springmill/control/history/ArchivedJobLookupTest.java
+++ b/src/test/java/org/springmill/control/history/ArchivedJobLookupTest.java
@@ -67,7 +67,7 @@
         find("run-1");
         assertEquals(1, requests.size(), "a final state is kept");
         ArchivedJob expected = new ArchivedJob("run-1", JobPhase.DONE, 3, false, 5, 7);
-        assertEquals(expected, archivedJobs.kept("run-1"));
+        assertEquals(expected, archivedJobs.cached("run-1"));
     }
 
     @Test
@@ -84,7 +84,7 @@
         find("run-1");
         answer(0, 503, "{}");
         assertEquals(List.of(Outcome.UNAVAILABLE), outcomes);
-        assertNull(archivedJobs.kept("run-1"));
+        assertNull(archivedJobs.cached("run-1"));
     }
 
     /** A flood of questions about old jobs leaves the key-value store to others. */
@@ -107,9 +107,9 @@
 
     @Test
     void theAnswersKeptAreBounded() {
-        for (int i = 0; i < 2 * ArchivedJobLookup.MOST_KEPT; i++) {
-            archivedJobs.keep(new ArchivedJob("run-" + i, JobPhase.DONE, 1, false, 0, i + 1));
+        for (int i = 0; i < 2 * ArchivedJobLookup.MAX_CACHED; i++) {
+            archivedJobs.cache(new ArchivedJob("run-" + i, JobPhase.DONE, 1, false, 0, i + 1));
         }
-        assertEquals(ArchivedJobLookup.MOST_KEPT, archivedJobs.keptCount());
+        assertEquals(ArchivedJobLookup.MAX_CACHED, archivedJobs.cachedCount());
     }
 }
--- a/src/test/java/org/springmill/control/history/HistoryArchiverTest.java
+++ b/src/test/java/org/springmill/control/history/HistoryArchiverTest.java
@@ -72,19 +72,19 @@
         return new Reply(status, body.getBytes(StandardCharsets.UTF_8));
     }
 
-    private static final class Jobs implements HistoryArchiver.Jobs {
+    private static final class Jobs implements HistoryArchiver.ArchivableJobSource {
         private final Map<String, JobRecord> records = new HashMap<>();
         private final Set<String> unsettled = new HashSet<>();
         private final List<String> moved = new ArrayList<>();
         private boolean leads = true;
 
         @Override
-        public Condition leadership() {
+        public Condition termCondition() {
             return new Condition("leader", 3);
         }
 
         @Override
-        public boolean mayMove() {
+        public boolean mayArchive() {
             return leads;
         }
 
@@ -94,12 +94,12 @@
         }
 
         @Override
-        public boolean settled(JobRecord record) {
+        public boolean isArchivable(JobRecord record) {
             return !unsettled.contains(record.id());
         }
 
         @Override
-        public void moved(ArchivedJob job) {
+        public void archived(ArchivedJob job) {
             moved.add(job.id());
             records.remove(job.id());
         }
@@ -116,7 +116,7 @@
                             .ended(JobPhase.DONE, clock.timeOfDay())
                             .committed(10 + i);
             jobs.records.put(id, record);
-            archiver.ended(record);
+            archiver.jobEnded(record);
         }
         archiver.start();
     }
--- a/src/test/java/org/springmill/control/jobs/JobDependenciesTest.java
+++ b/src/test/java/org/springmill/control/jobs/JobDependenciesTest.java
@@ -74,7 +74,7 @@
                 "1 2<1 3<2                  | 1 2   | ``    | 1 2 3",
                 "1 2<1 3<2                  | 1     | 2     | 1 2 3",
             })
-    void cancellationFollowsFromTheRecordsAlone(
+    void derivedCancellationsDoNotDependOnTheOrderOfRecords(
             String graph, String cancelled, String done, String expected)
             throws MalformedMessageException {
         List<JobRecord> records = new ArrayList<>();
@@ -119,16 +119,16 @@
     @Test
     void jobIsReadyOnceAllDependenciesAreDone() throws MalformedMessageException {
         Submission last = job("4<1,2,3");
-        assertEquals("needs run-1, which was never accepted", dependencies.refusal(last));
+        assertEquals("needs run-1, which was never accepted", dependencies.rejectionReason(last));
         for (int i = 1; i <= 3; i++) {
             dependencies.merge(record(Integer.toString(i), JobPhase.QUEUED, i));
         }
-        assertEquals(null, dependencies.refusal(last));
+        assertEquals(null, dependencies.rejectionReason(last));
         dependencies.merge(record("1", JobPhase.DONE, 11));
         dependencies.merge(record("3", JobPhase.DONE, 13));
-        assertFalse(dependencies.ready(last));
+        assertFalse(dependencies.isReady(last));
         dependencies.merge(record("2", JobPhase.DONE, 12));
-        assertTrue(dependencies.ready(last));
-        assertEquals(13, dependencies.readySince(last));
+        assertTrue(dependencies.isReady(last));
+        assertEquals(13, dependencies.readySinceRevision(last));
     }
 }
--- a/src/test/java/org/springmill/control/membership/PeersTest.java
+++ b/src/test/java/org/springmill/control/membership/PeersTest.java
@@ -42,7 +42,7 @@
                     }
 
                     @Override
-                    public void onRecord(Listener newListener) {
+                    public void setListener(Listener newListener) {
                         listener = newListener;
                     }
                 };
@@ -121,7 +121,7 @@
     }
 
     private void receive(PeerStatus status) {
-        listener.received(PeerMessages.encode(status));
+        listener.onRecord(PeerMessages.encode(status));
     }
 
     /**
@@ -145,7 +145,7 @@
         Peers leader = peers(true, 7);
         clock.run(60);
         PeerStatus question = lastSent();
-        receive(answer(question.question(), true, confirmedMillisecondsAgo));
+        receive(answer(question.requestNumber(), true, confirmedMillisecondsAgo));
         double until = leader.othersMayRenewUntil() - clock.now();
         assertTrue(
                 until >= -confirmedMillisecondsAgo / 1000.0 + LEASE_SECONDS / 10,
@@ -162,14 +162,14 @@
     void answersToQuestionsOfAnEarlierProcessConfirmNothing() throws Exception {
         peers(true, 7);
         clock.run(3);
-        long earlierQuestion = lastSent().question();
+        long earlierQuestion = lastSent().requestNumber();
         clock.run(0.2);
         Peers returned = peers(true, 7);
         clock.run(3);
         receive(answer(earlierQuestion, false, 60_000));
         assertFalse(returned.quorumConfirmsOutage(7));
         assertFalse(returned.allPeersResponded());
-        receive(answer(lastSent().question(), false, 60_000));
+        receive(answer(lastSent().requestNumber(), false, 60_000));
         assertTrue(returned.quorumConfirmsOutage(7));
     }
 }
--- a/src/test/java/org/springmill/control/metrics/MetricsTest.java
+++ b/src/test/java/org/springmill/control/metrics/MetricsTest.java
@@ -77,7 +77,7 @@
     void durationIsShownInSecondsWithQuantilesCountAndSum() {
         VirtualClock clock = new VirtualClock();
         Metrics metrics = new Metrics(clock);
-        metrics.accepted(clock.now() - 0.5);
+        metrics.recordAcceptance(clock.now() - 0.5);
         List<String> lines = linesOf(metrics.read());
         String name = "springmill_acceptance_seconds";
         assertTrue(lines.contains(name + "_count 1.00000"), lines.toString());
--- a/src/test/java/org/springmill/control/recall/RecallCostMeasurement.java
+++ b/src/test/java/org/springmill/control/recall/RecallCostMeasurement.java
@@ -133,7 +133,7 @@
             batch.add(job);
         }
         for (int i = 0; i < machines; i++) {
-            Machine machine = fleet.machine(String.format("host-%06d", i));
+            Machine machine = fleet.getOrAdd(String.format("host-%06d", i));
             machine.describe("a:1", type, i % 2 == 0 ? "a" : "b", false);
             machine.transition(Machine.State.UP);
             List<TaskStatus> reported = new ArrayList<>();
@@ -145,13 +145,13 @@
     }
 
     private TaskStatus start(Job job, Machine machine) {
-        Claim claim = Claim.decide(new TaskId(job.id(), job.nextTask()), machine.name(), 1);
+        Claim claim = Claim.decide(new TaskId(job.id(), job.nextWaitingTask()), machine.name(), 1);
         TaskAttempt attempt = new TaskAttempt(claim, job, machine, clock.now());
         clusterState.add(attempt);
         attempt.transition(TaskAttempt.State.CLAIMED, clock.now());
         attempt.transition(TaskAttempt.State.SENT, clock.now());
         attempt.transition(TaskAttempt.State.RUNNING, clock.now());
-        attempt.recordReported(clock.now());
+        attempt.recordStatusReported(clock.now());
         return new TaskStatus(claim.task(), 1, TaskState.RUNNING, ExitCause.NONE);
     }
 
--- a/src/test/java/org/springmill/control/scheduling/FullRoundTest.java
+++ b/src/test/java/org/springmill/control/scheduling/FullRoundTest.java
@@ -39,7 +39,7 @@
     private final List<Job> jobs = new ArrayList<>();
 
     private void bringUpMachine() {
-        Machine machine = fleet.machine("host-000001");
+        Machine machine = fleet.getOrAdd("host-000001");
         machine.describe("a:1", PackingFixtures.type("t", 1, "a"), "a", false);
         machine.transition(Machine.State.UP);
         Heartbeat heartbeat =
@@ -71,7 +71,7 @@
                 id,
                 template.jobClass(),
                 template.team(),
-                template.shape(),
+                template.kind(),
                 template.priority(),
                 template.tasks(),
                 template.cpus(),
@@ -79,7 +79,7 @@
                 template.memoryGb(),
                 template.image(),
                 template.imageGb(),
-                template.types(),
+                template.machineTypes(),
                 template.zone(),
                 template.oneZone(),
                 template.spread(),
--- a/src/test/java/org/springmill/control/simulation/AdmissionTest.java
+++ b/src/test/java/org/springmill/control/simulation/AdmissionTest.java
@@ -179,7 +179,7 @@
         cluster.network().judge((from, request) -> fateOfLast(from, request, idOf(last)));
         // The watches of the second controller are lost from now on: it finds itself at the bound.
         cluster.run(15);
-        cluster.withdraw(0, idOf(accepted.get(0)));
+        cluster.cancel(0, idOf(accepted.get(0)));
         cluster.run(1);
         cluster.user(0, "POST", "/submissions", last.toString(), 5, reply -> {});
         cluster.run(0.1);
@@ -243,7 +243,7 @@
         assertEquals(503, submit(0, job("blue", "best_effort", 1)).status());
         assertEquals(200, submit(1, accepted.get(0)).status());
         for (ObjectNode job : accepted) {
-            assertEquals("cancelled", cluster.withdraw(2, idOf(job)));
+            assertEquals("cancelled", cluster.cancel(2, idOf(job)));
         }
         cluster.run(5);
         assertEquals(201, submit(0, job("blue", "best_effort", 1)).status());
@@ -284,14 +284,14 @@
     void afterAnOutageOfTheStateServiceTheWaveOfRetriesIsServed() {
         startCluster(1);
         RetryingUsers users = new RetryingUsers(cluster, 1);
-        cluster.state().setDown(true);
+        cluster.keyValueStore().setDown(true);
         int waiting = 200;
         for (int i = 0; i < waiting; i++) {
             ObjectNode job = job(i % 2 == 0 ? "red" : "blue", "normal", 0);
             cluster.clock().after(i * 30.0 / waiting, () -> users.submit(job, FOREVER));
         }
         cluster.run(30);
-        cluster.state().setDown(false);
+        cluster.keyValueStore().setDown(false);
         cluster.run(25);
         assertEquals(waiting, users.accepted(), "within 25 s of the end of the outage");
         assertEquals(0, users.gaveUp());
@@ -363,7 +363,7 @@
         cluster.kill(cluster.leader());
         cluster.run(10);
         assertEquals(200, submit(cluster.leader(), large).status(), "known to the next leader");
-        assertEquals("cancelled", cluster.withdraw(cluster.leader(), "run-000050"));
+        assertEquals("cancelled", cluster.cancel(cluster.leader(), "run-000050"));
         cluster.run(12);
         assertEquals(201, submit(cluster.leader(), job("blue", "normal", 1)).status());
     }
--- a/src/test/java/org/springmill/control/simulation/AutoscalerTest.java
+++ b/src/test/java/org/springmill/control/simulation/AutoscalerTest.java
@@ -16,11 +16,11 @@
     void replicaLeavesAMachineWithTerminationNoticeInTime() {
         submitService(0, JOB, "red", 1, 1);
         cluster.run(5);
-        SimWorker first = cluster.holder(FIRST_TASK);
-        first.notice(10);
+        SimWorker first = cluster.workerRunning(FIRST_TASK);
+        first.givePreemptionNotice(10);
         cluster.run(5);
-        assertNotNull(cluster.holder(FIRST_TASK));
-        assertNotEquals(first.name(), cluster.holder(FIRST_TASK).name());
+        assertNotNull(cluster.workerRunning(FIRST_TASK));
+        assertNotEquals(first.name(), cluster.workerRunning(FIRST_TASK).name());
     }
 
     @Test
@@ -28,7 +28,7 @@
         submitService(0, JOB, "blue", 6, 8);
         cluster.run(45);
         assertEquals(6, cluster.running(JOB));
-        assertEquals("cancelled", cluster.withdraw(0, JOB));
+        assertEquals("cancelled", cluster.cancel(0, JOB));
         cluster.run(200);
         assertEquals(0, cluster.cloud().machines().size(), "idle machines are returned");
     }
@@ -43,10 +43,10 @@
         }
         cluster.run(30);
         for (int i = 0; i < 8; i += 4) {
-            String first = cluster.holder("run-00060" + i + "/0").name();
+            String first = cluster.workerRunning("run-00060" + i + "/0").name();
             for (int j = i + 1; j < i + 4; j++) {
-                if (cluster.holder("run-00060" + j + "/0").name().equals(first)) {
-                    cluster.withdraw(0, "run-00060" + j);
+                if (cluster.workerRunning("run-00060" + j + "/0").name().equals(first)) {
+                    cluster.cancel(0, "run-00060" + j);
                     break;
                 }
             }
@@ -65,7 +65,7 @@
         for (int i = 0; i < 8; i += 4) {
             for (int j = i; j < i + 4; j++) {
                 if (cluster.running("run-00060" + j) == 1 && j % 4 != 0) {
-                    cluster.withdraw(0, "run-00060" + j);
+                    cluster.cancel(0, "run-00060" + j);
                     break;
                 }
             }
@@ -87,11 +87,11 @@
         cluster.run(3);
         SimWorker idle =
                 machines().stream().filter(machine -> machine.running() == 0).findAny().get();
-        cluster.cloud().stopLists();
-        cluster.cloud().take(idle);
+        cluster.cloud().freezeMachineList();
+        cluster.cloud().reclaim(idle);
         cluster.kill(cluster.leader());
         cluster.run(10);
-        cluster.cloud().resumeLists();
+        cluster.cloud().resumeMachineList();
         submitService(cluster.leader(), OTHER, "blue", 1, 8);
         cluster.run(45);
         assertEquals(1, cluster.running(OTHER));
--- a/src/test/java/org/springmill/control/simulation/BorrowingFailureTest.java
+++ b/src/test/java/org/springmill/control/simulation/BorrowingFailureTest.java
@@ -89,11 +89,11 @@
     }
 
     private void servingRunsAndWorkGoesOn() {
-        cluster.calm().run(45);
+        cluster.endFailures().run(45);
         assertEquals(REPLICAS, cluster.running(SERVING));
         assertEquals(0, checker.recorded(), "every recall is settled");
         checker.machinesMayBeDrained();
-        cluster.withdraw(follower(), SERVING);
+        cluster.cancel(follower(), SERVING);
         cluster.run(230);
         assertEquals("done", cluster.phase(follower(), BATCH));
         assertEquals("done", cluster.phase(follower(), FINE_TUNING));
@@ -129,7 +129,7 @@
                     if (failure == Failure.KILLED) {
                         cluster.kill(leader);
                     } else {
-                        cluster.freeze(leader, 8);
+                        cluster.pauseProcess(leader, 8);
                     }
                 },
                 fate);
@@ -217,9 +217,9 @@
                 step,
                 () -> {
                     switch (trouble) {
-                        case "refused" -> cluster.state().refuse(leader, true);
-                        case "out" -> cluster.state().setDown(true);
-                        case "late" -> cluster.state().delayCommits(0.5);
+                        case "refused" -> cluster.keyValueStore().refuseController(leader, true);
+                        case "out" -> cluster.keyValueStore().setDown(true);
+                        case "late" -> cluster.keyValueStore().delayCommits(0.5);
                         default -> spendWriteBudget();
                     }
                 },
@@ -227,7 +227,7 @@
         ask();
         cluster.run(20);
         if (trouble.equals("out")) {
-            cluster.state().setDown(false);
+            cluster.keyValueStore().setDown(false);
         }
         servingRunsAndWorkGoesOn();
     }
@@ -270,12 +270,12 @@
         machine.hang(false);
         cluster.run(LEASE_SECONDS);
         if (trouble.equals("notice")) {
-            cluster.cloud().take(machine);
+            cluster.cloud().reclaim(machine);
         }
         if (!cluster.cloud().machines().containsValue(machine)) {
             cluster.machines("large", "a", 1);
         }
-        cluster.cloud().refill();
+        cluster.cloud().restoreCapacity();
         servingRunsAndWorkGoesOn();
     }
 
@@ -283,9 +283,9 @@
         switch (trouble) {
             case "hung" -> machine.hang(true);
             case "deaf" -> cluster.network().blockMessagesTo(machine);
-            case "mute" -> cluster.network().blockReportsFrom(machine);
-            case "notice" -> machine.notice(20);
-            default -> cluster.cloud().take(machine);
+            case "mute" -> cluster.network().blockHeartbeatsFrom(machine);
+            case "notice" -> machine.givePreemptionNotice(20);
+            default -> cluster.cloud().reclaim(machine);
         }
     }
 
@@ -301,7 +301,7 @@
                                         : 0);
         ask();
         cluster.run(0.25);
-        cluster.withdraw(cluster.leader(), SERVING);
+        cluster.cancel(cluster.leader(), SERVING);
         cluster.run(6);
         assertEquals(0, checker.haltsForOthers());
         assertEquals(GPUS, lent());
@@ -332,7 +332,7 @@
         ask();
         cluster.run(0.3);
         assertTrue(checker.recorded() > 0, "the recall is committed, and the leader doesn't know");
-        cluster.withdraw(cluster.leader(), OTHER);
+        cluster.cancel(cluster.leader(), OTHER);
         cluster.run(8);
         assertEquals(REPLICAS, cluster.running(SERVING));
         assertTrue(checker.haltsForOthers() <= 2, "blue keeps 8 of the 10 that were left");
@@ -352,7 +352,7 @@
                 Step.COMMIT,
                 () -> {
                     cluster.kill(leader);
-                    cluster.clock().after(0.05, () -> cluster.state().setDown(true));
+                    cluster.clock().after(0.05, () -> cluster.keyValueStore().setDown(true));
                 },
                 Fate.LOSE_ANSWER);
         ask();
@@ -361,12 +361,12 @@
         for (SimWorker machine : machines()) {
             boolean otherOfTheTeam = !checker.isRecalledOn(machine) && sharesTeam(machine);
             if (otherOfTheTeam) {
-                cluster.cloud().take(machine);
+                cluster.cloud().reclaim(machine);
             }
         }
         assertEquals(3, machines().size());
         cluster.run(7);
-        cluster.state().setDown(false);
+        cluster.keyValueStore().setDown(false);
         cluster.run(20);
         cluster.restart(leader);
         cluster.run(15);
@@ -385,7 +385,7 @@
     }
 
     private static boolean holdsAnyOf(SimWorker machine, String job) {
-        return IntStream.range(0, 16).anyMatch(task -> machine.holds(job + "/" + task));
+        return IntStream.range(0, 16).anyMatch(task -> machine.hasTask(job + "/" + task));
     }
 
     /**
@@ -401,7 +401,7 @@
         cluster.run(0.5);
         SimWorker recalledOn =
                 machines().stream().filter(checker::isRecalledOn).findFirst().orElseThrow();
-        cluster.network().blockReportsFrom(recalledOn);
+        cluster.network().blockHeartbeatsFrom(recalledOn);
         cluster.network().blockMessagesTo(recalledOn);
         cluster.run(5);
         assertNotEquals(leader, cluster.leader());
@@ -419,7 +419,7 @@
         lend(110);
         ask();
         cluster.run(seconds);
-        assertEquals("cancelled", cluster.withdraw(follower(), SERVING));
+        assertEquals("cancelled", cluster.cancel(follower(), SERVING));
         cluster.run(40);
         assertEquals(GPUS, lent());
         assertEquals(0, checker.recorded());
@@ -434,7 +434,7 @@
         cluster.progress().setSaveSeconds(FINE_TUNING, 60);
         ask();
         cluster.run(seconds);
-        assertEquals("cancelled", cluster.withdraw(follower(), BATCH));
+        assertEquals("cancelled", cluster.cancel(follower(), BATCH));
         cluster.run(8);
         assertEquals(0, cluster.running(BATCH));
         cluster.run(20);
--- a/src/test/java/org/springmill/control/simulation/BorrowingFixture.java
+++ b/src/test/java/org/springmill/control/simulation/BorrowingFixture.java
@@ -33,7 +33,7 @@
         Optional<OperatorSettings.Borrowing> terms =
                 Optional.of(OperatorSettings.Borrowing.DEFAULTS);
         startCluster(new SimulatedCluster(options.withBorrowing(terms)));
-        cluster.cloud().runOut();
+        cluster.cloud().exhaustCapacity();
         checker = new BorrowingChecker(cluster);
     }
 
--- a/src/test/java/org/springmill/control/simulation/BorrowingPropertyTest.java
+++ b/src/test/java/org/springmill/control/simulation/BorrowingPropertyTest.java
@@ -131,7 +131,7 @@
                             .machines("large", "a", 2)
                             .machines("large", "b", 2)
                             .run(6);
-            cluster.cloud().runOut();
+            cluster.cloud().exhaustCapacity();
             checker = new BorrowingChecker(cluster);
             cluster.submit(0, BorrowingFixture.fineTuning("run-000020", "red", 16), FOREVER);
             cluster.submit(1, BorrowingFixture.batch("run-000030", "blue", 48), FOREVER);
@@ -145,9 +145,9 @@
             }
             restart();
             cluster.machines().forEach(machine -> machine.hang(false));
-            cluster.calm().run(RECOVERY_SECONDS);
+            cluster.endFailures().run(RECOVERY_SECONDS);
             assertEquals(List.of(), checker.violations());
-            assertEquals(List.of(), cluster.broken());
+            assertEquals(List.of(), cluster.violations());
             assertEquals(List.of(), cluster.startsAfterCancel());
             assertEquals(0, checker.recorded());
             assertEquals(0, cluster.progress().lostCheckpointedSeconds());
@@ -166,25 +166,25 @@
                 }
                 case FREEZE_LEADER -> {
                     if (leader >= 0 && cluster.isUp(leader)) {
-                        cluster.freeze(leader, 0.5 * step.amount());
+                        cluster.pauseProcess(leader, 0.5 * step.amount());
                     }
                 }
                 case RESTART -> restart();
-                case OUTAGE -> cluster.state().setDown(true);
+                case OUTAGE -> cluster.keyValueStore().setDown(true);
                 case REFUSE_LEADER -> {
                     if (leader >= 0) {
-                        cluster.state().refuse(leader, true);
+                        cluster.keyValueStore().refuseController(leader, true);
                     }
                 }
-                case LATE_COMMITS -> cluster.state().delayCommits(0.3);
+                case LATE_COMMITS -> cluster.keyValueStore().delayCommits(0.3);
                 case LAG ->
                         cluster.network().delayAnswers((from, request) -> 0.1 * (step.pick() % 6));
                 case HANG -> machine(step).ifPresent(m -> m.hang(step.amount() % 2 == 0));
                 case DEAF -> machine(step).ifPresent(cluster.network()::blockMessagesTo);
-                case MUTE -> machine(step).ifPresent(cluster.network()::blockReportsFrom);
-                case LATE_REPORTS -> cluster.network().duplicateReports(0.2);
+                case MUTE -> machine(step).ifPresent(cluster.network()::blockHeartbeatsFrom);
+                case LATE_REPORTS -> cluster.network().duplicateHeartbeats(0.2);
                 case HEAL -> {
-                    cluster.state().setDown(false);
+                    cluster.keyValueStore().setDown(false);
                     cluster.heal();
                 }
                 case WAIT -> {}
--- a/src/test/java/org/springmill/control/simulation/BorrowingTest.java
+++ b/src/test/java/org/springmill/control/simulation/BorrowingTest.java
@@ -41,7 +41,7 @@
         assertEquals(8, checker.haltsForOthers());
         assertEquals(24, cluster.running(BATCH) + cluster.running(FINE_TUNING));
         assertEquals(0, checker.recorded(), "every recall is settled");
-        cluster.withdraw(0, SERVING);
+        cluster.cancel(0, SERVING);
         cluster.run(60);
         assertEquals(32, cluster.running(BATCH) + cluster.running(FINE_TUNING));
         cluster.run(160);
@@ -119,7 +119,7 @@
             accept(serving(id, "amber", 8), FOREVER);
             cluster.run(SWING_SECONDS);
             assertEquals(8, cluster.running(id), "swing " + i);
-            cluster.withdraw(0, id);
+            cluster.cancel(0, id);
             cluster.run(SWING_SECONDS);
         }
         assertTrue(checker.haltsForOthers() <= 24, checker.haltsForOthers() + " tasks");
@@ -135,7 +135,7 @@
         accept(batch(FINE_TUNING, "blue", 32), FOREVER);
         cluster.run(10);
         assertEquals(16, cluster.running(FINE_TUNING));
-        cluster.withdraw(0, SERVING);
+        cluster.cancel(0, SERVING);
         cluster.run(4);
         assertEquals(32, cluster.running(FINE_TUNING));
         assertEquals(0, checker.recalls());
@@ -179,8 +179,8 @@
         accept(fineTuning(BATCH, "red", 16), 500);
         accept(fineTuning(FINE_TUNING, "blue", 16), 500);
         cluster.run(12);
-        SimWorker stubborn = cluster.holder(BATCH + "/0");
-        SimWorker other = cluster.holder(FINE_TUNING + "/0");
+        SimWorker stubborn = cluster.workerRunning(BATCH + "/0");
+        SimWorker other = cluster.workerRunning(FINE_TUNING + "/0");
         stubborn.ignoreHalts(true);
         other.ignoreHalts(true);
         accept(serving(SERVING, "amber", 2), FOREVER);
--- a/src/test/java/org/springmill/control/simulation/CancellationTest.java
+++ b/src/test/java/org/springmill/control/simulation/CancellationTest.java
@@ -19,8 +19,8 @@
         cluster.run(delaySeconds);
 
         cluster.network().judge((from, request) -> isCommand(request) ? Fate.HOLD : Fate.DELIVER);
-        assertEquals("cancelled", cluster.withdraw(1, JOB));
-        assertEquals("cancelled", cluster.withdraw(2, JOB));
+        assertEquals("cancelled", cluster.cancel(1, JOB));
+        assertEquals("cancelled", cluster.cancel(2, JOB));
         cluster.run(50);
         assertEquals(0, cluster.running(JOB));
         cluster.network().releaseHeld();
@@ -35,7 +35,7 @@
             String id = String.format("run-%06d", 100 + i);
             cluster.submit(i % 3, SimulatedCluster.job(id, "red", "sweep", 1, 1, 0), 2);
             cluster.run(2.7 + 0.1 * i);
-            String phase = cluster.withdraw((i + 1) % 3, id);
+            String phase = cluster.cancel((i + 1) % 3, id);
             assertTrue(phase.equals("done") || phase.equals("cancelled"), phase);
             cluster.run(5);
             for (int node = 0; node < 3; node++) {
--- a/src/test/java/org/springmill/control/simulation/ClusterFixture.java
+++ b/src/test/java/org/springmill/control/simulation/ClusterFixture.java
@@ -42,7 +42,7 @@
 
     @AfterEach
     void noInvariantIsBroken() {
-        assertEquals(List.of(), cluster.broken());
+        assertEquals(List.of(), cluster.violations());
         assertEquals(List.of(), cluster.startsAfterCancel());
     }
 
--- a/src/test/java/org/springmill/control/simulation/CompoundCancellationTest.java
+++ b/src/test/java/org/springmill/control/simulation/CompoundCancellationTest.java
@@ -35,10 +35,10 @@
         int isolated = cluster.leader();
         cluster.isolate(isolated);
         cluster.run(1);
-        SimWorker hung = cluster.holder(FIRST_TASK);
+        SimWorker hung = cluster.workerRunning(FIRST_TASK);
         hung.hang(hangSeconds > 0);
         for (int i = 0;
-                i < 20 && !"cancelled".equals(cluster.withdraw((isolated + 1) % 3, JOB));
+                i < 20 && !"cancelled".equals(cluster.cancel((isolated + 1) % 3, JOB));
                 i++) {
             cluster.run(0.5);
         }
@@ -49,7 +49,7 @@
                     (isolated + i) % 3,
                     SimulatedCluster.job("run-00080" + i, "blue", "sweep", 1, 1, 1),
                     3);
-            cluster.withdraw(isolated, "run-00080" + i);
+            cluster.cancel(isolated, "run-00080" + i);
             cluster.run(4);
         }
         assertEquals(0, cluster.running(JOB));
@@ -62,7 +62,7 @@
     @CsvSource({"calm", "late", "slow"})
     void cancellationAtTheEndOfTheLastTaskYieldsOneFinalPhase(String state) {
         startCluster(1);
-        cluster.state().delayCommits(state.equals("late") ? 0.2 : 0);
+        cluster.keyValueStore().delayCommits(state.equals("late") ? 0.2 : 0);
         SplittableRandom random = new SplittableRandom(1);
         if (state.equals("slow")) {
             cluster.network()
@@ -102,10 +102,10 @@
         acceptService(OTHER, "blue", 8, 1);
         cluster.run(6);
         List<SimWorker> unableToReport = machines().subList(0, count);
-        unableToReport.forEach(cluster.network()::blockReportsFrom);
+        unableToReport.forEach(cluster.network()::blockHeartbeatsFrom);
         cluster.run(1);
         int before = machines().size();
-        assertEquals("cancelled", cluster.withdraw(follower(), OTHER));
+        assertEquals("cancelled", cluster.cancel(follower(), OTHER));
         cluster.run(4);
         assertEquals(0, cluster.running(OTHER));
         assertTrue(machines().size() >= before, "halted directly, not deleted");
@@ -143,7 +143,7 @@
         cluster.run(8);
         List<SimWorker> hung = machines().subList(0, machines);
         cluster.run(0.3);
-        assertEquals("cancelled", cluster.withdraw(follower(), JOB));
+        assertEquals("cancelled", cluster.cancel(follower(), JOB));
         hung.forEach(machine -> machine.hang(true));
         if (leaderEnds) {
             cluster.restart(cluster.leader());
@@ -170,15 +170,15 @@
                                         : 0);
         submitAndCancelJobs(60, random);
         int leader = Math.max(0, cluster.leader());
-        cluster.state().refuse(leader, true);
+        cluster.keyValueStore().refuseController(leader, true);
         cluster.submit(
                 (leader + 1) % 3, SimulatedCluster.job(OTHER, "red", "service", 2, 1, 1), FOREVER);
         cluster.run(1);
-        cluster.withdraw((leader + 1) % 3, OTHER);
-        cluster.state().setDown(true);
+        cluster.cancel((leader + 1) % 3, OTHER);
+        cluster.keyValueStore().setDown(true);
         cluster.run(50);
-        cluster.state().setDown(false);
-        cluster.state().refuse(leader, false);
+        cluster.keyValueStore().setDown(false);
+        cluster.keyValueStore().refuseController(leader, false);
         submitAndCancelJobs(20, random);
     }
 }
--- a/src/test/java/org/springmill/control/simulation/CompoundDelayTest.java
+++ b/src/test/java/org/springmill/control/simulation/CompoundDelayTest.java
@@ -43,14 +43,14 @@
         acceptService(JOB, "blue", 1, 1);
         cluster.run(5);
         assertEquals(1, cluster.running(JOB));
-        SimWorker first = cluster.holder(FIRST_TASK);
-        first.notice(600);
+        SimWorker first = cluster.workerRunning(FIRST_TASK);
+        first.givePreemptionNotice(600);
         cluster.run(5);
-        assertNotEquals(first, cluster.holder(FIRST_TASK));
+        assertNotEquals(first, cluster.workerRunning(FIRST_TASK));
         for (int i = 0;
                 i < 80
-                        && cluster.state().value(key[0]) != null
-                        && !cluster.state().value(key[0]).path("claims").isEmpty();
+                        && cluster.keyValueStore().value(key[0]) != null
+                        && !cluster.keyValueStore().value(key[0]).path("claims").isEmpty();
                 i++) {
             accept(SimulatedCluster.job("run-0005" + (10 + i), "blue", "sweep", 4, 1, 1), 1);
             cluster.run(3);
@@ -67,7 +67,7 @@
     void delayedTransactionsAndAFailoverBreakNoInvariant(long seed) {
         startCluster(seed);
         acceptService(JOB, "red", 4, 1);
-        cluster.state().delayCommits(0.3);
+        cluster.keyValueStore().delayCommits(0.3);
         submitAndCancelJobs(60, new SplittableRandom(seed));
         cluster.restart(cluster.leader() < 0 ? 0 : cluster.leader());
         submitAndCancelJobs(30, new SplittableRandom(seed + 100));
@@ -120,7 +120,7 @@
         startCluster(seed);
         SplittableRandom random = new SplittableRandom(seed);
         acceptService(JOB, "red", 6, 1);
-        cluster.network().duplicateReports(0.6);
+        cluster.network().duplicateHeartbeats(0.6);
         for (int i = 0; i < 3; i++) {
             submitAndCancelJobs(15, random);
             SimWorker hung = machines().get(random.nextInt(machines().size()));
@@ -140,7 +140,7 @@
         acceptService(JOB, "red", 4, 1);
         cluster.run(6);
         int old = cluster.leader();
-        SimWorker victim = cluster.holder(FIRST_TASK);
+        SimWorker victim = cluster.workerRunning(FIRST_TASK);
         int next = (old + 1) % 3;
         cluster.kill((old + 2) % 3);
         cluster.network()
@@ -160,7 +160,7 @@
         cluster.restart((old + 2) % 3);
         cluster.run(machineLives ? 1 : 30);
         if (!machineLives) {
-            cluster.cloud().take(victim);
+            cluster.cloud().reclaim(victim);
         }
         deliverAllMessages();
         cluster.network().releaseHeld();
--- a/src/test/java/org/springmill/control/simulation/CompoundFailureFixture.java
+++ b/src/test/java/org/springmill/control/simulation/CompoundFailureFixture.java
@@ -24,7 +24,7 @@
 
     @AfterEach
     void workGoesOnAfterTheFailures() {
-        cluster.calm().run(RECOVERY_SECONDS);
+        cluster.endFailures().run(RECOVERY_SECONDS);
         assertEquals(List.of(), cluster.unserved());
     }
 
@@ -42,7 +42,7 @@
                             runSeconds);
             if (status == 201 && random.nextInt(4) == 0) {
                 cluster.run(random.nextDouble() * 3);
-                cluster.withdraw((controller + 1) % CONTROLLERS, id);
+                cluster.cancel((controller + 1) % CONTROLLERS, id);
             }
             cluster.run(0.5 + random.nextDouble() * 2);
         }
--- a/src/test/java/org/springmill/control/simulation/CompoundLeaderFailoverTest.java
+++ b/src/test/java/org/springmill/control/simulation/CompoundLeaderFailoverTest.java
@@ -24,10 +24,10 @@
         accept(SimulatedCluster.job(OTHER, "blue", "sweep", 3, 1, 1), 5);
         cluster.setRunSeconds(OTHER + "/1", 50);
         cluster.setRunSeconds(OTHER + "/2", 100);
-        cluster.state().delayCommits(late);
-        cluster.network().duplicateReports(meanwhile.equals("reports") ? 0.5 : 0);
+        cluster.keyValueStore().delayCommits(late);
+        cluster.network().duplicateHeartbeats(meanwhile.equals("reports") ? 0.5 : 0);
         for (int i = 0; i < 10; i++) {
-            cluster.state().setDown(meanwhile.equals("outage") && i >= 3 && i < 6);
+            cluster.keyValueStore().setDown(meanwhile.equals("outage") && i >= 3 && i < 6);
             int leader = Math.max(0, cluster.leader());
             cluster.kill(leader);
             cluster.run(meanwhile.equals("away") ? 11 : 1);
@@ -37,10 +37,10 @@
                     i % 3, SimulatedCluster.job("run-00070" + i, "blue", "sweep", 1, 1, 1), 3);
             cluster.run(5);
             if (i % 3 == 0) {
-                cluster.withdraw((i + 1) % 3, "run-00070" + i);
+                cluster.cancel((i + 1) % 3, "run-00070" + i);
             }
         }
-        cluster.calm().run(60);
+        cluster.endFailures().run(60);
         assertEquals("done", cluster.phase(0, OTHER));
         assertEachTaskStartedOnce(OTHER, 3);
     }
@@ -90,7 +90,7 @@
                 }
             }
             cluster.run(5);
-            cluster.withdraw(round % 3, "run-00090" + round);
+            cluster.cancel(round % 3, "run-00090" + round);
         }
         cluster.run(5);
         assertEachTaskStartedOnce(JOB, 4);
@@ -107,7 +107,7 @@
         acceptService(JOB, "red", 4, 1);
         cluster.run(5);
         int leader = cluster.leader();
-        cluster.state().setDown(true);
+        cluster.keyValueStore().setDown(true);
         cluster.run(3);
         cluster.holdPeerMessages();
         cluster.run(0.6);
@@ -115,16 +115,15 @@
         cluster.run(delaySeconds);
         cluster.restart(leader);
         cluster.run(0.5);
-        cluster.state().setDown(false);
+        cluster.keyValueStore().setDown(false);
         cluster.run(1);
         cluster.releasePeerMessages();
         cluster.run(0.5);
-        cluster.state().refuse(leader, true);
+        cluster.keyValueStore().refuseController(leader, true);
         assertTrue(
-                cluster.withdraw((leader + 1) % 3, JOB).equals("cancelled")
-                        || cluster.leader() < 0);
+                cluster.cancel((leader + 1) % 3, JOB).equals("cancelled") || cluster.leader() < 0);
         cluster.run(20);
-        cluster.state().refuse(leader, false);
+        cluster.keyValueStore().refuseController(leader, false);
         cluster.run(20);
     }
 
@@ -136,17 +135,17 @@
         acceptService(JOB, "red", 4, 1);
         acceptService(OTHER, "blue", 3, 2);
         cluster.run(6);
-        assertEquals("cancelled", cluster.withdraw(0, OTHER));
+        assertEquals("cancelled", cluster.cancel(0, OTHER));
         for (int i = 0; i < 3; i++) {
             cluster.kill(i);
         }
         cluster.run(durationSeconds);
-        cluster.state().setDown(outageAfter);
+        cluster.keyValueStore().setDown(outageAfter);
         for (int i = 0; i < 3; i++) {
             cluster.restart(i);
         }
         cluster.run(10);
-        cluster.state().setDown(false);
+        cluster.keyValueStore().setDown(false);
         cluster.run(15);
         assertEquals(4, cluster.running(JOB));
         for (int i = 0; i < 4; i++) {
@@ -186,8 +185,8 @@
                     names.add(machine.address());
                     switch (failure) {
                         case "responses_lost" -> cluster.network().blockMessagesTo(machine);
-                        case "reports_refused" -> cluster.network().blockReportsFrom(machine);
-                        case "taken" -> cluster.cloud().take(machine);
+                        case "reports_refused" -> cluster.network().blockHeartbeatsFrom(machine);
+                        case "taken" -> cluster.cloud().reclaim(machine);
                         default -> {}
                     }
                 });
--- a/src/test/java/org/springmill/control/simulation/CompoundPlacementTest.java
+++ b/src/test/java/org/springmill/control/simulation/CompoundPlacementTest.java
@@ -23,7 +23,7 @@
     @CsvSource({"normal, sweep", "best_effort, sweep", "urgent, sweep", "normal, service"})
     void largestJobStartsWithinFourMinutesDespiteOverload(String urgency, String shape) {
         startCluster(1);
-        cluster.cloud().runOut();
+        cluster.cloud().exhaustCapacity();
         cluster.setImageFetchSeconds(6);
         int n = 0;
         for (; n < 20; n++) {
@@ -45,7 +45,7 @@
             cluster.run(5);
         }
         assertEquals(1, cluster.starts(FIRST_TASK));
-        cluster.cloud().refill();
+        cluster.cloud().restoreCapacity();
         cluster.run(150);
     }
 
@@ -70,12 +70,15 @@
         accept(job, shape.equals("sweep") ? 60 : FOREVER);
         cluster.run(70);
         assertEquals(List.of(), cluster.unserved());
-        String zone = cluster.holder(FIRST_TASK) == null ? "b" : cluster.holder(FIRST_TASK).zone();
+        String zone =
+                cluster.workerRunning(FIRST_TASK) == null
+                        ? "b"
+                        : cluster.workerRunning(FIRST_TASK).zone();
         acceptService(OTHER, "red", 2, 4);
         for (SimWorker machine : machines()) {
             if (machine.zone().equals(zone)) {
                 if (how.equals("taken")) {
-                    cluster.cloud().take(machine);
+                    cluster.cloud().reclaim(machine);
                 } else {
                     machine.hang(true);
                 }
@@ -94,7 +97,7 @@
         startCluster(1);
         accept(SimulatedCluster.job(OTHER, "blue", "service", 1, 1, 8).put("yard", "b"), FOREVER);
         cluster.run(5);
-        SimWorker sound = cluster.holder(OTHER + "/0");
+        SimWorker sound = cluster.workerRunning(OTHER + "/0");
         machines().stream()
                 .filter(m -> m != sound && m.zone().equals("b"))
                 .forEach(SimWorker::failEverything);
@@ -132,7 +135,7 @@
         cluster.kill(leader);
         cluster.run(3);
         acceptService("run-000003", "red", 8, 1);
-        assertEquals("cancelled", cluster.withdraw((leader + 1) % 3, OTHER));
+        assertEquals("cancelled", cluster.cancel((leader + 1) % 3, OTHER));
         cluster.run(10);
         cluster.restart(leader);
         machines.forEach(machine -> machine.hang(false));
--- a/src/test/java/org/springmill/control/simulation/CompoundUserRequestTest.java
+++ b/src/test/java/org/springmill/control/simulation/CompoundUserRequestTest.java
@@ -105,7 +105,7 @@
                 assertTrue(status == 503 || status == 422, status + " for " + job);
             }
         }
-        cluster.calm().run(6);
+        cluster.endFailures().run(6);
         for (ObjectNode job : jobsThatCanNeverRun()) {
             assertEquals(422, cluster.submit(0, job, 1));
         }
@@ -129,15 +129,15 @@
             for (int node = 0; node < 3; node++) {
                 cluster.submit(node, done, 2);
                 cluster.submit(node, runs, FOREVER);
-                cluster.withdraw(node, JOB);
+                cluster.cancel(node, JOB);
                 cluster.phase(node, "run-999999");
-                cluster.withdraw(node, "run-999999");
+                cluster.cancel(node, "run-999999");
             }
             cluster.run(2);
         }
         cluster.run(10);
         for (int node = 0; node < 3; node++) {
-            assertEquals("done", cluster.withdraw(node, JOB));
+            assertEquals("done", cluster.cancel(node, JOB));
             assertEquals(200, cluster.submit(node, runs, FOREVER));
         }
     }
--- a/src/test/java/org/springmill/control/simulation/ControllerPauseTest.java
+++ b/src/test/java/org/springmill/control/simulation/ControllerPauseTest.java
@@ -37,7 +37,7 @@
     @ValueSource(doubles = {0.5, 1, 1.5, 2, 2.7, 2.9, 4, 5.7, 8, 13, 16, 30})
     void leaderThatStandsStillLosesNoTaskAndStartsNoneTwice(double seconds) {
         int leader = cluster.leader();
-        cluster.freeze(leader, seconds);
+        cluster.pauseProcess(leader, seconds);
         cluster.submit((leader + 1) % CONTROLLERS, array(OTHER), 3);
         cluster.run(seconds + 25);
 
@@ -52,7 +52,7 @@
     @ValueSource(doubles = {1, 2, 4, 8, 12})
     void allControllersMayStandStillForLessThanAWorkersLease(double seconds) {
         for (int i = 0; i < CONTROLLERS; i++) {
-            cluster.freeze(i, seconds);
+            cluster.pauseProcess(i, seconds);
         }
         cluster.run(seconds + LEASE_SECONDS);
         assertEquals(TASKS, cluster.running(JOB));
@@ -64,9 +64,9 @@
     @ValueSource(doubles = {0.05, 0.3, 0.7, 1.5, 3})
     void leaderMayStandStillAgainJustAfterItWoke(double awake) {
         int leader = cluster.leader();
-        cluster.freeze(leader, 4);
+        cluster.pauseProcess(leader, 4);
         cluster.run(4 + awake);
-        cluster.freeze(leader, 3);
+        cluster.pauseProcess(leader, 3);
         cluster.run(40);
         assertEquals(TASKS, cluster.running(JOB));
         assertEachTaskStartedOnce(JOB, TASKS);
@@ -90,10 +90,10 @@
                 FOREVER,
                 reply -> answers.add(new String(reply.body(), StandardCharsets.UTF_8)));
         cluster.run(seconds);
-        cluster.freeze(follower, 6);
+        cluster.pauseProcess(follower, 6);
         cluster.run(1);
         boolean answeredBefore = !answers.isEmpty();
-        assertEquals("cancelled", cluster.withdraw(cluster.leader(), JOB));
+        assertEquals("cancelled", cluster.cancel(cluster.leader(), JOB));
         cluster.run(10);
         assertEquals(1, answers.size());
         if (answeredBefore) {
@@ -106,9 +106,9 @@
     @Test
     void reportsThatWaitedThroughAPauseRenewNoLeaseBeforeTheLeaderHasProvenItself() {
         int leader = cluster.leader();
-        cluster.network().cutFromState("n-" + leader);
+        cluster.network().partitionFromStore("n-" + leader);
         List<Integer> statuses = new ArrayList<>();
-        cluster.freeze(leader, 2.5);
+        cluster.pauseProcess(leader, 2.5);
         String report =
                 "{\"stone\":\"host-000099\",\"addr\":\"10.1.0.99:9000\","
                         + "\"frame\":\"large\",\"yard\":\"a\",\"loaner\":false,\"shift\":1,"
@@ -123,7 +123,7 @@
         cluster.run(2.6);
         assertEquals(1, statuses.size());
         assertNotEquals(200, statuses.get(0));
-        cluster.calm();
+        cluster.endFailures();
         cluster.run(LEASE_SECONDS);
         assertEquals(TASKS, cluster.running(JOB));
     }
@@ -133,12 +133,12 @@
     @ValueSource(doubles = {2, 5, 9})
     void leaderMayStandStillInAnOutageOfTheStateService(double seconds) {
         int leader = cluster.leader();
-        cluster.state().setDown(true);
+        cluster.keyValueStore().setDown(true);
         cluster.run(3);
-        cluster.freeze(leader, seconds);
+        cluster.pauseProcess(leader, seconds);
         cluster.run(seconds + 5);
-        cluster.state().setDown(false);
-        cluster.calm();
+        cluster.keyValueStore().setDown(false);
+        cluster.endFailures();
         cluster.run(25);
         assertEquals(TASKS, cluster.running(JOB));
         assertEachTaskStartedOnce(JOB, TASKS);
--- a/src/test/java/org/springmill/control/simulation/DelayedMessageTest.java
+++ b/src/test/java/org/springmill/control/simulation/DelayedMessageTest.java
@@ -67,7 +67,7 @@
         // The start must be refused, not begun and halted while its image is fetched.
         assertTrue(
                 cluster.cloud().machines().values().stream()
-                        .noneMatch(machine -> machine.holds(FIRST_TASK)));
+                        .noneMatch(machine -> machine.hasTask(FIRST_TASK)));
         cluster.run(10);
         assertEquals(1, cluster.starts(FIRST_TASK));
     }
@@ -77,7 +77,7 @@
         submitService(0, JOB, "red", 2, 1);
         List<Request> copies = recordDelivered(MessageMatchers::isReport);
         cluster.run(10);
-        SimWorker victim = cluster.holder(FIRST_TASK);
+        SimWorker victim = cluster.workerRunning(FIRST_TASK);
         victim.hang(true);
         // Copies of its earlier reports keep arriving; its task still has to be declared lost after
         // one lease.
@@ -105,7 +105,7 @@
         List<Request> copies = recordDelivered(MessageMatchers::isReport);
         cluster.run(5);
         List<Request> old = List.copyOf(copies);
-        cluster.cloud().runOut();
+        cluster.cloud().exhaustCapacity();
         for (int i = 0; i < 60 && !cluster.cloud().machines().isEmpty(); i++) {
             cluster.run(5);
         }
@@ -117,7 +117,7 @@
         cluster.run(3);
         assertEquals(
                 0,
-                cluster.state().keysUnder("round/").size(),
+                cluster.keyValueStore().keysUnder("round/").size(),
                 "nothing is placed while there is no machine");
     }
 
@@ -141,9 +141,9 @@
         hold[0] = false;
         cluster.run(20);
         assertEquals(2, cluster.running(JOB));
-        List<String> before = cluster.state().keysUnder("round/");
+        List<String> before = cluster.keyValueStore().keysUnder("round/");
         cluster.network().releaseHeld();
-        assertEquals(before, cluster.state().keysUnder("round/"));
+        assertEquals(before, cluster.keyValueStore().keysUnder("round/"));
         cluster.restart(old);
         cluster.kill(cluster.leader());
         cluster.run(20);
--- a/src/test/java/org/springmill/control/simulation/DependencyPriorityTest.java
+++ b/src/test/java/org/springmill/control/simulation/DependencyPriorityTest.java
@@ -24,7 +24,7 @@
 
     @AfterEach
     void noRuleIsBroken() {
-        assertEquals(List.of(), cluster.broken());
+        assertEquals(List.of(), cluster.violations());
     }
 
     private static ObjectNode job(String id, String urgency, String... needed) {
@@ -37,7 +37,7 @@
 
     private void room() {
         cluster.machines("large", "a", 1).run(6);
-        cluster.cloud().runOut();
+        cluster.cloud().exhaustCapacity();
         // Runs first, so that all that follows waits and is placed in order.
         cluster.submit(
                 0,
@@ -69,7 +69,7 @@
         cluster.submit(2, job(LAST, "best_effort", RIVAL), 5);
         cluster.submit(2, job(OTHER_LAST, last, LAST), 5);
         if (then.equals("cancelled")) {
-            assertEquals("cancelled", cluster.withdraw(0, OTHER_LAST));
+            assertEquals("cancelled", cluster.cancel(0, OTHER_LAST));
         } else if (then.equals("takeover")) {
             cluster.restart(cluster.leader());
         }
--- a/src/test/java/org/springmill/control/simulation/DependencyValidationTest.java
+++ b/src/test/java/org/springmill/control/simulation/DependencyValidationTest.java
@@ -27,7 +27,7 @@
 
     @AfterEach
     void noRuleIsBroken() {
-        assertEquals(List.of(), cluster.broken());
+        assertEquals(List.of(), cluster.violations());
     }
 
     private static String id(int number) {
@@ -66,7 +66,7 @@
         Reply reply = post(1, job);
         assertEquals(422, reply.status());
         assertTrue(text(reply).contains(NEVER_ACCEPTED + ", which was never accepted"));
-        assertFalse(cluster.state().keysUnder("job/").contains("job/" + id(9)));
+        assertFalse(cluster.keyValueStore().keysUnder("job/").contains("job/" + id(9)));
     }
 
     @Test
@@ -79,7 +79,7 @@
             assertEquals(422, reply.status());
             assertTrue(text(reply).contains(id(1) + ", a service, which is never done"));
         }
-        assertEquals("cancelled", cluster.withdraw(2, id(1)));
+        assertEquals("cancelled", cluster.cancel(2, id(1)));
         assertEquals(422, post(1, job).status());
     }
 
@@ -114,7 +114,7 @@
             body = body.substring(0, body.length() - 1) + ",\"waitsOn\":" + list + "}";
         }
         assertEquals(201, cluster.ask(1, "POST", "/submissions", body).status());
-        JsonNode record = cluster.state().value("job/" + id(9)).path("job");
+        JsonNode record = cluster.keyValueStore().value("job/" + id(9)).path("job");
         assertEquals(stored.replace('~', '"'), record.path("waitsOn").toString());
     }
 
@@ -134,8 +134,8 @@
         assertTrue(accepted > 300, accepted + " names");
         job.withArray("waitsOn").remove(accepted);
         assertEquals(201, post(0, job).status());
-        assertEquals("cancelled", cluster.withdraw(1, id(9)));
-        int bytes = cluster.state().value("job/" + id(9)).toString().length();
+        assertEquals("cancelled", cluster.cancel(1, id(9)));
+        int bytes = cluster.keyValueStore().value("job/" + id(9)).toString().length();
         assertTrue(bytes <= VALUE_BYTES && bytes > VALUE_BYTES - 64, bytes + " bytes");
     }
 
--- a/src/test/java/org/springmill/control/simulation/FailingJobTest.java
+++ b/src/test/java/org/springmill/control/simulation/FailingJobTest.java
@@ -21,7 +21,7 @@
     void start() {
         // Machines stay although nothing that works runs on them.
         startCluster(new SimulatedCluster(SimOptions.DEFAULTS.withSeed(11).withIdleBoots(100)));
-        cluster.cloud().runOut();
+        cluster.cloud().exhaustCapacity();
     }
 
     private void acceptBroken(String id) {
@@ -88,7 +88,7 @@
         acceptBroken(JOB);
         cluster.run(30);
         int asked = follower();
-        assertEquals("cancelled", cluster.withdraw(asked, JOB));
+        assertEquals("cancelled", cluster.cancel(asked, JOB));
         int starts = cluster.startsOfJob(JOB);
         cluster.kill(cluster.leader());
         cluster.run(CANCEL_SECONDS);
--- a/src/test/java/org/springmill/control/simulation/FourThousandMachinesTest.java
+++ b/src/test/java/org/springmill/control/simulation/FourThousandMachinesTest.java
@@ -87,7 +87,7 @@
         List<SimWorker> lost =
                 machines().stream().filter(machine -> machine.zone().equals("b")).toList();
         assertTrue(lost.size() > MACHINES / 4, lost.size() + " machines in the zone");
-        cluster.cloud().runOut("b");
+        cluster.cloud().exhaustCapacity("b");
         lost.forEach(machine -> machine.hang(true));
         double untilGone = 2 * LEASE_SECONDS;
         runUntilAllRunOutside(
--- a/src/test/java/org/springmill/control/simulation/GuaranteeByResourceTest.java
+++ b/src/test/java/org/springmill/control/simulation/GuaranteeByResourceTest.java
@@ -13,7 +13,7 @@
      */
     @Test
     void teamWithCpusToSpareKeepsTheGpusThatItIsGuaranteed() {
-        cluster.cloud().runOut();
+        cluster.cloud().exhaustCapacity();
         submitService(0, JOB, "blue", 24, 1);
         submitService(0, OTHER, "amber", 8, 1);
         submitService(0, "run-000003", "amber", 20, 0);
--- a/src/test/java/org/springmill/control/simulation/HistoryArchivingTest.java
+++ b/src/test/java/org/springmill/control/simulation/HistoryArchivingTest.java
@@ -29,10 +29,10 @@
         assertPhaseEverywhere("cancelled", CANCELLED);
         assertResubmissionAnswered("done", job(DONE, 1));
         assertResubmissionAnswered("cancelled", job(CANCELLED, 2));
-        assertEquals("done", cluster.withdraw(0, id(DONE)));
-        assertEquals("cancelled", cluster.withdraw(0, id(CANCELLED)));
+        assertEquals("done", cluster.cancel(0, id(DONE)));
+        assertEquals("cancelled", cluster.cancel(0, id(CANCELLED)));
         assertEquals("404", cluster.phase(0, id(3)));
-        assertEquals("404", cluster.withdraw(0, id(3)));
+        assertEquals("404", cluster.cancel(0, id(3)));
         cluster.run(20);
         assertEachTaskStartedOnce(id(DONE), 1);
     }
@@ -54,7 +54,7 @@
     void aJobIsNotMovedWhileATaskOfItMayBeLeft() {
         submit(follower(), FOREVER, job(CANCELLED, 1));
         cluster.run(5);
-        var machine = cluster.holder(id(CANCELLED) + "/0");
+        var machine = cluster.workerRunning(id(CANCELLED) + "/0");
         machine.hang(true);
         cluster.network()
                 .judge(
@@ -65,7 +65,7 @@
         // Nothing proves the task gone while a controller is silent and the cloud deletes nothing.
         cluster.kill(follower());
         int asked = (cluster.leader() + 2) % CONTROLLERS;
-        assertEquals("cancelled", cluster.withdraw(asked, id(CANCELLED)));
+        assertEquals("cancelled", cluster.cancel(asked, id(CANCELLED)));
         cluster.run(2 * UNTIL_MOVED_SECONDS);
         assertNotMoved(CANCELLED);
         deliverAllMessages();
@@ -78,7 +78,7 @@
     void aCancellationToldAfterTheMoveIsNotKept() {
         submit(follower(), FOREVER, job(CANCELLED, 1));
         cluster.holdPeerMessages();
-        assertEquals("cancelled", cluster.withdraw(follower(), id(CANCELLED)));
+        assertEquals("cancelled", cluster.cancel(follower(), id(CANCELLED)));
         cluster.run(2 * UNTIL_MOVED_SECONDS);
         assertMoved(CANCELLED);
         cluster.releasePeerMessages();
@@ -199,9 +199,9 @@
         cluster.run(10);
         waitUntilMoved(DONE);
         assertEquals("503", cluster.phase(lagging, id(DONE)));
-        assertEquals("503", cluster.withdraw(lagging, id(DONE)));
+        assertEquals("503", cluster.cancel(lagging, id(DONE)));
         assertEquals(503, cluster.submit(lagging, job(DONE, 1), 2));
-        cluster.calm().run(10);
+        cluster.endFailures().run(10);
         assertPhaseEverywhere("done", DONE);
     }
 
@@ -219,7 +219,7 @@
                                         : Fate.DELIVER);
         waitUntilMoved(DONE);
         assertEquals(1, gauge(lagging, "jobs"));
-        cluster.state().forgetChanges();
+        cluster.keyValueStore().dropWatchHistory();
         deliverAllMessages();
         cluster.run(30);
         assertEquals(0, gauge(lagging, "jobs"));
@@ -233,7 +233,7 @@
         for (int number = 1; number <= 120; number++) {
             submit(number % CONTROLLERS, 0.5, job(number, 1));
             if (number % 4 == 0) {
-                assertEquals("cancelled", cluster.withdraw(0, submitToCancel(1000 + number)));
+                assertEquals("cancelled", cluster.cancel(0, submitToCancel(1000 + number)));
             }
             cluster.run(2);
             if (number % 20 == 0) {
@@ -247,7 +247,7 @@
             assertEquals(0, gauge(controller, "jobs"));
             assertEquals(0, gauge(controller, "cancellations"));
         }
-        assertEquals(150, cluster.state().keysUnder("ended/").size());
+        assertEquals(150, cluster.keyValueStore().keysUnder("ended/").size());
         assertPhaseEverywhere("done", 1, 60, 119);
         assertPhaseEverywhere("cancelled", 1004, 1120);
     }
--- a/src/test/java/org/springmill/control/simulation/HistoryChainTest.java
+++ b/src/test/java/org/springmill/control/simulation/HistoryChainTest.java
@@ -50,7 +50,7 @@
         submit(follower(), 2, job(DEPENDENT, 1, FIRST, LAST));
         cluster.run(2 * UNTIL_MOVED_SECONDS);
         assertNotMoved(FIRST);
-        assertEquals("cancelled", cluster.withdraw(0, id(LAST)));
+        assertEquals("cancelled", cluster.cancel(0, id(LAST)));
         cluster.run(3 * UNTIL_MOVED_SECONDS);
         assertMoved(FIRST);
         assertMoved(DEPENDENT);
--- a/src/test/java/org/springmill/control/simulation/HistoryFixture.java
+++ b/src/test/java/org/springmill/control/simulation/HistoryFixture.java
@@ -37,7 +37,8 @@
     final void runToEnd(int number) {
         submit(follower(), RUN_SECONDS, job(number, 1));
         runUntilDone(number);
-        assertEquals("done", cluster.state().value("job/" + id(number)).path("end").asText());
+        assertEquals(
+                "done", cluster.keyValueStore().value("job/" + id(number)).path("end").asText());
     }
 
     /** Lets time pass until a job's record says that it is done, or no longer. */
@@ -48,7 +49,7 @@
     }
 
     private boolean isDone(int number) {
-        var record = cluster.state().value("job/" + id(number));
+        var record = cluster.keyValueStore().value("job/" + id(number));
         return record != null && record.path("end").asText().equals("done");
     }
 
@@ -61,7 +62,7 @@
     /** Submits a job, cancels it and waits until its record was moved. */
     final void cancelAndMove(ObjectNode job, int number) {
         submit(follower(), FOREVER, job);
-        assertEquals("cancelled", cluster.withdraw(follower(), id(number)));
+        assertEquals("cancelled", cluster.cancel(follower(), id(number)));
         waitUntilMoved(number);
     }
 
@@ -81,7 +82,7 @@
     }
 
     final boolean isStored(String key) {
-        return cluster.state().value(key) != null;
+        return cluster.keyValueStore().value(key) != null;
     }
 
     /** Every controller answers a repeated submission of an ended job with its final state. */
--- a/src/test/java/org/springmill/control/simulation/HistoryOutageTest.java
+++ b/src/test/java/org/springmill/control/simulation/HistoryOutageTest.java
@@ -28,9 +28,9 @@
     void movesGoOnAfterAnOutage() {
         endJobs();
         cluster.run(RETENTION_SECONDS - 15);
-        cluster.state().setDown(true);
+        cluster.keyValueStore().setDown(true);
         cluster.run(60);
-        cluster.state().setDown(false);
+        cluster.keyValueStore().setDown(false);
         cluster.run(2 * UNTIL_MOVED_SECONDS);
         assertAllMovedAndAnswered();
     }
@@ -40,27 +40,27 @@
         endJobs();
         cluster.run(RETENTION_SECONDS - 15);
         int refused = cluster.leader();
-        cluster.state().refuse(refused, true);
+        cluster.keyValueStore().refuseController(refused, true);
         cluster.run(3 * UNTIL_MOVED_SECONDS);
         assertTrue(cluster.leader() != refused);
         assertAllMovedOnce();
-        cluster.state().refuse(refused, false);
+        cluster.keyValueStore().refuseController(refused, false);
         cluster.run(20);
         assertAllMovedAndAnswered();
     }
 
     private void assertAllMovedOnce() {
-        assertEquals(JOBS, cluster.state().keysUnder("ended/").size());
-        assertEquals(0, cluster.state().keysUnder("job/").size());
+        assertEquals(JOBS, cluster.keyValueStore().keysUnder("ended/").size());
+        assertEquals(0, cluster.keyValueStore().keysUnder("job/").size());
     }
 
     /** Transactions without an answer, carried out seconds later, in the middle of the moves. */
     @Test
     void movesCarriedOutLateLoseNothing() {
         endJobs();
-        cluster.state().delayCommits(0.5);
+        cluster.keyValueStore().delayCommits(0.5);
         cluster.run(2 * UNTIL_MOVED_SECONDS);
-        cluster.calm().run(2 * UNTIL_MOVED_SECONDS);
+        cluster.endFailures().run(2 * UNTIL_MOVED_SECONDS);
         assertAllMovedOnce();
         assertAllMovedAndAnswered();
     }
@@ -85,7 +85,7 @@
     @Test
     void movesKeepToLowerLimits() {
         endJobs();
-        cluster.state().limit(2048, 2);
+        cluster.keyValueStore().limit(2048, 2);
         cluster.run(4 * UNTIL_MOVED_SECONDS);
         assertAllMovedAndAnswered();
     }
--- a/src/test/java/org/springmill/control/simulation/HistoryPropertyTest.java
+++ b/src/test/java/org/springmill/control/simulation/HistoryPropertyTest.java
@@ -99,7 +99,7 @@
             }
             cluster.network().releaseHeld();
             restartAll();
-            cluster.calm().run(30);
+            cluster.endFailures().run(30);
             for (ObjectNode job : jobs) {
                 withdraw(0, idOf(job));
                 cluster.run(0.2);
@@ -107,7 +107,7 @@
             cluster.run(180);
             cluster.network().releaseHeld();
             cluster.run(10);
-            assertEquals(List.of(), cluster.broken());
+            assertEquals(List.of(), cluster.violations());
             assertEquals(List.of(), cluster.startsAfterCancel());
             jobs.forEach(this::assertOneFinalState);
             assertNothingStaysInMemory();
@@ -125,9 +125,9 @@
                 case KILL -> cluster.kill(controller);
                 case LAG -> judge(controller, "/changes?under=job/", Fate.DROP);
                 case HOLD_COMMITS -> judge(controller, "/commit", Fate.HOLD);
-                case DELAY_COMMITS -> cluster.state().delayCommits(0.4);
-                case OUTAGE -> cluster.state().setDown(true);
-                case REFUSE -> cluster.state().refuse(controller, true);
+                case DELAY_COMMITS -> cluster.keyValueStore().delayCommits(0.4);
+                case OUTAGE -> cluster.keyValueStore().setDown(true);
+                case REFUSE -> cluster.keyValueStore().refuseController(controller, true);
                 case HEAL -> heal();
                 case RELEASE -> cluster.network().releaseHeld();
                 case WAIT -> cluster.run(RETENTION_SECONDS);
@@ -146,10 +146,10 @@
 
         private void heal() {
             cluster.network().judge((from, request) -> Fate.DELIVER);
-            cluster.state().delayCommits(0);
-            cluster.state().setDown(false);
+            cluster.keyValueStore().delayCommits(0);
+            cluster.keyValueStore().setDown(false);
             for (int controller = 0; controller < CONTROLLERS; controller++) {
-                cluster.state().refuse(controller, false);
+                cluster.keyValueStore().refuseController(controller, false);
             }
         }
 
@@ -198,7 +198,7 @@
         }
 
         private void withdraw(int controller, String id) {
-            note(id, cluster.withdraw(controller, id));
+            note(id, cluster.cancel(controller, id));
         }
 
         private void query(int controller, String id) {
@@ -232,7 +232,7 @@
                 assertTrue(metrics.contains("springmill_jobs 0."), metrics);
                 assertTrue(metrics.contains("springmill_cancellations 0."), metrics);
             }
-            assertEquals(List.of(), cluster.state().keysUnder("job/"));
+            assertEquals(List.of(), cluster.keyValueStore().keysUnder("job/"));
         }
     }
 }
--- a/src/test/java/org/springmill/control/simulation/ImageHolderPlacementTest.java
+++ b/src/test/java/org/springmill/control/simulation/ImageHolderPlacementTest.java
@@ -16,7 +16,7 @@
         ObjectNode job = SimulatedCluster.job(id, "blue", "service", 1, 1, gpus);
         accept(job.put("yard", "a").put("mould", IMAGE), FOREVER);
         cluster.run(5);
-        return cluster.holder(id + "/0").name();
+        return cluster.workerRunning(id + "/0").name();
     }
 
     /**
@@ -31,7 +31,7 @@
         assertEquals(first, replica("run-000012", 6));
         String second = replica("run-000013", 5);
         assertNotEquals(first, second);
-        assertEquals("cancelled", cluster.withdraw(follower(), "run-000012"));
+        assertEquals("cancelled", cluster.cancel(follower(), "run-000012"));
         cluster.run(5);
         assertEquals(second, replica("run-000014", 1));
     }
--- a/src/test/java/org/springmill/control/simulation/IsolatedLeaderCancellationTest.java
+++ b/src/test/java/org/springmill/control/simulation/IsolatedLeaderCancellationTest.java
@@ -50,12 +50,12 @@
     })
     void cancellationConfirmedByAnotherControllerEndsTasksInTime(
             double partitionSeconds, String crash, boolean othersKept) {
-        cluster.state().refuse(leader, true);
-        cluster.cutPeers(leader, partitionSeconds > 0);
+        cluster.keyValueStore().refuseController(leader, true);
+        cluster.partitionPeers(leader, partitionSeconds > 0);
         cluster.run(1);
         int confirmer = (leader + 1) % 3;
-        assertEquals("cancelled", cluster.withdraw(confirmer, JOB));
-        cluster.state().setDown(true);
+        assertEquals("cancelled", cluster.cancel(confirmer, JOB));
+        cluster.keyValueStore().setDown(true);
         cluster.run(6);
         for (int i = 0; i < 3; i++) {
             if (crash.equals("all")
@@ -66,13 +66,13 @@
         }
         cluster.run(Math.min(partitionSeconds, 40));
         if (partitionSeconds < 40) {
-            cluster.cutPeers(leader, false);
+            cluster.partitionPeers(leader, false);
         }
         cluster.run(46 - Math.min(partitionSeconds, 40));
         assertEquals(0, cluster.running(JOB));
-        cluster.cutPeers(leader, false);
-        cluster.state().refuse(leader, false);
-        cluster.state().setDown(false);
+        cluster.partitionPeers(leader, false);
+        cluster.keyValueStore().refuseController(leader, false);
+        cluster.keyValueStore().setDown(false);
         cluster.run(60);
         assertEquals(4, cluster.running(OTHER));
         if (othersKept) {
@@ -86,20 +86,20 @@
     /** The responses to its questions are bounded in size, so that the news comes in parts. */
     @Test
     void manyCancellationsReachTheReconnectedLeaderInParts() {
-        cluster.state().refuse(leader, true);
-        cluster.cutPeers(leader, true);
+        cluster.keyValueStore().refuseController(leader, true);
+        cluster.partitionPeers(leader, true);
         int other = (leader + 1) % 3;
         for (int i = 0; i < 130; i++) {
             String id = String.format("run-%06d", 1000 + i);
             assertEquals(
                     201,
                     cluster.submit(other, SimulatedCluster.job(id, "red", "sweep", 1, 1, 0), 1));
-            assertEquals("cancelled", cluster.withdraw(other, id));
+            assertEquals("cancelled", cluster.cancel(other, id));
         }
-        assertEquals("cancelled", cluster.withdraw(other, JOB));
-        cluster.state().setDown(true);
+        assertEquals("cancelled", cluster.cancel(other, JOB));
+        cluster.keyValueStore().setDown(true);
         cluster.run(1);
-        cluster.cutPeers(leader, false);
+        cluster.partitionPeers(leader, false);
         cluster.run(4);
         assertEquals(0, cluster.running(JOB));
         cluster.run(50);
@@ -112,13 +112,13 @@
      */
     @Test
     void leaderUnsureOfItsLeaseDeletesAMachineItCannotCommand() {
-        SimWorker victim = cluster.holder(JOB + "/0");
-        cluster.state().setDown(true);
+        SimWorker victim = cluster.workerRunning(JOB + "/0");
+        cluster.keyValueStore().setDown(true);
         cluster.run(5);
-        cluster.state().setDown(false);
-        cluster.state().refuse(leader, true);
-        assertEquals("cancelled", cluster.withdraw((leader + 1) % 3, JOB));
-        cluster.state().setDown(true);
+        cluster.keyValueStore().setDown(false);
+        cluster.keyValueStore().refuseController(leader, true);
+        assertEquals("cancelled", cluster.cancel((leader + 1) % 3, JOB));
+        cluster.keyValueStore().setDown(true);
         cluster.network()
                 .judge(
                         (from, request) ->
--- a/src/test/java/org/springmill/control/simulation/JobChainCancellationTest.java
+++ b/src/test/java/org/springmill/control/simulation/JobChainCancellationTest.java
@@ -28,7 +28,7 @@
         submit(2, 1, job(5, 1, 4));
         submit(2, 1, job(6, 1, 3));
         cluster.run(10);
-        assertEquals("cancelled", cluster.withdraw(follower(), id(2)));
+        assertEquals("cancelled", cluster.cancel(follower(), id(2)));
         if (lost.equals("leader") || lost.equals("all")) {
             for (int node = 0; node < 3; node++) {
                 if (node == cluster.leader() || lost.equals("all")) {
@@ -37,9 +37,9 @@
             }
             cluster.run(3);
         } else if (lost.equals("outage")) {
-            cluster.state().setDown(true);
+            cluster.keyValueStore().setDown(true);
             cluster.run(10);
-            cluster.state().setDown(false);
+            cluster.keyValueStore().setDown(false);
             cluster.run(1);
         }
         assertPhaseEverywhere("cancelled", 2, 4, 5);
@@ -47,15 +47,21 @@
         submit(1, 1, job(7, 1, 5));
         assertPhaseEverywhere("cancelled", 7);
         assertEquals(200, cluster.submit(0, job(5, 1, 4), 1));
-        assertEquals("cancelled", cluster.withdraw(0, id(5)));
+        assertEquals("cancelled", cluster.cancel(0, id(5)));
         cluster.run(30);
         assertPhaseEverywhere("done", 1, 3, 6);
         assertPhaseEverywhere("cancelled", 2, 4, 5, 7);
-        assertEquals("cancelled", cluster.state().value("job/" + id(7)).path("end").asText());
+        assertEquals(
+                "cancelled", cluster.keyValueStore().value("job/" + id(7)).path("end").asText());
         assertEquals(
                 id(5),
-                cluster.state().value("job/" + id(7)).path("job").path("waitsOn").path(0).asText());
-        assertEquals("done", cluster.withdraw(1, id(1)));
+                cluster.keyValueStore()
+                        .value("job/" + id(7))
+                        .path("job")
+                        .path("waitsOn")
+                        .path(0)
+                        .asText());
+        assertEquals("done", cluster.cancel(1, id(1)));
         assertPhaseEverywhere("done", 3);
     }
 
@@ -65,7 +71,7 @@
         for (int i = 2; i < 60; i++) {
             submit(i % 3, 1, job(i, 1, i % 4 == 0 ? 1 : i - 1));
         }
-        assertEquals("cancelled", cluster.withdraw(0, id(1)));
+        assertEquals("cancelled", cluster.cancel(0, id(1)));
         assertPhaseEverywhere("cancelled", 2, 31, 59);
         long before = storedEnds();
         cluster.run(10);
@@ -91,13 +97,13 @@
         cluster.isolate(cut);
         cluster.run(before ? 1 : 25);
         int other = (cut + 1) % 3;
-        assertEquals("cancelled", cluster.withdraw(other, id(before ? 1 : 2)));
+        assertEquals("cancelled", cluster.cancel(other, id(before ? 1 : 2)));
         cluster.polled().run(60);
         assertEquals("cancelled", cluster.phase(other, id(3)));
         // Unless it was told, it cannot know, and says so rather than what it knew.
         String said = cluster.phase(cut, id(3));
         assertTrue(said.equals("503") || said.equals("cancelled"), said);
-        cluster.calm().run(30);
+        cluster.endFailures().run(30);
         assertPhaseEverywhere("cancelled", 2, 3);
     }
 
@@ -113,11 +119,11 @@
         submit(2, 1, job(3, 2, 2));
         cluster.run(8);
         int leader = cluster.leader();
-        cluster.state().refuse(leader, true);
+        cluster.keyValueStore().refuseController(leader, true);
         cluster.run(1);
         int confirmer = (leader + 1) % 3;
-        assertEquals("cancelled", cluster.withdraw(confirmer, id(1)));
-        cluster.state().setDown(true);
+        assertEquals("cancelled", cluster.cancel(confirmer, id(1)));
+        cluster.keyValueStore().setDown(true);
         cluster.run(5);
         if (confirmerDies) {
             cluster.restart(confirmer);
@@ -128,8 +134,8 @@
             String said = cluster.phase(node, id(3));
             assertTrue(said.equals("503") || said.equals("cancelled"), said + " at " + node);
         }
-        cluster.state().refuse(leader, false);
-        cluster.state().setDown(false);
+        cluster.keyValueStore().refuseController(leader, false);
+        cluster.keyValueStore().setDown(false);
         cluster.run(20);
         assertPhaseEverywhere("cancelled", 1, 2, 3);
         assertEquals(0, cluster.starts(id(2) + "/0"));
@@ -179,13 +185,13 @@
                             }
                             return hit ? fate : Fate.DELIVER;
                         });
-        String answer = cluster.withdraw(follower(), id(2));
+        String answer = cluster.cancel(follower(), id(2));
         cluster.run(20);
         assertTrue(seen[0] > which, "only " + seen[0] + " writes");
         restartControllers();
         cluster.run(4);
         for (int i = 0; i < 10 && !answer.equals("cancelled"); i++) {
-            answer = cluster.withdraw(i % 3, id(2));
+            answer = cluster.cancel(i % 3, id(2));
             cluster.run(1);
         }
         assertPhaseEverywhere("cancelled", 2, 3, 8, 9, 20);
@@ -226,7 +232,7 @@
             cluster.run(0.001);
         }
         cluster.run(laterSeconds);
-        String answer = cluster.withdraw(follower(), id(1));
+        String answer = cluster.cancel(follower(), id(1));
         assertTrue(answer.equals("cancelled") || answer.equals("done"), answer);
         deliverAllMessages();
         cluster.network().releaseHeld();
--- a/src/test/java/org/springmill/control/simulation/JobChainEligibilityTest.java
+++ b/src/test/java/org/springmill/control/simulation/JobChainEligibilityTest.java
@@ -37,7 +37,7 @@
         assertEquals(0, cluster.starts(id(2) + "/0"));
         assertEquals(machines, cluster.cloud().machines().size());
         assertPhaseEverywhere("queued", 2);
-        assertEquals("cancelled", cluster.withdraw(1, id(3)));
+        assertEquals("cancelled", cluster.cancel(1, id(3)));
         cluster.run(30);
         assertEquals(15, cluster.running(id(2)));
     }
@@ -76,7 +76,7 @@
             // What its user did, whose answer the invariants have to know.
             cluster.restart(0);
             cluster.run(3);
-            assertEquals("cancelled", cluster.withdraw(0, id(9)));
+            assertEquals("cancelled", cluster.cancel(0, id(9)));
         }
         for (int node = 0; node < 3 && how.equals("rebuild"); node++) {
             cluster.restart(node);
@@ -95,9 +95,9 @@
         submit(0, 9, job(1, 2));
         submit(1, 1, job(2, 2, 1));
         cluster.run(8);
-        SimWorker lost = cluster.holder(id(1) + "/0");
+        SimWorker lost = cluster.workerRunning(id(1) + "/0");
         if (how.equals("taken")) {
-            cluster.cloud().take(lost);
+            cluster.cloud().reclaim(lost);
         } else {
             lost.hang(true);
         }
--- a/src/test/java/org/springmill/control/simulation/JobChainFailoverTest.java
+++ b/src/test/java/org/springmill/control/simulation/JobChainFailoverTest.java
@@ -84,14 +84,14 @@
             submitUntilAccepted(job(first + 2, 4, first), random);
             submitUntilAccepted(job(first + 3, 2, first + 1, first + 2), random);
             if (random.nextInt(3) == 0) {
-                cluster.withdraw(random.nextInt(3), id(first + random.nextInt(4)));
+                cluster.cancel(random.nextInt(3), id(first + random.nextInt(4)));
             }
             cluster.restart(i % 3);
             cluster.run(2 + random.nextInt(4));
         }
         cluster.network().releaseHeld();
         cluster.run(10);
-        cluster.calm().run(150);
+        cluster.endFailures().run(150);
         for (int i = 0; i < 8; i++) {
             for (int step = 1; step <= 4; step++) {
                 String phase = cluster.phase(0, id(10 * i + step));
@@ -124,7 +124,9 @@
             cluster.restart(cluster.leader());
             cluster.run(4);
         }
-        assertEquals(3, cluster.state().keysUnder("round/").stream().filter(this::claims).count());
+        assertEquals(
+                3,
+                cluster.keyValueStore().keysUnder("round/").stream().filter(this::claims).count());
         killControllers();
         cluster.run(2);
         restartControllers();
@@ -139,6 +141,6 @@
 
     /** Whether a round claims tasks of a service. */
     private boolean claims(String round) {
-        return cluster.state().value(round).path("claims").toString().contains("run-00001");
+        return cluster.keyValueStore().value(round).path("claims").toString().contains("run-00001");
     }
 }
--- a/src/test/java/org/springmill/control/simulation/JobChainFixture.java
+++ b/src/test/java/org/springmill/control/simulation/JobChainFixture.java
@@ -85,8 +85,8 @@
 
     /** How many job records hold an end. */
     final long storedEnds() {
-        return cluster.state().keysUnder("job/").stream()
-                .filter(key -> cluster.state().value(key).has("end"))
+        return cluster.keyValueStore().keysUnder("job/").stream()
+                .filter(key -> cluster.keyValueStore().value(key).has("end"))
                 .count();
     }
 
--- a/src/test/java/org/springmill/control/simulation/JobChainRecordGenerationsTest.java
+++ b/src/test/java/org/springmill/control/simulation/JobChainRecordGenerationsTest.java
@@ -48,13 +48,13 @@
         restartControllers();
         cluster.run(30);
         assertPhaseEverywhere("done", 1, 2, 3, 4);
-        assertEquals("cancelled", cluster.withdraw(0, id(5)));
+        assertEquals("cancelled", cluster.cancel(0, id(5)));
         assertPhaseEverywhere("cancelled", 5, 6);
         assertEquals(0, cluster.starts(id(2) + "/1"));
         // What is written of a job without dependencies is what the version before reads.
         submit(0, 1, SimulatedCluster.job(id(8), "red", "sweep", 2, 1, 1));
         assertEquals(
                 JOB_RECORD.formatted("", id(8), ""),
-                cluster.state().value("job/" + id(8)).toString());
+                cluster.keyValueStore().value("job/" + id(8)).toString());
     }
 }
--- a/src/test/java/org/springmill/control/simulation/JobChainSubmissionTest.java
+++ b/src/test/java/org/springmill/control/simulation/JobChainSubmissionTest.java
@@ -100,7 +100,11 @@
         submit(1, 3, job(2, 1, 1, 1));
         assertEquals(
                 "[\"run-000001\"]",
-                cluster.state().value("job/" + id(2)).path("job").path("waitsOn").toString());
+                cluster.keyValueStore()
+                        .value("job/" + id(2))
+                        .path("job")
+                        .path("waitsOn")
+                        .toString());
         cluster.run(15);
         assertPhaseEverywhere("done", 1, 2);
     }
@@ -119,7 +123,7 @@
             cluster.run(state.equals("done") ? 15 : 5);
         }
         if (state.equals("cancelled")) {
-            cluster.withdraw(1, id(1));
+            cluster.cancel(1, id(1));
         }
         assertPhaseEverywhere(state, 1);
         submit(2, 1, job(2, 1, 1));
--- a/src/test/java/org/springmill/control/simulation/KeyValueStoreLimitsTest.java
+++ b/src/test/java/org/springmill/control/simulation/KeyValueStoreLimitsTest.java
@@ -21,7 +21,7 @@
 
     @AfterEach
     void noRuleIsBroken() {
-        assertEquals(List.of(), cluster.broken());
+        assertEquals(List.of(), cluster.violations());
     }
 
     private static String id(int number) {
@@ -42,8 +42,8 @@
     }
 
     private long largest() {
-        return cluster.state().keysUnder("round/").stream()
-                .mapToLong(key -> cluster.state().value(key).toString().length())
+        return cluster.keyValueStore().keysUnder("round/").stream()
+                .mapToLong(key -> cluster.keyValueStore().value(key).toString().length())
                 .max()
                 .orElse(0);
     }
@@ -61,13 +61,13 @@
             cluster.restart(node);
             cluster.run(12);
         }
-        cluster.state().limit(2048, 4);
+        cluster.keyValueStore().limit(2048, 4);
         for (int i = 20; i < 60; i++) {
             assertEquals(201, cluster.submit(i % 3, job(i, "sweep", 20), 1));
             cluster.run(2);
         }
         cluster.run(20);
-        assertEquals(0, cluster.state().tooLarge());
+        assertEquals(0, cluster.keyValueStore().oversizedCommits());
         assertTrue(largest() <= 2048, "largest " + largest());
         for (int i = 20; i < 60; i++) {
             assertEquals("done", cluster.phase(i % 3, id(i)));
@@ -101,7 +101,7 @@
     void aRefusalForSizeEndsNoTermAndIsNotRepeated(Fate fate, int later) {
         cluster.machines("large", "a", 4).machines("large", "b", 4).run(6);
         int leader = cluster.leader();
-        String term = cluster.state().value("leader").toString();
+        String term = cluster.keyValueStore().value("leader").toString();
         int[] seen = new int[1];
         cluster.network()
                 .judge(
@@ -111,11 +111,12 @@
                                             && new String(request.body(), StandardCharsets.UTF_8)
                                                     .contains("\"claims\":[[\"" + id(1));
                             if (round && seen[0]++ == later) {
-                                cluster.clock().after(0.001, () -> cluster.state().limit(2048, 3));
+                                cluster.clock()
+                                        .after(0.001, () -> cluster.keyValueStore().limit(2048, 3));
                                 return fate;
                             }
                             if (round && later == 1 && seen[0] == 1) {
-                                cluster.state().limit(2048, 3);
+                                cluster.keyValueStore().limit(2048, 3);
                             }
                             return Fate.DELIVER;
                         });
@@ -123,8 +124,10 @@
         cluster.run(10);
         cluster.network().releaseHeld();
         cluster.run(20);
-        assertEquals(term, cluster.state().value("leader").toString());
-        assertTrue(cluster.state().tooLarge() < 8, "refused " + cluster.state().tooLarge());
+        assertEquals(term, cluster.keyValueStore().value("leader").toString());
+        assertTrue(
+                cluster.keyValueStore().oversizedCommits() < 8,
+                "refused " + cluster.keyValueStore().oversizedCommits());
         cluster.restart(leader);
         cluster.run(20);
         assertEquals(90, cluster.running(id(1)));
@@ -162,7 +165,8 @@
                                         default -> body.contains("\"write\":\"round/");
                                     };
                             if (hit && seen[0]++ == 0) {
-                                cluster.clock().after(0.001, () -> cluster.state().limit(2048, 4));
+                                cluster.clock()
+                                        .after(0.001, () -> cluster.keyValueStore().limit(2048, 4));
                                 return fate;
                             }
                             return Fate.DELIVER;
@@ -181,7 +185,9 @@
         for (int i = 20; i < 60; i++) {
             assertEquals("done", cluster.phase(i % 3, id(i)));
         }
-        assertTrue(cluster.state().tooLarge() < 12, "refused " + cluster.state().tooLarge());
+        assertTrue(
+                cluster.keyValueStore().oversizedCommits() < 12,
+                "refused " + cluster.keyValueStore().oversizedCommits());
         cluster.restart(cluster.leader());
         cluster.run(20);
         for (int i = 1; i <= 12; i++) {
@@ -207,9 +213,9 @@
             dependent.putArray("waitsOn").add(id(i % 4 == 0 ? 1 : i - 1));
             assertEquals(201, cluster.submit(i % 3, dependent, 1));
         }
-        assertEquals("cancelled", cluster.withdraw(1, id(1)));
+        assertEquals("cancelled", cluster.cancel(1, id(1)));
         cluster.run(4);
-        cluster.state().limit(2048, 4);
+        cluster.keyValueStore().limit(2048, 4);
         if (leaderChanges) {
             cluster.restart(cluster.leader());
         }
@@ -225,14 +231,16 @@
         for (int i = 1; i <= 40; i++) {
             assertEquals("cancelled", cluster.phase(i % 3, id(i)));
         }
-        assertTrue(cluster.state().tooLarge() < 8, "refused " + cluster.state().tooLarge());
+        assertTrue(
+                cluster.keyValueStore().oversizedCommits() < 8,
+                "refused " + cluster.keyValueStore().oversizedCommits());
     }
 
     /** A job whose record the service finds too large: told so once, not put off for ever. */
     @Test
     void aRecordThatIsFoundTooLargeIsRefused() {
         cluster.machines("large", "a", 2).run(6);
-        cluster.state().limit(1024, 4);
+        cluster.keyValueStore().limit(1024, 4);
         ObjectNode job = job(1, "sweep", 1);
         for (int i = 0; i < 150; i++) {
             job.withArray("frames").add("type-" + i);
--- a/src/test/java/org/springmill/control/simulation/KeyValueStoreOutageTest.java
+++ b/src/test/java/org/springmill/control/simulation/KeyValueStoreOutageTest.java
@@ -21,9 +21,9 @@
         submitService(0, JOB, "red", 4, 1);
         cluster.run(8);
         int isolated = cluster.leader();
-        cluster.state().setDown(true);
+        cluster.keyValueStore().setDown(true);
         cluster.run(3);
-        cluster.cutPeers(isolated, true);
+        cluster.partitionPeers(isolated, true);
         cluster.network()
                 .judge(
                         (from, request) ->
@@ -31,9 +31,9 @@
                                         ? Fate.DROP
                                         : Fate.DELIVER);
         cluster.run(partitionSeconds);
-        cluster.state().setDown(false);
+        cluster.keyValueStore().setDown(false);
         cluster.run(5);
-        cluster.cutPeers(isolated, false);
+        cluster.partitionPeers(isolated, false);
         deliverAllMessages();
         cluster.run(30);
         assertEquals(4, cluster.running(JOB));
@@ -53,7 +53,7 @@
                                         ? Fate.REFUSE
                                         : Fate.DELIVER);
         cluster.run(5);
-        SimWorker hung = cluster.holder(FIRST_TASK);
+        SimWorker hung = cluster.workerRunning(FIRST_TASK);
         hung.hang(true);
         cluster.run(25);
         // The cloud refuses all deletions, so silence alone proved that the task was gone.
@@ -66,8 +66,8 @@
         submitService(0, JOB, "red", 4, 1);
         cluster.run(8);
         int leader = cluster.leader();
-        cluster.cutPeers((leader + 1) % 3, true);
-        cluster.state().setDown(true);
+        cluster.partitionPeers((leader + 1) % 3, true);
+        cluster.keyValueStore().setDown(true);
         if (!otherRuns) {
             cluster.restart((leader + 2) % 3);
         }
@@ -75,7 +75,7 @@
         // If the restarted controller cannot confirm the leader, the isolated one renews the
         // leases of the workers.
         assertEquals(4, cluster.running(JOB));
-        cluster.state().setDown(false);
+        cluster.keyValueStore().setDown(false);
         cluster.run(20);
         assertEquals(4, cluster.running(JOB));
     }
@@ -86,7 +86,7 @@
         submitService(0, JOB, "red", 4, 1);
         cluster.run(8);
         int leader = cluster.leader();
-        cluster.state().setDown(true);
+        cluster.keyValueStore().setDown(true);
         cluster.run(5);
         for (int i = 0; i < 3; i++) {
             if (killed.equals("all") || (killed.equals("leader") && i == leader)) {
@@ -95,7 +95,7 @@
         }
         cluster.run(durationSeconds - 5);
         assertEquals("503", cluster.phase(0, JOB).replace("running", "503"));
-        cluster.state().setDown(false);
+        cluster.keyValueStore().setDown(false);
         cluster.run(15);
         assertEquals(4, cluster.running(JOB));
         assertEachTaskStartedOnce(JOB, 4);
@@ -115,7 +115,7 @@
             boolean cancelled, double durationSeconds, int replicasLeft) {
         submitService(0, JOB, "red", 1, 1);
         cluster.run(8);
-        SimWorker holder = cluster.holder(FIRST_TASK);
+        SimWorker holder = cluster.workerRunning(FIRST_TASK);
         int isolated = cluster.leader();
         if (cancelled) {
             cluster.filterPeers();
@@ -125,17 +125,17 @@
                                     fromController(from, isolated) && toStateService(request)
                                             ? Fate.REFUSE
                                             : Fate.DELIVER);
-            assertEquals("cancelled", cluster.withdraw((isolated + 1) % 3, JOB));
+            assertEquals("cancelled", cluster.cancel((isolated + 1) % 3, JOB));
         }
         for (int i = 0; i < 3; i++) {
             if (i != isolated) {
                 cluster.kill(i);
             }
         }
-        cluster.state().setDown(true);
+        cluster.keyValueStore().setDown(true);
         cluster.run(durationSeconds);
         // A later leader takes no silence for proof before it has contact to this controller.
-        assertEquals(replicasLeft == 1, holder.session() == 1);
+        assertEquals(replicasLeft == 1, holder.epoch() == 1);
         assertEquals(replicasLeft, holder.running());
     }
 }
