--- a/src/test/java/org/springmill/control/simulation/LargeFleetTest.java
+++ b/src/test/java/org/springmill/control/simulation/LargeFleetTest.java
@@ -32,7 +32,7 @@
         submitServices(jobs);
         cluster.run(20);
         assertEquals(jobs * REPLICAS, running(jobs));
-        int rounds = cluster.state().keysUnder("round/").size();
+        int rounds = cluster.keyValueStore().keysUnder("round/").size();
         assertTrue(rounds <= 2 * jobs, rounds + " keys of rounds for " + jobs + " jobs");
 
         idleFleetCausesHardlyAnyRequest(machines);
@@ -121,7 +121,7 @@
                         .machines("large", "a", machines / 2)
                         .machines("large", "b", machines / 2)
                         .run(6);
-        cluster.cloud().runOut();
+        cluster.cloud().exhaustCapacity();
         cluster.network()
                 .judge(
                         (from, request) -> {
--- a/src/test/java/org/springmill/control/simulation/LeaderFailoverTest.java
+++ b/src/test/java/org/springmill/control/simulation/LeaderFailoverTest.java
@@ -113,8 +113,8 @@
         cluster.kill(cluster.leader());
         cluster.run(120);
         assertTrue(
-                cluster.state().keysUnder("round/").size() < 60,
-                "keys of rounds: " + cluster.state().keysUnder("round/").size());
+                cluster.keyValueStore().keysUnder("round/").size() < 60,
+                "keys of rounds: " + cluster.keyValueStore().keysUnder("round/").size());
         cluster.run(100);
         assertEquals("done", cluster.phase(follower(), JOB));
     }
--- a/src/test/java/org/springmill/control/simulation/NetworkPartitionTest.java
+++ b/src/test/java/org/springmill/control/simulation/NetworkPartitionTest.java
@@ -32,7 +32,7 @@
         cluster.run(8);
         assertEquals(4, cluster.running(JOB));
         int isolated = cluster.leader();
-        cluster.cutPeers(isolated, lostConnections.contains("peers"));
+        cluster.partitionPeers(isolated, lostConnections.contains("peers"));
         cluster.network()
                 .judge(
                         (from, request) ->
@@ -41,7 +41,7 @@
                                         : Fate.DELIVER);
         cluster.run(durationSeconds);
         deliverAllMessages();
-        cluster.cutPeers(isolated, false);
+        cluster.partitionPeers(isolated, false);
         cluster.run(40);
         assertEquals(4, cluster.running(JOB));
     }
@@ -82,7 +82,7 @@
         submitService(0, JOB, "red", 4, 1);
         cluster.run(8);
         int isolated = cluster.leader();
-        cluster.cutPeers(isolated, true);
+        cluster.partitionPeers(isolated, true);
         // The other controllers see an outage and, without a leader, renew the leases of the
         // workers; the leader sees only silent workers.
         cluster.network()
@@ -94,7 +94,7 @@
                             return othersState ? Fate.REFUSE : workers ? Fate.DROP : Fate.DELIVER;
                         });
         cluster.run(60);
-        cluster.cutPeers(isolated, false);
+        cluster.partitionPeers(isolated, false);
         deliverAllMessages();
         cluster.run(60);
         assertEquals(4, cluster.running(JOB));
@@ -121,8 +121,8 @@
         submitService(0, JOB, "red", 2, 1);
         cluster.run(8);
         int isolated = cluster.leader();
-        SimWorker follows = cluster.holder(FIRST_TASK);
-        cluster.cutPeers(isolated, true);
+        SimWorker follows = cluster.workerRunning(FIRST_TASK);
+        cluster.partitionPeers(isolated, true);
         // One machine exchanges messages with the old leader only.
         cluster.network()
                 .judge(
@@ -139,7 +139,7 @@
         cluster.run(15);
         assertNotEquals(isolated, cluster.leader());
         // A cancellation through another controller has to take effect in time there, too.
-        assertEquals("cancelled", cluster.withdraw((isolated + 1) % 3, JOB));
+        assertEquals("cancelled", cluster.cancel((isolated + 1) % 3, JOB));
         cluster.run(50);
         assertEquals(0, cluster.running(JOB));
     }
@@ -149,7 +149,7 @@
         submitService(0, JOB, "red", 4, 1);
         cluster.run(8);
         int isolated = cluster.leader();
-        cluster.cutPeers(isolated, true);
+        cluster.partitionPeers(isolated, true);
         cluster.network()
                 .judge(
                         (from, request) ->
@@ -158,7 +158,7 @@
                                         : Fate.DELIVER);
         cluster.run(30);
         assertNotEquals(isolated, cluster.leader());
-        assertEquals("cancelled", cluster.withdraw(cluster.leader(), JOB));
+        assertEquals("cancelled", cluster.cancel(cluster.leader(), JOB));
         cluster.run(4);
         assertEquals(0, cluster.running(JOB), "the new leader reaches the workers");
     }
--- a/src/test/java/org/springmill/control/simulation/OverdueBootTest.java
+++ b/src/test/java/org/springmill/control/simulation/OverdueBootTest.java
@@ -97,7 +97,7 @@
         assertEquals(3, cluster.running(JOB));
 
         cluster.cloud().setBootSeconds("a", BOOT_SECONDS);
-        cluster.cloud().runOut("b");
+        cluster.cloud().exhaustCapacity("b");
         acceptService(OTHER, "blue", 1, GPUS);
         cluster.run(3 * BOOT_SECONDS);
         assertEquals(1, cluster.running(OTHER), "it is used again once machines come up there");
@@ -107,7 +107,7 @@
     @Test
     void machinesThatComeUpAtOnceAreUsedAtOnce() {
         setBootSeconds(BOOT_SECONDS / 20);
-        cluster.cloud().stopLists();
+        cluster.cloud().freezeMachineList();
         acceptService(JOB, "blue", 3, GPUS);
         cluster.run(8);
         assertEquals(3, cluster.running(JOB));
--- a/src/test/java/org/springmill/control/simulation/ResourceLimitTest.java
+++ b/src/test/java/org/springmill/control/simulation/ResourceLimitTest.java
@@ -33,15 +33,15 @@
 
     @Test
     void taskGroupStartsOnlyAsAWholeAndRestartsAsAWhole() {
-        cluster.cloud().runOut();
+        cluster.cloud().exhaustCapacity();
         submitService(0, OTHER, "blue", 3, 8);
         cluster.submit(0, SimulatedCluster.job(JOB, "blue", "group", 4, 1, 4), 20);
         cluster.run(10);
         assertEquals(0, cluster.running(JOB), "there is room for two of four");
-        cluster.withdraw(0, OTHER);
+        cluster.cancel(0, OTHER);
         cluster.run(8);
         assertEquals(4, cluster.running(JOB));
-        cluster.holder(FIRST_TASK).notice(30);
+        cluster.workerRunning(FIRST_TASK).givePreemptionNotice(30);
         cluster.run(12);
         assertEquals(4, cluster.running(JOB));
         for (int i = 0; i < 4; i++) {
@@ -53,7 +53,7 @@
 
     @Test
     void smallReplicasLeaveRoomForLargeOnes() {
-        cluster.cloud().runOut();
+        cluster.cloud().exhaustCapacity();
         submitService(0, JOB, "blue", 1, 8);
         cluster.run(4);
         for (int i = 0; i < 6; i++) {
@@ -75,7 +75,7 @@
     })
     void guaranteeIsMetOnceAndOnlyFromUsageAboveAGuarantee(
             String running, String claiming, int claimantsRunning, int othersRunning) {
-        cluster.cloud().runOut();
+        cluster.cloud().exhaustCapacity();
         var first = SimulatedCluster.job(JOB, "blue", "service", 32, 1, 1);
         cluster.submit(0, first.put("urgency", running), FOREVER);
         cluster.run(8);
@@ -94,7 +94,7 @@
     @Test
     void jobHeldBackByItsTeamLimitPreemptsNothing() {
         cluster = new SimulatedCluster().machines("large", "a", 4).run(6);
-        cluster.cloud().runOut();
+        cluster.cloud().exhaustCapacity();
         submitService(0, JOB, "blue", 32, 1);
         cluster.run(8);
         var elsewhere = SimulatedCluster.job(OTHER, "red", "service", 16, 1, 1);
--- a/src/test/java/org/springmill/control/simulation/TeamWithoutGuaranteeTest.java
+++ b/src/test/java/org/springmill/control/simulation/TeamWithoutGuaranteeTest.java
@@ -18,7 +18,7 @@
 
     private void startFullCluster() {
         startCluster(4);
-        cluster.cloud().runOut();
+        cluster.cloud().exhaustCapacity();
     }
 
     private static ObjectNode lowArray(String id, String team, int tasks) {
--- a/src/test/java/org/springmill/control/simulation/UnguaranteedWorkTest.java
+++ b/src/test/java/org/springmill/control/simulation/UnguaranteedWorkTest.java
@@ -50,7 +50,7 @@
     /** A guest uses what others leave over, and makes way at once for what they are owed. */
     @Test
     void guestUsesWhatIsLeftOverAndMakesWay() {
-        cluster.cloud().runOut();
+        cluster.cloud().exhaustCapacity();
         acceptService(JOB, "blue", 4, 4);
         cluster.run(5);
         accept(guestArray(OTHER, 2000, 60), 60);
--- a/src/test/java/org/springmill/control/simulation/WaitingJobTest.java
+++ b/src/test/java/org/springmill/control/simulation/WaitingJobTest.java
@@ -22,7 +22,7 @@
 
     @AfterEach
     void noRuleIsBroken() {
-        assertEquals(List.of(), cluster.broken());
+        assertEquals(List.of(), cluster.violations());
     }
 
     private void submit(double runSeconds, ObjectNode job) {
@@ -53,7 +53,7 @@
     void placeCountsFromTheLastEndAndDeadlineFromSubmission(
             double firstDueSeconds, double secondDueSeconds, String winner) {
         cluster.machines("large", "a", 1).run(6);
-        cluster.cloud().runOut();
+        cluster.cloud().exhaustCapacity();
         submit(50, small(SLOW));
         submit(1, small(QUICK));
         submit(1e9, whole(ACCEPTED_FIRST, SLOW, firstDueSeconds));
--- a/src/test/java/org/springmill/control/simulation/WorkerLeaseTest.java
+++ b/src/test/java/org/springmill/control/simulation/WorkerLeaseTest.java
@@ -35,7 +35,7 @@
     void replicasOfASilentMachineAreReplacedBeforeItsLeaseEnds() {
         submitService(0, JOB, "red", 1, 1);
         cluster.run(8);
-        cluster.holder(FIRST_TASK).hang(true);
+        cluster.workerRunning(FIRST_TASK).hang(true);
         cluster.run(11);
         assertEquals(2, cluster.starts(FIRST_TASK));
     }
--- a/src/test/java/org/springmill/control/simulation/ZonePartitionTest.java
+++ b/src/test/java/org/springmill/control/simulation/ZonePartitionTest.java
@@ -28,7 +28,7 @@
         }
         hosts.add("n-" + controllerInside);
         hosts.add("10.0.0." + controllerInside + ":8080");
-        cluster.cutPeers(controllerInside, true);
+        cluster.partitionPeers(controllerInside, true);
         cluster.network()
                 .judge(
                         (from, request) ->
@@ -58,18 +58,18 @@
         int before = cluster.cloud().machines().size();
         int controllerInside = leaderInside ? cluster.leader() : follower();
         partitionZone("b", controllerInside);
-        cluster.state().setDown(outage);
+        cluster.keyValueStore().setDown(outage);
         cluster.run(15);
         if (restarts) {
             for (int i = 0; i < 3; i++) {
                 cluster.restart(i);
             }
         }
-        cluster.state().setDown(false);
+        cluster.keyValueStore().setDown(false);
         cluster.run(45);
         assertEquals(4, cluster.running(JOB));
         deliverAllMessages();
-        cluster.cutPeers(controllerInside, false);
+        cluster.partitionPeers(controllerInside, false);
         cluster.run(30);
         assertEquals(4, cluster.running(JOB));
         assertEquals(before, cluster.cloud().machines().size(), "no machine was returned");
@@ -106,7 +106,7 @@
                                                 || addresses.contains(request.address())
                                         ? Fate.DROP
                                         : Fate.DELIVER);
-        cluster.cutPeers(controllerInside, false);
+        cluster.partitionPeers(controllerInside, false);
         cluster.run(4);
         deliverAllMessages();
         cluster.run(30);
@@ -126,7 +126,7 @@
         for (int partition = 0; partition < 2; partition++) {
             // Its workers first try the controllers that they cannot reach: by then the one inside
             // knows that it is isolated.
-            cluster.cutPeers(controllerInside, true);
+            cluster.partitionPeers(controllerInside, true);
             cluster.network()
                     .judge(
                             (from, request) ->
@@ -137,7 +137,7 @@
             partitionZone("b", controllerInside);
             cluster.run(26);
             deliverAllMessages();
-            cluster.cutPeers(controllerInside, false);
+            cluster.partitionPeers(controllerInside, false);
             cluster.run(10);
             assertEquals(
                     201,
@@ -171,12 +171,12 @@
         partitionZone("b", controllerInside);
         cluster.run(5);
         int first = cluster.leader();
-        assertEquals("cancelled", cluster.withdraw(first, JOB));
+        assertEquals("cancelled", cluster.cancel(first, JOB));
         cluster.run(restartAfterSeconds);
         cluster.restart(first);
         cluster.run(partitionSeconds - restartAfterSeconds);
         deliverAllMessages();
-        cluster.cutPeers(controllerInside, false);
+        cluster.partitionPeers(controllerInside, false);
         cluster.run(20);
         assertEquals(0, cluster.running(JOB));
         assertEquals(4, cluster.running(OTHER));
--- a/src/test/java/org/springmill/control/storage/JobRecordTest.java
+++ b/src/test/java/org/springmill/control/storage/JobRecordTest.java
@@ -98,7 +98,7 @@
             types.append(",\"type-").append(i).append('"');
         }
         JobRecord job = read(FIRST.replace("\"g8\"", types));
-        assertTrue(job.mostBytes(17.5) > 2048);
+        assertTrue(job.maxBytes(17.5) > 2048);
         String ended =
                 new String(
                         Json.bytes(job.ended(JobPhase.DONE, 17.5).encode(2048)),
--- a/src/test/java/org/springmill/control/storage/RecordGenerationsTest.java
+++ b/src/test/java/org/springmill/control/storage/RecordGenerationsTest.java
@@ -11,8 +11,8 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
-import org.springmill.control.storage.RoundLog.End;
-import org.springmill.control.storage.RoundLog.Rebuilt;
+import org.springmill.control.storage.RoundLog.ClaimEnd;
+import org.springmill.control.storage.RoundLog.RecoveredRounds;
 import org.springmill.protocol.Json;
 import org.springmill.protocol.KeyValueStoreMessages.Condition;
 import org.springmill.protocol.MalformedMessageException;
@@ -187,14 +187,16 @@
         RoundLog log = rounds(List.of(), written);
         Claim carried = Claim.decide(new TaskId("run-000412", 3), "host-000007", 7);
         Claim decided = Claim.decide(new TaskId("run-000413", 0), "host-000231", 1);
-        List<End> some = new ArrayList<>();
+        List<ClaimEnd> some = new ArrayList<>();
         for (int task : new int[] {0, 1, 2, 3, 17}) {
-            some.add(new End(Claim.decide(new TaskId("run-000412", task), "host-000007", 2), true));
+            some.add(
+                    new ClaimEnd(
+                            Claim.decide(new TaskId("run-000412", task), "host-000007", 2), true));
         }
         log.append(List.of(carried, decided), List.of(), List.of(), () -> {}, () -> {});
         log.append(
                 List.of(),
-                List.of(new End(carried, true), new End(decided, false)),
+                List.of(new ClaimEnd(carried, true), new ClaimEnd(decided, false)),
                 List.of(),
                 () -> {},
                 () -> {});
@@ -205,34 +207,35 @@
     @Test
     void marksInAWindowKeepTheirBytes() {
         List<String> written = new ArrayList<>();
-        List<End> ends = new ArrayList<>();
+        List<ClaimEnd> ends = new ArrayList<>();
         for (int task = 16384; task < 16584; task += 2) {
             ends.add(
-                    new End(
+                    new ClaimEnd(
                             new Claim("k", new TaskId("run-000412", task), "host-000007", 3),
                             true));
         }
-        ends.add(new End(new Claim("k", new TaskId("run-000412", 5), "host-000007", 3), true));
+        ends.add(new ClaimEnd(new Claim("k", new TaskId("run-000412", 5), "host-000007", 3), true));
         rounds(List.of(), written).append(List.of(), ends, List.of(), () -> {}, () -> {});
         String marks = written.get(0).substring(written.get(0).indexOf("\"done\""));
         assertEquals(MARKS + "}}]}", marks);
     }
 
-    private static Rebuilt readBack(List<String> values) {
-        Rebuilt[] found = new Rebuilt[1];
+    private static RecoveredRounds readBack(List<String> values) {
+        RecoveredRounds[] found = new RecoveredRounds[1];
         rounds(values, new ArrayList<>()).load(rebuilt -> found[0] = rebuilt);
         return found[0];
     }
 
     @Test
     void roundsOfEachVersionAreRead() {
-        Rebuilt first = readBack(List.of(CARRIED_AND_NEW));
+        RecoveredRounds first = readBack(List.of(CARRIED_AND_NEW));
         assertEquals(
                 List.of(
                         Claim.decide(new TaskId("run-000412", 3), "host-000007", 7),
                         Claim.decide(new TaskId("run-000413", 0), "host-000231", 1)),
                 List.copyOf(first.live()));
-        Rebuilt all = readBack(List.of(CARRIED_AND_NEW, ENDED, RANGES, "{\"v\":1," + MARKS + "}"));
+        RecoveredRounds all =
+                readBack(List.of(CARRIED_AND_NEW, ENDED, RANGES, "{\"v\":1," + MARKS + "}"));
         assertEquals(List.of(), List.copyOf(all.live()));
         BitSet done = new BitSet();
         done.set(0, 4);
--- a/src/test/java/org/springmill/control/storage/RoundRecordBytesTest.java
+++ b/src/test/java/org/springmill/control/storage/RoundRecordBytesTest.java
@@ -78,7 +78,7 @@
         return new Reply(200, "{\"ledgerRev\":432}".getBytes(StandardCharsets.UTF_8));
     }
 
-    private void append(RoundLog log, List<Claim> claims, List<RoundLog.End> ends) {
+    private void append(RoundLog log, List<Claim> claims, List<RoundLog.ClaimEnd> ends) {
         int[] committed = new int[1];
         log.append(
                 claims,
@@ -105,7 +105,9 @@
         append(
                 log,
                 List.of(claim("run-000412", 4, "host-000231", 2)),
-                List.of(new RoundLog.End(completed, true), new RoundLog.End(gone, false)));
+                List.of(
+                        new RoundLog.ClaimEnd(completed, true),
+                        new RoundLog.ClaimEnd(gone, false)));
         assertEquals(
                 List.of(
                         "{\"when\":[{\"key\":\"leader\",\"stamp\":7},{\"key\":\"round/000000000000001.00\",\"stamp\":0}],\"writes\":["
@@ -153,11 +155,13 @@
         append(
                 log,
                 List.of(),
-                List.of(new RoundLog.End(ending, true), new RoundLog.End(ofEndedJob, true)));
+                List.of(
+                        new RoundLog.ClaimEnd(ending, true),
+                        new RoundLog.ClaimEnd(ofEndedJob, true)));
         Claim next = claim("run-000412", 2, "host-000232", 3);
         append(log, List.of(next), List.of());
         while (transactions.size() < 2 * writesPerCommit) {
-            append(log, List.of(), List.of(new RoundLog.End(next, false)));
+            append(log, List.of(), List.of(new RoundLog.ClaimEnd(next, false)));
         }
         transactions.clear();
         append(log, List.of(claim("run-000412", 5, "host-000232", 7)), List.of());
@@ -192,7 +196,7 @@
                         + "\"done\":[[\"run-000412\",\"@256:BQ\"]]}}"
                         + "],\"truncated\":false,\"ledgerRev\":431}";
         RoundLog log = roundLog(LARGE_VALUE_BYTES, 12);
-        List<RoundLog.Rebuilt> rebuilt = new ArrayList<>();
+        List<RoundLog.RecoveredRounds> rebuilt = new ArrayList<>();
         log.load(rebuilt::add);
         clock.run(10);
         assertEquals(1, rebuilt.size());
@@ -202,8 +206,8 @@
                         new Claim("k2", new TaskId("run-000398", 0), "host-000232", 1)),
                 Set.copyOf(rebuilt.get(0).live()));
         assertEquals(Map.of("run-000412", set(0, 1, 3, 256, 258)), rebuilt.get(0).done());
-        assertEquals(6, log.next());
-        assertEquals(4, log.kept());
+        assertEquals(6, log.nextNumber());
+        assertEquals(4, log.storedValueCount());
     }
 
     @Test
--- a/src/test/java/org/springmill/measure/HistoryMeasurement.java
+++ b/src/test/java/org/springmill/measure/HistoryMeasurement.java
@@ -139,8 +139,8 @@
             for (int i = from; i < Math.min(jobs, from + BATCH); i++) {
                 writes.add(write(i, moved));
             }
-            byte[] body = KeyValueStoreMessages.commit(List.of(), writes);
-            store.handle("", "POST", KeyValueStoreMessages.COMMIT, body, reply -> {});
+            byte[] body = KeyValueStoreMessages.encodeTransaction(List.of(), writes);
+            store.handle("", "POST", KeyValueStoreMessages.COMMIT_PATH, body, reply -> {});
         }
     }
 
--- a/src/test/java/org/springmill/protocol/SubmissionTest.java
+++ b/src/test/java/org/springmill/protocol/SubmissionTest.java
@@ -79,7 +79,7 @@
                 parse(
                                 GOOD.replace("\"sacks\":16", "\"sacks\":" + tasks)
                                         .replace("\"apart\":false", "\"apart\":true"))
-                        .perZone());
+                        .maxTasksPerZone());
     }
 
     private static String withDependencies(String names) {
--- a/src/test/java/org/springmill/sim/BorrowingChecker.java
+++ b/src/test/java/org/springmill/sim/BorrowingChecker.java
@@ -66,7 +66,7 @@
     /** Begins to watch a cluster. */
     public BorrowingChecker(SimulatedCluster cluster) {
         this.cluster = cluster;
-        cluster.state().onCommit(this::committed);
+        cluster.keyValueStore().onCommit(this::committed);
         watch();
     }
 
@@ -128,8 +128,8 @@
 
     private List<JsonNode> records() {
         List<JsonNode> records = new ArrayList<>();
-        for (String key : cluster.state().keysUnder(PREFIX)) {
-            cluster.state().value(key).path("recalls").forEach(records::add);
+        for (String key : cluster.keyValueStore().keysUnder(PREFIX)) {
+            cluster.keyValueStore().value(key).path("recalls").forEach(records::add);
         }
         return records;
     }
--- a/src/test/java/org/springmill/sim/InvariantChecker.java
+++ b/src/test/java/org/springmill/sim/InvariantChecker.java
@@ -35,7 +35,7 @@
         progress = new ProgressChecker(cloud, jobs, placement, violations);
     }
 
-    List<String> broken() {
+    List<String> violationsFound() {
         return violations.list();
     }
 
@@ -57,7 +57,7 @@
     }
 
     /** Accepted jobs that are not over and have tasks that are neither done nor on a machine. */
-    List<String> unserved() {
+    List<String> unservedJobs() {
         return jobs.unfinished(clock.now()).stream()
                 .filter(progress::hasPendingTask)
                 .map(JobHistory::id)
@@ -65,7 +65,7 @@
     }
 
     /** Jobs that users may still ask about: accepted and, as far as they know, not over. */
-    List<String> unfinished() {
+    List<String> unfinishedJobs() {
         return jobs.unfinished(clock.now()).stream().map(JobHistory::id).toList();
     }
 
--- a/src/test/java/org/springmill/sim/InvariantCheckerTest.java
+++ b/src/test/java/org/springmill/sim/InvariantCheckerTest.java
@@ -67,13 +67,14 @@
     private void start(String task, SimWorker machine) {
         String command =
                 "{\"baton\":1,\"shift\":%d,\"orders\":[{\"verb\":\"start\",\"sack\":\"%s\",\"try\":1}]}";
-        machine.orders(command.formatted(machine.session(), task).getBytes(StandardCharsets.UTF_8));
+        machine.executeCommands(
+                command.formatted(machine.epoch(), task).getBytes(StandardCharsets.UTF_8));
         cluster.run(1.5);
     }
 
     private void assertBroken(Rule... rules) {
         Set<String> broken =
-                invariants.broken().stream()
+                invariants.violationsFound().stream()
                         .map(violation -> violation.split(" ")[0])
                         .collect(Collectors.toSet());
         assertEquals(
--- a/src/test/java/org/springmill/sim/PlacementRules.java
+++ b/src/test/java/org/springmill/sim/PlacementRules.java
@@ -84,7 +84,7 @@
                 && cloud.machines().values().stream()
                         .anyMatch(
                                 machine ->
-                                        machine.sound()
+                                        machine.isHealthy()
                                                 && whyNotAllowed(machine, spec) == null
                                                 && hasRoom(machine, spec));
     }
--- a/src/test/java/org/springmill/sim/ProgressChecker.java
+++ b/src/test/java/org/springmill/sim/ProgressChecker.java
@@ -95,7 +95,7 @@
         for (int i = 0; i < job.taskCount(); i++) {
             String task = job.taskId(i);
             if (!jobs.isTaskDone(task)
-                    && machines.stream().noneMatch(machine -> machine.holds(task))) {
+                    && machines.stream().noneMatch(machine -> machine.hasTask(task))) {
                 return true;
             }
         }
--- a/src/test/java/org/springmill/sim/SimCloud.java
+++ b/src/test/java/org/springmill/sim/SimCloud.java
@@ -46,17 +46,17 @@
     }
 
     /** From now on no machine can be rented. */
-    public void runOut() {
+    public void exhaustCapacity() {
         emptyZones.addAll(SimSettings.ZONES);
     }
 
     /** From now on no machine can be rented in one zone. */
-    public void runOut(String zone) {
+    public void exhaustCapacity(String zone) {
         emptyZones.add(zone);
     }
 
     /** Machines can be rented again. */
-    public void refill() {
+    public void restoreCapacity() {
         emptyZones.clear();
     }
 
@@ -71,17 +71,17 @@
     }
 
     /** From now on lists show what is true at this moment. */
-    public void stopLists() {
+    public void freezeMachineList() {
         lateList = list();
     }
 
     /** Lists show the present state again. */
-    public void resumeLists() {
+    public void resumeMachineList() {
         lateList = null;
     }
 
     /** Terminates a machine, as the cloud does with a spot machine that it takes without notice. */
-    public void take(SimWorker machine) {
+    public void reclaim(SimWorker machine) {
         remove(machine.name());
     }
 
--- a/src/test/java/org/springmill/sim/SimController.java
+++ b/src/test/java/org/springmill/sim/SimController.java
@@ -48,12 +48,12 @@
     }
 
     /** Does nothing for some time, while its clock runs on; then all that came in, in order. */
-    void freeze(double seconds) {
+    void pause(double seconds) {
         frozen = true;
-        clock.after(seconds, this::thaw);
+        clock.after(seconds, this::resume);
     }
 
-    private void thaw() {
+    private void resume() {
         frozen = false;
         while (!missed.isEmpty() && !stopped) {
             missed.poll().run();
@@ -109,17 +109,17 @@
     }
 
     @Override
-    public void onRecord(Listener taker) {
+    public void setListener(Listener taker) {
         listener =
                 new Listener() {
                     @Override
-                    public void received(byte[] record) {
-                        act(() -> taker.received(record));
+                    public void onRecord(byte[] record) {
+                        act(() -> taker.onRecord(record));
                     }
 
                     @Override
-                    public void refused(String node) {
-                        act(() -> taker.refused(node));
+                    public void onConnectionRefused(String node) {
+                        act(() -> taker.onConnectionRefused(node));
                     }
                 };
     }
--- a/src/test/java/org/springmill/sim/SimKeyValueStore.java
+++ b/src/test/java/org/springmill/sim/SimKeyValueStore.java
@@ -40,12 +40,12 @@
 
     /** Other limits from now on, without notice. What is stored stays. */
     public void limit(int bytes, int writes) {
-        store.limit(bytes, writes);
+        store.setSizeLimits(bytes, writes);
     }
 
     /** Transactions refused for their size so far. */
-    public int tooLarge() {
-        return store.tooLarge();
+    public int oversizedCommits() {
+        return store.rejectedForSize();
     }
 
     /** An outage; once it is over every lease has its full time again. */
@@ -54,13 +54,13 @@
     }
 
     /** The changes so far are no longer kept: whoever asks for them has to read the keys anew. */
-    public void forgetChanges() {
-        store.forgetChanges();
+    public void dropWatchHistory() {
+        store.compactChanges();
     }
 
     /** Answers one node 503 while the others are served; its leases run out. */
-    public void refuse(int controller, boolean now) {
-        store.refuse(SimSettings.controllerName(controller), now);
+    public void refuseController(int controller, boolean now) {
+        store.setRefused(SimSettings.controllerName(controller), now);
     }
 
     /**
@@ -71,9 +71,9 @@
         delayedCommitShare = share;
     }
 
-    void calm() {
+    void endFailures() {
         delayedCommitShare = 0;
-        store.heal();
+        store.serveAll();
     }
 
     /** The stored value of a key; null if it is absent. */
--- a/src/test/java/org/springmill/sim/SimNetwork.java
+++ b/src/test/java/org/springmill/sim/SimNetwork.java
@@ -34,8 +34,8 @@
     private final SimulatedCluster cluster;
     private final List<Held> held = new ArrayList<>();
     private final Set<String> unreachable = new HashSet<>();
-    private final Set<String> unableToReport = new HashSet<>();
-    private final Set<String> cutFromState = new HashSet<>();
+    private final Set<String> unableToSendHeartbeats = new HashSet<>();
+    private final Set<String> partitionFromStore = new HashSet<>();
     private Judge judge = (from, request) -> Fate.DELIVER;
     private Delays delays = (from, request) -> 0;
     private Delays answerDelays = (from, request) -> 0;
@@ -78,28 +78,28 @@
     }
 
     /** A machine cannot connect to any controller, while direct commands reach it. */
-    public void blockReportsFrom(SimWorker machine) {
-        unableToReport.add(machine.name());
+    public void blockHeartbeatsFrom(SimWorker machine) {
+        unableToSendHeartbeats.add(machine.name());
     }
 
     /** Nothing gets through between a controller and the key-value store. */
-    public void cutFromState(String controller) {
-        cutFromState.add(controller);
+    public void partitionFromStore(String controller) {
+        partitionFromStore.add(controller);
     }
 
     /** Of that share of the heartbeats a copy arrives again, from 2 s to three leases later. */
-    public void duplicateReports(double share) {
+    public void duplicateHeartbeats(double share) {
         duplicatedReportShare = share;
     }
 
-    void calm() {
+    void endFailures() {
         judge = (from, request) -> Fate.DELIVER;
         delays = (from, request) -> 0;
         answerDelays = (from, request) -> 0;
         duplicatedReportShare = 0;
         unreachable.clear();
-        unableToReport.clear();
-        cutFromState.clear();
+        unableToSendHeartbeats.clear();
+        partitionFromStore.clear();
     }
 
     public boolean holdsAny() {
@@ -121,11 +121,11 @@
 
     private Fate fate(String from, Request request) {
         boolean report = request.path().equals("/v1/report");
-        if (report && unableToReport.contains(from)) {
+        if (report && unableToSendHeartbeats.contains(from)) {
             return Fate.REFUSE;
         }
         if (unreachable.contains(request.address())
-                || (cutFromState.contains(from)
+                || (partitionFromStore.contains(from)
                         && request.address().equals(SimSettings.STATE_SERVICE))) {
             return Fate.DROP;
         }
--- a/src/test/java/org/springmill/sim/SimPeerNetwork.java
+++ b/src/test/java/org/springmill/sim/SimPeerNetwork.java
@@ -58,7 +58,7 @@
 
     void send(SimController from, String to, byte[] message) {
         if (filtered) {
-            clock.after(DELAY_SECONDS, () -> from.listener().refused(to));
+            clock.after(DELAY_SECONDS, () -> from.listener().onConnectionRefused(to));
             return;
         }
         if (isolated.contains(from.name()) || isolated.contains(to)) {
@@ -75,9 +75,9 @@
     private void deliver(SimController from, String to, byte[] message) {
         SimController receiver = processes.apply(to);
         if (receiver == null) {
-            from.listener().refused(to);
+            from.listener().onConnectionRefused(to);
         } else if (receiver.listener() != null) {
-            receiver.listener().received(message);
+            receiver.listener().onRecord(message);
         }
     }
 }
--- a/src/test/java/org/springmill/sim/SimUsers.java
+++ b/src/test/java/org/springmill/sim/SimUsers.java
@@ -103,7 +103,7 @@
     }
 
     private void poll() {
-        for (String id : invariants.unfinished()) {
+        for (String id : invariants.unfinishedJobs()) {
             int controller = connect(id);
             clock.after(
                     random.nextDouble() * POLL_SECONDS,
--- a/src/test/java/org/springmill/sim/SimWorker.java
+++ b/src/test/java/org/springmill/sim/SimWorker.java
@@ -50,7 +50,7 @@
     private final String zone;
     private final boolean spot;
     private final Map<String, Task> tasks = new LinkedHashMap<>();
-    private long session = 1;
+    private long epoch = 1;
     private long sequence;
     private long token;
     private double renewedAt;
@@ -106,31 +106,32 @@
         return up;
     }
 
-    public long session() {
-        return session;
+    public long epoch() {
+        return epoch;
     }
 
     /**
      * Past its lease nothing counts as on the machine, even if it hangs and so has not noticed yet.
      */
-    private boolean expired() {
+    private boolean isLeaseExpired() {
         return cluster.clock().now() - renewedAt > SimSettings.LEASE_SECONDS;
     }
 
     /** How many tasks run here or save a checkpoint. */
     public int running() {
-        return expired() ? 0 : (int) tasks.values().stream().filter(Task::onMachine).count();
+        return isLeaseExpired() ? 0 : (int) tasks.values().stream().filter(Task::onMachine).count();
     }
 
     /** Whether a task runs here or saves a checkpoint. */
     public boolean runs(String task) {
-        return !expired()
+        return !isLeaseExpired()
                 && tasks.values().stream().anyMatch(t -> t.id.equals(task) && t.onMachine());
     }
 
     /** Whether a task is here, be it still fetching. */
-    public boolean holds(String task) {
-        return !expired() && tasks.values().stream().anyMatch(t -> t.id.equals(task) && !t.over());
+    public boolean hasTask(String task) {
+        return !isLeaseExpired()
+                && tasks.values().stream().anyMatch(t -> t.id.equals(task) && !t.over());
     }
 
     /** Whether the cloud has not said that it will take this machine. */
@@ -139,14 +140,14 @@
     }
 
     /** Whether nothing is wrong with this machine. */
-    boolean sound() {
-        return reachable() && !failing && noticeSeconds == null && !expired();
+    boolean isHealthy() {
+        return reachable() && !failing && noticeSeconds == null && !isLeaseExpired();
     }
 
     /** The cloud gives a preemption notice: it will reclaim this machine. */
-    public void notice(double seconds) {
+    public void givePreemptionNotice(double seconds) {
         noticeSeconds = seconds;
-        report();
+        sendHeartbeat();
     }
 
     /** Every task that starts here fails at once from now on. */
@@ -191,19 +192,19 @@
             return;
         }
         checkLease();
-        report();
+        sendHeartbeat();
         cluster.clock().after(SimSettings.REPORT_SECONDS, this::loop);
     }
 
     private void checkLease() {
-        if (!hung && expired()) {
+        if (!hung && isLeaseExpired()) {
             killTasks();
-            session++;
+            epoch++;
             renewedAt = cluster.clock().now();
         }
     }
 
-    ObjectNode reportBody() {
+    ObjectNode heartbeatBody() {
         ObjectNode body =
                 JSON.createObjectNode()
                         .put("stone", name)
@@ -211,7 +212,7 @@
                         .put("frame", type)
                         .put("yard", zone)
                         .put("loaner", spot)
-                        .put("shift", session)
+                        .put("shift", epoch)
                         .put("tally", ++sequence)
                         .put("baton", token);
         if (noticeSeconds != null) {
@@ -231,14 +232,14 @@
         return body;
     }
 
-    private void report() {
+    private void sendHeartbeat() {
         if (reporting || gone || hung || !up) {
             return;
         }
         reporting = true;
         double sent = cluster.clock().now();
-        long sentSession = session;
-        byte[] body = reportBody().toString().getBytes(java.nio.charset.StandardCharsets.UTF_8);
+        long sentSession = epoch;
+        byte[] body = heartbeatBody().toString().getBytes(java.nio.charset.StandardCharsets.UTF_8);
         int to = controller;
         cluster.network()
                 .send(
@@ -255,7 +256,7 @@
                                 boolean valid =
                                         answer.has("baton")
                                                 && answer.path("baton").asLong() >= token
-                                                && session == sentSession;
+                                                && epoch == sentSession;
                                 if (valid) {
                                     token = answer.path("baton").asLong();
                                     renewedAt = sent;
@@ -268,27 +269,27 @@
                                                 SimKeyValueStore.parse(reply.body())
                                                         .path("foreman")
                                                         .asText());
-                                cluster.clock().after(0.1, this::report);
+                                cluster.clock().after(0.1, this::sendHeartbeat);
                             } else {
                                 controller = (to + 1) % SimSettings.CONTROLLERS;
-                                cluster.clock().after(1, this::report);
+                                cluster.clock().after(1, this::sendHeartbeat);
                             }
                         });
     }
 
-    Reply orders(byte[] bytes) {
+    Reply executeCommands(byte[] bytes) {
         checkLease();
         JsonNode body = SimKeyValueStore.parse(bytes);
         if (!body.has("baton") || !body.has("shift")) {
             return new Reply(400, new byte[0]);
         }
         boolean refused =
-                body.path("baton").asLong() < token || body.path("shift").asLong() != session;
+                body.path("baton").asLong() < token || body.path("shift").asLong() != epoch;
         if (!refused) {
             token = body.path("baton").asLong();
             execute(body.path("orders"));
         }
-        return SimKeyValueStore.reply(refused ? 409 : 200, reportBody());
+        return SimKeyValueStore.reply(refused ? 409 : 200, heartbeatBody());
     }
 
     boolean reachable() {
@@ -341,16 +342,16 @@
         }
         task.phase = "saving";
         double begun = now;
-        report();
+        sendHeartbeat();
         double saveSeconds = cluster.progress().saveSeconds(task.id);
         if (saveSeconds < Double.POSITIVE_INFINITY) {
-            whenAwake(
+            afterHang(
                     saveSeconds,
                     () -> {
                         if (tasks.get(key) == task && task.phase.equals("saving")) {
                             cluster.progress().saved(task, begun);
                             end(task, "stopped");
-                            report();
+                            sendHeartbeat();
                         }
                     });
         }
@@ -372,7 +373,7 @@
             end(task, "busy");
             return;
         }
-        whenAwake(
+        afterHang(
                 cluster.imageFetchSeconds(),
                 () -> {
                     if (tasks.get(key) != task || !task.phase.equals("pulling")) {
@@ -381,10 +382,10 @@
                     task.phase = "running";
                     task.runningSince = cluster.clock().now();
                     cluster.started(this, task);
-                    report();
+                    sendHeartbeat();
                     double runSeconds = fails(task) ? 0.1 : cluster.progress().secondsLeft(task.id);
                     if (runSeconds < Double.POSITIVE_INFINITY) {
-                        whenAwake(runSeconds, () -> finish(key, task));
+                        afterHang(runSeconds, () -> finish(key, task));
                     }
                 });
     }
@@ -393,14 +394,14 @@
      * A machine that hangs does nothing, and goes on when it wakes; past its lease it finds nothing
      * to go on with.
      */
-    private void whenAwake(double seconds, Runnable then) {
+    private void afterHang(double seconds, Runnable then) {
         cluster.clock()
                 .after(
                         seconds,
                         () -> {
                             checkLease();
                             if (hung) {
-                                whenAwake(SimSettings.REPORT_SECONDS / 20, then);
+                                afterHang(SimSettings.REPORT_SECONDS / 20, then);
                             } else if (!gone) {
                                 then.run();
                             }
@@ -414,7 +415,7 @@
             if (!failed) {
                 cluster.done(task.id);
             }
-            report();
+            sendHeartbeat();
         }
     }
 
@@ -428,6 +429,6 @@
     }
 
     List<Task> tasks() {
-        return expired() ? List.of() : List.copyOf(tasks.values());
+        return isLeaseExpired() ? List.of() : List.copyOf(tasks.values());
     }
 }
--- a/src/test/java/org/springmill/sim/SimulatedCluster.java
+++ b/src/test/java/org/springmill/sim/SimulatedCluster.java
@@ -106,7 +106,7 @@
     }
 
     /** The simulated key-value store. */
-    public SimKeyValueStore state() {
+    public SimKeyValueStore keyValueStore() {
         return store;
     }
 
@@ -172,8 +172,8 @@
     }
 
     /** Pauses a controller's process while its clock runs on. */
-    public void freeze(int controller, double seconds) {
-        controllers[controller].freeze(seconds);
+    public void pauseProcess(int controller, double seconds) {
+        controllers[controller].pause(seconds);
     }
 
     /** The number of the controller whose leadership is on record, or -1. */
@@ -186,12 +186,12 @@
      * A controller loses the key-value store and the other controllers, not its workers or users.
      */
     public void isolate(int controller) {
-        cutPeers(controller, true);
-        network.cutFromState(SimSettings.controllerName(controller));
+        partitionPeers(controller, true);
+        network.partitionFromStore(SimSettings.controllerName(controller));
     }
 
     /** Loses all messages between a controller and the others, or delivers them again. */
-    public void cutPeers(int controller, boolean cut) {
+    public void partitionPeers(int controller, boolean cut) {
         peerNetwork.isolate(SimSettings.controllerName(controller), cut);
     }
 
@@ -212,13 +212,13 @@
 
     /** Failures of network and key-value store end, others may follow. */
     public void heal() {
-        network.calm();
-        store.calm();
+        network.endFailures();
+        store.endFailures();
         peerNetwork.heal();
     }
 
     /** All failures end: from now on work has to go on, and every question to be answered. */
-    public SimulatedCluster calm() {
+    public SimulatedCluster endFailures() {
         heal();
         invariants.failuresAreOver();
         return this;
@@ -289,7 +289,7 @@
         } else {
             SimWorker worker = cloud.machineAt(request.address());
             if (worker != null && worker.reachable()) {
-                done.accept(worker.orders(request.body()));
+                done.accept(worker.executeCommands(request.body()));
             }
         }
     }
@@ -341,7 +341,7 @@
     }
 
     /** Cancels a job, and returns its phase or the status if the answer has none. */
-    public String withdraw(int controller, String id) {
+    public String cancel(int controller, String id) {
         return phaseOf(ask(controller, "POST", "/submissions/" + id + "/withdraw", ""));
     }
 
@@ -384,13 +384,13 @@
     }
 
     /** The violations of invariants so far. */
-    public List<String> broken() {
-        return invariants.broken();
+    public List<String> violations() {
+        return invariants.violationsFound();
     }
 
     /** Accepted jobs that are not over and have tasks that are neither done nor on a machine. */
     public List<String> unserved() {
-        return invariants.unserved();
+        return invariants.unservedJobs();
     }
 
     /**
@@ -424,7 +424,7 @@
     }
 
     /** A machine that runs a task; null if none does. */
-    public SimWorker holder(String task) {
+    public SimWorker workerRunning(String task) {
         return cloud.machines().values().stream()
                 .filter(machine -> machine.runs(task))
                 .findFirst()
