--- a/src/main/java/org/springmill/cli/EmulateCommand.java
+++ b/src/main/java/org/springmill/cli/EmulateCommand.java
@@ -30,7 +30,7 @@
     @Option(names = "--scenario", required = true, description = "What to emulate, in HCL.")
     private Path scenarioFile;
 
-    @Option(names = "--out", description = "File for the result, in JSON.")
+    @Option(names = "--out", paramLabel = "<out>", description = "File for the result, in JSON.")
     private Path resultFile;
 
     @Option(
