--- a/src/main/java/org/springmill/control/api/AcceptanceCommits.java
+++ b/src/main/java/org/springmill/control/api/AcceptanceCommits.java
@@ -18,9 +18,6 @@
  * Creates the records of submitted jobs in the key-value store, on condition that there is none.
  */
 final class AcceptanceCommits {
-    /** A commit is retried so many times in the interval between two polls of the peers. */
-    private static final int RETRIES_PER_POLL_INTERVAL = 4;
-
     private final KeyValueStoreClient store;
     private final EventLoop loop;
     private final Timeouts timeouts;
@@ -85,9 +82,7 @@
     private void answered(
             PendingSubmission submission, CommitResult result, Consumer<CommitResult> onResult) {
         if (mayRetry(submission, result)) {
-            loop.after(
-                    timeouts.peerPollIntervalSeconds() / RETRIES_PER_POLL_INTERVAL,
-                    () -> send(submission, onResult));
+            loop.after(timeouts.commitRetryIntervalSeconds(), () -> send(submission, onResult));
             return;
         }
         uncommitted.remove(submission);
--- a/src/main/java/org/springmill/control/api/CancellationHandler.java
+++ b/src/main/java/org/springmill/control/api/CancellationHandler.java
@@ -27,9 +27,6 @@
 final class CancellationHandler {
     private static final Logger LOG = LoggerFactory.getLogger(CancellationHandler.class);
 
-    /** A commit is retried so many times in the interval between two polls of the peers. */
-    private static final int RETRIES_PER_POLL_INTERVAL = 4;
-
     private final JobDirectory directory;
     private final KeyValueStoreClient store;
     private final EventLoop loop;
@@ -146,7 +143,7 @@
             return;
         }
         loop.after(
-                timeouts.peerPollIntervalSeconds() / RETRIES_PER_POLL_INTERVAL,
+                timeouts.commitRetryIntervalSeconds(),
                 () -> directory.readBarrier(current -> cancelById(call, id, answerBy)));
     }
 }
--- a/src/main/java/org/springmill/control/autoscaling/OverdueBoots.java
+++ b/src/main/java/org/springmill/control/autoscaling/OverdueBoots.java
@@ -97,7 +97,7 @@
                 found.merge(key, classify(machine, now), BootHistory::plus);
             }
         }
-        boots = Map.copyOf(found);
+        boots = found;
         overdueByType
                 .values()
                 .forEach(ofType -> ofType.sort(Comparator.comparingDouble(Machine::rentedAt)));
--- a/src/main/java/org/springmill/control/cluster/Fleet.java
+++ b/src/main/java/org/springmill/control/cluster/Fleet.java
@@ -73,11 +73,6 @@
         return new ArrayList<>(machines.values());
     }
 
-    /** The machine of a name; null if it is not known. */
-    Machine find(String name) {
-        return machines.get(name);
-    }
-
     /** The machine of a name, which is added if it is not known yet. */
     public Machine getOrAdd(String name) {
         return machines.computeIfAbsent(name, this::newMachine);
--- a/src/main/java/org/springmill/control/cluster/Job.java
+++ b/src/main/java/org/springmill/control/cluster/Job.java
@@ -10,7 +10,6 @@
 import org.springmill.protocol.PeerMessages.JobProgress;
 import org.springmill.protocol.Priority;
 import org.springmill.protocol.Submission;
-import org.springmill.protocol.UserMessages.JobPhase;
 
 /**
  * A job as the leader knows it: which of its tasks are done, which have an attempt and which wait,
@@ -34,7 +33,6 @@
 
     private int nextNeverClaimedTask;
     private State state;
-    private JobPhase phase = JobPhase.QUEUED;
     private long version;
     private double endedAt;
     private boolean completionBegun;
@@ -115,10 +113,6 @@
         return version;
     }
 
-    JobPhase phase() {
-        return phase;
-    }
-
     /** When it ended, in seconds on the leader's steady clock; 0 while it is active. */
     public double endedAt() {
         return endedAt;
@@ -156,12 +150,11 @@
         return state == State.ELIGIBLE;
     }
 
-    /** Ends it, as done or cancelled. */
-    public void end(JobPhase terminal, long newVersion, double now) {
+    /** Ends it, whether done or cancelled; its record says which. */
+    public void end(long newVersion, double now) {
         if (!transition(State.ENDED)) {
             return;
         }
-        phase = terminal;
         version = newVersion;
         endedAt = now;
     }
@@ -279,10 +272,6 @@
         return recalledFrom.get(task);
     }
 
-    TaskAttempt attempt(int task) {
-        return attemptsByTask.get(task);
-    }
-
     /**
      * Whether one more task may be placed in a zone beside all attempts that may still run. An
      * attempt on a machine that has not been described yet counts in every zone.
--- a/src/main/java/org/springmill/control/controller/JobCompletion.java
+++ b/src/main/java/org/springmill/control/controller/JobCompletion.java
@@ -67,7 +67,7 @@
     Job recoverEndedJob(String id) {
         JobRecord record = directory.get(id);
         Job job = new Job(record.submission(), record.version());
-        job.end(record.phase(), record.version(), endedSince(record));
+        job.end(record.version(), endedSince(record));
         clusterState.add(job);
         return job;
     }
--- a/src/main/java/org/springmill/control/controller/JobRecordHandler.java
+++ b/src/main/java/org/springmill/control/controller/JobRecordHandler.java
@@ -75,7 +75,7 @@
 
     /** Ends a job that was cancelled or is done, and stops its attempts. */
     private void end(Job job, JobRecord record) {
-        job.end(record.phase(), record.version(), jobCompletion.endedSince(record));
+        job.end(record.version(), jobCompletion.endedSince(record));
         dependencyPriority.recordChange(job);
         for (TaskAttempt attempt : job.attempts()) {
             fleet.stop(attempt, 0);
--- a/src/main/java/org/springmill/control/timing/Timeouts.java
+++ b/src/main/java/org/springmill/control/timing/Timeouts.java
@@ -60,6 +60,8 @@
      */
     public static final double DRIFT = 1.002;
 
+    private static final double COMMIT_RETRIES_PER_PEER_POLL = 4;
+
     /** Longest time between two heartbeats, in intervals. */
     private static final double LONGEST_HEARTBEAT_GAP = 1.25;
 
@@ -119,6 +121,11 @@
         return workerLeaseSeconds / 4;
     }
 
+    /** Interval between two attempts to commit for a user who still waits for the answer. */
+    public double commitRetryIntervalSeconds() {
+        return peerPollIntervalSeconds / COMMIT_RETRIES_PER_PEER_POLL;
+    }
+
     /** Validity of a peer's confirmation as measured on any clock, with the drift between them. */
     public double peerConfirmationValidityOnAnyClockSeconds() {
         return peerConfirmationValiditySeconds * DRIFT;
--- a/src/main/java/org/springmill/emulator/EmulatedCloud.java
+++ b/src/main/java/org/springmill/emulator/EmulatedCloud.java
@@ -85,11 +85,6 @@
         return name;
     }
 
-    /** Machines that are rented now. */
-    int count() {
-        return (int) rented.values().stream().filter(m -> m.deletedAt > loop.now()).count();
-    }
-
     void handle(Call call) {
         try {
             if (call.path().equals(CloudMessages.MACHINE_TYPES_PATH)) {
--- a/src/main/java/org/springmill/emulator/EmulatedWorker.java
+++ b/src/main/java/org/springmill/emulator/EmulatedWorker.java
@@ -117,10 +117,6 @@
         return SOCKETS;
     }
 
-    String name() {
-        return name;
-    }
-
     String zone() {
         return zone;
     }
--- a/src/test/java/org/springmill/architecture/SourceNames.java
+++ b/src/test/java/org/springmill/architecture/SourceNames.java
@@ -7,10 +7,8 @@
 import com.sun.source.tree.MethodTree;
 import com.sun.source.tree.Tree;
 import com.sun.source.tree.VariableTree;
-import com.sun.source.util.JavacTask;
 import com.sun.source.util.TreeScanner;
 import java.io.IOException;
-import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -19,10 +17,6 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.regex.Pattern;
-import java.util.stream.Stream;
-import javax.tools.JavaCompiler;
-import javax.tools.StandardJavaFileManager;
-import javax.tools.ToolProvider;
 
 /** The packages, types and members that the sources declare, those of the tests included. */
 final class SourceNames {
@@ -44,27 +38,7 @@
     /** Parses all sources. */
     static SourceNames read() throws IOException {
         SourceNames names = new SourceNames();
-        List<Path> sources = new ArrayList<>();
-        for (Path root : ROOTS) {
-            try (Stream<Path> tree = Files.walk(root)) {
-                tree.filter(path -> path.toString().endsWith(".java")).forEach(sources::add);
-            }
-        }
-        JavaCompiler compiler = ToolProvider.getSystemJavaCompiler();
-        try (StandardJavaFileManager files = compiler.getStandardFileManager(null, null, null)) {
-            JavacTask task =
-                    (JavacTask)
-                            compiler.getTask(
-                                    null,
-                                    files,
-                                    null,
-                                    null,
-                                    null,
-                                    files.getJavaFileObjectsFromPaths(sources));
-            for (CompilationUnitTree unit : task.parse()) {
-                names.collect(unit);
-            }
-        }
+        SourceFiles.parse(ROOTS).forEach(names::collect);
         return names;
     }
 
--- a/src/test/java/org/springmill/architecture/WireNamesTest.java
+++ b/src/test/java/org/springmill/architecture/WireNamesTest.java
@@ -5,18 +5,13 @@
 
 import com.sun.source.tree.CompilationUnitTree;
 import com.sun.source.tree.LiteralTree;
-import com.sun.source.util.JavacTask;
 import com.sun.source.util.TreeScanner;
 import java.io.IOException;
-import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Set;
 import java.util.stream.Stream;
-import javax.tools.JavaCompiler;
-import javax.tools.StandardJavaFileManager;
-import javax.tools.ToolProvider;
 import org.junit.jupiter.api.Test;
 
 /**
@@ -194,23 +189,9 @@
     }
 
     private static Stream<StringLiteral> literals() throws IOException {
-        JavaCompiler compiler = ToolProvider.getSystemJavaCompiler();
         List<StringLiteral> found = new ArrayList<>();
-        try (StandardJavaFileManager files = compiler.getStandardFileManager(null, null, null);
-                Stream<Path> tree = Files.walk(SOURCES)) {
-            List<Path> sources = tree.filter(path -> path.toString().endsWith(".java")).toList();
-            JavacTask task =
-                    (JavacTask)
-                            compiler.getTask(
-                                    null,
-                                    files,
-                                    null,
-                                    null,
-                                    null,
-                                    files.getJavaFileObjectsFromPaths(sources));
-            for (CompilationUnitTree unit : task.parse()) {
-                collect(unit, found);
-            }
+        for (CompilationUnitTree unit : SourceFiles.parse(List.of(SOURCES))) {
+            collect(unit, found);
         }
         return found.stream();
     }
--- a/src/test/java/org/springmill/control/cluster/DependencyPriorityWorkTest.java
+++ b/src/test/java/org/springmill/control/cluster/DependencyPriorityWorkTest.java
@@ -99,7 +99,7 @@
     }
 
     private void end(Job job) {
-        job.end(JobPhase.DONE, ++version, 0);
+        job.end(++version, 0);
         countSteps(dependencyPriority.recordChange(job));
         clusterState.removeJob(job);
     }
--- a/src/test/java/org/springmill/control/scheduling/CompletionBatchingTest.java
+++ b/src/test/java/org/springmill/control/scheduling/CompletionBatchingTest.java
@@ -14,7 +14,6 @@
 import org.springmill.protocol.MalformedMessageException;
 import org.springmill.protocol.Submission;
 import org.springmill.protocol.TaskId;
-import org.springmill.protocol.UserMessages.JobPhase;
 import org.springmill.protocol.WorkerMessages.ExitCause;
 
 /** Which ends of attempts are committed at once and which may be batched into a later round. */
@@ -63,7 +62,7 @@
             throws MalformedMessageException {
         Job job = job(tasks);
         if (cancelled) {
-            job.end(JobPhase.CANCELLED, 2, NOW);
+            job.end(2, NOW);
         }
         List<TaskAttempt> ended = new ArrayList<>();
         for (int task = 0; task < endedTasks; task++) {
