--- a/src/main/java/org/springmill/control/cluster/BootTimes.java
+++ b/src/main/java/org/springmill/control/cluster/BootTimes.java
@@ -5,21 +5,24 @@
 import org.springmill.protocol.CloudMessages.MachineType;
 
 /**
- * How long machines of each type take to boot in each zone: mean and mean deviation of what was
- * measured, smoothed as TCP does for its round trips (RFC 6298). Each term starts without
+ * How long machines of each type take to boot in each zone: smoothed mean and mean deviation of the
+ * measured times, as in TCP's round-trip estimate (RFC 6298). Each term starts without
  * measurements.
  */
 public final class BootTimes {
     /**
-     * Most machines are up within one and a half nominal boot times. Before that none is late,
-     * however quick the last ones were: boots that were quick for a while are normal again later.
+     * Lower bound of the timeout, in nominal boot times. Most machines are up within 1.5 of them. A
+     * period of faster boots does not lower the timeout below this, since it may end at any time.
      */
     private static final double MIN_BOOT_TIMES = 1.6;
 
-    /** No machine is waited for longer than this many times what operators are ready to wait. */
+    /** Upper bound of the timeout, as a multiple of the configured one. */
     private static final double MAX_PATIENCE_FACTOR = 2;
 
-    /** Deviation assumed after the first measurement: the cloud's stated spread and a margin. */
+    /**
+     * Deviation assumed after the first measurement, as a share of it: the spread that the cloud
+     * states, and a margin.
+     */
     private static final double INITIAL_DEVIATION_SHARE = 1 / 8.0;
 
     private static final double MEAN_GAIN = 1 / 8.0;
@@ -41,13 +44,13 @@
     }
 
     /**
-     * @param patienceBoots how many nominal boot times operators are ready to wait
+     * @param patienceBoots the configured timeout of a boot, in nominal boot times
      */
     BootTimes(double patienceBoots) {
         this.patienceBootTimes = patienceBoots;
     }
 
-    /** Records that a machine came up for the first time. */
+    /** Records the boot time of a machine that has just come up for the first time. */
     public void recordBoot(Machine machine, double now) {
         double seconds = now - machine.rentedAt();
         add(key(machine.type(), machine.zone()), seconds);
@@ -64,8 +67,8 @@
     }
 
     /**
-     * After how many seconds a machine that has not come up is overdue. Where none has come up in
-     * its zone, the measurements of its type in other zones count.
+     * The timeout of a boot in seconds: a machine that is not up by then is overdue. Without
+     * measurements in its zone, those of its type in other zones are used.
      */
     public double overdueAfterSeconds(MachineType type, String zone) {
         Estimate ofType = estimates.get(type.name());
@@ -78,7 +81,7 @@
         return Math.min(most, Math.max(MIN_BOOT_TIMES * type.bootSeconds(), measured));
     }
 
-    /** Key of an estimate. Spot machines boot like others, and share theirs. */
+    /** Key of an estimate. Spot machines boot like others and share their estimates. */
     public static String key(MachineType type, String zone) {
         return type.name() + '/' + zone;
     }
--- a/src/main/java/org/springmill/control/cluster/ClusterState.java
+++ b/src/main/java/org/springmill/control/cluster/ClusterState.java
@@ -58,15 +58,15 @@
     }
 
     /**
-     * The usage of a team. A team that has since been removed from the settings gets no new
-     * attempts, and those that it has are still counted.
+     * The usage of a team. A team that was removed from the settings gets no new attempts; those
+     * that it still has are counted.
      */
     public TeamUsage teamUsage(String team) {
         return teams.computeIfAbsent(
                 team, name -> new TeamUsage(new Settings.Team(name, 0, 1e-9, 0, 1e-9)));
     }
 
-    /** Adds an attempt, and charges it to its job, machine and team. */
+    /** Adds an attempt and counts it for its job, machine and team. */
     public void add(TaskAttempt attempt) {
         attempt.job().add(attempt);
         attempt.machine().add(attempt);
@@ -85,8 +85,8 @@
     }
 
     /**
-     * Records that an attempt is to be stopped. It still counts as used, but stopping it again
-     * would free nothing more.
+     * Records that an attempt is to be stopped. Its resources still count as used, but are no
+     * longer available for preemption or recall.
      */
     public void recordStopRequested(TaskAttempt attempt) {
         if (attempt.markStopRequested(true)) {
@@ -95,9 +95,9 @@
     }
 
     /**
-     * Retracts that an attempt is to be stopped.
+     * Withdraws the request to stop an attempt.
      *
-     * @return false if its stop has begun or it has ended, so that this is too late
+     * @return false if its stop has begun or it has ended, so that the request stays
      */
     public boolean retractStopRequest(TaskAttempt attempt) {
         boolean isTooLate =
@@ -117,8 +117,8 @@
     }
 
     /**
-     * Whether any attempt at all may be preempted for a job. Cheap: for most jobs it spares the
-     * search for victims.
+     * Whether any attempt may be preempted for a job. A cheap check that avoids the search for
+     * victims for most jobs.
      */
     public boolean mayPreemptFor(Job job) {
         String team = job.spec().team();
@@ -147,7 +147,7 @@
         ended.add(attempt);
     }
 
-    /** Removes and returns up to so many of {@link #ended}, the earliest first. */
+    /** Removes and returns up to {@code most} attempts of {@link #ended}, the earliest first. */
     public List<TaskAttempt> pollEnded(int most) {
         List<TaskAttempt> taken = new ArrayList<>();
         for (TaskAttempt attempt : ended) {
@@ -160,12 +160,12 @@
         return taken;
     }
 
-    /** Attempts known to have ended whose end is not yet committed, the earliest first. */
+    /** Attempts known to have ended whose end is not yet being committed, the earliest first. */
     public Collection<TaskAttempt> ended() {
         return Collections.unmodifiableSet(ended);
     }
 
-    /** Whether an attempt has ended whose end is not yet being committed. */
+    /** Whether there are such attempts; see {@link #ended}. */
     public boolean hasEnded() {
         return !ended.isEmpty();
     }
--- a/src/main/java/org/springmill/control/cluster/CommandChannel.java
+++ b/src/main/java/org/springmill/control/cluster/CommandChannel.java
@@ -10,7 +10,7 @@
     private double nextRequestAt;
     private double nextUnknownTaskCleanupAt;
 
-    /** Has the worker asked for its status even if no command is due. */
+    /** Requests the worker's status even if no command is due. */
     public void requestStatus() {
         statusRequested = true;
     }
@@ -30,7 +30,7 @@
         return !requestInFlight && now >= nextRequestAt;
     }
 
-    /** Records that a request is on its way; its response tells the status as well. */
+    /** Records that a request was sent; its response also carries the worker's status. */
     public void requestSent() {
         statusRequested = false;
         requestInFlight = true;
--- a/src/main/java/org/springmill/control/cluster/DependencyPriority.java
+++ b/src/main/java/org/springmill/control/cluster/DependencyPriority.java
@@ -14,24 +14,24 @@
 /**
  * Propagates priorities and deadlines from jobs to their dependencies, since owners set them on the
  * last job of a pipeline. A job gets the highest priority of its own and those of its dependents.
- * Its latest start leaves the rest of its pipeline its estimated run before the deadline. Both are
- * derived, never stored, and only order the queue: owners' estimates are often wrong, so no
- * guarantee depends on them.
+ * Its latest start is the earliest of its own deadline and its dependents' latest starts, minus its
+ * estimated run time. Both are derived, never stored, and only order the queue: owners' estimates
+ * are often wrong, so no guarantee depends on them.
  *
  * <p>Updated incrementally as jobs are added and end. A job whose rank has changed passes it to its
- * dependencies. These keep the ranks of all their dependents and need not read them again. The
- * latest accepted job is processed first: a job depends only on earlier ones, so each is processed
- * once for a change. The work of one call is bounded. The rest waits for the next call, so that
- * many changes share one walk through a long chain.
+ * dependencies. Each dependency keeps a summary of its dependents' ranks, so these are not read
+ * again. Pending jobs are processed in descending order of acceptance: a job depends only on
+ * earlier ones, so each is processed once for a change. The work of one call is bounded. The rest
+ * is left to the next call, which processes a job once for all changes that reached it since.
  *
  * <p>Work is counted in steps: one job processed, or one of its dependencies updated. A call may
- * exceed its bound by the dependencies of one job, of which a record holds some hundreds at most.
+ * exceed its bound by the number of dependencies of one job, at most a few hundred per record.
  */
 public final class DependencyPriority {
-    /** Steps of one call of {@link #propagatePending}. */
+    /** Maximum number of steps of one call of {@link #propagatePending}. */
     private static final int MAX_STEPS = 5_000;
 
-    /** Steps for one change, enough to update any ordinary pipeline at once. */
+    /** Maximum number of steps for one change; enough to update an ordinary pipeline completely. */
     private static final int MAX_STEPS_PER_CHANGE = 250;
 
     private final JobDirectory directory;
@@ -40,7 +40,7 @@
             new PriorityQueue<>(Comparator.comparingLong(Job::acceptedRevision).reversed());
     private final Set<String> pendingIds = new HashSet<>();
 
-    /** By the id of the dependency, whose record need not be known yet. */
+    /** By the id of the dependency, which may not have been added yet. */
     private final Map<String, DependentRanks> dependentRanks = new HashMap<>();
 
     /** The rank that each active job with dependencies last passed to them. */
@@ -92,7 +92,7 @@
         return steps;
     }
 
-    /** A job with a deadline and no dependencies is a pipeline of its own. */
+    /** Whether a rank has to be derived for the job even if it has no dependents. */
     private static boolean hasOwnRank(Job job) {
         return job.spec().deadlineSeconds() != null || !job.spec().dependencies().isEmpty();
     }
@@ -114,7 +114,10 @@
         return new Rank(priority, due - job.spec().estimatedRunSeconds());
     }
 
-    /** Time of day in seconds; infinite without a deadline or a known time of acceptance. */
+    /**
+     * The job's own deadline as time of day in seconds; infinite without one or if the time of
+     * acceptance is unknown.
+     */
     private double ownDeadline(Job job) {
         JobRecord record = directory.get(job.id());
         Double deadlineSeconds = job.spec().deadlineSeconds();
--- a/src/main/java/org/springmill/control/cluster/DependentRanks.java
+++ b/src/main/java/org/springmill/control/cluster/DependentRanks.java
@@ -6,14 +6,14 @@
 import org.springmill.protocol.Priority;
 
 /**
- * The ranks that the active dependents of one job last passed to it. The highest is found without
- * reading each of them, also after it was removed.
+ * The ranks that the active dependents of one job last passed to it, counted by value: the highest
+ * priority and the earliest start are found without a scan, also after a removal.
  */
 final class DependentRanks {
     /** How many dependents have a priority. */
     private final Map<Priority, Integer> priorities = new EnumMap<>(Priority.class);
 
-    /** How many dependents have to start by a time; those without a deadline are left out. */
+    /** How many dependents have each latest start; those without a deadline are left out. */
     private final TreeMap<Double, Integer> latestStarts = new TreeMap<>();
 
     private int size;
--- a/src/main/java/org/springmill/control/cluster/EquivalenceClass.java
+++ b/src/main/java/org/springmill/control/cluster/EquivalenceClass.java
@@ -6,8 +6,8 @@
 import org.springmill.protocol.Submission;
 
 /**
- * Tasks with the same requirements, which fit on the same machines. Where one of them cannot be
- * placed no other can, so thousands of waiting jobs of a few classes are tried class by class.
+ * Tasks with the same requirements, which fit on the same machines. If one of them cannot be
+ * placed, no other can, so placement need not try each of thousands of waiting jobs.
  */
 public record EquivalenceClass(
         String team,
@@ -21,8 +21,8 @@
         boolean service) {
 
     /**
-     * The class of a job's tasks; empty if the job's own failures or its other tasks also decide
-     * where one may be placed.
+     * The class of a job's tasks; empty if the allowed machines also depend on the job's failures
+     * or on where its other tasks run.
      */
     public static Optional<EquivalenceClass> of(Job job) {
         Submission spec = job.spec();
--- a/src/main/java/org/springmill/control/cluster/ExhaustedEquivalenceClasses.java
+++ b/src/main/java/org/springmill/control/cluster/ExhaustedEquivalenceClasses.java
@@ -5,9 +5,9 @@
 
 /**
  * The equivalence classes that could not be placed in one pass over the waiting jobs. Free
- * resources only shrink during a pass, so later jobs of these classes need not be tried. Ranking
- * all machines for each of some hundred one-task jobs, in every round, took a leader all of its
- * processor time.
+ * resources only shrink during a pass, so later jobs of these classes need not be tried. Without
+ * this, ranking all machines for a few hundred one-task jobs in every round used all of a leader's
+ * CPU time.
  */
 public final class ExhaustedEquivalenceClasses {
     private final Set<EquivalenceClass> classes = new HashSet<>();
@@ -18,7 +18,7 @@
     /**
      * Starts a pass.
      *
-     * @param jobsWithReservedCapacity are tried even if their class could not be placed
+     * @param jobsWithReservedCapacity jobs that are tried even if their class could not be placed
      */
     public ExhaustedEquivalenceClasses(Set<Job> jobsWithReservedCapacity) {
         this.jobsWithReservedCapacity = jobsWithReservedCapacity;
@@ -29,7 +29,7 @@
         EquivalenceClass.of(job).ifPresent(classes::add);
     }
 
-    /** Whether a job is already known to fit on no machine. */
+    /** Whether the job's class is known to fit on no machine, so that it need not be tried. */
     public boolean covers(Job job) {
         if (classes.isEmpty() || jobsWithReservedCapacity.contains(job)) {
             return false;
--- a/src/main/java/org/springmill/control/cluster/Fleet.java
+++ b/src/main/java/org/springmill/control/cluster/Fleet.java
@@ -13,17 +13,21 @@
 import org.springmill.transport.EventLoop;
 
 /**
- * The machines that a leader knows of, with the state that every part of the leader needs to act on
- * them. A machine is added when the cloud, its worker or a stored claim first names it, and stays
- * until {@link #remove}.
+ * The machines that a leader knows of, with what the other packages need to act on them. A machine
+ * is added when the cloud, its worker or a stored claim first names it, and stays until {@link
+ * #remove}.
  */
 public final class Fleet {
-    /** A margin for slow members: a gang's checkpoint counts only once all members have saved. */
+    /**
+     * Grace period of an aborted gang, in checkpoint save times. The margin is for slow members: a
+     * gang's checkpoint is usable only once all members have saved it.
+     */
     private static final double GANG_CHECKPOINT_SAVE_FACTOR = 2;
 
     /**
-     * Duplicates of heartbeats may arrive some leases late. If one revives a deleted machine, the
-     * work placed there is delayed, but no guarantee is broken.
+     * How long names of deleted machines are kept, in leases, to reject delayed duplicates of their
+     * heartbeats. A later duplicate would add the machine again: work placed there is delayed, but
+     * no guarantee is broken.
      */
     private static final double DELETED_RETENTION_LEASES = 60;
 
@@ -45,7 +49,7 @@
      * A fleet without machines.
      *
      * @param term of the leader
-     * @param bootPatience how many boot times operators are ready to wait for a machine
+     * @param bootPatience the configured timeout of a boot, in nominal boot times
      */
     public Fleet(
             ClusterState clusterState,
@@ -73,7 +77,7 @@
         return new ArrayList<>(machines.values());
     }
 
-    /** The machine of a name, which is added if it is not known yet. */
+    /** The machine with a name; added if it is not known yet. */
     public Machine getOrAdd(String name) {
         return machines.computeIfAbsent(name, this::newMachine);
     }
@@ -84,7 +88,10 @@
         return machine;
     }
 
-    /** The machine of a heartbeat, which is added and described by it if that is still to do. */
+    /**
+     * The machine of a heartbeat; added if it is not known yet. Its description is set from the
+     * heartbeat if it is incomplete.
+     */
     public Machine getOrAdd(Heartbeat heartbeat) {
         Machine machine = getOrAdd(heartbeat.machine());
         if (machine.type() == null || machine.address().isEmpty()) {
@@ -109,7 +116,7 @@
         deletedMachines.putIfAbsent(machine.name(), loop.now());
     }
 
-    /** Whether a machine's deletion is confirmed, so that heartbeats still arriving are old. */
+    /** Whether a machine's deletion is confirmed, so that its heartbeats are late duplicates. */
     public boolean wasDeleted(String name) {
         return deletedMachines.containsKey(name);
     }
@@ -124,7 +131,7 @@
         storedLocations.of(machine.name()).forEach(machine.images()::restore);
     }
 
-    /** The images on the machines that are up, to be stored for a later leader. */
+    /** The images cached on machines that are up, to be stored for later leaders. */
     public ImageLocations imageLocations() {
         ImageLocations locations = new ImageLocations();
         for (Machine machine : machines.values()) {
@@ -137,7 +144,7 @@
         return locations;
     }
 
-    /** The leader's term, which all fencing tokens of its machines belong to. */
+    /** The leader's term, to which the fencing tokens of all its commands belong. */
     public long term() {
         return term;
     }
@@ -175,15 +182,15 @@
     }
 
     /**
-     * Stops the other members of a gang: without one of them they make no progress. All are claimed
-     * again together.
+     * Stops the remaining members of a gang, since they make no progress without the one that
+     * ended. All are claimed again together.
      */
     private void abortGang(Job gang) {
         double graceSeconds = gang.spec().checkpointSaveSeconds() * GANG_CHECKPOINT_SAVE_FACTOR;
         gang.attempts().forEach(attempt -> stop(attempt, graceSeconds));
     }
 
-    /** Stops an attempt with time to receive the command and to save a checkpoint. */
+    /** Stops an attempt with enough grace to receive the command and to save a checkpoint. */
     public void stopWithCheckpoint(TaskAttempt attempt) {
         Submission spec = attempt.job().spec();
         stop(
@@ -194,8 +201,8 @@
     }
 
     /**
-     * Stops an attempt. One whose start was never sent ends at once; the grace of one that is
-     * stopping already is only ever shortened.
+     * Stops an attempt. One whose start was never sent ends immediately; if it is stopping already,
+     * its grace may be shortened but not extended.
      *
      * @param graceSeconds how long its task may still run after the stop command
      */
@@ -212,8 +219,8 @@
                     attempt.setGraceSeconds(graceSeconds);
                 }
             }
-            // While its round is being committed it can only be removed afterwards; see
-            // PlacementRounds.
+            // An attempt whose claim is being committed cannot be stopped before the result is
+            // known; see PlacementRounds.
             case CLAIMING, ENDED, CLOSED -> {}
         }
     }
--- a/src/main/java/org/springmill/control/cluster/ImageCache.java
+++ b/src/main/java/org/springmill/control/cluster/ImageCache.java
@@ -10,10 +10,7 @@
 
     private final Map<String, Image> images = new HashMap<>();
 
-    /**
-     * Records that a task needs an image. A missing one is fetched after those that are being
-     * fetched already.
-     */
+    /** Records that a task needs an image. A missing image is fetched after those in progress. */
     void recordNeeded(String image, double gb, double capacityGb, double gbPerSecond, double now) {
         Image held = images.get(image);
         put(
@@ -30,20 +27,20 @@
         put(image, new Image(gb, now, now), capacityGb);
     }
 
-    /** Records that no task waits for an image any more: a fetch that is not complete ends. */
+    /** Records that no task waits for an image any more; an incomplete fetch is cancelled. */
     void cancelFetch(String image, double now) {
         images.computeIfPresent(image, (name, held) -> held.readyAt() > now ? null : held);
     }
 
-    /** When all fetches under way should be complete. */
+    /** When all fetches in progress should be complete. */
     private double fetchQueueEmptyAt(double now) {
         return images.values().stream().mapToDouble(Image::readyAt).reduce(now, Math::max);
     }
 
     /**
      * Estimated wait of a task for an image, in seconds. Images share a machine's fetch rate, so a
-     * fetch waits for those before it: machines that fetched several large images, and had free
-     * resources, kept small services waiting for half a minute.
+     * fetch waits for those before it. Without that in the estimate, small services were placed on
+     * machines that were fetching several large images, and waited for half a minute.
      */
     double fetchWaitSeconds(String image, double gb, double gbPerSecond, double now) {
         Image held = images.get(image);
@@ -53,8 +50,8 @@
     }
 
     /**
-     * Adds an image. The least recently used ones are evicted when the cache is full, but never the
-     * one just added.
+     * Adds an image, and evicts the least recently used ones if the cache is over its capacity, but
+     * never the one just added.
      */
     private void put(String image, Image entry, double capacityGb) {
         images.put(image, entry);
--- a/src/main/java/org/springmill/control/cluster/Job.java
+++ b/src/main/java/org/springmill/control/cluster/Job.java
@@ -13,7 +13,7 @@
 
 /**
  * A job as the leader knows it: which of its tasks are done, which have an attempt and which wait,
- * its place in the queue, and what its failures say.
+ * its place in the queue, and its failures.
  */
 public final class Job {
     private static final Logger LOG = LoggerFactory.getLogger(Job.class);
@@ -54,7 +54,7 @@
     /**
      * An accepted job without attempts.
      *
-     * @param version revision at which it was accepted
+     * @param version the revision at which it was accepted
      */
     public Job(Submission spec, long version) {
         this.spec = spec;
@@ -95,7 +95,7 @@
     }
 
     /**
-     * Time of day in seconds by which it has to start for its pipeline to keep the deadline;
+     * Time of day in seconds by which it has to start for its pipeline to meet the deadline;
      * infinite without a deadline.
      */
     public double latestStartAt() {
@@ -108,7 +108,7 @@
         latestStartAt = startBy;
     }
 
-    /** Revision of its record's latest change that is known here. */
+    /** Revision of the latest known change of its record. */
     public long version() {
         return version;
     }
@@ -118,7 +118,7 @@
         return endedAt;
     }
 
-    /** The one place where its state changes; returns false for a change that is not legal. */
+    /** The only place where its state changes; returns false for a change that is not allowed. */
     private boolean transition(State next) {
         if (!state.mayBecome(next)) {
             LOG.error("{} cannot go from {} to {}", spec.id(), state, next);
@@ -273,8 +273,9 @@
     }
 
     /**
-     * Whether one more task may be placed in a zone beside all attempts that may still run. An
-     * attempt on a machine that has not been described yet counts in every zone.
+     * Whether one more task may be placed in a zone, given the zones of all attempts that may still
+     * run. The zone of a machine without a description is unknown: an attempt there counts for
+     * every zone, and rules out every zone for a job that has to run in one zone.
      */
     public boolean allowsZone(String zone) {
         if (spec.zone() != null && !spec.zone().equals(zone)) {
@@ -307,23 +308,23 @@
         return here;
     }
 
-    /** The record of its failed tasks, and the limits that follow from it. */
+    /** Its failed tasks, and the limits that result from them. */
     public JobFailures failures() {
         return failures;
     }
 
-    /** Whether a task waits and the limit on concurrent tasks allows it. */
+    /** Whether a task is waiting and the limit on concurrent tasks allows it to start. */
     public boolean canStartAnotherTask() {
         return nextWaitingTask() >= 0 && attemptsByTask.size() < maxConcurrentTasks();
     }
 
-    /** How many of its waiting tasks the limit on concurrent tasks allows. */
+    /** How many of its waiting tasks the limit on concurrent tasks allows to start. */
     public int startableTaskCount() {
         return Math.min(
                 waitingTaskCount(), Math.max(0, maxConcurrentTasks() - attemptsByTask.size()));
     }
 
-    /** Gangs and services have no limit: their tasks start together, or are all owed. */
+    /** No limit for gangs, whose tasks start together, and services, which need all replicas. */
     private int maxConcurrentTasks() {
         return spec.isGang() || spec.isService()
                 ? Integer.MAX_VALUE
--- a/src/main/java/org/springmill/control/cluster/JobFailures.java
+++ b/src/main/java/org/springmill/control/cluster/JobFailures.java
@@ -11,10 +11,10 @@
  * exponential backoff, until a task succeeds; each success then doubles the limit on concurrent
  * tasks.
  *
- * <p>The record is not stored: after a failover such a job is tried once without a limit.
+ * <p>Failures are not stored: after a failover a suspect job is tried once without a limit.
  */
 public final class JobFailures {
-    /** Failures on so many machines in a row are blamed on the job, not on the machines. */
+    /** On how many machines tasks must fail, with no success in between, to suspect the job. */
     private static final int SUSPECT_AFTER_MACHINES = 2;
 
     private static final int MAX_PAUSE_STEPS = 32;
@@ -40,7 +40,7 @@
     private int maxConcurrentTasks = UNLIMITED_TASKS;
 
     /**
-     * @param jobId seeds the jitter, so that it is the same at every leader
+     * @param jobId seeds the jitter, which is thus the same for every leader
      */
     JobFailures(String jobId) {
         int hash = jobId.hashCode();
@@ -112,7 +112,7 @@
         return !isSuspect() && failedRecentlyOn(machine, now);
     }
 
-    /** Whether it failed anywhere, so that machines are not equal for it. */
+    /** Whether any machine is or was excluded, so that machines must be checked for this job. */
     boolean hasExclusions() {
         return !excludedUntil.isEmpty();
     }
--- a/src/main/java/org/springmill/control/cluster/Machine.java
+++ b/src/main/java/org/springmill/control/cluster/Machine.java
@@ -68,7 +68,7 @@
     private boolean isDraining;
 
     /**
-     * A machine that this leader has just heard of.
+     * A machine that this leader did not know before.
      *
      * @param term of the leader, to which the worker's fencing tokens belong
      */
@@ -85,13 +85,13 @@
         return name;
     }
 
-    /** Where it is in its life cycle. */
+    /** Its state in the life cycle. */
     public State state() {
         return state;
     }
 
     /**
-     * The one place where a machine's state changes. A change to the same state does nothing; one
+     * The only place where a machine's state changes. A change to the same state does nothing; one
      * that {@link State} does not allow is logged as an error and not made.
      */
     public void transition(State next) {
@@ -102,14 +102,14 @@
             LOG.error("machine {} cannot go from {} to {}", name, state, next);
             return;
         }
-        // After a failover all machines come up at once, when the leader has least time for logs.
+        // After a failover all machines come up at the same time, when the leader is busiest.
         LOG.atLevel(next == State.UP ? Level.DEBUG : Level.INFO)
                 .log("machine {} ({}): {} -> {}", name, description, state, next);
         state = next;
     }
 
     /**
-     * Sets what the cloud or the worker says that the machine is.
+     * Sets the description that the cloud or the worker gives of the machine.
      *
      * @param newType null if the cloud does not offer a type of that name
      */
@@ -138,17 +138,17 @@
         return description.spot();
     }
 
-    /** When this leader first heard of it. */
+    /** When this leader first learned of it. */
     public double firstSeenAt() {
         return firstSeenAt;
     }
 
-    /** When it was rented; no later than when this leader first heard of it. */
+    /** When it was rented; if unknown, when this leader first learned of it. */
     public double rentedAt() {
         return rentedAt;
     }
 
-    /** Whether neither the cloud's list nor its worker has shown that it is up. */
+    /** Whether neither the cloud's list, its worker nor an attempt shows that it has booted. */
     public boolean isBooting() {
         return state == State.PROVISIONING && !markListedAsRunning && attempts.isEmpty();
     }
@@ -163,7 +163,7 @@
         rentedAt = Math.min(rentedAt, time);
     }
 
-    /** Records that the cloud's list names it as running: its silence is no sign of a slow boot. */
+    /** Records that the cloud lists it as running: missing heartbeats do not mean a slow boot. */
     public void markListedAsRunning() {
         markListedAsRunning = true;
     }
@@ -173,7 +173,7 @@
         return listedAt;
     }
 
-    /** When its last attempt was removed; when it was first heard of, if it never had one. */
+    /** When its last attempt was removed; if it never had one, when it was added here. */
     public double idleSince() {
         return idleSince;
     }
@@ -198,12 +198,12 @@
         return workerEpoch.epoch();
     }
 
-    /** Accepts a heartbeat that is newer than any before. */
+    /** Accepts a heartbeat that is newer than all before. */
     public void acceptHeartbeat(Heartbeat heartbeat, double now) {
         workerEpoch.accept(heartbeat, now);
         if (state == State.PROVISIONING) {
-            // A new leader's commands fail while a machine boots. Counted against it once it is up,
-            // they would make the leader rent another machine in its place.
+            // Commands fail while a machine boots. If these failures still counted, the machine
+            // would not be schedulable and the leader would rent another one.
             faults.commandsSucceeded();
         }
         liveness.heartbeatReceived(now);
@@ -221,8 +221,8 @@
     }
 
     /**
-     * Whether every reported task was found to have an attempt, and neither has changed since:
-     * reconciliation would find nothing new.
+     * Whether every reported task is known to have an attempt, and neither reports nor attempts
+     * have changed since: another comparison would find nothing new.
      */
     public boolean areReportedTasksKnown() {
         return areReportedTasksKnown;
@@ -236,16 +236,16 @@
     /**
      * Records that a heartbeat of its worker was answered.
      *
-     * @param leaseSeconds a silence of two leases restarts the time counted by {@link
-     *     #missesResponses}
+     * @param leaseSeconds a gap of more than two leases between answers restarts the time measured
+     *     by {@link #missesResponses}
      */
     public void heartbeatAnswered(double now, double leaseSeconds) {
         liveness.heartbeatAnswered(now, leaseSeconds);
     }
 
     /**
-     * Whether its heartbeats have been answered for so long and none has shown a token of this
-     * term: the answers do not reach it.
+     * Whether its heartbeats have been answered for longer than {@code forSeconds} but none has
+     * shown a token of this term: the answers do not reach it.
      */
     public boolean missesResponses(double now, double forSeconds) {
         return !hasSeenCurrentTerm() && liveness.isAnsweredForLongerThan(forSeconds, now);
@@ -286,14 +286,14 @@
         return faults.areCommandsFailing();
     }
 
-    /** Cordons it: no new work is placed here before the given time. */
+    /** Cordons it: no new work is placed on it before the given time. */
     public void cordonUntil(double time) {
         faults.cordonUntil(time);
     }
 
     /**
-     * Whether the machine is at fault for what failed here: several jobs did, none has succeeded
-     * since, and those jobs are not known to fail on every machine.
+     * Whether the machine is taken to be faulty: tasks of several jobs failed on it, no task has
+     * succeeded since, and the jobs are not suspect themselves.
      */
     public boolean isQuarantined() {
         return faults.isQuarantined();
@@ -304,17 +304,17 @@
         return isDraining;
     }
 
-    /** Starts the drain, which is never taken back. */
+    /** Starts the drain, which cannot be cancelled. */
     public void drain() {
         isDraining = true;
     }
 
-    /** Records that a task of a job failed here. */
+    /** Records that a task of a job failed on it. */
     public void taskFailed(Job job) {
         faults.taskFailed(job);
     }
 
-    /** Records that a task succeeded here. */
+    /** Records that a task succeeded on it. */
     public void taskSucceeded() {
         faults.taskSucceeded();
     }
@@ -343,8 +343,8 @@
     }
 
     /**
-     * Frees the resources of an attempt whose end is not committed yet, since the same transaction
-     * commits its end and the claims that use its resources.
+     * Frees the resources of an attempt before its end is committed: the same transaction commits
+     * its end and the claims that use its resources.
      */
     public void releaseResources(TaskAttempt attempt) {
         if (!attempt.isReleased() && attempts.get(attempt.claim().task()) == attempt) {
@@ -376,27 +376,27 @@
                 .anyMatch(attempt -> attempt.job().spec().image().equals(image));
     }
 
-    /** CPUs that no task here takes. */
+    /** CPUs that are not allocated to attempts. */
     public double freeCpus() {
         return free().cpus();
     }
 
-    /** GPUs that no task here takes. */
+    /** GPUs that are not allocated to attempts. */
     public double freeGpus() {
         return free().gpus();
     }
 
-    /** Resources that no task here takes; none while the type is unknown. */
+    /** Resources that are not allocated to attempts; none while the type is unknown. */
     public Resources free() {
         return allocation.free();
     }
 
-    /** What of its resources is taken and reserved. */
+    /** Its used and reserved resources. */
     public MachineAllocation allocation() {
         return allocation;
     }
 
-    /** Whether a task fits into the free resources without those withheld from it. */
+    /** Whether a task fits into the free resources minus those that it may not use. */
     public boolean fitsBeside(Resources withheld, Submission spec) {
         Resources left = withheld.equals(Resources.NONE) ? free() : free().minus(withheld);
         return left.canFit(spec);
@@ -408,7 +408,7 @@
     }
 
     /**
-     * Whether new work may be placed here at all.
+     * Whether new work may be placed on it.
      *
      * @param suspectAfterSeconds a worker without a heartbeat for this long gets no new work
      */
@@ -424,8 +424,8 @@
     }
 
     /**
-     * Whether its worker sends heartbeats in its first epoch and has not yet seen any leader: it
-     * becomes schedulable in a moment. A worker that sees no leader begins its next epoch within a
+     * Whether its worker sends heartbeats in its first epoch and has not yet seen a leader's token:
+     * it becomes schedulable soon. A worker that reaches no leader begins its next epoch within a
      * lease.
      */
     public boolean hasJustBooted() {
@@ -437,7 +437,7 @@
         return workerEpoch.hasSeenCurrentTerm();
     }
 
-    /** Records that a task to be started here needs its image. */
+    /** Records that a task that starts on it needs its image. */
     public void recordImageNeeded(Submission spec, double now) {
         images.recordNeeded(
                 spec.image(),
@@ -447,14 +447,14 @@
                 now);
     }
 
-    /** Records that a task runs here, so that its image is in the cache. */
+    /** Records that a task runs on it, so that the task's image is in the cache. */
     public void recordImageUsed(Submission spec, double now) {
         images.recordUsed(spec.image(), spec.imageGb(), description.cacheGb(), now);
     }
 
     /**
-     * Estimated wait of a task here for its image, in seconds. A missing image costs one second
-     * more than its fetch; the rest of a start is within the second.
+     * Estimated wait of a task for its image, in seconds. A missing image costs one second on top
+     * of its fetch; the other steps of a start take less than a second.
      */
     public double imageFetchSeconds(Submission spec, double now) {
         return (images.holds(spec.image()) ? 0 : 1)
--- a/src/main/java/org/springmill/control/cluster/MachineAllocation.java
+++ b/src/main/java/org/springmill/control/cluster/MachineAllocation.java
@@ -39,12 +39,12 @@
         free = capacity;
     }
 
-    /** Resources that no task takes; none while the machine's type is unknown. */
+    /** Resources that no task uses; none while the machine's type is unknown. */
     Resources free() {
         return capacity.equals(Resources.NONE) ? Resources.NONE : free;
     }
 
-    /** Sets which of the free resources are set aside for tasks that are expected to arrive. */
+    /** Sets how much of the free resources is set aside for tasks that are expected to arrive. */
     public void headroom(Resources expected) {
         headroom = expected;
     }
@@ -55,9 +55,9 @@
     }
 
     /**
-     * Reserves the machine for a job that others are preempted for. Tasks stop one by one: without
-     * this, other work, mostly the task just preempted, takes the free resources in between and is
-     * preempted again, dozens of times a second.
+     * Reserves the machine for a job that others are preempted for. Preempted tasks stop at
+     * different times. Without the reservation other work, mostly the task just preempted, takes
+     * the resources that are already free and is preempted again, dozens of times a second.
      */
     public void reserveFor(Job job, double until) {
         reservedFor.add(job);
@@ -70,7 +70,7 @@
         return !jobs.isEmpty() && !jobs.contains(job);
     }
 
-    /** The jobs that the machine is reserved for, without those that have no waiting task. */
+    /** The jobs that the machine is reserved for and that still have a waiting task. */
     public Set<Job> reservedFor(double now) {
         if (now >= reservedUntil) {
             reservedFor.clear();
--- a/src/main/java/org/springmill/control/cluster/MachineDescription.java
+++ b/src/main/java/org/springmill/control/cluster/MachineDescription.java
@@ -4,7 +4,7 @@
 import org.springmill.protocol.Submission;
 
 /**
- * What a machine is, as the cloud or its worker described it.
+ * The description of a machine, as given by the cloud or its worker.
  *
  * @param address of its worker; empty while unknown
  * @param type null while unknown
@@ -16,7 +16,7 @@
 
     private static final double UNKNOWN_TYPE_FETCH_GB_PER_SECOND = 1;
 
-    /** Of a machine that only a stored claim has named so far. */
+    /** The description of a machine that neither the cloud nor its worker has described yet. */
     static final MachineDescription UNKNOWN = new MachineDescription("", null, "", false);
 
     /** Whether a job may run on a machine of this type and zone. */
--- a/src/main/java/org/springmill/control/cluster/MachineFaults.java
+++ b/src/main/java/org/springmill/control/cluster/MachineFaults.java
@@ -3,12 +3,12 @@
 import java.util.HashSet;
 import java.util.Set;
 
-/** What speaks against placing new work on one machine: failed commands, failed jobs, a cordon. */
+/** Reasons not to place new work on one machine: failed commands, failed jobs, a cordon. */
 final class MachineFaults {
-    /** A machine on which so many jobs failed in a row is taken to be faulty. */
+    /** How many jobs must fail on a machine, with no success in between, to quarantine it. */
     private static final int QUARANTINE_AFTER_JOBS = 2;
 
-    /** Jobs of which a task failed here since a task last succeeded. */
+    /** Jobs of which a task has failed on the machine since a task last succeeded there. */
     private final Set<Job> failedJobs = new HashSet<>();
 
     private boolean areCommandsFailing;
@@ -26,7 +26,7 @@
         return areCommandsFailing;
     }
 
-    /** Cordons the machine until the given time; an earlier end never shortens a cordon. */
+    /** Cordons the machine until the given time; an earlier time does not shorten a cordon. */
     void cordonUntil(double time) {
         cordonUntil = Math.max(cordonUntil, time);
     }
@@ -44,8 +44,8 @@
     }
 
     /**
-     * Whether enough jobs failed here that are not at fault themselves. Computed at each call,
-     * since a job may only later be found to fail on every machine.
+     * Whether enough jobs that are not suspect themselves failed on the machine. Computed at each
+     * call, since a job may become suspect only later.
      */
     boolean isQuarantined() {
         return !failedJobs.isEmpty()
--- a/src/main/java/org/springmill/control/cluster/MachineTypeCatalog.java
+++ b/src/main/java/org/springmill/control/cluster/MachineTypeCatalog.java
@@ -18,7 +18,7 @@
 public final class MachineTypeCatalog {
     private static final Logger LOG = LoggerFactory.getLogger(MachineTypeCatalog.class);
 
-    /** Prices change slowly: they are read again after so many leases. */
+    /** Interval of reads in leases; long, since prices change slowly. */
     private static final double READ_INTERVAL_LEASES = 4;
 
     /** Retries per lease. Frequent, since no job can be validated while no type is known. */
@@ -109,7 +109,7 @@
         return slowest;
     }
 
-    /** The reason, as users read it, why a job can never run; null if it can. */
+    /** The reason why a job can never run, as shown to users; null if it can. */
     public String impossibilityReason(Submission job) {
         Settings.Team team = settings.team(job.team());
         if (team == null) {
--- a/src/main/java/org/springmill/control/cluster/TaskAttempt.java
+++ b/src/main/java/org/springmill/control/cluster/TaskAttempt.java
@@ -18,7 +18,7 @@
         CLAIMING,
         /** The claim is committed; no start command was sent. */
         CLAIMED,
-        /** A start command was sent and is not confirmed. */
+        /** A start command was sent and is not confirmed yet. */
         SENT,
         /** Its worker fetches the image. */
         FETCHING,
@@ -27,8 +27,8 @@
         /** A stop command is due or sent; it may still run, save a checkpoint, or never start. */
         STOPPING,
         /**
-         * Not confirmed before the timeout: the start is not sent again, and reconciliation with
-         * the worker's heartbeats decides.
+         * The start was not confirmed before the timeout. It is not sent again; reconciliation with
+         * the worker's heartbeats shows whether the task runs.
          */
         UNKNOWN,
         /** Known not to run any more; the round that records its end is not yet committed. */
@@ -41,8 +41,8 @@
                 case CLAIMING -> false;
                 case CLAIMED -> this == CLAIMING;
                 case SENT -> this == CLAIMED;
-                // A heartbeat may show more than one step at once, and a claim that is recovered at
-                // failover starts as UNKNOWN.
+                // An attempt may pass through several states between two heartbeats, and a claim
+                // that is recovered at failover starts as UNKNOWN.
                 case FETCHING -> this == SENT || this == UNKNOWN;
                 case RUNNING -> this == SENT || this == UNKNOWN || this == FETCHING;
                 case STOPPING ->
@@ -100,7 +100,7 @@
         return machine;
     }
 
-    /** Where it is in its life cycle. */
+    /** Its state in the life cycle. */
     public State state() {
         return state;
     }
@@ -141,8 +141,8 @@
     }
 
     /**
-     * The one place where an attempt's state changes. A change that {@link State} does not allow is
-     * not made, and logged as an error unless it is to the same state.
+     * The only place where an attempt's state changes. A change that {@link State} does not allow
+     * is not made, and logged as an error unless it is to the same state.
      *
      * @return whether the state changed
      */
@@ -220,14 +220,14 @@
         return graceSeconds;
     }
 
-    /** Sets the grace, and makes the stop command that carries it due at once. */
+    /** Sets the grace, and makes the stop command that carries it due immediately. */
     void setGraceSeconds(double seconds) {
         graceSeconds = seconds;
         nextSendAt = 0;
     }
 
     /**
-     * Sets whether its team's usage counts it as being stopped.
+     * Sets whether it counts as being stopped in its team's usage.
      *
      * @return whether that is a change
      */
@@ -256,12 +256,12 @@
         isReleased = true;
     }
 
-    /** Whether it is stopped to run on another machine; nothing else should preempt it then. */
+    /** Whether it is being stopped to run on another machine; it is not preempted then. */
     public boolean isMigrating() {
         return isMigrating;
     }
 
-    /** Records that it is stopped to run on another machine. */
+    /** Records that it is being stopped to run on another machine. */
     public void markMigrating() {
         isMigrating = true;
     }
--- a/src/main/java/org/springmill/control/cluster/TeamUsage.java
+++ b/src/main/java/org/springmill/control/cluster/TeamUsage.java
@@ -7,7 +7,7 @@
 
 /** The resources that a team's attempts use, compared with its guaranteed and maximum share. */
 public final class TeamUsage {
-    /** How many tasks a resource allows that is not bounded or not needed. */
+    /** How many tasks are allowed by a resource that is unlimited or that the task does not use. */
     private static final double UNBOUNDED_TASKS = 1e9;
 
     private final Settings.Team team;
@@ -23,22 +23,22 @@
         this.team = team;
     }
 
-    /** Adds a task to the used resources (sign 1) or removes it (sign -1). */
+    /** Adds a task's resources to the used ones (sign 1) or subtracts them (sign -1). */
     void charge(Submission task, int sign) {
         used = used.plus(Resources.of(task).times(sign));
     }
 
-    /** Adds a task to those being stopped (sign 1) or removes it (sign -1). */
+    /** The same for the resources of attempts that are being stopped. */
     void chargeStopping(Submission task, int sign) {
         stopping = stopping.plus(Resources.of(task).times(sign));
     }
 
-    /** The used resources without those of attempts that are being stopped. */
+    /** The used resources minus those of attempts that are being stopped. */
     private Resources usedUnlessStopping() {
         return used.minus(stopping);
     }
 
-    /** Whether the limit allows one more task beside the reservations. */
+    /** Whether the limit, minus the reserved part, allows one more task. */
     public boolean isWithinLimit(Submission spec) {
         Resources all = used.plus(reserved).plus(spec);
         return team.withinLimit(all.cpus(), all.gpus());
@@ -46,7 +46,8 @@
 
     /**
      * Reserves part of the limit for replicas that wait for a machine. Otherwise a later job of the
-     * team takes it for as long as it runs, and the earlier one finds a machine but no limit left.
+     * team may use it up for as long as it runs, and the replicas exceed the limit once there is a
+     * machine for them.
      */
     public void reserveLimit(Submission spec, int tasks) {
         reserved = reserved.plus(Resources.of(spec).times(tasks));
@@ -71,15 +72,15 @@
         return Entitlement.hasLoans(team, usedUnlessStopping());
     }
 
-    /** Whether the team keeps its entitlement if attempts of so many resources are stopped. */
+    /** Whether the team keeps its entitlement if attempts that use {@code loss} are stopped. */
     public boolean keepsEntitlementWithout(Resources loss) {
         return Entitlement.coversLoss(team, usedUnlessStopping(), loss);
     }
 
     /**
-     * The same, counting only part of its attempts.
+     * The same, counting only attempts that are known to run.
      *
-     * @param confirmed resources of those that are known to run
+     * @param confirmed resources of these attempts
      */
     public boolean keepsEntitlementWithout(Resources loss, Resources confirmed) {
         return Entitlement.coversLoss(team, confirmed, loss);
@@ -90,12 +91,12 @@
         return tasksWithinBounds(spec, team.cpusMax(), team.gpusMax(), used);
     }
 
-    /** How many more tasks the limit allows beside the reservations. */
+    /** How many more tasks the limit, minus the reserved part, allows. */
     public int tasksWithinUnreservedLimit(Submission spec) {
         return tasksWithinUnreservedLimit(spec, Resources.NONE);
     }
 
-    /** How many more tasks the limit allows beside the reservations and what is promised. */
+    /** How many more tasks the limit allows, minus the reserved part and {@code promised}. */
     public int tasksWithinUnreservedLimit(Submission spec, Resources promised) {
         return tasksWithinBounds(
                 spec, team.cpusMax(), team.gpusMax(), used.plus(reserved).plus(promised));
@@ -106,7 +107,7 @@
         return tasksWithinGuarantee(spec, Resources.NONE);
     }
 
-    /** How many more tasks are within the guarantee beside what recalls promise the team. */
+    /** How many more tasks are within the guarantee, minus what recalls reserve for the team. */
     public int tasksWithinGuarantee(Submission spec, Resources promised) {
         return team.hasGuarantee()
                 ? tasksWithinBounds(spec, team.cpus(), team.gpus(), used.plus(promised))
--- a/src/main/java/org/springmill/control/cluster/WorkerEpoch.java
+++ b/src/main/java/org/springmill/control/cluster/WorkerEpoch.java
@@ -3,11 +3,11 @@
 import org.springmill.protocol.WorkerMessages.Heartbeat;
 
 /**
- * The epoch of one worker, the sequence number of its latest heartbeat, and the fencing tokens that
- * it was sent and has shown. docs/design.md, section 5, has the argument.
+ * The epoch of one worker, the sequence number of its latest heartbeat, the fencing token of its
+ * commands and the highest one in its heartbeats. See docs/design.md, section 5.
  */
 public final class WorkerEpoch {
-    /** A fencing token is the term of a leader, followed by a counter of so many bits. */
+    /** A fencing token is the term of a leader, followed by a counter with this many bits. */
     private static final int COUNTER_BITS = 20;
 
     private long fencingToken;
@@ -31,14 +31,14 @@
     }
 
     /**
-     * Raises the token. Commands that are still under way are rejected once the worker has seen the
-     * new one.
+     * Raises the token. Commands that are still in transit are rejected once the worker has seen
+     * the new one.
      */
     public void raiseFencingToken() {
         fencingToken++;
     }
 
-    /** Adopts a token of this term that the worker has shown, if it is higher. */
+    /** Adopts a token of this term that a heartbeat carries, if it is higher. */
     public void adoptFencingToken(long seen) {
         fencingToken = Math.max(fencingToken, seen);
     }
@@ -47,14 +47,14 @@
         return epoch;
     }
 
-    /** Whether a heartbeat is newer than all that were accepted. */
+    /** Whether a heartbeat is newer than all accepted ones. */
     public boolean isNewerThanSeen(Heartbeat heartbeat) {
         return heartbeat.isNewerThan(epoch, lastAcceptedSequence);
     }
 
     /**
-     * Whether the worker may be waiting for the answer: it sends no heartbeat before the last one
-     * was answered or timed out.
+     * Whether the worker may still be waiting for the answer: it sends no heartbeat before the
+     * previous one was answered or timed out.
      */
     public boolean isLatestHeartbeat(Heartbeat heartbeat) {
         return heartbeat.epoch() > epoch
--- a/src/main/java/org/springmill/control/cluster/WorkerLiveness.java
+++ b/src/main/java/org/springmill/control/cluster/WorkerLiveness.java
@@ -5,7 +5,7 @@
  * the leader; negative infinity stands for never.
  */
 final class WorkerLiveness {
-    /** After a silence of more leases than this the worker begins anew with this leader. */
+    /** A longer gap between answered heartbeats, in leases, restarts {@code answeredSince}. */
     private static final double NEW_START_AFTER_LEASES = 2;
 
     private double lastHeartbeatAt = Double.NEGATIVE_INFINITY;
@@ -31,7 +31,7 @@
         return lastAnsweredAt;
     }
 
-    /** Whether its heartbeats have been answered for longer than this without a long silence. */
+    /** Whether heartbeats have been answered for longer than the given time without a long gap. */
     boolean isAnsweredForLongerThan(double seconds, double now) {
         return lastAnsweredAt > Double.NEGATIVE_INFINITY && now - answeredSince > seconds;
     }
--- a/src/main/java/org/springmill/control/cluster/package-info.java
+++ b/src/main/java/org/springmill/control/cluster/package-info.java
@@ -1,10 +1,11 @@
 /**
- * The cluster as one leader sees it: jobs with their task attempts, machines with their workers'
+ * The cluster as one leader knows it: jobs with their task attempts, machines with their workers'
  * epochs and fencing tokens, the usage of teams, and the order of jobs.
  *
  * <p>Owns the state that is recovered at the beginning of a leadership term and dropped at its end;
- * nothing here is stored. It decides nothing: {@code scheduling}, {@code workers}, {@code
- * leadership}, {@code autoscaling} and {@code recall} read and change it, all on the event loop.
+ * nothing here is stored. It makes no scheduling decisions: {@code scheduling}, {@code workers},
+ * {@code leadership}, {@code autoscaling} and {@code recall} read and change it, all on the event
+ * loop.
  *
  * <p>Uses {@code jobs} for the records behind deadlines, {@code borrowing} for entitlements, {@code
  * storage} for the types of stored claims and image locations, and {@code timing}.
--- a/src/test/java/org/springmill/control/cluster/DependencyPriorityWorkTest.java
+++ b/src/test/java/org/springmill/control/cluster/DependencyPriorityWorkTest.java
@@ -23,11 +23,11 @@
 import org.springmill.protocol.UserMessages.JobPhase;
 import org.springmill.sim.VirtualClock;
 
-/** The derived rank of each job, and the cost of its computation in steps. */
+/** The derived rank of each job, and the number of steps that its computation takes. */
 class DependencyPriorityWorkTest {
     private static final double ESTIMATE_SECONDS = 10;
 
-    /** One call may complete the dependencies of the job that it processes last. */
+    /** A call may exceed its bound by the dependencies of the job that it processes last. */
     private static final int MAX_STEPS_PER_CALL = 6_000;
 
     /** The leader's ticks, each of which makes one call. */
@@ -126,7 +126,7 @@
         Job common = accept(1, "normal", null, List.of());
         List<Job> dependents = new ArrayList<>();
         for (int i = 0; i < wide; i++) {
-            // Each has an earlier deadline than all before it, and so changes the common
+            // Each has an earlier deadline than all before it, which changes the rank of the common
             // dependency.
             dependents.add(accept(2 + i, "normal", 100_000.0 - i, List.of(1)));
         }
@@ -188,7 +188,7 @@
         assertTrue(ticks <= 2 * TICKS_PER_SECOND, ticks + " ticks");
     }
 
-    /** Otherwise each of many dependents of a long chain walks all of it. */
+    /** Guards against processing a long chain once for each of its many dependents. */
     @Test
     void changesOfALongChainShareOneWalk() {
         int deep = 1_000;
@@ -254,7 +254,7 @@
                 .toList();
     }
 
-    /** One level is enough, since every job is checked. */
+    /** Reads the ranks of direct dependents only, since every job is checked. */
     private static double latestStart(Job job, List<Job> jobs) {
         if (!job.isActive()) {
             return 0;
--- a/src/test/java/org/springmill/control/cluster/ImageCacheTest.java
+++ b/src/test/java/org/springmill/control/cluster/ImageCacheTest.java
@@ -9,8 +9,8 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * A machine of 100 GB that fetches 2 GB a second and was asked for a large and a small image at
- * second 10.
+ * A cache of 100 GB that is filled at 2 GB per second. At second 10 tasks request a large and a
+ * small image.
  */
 class ImageCacheTest {
     private final ImageCache images = new ImageCache();
@@ -21,9 +21,7 @@
         images.recordNeeded("small", 2, 100, 2, 10);
     }
 
-    /**
-     * Fetches under way delay the next one: the machine must not look like one whose link is free.
-     */
+    /** Guards against estimates that ignore the fetches in progress. */
     @ParameterizedTest
     @CsvSource({
         "large, 60, 10, 30",
