--- a/src/main/java/org/springmill/control/cluster/MachineTypeCatalog.java
+++ b/src/main/java/org/springmill/control/cluster/MachineTypeCatalog.java
@@ -72,7 +72,10 @@
                 types = byName;
             }
         } catch (MalformedMessageException e) {
-            LOG.warn("cloud: {}", e.getMessage());
+            LOG.warn(
+                    "malformed list of machine types from the cloud: {}; keeping the {} known types",
+                    e.getMessage(),
+                    types.size());
         }
     }
 
@@ -80,7 +83,10 @@
     private void warnOfZonesWithoutTypes(Collection<MachineType> offered) {
         for (String zone : settings.zones()) {
             if (offered.stream().noneMatch(type -> type.zones().contains(zone))) {
-                LOG.warn("cluster.zones: the cloud offers no machine type in zone {}", zone);
+                LOG.warn(
+                        "cluster.zones: the cloud offers no machine type in zone {}; no machine"
+                                + " can be rented there",
+                        zone);
             }
         }
     }
--- a/src/main/java/org/springmill/control/cluster/TaskAttempt.java
+++ b/src/main/java/org/springmill/control/cluster/TaskAttempt.java
@@ -150,7 +150,7 @@
         if (!state.mayBecome(next)) {
             if (state != next) {
                 LOG.error(
-                        "{} attempt {} cannot go from {} to {}",
+                        "{} attempt {} cannot go from {} to {}; change ignored",
                         claim.task(),
                         claim.round(),
                         state,
