--- a/src/main/java/org/springmill/control/cluster/BootTimes.java
+++ b/src/main/java/org/springmill/control/cluster/BootTimes.java
@@ -14,10 +14,10 @@
      * Lower bound of the timeout, in nominal boot times. Most machines are up within 1.5 of them. A
      * period of faster boots does not lower the timeout below this, since it may end at any time.
      */
-    private static final double MIN_BOOT_TIMES = 1.6;
+    private static final double MIN_TIMEOUT_BOOT_TIMES = 1.6;
 
     /** Upper bound of the timeout, as a multiple of the configured one. */
-    private static final double MAX_PATIENCE_FACTOR = 2;
+    private static final double MAX_TIMEOUT_FACTOR = 2;
 
     /**
      * Deviation assumed after the first measurement, as a share of it: the spread that the cloud
@@ -29,7 +29,7 @@
     private static final double DEVIATION_GAIN = 1 / 4.0;
     private static final double DEVIATION_FACTOR = 4;
 
-    private final double patienceBootTimes;
+    private final double timeoutBootTimes;
 
     /** By type and zone, and by type alone. */
     private final Map<String, Estimate> estimates = new HashMap<>();
@@ -44,10 +44,10 @@
     }
 
     /**
-     * @param patienceBoots the configured timeout of a boot, in nominal boot times
+     * @param timeoutBootTimes the configured timeout of a boot, in nominal boot times
      */
-    BootTimes(double patienceBoots) {
-        this.patienceBootTimes = patienceBoots;
+    BootTimes(double timeoutBootTimes) {
+        this.timeoutBootTimes = timeoutBootTimes;
     }
 
     /** Records the boot time of a machine that has just come up for the first time. */
@@ -77,8 +77,9 @@
                 known == null
                         ? 0
                         : known.meanSeconds() + DEVIATION_FACTOR * known.deviationSeconds();
-        double most = MAX_PATIENCE_FACTOR * patienceBootTimes * type.bootSeconds();
-        return Math.min(most, Math.max(MIN_BOOT_TIMES * type.bootSeconds(), measured));
+        double maxSeconds = MAX_TIMEOUT_FACTOR * timeoutBootTimes * type.bootSeconds();
+        return Math.min(
+                maxSeconds, Math.max(MIN_TIMEOUT_BOOT_TIMES * type.bootSeconds(), measured));
     }
 
     /** Key of an estimate. Spot machines boot like others and share their estimates. */
--- a/src/main/java/org/springmill/control/cluster/ClusterState.java
+++ b/src/main/java/org/springmill/control/cluster/ClusterState.java
@@ -147,11 +147,13 @@
         ended.add(attempt);
     }
 
-    /** Removes and returns up to {@code most} attempts of {@link #ended}, the earliest first. */
-    public List<TaskAttempt> pollEnded(int most) {
+    /**
+     * Removes and returns up to {@code maxCount} attempts of {@link #ended}, the earliest first.
+     */
+    public List<TaskAttempt> pollEnded(int maxCount) {
         List<TaskAttempt> taken = new ArrayList<>();
         for (TaskAttempt attempt : ended) {
-            if (taken.size() == most) {
+            if (taken.size() == maxCount) {
                 break;
             }
             taken.add(attempt);
--- a/src/main/java/org/springmill/control/cluster/Fleet.java
+++ b/src/main/java/org/springmill/control/cluster/Fleet.java
@@ -49,7 +49,7 @@
      * A fleet without machines.
      *
      * @param term of the leader
-     * @param bootPatience the configured timeout of a boot, in nominal boot times
+     * @param bootTimeoutFactor the configured timeout of a boot, in nominal boot times
      */
     public Fleet(
             ClusterState clusterState,
@@ -57,13 +57,13 @@
             EventLoop loop,
             Timeouts timeouts,
             long term,
-            double bootPatience) {
+            double bootTimeoutFactor) {
         this.clusterState = clusterState;
         this.catalog = catalog;
         this.loop = loop;
         this.term = term;
         this.heartbeatIntervalSeconds = timeouts.heartbeatIntervalSeconds();
-        this.bootTimes = new BootTimes(bootPatience);
+        this.bootTimes = new BootTimes(bootTimeoutFactor);
         deletedRetentionSeconds = DELETED_RETENTION_LEASES * timeouts.workerLeaseSeconds();
     }
 
--- a/src/main/java/org/springmill/control/cluster/Job.java
+++ b/src/main/java/org/springmill/control/cluster/Job.java
@@ -103,9 +103,9 @@
     }
 
     /** Called only by {@link ClusterState#rank}, which counts attempts by priority. */
-    void rank(Priority derived, double startBy) {
+    void rank(Priority derived, double latestStart) {
         priority = derived;
-        latestStartAt = startBy;
+        latestStartAt = latestStart;
     }
 
     /** Revision of the latest known change of its record. */
@@ -284,28 +284,28 @@
         if (!spec.oneZone() && !spec.spread()) {
             return true;
         }
-        int here = 0;
+        int inZone = 0;
         for (TaskAttempt attempt : attemptsByTask.values()) {
             String other = attempt.machine().zone();
             if (other.isEmpty() || other.equals(zone)) {
-                here++;
+                inZone++;
             }
             if (spec.oneZone() && !other.equals(zone)) {
                 return false;
             }
         }
-        return here < spec.maxTasksPerZone();
+        return inZone < spec.maxTasksPerZone();
     }
 
     /** How many of its attempts are in a zone. */
     public int attemptsInZone(String zone) {
-        int here = 0;
+        int inZone = 0;
         for (TaskAttempt attempt : attemptsByTask.values()) {
             if (attempt.machine().zone().equals(zone)) {
-                here++;
+                inZone++;
             }
         }
-        return here;
+        return inZone;
     }
 
     /** Its failed tasks, and the limits that result from them. */
--- a/src/main/java/org/springmill/control/cluster/JobFailures.java
+++ b/src/main/java/org/springmill/control/cluster/JobFailures.java
@@ -15,7 +15,7 @@
  */
 public final class JobFailures {
     /** On how many machines tasks must fail, with no success in between, to suspect the job. */
-    private static final int SUSPECT_AFTER_MACHINES = 2;
+    private static final int SUSPECT_FAILED_MACHINES = 2;
 
     private static final int MAX_PAUSE_STEPS = 32;
     private static final int MAX_DOUBLINGS = 5;
@@ -96,7 +96,7 @@
 
     /** Whether the job, and not its machines, is taken to be at fault. */
     public boolean isSuspect() {
-        return failedMachines.size() >= SUSPECT_AFTER_MACHINES;
+        return failedMachines.size() >= SUSPECT_FAILED_MACHINES;
     }
 
     /** Whether the job failed on a machine recently, so that another one is preferred. */
--- a/src/main/java/org/springmill/control/cluster/Machine.java
+++ b/src/main/java/org/springmill/control/cluster/Machine.java
@@ -397,8 +397,8 @@
     }
 
     /** Whether a task fits into the free resources minus those that it may not use. */
-    public boolean fitsBeside(Resources withheld, Submission spec) {
-        Resources left = withheld.equals(Resources.NONE) ? free() : free().minus(withheld);
+    public boolean fitsBeside(Resources excluded, Submission spec) {
+        Resources left = excluded.equals(Resources.NONE) ? free() : free().minus(excluded);
         return left.canFit(spec);
     }
 
--- a/src/main/java/org/springmill/control/cluster/MachineAllocation.java
+++ b/src/main/java/org/springmill/control/cluster/MachineAllocation.java
@@ -45,8 +45,8 @@
     }
 
     /** Sets how much of the free resources is set aside for tasks that are expected to arrive. */
-    public void headroom(Resources expected) {
-        headroom = expected;
+    public void headroom(Resources resources) {
+        headroom = resources;
     }
 
     /** Free resources that are set aside for tasks that are expected to arrive. */
--- a/src/main/java/org/springmill/control/cluster/TaskAttempt.java
+++ b/src/main/java/org/springmill/control/cluster/TaskAttempt.java
@@ -178,11 +178,11 @@
      *
      * @return whether it had not ended before
      */
-    public boolean end(ExitCause why, double now) {
+    public boolean end(ExitCause cause, double now) {
         if (!transition(State.ENDED, now)) {
             return false;
         }
-        exitCause = why;
+        exitCause = cause;
         return true;
     }
 
@@ -243,8 +243,8 @@
     }
 
     /** Sets whether a recall stops it. */
-    public void markRecalled(boolean byRecall) {
-        isRecalled = byRecall;
+    public void markRecalled(boolean recalled) {
+        isRecalled = recalled;
     }
 
     /** Whether its resources count as free although its end is not committed yet. */
--- a/src/main/java/org/springmill/control/cluster/TeamUsage.java
+++ b/src/main/java/org/springmill/control/cluster/TeamUsage.java
@@ -8,7 +8,7 @@
 /** The resources that a team's attempts use, compared with its guaranteed and maximum share. */
 public final class TeamUsage {
     /** How many tasks are allowed by a resource that is unlimited or that the task does not use. */
-    private static final double UNBOUNDED_TASKS = 1e9;
+    private static final double UNLIMITED_TASKS = 1e9;
 
     private final Settings.Team team;
     private Resources used = Resources.NONE;
@@ -96,10 +96,10 @@
         return tasksWithinUnreservedLimit(spec, Resources.NONE);
     }
 
-    /** How many more tasks the limit allows, minus the reserved part and {@code promised}. */
-    public int tasksWithinUnreservedLimit(Submission spec, Resources promised) {
+    /** How many more tasks the limit allows, minus the reserved part and {@code alsoReserved}. */
+    public int tasksWithinUnreservedLimit(Submission spec, Resources alsoReserved) {
         return tasksWithinBounds(
-                spec, team.cpusMax(), team.gpusMax(), used.plus(reserved).plus(promised));
+                spec, team.cpusMax(), team.gpusMax(), used.plus(reserved).plus(alsoReserved));
     }
 
     /** How many more tasks are within the guarantee. */
@@ -108,9 +108,9 @@
     }
 
     /** How many more tasks are within the guarantee, minus what recalls reserve for the team. */
-    public int tasksWithinGuarantee(Submission spec, Resources promised) {
+    public int tasksWithinGuarantee(Submission spec, Resources reservedByRecalls) {
         return team.hasGuarantee()
-                ? tasksWithinBounds(spec, team.cpus(), team.gpus(), used.plus(promised))
+                ? tasksWithinBounds(spec, team.cpus(), team.gpus(), used.plus(reservedByRecalls))
                 : 0;
     }
 
@@ -123,7 +123,7 @@
 
     private static double tasksWithin(double bound, double taken, double each) {
         return bound == 0 || each == 0
-                ? UNBOUNDED_TASKS
+                ? UNLIMITED_TASKS
                 : (bound - taken + Resources.ROUNDING) / each;
     }
 }
--- a/src/main/java/org/springmill/control/cluster/WorkerLiveness.java
+++ b/src/main/java/org/springmill/control/cluster/WorkerLiveness.java
@@ -6,7 +6,7 @@
  */
 final class WorkerLiveness {
     /** A longer gap between answered heartbeats, in leases, restarts {@code answeredSince}. */
-    private static final double NEW_START_AFTER_LEASES = 2;
+    private static final double MAX_ANSWER_GAP_LEASES = 2;
 
     private double lastHeartbeatAt = Double.NEGATIVE_INFINITY;
     private double lastAnsweredAt = Double.NEGATIVE_INFINITY;
@@ -17,7 +17,7 @@
     }
 
     void heartbeatAnswered(double now, double leaseSeconds) {
-        if (now - lastAnsweredAt > NEW_START_AFTER_LEASES * leaseSeconds) {
+        if (now - lastAnsweredAt > MAX_ANSWER_GAP_LEASES * leaseSeconds) {
             answeredSince = now;
         }
         lastAnsweredAt = now;
--- a/src/test/java/org/springmill/control/cluster/DependencyPriorityWorkTest.java
+++ b/src/test/java/org/springmill/control/cluster/DependencyPriorityWorkTest.java
@@ -110,7 +110,7 @@
     }
 
     /** The number of ticks until nothing is pending. */
-    private int settle() {
+    private int propagateAll() {
         for (int ticks = 0; ; ticks++) {
             int stepsOfCall = dependencyPriority.propagatePending();
             if (stepsOfCall == 0) {
@@ -121,49 +121,51 @@
     }
 
     @Test
-    void thousandsOfDependentsCostAFewStepsEach() {
-        int wide = 4_000;
+    void thousandsOfDependentsTakeAFewStepsEach() {
+        int dependentCount = 4_000;
         Job common = accept(1, "normal", null, List.of());
         List<Job> dependents = new ArrayList<>();
-        for (int i = 0; i < wide; i++) {
+        for (int i = 0; i < dependentCount; i++) {
             // Each has an earlier deadline than all before it, which changes the rank of the common
             // dependency.
             dependents.add(accept(2 + i, "normal", 100_000.0 - i, List.of(1)));
         }
-        settle();
-        assertEquals(1 + 100_000.0 - (wide - 1) - 2 * ESTIMATE_SECONDS, common.latestStartAt());
-        assertTrue(steps <= 8L * wide, steps + " steps to accept " + wide);
+        propagateAll();
+        assertEquals(
+                1 + 100_000.0 - (dependentCount - 1) - 2 * ESTIMATE_SECONDS,
+                common.latestStartAt());
+        assertTrue(steps <= 8L * dependentCount, steps + " steps to accept " + dependentCount);
         steps = 0;
         // The dependent with the earliest deadline ends first each time.
-        for (int i = wide - 1; i >= 0; i--) {
+        for (int i = dependentCount - 1; i >= 0; i--) {
             end(dependents.get(i));
         }
-        settle();
+        propagateAll();
         assertEquals(Double.POSITIVE_INFINITY, common.latestStartAt());
-        assertTrue(steps <= 8L * wide, steps + " steps to end " + wide);
+        assertTrue(steps <= 8L * dependentCount, steps + " steps to end " + dependentCount);
     }
 
     @Test
     void wideGraphIsUpdatedWithinASecond() {
-        int firsts = 500;
-        int middles = 20;
+        int firstCount = 500;
+        int middleCount = 20;
         List<Integer> firstIds = new ArrayList<>();
         List<Job> jobs = new ArrayList<>();
-        for (int i = 0; i < firsts; i++) {
+        for (int i = 0; i < firstCount; i++) {
             firstIds.add(1 + i);
             jobs.add(accept(1 + i, "best_effort", null, List.of()));
         }
         List<Integer> middleIds = new ArrayList<>();
-        for (int i = 0; i < middles; i++) {
-            middleIds.add(1 + firsts + i);
-            jobs.add(accept(1 + firsts + i, "best_effort", null, firstIds));
+        for (int i = 0; i < middleCount; i++) {
+            middleIds.add(1 + firstCount + i);
+            jobs.add(accept(1 + firstCount + i, "best_effort", null, firstIds));
         }
-        settle();
+        propagateAll();
         steps = 0;
         Job last = accept(10_000, "urgent", 1_000.0, middleIds);
-        int ticks = settle();
+        int ticks = propagateAll();
         assertTrue(ticks <= TICKS_PER_SECOND, ticks + " ticks");
-        assertTrue(steps <= 2L * firsts * middles, steps + " steps");
+        assertTrue(steps <= 2L * firstCount * middleCount, steps + " steps");
         assertEquals(1 + 1_000.0 - ESTIMATE_SECONDS, last.latestStartAt());
         for (Job job : jobs) {
             assertEquals(Priority.HIGH, job.priority(), job.id());
@@ -173,40 +175,40 @@
 
     @Test
     void deepChainIsUpdatedInBoundedCalls() {
-        int deep = 15_000;
+        int chainLength = 15_000;
         Job first = accept(1, "normal", null, List.of());
-        for (int i = 2; i < deep; i++) {
+        for (int i = 2; i < chainLength; i++) {
             accept(i, "normal", null, List.of(i - 1));
         }
-        settle();
+        propagateAll();
         steps = 0;
-        accept(deep, "urgent", 1_000_000.0, List.of(deep - 1));
-        int ticks = settle();
+        accept(chainLength, "urgent", 1_000_000.0, List.of(chainLength - 1));
+        int ticks = propagateAll();
         assertEquals(Priority.HIGH, first.priority());
-        assertEquals(1 + 1_000_000.0 - deep * ESTIMATE_SECONDS, first.latestStartAt());
-        assertTrue(steps <= 3L * deep, steps + " steps");
+        assertEquals(1 + 1_000_000.0 - chainLength * ESTIMATE_SECONDS, first.latestStartAt());
+        assertTrue(steps <= 3L * chainLength, steps + " steps");
         assertTrue(ticks <= 2 * TICKS_PER_SECOND, ticks + " ticks");
     }
 
     /** Guards against processing a long chain once for each of its many dependents. */
     @Test
-    void changesOfALongChainShareOneWalk() {
-        int deep = 1_000;
-        int wide = 1_000;
+    void changesFromManyDependentsOfALongChainArePropagatedTogether() {
+        int chainLength = 1_000;
+        int dependentCount = 1_000;
         Job first = accept(1, "normal", null, List.of());
-        for (int i = 2; i <= deep; i++) {
+        for (int i = 2; i <= chainLength; i++) {
             accept(i, "normal", null, List.of(i - 1));
         }
-        settle();
+        propagateAll();
         steps = 0;
-        for (int i = 0; i < wide; i++) {
-            accept(deep + 1 + i, "normal", 1_000_000.0 - i, List.of(deep));
+        for (int i = 0; i < dependentCount; i++) {
+            accept(chainLength + 1 + i, "normal", 1_000_000.0 - i, List.of(chainLength));
         }
-        settle();
+        propagateAll();
         assertEquals(
-                1 + 1_000_000.0 - (wide - 1) - (deep + 1) * ESTIMATE_SECONDS,
+                1 + 1_000_000.0 - (dependentCount - 1) - (chainLength + 1) * ESTIMATE_SECONDS,
                 first.latestStartAt());
-        assertTrue(steps <= 300L * wide, steps + " steps");
+        assertTrue(steps <= 300L * dependentCount, steps + " steps");
     }
 
     @Test
@@ -215,10 +217,10 @@
         directory.merge(record(2, "urgent", 100.0, List.of(1), 2));
         admit(directory.get(id(2)));
         directory.merge(dependency);
-        Job late = admit(dependency);
-        settle();
-        assertEquals(Priority.HIGH, late.priority());
-        assertEquals(1 + 100.0 - 2 * ESTIMATE_SECONDS, late.latestStartAt());
+        Job addedLater = admit(dependency);
+        propagateAll();
+        assertEquals(Priority.HIGH, addedLater.priority());
+        assertEquals(1 + 100.0 - 2 * ESTIMATE_SECONDS, addedLater.latestStartAt());
     }
 
     @ParameterizedTest
@@ -240,7 +242,7 @@
                     end(ended);
                 }
             }
-            settle();
+            propagateAll();
             for (Job job : jobs) {
                 assertEquals(latestStart(job, jobs), job.isActive() ? job.latestStartAt() : 0);
                 assertEquals(priority(job, jobs), job.isActive() ? job.priority() : null);
--- a/src/test/java/org/springmill/control/cluster/ImageCacheTest.java
+++ b/src/test/java/org/springmill/control/cluster/ImageCacheTest.java
@@ -32,12 +32,12 @@
         "other, 4, 60, 2",
         "large, 60, 60, 0"
     })
-    void fetchWaitsForEarlierFetches(String image, double gb, double now, double waits) {
-        assertEquals(waits, images.fetchWaitSeconds(image, gb, 2, now), 1e-9);
+    void fetchWaitsForEarlierFetches(String image, double gb, double now, double expectedWait) {
+        assertEquals(expectedWait, images.fetchWaitSeconds(image, gb, 2, now), 1e-9);
     }
 
     @Test
-    void runningTaskProvesThatItsImageIsCached() {
+    void imageOfARunningTaskIsCached() {
         images.recordUsed("large", 60, 100, 15);
         images.recordUsed("small", 2, 100, 15);
         assertEquals(0, images.fetchWaitSeconds("large", 60, 2, 15));
