--- a/src/main/java/org/springmill/control/timing/ProcessPauseDetector.java
+++ b/src/main/java/org/springmill/control/timing/ProcessPauseDetector.java
@@ -9,15 +9,15 @@
 import org.springmill.transport.PeerLink;
 
 /**
- * Detects that this process was paused while its clock ran on: its host was suspended, or gave it
- * no processor time. After a pause, leases and confirmations have to be proven valid again, and
- * missing heartbeats prove nothing. Every turn of the event loop passes through here first, so that
- * the listeners know of a pause before any message that arrived during it is handled.
+ * Detects that this process was paused while its clock continued: its host was suspended, or gave
+ * it no CPU time. After a pause, leases and confirmations have to be proven valid again, and
+ * missing heartbeats prove nothing. Every turn of the event loop checks for a pause first, so that
+ * the listeners are called before any message that arrived during the pause is handled.
  */
 public final class ProcessPauseDetector {
     private static final Logger LOG = LoggerFactory.getLogger(ProcessPauseDetector.class);
 
-    /** A timer keeps the loop turning; it may fire late without being taken for a pause. */
+    /** Frequency of the timer that triggers turns; if it fires a little late, that is no pause. */
     private static final double TURNS_PER_THRESHOLD = 4;
 
     private final EventLoop loop;
@@ -26,9 +26,9 @@
     private double lastTurnAt;
 
     /**
-     * A detector that starts with {@link #start}.
+     * Makes a detector; {@link #start} starts it.
      *
-     * @param thresholdSeconds a longer time without a turn is a pause
+     * @param thresholdSeconds a longer time between two turns is a pause
      */
     public ProcessPauseDetector(EventLoop loop, double thresholdSeconds) {
         this.loop = loop;
@@ -41,7 +41,7 @@
         listeners.add(listener);
     }
 
-    /** Starts detection; the time that the controller took to start up is not a pause. */
+    /** Starts detection. The time that the controller took to start is not counted as a pause. */
     public void start() {
         lastTurnAt = loop.now();
         keepTurning();
@@ -63,7 +63,7 @@
         }
     }
 
-    /** An event loop whose tasks first check for a pause. */
+    /** Returns an event loop whose tasks first check for a pause. */
     public EventLoop wrap(EventLoop watched) {
         return new EventLoop() {
             @Override
@@ -88,7 +88,7 @@
         };
     }
 
-    /** A client whose response handlers first check for a pause. */
+    /** Returns a client whose response handlers first check for a pause. */
     public HttpClient wrap(HttpClient watched) {
         return (request, done) ->
                 watched.send(
@@ -99,7 +99,7 @@
                         });
     }
 
-    /** A link whose record handlers first check for a pause. */
+    /** Returns a link whose record handlers first check for a pause. */
     public PeerLink wrap(PeerLink watched) {
         return new PeerLink() {
             @Override
--- a/src/main/java/org/springmill/control/timing/Timeouts.java
+++ b/src/main/java/org/springmill/control/timing/Timeouts.java
@@ -7,36 +7,36 @@
  * interval and cancellation deadline. The argument for them is in docs/design.md, "When a task may
  * start again".
  *
- * <p>Each is one of three kinds. An interval is the time between two actions of the same kind.
- * After a timeout, counted from an event, something that has not happened is no longer waited for.
- * A validity is how long something known, such as a lease or a confirmation, may be relied on.
+ * <p>Each is one of three kinds. An interval is the time between two actions of the same kind. A
+ * timeout is how long something is waited for after an event. A validity is how long a lease, a
+ * confirmation or other knowledge may be relied on.
  *
  * @param leaderLeaseSeconds validity of the leader's lease in the key-value store
  * @param leaderRenewIntervalSeconds interval of the leader's lease renewals, of the followers'
  *     reads of the leader's record, and of retries after a failed read
- * @param leaderGraceSeconds validity, from the earliest expiry of the leader's lease: so long the
- *     leader still answers heartbeats without its peers' confirmation
+ * @param leaderGraceSeconds validity of leadership after the earliest expiry of the leader's lease:
+ *     for this time the leader still answers heartbeats without its peers' confirmation
  * @param peerConfirmationValiditySeconds validity of a peer's answer, such as that it cannot reach
  *     the key-value store, from the time of the request
- * @param peerPollIntervalSeconds interval at which each peer is asked for its status
+ * @param peerPollIntervalSeconds interval of status requests to each peer
  * @param storeRequestTimeoutSeconds timeout of a request to the key-value store
  * @param workerLeaseSeconds validity of a worker's lease as measured on another clock, with the
  *     drift between them
  * @param heartbeatIntervalSeconds interval of a worker's heartbeats
- * @param claimConfirmationTimeoutSeconds timeout of a start command: a start that is not confirmed
- *     by then is unknown and has to be reconciled
- * @param probeAfterSeconds timeout of a heartbeat, longer than the interval: a worker that sent
- *     none for so long is asked for its status
- * @param suspectAfterSeconds timeout of a heartbeat: a worker that sent none for so long gets no
- *     new work
- * @param deadAfterSeconds timeout of a heartbeat: a worker that sent none for so long, and does not
- *     answer commands either, is taken to be dead
+ * @param claimConfirmationTimeoutSeconds timeout of a start command: the state of an attempt that
+ *     is not confirmed by then is unknown and has to be reconciled
+ * @param probeAfterSeconds timeout of a heartbeat, longer than the interval: a worker without a
+ *     heartbeat for this long is asked for its status
+ * @param suspectAfterSeconds timeout of a heartbeat: a worker without a heartbeat for this long
+ *     gets no new work
+ * @param deadAfterSeconds timeout of a heartbeat: a worker without a heartbeat for this long that
+ *     does not answer commands either is taken to be dead
  * @param commandTimeoutSeconds timeout of a request with commands to a worker
  * @param cancellationDeletionTimeoutSeconds timeout of the stop of a cancelled task: if it still
  *     runs by then, its machine is deleted
- * @param cancellationKnowledgeValiditySeconds validity of knowing every cancellation up to a time:
- *     so long after that time a controller may renew leases, since these expire before the deadline
- *     of any cancellation that it does not know yet
+ * @param cancellationKnowledgeValiditySeconds validity of the knowledge of every cancellation up to
+ *     a time: for this long after that time a controller may renew leases, since they expire before
+ *     the deadline of any cancellation that it does not know yet
  */
 public record Timeouts(
         double leaderLeaseSeconds,
@@ -56,13 +56,14 @@
         double cancellationKnowledgeValiditySeconds) {
 
     /**
-     * Factor for the drift of two clocks against each other, doubled, and timers that fire late.
+     * Factor that extends a time by twice the drift between two clocks, and for timers that fire
+     * late.
      */
     public static final double DRIFT = 1.002;
 
     private static final double COMMIT_RETRIES_PER_PEER_POLL = 4;
 
-    /** Longest time between two heartbeats, in intervals. */
+    /** Longest time between two heartbeats, in heartbeat intervals. */
     private static final double LONGEST_HEARTBEAT_GAP = 1.25;
 
     /** Derives the times from the settings, in the order of the components. */
@@ -72,8 +73,8 @@
         double cancellationDeadline = settings.workers().cancellationDeadlineSeconds();
         double leaderLease = lease / 5;
         double workerLease = lease * DRIFT + heartbeatInterval / 10;
-        // If the cancellation deadline is shorter than a lease, only the deletion of machines keeps
-        // it. Leases are renewed for some time all the same, since tasks could not run otherwise.
+        // A cancellation deadline shorter than a lease is met only by the deletion of machines.
+        // Leases may still be renewed for half a lease, since otherwise no task could run.
         double cancellationKnowledgeValidity =
                 Math.max(
                         lease / 2,
@@ -97,41 +98,41 @@
     }
 
     /**
-     * Timeout of messages of the leader: after so long without one a controller suspects it. Longer
-     * than the validity of a confirmation, so that no peer suspects a leader that still acts on
-     * that peer's confirmation.
+     * Timeout of messages from the leader: a controller without one for this long suspects that the
+     * leader has failed. Longer than the validity of a confirmation, so that no peer suspects a
+     * leader that still acts on that peer's confirmation.
      */
     public double leaderSuspectAfterSeconds() {
         return 2 * peerConfirmationValiditySeconds;
     }
 
     /**
-     * A longer gap between two turns of the event loop is a process pause. Half of the leader's
-     * lease: after a shorter pause there is time to prove that it still leads.
+     * A longer time between two turns of the event loop is a process pause. It is half of the
+     * leader's lease: after a shorter pause the leader has time to prove that it still leads.
      */
     public double pauseThresholdSeconds() {
         return leaderLeaseSeconds / 2;
     }
 
     /**
-     * Validity, from the first message of a new leader: so long other controllers renew the leases
-     * of workers that still send heartbeats to them.
+     * Validity after the first message from a new leader: for this time other controllers renew the
+     * leases of workers that still send heartbeats to them.
      */
     public double newLeaderKeepaliveSeconds() {
         return workerLeaseSeconds / 4;
     }
 
-    /** Interval between two attempts to commit for a user who still waits for the answer. */
+    /** Interval between two attempts to commit a change while its user waits for the answer. */
     public double commitRetryIntervalSeconds() {
         return peerPollIntervalSeconds / COMMIT_RETRIES_PER_PEER_POLL;
     }
 
-    /** Validity of a peer's confirmation as measured on any clock, with the drift between them. */
+    /** Validity of a peer's confirmation as measured on any clock, extended by {@link #DRIFT}. */
     public double peerConfirmationValidityOnAnyClockSeconds() {
         return peerConfirmationValiditySeconds * DRIFT;
     }
 
-    /** Validity, from a failover: so long another controller may still renew a worker's lease. */
+    /** Validity after a failover: for this time other controllers may still renew leases. */
     public double followerRenewalLimitSeconds() {
         return Math.max(leaderLeaseSeconds + leaderGraceSeconds, peerConfirmationValiditySeconds)
                 * DRIFT;
