--- a/src/main/java/org/springmill/control/workers/CommandDispatcher.java
+++ b/src/main/java/org/springmill/control/workers/CommandDispatcher.java
@@ -21,23 +21,24 @@
     private static final Logger LOG = LoggerFactory.getLogger(CommandDispatcher.class);
 
     /**
-     * At least so many probes may be in flight at once: requests without a command to machines that
-     * have not been heard of yet. A new leader probes all machines; probing hundreds at once kept
-     * it from answering their heartbeats until leases expired. Machines that have fallen silent are
-     * not limited: when a rack fails each probe takes its whole timeout, and one after the other
-     * the last machines were known to be dead many seconds after the first.
+     * Limit on concurrent probes in a small fleet. A probe is a request without a command to a
+     * machine whose epoch is unknown, since it has sent this leader no heartbeat. A new leader
+     * probes all machines; with hundreds of concurrent probes it did not answer heartbeats before
+     * the leases expired. Requests to machines that stopped sending heartbeats are not limited:
+     * when a rack fails each of them takes its whole timeout, so under a limit the last machines
+     * were found to be dead many seconds after the first.
      */
     private static final int MIN_PROBES = 16;
 
-    /** In a large fleet one machine in so many may be probed at a time. */
+    /** In a large fleet, one in this many machines may be probed at a time. */
     private static final int MACHINES_PER_PROBE = 64;
 
-    /** Unconfirmed commands are sent again so often in a heartbeat interval. */
+    /** How often an unconfirmed command is sent again per heartbeat interval. */
     private static final double RESENDS_PER_HEARTBEAT = 2;
 
     /**
-     * A conflict response tells the epoch and fencing token to use, so the next request follows
-     * after the resend interval divided by this.
+     * After a conflict response the next request is sent earlier: after the resend interval divided
+     * by this. The response carries the epoch and fencing token to use.
      */
     private static final double CONFLICT_SPEEDUP = 8;
 
@@ -48,9 +49,9 @@
     /** The worker has seen a higher fencing token, or is in another epoch. */
     private static final int CONFLICT = 409;
 
-    /** Takes the heartbeats that workers send in response to commands. */
+    /** Receives the heartbeats that workers send in response to commands. */
     public interface HeartbeatConsumer {
-        /** Takes the heartbeat with which a machine's worker responded to a request. */
+        /** Handles the heartbeat with which a machine's worker responded to a request. */
         void accept(Machine machine, Heartbeat heartbeat);
     }
 
@@ -68,8 +69,8 @@
      *
      * @param fleet the machines of this term
      * @param http sends the requests
-     * @param timeouts the limits of requests and the interval of heartbeats
-     * @param heartbeats takes the heartbeats in responses
+     * @param timeouts the timeout of requests and the interval of heartbeats
+     * @param heartbeats receives the heartbeats in responses
      */
     public CommandDispatcher(
             Fleet fleet, HttpClient http, Timeouts timeouts, HeartbeatConsumer heartbeats) {
@@ -86,7 +87,7 @@
         closed = true;
     }
 
-    /** Sends what is due to a machine, if anything is and no request to it is in flight. */
+    /** Sends the due commands to a machine, or a status request, if it may receive a request. */
     public void requestSend(Machine machine) {
         if (closed || !canReceiveCommands(machine)) {
             return;
@@ -104,8 +105,8 @@
     private void send(Machine machine, List<Command> commands, boolean isProbe) {
         machine.commandChannel().requestSent();
         probesInFlight += isProbe ? 1 : 0;
-        // A worker that has sent no heartbeat yet is most likely in its first epoch; if not, its
-        // conflict response tells the epoch.
+        // A worker that has sent no heartbeat yet is most likely in its first epoch. If not, it
+        // responds with a conflict that carries its epoch.
         long epoch = Math.max(FIRST_EPOCH, machine.epoch());
         byte[] body = WorkerMessages.encodeCommands(machine.fencingToken(), epoch, commands);
         LOG.debug("{} <- {} token {}", machine.name(), commands, machine.fencingToken());
@@ -175,8 +176,8 @@
     }
 
     /**
-     * Returns the commands that are due now and schedules when each is due again; for a response
-     * that carries them instead of a request.
+     * Returns the commands that are due now, and schedules when each is due again. For the response
+     * to a heartbeat, which carries them if requests to the worker fail.
      */
     List<Command> dueCommands(Machine machine) {
         return dueCommands.collect(machine);
--- a/src/main/java/org/springmill/control/workers/DueCommands.java
+++ b/src/main/java/org/springmill/control/workers/DueCommands.java
@@ -14,8 +14,8 @@
 import org.springmill.protocol.WorkerMessages.TaskStatus;
 
 /**
- * Derives the commands that bring a worker from what it reported to what the cluster state says.
- * Nothing is queued: a command is due again until the worker's heartbeat confirms it.
+ * Derives the commands to a worker from the difference between its reported tasks and the cluster
+ * state. There is no queue: a command becomes due again until the worker's heartbeat confirms it.
  */
 final class DueCommands {
     private static final double NO_GRACE = 0;
@@ -24,7 +24,7 @@
     private final double resendIntervalSeconds;
 
     /**
-     * @param resendIntervalSeconds after which an unconfirmed command is due again
+     * @param resendIntervalSeconds how long after it was sent an unconfirmed command is due again
      */
     DueCommands(Fleet fleet, double resendIntervalSeconds) {
         this.fleet = fleet;
@@ -32,8 +32,8 @@
     }
 
     /**
-     * Returns the commands that are due now and schedules when each is due again. Raises the
-     * worker's fencing token where an older start could still arrive.
+     * Returns the commands that are due now, and schedules when each is due again. Raises the
+     * worker's fencing token if an earlier start command could still arrive and must be rejected.
      */
     List<Command> collect(Machine machine) {
         double now = fleet.now();
@@ -72,7 +72,10 @@
         return commands;
     }
 
-    /** A start that was sent to an earlier epoch must not start anew under the same key. */
+    /**
+     * Whether the start command may be sent. If it was sent to an earlier epoch it may not: the
+     * task must not start again under the same attempt.
+     */
     private static boolean isStartDue(Machine machine, TaskAttempt attempt) {
         return attempt.startEpoch() == 0 || attempt.startEpoch() == machine.epoch();
     }
@@ -88,17 +91,20 @@
         return new Stop(attempt.claim().task(), attempt.claim().round(), attempt.graceSeconds());
     }
 
-    /** If so, the attempt's absence is a proof only under a higher fencing token (claim 6.1). */
+    /**
+     * Whether a start command for the attempt may still be in transit. If so, the attempt's absence
+     * from a heartbeat proves its end only under a higher fencing token (claim 6.1).
+     */
     private static boolean mayStartStillArrive(Machine machine, TaskAttempt attempt) {
         return attempt.highestStartToken() >= machine.fencingToken();
     }
 
     /**
-     * Adds commands that stop, or forget once they have exited, the reported tasks that the cluster
-     * state doesn't know.
+     * Adds commands for reported tasks that the cluster state does not know: a task that has exited
+     * is to be forgotten, any other is to be stopped.
      *
-     * @return whether the fencing token has to be raised: once an attempt is forgotten, a start
-     *     still delayed by the network would run anew, so it is fenced off first
+     * @return whether the fencing token has to be raised: a worker that has forgotten an attempt
+     *     would run it again if a delayed start command arrived, so that is rejected first
      */
     private boolean removeUnknownTasks(Machine machine, double now, List<Command> commands) {
         if (!machine.commandChannel().isCleanupDue(now) || machine.areReportedTasksKnown()) {
@@ -126,7 +132,8 @@
     }
 
     /**
-     * Smallest image first: a worker fetches in this order, and a small one delays a large least.
+     * Adds start commands, smallest image first: workers fetch in this order, and a small image
+     * delays a large one least.
      */
     private static void addStarts(
             Machine machine, List<TaskAttempt> starts, List<Command> commands) {
--- a/src/main/java/org/springmill/control/workers/HeartbeatHandler.java
+++ b/src/main/java/org/springmill/control/workers/HeartbeatHandler.java
@@ -11,7 +11,7 @@
 import org.springmill.transport.EventLoop;
 import org.springmill.transport.HttpHandler.Call;
 
-/** Answers the heartbeats of workers for a leader, from the first moment of its term. */
+/** Answers the heartbeats of workers for a leader, from the beginning of its term. */
 public final class HeartbeatHandler {
     private static final int OK = 200;
     private static final int MISDIRECTED = 421;
@@ -25,7 +25,7 @@
     private final Timeouts timeouts;
     private final TermStatus term;
 
-    /** How far the leader's term is. */
+    /** The phase of the leader's term. */
     public interface TermStatus {
         /** Whether the cluster state is recovered and the term has not ended. */
         boolean isActive();
@@ -38,12 +38,12 @@
      * Makes the handler of one term.
      *
      * @param fleet the machines of this term
-     * @param reconciliation takes each heartbeat once the term is active
+     * @param reconciliation receives each heartbeat once the term is active
      * @param dispatcher sends commands, which are derived from the state after each heartbeat
-     * @param directory knows which reported tasks are cancelled
-     * @param loop tells the time
+     * @param directory provides stop commands for cancelled tasks before the term is active
+     * @param loop provides the time
      * @param timeouts the duration of a worker's lease
-     * @param term tells how far the term is
+     * @param term the phase of the term
      */
     public HeartbeatHandler(
             Fleet fleet,
@@ -65,15 +65,15 @@
     /** Answers a worker's heartbeat; 200 renews the worker's lease. */
     public void respond(Call call, Heartbeat heartbeat) {
         if (fleet.wasDeleted(heartbeat.machine())) {
-            // A late copy. It would bring the machine back, which would then be given work that
-            // waits until the machine is missed.
+            // A delayed duplicate. It would add the machine again, and work would be placed there
+            // that waits until the machine is found to be gone.
             refuse(call, UNAVAILABLE);
             return;
         }
         Machine machine = fleet.getOrAdd(heartbeat);
         if (!machine.workerEpoch().isLatestHeartbeat(heartbeat)) {
-            // A late copy: its sender waits no longer, and the response must not count as a
-            // renewal.
+            // A delayed duplicate: the worker no longer waits for this response, so it must not
+            // count as a renewal.
             refuse(call, UNAVAILABLE);
             return;
         }
@@ -104,7 +104,10 @@
         call.reply(OK, response, 0);
     }
 
-    /** Before recovery the stops of cancelled tasks, afterwards what requests failed to deliver. */
+    /**
+     * The commands in the response to a heartbeat: before recovery the stops of cancelled tasks,
+     * afterwards all due commands if requests to the worker fail.
+     */
     private List<Command> commandsFor(Machine machine, Heartbeat heartbeat) {
         if (!term.isActive()) {
             return directory.stopCommandsFor(heartbeat);
--- a/src/main/java/org/springmill/control/workers/Reconciliation.java
+++ b/src/main/java/org/springmill/control/workers/Reconciliation.java
@@ -16,23 +16,26 @@
 import org.springmill.protocol.WorkerMessages.Heartbeat;
 
 /**
- * Reconciles the cluster state with the heartbeats of workers, and with their silence: decides
- * which task attempts are alive and which are proven gone.
+ * Reconciles the cluster state with the heartbeats of workers, and with missing heartbeats: decides
+ * which task attempts are alive and which provably no longer run.
  *
- * <p>A task may be placed again only after one of the proofs of docs/design.md, section 6:
+ * <p>A task may be placed again only after one of the proofs in docs/design.md, section 6:
  *
  * <ul>
  *   <li>claim 6.1, a newer heartbeat without the attempt under a higher fencing token: {@link
  *       #isFencedOff};
  *   <li>claim 6.2, a heartbeat of a later epoch: {@link #isOfEarlierEpoch};
  *   <li>claim 6.3, an expired lease: {@link WorkerLeases} and {@link #leaseExpired};
- *   <li>claim 6.4, a deleted machine, is decided by the autoscaling package.
+ *   <li>claim 6.4, a deleted machine: decided by the autoscaling package.
  * </ul>
  */
 public final class Reconciliation {
     private static final Logger LOG = LoggerFactory.getLogger(Reconciliation.class);
 
-    /** A worker sends so many messages, lost ones included, within moments of its start. */
+    /**
+     * A heartbeat with a sequence number up to this was sent shortly after the worker's start. The
+     * sequence number also counts lost messages.
+     */
     private static final int FIRST_MESSAGES = 4;
 
     private static final long FIRST_EPOCH = 1;
@@ -47,12 +50,12 @@
     private final Consumer<String> onLaterTerm;
 
     /**
-     * Begins the reconciliation of a term that was won just now.
+     * Makes the reconciliation of a term that has just begun.
      *
      * @param fleet the machines and attempts of this term
-     * @param timeouts the limits of leases and confirmations
-     * @param peers tells until when other controllers may renew leases
-     * @param metrics counts starts, losses and suspected jobs
+     * @param timeouts the duration of leases and the timeout of confirmations
+     * @param peers provides the time until which other controllers may renew leases
+     * @param metrics counts starts, lost attempts and suspect jobs
      * @param onChange called when a placement round may have something to do
      * @param onLaterTerm called with a reason when a worker has seen a fencing token of a later
      *     term
@@ -74,7 +77,7 @@
         this.onLaterTerm = onLaterTerm;
     }
 
-    /** Reconciles one heartbeat, unless a newer one was seen before: late copies prove nothing. */
+    /** Reconciles one heartbeat. Ignores it if it is not newer than all before. */
     public void accept(Machine machine, Heartbeat heartbeat) {
         if (WorkerEpoch.termOf(heartbeat.fencingToken()) > fleet.term()) {
             onLaterTerm.accept(machine.name() + " has seen a later term");
@@ -93,8 +96,8 @@
         if (machine.hasPreemptionNotice()) {
             evacuate(machine);
         }
-        // Hundreds of workers send heartbeats every few seconds, mostly without any change: those
-        // are no reason for a round.
+        // Hundreds of workers send heartbeats every few seconds, mostly without any change. Those
+        // must not trigger a placement round.
         boolean becameSchedulable = !wasSchedulable && isSchedulable(machine, now);
         if (fleet.clusterState().hasEnded() || becameSchedulable) {
             onChange.run();
@@ -115,7 +118,7 @@
         }
     }
 
-    /** Whether a worker has only just begun to send messages. */
+    /** Whether a heartbeat is one of the first after its worker's start. */
     private static boolean isJustStarted(Heartbeat heartbeat) {
         return heartbeat.epoch() <= FIRST_EPOCH && heartbeat.sequence() <= FIRST_MESSAGES;
     }
@@ -130,8 +133,8 @@
     }
 
     /**
-     * Whether the absence of an attempt from a newer heartbeat proves that it is gone. Without one
-     * of the two claims its start may still be on the way.
+     * Whether the absence of an attempt from a newer heartbeat proves that it no longer runs. If
+     * neither claim holds, its start command may still be in transit.
      */
     private static boolean isProvenGone(TaskAttempt attempt, Heartbeat heartbeat) {
         return switch (attempt.state()) {
@@ -141,23 +144,23 @@
     }
 
     /**
-     * Claim 6.1: the worker has seen a fencing token above every one that the start was sent with,
-     * so it refuses the start wherever the network still holds it.
+     * Claim 6.1: the worker has seen a higher fencing token than any that the start command was
+     * sent with, so it rejects a copy that is still in transit.
      */
     private static boolean isFencedOff(TaskAttempt attempt, Heartbeat heartbeat) {
         return heartbeat.fencingToken() > attempt.highestStartToken();
     }
 
     /**
-     * Claim 6.2: the worker has begun a later epoch than the one that the start was sent to. It
-     * ended everything before, and refuses commands to earlier epochs.
+     * Claim 6.2: the worker is in a later epoch than the one that the start command was sent to. It
+     * ended all tasks at the beginning of that epoch, and rejects commands to earlier ones.
      */
     private static boolean isOfEarlierEpoch(TaskAttempt attempt, Heartbeat heartbeat) {
         boolean startEpochKnown = attempt.startEpoch() != 0;
         return startEpochKnown && heartbeat.epoch() > attempt.startEpoch();
     }
 
-    /** Looks for expired leases and for starts that were not confirmed in time. */
+    /** Handles expired leases, and start commands that were not confirmed in time. */
     public void tick() {
         double now = fleet.now();
         leases.observeQuorum(now);
@@ -174,7 +177,7 @@
         }
     }
 
-    /** Claim 6.3: all attempts on a machine have ended with its worker's lease. */
+    /** Claim 6.3: all attempts on a machine ended when its worker's lease expired. */
     private void leaseExpired(Machine machine) {
         for (TaskAttempt attempt : machine.attemptsSnapshot()) {
             if (attempt.state() != TaskAttempt.State.CLAIMING) {
@@ -190,7 +193,7 @@
         }
     }
 
-    /** A start that no heartbeat confirms within the timeout is unknown from then on. */
+    /** Marks attempts as unknown whose start no heartbeat has confirmed within the timeout. */
     private void checkClaimConfirmations(Machine machine, double now) {
         for (TaskAttempt attempt : machine.attemptsSnapshot()) {
             boolean overdue =
@@ -203,8 +206,9 @@
     }
 
     /**
-     * Migrates all attempts off a machine that the cloud is about to preempt: what stops in time is
-     * known to be gone.
+     * Stops all attempts on a machine that the cloud is about to preempt, so that they run on other
+     * machines. Those that stop in time can be placed again without waiting for the lease to expire
+     * or the machine to be deleted.
      */
     private void evacuate(Machine machine) {
         double secondsLeft = machine.preemptionAt() - fleet.now();
@@ -216,7 +220,7 @@
         }
     }
 
-    /** All the time that is left if a checkpoint can be saved in it, otherwise none. */
+    /** The whole remaining time if a checkpoint can be saved in it, otherwise none. */
     private static double evacuationGraceSeconds(TaskAttempt attempt, double secondsLeft) {
         Submission spec = attempt.job().spec();
         double saveSeconds = spec.hasCheckpoints() ? spec.checkpointSaveSeconds() : 0;
--- a/src/main/java/org/springmill/control/workers/TaskStatusHandler.java
+++ b/src/main/java/org/springmill/control/workers/TaskStatusHandler.java
@@ -35,7 +35,7 @@
     /**
      * Applies all task statuses of a heartbeat.
      *
-     * @return the attempts that the heartbeat reports, in whatever state
+     * @return the attempts that the heartbeat reports, in any state
      */
     Set<TaskAttempt> apply(Machine machine, Heartbeat heartbeat, double now) {
         Set<TaskAttempt> reported = new HashSet<>();
@@ -75,7 +75,7 @@
                 metrics.recordTaskStart(attempt.claimedAt());
                 recordRunning(machine, attempt, now);
             }
-            // When it started is not known.
+            // The time of its start is unknown, so it is not measured.
             case UNKNOWN -> recordRunning(machine, attempt, now);
             default -> {}
         }
@@ -144,7 +144,7 @@
         }
     }
 
-    /** A replica that has run for a whole lease shows that the job itself is in order. */
+    /** Whether another replica has run for a whole lease: then the job itself works. */
     private boolean anotherReplicaRunsWell(Job job, TaskAttempt failed, double now) {
         return job.attempts().stream()
                 .anyMatch(
--- a/src/main/java/org/springmill/control/workers/WorkerLeases.java
+++ b/src/main/java/org/springmill/control/workers/WorkerLeases.java
@@ -6,8 +6,8 @@
 import org.springmill.control.timing.Timeouts;
 
 /**
- * Decides when the lease of a worker has expired, whichever controller renewed it last: claim 6.3
- * of docs/design.md, which section 7 proves. Times are seconds of the leader's steady clock.
+ * Decides when the lease of a worker has expired, whichever controller renewed it last (claim 6.3
+ * of docs/design.md, proven in section 7). Times are seconds on the leader's steady clock.
  */
 final class WorkerLeases {
     private final Fleet fleet;
@@ -25,7 +25,7 @@
         tookOverAt = fleet.now();
     }
 
-    /** Records that a quorum of controllers knows this term by now, if it does. */
+    /** Records the time from which a quorum of controllers is known to know this term. */
     void observeQuorum(double now) {
         if (quorumKnewTermAt == Double.POSITIVE_INFINITY && peers.quorumKnows(fleet.term())) {
             quorumKnewTermAt = now;
@@ -33,9 +33,10 @@
     }
 
     /**
-     * When the last lease expires that any controller may have granted to a machine's worker.
+     * The latest time at which a lease that any controller may have granted to a machine's worker
+     * expires.
      *
-     * @param peersMayRenewUntil until when other controllers may renew leases
+     * @param peersMayRenewUntil time until which other controllers may renew leases
      */
     double expiresAt(Machine machine, double peersMayRenewUntil) {
         double lastRenewal = Math.max(machine.lastHeartbeatAnsweredAt(), peersMayRenewUntil);
@@ -45,10 +46,11 @@
     }
 
     /**
-     * Until when an earlier leader may have renewed leases. A worker may obey it until it has seen
-     * this term's fencing token, and the earlier leader's last response is not known here: a worker
-     * that showed the token and then fell silent has its full lease from then on. An earlier leader
-     * whose outage a quorum confirms may go on until a quorum knows this term.
+     * The time until which an earlier leader may have renewed leases. A worker accepts its
+     * responses until it has seen this term's fencing token. The last such response is not known
+     * here, so a full lease is assumed from the heartbeat that first showed the token. While a
+     * quorum confirms to an earlier leader that the key-value store is out of reach, that leader
+     * may continue until a quorum knows this term.
      */
     private double earlierLeaderMayRenewUntil() {
         double afterTakeover = tookOverAt + timeouts.followerRenewalLimitSeconds();
