--- a/src/main/java/org/springmill/control/timing/ProcessPauseDetector.java
+++ b/src/main/java/org/springmill/control/timing/ProcessPauseDetector.java
@@ -44,41 +44,41 @@
     /** Starts detection. The time that the controller took to start is not counted as a pause. */
     public void start() {
         lastTurnAt = loop.now();
-        keepTurning();
+        scheduleTurns();
     }
 
-    private void keepTurning() {
+    private void scheduleTurns() {
         beginLoopTurn();
-        loop.after(thresholdSeconds / TURNS_PER_THRESHOLD, this::keepTurning);
+        loop.after(thresholdSeconds / TURNS_PER_THRESHOLD, this::scheduleTurns);
     }
 
     /** Called at the beginning of each turn of the event loop. */
     public void beginLoopTurn() {
         double now = loop.now();
-        double gap = now - lastTurnAt;
+        double secondsSinceLastTurn = now - lastTurnAt;
         lastTurnAt = now;
-        if (gap > thresholdSeconds) {
-            LOG.info("process pause of {} s detected", Math.round(gap));
+        if (secondsSinceLastTurn > thresholdSeconds) {
+            LOG.info("process pause of {} s detected", Math.round(secondsSinceLastTurn));
             listeners.forEach(Runnable::run);
         }
     }
 
     /** Returns an event loop whose tasks first check for a pause. */
-    public EventLoop wrap(EventLoop watched) {
+    public EventLoop wrap(EventLoop delegate) {
         return new EventLoop() {
             @Override
             public double now() {
-                return watched.now();
+                return delegate.now();
             }
 
             @Override
             public double timeOfDay() {
-                return watched.timeOfDay();
+                return delegate.timeOfDay();
             }
 
             @Override
             public Timer after(double seconds, Runnable task) {
-                return watched.after(
+                return delegate.after(
                         seconds,
                         () -> {
                             beginLoopTurn();
@@ -89,9 +89,9 @@
     }
 
     /** Returns a client whose response handlers first check for a pause. */
-    public HttpClient wrap(HttpClient watched) {
+    public HttpClient wrap(HttpClient delegate) {
         return (request, done) ->
-                watched.send(
+                delegate.send(
                         request,
                         reply -> {
                             beginLoopTurn();
@@ -100,32 +100,32 @@
     }
 
     /** Returns a link whose record handlers first check for a pause. */
-    public PeerLink wrap(PeerLink watched) {
+    public PeerLink wrap(PeerLink delegate) {
         return new PeerLink() {
             @Override
             public void send(String node, byte[] record) {
-                watched.send(node, record);
+                delegate.send(node, record);
             }
 
             @Override
             public void setListener(Listener listener) {
-                watched.setListener(wrap(listener));
+                delegate.setListener(wrap(listener));
             }
         };
     }
 
-    private PeerLink.Listener wrap(PeerLink.Listener watched) {
+    private PeerLink.Listener wrap(PeerLink.Listener delegate) {
         return new PeerLink.Listener() {
             @Override
             public void onRecord(byte[] record) {
                 beginLoopTurn();
-                watched.onRecord(record);
+                delegate.onRecord(record);
             }
 
             @Override
             public void onConnectionRefused(String node) {
                 beginLoopTurn();
-                watched.onConnectionRefused(node);
+                delegate.onConnectionRefused(node);
             }
         };
     }
--- a/src/main/java/org/springmill/control/timing/Timeouts.java
+++ b/src/main/java/org/springmill/control/timing/Timeouts.java
@@ -64,7 +64,7 @@
     private static final double COMMIT_RETRIES_PER_PEER_POLL = 4;
 
     /** Longest time between two heartbeats, in heartbeat intervals. */
-    private static final double LONGEST_HEARTBEAT_GAP = 1.25;
+    private static final double LONGEST_HEARTBEAT_GAP_INTERVALS = 1.25;
 
     /** Derives the times from the settings, in the order of the components. */
     public static Timeouts of(Settings settings) {
@@ -89,8 +89,8 @@
                 workerLease,
                 heartbeatInterval,
                 lease * 0.3,
-                heartbeatInterval * LONGEST_HEARTBEAT_GAP * 1.15,
-                heartbeatInterval * LONGEST_HEARTBEAT_GAP * 1.6,
+                heartbeatInterval * LONGEST_HEARTBEAT_GAP_INTERVALS * 1.15,
+                heartbeatInterval * LONGEST_HEARTBEAT_GAP_INTERVALS * 1.6,
                 heartbeatInterval * 2.1,
                 heartbeatInterval * 0.6,
                 cancellationDeadline * 0.55,
