--- a/src/main/java/org/springmill/control/workers/CommandDispatcher.java
+++ b/src/main/java/org/springmill/control/workers/CommandDispatcher.java
@@ -109,7 +109,11 @@
         // responds with a conflict that carries its epoch.
         long epoch = Math.max(FIRST_EPOCH, machine.epoch());
         byte[] body = WorkerMessages.encodeCommands(machine.fencingToken(), epoch, commands);
-        LOG.debug("{} <- {} token {}", machine.name(), commands, machine.fencingToken());
+        LOG.debug(
+                "sending worker {} the commands {} with fencing token {}",
+                machine.name(),
+                commands,
+                machine.fencingToken());
         http.send(
                 new HttpClient.Request(
                         machine.address(),
@@ -171,7 +175,10 @@
                 heartbeats.accept(machine, heartbeat);
             }
         } catch (MalformedMessageException e) {
-            LOG.warn("malformed heartbeat of worker {}: {}", machine.name(), e.getMessage());
+            LOG.warn(
+                    "malformed heartbeat in a response of worker {}: {}; heartbeat ignored",
+                    machine.name(),
+                    e.getMessage());
         }
     }
 
--- a/src/main/java/org/springmill/control/workers/TaskStatusHandler.java
+++ b/src/main/java/org/springmill/control/workers/TaskStatusHandler.java
@@ -108,7 +108,12 @@
             }
             case ERROR -> failed(machine, attempt, now);
             case NO_ROOM, BUSY, UNKNOWN_JOB -> {
-                LOG.info("{} refused on {}: {}", attempt.claim().task(), machine.name(), cause);
+                LOG.info(
+                        "task {} refused by worker {}: {}; no new work there for {} s",
+                        attempt.claim().task(),
+                        machine.name(),
+                        cause,
+                        timeouts.heartbeatIntervalSeconds());
                 machine.cordonUntil(now + timeouts.heartbeatIntervalSeconds());
             }
             default -> {}
@@ -117,7 +122,7 @@
     }
 
     private void failed(Machine machine, TaskAttempt attempt, double now) {
-        LOG.info("{} failed on {}", attempt.claim().task(), machine.name());
+        LOG.info("task {} failed on machine {}", attempt.claim().task(), machine.name());
         recordJobFailure(machine, attempt, now);
         boolean wasQuarantined = machine.isQuarantined();
         machine.taskFailed(attempt.job());
