--- a/src/main/java/org/springmill/control/workers/CommandDispatcher.java
+++ b/src/main/java/org/springmill/control/workers/CommandDispatcher.java
@@ -28,7 +28,7 @@
      * when a rack fails each of them takes its whole timeout, so under a limit the last machines
      * were found to be dead many seconds after the first.
      */
-    private static final int MIN_PROBES = 16;
+    private static final int MIN_CONCURRENT_PROBES = 16;
 
     /** In a large fleet, one in this many machines may be probed at a time. */
     private static final int MACHINES_PER_PROBE = 64;
@@ -40,7 +40,7 @@
      * After a conflict response the next request is sent earlier: after the resend interval divided
      * by this. The response carries the epoch and fencing token to use.
      */
-    private static final double CONFLICT_SPEEDUP = 8;
+    private static final double CONFLICT_PAUSE_DIVISOR = 8;
 
     private static final long FIRST_EPOCH = 1;
 
@@ -96,7 +96,7 @@
         List<Command> commands = epochKnown ? dueCommands(machine) : List.of();
         boolean isProbe = !epochKnown;
         boolean nothingToSend = commands.isEmpty() && !machine.commandChannel().isStatusRequested();
-        if (nothingToSend || (isProbe && probesInFlight >= maxProbes())) {
+        if (nothingToSend || (isProbe && probesInFlight >= maxConcurrentProbes())) {
             return;
         }
         send(machine, commands, isProbe);
@@ -127,8 +127,8 @@
                 });
     }
 
-    private int maxProbes() {
-        return Math.max(MIN_PROBES, fleet.machines().size() / MACHINES_PER_PROBE);
+    private int maxConcurrentProbes() {
+        return Math.max(MIN_CONCURRENT_PROBES, fleet.machines().size() / MACHINES_PER_PROBE);
     }
 
     private boolean canReceiveCommands(Machine machine) {
@@ -152,7 +152,7 @@
         machine.commandsSucceeded();
         acceptHeartbeat(machine, response);
         if (response.status() == CONFLICT) {
-            pause(machine, resendIntervalSeconds / CONFLICT_SPEEDUP);
+            pause(machine, resendIntervalSeconds / CONFLICT_PAUSE_DIVISOR);
         }
         requestSend(machine);
     }
--- a/src/main/java/org/springmill/control/workers/DueCommands.java
+++ b/src/main/java/org/springmill/control/workers/DueCommands.java
@@ -53,7 +53,7 @@
                 }
                 case STOPPING -> {
                     attempt.scheduleResend(now + resendIntervalSeconds);
-                    commands.add(stop(attempt));
+                    commands.add(stopCommand(attempt));
                     raiseToken |= mayStartStillArrive(machine, attempt);
                 }
                 case UNKNOWN -> {
@@ -64,7 +64,7 @@
                 default -> {}
             }
         }
-        raiseToken |= removeUnknownTasks(machine, now, commands);
+        raiseToken |= addCleanupCommands(machine, now, commands);
         if (raiseToken) {
             machine.workerEpoch().raiseFencingToken();
         }
@@ -87,7 +87,7 @@
         attempt.scheduleResend(now + resendIntervalSeconds);
     }
 
-    private static Stop stop(TaskAttempt attempt) {
+    private static Stop stopCommand(TaskAttempt attempt) {
         return new Stop(attempt.claim().task(), attempt.claim().round(), attempt.graceSeconds());
     }
 
@@ -106,7 +106,7 @@
      * @return whether the fencing token has to be raised: a worker that has forgotten an attempt
      *     would run it again if a delayed start command arrived, so that is rejected first
      */
-    private boolean removeUnknownTasks(Machine machine, double now, List<Command> commands) {
+    private boolean addCleanupCommands(Machine machine, double now, List<Command> commands) {
         if (!machine.commandChannel().isCleanupDue(now) || machine.areReportedTasksKnown()) {
             return false;
         }
--- a/src/main/java/org/springmill/control/workers/Reconciliation.java
+++ b/src/main/java/org/springmill/control/workers/Reconciliation.java
@@ -36,7 +36,7 @@
      * A heartbeat with a sequence number up to this was sent shortly after the worker's start. The
      * sequence number also counts lost messages.
      */
-    private static final int FIRST_MESSAGES = 4;
+    private static final int MAX_STARTUP_SEQUENCE = 4;
 
     private static final long FIRST_EPOCH = 1;
 
@@ -45,7 +45,7 @@
     private final Peers peers;
     private final Metrics metrics;
     private final WorkerLeases leases;
-    private final TaskStatusHandler taskStatuses;
+    private final TaskStatusHandler taskStatusHandler;
     private final Runnable onChange;
     private final Consumer<String> onLaterTerm;
 
@@ -72,7 +72,7 @@
         this.peers = peers;
         this.metrics = metrics;
         this.leases = new WorkerLeases(fleet, timeouts, peers);
-        this.taskStatuses = new TaskStatusHandler(fleet, timeouts, metrics);
+        this.taskStatusHandler = new TaskStatusHandler(fleet, timeouts, metrics);
         this.onChange = onChange;
         this.onLaterTerm = onLaterTerm;
     }
@@ -91,7 +91,7 @@
         machine.workerEpoch().adoptFencingToken(heartbeat.fencingToken());
         machine.acceptHeartbeat(heartbeat, now);
         markUp(machine, heartbeat, now);
-        Set<TaskAttempt> reported = taskStatuses.apply(machine, heartbeat, now);
+        Set<TaskAttempt> reported = taskStatusHandler.apply(machine, heartbeat, now);
         endAttemptsProvenGone(machine, heartbeat, reported);
         if (machine.hasPreemptionNotice()) {
             evacuate(machine);
@@ -110,7 +110,7 @@
 
     private void markUp(Machine machine, Heartbeat heartbeat, double now) {
         boolean wasProvisioning = machine.state() == Machine.State.PROVISIONING;
-        if (wasProvisioning && machine.type() != null && isJustStarted(heartbeat)) {
+        if (wasProvisioning && machine.type() != null && isSentAtStartup(heartbeat)) {
             fleet.bootTimes().recordBoot(machine, now);
         }
         if (wasProvisioning || machine.state() == Machine.State.LEASE_EXPIRED) {
@@ -119,8 +119,8 @@
     }
 
     /** Whether a heartbeat is one of the first after its worker's start. */
-    private static boolean isJustStarted(Heartbeat heartbeat) {
-        return heartbeat.epoch() <= FIRST_EPOCH && heartbeat.sequence() <= FIRST_MESSAGES;
+    private static boolean isSentAtStartup(Heartbeat heartbeat) {
+        return heartbeat.epoch() <= FIRST_EPOCH && heartbeat.sequence() <= MAX_STARTUP_SEQUENCE;
     }
 
     private void endAttemptsProvenGone(
--- a/src/main/java/org/springmill/control/workers/TaskStatusHandler.java
+++ b/src/main/java/org/springmill/control/workers/TaskStatusHandler.java
@@ -52,14 +52,14 @@
 
     private void apply(Machine machine, TaskAttempt attempt, TaskStatus status, double now) {
         switch (status.state()) {
-            case FETCHING -> fetching(machine, attempt, now);
-            case RUNNING -> running(machine, attempt, now);
-            case SAVING -> saving(attempt, now);
-            case EXITED -> exited(machine, attempt, status.cause(), now);
+            case FETCHING -> applyFetching(machine, attempt, now);
+            case RUNNING -> applyRunning(machine, attempt, now);
+            case SAVING -> applySaving(attempt, now);
+            case EXITED -> applyExited(machine, attempt, status.cause(), now);
         }
     }
 
-    private static void fetching(Machine machine, TaskAttempt attempt, double now) {
+    private static void applyFetching(Machine machine, TaskAttempt attempt, double now) {
         switch (attempt.state()) {
             case SENT, UNKNOWN -> {
                 attempt.transition(TaskAttempt.State.FETCHING, now);
@@ -69,7 +69,7 @@
         }
     }
 
-    private void running(Machine machine, TaskAttempt attempt, double now) {
+    private void applyRunning(Machine machine, TaskAttempt attempt, double now) {
         switch (attempt.state()) {
             case SENT, FETCHING -> {
                 metrics.recordTaskStart(attempt.claimedAt());
@@ -89,14 +89,14 @@
         }
     }
 
-    private void saving(TaskAttempt attempt, double now) {
+    private void applySaving(TaskAttempt attempt, double now) {
         if (attempt.state() == TaskAttempt.State.UNKNOWN) {
             attempt.transition(TaskAttempt.State.STOPPING, now);
             fleet.clusterState().recordStopRequested(attempt);
         }
     }
 
-    private void exited(Machine machine, TaskAttempt attempt, ExitCause cause, double now) {
+    private void applyExited(Machine machine, TaskAttempt attempt, ExitCause cause, double now) {
         if (attempt.state() == TaskAttempt.State.ENDED
                 || attempt.state() == TaskAttempt.State.CLAIMING) {
             return;
@@ -106,7 +106,7 @@
                 machine.taskSucceeded();
                 attempt.job().failures().recordSuccess();
             }
-            case ERROR -> failed(machine, attempt, now);
+            case ERROR -> handleFailure(machine, attempt, now);
             case NO_ROOM, BUSY, UNKNOWN_JOB -> {
                 LOG.info(
                         "task {} refused by worker {}: {}; no new work there for {} s",
@@ -121,7 +121,7 @@
         fleet.end(attempt, cause);
     }
 
-    private void failed(Machine machine, TaskAttempt attempt, double now) {
+    private void handleFailure(Machine machine, TaskAttempt attempt, double now) {
         LOG.info("task {} failed on machine {}", attempt.claim().task(), machine.name());
         recordJobFailure(machine, attempt, now);
         boolean wasQuarantined = machine.isQuarantined();
@@ -134,7 +134,7 @@
     private void recordJobFailure(Machine machine, TaskAttempt attempt, double now) {
         Job job = attempt.job();
         JobFailures failures = job.failures();
-        if (job.spec().isService() && anotherReplicaRunsWell(job, attempt, now)) {
+        if (job.spec().isService() && hasOtherHealthyReplica(job, attempt, now)) {
             failures.recordOtherTasksHealthy();
         }
         boolean wasSuspect = failures.isSuspect();
@@ -150,7 +150,7 @@
     }
 
     /** Whether another replica has run for a whole lease: then the job itself works. */
-    private boolean anotherReplicaRunsWell(Job job, TaskAttempt failed, double now) {
+    private boolean hasOtherHealthyReplica(Job job, TaskAttempt failed, double now) {
         return job.attempts().stream()
                 .anyMatch(
                         other ->
--- a/src/main/java/org/springmill/control/workers/WorkerLeases.java
+++ b/src/main/java/org/springmill/control/workers/WorkerLeases.java
@@ -40,9 +40,9 @@
      */
     double expiresAt(Machine machine, double peersMayRenewUntil) {
         double lastRenewal = Math.max(machine.lastHeartbeatAnsweredAt(), peersMayRenewUntil);
-        double lastUnderEarlierTerm =
+        double lastRenewalByEarlierLeader =
                 Math.min(machine.workerEpoch().currentTermSeenAt(), earlierLeaderMayRenewUntil());
-        return Math.max(lastRenewal, lastUnderEarlierTerm) + timeouts.workerLeaseSeconds();
+        return Math.max(lastRenewal, lastRenewalByEarlierLeader) + timeouts.workerLeaseSeconds();
     }
 
     /**
