--- a/src/main/java/org/springmill/control/cluster/Machine.java
+++ b/src/main/java/org/springmill/control/cluster/Machine.java
@@ -173,7 +173,7 @@
         return listedAt;
     }
 
-    /** When its last attempt was removed; if it never had one, when it was added here. */
+    /** When its last attempt was removed; if it never had one, when this leader learned of it. */
     public double idleSince() {
         return idleSince;
     }
@@ -228,7 +228,7 @@
         return areReportedTasksKnown;
     }
 
-    /** Records that every reported task has an attempt here. */
+    /** Records that every reported task has an attempt in the cluster state. */
     public void markReportedTasksKnown() {
         areReportedTasksKnown = true;
     }
--- a/src/main/java/org/springmill/control/cluster/TeamUsage.java
+++ b/src/main/java/org/springmill/control/cluster/TeamUsage.java
@@ -57,7 +57,7 @@
         reserved = Resources.NONE;
     }
 
-    /** Whether the team is guaranteed anything at all. */
+    /** Whether the team has a guarantee. */
     public boolean hasGuarantee() {
         return team.hasGuarantee();
     }
--- a/src/main/java/org/springmill/control/cluster/WorkerEpoch.java
+++ b/src/main/java/org/springmill/control/cluster/WorkerEpoch.java
@@ -84,8 +84,8 @@
     }
 
     /**
-     * When a heartbeat first showed a token of this term; infinite before. Up to then an earlier
-     * leader may have renewed the worker's lease.
+     * When a heartbeat first showed a token of this term; infinite if none has. Until then an
+     * earlier leader may have renewed the worker's lease.
      */
     public double currentTermSeenAt() {
         return currentTermSeenAt;
