--- a/src/main/java/org/springmill/control/cluster/MachineTypeCatalog.java
+++ b/src/main/java/org/springmill/control/cluster/MachineTypeCatalog.java
@@ -18,7 +18,7 @@
 public final class MachineTypeCatalog {
     private static final Logger LOG = LoggerFactory.getLogger(MachineTypeCatalog.class);
 
-    /** Prices change slowly: they are read again after so many leases. */
+    /** Interval of reads in leases; long, since prices change slowly. */
     private static final double READ_INTERVAL_LEASES = 4;
 
     /** Retries per lease. Frequent, since no job can be validated while no type is known. */
@@ -72,7 +72,10 @@
                 types = byName;
             }
         } catch (MalformedMessageException e) {
-            LOG.warn("cloud: {}", e.getMessage());
+            LOG.warn(
+                    "malformed list of machine types from the cloud: {}; keeping the {} known types",
+                    e.getMessage(),
+                    types.size());
         }
     }
 
@@ -80,7 +83,10 @@
     private void warnOfZonesWithoutTypes(Collection<MachineType> offered) {
         for (String zone : settings.zones()) {
             if (offered.stream().noneMatch(type -> type.zones().contains(zone))) {
-                LOG.warn("cluster.zones: the cloud offers no machine type in zone {}", zone);
+                LOG.warn(
+                        "cluster.zones: the cloud offers no machine type in zone {}; no machine"
+                                + " can be rented there",
+                        zone);
             }
         }
     }
@@ -109,7 +115,7 @@
         return slowest;
     }
 
-    /** The reason, as users read it, why a job can never run; null if it can. */
+    /** The reason why a job can never run, as shown to users; null if it can. */
     public String impossibilityReason(Submission job) {
         Settings.Team team = settings.team(job.team());
         if (team == null) {
--- a/src/main/java/org/springmill/control/timing/ProcessPauseDetector.java
+++ b/src/main/java/org/springmill/control/timing/ProcessPauseDetector.java
@@ -9,15 +9,15 @@
 import org.springmill.transport.PeerLink;
 
 /**
- * Detects that this process was paused while its clock ran on: its host was suspended, or gave it
- * no processor time. After a pause, leases and confirmations have to be proven valid again, and
- * missing heartbeats prove nothing. Every turn of the event loop passes through here first, so that
- * the listeners know of a pause before any message that arrived during it is handled.
+ * Detects that this process was paused while its clock continued: its host was suspended, or gave
+ * it no CPU time. After a pause, leases and confirmations have to be proven valid again, and
+ * missing heartbeats prove nothing. Every turn of the event loop checks for a pause first, so that
+ * the listeners are called before any message that arrived during the pause is handled.
  */
 public final class ProcessPauseDetector {
     private static final Logger LOG = LoggerFactory.getLogger(ProcessPauseDetector.class);
 
-    /** A timer keeps the loop turning; it may fire late without being taken for a pause. */
+    /** Frequency of the timer that triggers turns; if it fires a little late, that is no pause. */
     private static final double TURNS_PER_THRESHOLD = 4;
 
     private final EventLoop loop;
@@ -26,9 +26,9 @@
     private double lastTurnAt;
 
     /**
-     * A detector that starts with {@link #start}.
+     * Makes a detector; {@link #start} starts it.
      *
-     * @param thresholdSeconds a longer time without a turn is a pause
+     * @param thresholdSeconds a longer time between two turns is a pause
      */
     public ProcessPauseDetector(EventLoop loop, double thresholdSeconds) {
         this.loop = loop;
@@ -41,44 +41,44 @@
         listeners.add(listener);
     }
 
-    /** Starts detection; the time that the controller took to start up is not a pause. */
+    /** Starts detection. The time that the controller took to start is not counted as a pause. */
     public void start() {
         lastTurnAt = loop.now();
-        keepTurning();
+        scheduleTurns();
     }
 
-    private void keepTurning() {
+    private void scheduleTurns() {
         beginLoopTurn();
-        loop.after(thresholdSeconds / TURNS_PER_THRESHOLD, this::keepTurning);
+        loop.after(thresholdSeconds / TURNS_PER_THRESHOLD, this::scheduleTurns);
     }
 
     /** Called at the beginning of each turn of the event loop. */
     public void beginLoopTurn() {
         double now = loop.now();
-        double gap = now - lastTurnAt;
+        double secondsSinceLastTurn = now - lastTurnAt;
         lastTurnAt = now;
-        if (gap > thresholdSeconds) {
-            LOG.info("process pause of {} s detected", Math.round(gap));
+        if (secondsSinceLastTurn > thresholdSeconds) {
+            LOG.info("process pause of {} s detected", Math.round(secondsSinceLastTurn));
             listeners.forEach(Runnable::run);
         }
     }
 
-    /** An event loop whose tasks first check for a pause. */
-    public EventLoop wrap(EventLoop watched) {
+    /** Returns an event loop whose tasks first check for a pause. */
+    public EventLoop wrap(EventLoop delegate) {
         return new EventLoop() {
             @Override
             public double now() {
-                return watched.now();
+                return delegate.now();
             }
 
             @Override
             public double timeOfDay() {
-                return watched.timeOfDay();
+                return delegate.timeOfDay();
             }
 
             @Override
             public Timer after(double seconds, Runnable task) {
-                return watched.after(
+                return delegate.after(
                         seconds,
                         () -> {
                             beginLoopTurn();
@@ -88,10 +88,10 @@
         };
     }
 
-    /** A client whose response handlers first check for a pause. */
-    public HttpClient wrap(HttpClient watched) {
+    /** Returns a client whose response handlers first check for a pause. */
+    public HttpClient wrap(HttpClient delegate) {
         return (request, done) ->
-                watched.send(
+                delegate.send(
                         request,
                         reply -> {
                             beginLoopTurn();
@@ -99,33 +99,33 @@
                         });
     }
 
-    /** A link whose record handlers first check for a pause. */
-    public PeerLink wrap(PeerLink watched) {
+    /** Returns a link whose record handlers first check for a pause. */
+    public PeerLink wrap(PeerLink delegate) {
         return new PeerLink() {
             @Override
             public void send(String node, byte[] record) {
-                watched.send(node, record);
+                delegate.send(node, record);
             }
 
             @Override
             public void setListener(Listener listener) {
-                watched.setListener(wrap(listener));
+                delegate.setListener(wrap(listener));
             }
         };
     }
 
-    private PeerLink.Listener wrap(PeerLink.Listener watched) {
+    private PeerLink.Listener wrap(PeerLink.Listener delegate) {
         return new PeerLink.Listener() {
             @Override
             public void onRecord(byte[] record) {
                 beginLoopTurn();
-                watched.onRecord(record);
+                delegate.onRecord(record);
             }
 
             @Override
             public void onConnectionRefused(String node) {
                 beginLoopTurn();
-                watched.onConnectionRefused(node);
+                delegate.onConnectionRefused(node);
             }
         };
     }
