--- a/src/main/java/org/springmill/control/controller/ArchivableJobs.java
+++ b/src/main/java/org/springmill/control/controller/ArchivableJobs.java
@@ -9,7 +9,7 @@
 import org.springmill.control.storage.JobRecord;
 import org.springmill.protocol.KeyValueStoreMessages.Condition;
 
-/** Tells which records of ended jobs may be archived: those that nothing needs any more. */
+/** Decides which records of ended jobs may be archived: those that are no longer needed. */
 final class ArchivableJobs implements HistoryArchiver.ArchivableJobSource {
     private final JobDirectory directory;
     private final ClusterState clusterState;
@@ -43,8 +43,8 @@
     }
 
     /**
-     * The cluster state holds an ended job until it is proven and committed that all its attempts
-     * are gone; until then a later leader needs the record to count the capacity they use.
+     * An ended job stays in the cluster state until the ends of all its attempts are committed.
+     * Until then a later leader needs the record to account for the capacity that they use.
      */
     @Override
     public boolean isArchivable(JobRecord record) {
@@ -56,8 +56,8 @@
     }
 
     /**
-     * Keeps the record until the watch delivers its deletion: changes before that may not have been
-     * read yet, and would bring it back.
+     * Leaves the record in the directory until the watch delivers its deletion: earlier changes may
+     * still be unread and would restore a record that was removed now.
      */
     @Override
     public void archived(ArchivedJob job) {
--- a/src/main/java/org/springmill/control/controller/CancellationPersister.java
+++ b/src/main/java/org/springmill/control/controller/CancellationPersister.java
@@ -14,18 +14,19 @@
 import org.springmill.transport.EventLoop;
 
 /**
- * Persists derived cancellations: the records of jobs that were cancelled with one of their
- * dependencies. Nothing depends on it, since every controller derives the same from the record of
- * the first cancelled job. So these writes have the lowest priority, and a wave of cancellations
- * delays no placement round.
+ * Persists derived cancellations: those of jobs that were cancelled because one of their
+ * dependencies was. Correctness does not depend on these writes, since every controller derives the
+ * same cancellations from the records of the dependencies. They have the lowest priority, so that
+ * many cancellations at the same time delay no placement round.
  *
- * <p>A compare-and-swap is rejected as a whole, also when only one of its records is at fault. Its
- * records are then written one by one, and only a record that is rejected alone is abandoned.
+ * <p>A compare-and-swap is rejected as a whole even if only one of its records is the reason. Its
+ * records are then written one at a time, and only a record that is rejected on its own is
+ * abandoned.
  */
 final class CancellationPersister {
     private static final Logger LOG = LoggerFactory.getLogger(CancellationPersister.class);
 
-    /** Share of the writes a second that the key-value store takes. */
+    /** Rate of these writes, as a ratio to the write rate limit of the key-value store. */
     private static final double WRITE_SHARE = 0.1;
 
     private final KeyValueStoreClient store;
@@ -34,7 +35,7 @@
     private final EventLoop loop;
     private boolean closed;
 
-    /** How many of the next records are to be written alone. */
+    /** Number of records still to be written one at a time. */
     private int singleWrites;
 
     CancellationPersister(
@@ -48,7 +49,7 @@
         this.loop = loop;
     }
 
-    /** Writes nothing more. */
+    /** Stops writing. */
     void close() {
         closed = true;
     }
@@ -70,7 +71,7 @@
         return singleWrites > 0 ? 1 : Math.max(1, store.limits().writesPerCommit() / 2);
     }
 
-    /** Waits for as long as a batch of that size takes at the write share. */
+    /** Schedules the next run for when the write rate allows it after a batch of that size. */
     private void runAfter(List<JobRecord> batch) {
         double writesPerSecond = WRITE_SHARE * store.limits().writesPerSecond();
         loop.after(Math.max(1, batch.size()) / writesPerSecond, this::run);
@@ -98,7 +99,7 @@
         switch (result.outcome()) {
             case COMMITTED -> committed(batch, result.revision());
             case REJECTED -> {
-                // A leader whose term is over leaves the records to the next one.
+                // If this term is over, the next leader writes the records.
                 if (!result.failed().contains(leadership.termCondition().key())) {
                     retrySinglyOrAbandon(batch);
                 }
@@ -117,7 +118,7 @@
         batch.forEach(job -> directory.merge(job.committed(revision)));
     }
 
-    /** Has a batch retried record by record; abandons a single record. */
+    /** Retries a batch one record at a time; abandons a batch of a single record. */
     private void retrySinglyOrAbandon(List<JobRecord> batch) {
         if (batch.size() > 1) {
             singleWrites = batch.size();
@@ -128,7 +129,7 @@
         directory.dependencies().abandonPersistence(batch);
     }
 
-    /** Whether a record has a shorter form under the limits that are in force by now. */
+    /** Whether the size limit has changed such that the record is now encoded differently. */
     private boolean isShorterNow(JobRecord job, int valueBytes) {
         return !job.encode(store.limits().valueBytes()).equals(job.encode(valueBytes));
     }
--- a/src/main/java/org/springmill/control/controller/ClusterStateRecovery.java
+++ b/src/main/java/org/springmill/control/controller/ClusterStateRecovery.java
@@ -54,7 +54,7 @@
         return directory.all().stream().filter(record -> !record.active()).toList();
     }
 
-    /** Recovers an active job, with those of its tasks marked that are done. */
+    /** Recovers an active job and marks its completed tasks as done. */
     Job recoverJob(JobRecord record, RoundLog.RecoveredRounds rounds) {
         Job job = new Job(record.submission(), record.version());
         BitSet doneTasks = rounds.done().get(record.id());
@@ -79,7 +79,8 @@
         Job job = knownJob == null ? jobCompletion.recoverEndedJob(jobId) : knownJob;
         Machine machine = fleet.getOrAdd(claim.machine());
         TaskAttempt attempt = new TaskAttempt(claim, job, machine, loop.now());
-        // Any fencing token of this term is above those of earlier leaders' starts (claim 6.1).
+        // Start commands of earlier leaders carry lower fencing tokens than any of this term (claim
+        // 6.1).
         attempt.recordStartSent(machine.fencingToken() - 1, START_EPOCH_UNKNOWN);
         clusterState.add(attempt);
         attempt.transition(TaskAttempt.State.UNKNOWN, loop.now());
--- a/src/main/java/org/springmill/control/controller/Controller.java
+++ b/src/main/java/org/springmill/control/controller/Controller.java
@@ -35,16 +35,16 @@
 import org.springmill.transport.PeerLink;
 
 /**
- * One controller: puts its parts together, starts them, and holds a {@link Leader} while it has the
- * leadership.
+ * A controller: wires its components, starts them, and has a {@link Leader} while it holds a term
+ * of leadership.
  */
 public final class Controller implements HttpHandler {
     private static final Logger LOG = LoggerFactory.getLogger(Controller.class);
 
-    /** A leader's message of congestion is valid for so many of its broadcast intervals. */
+    /** Validity of a leader's congestion notice, in broadcast intervals. */
     private static final double CONGESTION_VALID_INTERVALS = 3;
 
-    /** Share of the time to answer a user that a submission may be expected to wait. */
+    /** Longest wait expected for an accepted submission, as a ratio to the time left to answer. */
     private static final double EXPECTED_WAIT_SHARE = 0.8;
 
     private final EventLoop loop;
@@ -66,21 +66,22 @@
     private final Readiness readiness;
     private final RequestRouter router;
 
-    /** Empty unless the operators have switched the bounded history on. */
+    /** Empty unless a retention time of the job history is configured. */
     private final Optional<HistoryMembership> historyMembership;
 
     /** Empty while this controller does not lead. */
     private Optional<Leader> leader = Optional.empty();
 
     /**
-     * Puts a controller together; nothing is sent before {@link #start}.
+     * Wires a controller, which sends nothing before {@link #start}.
      *
-     * @param settings what the operators configured
-     * @param bareLoop runs everything, one step after the other
+     * @param settings the operators' settings
+     * @param bareLoop runs all code of the controller, one task after the other; like the next two,
+     *     not yet wrapped for pause detection
      * @param bareHttp sends requests to the key-value store, the cloud and workers
      * @param bareLink sends messages to the other controllers
-     * @param random the source of all random draws
-     * @param heapBytes the largest heap that this process was started with
+     * @param random the source of all random numbers
+     * @param heapBytes maximum heap size of this process
      */
     public Controller(
             Settings settings,
@@ -163,9 +164,9 @@
                 settings.storeLimits().writesPerSecond());
     }
 
-    /** The term that this controller leads, sure of its lease; 0 if there is none. */
+    /** The term that this controller leads under a valid lease; 0 if there is none. */
     private long validTerm() {
-        // The shares are made before the leadership, which needs them through the peers.
+        // Still null when the shares are created: Leadership needs Peers, which needs the shares.
         return leadership != null && leadership.mayPlace() ? leadership.term() : 0;
     }
 
@@ -239,12 +240,12 @@
         store.onCommitAnswered(metrics::recordStoreCommit);
     }
 
-    /** Begins to talk to the key-value store, the cloud and the other controllers. */
+    /** Starts communication with the key-value store, the cloud and the other controllers. */
     public void start() {
         LOG.info("controller {} in {} starts", settings.node(), settings.zone());
         pauseDetector.start();
         peers.start();
-        // Leadership first, for workers wait for it; reading all jobs takes longer.
+        // Leadership starts first because workers wait for a leader; reading all jobs takes longer.
         leadership.start();
         catalog.start();
         directory.start();
@@ -252,7 +253,7 @@
         historyMembership.ifPresent(HistoryMembership::register);
     }
 
-    /** This process was paused: nothing that it knew of others before is known still. */
+    /** Discards what this process knew of other processes before it was paused. */
     private void resumed() {
         readiness.resumed();
         directory.processResumed();
@@ -268,7 +269,7 @@
         router.handle(call);
     }
 
-    /** The status that is broadcast to the other controllers; {@link Peers} fills in the counts. */
+    /** The status sent to the other controllers; {@link Peers} fills in the remaining fields. */
     private PeerStatus status() {
         return new PeerStatus(
                 settings.node(),
@@ -299,7 +300,9 @@
         return leader.isPresent() ? leader.get().progress(jobId) : remoteProgress.of(jobId);
     }
 
-    /** Makes a leader for each term that this controller wins, and closes it when the term ends. */
+    /**
+     * Creates a leader for each term that this controller wins, and closes it at the term's end.
+     */
     private final class TermListener implements Leadership.Listener {
         @Override
         public void gained(long term) {
--- a/src/main/java/org/springmill/control/controller/ControllerGauges.java
+++ b/src/main/java/org/springmill/control/controller/ControllerGauges.java
@@ -15,7 +15,7 @@
 import org.springmill.control.storage.KeyValueStoreClient;
 import org.springmill.transport.EventLoop;
 
-/** Adds the gauges of a controller, and those that only a leader has a value for. */
+/** Adds the gauges of a controller, including those that only a leader has a value for. */
 final class ControllerGauges {
     private final ControllerServices services;
     private final Metrics metrics;
--- a/src/main/java/org/springmill/control/controller/ControllerServices.java
+++ b/src/main/java/org/springmill/control/controller/ControllerServices.java
@@ -15,9 +15,9 @@
 import org.springmill.transport.HttpClient;
 
 /**
- * What lives as long as the process and is shared by all terms that its controller leads.
+ * The components that live as long as the process and are shared by all terms of its controller.
  *
- * @param historyMembership empty unless the operators have switched the bounded history on
+ * @param historyMembership empty unless a retention time of the job history is configured
  */
 record ControllerServices(
         KeyValueStoreClient store,
--- a/src/main/java/org/springmill/control/controller/HeartbeatEndpoint.java
+++ b/src/main/java/org/springmill/control/controller/HeartbeatEndpoint.java
@@ -14,8 +14,9 @@
 import org.springmill.transport.HttpHandler.Call;
 
 /**
- * Takes the heartbeats of workers: the leader answers them, another controller renews leases while
- * it may do so in place of the leader, and any other redirects the worker to the leader.
+ * Handles the heartbeats of workers: the leader answers them; another controller renews the
+ * worker's lease if {@link LeaseKeepalive} allows it, and otherwise redirects the worker to the
+ * leader.
  */
 final class HeartbeatEndpoint {
     private static final byte[] EMPTY = new byte[0];
@@ -30,7 +31,7 @@
 
     /**
      * @param node the name of this controller
-     * @param leader the leader's term of this controller; empty while it does not lead
+     * @param leader the leader component of this controller; empty while it does not lead
      */
     HeartbeatEndpoint(
             String node,
@@ -75,7 +76,9 @@
         }
     }
 
-    /** The check of the lease may end the term, so the leader is read anew after it. */
+    /**
+     * Checking the leadership may end the term, so callers must get the leader again afterwards.
+     */
     private boolean mayRespondAsLeader() {
         return leader.get().isPresent()
                 && leadership.mayRespondToWorkers()
@@ -83,8 +86,8 @@
     }
 
     /**
-     * Renews a worker's lease under its own fencing token. The only commands are stops of cancelled
-     * tasks, for whoever renews a lease may not leave those running.
+     * Renews a worker's lease and returns its fencing token unchanged. The only commands are stops
+     * of cancelled tasks, which would otherwise keep running under the renewed lease.
      */
     private void renewLease(Call call, Heartbeat heartbeat) {
         byte[] response =
@@ -94,8 +97,8 @@
     }
 
     private void redirect(Call call, Heartbeat heartbeat) {
-        // Only redirected workers count. With those whose lease was just renewed, a leader that
-        // could not be reached during a partition would seem to have lost them once it is over.
+        // Workers whose lease is renewed here are not counted: right after a partition, the leader
+        // that they could not reach would seem to be isolated.
         redirectedWorkers.add(heartbeat.machine());
         String leadingNode = leadership.leader();
         if (leadingNode == null || leadingNode.equals(node)) {
--- a/src/main/java/org/springmill/control/controller/ImageLocationPersister.java
+++ b/src/main/java/org/springmill/control/controller/ImageLocationPersister.java
@@ -38,7 +38,7 @@
         this.intervalSeconds = intervalSeconds;
     }
 
-    /** Writes nothing more. */
+    /** Stops writing. */
     void close() {
         closed = true;
     }
--- a/src/main/java/org/springmill/control/controller/JobAdmission.java
+++ b/src/main/java/org/springmill/control/controller/JobAdmission.java
@@ -32,12 +32,12 @@
         this.loop = loop;
     }
 
-    /** Admits a job that was read back from the key-value store: it is no new arrival. */
+    /** Admits a job recovered from the key-value store, which does not count as a new arrival. */
     void admitRecovered(Job job) {
         admit(job, false);
     }
 
-    /** Admits a job that was accepted just now. */
+    /** Admits a newly accepted job. */
     void admitNew(Job job) {
         admit(job, true);
     }
@@ -53,7 +53,7 @@
         }
     }
 
-    /** Has a job placed in the next round if it waited only for dependencies that are done. */
+    /** Requests placement of a job that waited for dependencies if all of them are now done. */
     void releaseIfReady(Job job) {
         if (dependenciesJustDone(job)) {
             makeEligible(job);
@@ -62,8 +62,8 @@
     }
 
     /**
-     * Releases the jobs of which this was the last dependency: they are placed in the next round
-     * rather than found by some later tick.
+     * Releases the jobs whose last open dependency was this job, and requests a round for them
+     * without waiting for the next tick.
      */
     void releaseDependents(String doneJobId) {
         for (String id : directory.dependencies().dependents(doneJobId)) {
--- a/src/main/java/org/springmill/control/controller/JobCompletion.java
+++ b/src/main/java/org/springmill/control/controller/JobCompletion.java
@@ -20,8 +20,8 @@
 import org.springmill.transport.EventLoop;
 
 /**
- * Completes the jobs of one term: writes to their records that they are done, and drops ended jobs
- * from the cluster state once none of their attempts is left.
+ * Completes jobs during one term: marks their records as done, and removes ended jobs from the
+ * cluster state once they have no attempts left.
  */
 final class JobCompletion {
     private static final Logger LOG = LoggerFactory.getLogger(JobCompletion.class);
@@ -36,7 +36,7 @@
     private boolean closed;
 
     /**
-     * @param skewSeconds bound on how far the time of day may be off
+     * @param skewSeconds bound on the error of a controller's time of day
      */
     JobCompletion(
             KeyValueStoreClient store,
@@ -55,14 +55,14 @@
         this.skewSeconds = skewSeconds;
     }
 
-    /** Writes nothing more. */
+    /** Stops writing. */
     void close() {
         closed = true;
     }
 
     /**
-     * Adds a job to the cluster state that ended while attempts of it may still be on machines:
-     * they use capacity until they are proven gone.
+     * Adds an ended job to the cluster state. Its attempts may still be on machines, where they use
+     * capacity until they are known to have ended.
      */
     Job recoverEndedJob(String id) {
         JobRecord record = directory.get(id);
@@ -73,13 +73,13 @@
     }
 
     /**
-     * When a job ended, in seconds of the loop's clock. The record holds the time of day, and may
-     * have become known here only later.
+     * When a job ended, in seconds of the event loop's clock. The record holds the time of day, and
+     * may have reached this controller much later.
      */
     double endedSince(JobRecord record) {
-        // A heartbeat interval of the timeout is always left: a machine that can be reached answers
-        // within that. Otherwise a new leader would delete a partitioned zone's machines at once,
-        // with all that runs on them.
+        // At least one heartbeat interval of the timeout is left, in which a reachable worker
+        // reports. Otherwise a new leader would immediately delete the machines of a partitioned
+        // zone together with all tasks on them.
         double endedAgoSeconds = loop.timeOfDay() - record.endedAt() + 2 * skewSeconds;
         double maxAgoSeconds =
                 timeouts.cancellationDeletionTimeoutSeconds() - timeouts.heartbeatIntervalSeconds();
@@ -101,21 +101,23 @@
                 .toList();
     }
 
-    /** Drops a job that has ended and has no live attempt any more. */
+    /** Removes a job from the cluster state if it has ended and has no live attempt. */
     void dropIfOver(Job job) {
         if (!job.isActive() && job.attemptCount() == 0) {
             clusterState.removeJob(job);
         }
     }
 
-    /** Writes that a job is done once all of its tasks are. */
+    /** Marks a job as done if all of its tasks are done. */
     void finishIfComplete(Job job) {
         if (job.isActive() && job.isComplete() && job.beginCompletion()) {
             writeDone(job);
         }
     }
 
-    /** The compare-and-swap decides between done and cancelled: whichever is first stays. */
+    /**
+     * Completion can race with a cancellation; the compare-and-swap lets only the first succeed.
+     */
     private void writeDone(Job job) {
         if (closed || !job.isActive()) {
             return;
@@ -134,11 +136,11 @@
         if (result.outcome() == CommitOutcome.COMMITTED) {
             directory.merge(done.committed(result.revision()));
         } else if (result.outcome() == CommitOutcome.REJECTED && result.failed().isEmpty()) {
-            // The same write would be rejected for ever. A later leader tries once more.
+            // The key-value store would reject a retry as well. The next leader tries once more.
             LOG.error("the key-value store rejects the record of {}, which is done", job.id());
         } else if (result.outcome() == CommitOutcome.REJECTED) {
-            // Cancelled meanwhile, or an earlier copy of this write was applied: the record shows
-            // it.
+            // The job was cancelled meanwhile, or an earlier copy of this write was applied. The
+            // current record shows which.
             directory.readBarrier(read -> retryLater(job));
         } else {
             loop.after(timeouts.peerPollIntervalSeconds(), () -> writeDone(job));
--- a/src/main/java/org/springmill/control/controller/JobRecordHandler.java
+++ b/src/main/java/org/springmill/control/controller/JobRecordHandler.java
@@ -45,7 +45,7 @@
         this.historyArchiver = historyArchiver;
     }
 
-    /** Applies a changed record; before recovery the record itself is enough. */
+    /** Applies a changed record. Ignored before recovery, which reads all records itself. */
     void recordChanged(JobRecord record) {
         if (!lifecycle.isActive()) {
             return;
@@ -68,7 +68,7 @@
         if (job == null) {
             jobAdmission.admitNew(new Job(record.submission(), record.version()));
         } else {
-            // A dependency turned out to be done long ago.
+            // Its dependencies may only now be known to be done.
             jobAdmission.releaseIfReady(job);
         }
     }
--- a/src/main/java/org/springmill/control/controller/Leader.java
+++ b/src/main/java/org/springmill/control/controller/Leader.java
@@ -15,8 +15,8 @@
 import org.springmill.transport.HttpHandler.Call;
 
 /**
- * The life cycle of one term of leadership: it recovers what earlier leaders committed, is active
- * until the term ends, and is thrown away then.
+ * One term of leadership: recovers what earlier leaders committed, and is then active until the
+ * term ends. It is not reused for a later term.
  */
 final class Leader {
     private static final Logger LOG = LoggerFactory.getLogger(Leader.class);
@@ -48,8 +48,8 @@
     }
 
     /**
-     * Recovers what earlier leaders committed, and tries again until that succeeds. Heartbeats are
-     * answered from the first moment, to keep leases alive.
+     * Recovers what earlier leaders committed, and retries until that succeeds. Heartbeats are
+     * answered during recovery, so that leases do not expire.
      */
     void start() {
         services.directory()
@@ -148,7 +148,10 @@
         components.imageLocationPersister().start();
     }
 
-    /** Records that this process was paused: what it did not read meanwhile was no silence. */
+    /**
+     * Records that this process was paused: heartbeats that it did not read meanwhile were not
+     * missing.
+     */
     void resumed() {
         components.autoscaler().resumed();
     }
@@ -163,7 +166,7 @@
         components.heartbeatHandler().respond(call, heartbeat);
     }
 
-    /** Phase and counts of an active job, as its leader knows them; null if it is not known. */
+    /** Phase and task counts of an active job; null if this leader does not know the job. */
     JobProgress progress(String id) {
         Job job = lifecycle.isActive() ? components.clusterState().job(id) : null;
         return job == null ? null : job.progress();
@@ -176,7 +179,7 @@
                 .sum();
     }
 
-    /** Tasks that workers run, as they reported. */
+    /** Tasks that workers have reported as running. */
     int runningTasks() {
         return components.clusterState().jobs().values().stream()
                 .mapToInt(job -> job.progress().running())
@@ -190,7 +193,7 @@
                 .count();
     }
 
-    /** Machines that boot for longer than expected. */
+    /** Machines that have been booting for longer than expected. */
     int overdueBoots() {
         return components.autoscaler().overdueMachines();
     }
--- a/src/main/java/org/springmill/control/controller/LeaderComponents.java
+++ b/src/main/java/org/springmill/control/controller/LeaderComponents.java
@@ -13,9 +13,9 @@
 import org.springmill.control.workers.HeartbeatHandler;
 
 /**
- * The parts of one term of leadership, put together by {@link LeaderFactory}.
+ * The components of one term of leadership, created by {@link LeaderFactory}.
  *
- * @param historyArchiver empty unless the operators have switched the bounded history on
+ * @param historyArchiver empty unless a retention time of the job history is configured
  */
 record LeaderComponents(
         TermLifecycle lifecycle,
--- a/src/main/java/org/springmill/control/controller/LeaderFactory.java
+++ b/src/main/java/org/springmill/control/controller/LeaderFactory.java
@@ -32,7 +32,7 @@
 
 /** Wires the components of each term that this controller leads. */
 final class LeaderFactory {
-    /** Rounds are at least as far apart as the key-value store needs for so many writes. */
+    /** Minimum interval of rounds, in writes at the write rate limit of the key-value store. */
     private static final double WRITES_PER_ROUND_GAP = 4;
 
     private final ControllerServices services;
@@ -53,7 +53,7 @@
         directory = services.directory();
     }
 
-    /** Makes the leader of the term that was just won; {@link Leader#start} starts it. */
+    /** Creates the leader of the term that was just won; {@link Leader#start} starts it. */
     Leader create() {
         TermLifecycle lifecycle = new TermLifecycle();
         ClusterState clusterState = new ClusterState(settings);
--- a/src/main/java/org/springmill/control/controller/LeaderIsolationCheck.java
+++ b/src/main/java/org/springmill/control/controller/LeaderIsolationCheck.java
@@ -8,18 +8,18 @@
 import org.springmill.transport.EventLoop;
 
 /**
- * Has a leader resign that no longer hears many of its workers while another controller does. Such
- * a leader is the one that is cut off: the workers' leases would expire under it although the
- * key-value store sees nothing wrong with it.
+ * Makes a leader resign if it gets no heartbeats from many of its workers while another controller
+ * does. Such a leader is isolated from its workers: their leases would expire although its own
+ * lease in the key-value store is renewed.
  */
 final class LeaderIsolationCheck {
-    /** Fewer silent workers are no sign of a partition. */
+    /** Fewer workers without heartbeats do not indicate a partition. */
     private static final int MIN_WORKERS = 2;
 
-    /** One worker in so many has to be silent. */
+    /** At least one worker in this many must be without heartbeats. */
     private static final int WORKERS_PER_SILENT = 4;
 
-    /** One silent worker in so many has to have been redirected by other controllers. */
+    /** At least one of this many workers without heartbeats must have been redirected by a peer. */
     private static final int SILENT_PER_REDIRECTED = 2;
 
     private final Fleet fleet;
@@ -36,7 +36,7 @@
         timeouts = services.timeouts();
     }
 
-    /** Resigns, which closes the term, if this leader is cut off from its workers. */
+    /** Resigns, which closes the term, if this leader is isolated from its workers. */
     void resignIfIsolated() {
         double now = loop.now();
         int up = 0;
@@ -54,9 +54,9 @@
     }
 
     /**
-     * Machines that never heard this leader are none that it has lost. When they counted, each new
-     * leader resigned in its turn while such machines wandered from one controller to the next, and
-     * none led for long enough to replace them.
+     * Only workers that this leader has reached count as lost. When the others counted too, each
+     * new leader resigned in turn while such workers tried one controller after another, and none
+     * led for long enough to replace their machines.
      */
     private static boolean isWorkerOfThisTerm(Machine machine) {
         return machine.state() == Machine.State.UP && machine.hasSeenCurrentTerm();
--- a/src/main/java/org/springmill/control/controller/LeaderTick.java
+++ b/src/main/java/org/springmill/control/controller/LeaderTick.java
@@ -8,7 +8,7 @@
 import org.springmill.control.workers.Reconciliation;
 import org.springmill.transport.EventLoop;
 
-/** What a leader does periodically, from recovery until its term is closed. */
+/** The periodic work of a leader, from recovery until its term is closed. */
 final class LeaderTick {
     private static final double TICKS_PER_HEARTBEAT = 8;
 
@@ -53,7 +53,7 @@
             return;
         }
         loop.after(intervalSeconds, this::run);
-        // Reading the state ends a term whose lease has expired, which closes this leader.
+        // Reading the state ends the term if a peer knows a later one, which closes this leader.
         leadership.state();
         if (lifecycle.isClosed()) {
             return;
@@ -76,8 +76,8 @@
     }
 
     /**
-     * Whoever holds the term, sure of it or not, may be the only one who knows where cancelled
-     * tasks are.
+     * Runs even if the leader's lease is uncertain: no other controller may know which machines run
+     * cancelled tasks.
      */
     private void releaseMachinesWithOverdueTasks() {
         for (Machine machine : jobCompletion.machinesWithOverdueTasks()) {
--- a/src/main/java/org/springmill/control/controller/MachineSweep.java
+++ b/src/main/java/org/springmill/control/controller/MachineSweep.java
@@ -6,7 +6,10 @@
 import org.springmill.control.workers.CommandDispatcher;
 import org.springmill.transport.EventLoop;
 
-/** Probes silent workers, sends the commands that are due, and forgets terminated machines. */
+/**
+ * Requests the status of workers whose heartbeats are late, sends due commands, and removes
+ * terminated machines.
+ */
 final class MachineSweep {
     private final Fleet fleet;
     private final CommandDispatcher dispatcher;
@@ -20,7 +23,7 @@
         this.timeouts = timeouts;
     }
 
-    /** Goes through all machines once. */
+    /** Processes every machine once. */
     void run() {
         for (Machine machine : fleet.machinesSnapshot()) {
             if (isProbeDue(machine)) {
--- a/src/main/java/org/springmill/control/controller/Readiness.java
+++ b/src/main/java/org/springmill/control/controller/Readiness.java
@@ -8,8 +8,9 @@
 import org.springmill.transport.EventLoop;
 
 /**
- * Whether the load balancer should send users to this controller. In an outage that every
- * controller sees they may as well stay: leaving would only add the balancer's pause to the outage.
+ * Whether the load balancer should send users to this controller. In an outage of the key-value
+ * store that affects every controller, all stay ready: otherwise the time until the load balancer
+ * readmits them would prolong the outage.
  */
 final class Readiness {
     private final JobDirectory directory;
@@ -35,7 +36,7 @@
         this.timeouts = timeouts;
     }
 
-    /** Records that the process resumed after a pause, during which nothing could be heard. */
+    /** Records that the process resumed after a pause, in which it could not receive anything. */
     void resumed() {
         resumedAt = loop.now();
     }
@@ -56,9 +57,9 @@
     }
 
     /**
-     * Whether neither store nor peers were heard for a whole lease, so that this controller itself
-     * is cut off. Users whose connections to it stayed open would get no answer for as long as that
-     * lasts, while all others are served.
+     * Whether nothing was received from the key-value store or any peer for a worker's lease, so
+     * that this controller itself is isolated. Users who stayed connected to it would get no
+     * answers for as long as that lasts, while other controllers serve theirs.
      */
     private boolean isIsolated() {
         double lastHeardAt = Math.max(store.lastServedAt(), peers.lastHeardAt());
--- a/src/main/java/org/springmill/control/controller/RequestRouter.java
+++ b/src/main/java/org/springmill/control/controller/RequestRouter.java
@@ -7,7 +7,7 @@
 import org.springmill.protocol.WorkerMessages;
 import org.springmill.transport.HttpHandler;
 
-/** Passes each HTTP request to the part of the controller that answers its path. */
+/** Routes each HTTP request to the component that handles its path. */
 final class RequestRouter implements HttpHandler {
     private static final byte[] EMPTY = new byte[0];
     private static final String METRICS_PATH = "/metrics";
--- a/src/main/java/org/springmill/control/controller/RoundTrigger.java
+++ b/src/main/java/org/springmill/control/controller/RoundTrigger.java
@@ -3,8 +3,8 @@
 import org.springmill.control.scheduling.PlacementRounds;
 
 /**
- * Requests placement rounds for components that the rounds themselves are built on: {@link #bind}
- * closes that cycle.
+ * Lets components request placement rounds although {@link PlacementRounds} depends on them: {@link
+ * #bind} resolves the circular dependency.
  */
 final class RoundTrigger {
     private final TermLifecycle lifecycle;
@@ -14,7 +14,7 @@
         this.lifecycle = lifecycle;
     }
 
-    /** Sets the rounds that are requested from now on. */
+    /** Sets what {@link #request} calls. */
     void bind(PlacementRounds rounds) {
         requestRound = rounds::request;
     }
--- a/src/main/java/org/springmill/control/controller/TermLifecycle.java
+++ b/src/main/java/org/springmill/control/controller/TermLifecycle.java
@@ -6,9 +6,12 @@
 
 /** The state machine of one term of leadership. */
 final class TermLifecycle implements HeartbeatHandler.TermStatus {
-    /** How far the term is. */
+    /** The phases of a term, in their order. */
     enum State {
-        /** What earlier leaders committed is being read. Leases are renewed; nothing is placed. */
+        /**
+         * The state that earlier leaders committed is being read. Leases are renewed; nothing is
+         * placed.
+         */
         RECOVERING,
         /** The cluster state is complete: tasks are placed and workers are reconciled. */
         ACTIVE,
--- a/src/main/java/org/springmill/control/controller/package-info.java
+++ b/src/main/java/org/springmill/control/controller/package-info.java
@@ -3,12 +3,12 @@
  * cluster state after failover, the periodic tick, and the completion of jobs.
  *
  * <p>{@link org.springmill.control.controller.Controller} lives as long as the process. For each
- * term that it wins, {@code LeaderFactory} makes a {@code Leader}, which is thrown away when the
+ * term that it wins, {@code LeaderFactory} creates a {@code Leader}, which is discarded when the
  * term ends. The package owns the state machine of a term ({@code TermLifecycle}) and the writes of
  * completed jobs, of derived cancellations and of image locations; the cluster state itself belongs
  * to {@code cluster}.
  *
- * <p>The top of the controller's layers: it uses every package of {@code control}, and only the
+ * <p>The top layer of the controller: it uses every package of {@code control}, and only the
  * command line uses it.
  */
 package org.springmill.control.controller;
--- a/src/test/java/org/springmill/control/controller/CancellationPersisterTest.java
+++ b/src/test/java/org/springmill/control/controller/CancellationPersisterTest.java
@@ -17,12 +17,12 @@
 import org.springmill.sim.SimulatedCluster;
 import org.springmill.transport.HttpClient.Request;
 
-/** Which derived cancellations reach the key-value store when some of them are refused. */
+/** Derived cancellations are written even if the key-value store rejects some of them. */
 class CancellationPersisterTest {
     private static final int FIRST = 1;
     private static final int LAST = 9;
 
-    /** So many, with the longest ids, that a record naming them all takes most of a value. */
+    /** With this many dependencies of the longest ids, a record nearly reaches the value limit. */
     private static final int MANY = 180;
 
     private SimulatedCluster cluster;
@@ -72,7 +72,7 @@
                 .toList();
     }
 
-    /** Gives a record a new version that the leader does not learn of. */
+    /** Writes a new version of a record, of which the leader is not informed. */
     private void rewriteUnseen(int number) {
         ObjectNode write = Json.newObject().put("write", "job/" + id(number));
         write.set("value", record(number));
@@ -92,7 +92,7 @@
                                                 && request.path().startsWith("/changes?under=job")
                                         ? Fate.DROP
                                         : Fate.DELIVER);
-        // Longer than a watch stays open.
+        // Longer than a watch request stays open.
         cluster.run(20);
     }
 
@@ -118,7 +118,10 @@
         assertEquals(List.of(), unwritten());
     }
 
-    /** Accepted when values could be larger; its dependencies cannot be left out to make it fit. */
+    /**
+     * The record was accepted under a larger value limit. Its dependencies cannot be omitted to
+     * shorten it.
+     */
     @Test
     void aRecordTooLargeForTheServiceHoldsUpNoOtherAndIsNotTriedForEver() {
         submit(job(FIRST));
