--- a/src/main/java/org/springmill/control/controller/CancellationPersister.java
+++ b/src/main/java/org/springmill/control/controller/CancellationPersister.java
@@ -125,7 +125,9 @@
             return;
         }
         singleWrites = Math.max(0, singleWrites - 1);
-        LOG.warn("the derived cancellation of {} cannot be persisted", batch.get(0).id());
+        LOG.warn(
+                "key-value store rejects the derived cancellation of {}: not retried until its record changes",
+                batch.get(0).id());
         directory.dependencies().abandonPersistence(batch);
     }
 
--- a/src/main/java/org/springmill/control/controller/ClusterStateRecovery.java
+++ b/src/main/java/org/springmill/control/controller/ClusterStateRecovery.java
@@ -73,7 +73,9 @@
         Job knownJob = clusterState.job(jobId);
         if (knownJob == null && directory.get(jobId) == null) {
             // A record is archived only once no claim of its job is left.
-            LOG.error("live claim of {} although its job record is archived", claim.task());
+            LOG.error(
+                    "ignoring the live claim of {}: it has no job record, which should be kept until its claims end",
+                    claim.task());
             return;
         }
         Job job = knownJob == null ? jobCompletion.recoverEndedJob(jobId) : knownJob;
