--- a/src/main/java/org/springmill/control/controller/CancellationPersister.java
+++ b/src/main/java/org/springmill/control/controller/CancellationPersister.java
@@ -27,7 +27,7 @@
     private static final Logger LOG = LoggerFactory.getLogger(CancellationPersister.class);
 
     /** Rate of these writes, as a ratio to the write rate limit of the key-value store. */
-    private static final double WRITE_SHARE = 0.1;
+    private static final double WRITE_RATE_RATIO = 0.1;
 
     private final KeyValueStoreClient store;
     private final JobDirectory directory;
@@ -61,7 +61,7 @@
         }
         List<JobRecord> batch = directory.dependencies().pendingPersistence(batchSize());
         if (batch.isEmpty() || store.backlog() > 0 || !leadership.mayPlace()) {
-            runAfter(batch);
+            scheduleRunAfter(batch);
             return;
         }
         write(batch);
@@ -72,8 +72,8 @@
     }
 
     /** Schedules the next run for when the write rate allows it after a batch of that size. */
-    private void runAfter(List<JobRecord> batch) {
-        double writesPerSecond = WRITE_SHARE * store.limits().writesPerSecond();
+    private void scheduleRunAfter(List<JobRecord> batch) {
+        double writesPerSecond = WRITE_RATE_RATIO * store.limits().writesPerSecond();
         loop.after(Math.max(1, batch.size()) / writesPerSecond, this::run);
     }
 
@@ -91,7 +91,7 @@
                 writes,
                 result -> {
                     handleResult(batch, valueBytes, result);
-                    runAfter(batch);
+                    scheduleRunAfter(batch);
                 });
     }
 
@@ -105,7 +105,7 @@
                 }
             }
             case TOO_LARGE -> {
-                if (batch.size() > 1 || !isShorterNow(batch.get(0), valueBytes)) {
+                if (batch.size() > 1 || !isEncodedDifferently(batch.get(0), valueBytes)) {
                     retrySinglyOrAbandon(batch);
                 }
             }
@@ -132,7 +132,7 @@
     }
 
     /** Whether the size limit has changed such that the record is now encoded differently. */
-    private boolean isShorterNow(JobRecord job, int valueBytes) {
+    private boolean isEncodedDifferently(JobRecord job, int valueBytes) {
         return !job.encode(store.limits().valueBytes()).equals(job.encode(valueBytes));
     }
 }
--- a/src/main/java/org/springmill/control/controller/CommittedRoundHandler.java
+++ b/src/main/java/org/springmill/control/controller/CommittedRoundHandler.java
@@ -39,7 +39,7 @@
         for (TaskAttempt attempt : ended) {
             dispatcher.requestSend(attempt.machine());
             jobCompletion.finishIfComplete(attempt.job());
-            jobCompletion.dropIfOver(attempt.job());
+            jobCompletion.removeIfEnded(attempt.job());
         }
     }
 
--- a/src/main/java/org/springmill/control/controller/Controller.java
+++ b/src/main/java/org/springmill/control/controller/Controller.java
@@ -42,10 +42,10 @@
     private static final Logger LOG = LoggerFactory.getLogger(Controller.class);
 
     /** Validity of a leader's congestion notice, in broadcast intervals. */
-    private static final double CONGESTION_VALID_INTERVALS = 3;
+    private static final double CONGESTION_VALIDITY_INTERVALS = 3;
 
     /** Longest wait expected for an accepted submission, as a ratio to the time left to answer. */
-    private static final double EXPECTED_WAIT_SHARE = 0.8;
+    private static final double MAX_EXPECTED_WAIT_RATIO = 0.8;
 
     private final EventLoop loop;
     private final Settings settings;
@@ -116,7 +116,7 @@
                 new LeaseKeepalive(store, peers, leadership, cancellationFreshness, loop, timeouts);
         activeJobs = new ActiveJobs(loop.now());
         congestion =
-                new Congestion(timeouts.heartbeatIntervalSeconds() * CONGESTION_VALID_INTERVALS);
+                new Congestion(timeouts.heartbeatIntervalSeconds() * CONGESTION_VALIDITY_INTERVALS);
         AdmissionControl admission = admissionControl(random, heapBytes);
         historyMembership =
                 settings.operator().historyRetentionSeconds().isPresent()
@@ -182,7 +182,7 @@
                 random,
                 () -> Math.max(0, directory.all().size() - activeJobs.jobCount()),
                 settings.limits().heapBytes(heapBytes),
-                answerWithinSeconds * EXPECTED_WAIT_SHARE);
+                answerWithinSeconds * MAX_EXPECTED_WAIT_RATIO);
     }
 
     private HistoryMembership newHistoryMembership() {
--- a/src/main/java/org/springmill/control/controller/JobCompletion.java
+++ b/src/main/java/org/springmill/control/controller/JobCompletion.java
@@ -67,7 +67,7 @@
     Job recoverEndedJob(String id) {
         JobRecord record = directory.get(id);
         Job job = new Job(record.submission(), record.version());
-        job.end(record.version(), endedSince(record));
+        job.end(record.version(), endTime(record));
         clusterState.add(job);
         return job;
     }
@@ -76,14 +76,14 @@
      * When a job ended, in seconds of the event loop's clock. The record holds the time of day, and
      * may have reached this controller much later.
      */
-    double endedSince(JobRecord record) {
+    double endTime(JobRecord record) {
         // At least one heartbeat interval of the timeout is left, in which a reachable worker
         // reports. Otherwise a new leader would immediately delete the machines of a partitioned
         // zone together with all tasks on them.
-        double endedAgoSeconds = loop.timeOfDay() - record.endedAt() + 2 * skewSeconds;
-        double maxAgoSeconds =
+        double secondsSinceEnd = loop.timeOfDay() - record.endedAt() + 2 * skewSeconds;
+        double maxSecondsSinceEnd =
                 timeouts.cancellationDeletionTimeoutSeconds() - timeouts.heartbeatIntervalSeconds();
-        return loop.now() - Math.max(0, Math.min(endedAgoSeconds, maxAgoSeconds));
+        return loop.now() - Math.max(0, Math.min(secondsSinceEnd, maxSecondsSinceEnd));
     }
 
     /**
@@ -102,7 +102,7 @@
     }
 
     /** Removes a job from the cluster state if it has ended and has no live attempt. */
-    void dropIfOver(Job job) {
+    void removeIfEnded(Job job) {
         if (!job.isActive() && job.attemptCount() == 0) {
             clusterState.removeJob(job);
         }
--- a/src/main/java/org/springmill/control/controller/JobRecordHandler.java
+++ b/src/main/java/org/springmill/control/controller/JobRecordHandler.java
@@ -75,13 +75,13 @@
 
     /** Ends a job that was cancelled or is done, and stops its attempts. */
     private void end(Job job, JobRecord record) {
-        job.end(record.version(), jobCompletion.endedSince(record));
+        job.end(record.version(), jobCompletion.endTime(record));
         dependencyPriority.recordChange(job);
         for (TaskAttempt attempt : job.attempts()) {
             fleet.stop(attempt, 0);
             dispatcher.requestSend(attempt.machine());
         }
-        jobCompletion.dropIfOver(job);
+        jobCompletion.removeIfEnded(job);
         rounds.request();
     }
 }
--- a/src/main/java/org/springmill/control/controller/Leader.java
+++ b/src/main/java/org/springmill/control/controller/Leader.java
@@ -61,7 +61,7 @@
                             if (current && services.catalog().isKnown()) {
                                 loadRounds();
                             } else {
-                                startAgainLater();
+                                retryStartLater();
                             }
                         });
     }
@@ -75,7 +75,7 @@
                                 return;
                             }
                             if (rounds == null) {
-                                startAgainLater();
+                                retryStartLater();
                             } else {
                                 loadRecalls(rounds);
                             }
@@ -94,12 +94,12 @@
                                 recover(rounds);
                                 startComponents();
                             } else {
-                                startAgainLater();
+                                retryStartLater();
                             }
                         });
     }
 
-    private void startAgainLater() {
+    private void retryStartLater() {
         services.loop().after(services.timeouts().peerPollIntervalSeconds(), this::start);
     }
 
--- a/src/main/java/org/springmill/control/controller/LeaderFactory.java
+++ b/src/main/java/org/springmill/control/controller/LeaderFactory.java
@@ -33,7 +33,7 @@
 /** Wires the components of each term that this controller leads. */
 final class LeaderFactory {
     /** Minimum interval of rounds, in writes at the write rate limit of the key-value store. */
-    private static final double WRITES_PER_ROUND_GAP = 4;
+    private static final double MIN_ROUND_INTERVAL_WRITES = 4;
 
     private final ControllerServices services;
     private final Settings settings;
@@ -206,7 +206,7 @@
                 roundLog,
                 leadership,
                 loop,
-                WRITES_PER_ROUND_GAP / settings.storeLimits().writesPerSecond(),
+                MIN_ROUND_INTERVAL_WRITES / settings.storeLimits().writesPerSecond(),
                 listener);
     }
 
--- a/src/main/java/org/springmill/control/controller/LeaderIsolationCheck.java
+++ b/src/main/java/org/springmill/control/controller/LeaderIsolationCheck.java
@@ -17,10 +17,10 @@
     private static final int MIN_WORKERS = 2;
 
     /** At least one worker in this many must be without heartbeats. */
-    private static final int WORKERS_PER_SILENT = 4;
+    private static final int WORKERS_PER_UNRESPONSIVE = 4;
 
     /** At least one of this many workers without heartbeats must have been redirected by a peer. */
-    private static final int SILENT_PER_REDIRECTED = 2;
+    private static final int UNRESPONSIVE_PER_REDIRECTED = 2;
 
     private final Fleet fleet;
     private final Peers peers;
@@ -40,16 +40,17 @@
     void resignIfIsolated() {
         double now = loop.now();
         int up = 0;
-        int silent = 0;
+        int unresponsive = 0;
         for (Machine machine : fleet.machines()) {
             if (isWorkerOfThisTerm(machine)) {
                 up++;
-                silent += isSilent(machine, now) ? 1 : 0;
+                unresponsive += isUnresponsive(machine, now) ? 1 : 0;
             }
         }
-        boolean manySilent = silent >= Math.max(MIN_WORKERS, up / WORKERS_PER_SILENT);
-        if (manySilent && peers.workersRedirectedByPeers() >= minRedirected(silent)) {
-            leadership.resign(silent + " of " + up + " workers report elsewhere");
+        boolean manyUnresponsive =
+                unresponsive >= Math.max(MIN_WORKERS, up / WORKERS_PER_UNRESPONSIVE);
+        if (manyUnresponsive && peers.workersRedirectedByPeers() >= minRedirected(unresponsive)) {
+            leadership.resign(unresponsive + " of " + up + " workers report elsewhere");
         }
     }
 
@@ -62,11 +63,11 @@
         return machine.state() == Machine.State.UP && machine.hasSeenCurrentTerm();
     }
 
-    private boolean isSilent(Machine machine, double now) {
+    private boolean isUnresponsive(Machine machine, double now) {
         return now - machine.lastHeartbeatAt() > timeouts.suspectAfterSeconds();
     }
 
-    private static int minRedirected(int silent) {
-        return Math.max(MIN_WORKERS, silent / SILENT_PER_REDIRECTED);
+    private static int minRedirected(int unresponsive) {
+        return Math.max(MIN_WORKERS, unresponsive / UNRESPONSIVE_PER_REDIRECTED);
     }
 }
--- a/src/main/java/org/springmill/control/controller/LeaderTick.java
+++ b/src/main/java/org/springmill/control/controller/LeaderTick.java
@@ -58,7 +58,7 @@
         if (lifecycle.isClosed()) {
             return;
         }
-        releaseMachinesWithOverdueTasks();
+        deleteMachinesWithOverdueTasks();
         if (!leadership.mayRespondToWorkers()) {
             return;
         }
@@ -79,7 +79,7 @@
      * Runs even if the leader's lease is uncertain: no other controller may know which machines run
      * cancelled tasks.
      */
-    private void releaseMachinesWithOverdueTasks() {
+    private void deleteMachinesWithOverdueTasks() {
         for (Machine machine : jobCompletion.machinesWithOverdueTasks()) {
             autoscaler.deleteMachine(machine, "a cancelled task on it cannot be stopped");
         }
--- a/src/main/java/org/springmill/control/controller/MachineSweep.java
+++ b/src/main/java/org/springmill/control/controller/MachineSweep.java
@@ -30,7 +30,7 @@
                 machine.commandChannel().requestStatus();
             }
             dispatcher.requestSend(machine);
-            if (isOver(machine)) {
+            if (isRemovable(machine)) {
                 fleet.remove(machine);
             }
         }
@@ -41,7 +41,7 @@
                 && loop.now() - machine.lastHeartbeatAt() > timeouts.probeAfterSeconds();
     }
 
-    private static boolean isOver(Machine machine) {
+    private static boolean isRemovable(Machine machine) {
         return machine.state() == Machine.State.TERMINATED && machine.attempts().isEmpty();
     }
 }
--- a/src/main/java/org/springmill/control/controller/Readiness.java
+++ b/src/main/java/org/springmill/control/controller/Readiness.java
@@ -47,10 +47,10 @@
             return false;
         }
         boolean anyPeerReachesStore = peers.anyReachesStore();
-        return !lacksStore() || !(anyPeerReachesStore || isIsolated());
+        return !isStoreUnavailable() || !(anyPeerReachesStore || isIsolated());
     }
 
-    private boolean lacksStore() {
+    private boolean isStoreUnavailable() {
         double lastServedAt = Math.max(store.lastServedAt(), resumedAt);
         return !store.isReachable()
                 && loop.now() - lastServedAt > timeouts.leaderLeaseSeconds() / 2;
--- a/src/test/java/org/springmill/control/controller/CancellationPersisterTest.java
+++ b/src/test/java/org/springmill/control/controller/CancellationPersisterTest.java
@@ -23,17 +23,17 @@
     private static final int LAST = 9;
 
     /** With this many dependencies of the longest ids, a record nearly reaches the value limit. */
-    private static final int MANY = 180;
+    private static final int MANY_DEPENDENCIES = 180;
 
     private SimulatedCluster cluster;
 
     @BeforeEach
-    void aClusterWithALeader() {
+    void startClusterWithLeader() {
         cluster = new SimulatedCluster().machines("large", "a", 1).run(6);
     }
 
     @AfterEach
-    void noRuleIsBroken() {
+    void checkInvariants() {
         assertEquals(List.of(), cluster.violations());
     }
 
@@ -73,7 +73,7 @@
     }
 
     /** Writes a new version of a record, of which the leader is not informed. */
-    private void rewriteUnseen(int number) {
+    private void writeUnseenVersion(int number) {
         ObjectNode write = Json.newObject().put("write", "job/" + id(number));
         write.set("value", record(number));
         ObjectNode commit = Json.newObject();
@@ -83,7 +83,7 @@
         cluster.network().repeat(new Request("state:1", "POST", "/commit", body, 1));
     }
 
-    private void leaderReadsNoMoreChanges() {
+    private void blockJobWatchOfLeader() {
         String leader = "n-" + cluster.leader();
         cluster.network()
                 .judge(
@@ -97,20 +97,20 @@
     }
 
     @Test
-    void oneRefusedRecordLeavesOnlyItselfUnwritten() {
+    void onlyTheRejectedRecordStaysUnwritten() {
         submitFirstAndDependents();
-        leaderReadsNoMoreChanges();
-        rewriteUnseen(4);
+        blockJobWatchOfLeader();
+        writeUnseenVersion(4);
         assertEquals("cancelled", cluster.cancel(cluster.leader(), id(FIRST)));
         cluster.run(20);
         assertEquals(List.of(4), unwritten());
     }
 
     @Test
-    void aRefusedRecordIsWrittenOnceItsNewVersionIsKnown() {
+    void aRejectedRecordIsWrittenOnceItsNewVersionIsKnown() {
         submitFirstAndDependents();
-        leaderReadsNoMoreChanges();
-        rewriteUnseen(4);
+        blockJobWatchOfLeader();
+        writeUnseenVersion(4);
         assertEquals("cancelled", cluster.cancel(cluster.leader(), id(FIRST)));
         cluster.run(10);
         cluster.network().judge((from, request) -> Fate.DELIVER);
@@ -123,10 +123,10 @@
      * shorten it.
      */
     @Test
-    void aRecordTooLargeForTheServiceHoldsUpNoOtherAndIsNotTriedForEver() {
+    void anOversizedRecordIsAbandonedAndBlocksNoOthers() {
         submit(job(FIRST));
         ObjectNode large = job(2, FIRST);
-        for (int number = 0; number < MANY; number++) {
+        for (int number = 0; number < MANY_DEPENDENCIES; number++) {
             String longId = String.format("run-%018d", number);
             submit(job(0).put("nameId", longId));
             large.withArray("waitsOn").add(longId);
@@ -140,10 +140,10 @@
         assertEquals("cancelled", cluster.cancel(cluster.leader(), id(FIRST)));
         cluster.run(60);
         assertEquals(List.of(2), unwritten());
-        int refusals = cluster.keyValueStore().oversizedCommits();
-        assertTrue(refusals > 0);
+        int oversizedCommits = cluster.keyValueStore().oversizedCommits();
+        assertTrue(oversizedCommits > 0);
         cluster.run(60);
-        assertEquals(refusals, cluster.keyValueStore().oversizedCommits());
+        assertEquals(oversizedCommits, cluster.keyValueStore().oversizedCommits());
         assertEquals("cancelled", cluster.phase(cluster.leader(), id(2)));
     }
 }
