--- a/src/main/java/org/springmill/control/leadership/KnownLeader.java
+++ b/src/main/java/org/springmill/control/leadership/KnownLeader.java
@@ -2,7 +2,9 @@
 
 import java.util.Optional;
 
-/** What this controller knows of the leader record in the key-value store, its own included. */
+/**
+ * What this controller knows about the leader record in the key-value store, which may be its own.
+ */
 final class KnownLeader {
     private static final long NOT_VACANT = 0;
 
@@ -13,7 +15,7 @@
     /** Revision at which the record was last found missing: every term up to it is over. */
     private long vacantAtRevision = NOT_VACANT;
 
-    /** The node that leads as far as is known. */
+    /** The node that leads; empty if there is no leader record or its process has ended. */
     Optional<String> node() {
         return node;
     }
@@ -27,7 +29,7 @@
         return term;
     }
 
-    /** Notes that the key-value store has answered a read of the record. */
+    /** Records that the key-value store has answered a read of the leader record. */
     void recordRead() {
         recordRead = true;
     }
@@ -37,28 +39,28 @@
         return recordRead;
     }
 
-    /** Takes the record of a leader; its revision is the term. */
+    /** Records who leads; the revision of the leader record is the term. */
     void recorded(String leader, long revision) {
         term = Math.max(term, revision);
         node = Optional.of(leader);
         vacantAtRevision = NOT_VACANT;
     }
 
-    /** Notes that there was no record at a revision. */
+    /** Records that there was no leader record at a revision. */
     void vacant(long revision) {
         node = Optional.empty();
         vacantAtRevision = revision;
     }
 
-    /** Notes that the leader's process has ended, although its record is still there. */
+    /** Records that the leader's process has ended, although its leader record still exists. */
     void processEnded() {
         node = Optional.empty();
     }
 
     /**
-     * Whether the last that is known of the record is that there is none.
+     * Whether the leader record was missing when it was last read and no later term is known.
      *
-     * @param highestPeerTerm the highest term that another controller knows of
+     * @param highestPeerTerm the highest term named by another controller
      */
     boolean isVacant(long highestPeerTerm) {
         return vacantAtRevision > NOT_VACANT && Math.max(term, highestPeerTerm) <= vacantAtRevision;
--- a/src/main/java/org/springmill/control/leadership/LeaderCampaign.java
+++ b/src/main/java/org/springmill/control/leadership/LeaderCampaign.java
@@ -12,8 +12,8 @@
 import org.springmill.transport.EventLoop;
 
 /**
- * An attempt to be elected: requests a lease and writes this controller's leader record, attached
- * to it, on condition that there is no leader record.
+ * A candidacy for leader: requests a lease and writes this controller's leader record, attached to
+ * that lease, on condition that no leader record exists.
  */
 final class LeaderCampaign {
     private static final long NO_LEASE = 0;
@@ -27,7 +27,7 @@
     private final LeaderLease lease;
 
     /**
-     * @param lease takes the lease that is granted
+     * @param lease records the granted lease
      */
     LeaderCampaign(
             KeyValueStoreClient store,
@@ -45,9 +45,9 @@
     }
 
     /**
-     * Campaigns once.
+     * Tries once to become leader.
      *
-     * @param onAnswer gets the result of writing the record
+     * @param onAnswer receives the result of writing the leader record
      * @param onNoLease runs instead if no lease was granted
      */
     void run(Consumer<CommitResult> onAnswer, Runnable onNoLease) {
--- a/src/main/java/org/springmill/control/leadership/LeaderLease.java
+++ b/src/main/java/org/springmill/control/leadership/LeaderLease.java
@@ -5,9 +5,10 @@
 import org.springmill.transport.EventLoop;
 
 /**
- * The lease in the key-value store to which this controller attaches its leader record: until when
- * it is valid at least, and whether that was confirmed since the process was last paused. Times are
- * those of this controller's own clock, counted from when a request was sent.
+ * The lease in the key-value store to which this controller attaches its leader record: the
+ * earliest time at which it can expire, and whether it was confirmed since the last pause of the
+ * process. All times are on this controller's clock. Validity counts from the sending of a request,
+ * which is before the store grants or renews the lease.
  */
 final class LeaderLease {
     private static final long NONE = 0;
@@ -18,14 +19,14 @@
     private long id = NONE;
     private double validUntil = Double.NEGATIVE_INFINITY;
 
-    /** When the last request whose answer confirmed the lease had been sent. */
+    /** When the latest request that confirmed the lease was sent. */
     private double confirmedAt = Double.NEGATIVE_INFINITY;
 
     private double resumedAt = Double.NEGATIVE_INFINITY;
     private boolean renewalInFlight;
 
     /**
-     * A renewal that is under way.
+     * A renewal that was sent and not yet answered.
      *
      * @param leaseId the lease to be renewed
      * @param sentAt when the request was sent
@@ -37,19 +38,19 @@
         this.timeouts = timeouts;
     }
 
-    /** Takes a lease that the key-value store has granted upon a request of the time given. */
+    /** Records a lease that the key-value store granted to a request sent at the given time. */
     void granted(long grantedId, double requestedAt) {
         id = grantedId;
         validUntil = requestedAt + timeouts.leaderLeaseSeconds();
         confirmedAt = requestedAt;
     }
 
-    /** The lease that is held; empty if there is none to be revoked. */
+    /** The ID of the lease that is held; empty if none is. */
     Optional<Long> held() {
         return id == NONE ? Optional.empty() : Optional.of(id);
     }
 
-    /** Whether a lease in the key-value store is this one. */
+    /** Whether this lease has the given ID. */
     boolean hasId(long leaseId) {
         return id == leaseId;
     }
@@ -59,7 +60,7 @@
         id = NONE;
     }
 
-    /** The renewal to be sent; empty while another is under way. */
+    /** Starts a renewal, which the caller sends; empty while another is unanswered. */
     Optional<Renewal> beginRenewal() {
         if (renewalInFlight) {
             return Optional.empty();
@@ -68,19 +69,19 @@
         return Optional.of(new Renewal(id, loop.now()));
     }
 
-    /** Notes that a renewal was answered; whether it was one of the lease that is held now. */
+    /** Records that a renewal was answered, and returns whether it renewed the lease held now. */
     boolean endRenewal(Renewal renewal) {
         renewalInFlight = false;
         return id == renewal.leaseId();
     }
 
-    /** Extends the lease after a renewal that the key-value store has confirmed. */
+    /** Extends the lease after the key-value store has confirmed a renewal. */
     void extend(Renewal renewal) {
         validUntil = Math.max(validUntil, renewal.sentAt() + timeouts.leaderLeaseSeconds());
         confirmedAt = renewal.sentAt();
     }
 
-    /** Notes that the process was paused: the lease has to be confirmed anew. */
+    /** Records that the process was paused: the lease has to be confirmed again. */
     void resumed() {
         resumedAt = loop.now();
     }
@@ -93,7 +94,9 @@
         return loop.now() >= validUntil;
     }
 
-    /** Whether the lease is valid or expired so lately that its leader may still answer workers. */
+    /**
+     * Whether the lease is valid, or expired so recently that the leader may still answer workers.
+     */
     boolean isWithinGrace() {
         return loop.now() < validUntil + timeouts.leaderGraceSeconds();
     }
--- a/src/main/java/org/springmill/control/leadership/LeaderRecord.java
+++ b/src/main/java/org/springmill/control/leadership/LeaderRecord.java
@@ -8,7 +8,8 @@
  * The leader record, attached to the leader's lease in the key-value store.
  *
  * @param node the controller that leads
- * @param incarnation random name of its process: a restarted one does not inherit the leadership
+ * @param incarnation random name of the leader's process: a restarted process does not inherit the
+ *     leadership
  */
 record LeaderRecord(String node, String incarnation) {
     static final String KEY = "leader";
@@ -20,7 +21,7 @@
     private static final String USER_ADDRESS = "api";
     private static final String PEER_ADDRESS = "peer";
 
-    /** Writes the record of this process, with the addresses at which others reach it. */
+    /** Encodes the record of this process, with the addresses at which others reach it. */
     static JsonNode encode(Settings settings, String incarnation) {
         return Json.newObject()
                 .put(VERSION, FORMAT_VERSION)
@@ -30,7 +31,7 @@
                 .put(PEER_ADDRESS, settings.peerListen());
     }
 
-    /** Reads a record; of one without these fields both are empty. */
+    /** Decodes a record; fields that are missing become empty strings. */
     static LeaderRecord decode(JsonNode value) {
         return new LeaderRecord(value.path(NODE).asText(), value.path(INCARNATION).asText());
     }
--- a/src/main/java/org/springmill/control/leadership/LeaderRecordWatch.java
+++ b/src/main/java/org/springmill/control/leadership/LeaderRecordWatch.java
@@ -17,7 +17,7 @@
     private final Timeouts timeouts;
     private final Consumer<Change> onChange;
 
-    /** Revision up to which changes are known, or {@link #UNKNOWN_REVISION}: it is read first. */
+    /** Revision up to which changes are known. If {@link #UNKNOWN_REVISION}, it is read first. */
     private long knownRevision = UNKNOWN_REVISION;
 
     LeaderRecordWatch(
@@ -31,7 +31,7 @@
         this.onChange = onChange;
     }
 
-    /** Asks for the next changes; each answer leads to the next question. */
+    /** Requests the next changes, and repeats that after each response. */
     void start() {
         if (knownRevision == UNKNOWN_REVISION) {
             store.list(LeaderRecord.KEY, this::revisionRead);
--- a/src/main/java/org/springmill/control/leadership/Leadership.java
+++ b/src/main/java/org/springmill/control/leadership/Leadership.java
@@ -19,26 +19,28 @@
 import org.springmill.transport.EventLoop;
 
 /**
- * Election of the leader and this controller's part in it. The leader is the controller whose
- * {@link LeaderRecord} is in the key-value store, attached to a lease there; the revision at which
- * the record was written is the term.
+ * Leader election, as seen by this controller. The leader is the controller whose {@link
+ * LeaderRecord} is in the key-value store, attached to a lease there; the revision at which the
+ * record was written is the term.
  */
 public final class Leadership {
     private static final Logger LOG = LoggerFactory.getLogger(Leadership.class);
 
-    /** After it has resigned, a controller lets others campaign for so many leases. */
+    /**
+     * How long a controller that resigned does not campaign, as a multiple of the leader's lease.
+     */
     private static final int LEASES_BEFORE_CAMPAIGNING_AGAIN = 2;
 
-    /** Is called when this controller gains or loses the leadership. */
+    /** Listener for the start and end of the terms of this controller. */
     public interface Listener {
         /**
-         * This controller leads from now on.
+         * This controller has become the leader.
          *
          * @param term its term, the revision of its leader record
          */
         void gained(long term);
 
-        /** This controller leads no longer. */
+        /** The term of this controller has ended. */
         void lost();
     }
 
@@ -57,17 +59,17 @@
     /** The last term that this controller held or holds; 0 if none. */
     private long term;
 
-    /** The last term whose lease this controller revoked since its leader refused connections. */
+    /** The last term whose lease this controller revoked because its leader refused connections. */
     private long revokedTerm;
 
     /** After resigning, this controller does not campaign before this time. */
     private double mayCampaignFrom;
 
     /**
-     * Creates the leadership of a controller, which follows until {@link #start}.
+     * Creates the leadership of a controller, which is a follower until {@link #start}.
      *
-     * @param incarnation random name of this process, which tells its record from those of earlier
-     *     processes of the node
+     * @param incarnation random name of this process, which distinguishes its leader record from
+     *     those of earlier processes of the node
      */
     public Leadership(
             KeyValueStoreClient store,
@@ -88,13 +90,15 @@
         campaign = new LeaderCampaign(store, loop, settings, timeouts, incarnation, lease);
     }
 
-    /** Begins to follow the leader record, and to campaign whenever there is none. */
+    /** Starts watching the leader record, and campaigning whenever there is none. */
     public void start() {
         renewOrElect();
         new LeaderRecordWatch(store, loop, timeouts, this::leaderRecordChanged).start();
     }
 
-    /** The state as of now, after checking whether the lease has expired or a later term began. */
+    /**
+     * The current state, after checking whether the lease has expired or a later term has begun.
+     */
     public LeadershipState state() {
         refreshState();
         return state;
@@ -110,7 +114,7 @@
         return Math.max(knownLeader.term(), term);
     }
 
-    /** The node that leads as far as is known, or null. */
+    /** The node of the last known leader; null if there is none. */
     public String leader() {
         return holdsTerm() ? settings.node() : knownLeader.node().orElse(null);
     }
@@ -121,16 +125,16 @@
     }
 
     /**
-     * Whether the leader record is known to be missing. Until the winner of the next election has
-     * polled this controller, and so announced the new term, every controller may renew workers'
-     * leases: after a crash of all controllers, leases expire just while they elect a leader and
-     * recover the state.
+     * Whether the leader record is known to be missing. Until the next leader has polled this
+     * controller, which announces the new term, every controller may renew workers' leases.
+     * Otherwise, after a crash of all controllers, leases would expire while the new leader is
+     * elected and recovers the state.
      */
     boolean isVacant() {
         return !holdsTerm() && knownLeader.isVacant(peers.highestTerm());
     }
 
-    /** The condition of every write of a leader: nobody else has led since this term began. */
+    /** The condition of every write of a leader: no other leader has been elected since. */
     public Condition termCondition() {
         return new Condition(LeaderRecord.KEY, term);
     }
@@ -139,15 +143,15 @@
         return state.holdsTerm();
     }
 
-    /** Whether placements may be committed and commands given. */
+    /** Whether placements may be committed: only under a lease known to be valid. */
     public boolean mayPlace() {
         return state() == LeadershipState.LEADING;
     }
 
     /**
-     * Whether heartbeats may be answered: while the lease is valid, for the grace period after it,
-     * and beyond that only while a quorum of controllers, or all of them, confirm an outage of the
-     * key-value store.
+     * Whether heartbeats may be answered: while the lease is valid, during the grace period after
+     * its expiry, and after that only while a quorum of controllers, or all of them, confirms an
+     * outage of the key-value store.
      */
     public boolean mayRespondToWorkers() {
         refreshState();
@@ -159,8 +163,8 @@
     }
 
     /**
-     * Notes that this process was paused. However long its lease has to run, it acts as leader only
-     * once a renewal, sent since, has been answered.
+     * Records that this process was paused. Its lease is not relied on until a renewal sent
+     * after the pause has been answered, however long the lease is still valid.
      */
     public void resumed() {
         lease.resumed();
@@ -178,7 +182,7 @@
     /**
      * Ends this controller's term, if it holds one.
      *
-     * @param reason for the log
+     * @param reason written to the log
      */
     public void stepDown(String reason) {
         if (holdsTerm()) {
@@ -188,9 +192,9 @@
     }
 
     /**
-     * Steps down and revokes the lease so that another controller can be elected at once.
+     * Steps down and revokes the lease, so that another controller can be elected immediately.
      *
-     * @param reason for the log
+     * @param reason written to the log
      */
     public void resign(String reason) {
         Optional<Long> leaseOfTerm = lease.held();
@@ -201,10 +205,11 @@
     }
 
     /**
-     * A follower that finds the leader's process ended revokes its lease rather than wait for the
-     * expiry. A refused connection is no proof of the leader's end and need not be one: revoking a
-     * lease early is safe, since a new leader allows its predecessor a whole lease and the grace
-     * period from its own beginning on.
+     * If this controller is a follower and the leader refuses connections, revokes the leader's
+     * lease instead of waiting for its expiry. A refused connection does not prove that the
+     * leader's process has ended, and need not: revoking a lease early is safe, since a new leader
+     * waits for a whole lease and the grace period from the start of its term on before it assumes
+     * that its predecessor has stopped.
      *
      * @param lastStatus the last status of the node that refuses connections
      */
@@ -309,7 +314,7 @@
         knownLeader.recordRead();
         if (read.entry() == null) {
             knownLeader.vacant(read.revision());
-            // Having just resigned, this controller campaigns only if nobody else does.
+            // A controller that resigned leaves the election to the others for a while.
             if (loop.now() >= mayCampaignFrom) {
                 campaign();
             }
@@ -325,13 +330,13 @@
             return;
         }
         if (!leader.incarnation().equals(incarnation)) {
-            // This node's earlier process has ended, since this one has its address: no need to
-            // wait until its lease expires.
+            // The earlier process of this node has ended, since this one uses its address. Its
+            // lease can be revoked without waiting for the expiry.
             knownLeader.processEnded();
             LOG.info("revoking the lease of an earlier process of this node");
             store.revokeLease(entry.lease(), this::readRecord);
         } else if (lease.hasId(entry.lease())) {
-            // The campaign was won although the answer to its commit was lost.
+            // The campaign was won, but the response to its commit was lost.
             elected(entry.version());
         }
     }
@@ -349,7 +354,7 @@
             elected(result.revision());
         } else {
             transition(LeadershipState.FOLLOWING);
-            // Finds the winner at once, which may be this controller if only the answer was lost.
+            // Finds out who was elected: possibly this controller, if only the response was lost.
             readRecord();
         }
     }
--- a/src/main/java/org/springmill/control/leadership/LeadershipState.java
+++ b/src/main/java/org/springmill/control/leadership/LeadershipState.java
@@ -3,12 +3,12 @@
 import java.util.Map;
 import java.util.Set;
 
-/** The part that a controller has in the election, with the legal transitions. */
+/** The role of a controller in leader election, with the legal transitions. */
 public enum LeadershipState {
-    /** Another controller leads, or none is known to. */
+    /** Another controller leads, or no leader is known. */
     FOLLOWING,
 
-    /** Has requested a lease, to attach its own record to it. */
+    /** Has requested a lease to which to attach its own leader record. */
     CAMPAIGNING,
 
     /** Leading, and the lease is known to be valid. */
--- a/src/main/java/org/springmill/control/leadership/LeaseKeepalive.java
+++ b/src/main/java/org/springmill/control/leadership/LeaseKeepalive.java
@@ -13,10 +13,10 @@
 import org.springmill.transport.EventLoop;
 
 /**
- * Decides whether a controller that does not lead renews a worker's lease all the same, without
- * giving commands: because nobody leads, or because no leader can take this worker's lease for
- * expired after missing its heartbeats. Leaders elsewhere allow for it; docs/design.md has the
- * argument.
+ * Decides whether a controller that does not lead may renew a worker's lease, without sending
+ * commands other than stops of cancelled tasks. It may if there is no leader, or if no leader can
+ * treat this worker's lease as expired after missing its heartbeats. Leaders take such renewals
+ * into account; docs/design.md has the argument.
  */
 public final class LeaseKeepalive {
     private final KeyValueStoreClient store;
@@ -26,13 +26,13 @@
     private final Timeouts timeouts;
     private final CancellationFreshness freshness;
 
-    /** By machine: its fencing token when it first came here in the present isolation. */
+    /** By machine: the fencing token of its first heartbeat here during the current isolation. */
     private final Map<String, Long> firstFencingTokens = new HashMap<>();
 
-    /** When this controller last heard from anyone before the present isolation. */
+    /** When this controller last received anything from the key-value store or a peer. */
     private double lastContactAt = Double.NEGATIVE_INFINITY;
 
-    /** Zones of the workers that came here in the present isolation. */
+    /** Zones of the workers that sent heartbeats here during the current isolation. */
     private final Set<String> workerZones = new HashSet<>();
 
     private double resumedAt = Double.NEGATIVE_INFINITY;
@@ -59,9 +59,9 @@
     }
 
     /**
-     * Whether a heartbeat is answered so that the worker's lease is renewed.
+     * Whether to renew the lease of the worker that sent a heartbeat.
      *
-     * @param holdsTerm whether this controller was elected and has not yet learned of a later term
+     * @param holdsTerm whether this controller was elected and does not know a later term
      */
     public boolean mayRenewLease(Heartbeat heartbeat, boolean holdsTerm) {
         boolean isolated = !store.isReachable() && isIsolated();
@@ -96,23 +96,24 @@
     }
 
     /**
-     * Whether no cancelled task runs on for the renewal: its cancellation is known here, or a
-     * leader outside the partitioned zone deletes its machine through the cloud.
+     * Whether renewing leases keeps no cancelled task running: either all cancellations are known
+     * here, or a leader outside the partitioned zone deletes the machines of cancelled tasks
+     * through the cloud.
      */
     private boolean cancelledTasksWillEnd(boolean isolated) {
         return freshness.isFresh() || (isolated && isZonePartitioned());
     }
 
     /**
-     * Whether this controller hears neither the key-value store nor any other controller, as every
-     * controller in a partitioned zone does.
+     * Whether this controller receives nothing from the key-value store or any other controller, as
+     * is the case for every controller in a partitioned zone.
      */
     private boolean isIsolated() {
         double latestContactAt = Math.max(peers.lastHeardAt(), store.lastServedAt());
         if (latestContactAt != lastContactAt) {
-            // Tokens remembered from an earlier partition made every worker that a leader had since
-            // commanded seem to be within a leader's reach: in a second partition of the zone all
-            // of them were redirected until their leases expired.
+            // Tokens must not be kept from an earlier partition. Workers that a leader has since
+            // sent higher tokens would seem to be reachable by a leader, and in a second partition
+            // of the zone all of them were redirected until their leases expired.
             lastContactAt = latestContactAt;
             firstFencingTokens.clear();
             workerZones.clear();
@@ -121,22 +122,22 @@
         return loop.now() - silentSince > timeouts.peerConfirmationValidityOnAnyClockSeconds();
     }
 
-    /** Notes that this process was paused, so that it could not hear from anyone. */
+    /** Records that this process was paused, and could not receive anything meanwhile. */
     public void resumed() {
         resumedAt = loop.now();
     }
 
-    /** Notes that a user, or the load balancer, reached this controller. */
+    /** Records that a user, or the load balancer, reached this controller. */
     public void recordUserRequest() {
         lastUserRequestAt = loop.now();
     }
 
     /**
-     * Whether the zone around this controller is partitioned rather than this controller alone:
-     * then a leader outside removes through the cloud what was cancelled there. A controller that
-     * users or the workers of several zones still reach is itself the one that is isolated, and one
-     * that the key-value store refuses may be in the middle of an outage; nobody is then sure to
-     * remove the tasks whose leases it renews.
+     * Whether this controller's zone is partitioned, rather than this controller alone isolated. In
+     * that case a leader outside the zone deletes the machines of cancelled tasks through the
+     * cloud. If users or workers of several zones still reach this controller, only it is isolated;
+     * if the key-value store refuses its requests, there may be an outage. In both cases it is not
+     * certain that any leader removes cancelled tasks whose leases this controller renews.
      */
     private boolean isZonePartitioned() {
         boolean reachedByUsers =
@@ -146,8 +147,8 @@
     }
 
     /**
-     * Whether no leader seems to reach a worker. One whose fencing token has risen is within some
-     * leader's reach and should send its heartbeats there.
+     * Whether no leader seems to reach a worker. If its fencing token has risen, some leader
+     * reaches it, and it should send its heartbeats there.
      */
     private boolean isBeyondReachOfLeaders(Heartbeat heartbeat) {
         long token = heartbeat.fencingToken();
