--- a/src/main/java/org/springmill/control/leadership/Leadership.java
+++ b/src/main/java/org/springmill/control/leadership/Leadership.java
@@ -163,8 +163,8 @@
     }
 
     /**
-     * Records that this process was paused. Its lease is not relied on until a renewal sent
-     * after the pause has been answered, however long the lease is still valid.
+     * Records that this process was paused. Its lease is not relied on until a renewal sent after
+     * the pause has been answered, however long the lease is still valid.
      */
     public void resumed() {
         lease.resumed();
@@ -294,7 +294,8 @@
         switch (result) {
             case RENEWED -> renewed(renewal);
             case ENDED -> stepDown("its lease has ended");
-            case UNKNOWN -> LOG.debug("renewal of the leader lease was not answered");
+            case UNKNOWN ->
+                    LOG.debug("renewal of leader lease {} was not answered", renewal.leaseId());
         }
     }
 
@@ -333,7 +334,10 @@
             // The earlier process of this node has ended, since this one uses its address. Its
             // lease can be revoked without waiting for the expiry.
             knownLeader.processEnded();
-            LOG.info("revoking the lease of an earlier process of this node");
+            LOG.info(
+                    "revoking lease {} of an earlier process of this node, term {}",
+                    entry.lease(),
+                    entry.version());
             store.revokeLease(entry.lease(), this::readRecord);
         } else if (lease.hasId(entry.lease())) {
             // The campaign was won, but the response to its commit was lost.
