--- a/src/main/java/org/springmill/control/leadership/KnownLeader.java
+++ b/src/main/java/org/springmill/control/leadership/KnownLeader.java
@@ -10,7 +10,7 @@
 
     private Optional<String> node = Optional.empty();
     private long term;
-    private boolean recordRead;
+    private boolean markRecordRead;
 
     /** Revision at which the record was last found missing: every term up to it is over. */
     private long vacantAtRevision = NOT_VACANT;
@@ -30,13 +30,13 @@
     }
 
     /** Records that the key-value store has answered a read of the leader record. */
-    void recordRead() {
-        recordRead = true;
+    void markRecordRead() {
+        markRecordRead = true;
     }
 
     /** Whether the record was read since this process started. */
     boolean hasReadRecord() {
-        return recordRead;
+        return markRecordRead;
     }
 
     /** Records who leads; the revision of the leader record is the term. */
--- a/src/main/java/org/springmill/control/leadership/Leadership.java
+++ b/src/main/java/org/springmill/control/leadership/Leadership.java
@@ -215,8 +215,11 @@
      */
     public void leaderRefusedConnection(PeerStatus lastStatus) {
         String node = lastStatus.from();
-        boolean leadsNow = knownLeader.isNode(node) && lastStatus.term() >= knownLeader.term();
-        if (state == LeadershipState.FOLLOWING && leadsNow && revokedTerm != knownLeader.term()) {
+        boolean isCurrentLeader =
+                knownLeader.isNode(node) && lastStatus.term() >= knownLeader.term();
+        if (state == LeadershipState.FOLLOWING
+                && isCurrentLeader
+                && revokedTerm != knownLeader.term()) {
             store.get(LeaderRecord.KEY, read -> revokeLeaseOf(node, read));
         }
     }
@@ -279,16 +282,16 @@
     }
 
     private void renew() {
-        lease.beginRenewal().ifPresent(this::send);
+        lease.beginRenewal().ifPresent(this::sendRenewal);
     }
 
-    private void send(Renewal renewal) {
+    private void sendRenewal(Renewal renewal) {
         store.renewLease(renewal.leaseId(), result -> renewalAnswered(renewal, result));
     }
 
     private void renewalAnswered(Renewal renewal, LeaseRenewal result) {
-        boolean ofPresentLease = lease.endRenewal(renewal);
-        if (!holdsTerm() || !ofPresentLease) {
+        boolean isCurrentLease = lease.endRenewal(renewal);
+        if (!holdsTerm() || !isCurrentLease) {
             return;
         }
         switch (result) {
@@ -312,7 +315,7 @@
         if (!read.served() || state != LeadershipState.FOLLOWING) {
             return;
         }
-        knownLeader.recordRead();
+        knownLeader.markRecordRead();
         if (read.entry() == null) {
             knownLeader.vacant(read.revision());
             // A controller that resigned leaves the election to the others for a while.
@@ -320,11 +323,11 @@
                 campaign();
             }
         } else {
-            leaderRecorded(read.entry());
+            handleLeaderRecord(read.entry());
         }
     }
 
-    private void leaderRecorded(Entry entry) {
+    private void handleLeaderRecord(Entry entry) {
         LeaderRecord leader = LeaderRecord.decode(entry.value());
         knownLeader.recorded(leader.node(), entry.version());
         if (!leader.node().equals(settings.node())) {
--- a/src/main/java/org/springmill/control/leadership/LeaseKeepalive.java
+++ b/src/main/java/org/springmill/control/leadership/LeaseKeepalive.java
@@ -72,12 +72,12 @@
                 leadership.isVacant()
                         || renewsForNewLeader(holdsTerm)
                         || renewsInConfirmedOutage(holdsTerm)
-                        || (isolated && isBeyondReachOfLeaders(heartbeat));
-        boolean renews = noLeaderExpiresLease && cancelledTasksWillEnd(isolated);
-        if (renews) {
+                        || (isolated && isUnreachableForLeaders(heartbeat));
+        boolean mayRenew = noLeaderExpiresLease && cancelledTasksWillEnd(isolated);
+        if (mayRenew) {
             peers.recordLeaseRenewal();
         }
-        return renews;
+        return mayRenew;
     }
 
     private boolean renewsForNewLeader(boolean holdsTerm) {
@@ -118,8 +118,8 @@
             firstFencingTokens.clear();
             workerZones.clear();
         }
-        double silentSince = Math.max(latestContactAt, resumedAt);
-        return loop.now() - silentSince > timeouts.peerConfirmationValidityOnAnyClockSeconds();
+        double isolatedSince = Math.max(latestContactAt, resumedAt);
+        return loop.now() - isolatedSince > timeouts.peerConfirmationValidityOnAnyClockSeconds();
     }
 
     /** Records that this process was paused, and could not receive anything meanwhile. */
@@ -150,11 +150,11 @@
      * Whether no leader seems to reach a worker. If its fencing token has risen, some leader
      * reaches it, and it should send its heartbeats there.
      */
-    private boolean isBeyondReachOfLeaders(Heartbeat heartbeat) {
+    private boolean isUnreachableForLeaders(Heartbeat heartbeat) {
         long token = heartbeat.fencingToken();
         long firstToken = firstFencingTokens.computeIfAbsent(heartbeat.machine(), machine -> token);
         long knownTerm = leadership.knownTerm();
-        boolean ofLaterTerm = knownTerm > 0 && WorkerEpoch.termOf(token) > knownTerm;
-        return token <= firstToken && !ofLaterTerm;
+        boolean isOfLaterTerm = knownTerm > 0 && WorkerEpoch.termOf(token) > knownTerm;
+        return token <= firstToken && !isOfLaterTerm;
     }
 }
