--- a/src/main/java/org/springmill/control/membership/CancellationFreshness.java
+++ b/src/main/java/org/springmill/control/membership/CancellationFreshness.java
@@ -7,15 +7,15 @@
 import org.springmill.transport.EventLoop;
 
 /**
- * Bounds the staleness of the cancellations that this controller knows. A controller that renews a
- * worker's lease long after its knowledge was last complete may be keeping a cancelled task alive:
- * the key-value store can refuse one controller alone, commit cancellations for another, and then
- * be down for all. docs/design.md has the argument.
+ * Limits how stale this controller's knowledge of cancellations may be. A controller that does not
+ * know recent cancellations may keep a cancelled task running by renewing its worker's lease: the
+ * key-value store can refuse one controller alone, commit cancellations for another, and then be
+ * down for all. docs/design.md has the argument.
  */
 public final class CancellationFreshness {
     private static final Logger LOG = LoggerFactory.getLogger(CancellationFreshness.class);
 
-    /** The job records are read at least so often in the time of a worker's lease. */
+    /** Minimum number of reads of the job records during a worker's lease. */
     private static final int READS_PER_LEASE = 4;
 
     private final JobDirectory directory;
@@ -25,7 +25,7 @@
     private final double presumedKnownAt;
     private boolean wasFresh = true;
 
-    /** Creates the bound for a process that starts now. */
+    /** Creates the limit for a process that starts now. */
     public CancellationFreshness(
             JobDirectory directory, Peers peers, EventLoop loop, Timeouts timeouts) {
         this.directory = directory;
@@ -36,8 +36,8 @@
     }
 
     /**
-     * Begins to check at a fixed interval. Reads the job records where no user's query makes this
-     * controller read them and the peers' confirmations are not recent enough.
+     * Starts checking at a fixed interval. Reads the job records if neither a recent read nor
+     * recent responses of the peers confirm that all cancellations are known.
      */
     public void start() {
         loop.after(timeouts.leaderRenewIntervalSeconds(), this::start);
@@ -59,22 +59,22 @@
     }
 
     /**
-     * Whether a lease renewed now ends before a cancellation not known here has to have taken
-     * effect.
+     * Whether a lease renewed now expires before the deadline of any cancellation not known here.
      */
     public boolean isFresh() {
         return ageSeconds() < timeouts.cancellationKnowledgeValiditySeconds();
     }
 
     /**
-     * For how many seconds a cancellation may have been committed without being known here. Known
-     * is what a read of the key-value store has returned, or what all peers have sent, each of
-     * which has read the job records since it was started.
+     * Age of the oldest cancellation that may be unknown here, in seconds. All cancellations are
+     * known up to the latest read of the key-value store, or up to the time for which every peer
+     * has sent its own, having read the job records since it was started.
      *
-     * <p>A process that has just started, and may not reach the key-value store yet, presumes that
-     * what was cancelled some time before has taken effect: whoever committed it broadcast it
-     * first, and the leader stops tasks at once. Only some time before, since the last
-     * cancellations reached nobody if all controllers crashed while one of them alone was refused.
+     * <p>A process that has just started, and may not reach the key-value store yet, assumes that
+     * cancellations older than half of {@code cancellationKnowledgeValiditySeconds} have taken
+     * effect: they were broadcast when they were committed, and the leader stops tasks immediately.
+     * It cannot assume this for newer ones, which are lost if all controllers crash while the
+     * key-value store refuses one of them.
      */
     public double ageSeconds() {
         double confirmedAt =
--- a/src/main/java/org/springmill/control/membership/PeerCancellations.java
+++ b/src/main/java/org/springmill/control/membership/PeerCancellations.java
@@ -7,13 +7,15 @@
 import org.springmill.protocol.PeerMessages.PeerStatus;
 import org.springmill.transport.EventLoop;
 
-/** Up to when the cancellations that each peer has confirmed to users are known here. */
+/** For each peer, the time up to which the cancellations that it confirmed to users are known. */
 final class PeerCancellations {
     private final EventLoop loop;
     private final Timeouts timeouts;
     private final Set<String> nodes;
 
-    /** By peer: its cursor of what it has sent here, which only the peer itself can read. */
+    /**
+     * By peer: the cursor for the cancellations it has sent, in a format known only to the peer.
+     */
     private final Map<String, Long> cursors = new HashMap<>();
 
     private final Map<String, KnownCancellations> knownByNode = new HashMap<>();
@@ -21,8 +23,9 @@
     /**
      * The cancellations of a peer that are known here.
      *
-     * @param until all that the peer confirmed to users before this time are known
-     * @param storeReachable whether the peer could confirm any at that time
+     * @param until all cancellations that the peer confirmed to users before this time are known
+     * @param storeReachable whether the peer reached the key-value store, and so could confirm any,
+     *     at that time
      */
     private record KnownCancellations(double until, boolean storeReachable) {}
 
@@ -35,17 +38,17 @@
         this.nodes = nodes;
     }
 
-    /** The cursor that a peer handed out last; 0 if none. */
+    /** The last cursor received from a peer; 0 if none. */
     long cursor(String node) {
         return cursors.getOrDefault(node, 0L);
     }
 
-    /** Takes the cursor of an answer, whichever question it answers. */
+    /** Stores the cursor of a response, whichever request it answers. */
     void cursorReceived(PeerStatus answer) {
         cursors.put(answer.from(), answer.cancellationDelta().cursor());
     }
 
-    /** Notes an answer to a question sent at the time given. */
+    /** Records a response to a request that was sent at the given time. */
     void recordAnswer(double askedAt, PeerStatus answer) {
         boolean hasForgottenNone =
                 answer.cancellationDelta().hasReadJobRecords()
@@ -57,10 +60,11 @@
     }
 
     /**
-     * Whether a peer that was started in an outage, and has read nothing since, can be taken to
-     * have confirmed nothing unknown here before its restart: it could not reach the key-value
-     * store when last heard from, nor can it now, and there was little time between. Otherwise a
-     * crash in a long outage would let the leases of the whole fleet expire.
+     * Whether a peer that was restarted during an outage, and has not read the job records since,
+     * confirmed no unknown cancellations before its restart. This is assumed if it could not reach
+     * the key-value store in its previous complete response, still cannot, and the time between is
+     * short. Otherwise the crash of one controller in a long outage would let the leases of the
+     * whole fleet expire.
      */
     private boolean confirmedNothingSince(PeerStatus answer, double askedAt) {
         KnownCancellations before = knownByNode.get(answer.from());
@@ -70,7 +74,7 @@
                 && askedAt - before.until() < timeouts.cancellationKnowledgeValiditySeconds() / 2;
     }
 
-    /** Whatever peers confirmed to their users before this time is known here. */
+    /** Time up to which all cancellations that peers confirmed to users are known here. */
     double cancellationsKnownUntil() {
         return nodes.stream().mapToDouble(this::cancellationsKnownUntil).min().orElse(loop.now());
     }
--- a/src/main/java/org/springmill/control/membership/PeerConfirmations.java
+++ b/src/main/java/org/springmill/control/membership/PeerConfirmations.java
@@ -10,14 +10,13 @@
 import org.springmill.transport.EventLoop;
 
 /**
- * The latest answer of each peer, and what follows from all of them together. An answer is dated on
- * this controller's clock by when its question was sent, and confirms anything only while it is
- * recent. A quorum is more than half of all controllers, this one included.
+ * The latest response of each peer, and the conclusions from all of them. The age of a response
+ * counts from the sending of its request, on this controller's clock; a response is only relied on
+ * while it is recent. A quorum is more than half of all controllers, including this one.
  */
 final class PeerConfirmations {
     /**
-     * The drift of two clocks against each other, doubled: a peer's account of a time counts as
-     * later rather than earlier.
+     * Twice the drift of two clocks against each other: times reported by a peer are rounded up.
      */
     private static final double CLOCK_DRIFT_RATIO = 0.002;
 
@@ -29,7 +28,7 @@
     private final Map<String, Answer> answers = new HashMap<>();
     private double countedFrom = Double.NEGATIVE_INFINITY;
 
-    /** A peer's answer, with the time of the question and that of the answer on this clock. */
+    /** A peer's response, with the times of request and response on this controller's clock. */
     record Answer(double askedAt, double receivedAt, PeerStatus status) {}
 
     /**
@@ -41,18 +40,18 @@
         this.nodes = nodes;
     }
 
-    /** Notes an answer to a question sent at the time given. */
+    /** Records a response to a request that was sent at the given time. */
     void recordAnswer(double askedAt, PeerStatus status) {
         answers.put(status.from(), new Answer(askedAt, loop.now(), status));
     }
 
-    /** The latest answer of a peer, however old. */
+    /** The latest response of a peer, however old. */
     Optional<Answer> latest(String node) {
         return Optional.ofNullable(answers.get(node));
     }
 
     /**
-     * Whether every peer lately confirmed that it cannot reach the key-value store and knows no
+     * Whether every peer recently confirmed that it cannot reach the key-value store and knows no
      * newer leader.
      */
     boolean allConfirmOutage(long term) {
@@ -60,10 +59,10 @@
     }
 
     /**
-     * Whether a quorum confirms that. Enough for a leader that holds its term: whoever takes over
-     * waits until a quorum knows of the new term, and two quorums share a controller. A controller
-     * that was restarted and has not read the leader record since does not count, for it may have
-     * forgotten what it confirmed.
+     * Whether a quorum confirms that. This suffices for a leader that holds its term: a new leader
+     * waits until a quorum knows the new term, and any two quorums share a controller. A controller
+     * that has not read the leader record since its restart does not count, since it no longer
+     * knows what it confirmed before.
      */
     boolean quorumConfirmsOutage(long term) {
         return isQuorum(
@@ -73,7 +72,7 @@
                                 .isPresent());
     }
 
-    /** Whether a quorum confirms that and has not heard from a leader for some time either. */
+    /** Whether a quorum confirms that and has not received anything from a leader for some time. */
     boolean quorumMissesLeader(long term) {
         return isQuorum(
                 node ->
@@ -83,7 +82,7 @@
                                 .isPresent());
     }
 
-    /** The status by which a peer lately confirmed an outage; empty if it did not. */
+    /** The status with which a peer recently confirmed an outage; empty if it did not. */
     private Optional<PeerStatus> confirmationOfOutage(String node, long term) {
         return latest(node)
                 .filter(this::isRecent)
@@ -91,7 +90,7 @@
                 .filter(status -> !status.storeReachable() && status.term() <= term);
     }
 
-    /** Whether a quorum knows of a term. Terms only rise, so that answers of any age count. */
+    /** Whether a quorum knows a term. Terms only increase, so that responses of any age count. */
     boolean quorumKnows(long term) {
         return isQuorum(
                 node -> latest(node).filter(answer -> answer.status().term() >= term).isPresent());
@@ -103,29 +102,29 @@
         return 2 * withThisOne > controllers;
     }
 
-    /** Whether every peer has lately answered. */
+    /** Whether every peer has responded recently. */
     boolean allPeersResponded() {
         return nodes.stream().allMatch(node -> latest(node).filter(this::isRecent).isPresent());
     }
 
-    /** Whether some peer lately reached the key-value store. */
+    /** Whether some peer recently reached the key-value store. */
     boolean anyReachesStore() {
         return answers.values().stream()
                 .anyMatch(answer -> isRecent(answer) && answer.status().storeReachable());
     }
 
-    /** Whether some peer's latest answer, however old, is that it takes no part in the history. */
+    /** Whether the latest response of some peer, however old, says that it keeps no job history. */
     boolean anyWithoutHistory() {
         return answers.values().stream().anyMatch(answer -> !answer.status().keepsHistory());
     }
 
-    /** Whether a peer lately said that it leads. */
+    /** Whether a peer recently reported that it leads. */
     boolean anyLeads() {
         return answers.values().stream()
                 .anyMatch(answer -> isRecent(answer) && answer.status().leading());
     }
 
-    /** The greatest number of workers that one of the peers lately redirected. */
+    /** The largest number of workers that any one peer recently redirected. */
     int maxRedirectedWorkers() {
         return answers.values().stream()
                 .filter(this::isRecent)
@@ -136,7 +135,7 @@
 
     /**
      * The latest time at which a peer confirmed an outage or renewed a worker's lease, or until
-     * which it may go on doing so.
+     * which it may continue to renew leases.
      */
     double lastConfirmationOfPeers() {
         return answers.values().stream()
@@ -151,7 +150,9 @@
         return answer.receivedAt() - agoSeconds + maxDriftSeconds;
     }
 
-    /** From now on only answers to questions asked since then confirm anything. */
+    /**
+     * Disregards responses to requests sent before a time, except where responses of any age count.
+     */
     void discardAnswersBefore(double time) {
         countedFrom = time;
     }
--- a/src/main/java/org/springmill/control/membership/PeerEvidence.java
+++ b/src/main/java/org/springmill/control/membership/PeerEvidence.java
@@ -6,8 +6,9 @@
 import org.springmill.transport.EventLoop;
 
 /**
- * What this controller may conclude from the status of its peers, and what it has itself confirmed
- * to them: terms, outages of the key-value store, and who may renew workers' leases until when.
+ * What this controller may conclude from the status of its peers and from what it has confirmed to
+ * them: terms, outages of the key-value store, and until when which controllers may renew workers'
+ * leases.
  */
 final class PeerEvidence {
     private static final double MILLISECONDS_PER_SECOND = 1000;
@@ -31,18 +32,19 @@
         this.loop = loop;
         this.timeouts = timeouts;
         confirmations = new PeerConfirmations(loop, timeouts, nodes);
-        // An earlier process of this node may have confirmed an outage until just now.
+        // An earlier process of this node may have confirmed an outage just before this one
+        // started.
         lastConfirmationAt = loop.now();
         lastLeaderHeardAt = loop.now();
         lastHeardAt = loop.now();
     }
 
-    /** The answers of the peers. */
+    /** The responses of the peers. */
     PeerConfirmations confirmations() {
         return confirmations;
     }
 
-    /** Notes a status that came, be it a question or an answer. */
+    /** Records a status received from a peer, either a request or a response. */
     void statusReceived(PeerStatus status) {
         if (status.term() > highestTerm) {
             highestTerm = status.term();
@@ -55,20 +57,23 @@
     }
 
     /**
-     * Notes that the process was paused: it may have missed every answer, and what was confirmed to
-     * it before counts no longer.
+     * Records that the process was paused: it may have missed responses, and earlier confirmations
+     * are no longer valid.
      */
     void resumed(double resumedAt) {
         lastLeaderHeardAt = Math.max(lastLeaderHeardAt, resumedAt);
         confirmations.discardAnswersBefore(resumedAt);
     }
 
-    /** Notes that this controller confirms an outage, or renews a lease without leading, now. */
+    /** Records that this controller now confirms an outage, or renews a lease without leading. */
     void confirmedNow() {
         lastConfirmationAt = loop.now();
     }
 
-    /** Negative while this controller may go on renewing leases for so long. */
+    /**
+     * Time since the last confirmation; negative if this controller may still renew leases for that
+     * long.
+     */
     int millisecondsSinceConfirmation() {
         double latest = Math.max(lastConfirmationAt, renewsForNewLeaderUntil);
         double milliseconds = (loop.now() - latest) * MILLISECONDS_PER_SECOND;
@@ -79,7 +84,7 @@
         return loop.now() - lastLeaderHeardAt > timeouts.leaderSuspectAfterSeconds();
     }
 
-    /** When any other controller was last heard from. */
+    /** When a status was last received from any other controller. */
     double lastHeardAt() {
         return lastHeardAt;
     }
@@ -89,19 +94,22 @@
         return highestTerm;
     }
 
-    /** Whether a new term began so lately that leases are still renewed for its leader. */
+    /** Whether a new term became known so recently that leases are still renewed for its leader. */
     boolean renewsForNewLeader() {
         return loop.now() < renewsForNewLeaderUntil;
     }
 
-    /** Whether a quorum confirms the outage and has not heard from a leader for some time. */
+    /**
+     * Whether a quorum confirms the outage and has not received anything from a leader for some
+     * time.
+     */
     boolean quorumMissesLeader(long term) {
         return isLeaderSilent() && confirmations.quorumMissesLeader(term);
     }
 
     /**
-     * Until when other controllers may have renewed leases although this one leads; infinite unless
-     * all of them have lately answered.
+     * Until when other controllers may renew leases although this one leads; infinite unless all of
+     * them have responded recently.
      */
     double othersMayRenewUntil() {
         if (!confirmations.allPeersResponded()) {
--- a/src/main/java/org/springmill/control/membership/PeerPolls.java
+++ b/src/main/java/org/springmill/control/membership/PeerPolls.java
@@ -6,9 +6,9 @@
 import org.springmill.control.timing.Timeouts;
 import org.springmill.transport.EventLoop;
 
-/** Numbers this controller's questions to its peers and dates them by its own clock. */
+/** Numbers this controller's status requests to its peers and records when they were sent. */
 final class PeerPolls {
-    /** A question has this number if it is none, and an answer if it answers none. */
+    /** Request number of a message that is no request, or that answers none. */
     static final long NO_QUESTION = 0;
 
     private static final double MICROSECONDS_PER_SECOND = 1e6;
@@ -16,7 +16,7 @@
     private final EventLoop loop;
     private final Timeouts timeouts;
 
-    /** When each recent question was sent. */
+    /** When each recent request was sent. */
     private final Map<Long, Double> sentAtByQuestion = new HashMap<>();
 
     private long lastQuestion;
@@ -24,12 +24,12 @@
     PeerPolls(EventLoop loop, Timeouts timeouts) {
         this.loop = loop;
         this.timeouts = timeouts;
-        // Answers to an earlier process of this node, still on the way, must not be taken for
-        // answers to this one.
+        // The numbers must differ from those of earlier processes of this node, whose responses may
+        // still arrive.
         lastQuestion = (long) (loop.timeOfDay() * MICROSECONDS_PER_SECOND);
     }
 
-    /** The number of a question that is sent now. */
+    /** The number of a request that is sent now. */
     long next() {
         lastQuestion++;
         sentAtByQuestion.put(lastQuestion, loop.now());
@@ -38,7 +38,7 @@
         return lastQuestion;
     }
 
-    /** When a question was sent; empty if too long ago for an answer to be worth anything. */
+    /** When a request was sent; empty if so long ago that a response to it is no longer valid. */
     OptionalDouble sentAt(long question) {
         Double sentAt = sentAtByQuestion.get(question);
         return sentAt == null ? OptionalDouble.empty() : OptionalDouble.of(sentAt);
--- a/src/main/java/org/springmill/control/membership/PeerRecordDispatcher.java
+++ b/src/main/java/org/springmill/control/membership/PeerRecordDispatcher.java
@@ -13,7 +13,7 @@
 import org.springmill.protocol.PeerMessages.PeerStatus;
 import org.springmill.protocol.PeerMessages.ProgressUpdate;
 
-/** Decodes the records that other controllers send and hands each to whoever handles its kind. */
+/** Decodes the records that other controllers send and passes each to the handler of its kind. */
 final class PeerRecordDispatcher {
     private static final Logger LOG = LoggerFactory.getLogger(PeerRecordDispatcher.class);
 
@@ -25,7 +25,7 @@
 
     /**
      * @param nodes all other controllers
-     * @param directory learns of the cancellations
+     * @param directory receives the cancellations
      */
     PeerRecordDispatcher(Set<String> nodes, JobDirectory directory, Consumer<PeerStatus> onStatus) {
         this.nodes = nodes;
@@ -41,7 +41,7 @@
         onCongestionNotice = consumer;
     }
 
-    /** Handles a record; one that cannot be read is logged and dropped. */
+    /** Handles a record; logs and drops a malformed one. */
     void dispatch(byte[] bytes) {
         try {
             dispatch(PeerMessages.decode(bytes));
--- a/src/main/java/org/springmill/control/membership/Peers.java
+++ b/src/main/java/org/springmill/control/membership/Peers.java
@@ -22,13 +22,13 @@
 import org.springmill.transport.PeerLink;
 
 /**
- * Exchange of status, cancellations and progress with the other controllers. Each is polled for its
- * status at a fixed interval. {@link PeerEvidence} holds what follows from the answers, {@link
- * PeerCancellations} how far cancellations are known through them, {@link PeerRecordDispatcher} who
- * handles which record.
+ * Exchanges status, cancellations and progress with the other controllers, and polls each for its
+ * status at a fixed interval. {@link PeerEvidence} draws conclusions from the responses, {@link
+ * PeerCancellations} records up to when cancellations are known, and {@link PeerRecordDispatcher}
+ * passes records to their handlers.
  */
 public final class Peers implements PeerLink.Listener {
-    /** A peer that left so many questions unanswered and refuses connections may have ended. */
+    /** A peer that refuses connections and left this many requests unanswered may have ended. */
     private static final int MAX_UNANSWERED_QUESTIONS = 2;
 
     private final PeerLink link;
@@ -51,9 +51,9 @@
     /**
      * Creates the exchange, which neither sends nor receives before {@link #start}.
      *
-     * @param shares lends this controller's share of the key-value store's rate and borrows others'
-     * @param ownStatus gives the status of this controller; numbers and what this class knows are
-     *     filled in here
+     * @param shares lends and borrows shares of the key-value store's write rate
+     * @param ownStatus supplies the status of this controller; this class fills in request numbers
+     *     and what it knows itself
      */
     public Peers(
             PeerLink link,
@@ -79,20 +79,20 @@
     }
 
     /**
-     * Begins to receive records and to poll the peers. Not earlier: a record that came while the
-     * controller was still being constructed broke it.
+     * Starts receiving records and polling the peers. Must not happen earlier: a record received
+     * while the controller was still being constructed made it fail.
      */
     public void start() {
         link.setListener(this);
         pollPeers();
     }
 
-    /** Names who receives the progress of running jobs that the leader broadcasts. */
+    /** Sets the consumer of the progress of running jobs that the leader broadcasts. */
     public void onProgressUpdate(Consumer<ProgressUpdate> consumer) {
         dispatcher.onProgressUpdate(consumer);
     }
 
-    /** Names who receives the congested queues that the leader of the latest term broadcasts. */
+    /** Sets the consumer of the congested queues that the leader of the latest term broadcasts. */
     public void onCongestionNotice(Consumer<CongestionNotice> consumer) {
         dispatcher.onCongestionNotice(
                 notice -> {
@@ -103,18 +103,19 @@
     }
 
     /**
-     * Names who receives the last status of a node that refuses connections and has not answered
-     * for some time, if that status was that it leads. One that never said so in its present term
-     * may merely be behind a packet filter: deposing every leader that refuses let a filter between
-     * controllers end term after term.
+     * Sets the consumer of the last status of a leader that refuses connections and has not
+     * responded for some time. Only called if this status said that the node leads. A node that has
+     * not reported this in its current term may only be behind a packet filter: when the lease of
+     * every leader that refused connections was revoked, a filter between controllers ended one
+     * term after another.
      */
     public void onUnresponsiveLeader(Consumer<PeerStatus> consumer) {
         onUnresponsiveLeader = consumer;
     }
 
     /**
-     * Notes that this process was paused: it may have missed every answer, and what was confirmed
-     * to it before counts no longer.
+     * Records that this process was paused: it may have missed responses, and earlier confirmations
+     * are no longer valid.
      */
     public void resumed() {
         resumedAt = loop.now();
@@ -122,14 +123,14 @@
     }
 
     /**
-     * Broadcasts a cancellation committed here, before its user is answered: the leader may be
-     * unable to read it from the key-value store.
+     * Broadcasts a cancellation committed by this controller, before the user gets the response:
+     * the leader may be unable to read it from the key-value store.
      */
     public void broadcastCancellation(Cancellation cancellation) {
         broadcast(new CancellationNotice(settings.node(), List.of(cancellation)));
     }
 
-    /** Sends all peers a record that needs no answer. */
+    /** Sends a record that needs no response to all peers. */
     void broadcast(PeerRecord message) {
         nodes.forEach(node -> send(node, message));
     }
@@ -152,8 +153,8 @@
 
     private void answer(PeerStatus question) {
         PeerStatus status = ownStatus.get();
-        // While this controller hears a leader, its confirmation is of use only together with that
-        // leader's own, which the leader remembers itself.
+        // While this controller receives messages from a leader, its confirmation only takes effect
+        // together with that leader's own, which the leader records itself.
         if (!status.storeReachable() && (evidence.isLeaderSilent() || status.leading())) {
             evidence.confirmedNow();
         }
@@ -165,8 +166,8 @@
     }
 
     /**
-     * Completes a status. The term in it never falls behind one that was heard of: an answer that
-     * names a term is a promise to know it from then on.
+     * Completes a status. Its term is never lower than any term that this controller knows: peers
+     * rely on a controller still knowing a term that it has named.
      */
     private PeerStatus message(
             PeerStatus status,
@@ -243,8 +244,8 @@
     }
 
     /**
-     * Whether a quorum confirms the outage and has not heard from a leader for some time: then any
-     * leader there may be has no quorum to declare a silent worker dead with.
+     * Whether a quorum confirms the outage and has not received anything from a leader for some
+     * time. Then no leader that may still exist has the quorum it needs to declare a worker dead.
      */
     public boolean quorumMissesLeader(long term) {
         return evidence.quorumMissesLeader(term);
@@ -260,25 +261,25 @@
         return cancellations.cancellationsKnownUntil();
     }
 
-    /** When any other controller was last heard from. */
+    /** When a status was last received from any other controller. */
     public double lastHeardAt() {
         return evidence.lastHeardAt();
     }
 
-    /** Whether every other controller has lately answered this one. */
+    /** Whether every other controller has recently responded to this one. */
     public boolean allPeersResponded() {
         return confirmations.allPeersResponded();
     }
 
-    /** Notes that a worker's lease was renewed by this controller, which does not lead. */
+    /** Records that this controller renewed a worker's lease although it does not lead. */
     public void recordLeaseRenewal() {
         evidence.confirmedNow();
     }
 
     /**
-     * Whether a new term was heard of so lately that this controller still renews leases for its
-     * leader: the workers that come here stay, rather than all be redirected to one controller that
-     * has just begun. Its answers say until when.
+     * Whether a new term became known so recently that this controller still renews leases for its
+     * leader. Otherwise all workers that send heartbeats here would be redirected at the same time
+     * to a leader that has just been elected. This controller's status says until when.
      */
     public boolean renewsForNewLeader() {
         return evidence.renewsForNewLeader();
@@ -310,10 +311,10 @@
     }
 
     /**
-     * Until when other controllers may have renewed leases although this one leads. Unknown, and so
-     * infinite, unless all of them have lately answered this one: having heard from it they renew
-     * none. One that does not answer may be isolated with the workers of a partitioned zone and
-     * renew their leases for as long as the partition lasts.
+     * Until when other controllers may renew leases although this one leads. Unknown, and so
+     * infinite, unless all of them have responded recently: controllers that receive messages from
+     * this leader renew no leases. One that does not respond may be isolated together with workers
+     * in a partitioned zone and renew their leases for as long as the partition lasts.
      */
     public double othersMayRenewUntil() {
         return evidence.othersMayRenewUntil();
--- a/src/main/java/org/springmill/control/membership/RemoteProgress.java
+++ b/src/main/java/org/springmill/control/membership/RemoteProgress.java
@@ -10,31 +10,33 @@
 import org.springmill.transport.EventLoop;
 
 /**
- * How far the tasks of active jobs are, as the leader last broadcast it, for a controller that does
- * not lead. For display only: no decision depends on it.
+ * Progress of active jobs as last broadcast by the leader, for controllers that do not lead. For
+ * display only: no decision depends on it.
  */
 public final class RemoteProgress {
-    /** After this many heartbeat intervals without a broadcast, older progress is dropped. */
+    /**
+     * Heartbeat intervals after which current progress becomes previous, and previous is dropped.
+     */
     private static final double MAX_AGE_HEARTBEAT_INTERVALS = 4;
 
     private final EventLoop loop;
     private final double maxAgeSeconds;
 
-    /** What was broadcast since {@link #currentSince}. */
+    /** Progress broadcast since {@link #currentSince}. */
     private Map<String, JobProgress> current = new HashMap<>();
 
-    /** What was broadcast in the interval before; a job in neither has ended or is unknown. */
+    /** Progress broadcast in the interval before. A job in neither map has ended or is unknown. */
     private Map<String, JobProgress> previous = new HashMap<>();
 
     private double currentSince;
 
-    /** Creates an account without any progress. */
+    /** Creates an instance that holds no progress. */
     public RemoteProgress(EventLoop loop, Timeouts timeouts) {
         this.loop = loop;
         maxAgeSeconds = timeouts.heartbeatIntervalSeconds() * MAX_AGE_HEARTBEAT_INTERVALS;
     }
 
-    /** Takes one message of a broadcast, which may be spread over several. */
+    /** Adds one record of a broadcast, which may consist of several. */
     public void receive(ProgressUpdate received) {
         double ageSeconds = loop.now() - currentSince;
         if (ageSeconds > maxAgeSeconds) {
@@ -45,7 +47,7 @@
         received.jobs().forEach(progress -> current.put(progress.job(), progress));
     }
 
-    /** How many jobs progress is held of. */
+    /** Number of jobs whose progress is held. */
     int size() {
         Set<String> jobs = new HashSet<>(current.keySet());
         jobs.addAll(previous.keySet());
--- a/src/main/java/org/springmill/control/membership/WorkloadBroadcast.java
+++ b/src/main/java/org/springmill/control/membership/WorkloadBroadcast.java
@@ -15,9 +15,9 @@
 import org.springmill.transport.EventLoop;
 
 /**
- * The leader's broadcast to all controllers, once in each heartbeat interval: how far running jobs
- * are and which queues are congested. The records of one interval are spread over it, so that the
- * links between controllers never have to hold those of a whole fleet at once.
+ * The leader's broadcast to all controllers, once per heartbeat interval, of the progress of jobs
+ * and the congested queues. The records are spread over the interval, so that the links between
+ * controllers need not buffer those of the whole fleet at the same time.
  */
 public final class WorkloadBroadcast {
     private final ClusterState clusterState;
@@ -29,7 +29,9 @@
     private final long term;
     private final double intervalSeconds;
 
-    /** Whether the last broadcast named a congested queue: the next one then says that none is. */
+    /**
+     * Whether the last broadcast named a congested queue. If so, one is sent even if none is left.
+     */
     private boolean lastBroadcastCongested;
 
     private boolean closed;
@@ -37,8 +39,8 @@
     /**
      * Creates the broadcast of one term.
      *
-     * @param congestion of this controller, which learns of congested queues like all others
-     * @param queueWaits empty unless the operators bound how long work may wait
+     * @param congestion this controller's own view of congested queues, updated with each broadcast
+     * @param queueWaits empty unless a maximum wait of queued work is configured
      * @param node name of this controller
      * @param intervalSeconds time from one broadcast to the next
      */
@@ -61,12 +63,12 @@
         this.intervalSeconds = intervalSeconds;
     }
 
-    /** Ends the broadcast with the term. */
+    /** Stops broadcasting at the end of the term. */
     public void close() {
         closed = true;
     }
 
-    /** Broadcasts now and once in each interval from now on. */
+    /** Broadcasts now and then once per interval. */
     public void start() {
         if (closed) {
             return;
@@ -76,7 +78,7 @@
         loop.after(intervalSeconds, this::start);
     }
 
-    /** Counts attempts that were placed, as starts of their queues. */
+    /** Counts placed attempts as started tasks of their queues. */
     public void placed(List<TaskAttempt> claimed) {
         queueWaits.ifPresent(waits -> claimed.forEach(attempt -> placed(waits, attempt)));
     }
--- a/src/test/java/org/springmill/control/membership/PeersTest.java
+++ b/src/test/java/org/springmill/control/membership/PeersTest.java
@@ -85,12 +85,12 @@
         return peers;
     }
 
-    /** A question of another controller, which leads. */
+    /** A status request of another controller, which leads. */
     private static PeerStatus questionOfLeader(long question) {
         return statusOfPeer(question, 0, true, true, 60_000);
     }
 
-    /** An answer of another controller, which follows. */
+    /** A status response of another controller, which is a follower. */
     private static PeerStatus answer(
             long answeredQuestion, boolean storeReachable, int confirmedMillisecondsAgo) {
         return statusOfPeer(0, answeredQuestion, storeReachable, false, confirmedMillisecondsAgo);
@@ -125,8 +125,8 @@
     }
 
     /**
-     * A follower that renews leases for a new leader says until when. The leader takes a worker's
-     * lease for expired only after that time and the validity of a confirmation.
+     * A follower that renews leases for a new leader reports until when. The leader assumes
+     * renewals by other controllers until that time plus the validity of a confirmation.
      */
     @ParameterizedTest
     @CsvSource({"0.0, true", "1.0, true", "3.0, true", "4.0, false", "30.0, false"})
@@ -157,7 +157,9 @@
                 "an outdated answer confirms nothing");
     }
 
-    /** A restarted process would otherwise take answers to its predecessor for confirmations. */
+    /**
+     * A restarted process must not use responses to requests of its predecessor as confirmations.
+     */
     @Test
     void answersToQuestionsOfAnEarlierProcessConfirmNothing() throws Exception {
         peers(true, 7);
--- a/src/test/java/org/springmill/control/membership/RemoteProgressTest.java
+++ b/src/test/java/org/springmill/control/membership/RemoteProgressTest.java
@@ -23,7 +23,10 @@
                 new ProgressUpdate("n-1", 5, List.of(new JobProgress("run-" + job, 1, 1))));
     }
 
-    /** In steady operation nothing was ever dropped, a few hundred bytes for each job that ran. */
+    /**
+     * Guards against a memory leak: progress was never dropped in steady operation, which kept a
+     * few hundred bytes for each job that had run.
+     */
     @Test
     void whatIsNoLongerBroadcastIsDropped() {
         for (int job = 0; job < 1000; job++) {
