--- a/src/main/java/org/springmill/control/membership/PeerRecordDispatcher.java
+++ b/src/main/java/org/springmill/control/membership/PeerRecordDispatcher.java
@@ -46,7 +46,10 @@
         try {
             dispatch(PeerMessages.decode(bytes));
         } catch (MalformedMessageException e) {
-            LOG.warn("{}", e.getMessage());
+            LOG.warn(
+                    "dropping a record of {} bytes that cannot be decoded: {}",
+                    bytes.length,
+                    e.getMessage());
         }
     }
 
--- a/src/test/java/org/springmill/control/membership/PeersTest.java
+++ b/src/test/java/org/springmill/control/membership/PeersTest.java
@@ -149,7 +149,7 @@
         double until = leader.othersMayRenewUntil() - clock.now();
         assertTrue(
                 until >= -confirmedMillisecondsAgo / 1000.0 + LEASE_SECONDS / 10,
-                "counts on silence after " + until);
+                "assumes renewals by others for only another " + until + " s");
         clock.run(LEASE_SECONDS / 5);
         assertEquals(
                 Double.POSITIVE_INFINITY,
