--- a/src/main/java/org/springmill/control/controller/CommittedRoundHandler.java
+++ b/src/main/java/org/springmill/control/controller/CommittedRoundHandler.java
@@ -32,7 +32,7 @@
     @Override
     public void committed(List<TaskAttempt> claimed, List<TaskAttempt> ended, double startedAt) {
         metrics.recordRoundCommit(startedAt, claimed.size(), ended.size());
-        broadcast.placed(claimed);
+        broadcast.recordPlaced(claimed);
         for (TaskAttempt attempt : claimed) {
             dispatcher.requestSend(attempt.machine());
         }
--- a/src/main/java/org/springmill/control/controller/Readiness.java
+++ b/src/main/java/org/springmill/control/controller/Readiness.java
@@ -62,7 +62,7 @@
      * answers for as long as that lasts, while other controllers serve theirs.
      */
     private boolean isIsolated() {
-        double lastHeardAt = Math.max(store.lastServedAt(), peers.lastHeardAt());
-        return loop.now() - Math.max(lastHeardAt, resumedAt) > timeouts.workerLeaseSeconds();
+        double lastContactAt = Math.max(store.lastServedAt(), peers.lastReceivedAt());
+        return loop.now() - Math.max(lastContactAt, resumedAt) > timeouts.workerLeaseSeconds();
     }
 }
--- a/src/main/java/org/springmill/control/leadership/LeaseKeepalive.java
+++ b/src/main/java/org/springmill/control/leadership/LeaseKeepalive.java
@@ -91,7 +91,7 @@
     private boolean isOutageConfirmed() {
         long term = leadership.knownTerm();
         boolean confirmedByQuorum =
-                leadership.hasReadLeaderRecord() && peers.quorumMissesLeader(term);
+                leadership.hasReadLeaderRecord() && peers.quorumSuspectsLeader(term);
         return confirmedByQuorum || peers.allConfirmOutage(term);
     }
 
@@ -109,7 +109,7 @@
      * is the case for every controller in a partitioned zone.
      */
     private boolean isIsolated() {
-        double latestContactAt = Math.max(peers.lastHeardAt(), store.lastServedAt());
+        double latestContactAt = Math.max(peers.lastReceivedAt(), store.lastServedAt());
         if (latestContactAt != lastContactAt) {
             // Tokens must not be kept from an earlier partition. Workers that a leader has since
             // sent higher tokens would seem to be reachable by a leader, and in a second partition
--- a/src/main/java/org/springmill/control/membership/PeerCancellations.java
+++ b/src/main/java/org/springmill/control/membership/PeerCancellations.java
@@ -44,18 +44,19 @@
     }
 
     /** Stores the cursor of a response, whichever request it answers. */
-    void cursorReceived(PeerStatus answer) {
-        cursors.put(answer.from(), answer.cancellationDelta().cursor());
+    void cursorReceived(PeerStatus response) {
+        cursors.put(response.from(), response.cancellationDelta().cursor());
     }
 
     /** Records a response to a request that was sent at the given time. */
-    void recordAnswer(double askedAt, PeerStatus answer) {
-        boolean hasForgottenNone =
-                answer.cancellationDelta().hasReadJobRecords()
-                        || confirmedNothingSince(answer, askedAt);
-        if (answer.cancellationDelta().complete() && hasForgottenNone) {
+    void recordResponse(double requestedAt, PeerStatus response) {
+        boolean knowsAllItConfirmed =
+                response.cancellationDelta().hasReadJobRecords()
+                        || confirmedNothingSince(response, requestedAt);
+        if (response.cancellationDelta().complete() && knowsAllItConfirmed) {
             knownByNode.put(
-                    answer.from(), new KnownCancellations(askedAt, answer.storeReachable()));
+                    response.from(),
+                    new KnownCancellations(requestedAt, response.storeReachable()));
         }
     }
 
@@ -66,12 +67,13 @@
      * short. Otherwise the crash of one controller in a long outage would let the leases of the
      * whole fleet expire.
      */
-    private boolean confirmedNothingSince(PeerStatus answer, double askedAt) {
-        KnownCancellations before = knownByNode.get(answer.from());
+    private boolean confirmedNothingSince(PeerStatus response, double requestedAt) {
+        KnownCancellations before = knownByNode.get(response.from());
         return before != null
                 && !before.storeReachable()
-                && !answer.storeReachable()
-                && askedAt - before.until() < timeouts.cancellationKnowledgeValiditySeconds() / 2;
+                && !response.storeReachable()
+                && requestedAt - before.until()
+                        < timeouts.cancellationKnowledgeValiditySeconds() / 2;
     }
 
     /** Time up to which all cancellations that peers confirmed to users are known here. */
--- a/src/main/java/org/springmill/control/membership/PeerConfirmations.java
+++ b/src/main/java/org/springmill/control/membership/PeerConfirmations.java
@@ -25,11 +25,11 @@
     private final EventLoop loop;
     private final Timeouts timeouts;
     private final Set<String> nodes;
-    private final Map<String, Answer> answers = new HashMap<>();
-    private double countedFrom = Double.NEGATIVE_INFINITY;
+    private final Map<String, Response> responses = new HashMap<>();
+    private double validFrom = Double.NEGATIVE_INFINITY;
 
     /** A peer's response, with the times of request and response on this controller's clock. */
-    record Answer(double askedAt, double receivedAt, PeerStatus status) {}
+    record Response(double requestedAt, double receivedAt, PeerStatus status) {}
 
     /**
      * @param nodes all other controllers
@@ -41,13 +41,13 @@
     }
 
     /** Records a response to a request that was sent at the given time. */
-    void recordAnswer(double askedAt, PeerStatus status) {
-        answers.put(status.from(), new Answer(askedAt, loop.now(), status));
+    void recordResponse(double requestedAt, PeerStatus status) {
+        responses.put(status.from(), new Response(requestedAt, loop.now(), status));
     }
 
     /** The latest response of a peer, however old. */
-    Optional<Answer> latest(String node) {
-        return Optional.ofNullable(answers.get(node));
+    Optional<Response> latest(String node) {
+        return Optional.ofNullable(responses.get(node));
     }
 
     /**
@@ -73,7 +73,7 @@
     }
 
     /** Whether a quorum confirms that and has not received anything from a leader for some time. */
-    boolean quorumMissesLeader(long term) {
+    boolean quorumSuspectsLeader(long term) {
         return isQuorum(
                 node ->
                         confirmationOfOutage(node, term)
@@ -86,20 +86,23 @@
     private Optional<PeerStatus> confirmationOfOutage(String node, long term) {
         return latest(node)
                 .filter(this::isRecent)
-                .map(Answer::status)
+                .map(Response::status)
                 .filter(status -> !status.storeReachable() && status.term() <= term);
     }
 
     /** Whether a quorum knows a term. Terms only increase, so that responses of any age count. */
     boolean quorumKnows(long term) {
         return isQuorum(
-                node -> latest(node).filter(answer -> answer.status().term() >= term).isPresent());
+                node ->
+                        latest(node)
+                                .filter(response -> response.status().term() >= term)
+                                .isPresent());
     }
 
     private boolean isQuorum(Predicate<String> condition) {
-        long withThisOne = nodes.stream().filter(condition).count() + 1;
+        long confirming = nodes.stream().filter(condition).count() + 1;
         int controllers = nodes.size() + 1;
-        return 2 * withThisOne > controllers;
+        return 2 * confirming > controllers;
     }
 
     /** Whether every peer has responded recently. */
@@ -109,26 +112,26 @@
 
     /** Whether some peer recently reached the key-value store. */
     boolean anyReachesStore() {
-        return answers.values().stream()
-                .anyMatch(answer -> isRecent(answer) && answer.status().storeReachable());
+        return responses.values().stream()
+                .anyMatch(response -> isRecent(response) && response.status().storeReachable());
     }
 
     /** Whether the latest response of some peer, however old, says that it keeps no job history. */
     boolean anyWithoutHistory() {
-        return answers.values().stream().anyMatch(answer -> !answer.status().keepsHistory());
+        return responses.values().stream().anyMatch(response -> !response.status().keepsHistory());
     }
 
     /** Whether a peer recently reported that it leads. */
     boolean anyLeads() {
-        return answers.values().stream()
-                .anyMatch(answer -> isRecent(answer) && answer.status().leading());
+        return responses.values().stream()
+                .anyMatch(response -> isRecent(response) && response.status().leading());
     }
 
     /** The largest number of workers that any one peer recently redirected. */
     int maxRedirectedWorkers() {
-        return answers.values().stream()
+        return responses.values().stream()
                 .filter(this::isRecent)
-                .mapToInt(answer -> answer.status().redirectedWorkers())
+                .mapToInt(response -> response.status().redirectedWorkers())
                 .max()
                 .orElse(0);
     }
@@ -138,27 +141,27 @@
      * which it may continue to renew leases.
      */
     double lastConfirmationOfPeers() {
-        return answers.values().stream()
+        return responses.values().stream()
                 .mapToDouble(PeerConfirmations::lastConfirmation)
                 .max()
                 .orElse(Double.NEGATIVE_INFINITY);
     }
 
-    private static double lastConfirmation(Answer answer) {
-        double agoSeconds = answer.status().confirmedMillisecondsAgo() / MILLISECONDS_PER_SECOND;
+    private static double lastConfirmation(Response response) {
+        double agoSeconds = response.status().confirmedMillisecondsAgo() / MILLISECONDS_PER_SECOND;
         double maxDriftSeconds = Math.abs(agoSeconds) * CLOCK_DRIFT_RATIO;
-        return answer.receivedAt() - agoSeconds + maxDriftSeconds;
+        return response.receivedAt() - agoSeconds + maxDriftSeconds;
     }
 
     /**
      * Disregards responses to requests sent before a time, except where responses of any age count.
      */
-    void discardAnswersBefore(double time) {
-        countedFrom = time;
+    void disregardResponsesBefore(double time) {
+        validFrom = time;
     }
 
-    private boolean isRecent(Answer answer) {
-        return answer.askedAt() >= countedFrom
-                && loop.now() - answer.askedAt() < timeouts.peerConfirmationValiditySeconds();
+    private boolean isRecent(Response response) {
+        return response.requestedAt() >= validFrom
+                && loop.now() - response.requestedAt() < timeouts.peerConfirmationValiditySeconds();
     }
 }
--- a/src/main/java/org/springmill/control/membership/PeerEvidence.java
+++ b/src/main/java/org/springmill/control/membership/PeerEvidence.java
@@ -20,8 +20,8 @@
     /** When this controller last confirmed an outage, or renewed a worker's lease as a follower. */
     private double lastConfirmationAt;
 
-    private double lastLeaderHeardAt;
-    private double lastHeardAt;
+    private double lastLeaderStatusAt;
+    private double lastReceivedAt;
     private double renewsForNewLeaderUntil = Double.NEGATIVE_INFINITY;
     private long highestTerm;
 
@@ -35,8 +35,8 @@
         // An earlier process of this node may have confirmed an outage just before this one
         // started.
         lastConfirmationAt = loop.now();
-        lastLeaderHeardAt = loop.now();
-        lastHeardAt = loop.now();
+        lastLeaderStatusAt = loop.now();
+        lastReceivedAt = loop.now();
     }
 
     /** The responses of the peers. */
@@ -50,9 +50,9 @@
             highestTerm = status.term();
             renewsForNewLeaderUntil = loop.now() + timeouts.newLeaderKeepaliveSeconds();
         }
-        lastHeardAt = loop.now();
+        lastReceivedAt = loop.now();
         if (status.leading()) {
-            lastLeaderHeardAt = loop.now();
+            lastLeaderStatusAt = loop.now();
         }
     }
 
@@ -61,12 +61,12 @@
      * are no longer valid.
      */
     void resumed(double resumedAt) {
-        lastLeaderHeardAt = Math.max(lastLeaderHeardAt, resumedAt);
-        confirmations.discardAnswersBefore(resumedAt);
+        lastLeaderStatusAt = Math.max(lastLeaderStatusAt, resumedAt);
+        confirmations.disregardResponsesBefore(resumedAt);
     }
 
     /** Records that this controller now confirms an outage, or renews a lease without leading. */
-    void confirmedNow() {
+    void recordConfirmation() {
         lastConfirmationAt = loop.now();
     }
 
@@ -80,13 +80,13 @@
         return (int) Math.min(Integer.MAX_VALUE, milliseconds);
     }
 
-    boolean isLeaderSilent() {
-        return loop.now() - lastLeaderHeardAt > timeouts.leaderSuspectAfterSeconds();
+    boolean isLeaderSuspected() {
+        return loop.now() - lastLeaderStatusAt > timeouts.leaderSuspectAfterSeconds();
     }
 
     /** When a status was last received from any other controller. */
-    double lastHeardAt() {
-        return lastHeardAt;
+    double lastReceivedAt() {
+        return lastReceivedAt;
     }
 
     /** The highest term that a peer has named; 0 if none. */
@@ -103,8 +103,8 @@
      * Whether a quorum confirms the outage and has not received anything from a leader for some
      * time.
      */
-    boolean quorumMissesLeader(long term) {
-        return isLeaderSilent() && confirmations.quorumMissesLeader(term);
+    boolean quorumSuspectsLeader(long term) {
+        return isLeaderSuspected() && confirmations.quorumSuspectsLeader(term);
     }
 
     /**
--- a/src/main/java/org/springmill/control/membership/Peers.java
+++ b/src/main/java/org/springmill/control/membership/Peers.java
@@ -7,7 +7,7 @@
 import java.util.function.Supplier;
 import org.springmill.control.admission.StoreRateShares;
 import org.springmill.control.jobs.JobDirectory;
-import org.springmill.control.membership.PeerConfirmations.Answer;
+import org.springmill.control.membership.PeerConfirmations.Response;
 import org.springmill.control.timing.Timeouts;
 import org.springmill.protocol.PeerMessages;
 import org.springmill.protocol.PeerMessages.Cancellation;
@@ -29,7 +29,7 @@
  */
 public final class Peers implements PeerLink.Listener {
     /** A peer that refuses connections and left this many requests unanswered may have ended. */
-    private static final int MAX_UNANSWERED_QUESTIONS = 2;
+    private static final int MAX_UNANSWERED_REQUESTS = 2;
 
     private final PeerLink link;
     private final EventLoop loop;
@@ -140,50 +140,55 @@
     }
 
     private void pollPeers() {
-        long question = polls.next();
+        long requestNumber = polls.next();
         PeerStatus status = ownStatus.get();
         for (String node : nodes) {
-            CancellationDelta request = directory.deltaRequest(cancellations.cursor(node));
+            CancellationDelta deltaRequest = directory.deltaRequest(cancellations.cursor(node));
             send(
                     node,
-                    message(status, question, PeerPolls.NO_QUESTION, request, shares.wantedLoan()));
+                    completeStatus(
+                            status,
+                            requestNumber,
+                            PeerPolls.NO_REQUEST,
+                            deltaRequest,
+                            shares.wantedLoan()));
         }
         loop.after(timeouts.peerPollIntervalSeconds(), this::pollPeers);
     }
 
-    private void answer(PeerStatus question) {
+    private void respond(PeerStatus request) {
         PeerStatus status = ownStatus.get();
         // While this controller receives messages from a leader, its confirmation only takes effect
         // together with that leader's own, which the leader records itself.
-        if (!status.storeReachable() && (evidence.isLeaderSilent() || status.leading())) {
-            evidence.confirmedNow();
+        if (!status.storeReachable() && (evidence.isLeaderSuspected() || status.leading())) {
+            evidence.recordConfirmation();
         }
-        CancellationDelta delta = directory.deltaFor(question.cancellationDelta());
-        double lent = shares.lend(question.from(), question.storeShare());
+        CancellationDelta delta = directory.deltaFor(request.cancellationDelta());
+        double lent = shares.lend(request.from(), request.storeShare());
         send(
-                question.from(),
-                message(status, PeerPolls.NO_QUESTION, question.requestNumber(), delta, lent));
+                request.from(),
+                completeStatus(status, PeerPolls.NO_REQUEST, request.requestNumber(), delta, lent));
     }
 
     /**
      * Completes a status. Its term is never lower than any term that this controller knows: peers
      * rely on a controller still knowing a term that it has named.
      */
-    private PeerStatus message(
+    private PeerStatus completeStatus(
             PeerStatus status,
-            long question,
-            long answeredQuestion,
+            long requestNumber,
+            long answeredRequestNumber,
             CancellationDelta delta,
             double storeShare) {
         return new PeerStatus(
                 settings.node(),
-                question,
-                answeredQuestion,
+                requestNumber,
+                answeredRequestNumber,
                 status.storeReachable(),
                 status.leading(),
                 status.hasReadLeaderRecord(),
                 status.redirectedWorkers(),
-                evidence.isLeaderSilent(),
+                evidence.isLeaderSuspected(),
                 evidence.millisecondsSinceConfirmation(),
                 Math.max(evidence.highestTerm(), status.term()),
                 delta,
@@ -199,24 +204,24 @@
     private void statusReceived(PeerStatus status) {
         evidence.statusReceived(status);
         status.cancellationDelta().cancellations().forEach(directory::merge);
-        if (status.answeredRequestNumber() == PeerPolls.NO_QUESTION) {
-            answer(status);
+        if (status.answeredRequestNumber() == PeerPolls.NO_REQUEST) {
+            respond(status);
         } else {
-            answerReceived(status);
+            responseReceived(status);
         }
     }
 
-    private void answerReceived(PeerStatus answer) {
-        cancellations.cursorReceived(answer);
-        OptionalDouble askedAt = polls.sentAt(answer.answeredRequestNumber());
-        askedAt.ifPresent(time -> recordAnswer(time, answer));
+    private void responseReceived(PeerStatus response) {
+        cancellations.cursorReceived(response);
+        OptionalDouble requestedAt = polls.sentAt(response.answeredRequestNumber());
+        requestedAt.ifPresent(time -> recordResponse(time, response));
     }
 
-    private void recordAnswer(double askedAt, PeerStatus answer) {
-        confirmations.recordAnswer(askedAt, answer);
-        cancellations.recordAnswer(askedAt, answer);
-        if (answer.storeShare() > 0) {
-            shares.borrow(answer.answeredRequestNumber(), askedAt, answer.storeShare());
+    private void recordResponse(double requestedAt, PeerStatus response) {
+        confirmations.recordResponse(requestedAt, response);
+        cancellations.recordResponse(requestedAt, response);
+        if (response.storeShare() > 0) {
+            shares.borrow(response.answeredRequestNumber(), requestedAt, response.storeShare());
         }
     }
 
@@ -228,9 +233,10 @@
                 .ifPresent(latest -> onUnresponsiveLeader.accept(latest.status()));
     }
 
-    private boolean isOverdue(Answer latest) {
-        double since = Math.max(latest.askedAt(), resumedAt);
-        return loop.now() - since > MAX_UNANSWERED_QUESTIONS * timeouts.peerPollIntervalSeconds();
+    private boolean isOverdue(Response latest) {
+        double waitingSince = Math.max(latest.requestedAt(), resumedAt);
+        return loop.now() - waitingSince
+                > MAX_UNANSWERED_REQUESTS * timeouts.peerPollIntervalSeconds();
     }
 
     /** See {@link PeerConfirmations#allConfirmOutage}. */
@@ -247,8 +253,8 @@
      * Whether a quorum confirms the outage and has not received anything from a leader for some
      * time. Then no leader that may still exist has the quorum it needs to declare a worker dead.
      */
-    public boolean quorumMissesLeader(long term) {
-        return evidence.quorumMissesLeader(term);
+    public boolean quorumSuspectsLeader(long term) {
+        return evidence.quorumSuspectsLeader(term);
     }
 
     /** See {@link PeerConfirmations#quorumKnows}. */
@@ -262,8 +268,8 @@
     }
 
     /** When a status was last received from any other controller. */
-    public double lastHeardAt() {
-        return evidence.lastHeardAt();
+    public double lastReceivedAt() {
+        return evidence.lastReceivedAt();
     }
 
     /** Whether every other controller has recently responded to this one. */
@@ -273,7 +279,7 @@
 
     /** Records that this controller renewed a worker's lease although it does not lead. */
     public void recordLeaseRenewal() {
-        evidence.confirmedNow();
+        evidence.recordConfirmation();
     }
 
     /**
--- a/src/main/java/org/springmill/control/membership/WorkloadBroadcast.java
+++ b/src/main/java/org/springmill/control/membership/WorkloadBroadcast.java
@@ -79,11 +79,11 @@
     }
 
     /** Counts placed attempts as started tasks of their queues. */
-    public void placed(List<TaskAttempt> claimed) {
-        queueWaits.ifPresent(waits -> claimed.forEach(attempt -> placed(waits, attempt)));
+    public void recordPlaced(List<TaskAttempt> claimed) {
+        queueWaits.ifPresent(waits -> claimed.forEach(attempt -> recordPlaced(waits, attempt)));
     }
 
-    private void placed(QueueWaits waits, TaskAttempt attempt) {
+    private void recordPlaced(QueueWaits waits, TaskAttempt attempt) {
         Job job = attempt.job();
         waits.tasksStarted(job.spec().team(), job.priority(), 1, loop.now());
     }
--- a/src/test/java/org/springmill/control/membership/PeersTest.java
+++ b/src/test/java/org/springmill/control/membership/PeersTest.java
@@ -86,26 +86,27 @@
     }
 
     /** A status request of another controller, which leads. */
-    private static PeerStatus questionOfLeader(long question) {
-        return statusOfPeer(question, 0, true, true, 60_000);
+    private static PeerStatus requestOfLeader(long requestNumber) {
+        return statusOfPeer(requestNumber, 0, true, true, 60_000);
     }
 
     /** A status response of another controller, which is a follower. */
-    private static PeerStatus answer(
-            long answeredQuestion, boolean storeReachable, int confirmedMillisecondsAgo) {
-        return statusOfPeer(0, answeredQuestion, storeReachable, false, confirmedMillisecondsAgo);
+    private static PeerStatus responseOfFollower(
+            long answeredRequestNumber, boolean storeReachable, int confirmedMillisecondsAgo) {
+        return statusOfPeer(
+                0, answeredRequestNumber, storeReachable, false, confirmedMillisecondsAgo);
     }
 
     private static PeerStatus statusOfPeer(
-            long question,
-            long answeredQuestion,
+            long requestNumber,
+            long answeredRequestNumber,
             boolean storeReachable,
             boolean leading,
             int confirmedMillisecondsAgo) {
         return new PeerStatus(
                 "n-1",
-                question,
-                answeredQuestion,
+                requestNumber,
+                answeredRequestNumber,
                 storeReachable,
                 leading,
                 true,
@@ -130,22 +131,22 @@
      */
     @ParameterizedTest
     @CsvSource({"0.0, true", "1.0, true", "3.0, true", "4.0, false", "30.0, false"})
-    void aFollowerRenewsLeasesForANewLeaderForAWhileAndAnswersUntilWhen(
+    void aFollowerRenewsLeasesForANewLeaderAndReportsUntilWhen(
             double afterSeconds, boolean renewsLeases) throws Exception {
         Peers follower = peers(false, 0);
         clock.run(60);
-        receive(questionOfLeader(1));
+        receive(requestOfLeader(1));
         clock.run(afterSeconds);
         assertEquals(renewsLeases, follower.renewsForNewLeader());
         sent.clear();
-        receive(questionOfLeader(2));
+        receive(requestOfLeader(2));
         int confirmedMillisecondsAgo = lastSent().confirmedMillisecondsAgo();
         assertEquals(renewsLeases, confirmedMillisecondsAgo < 0);
 
         Peers leader = peers(true, 7);
         clock.run(60);
-        PeerStatus question = lastSent();
-        receive(answer(question.requestNumber(), true, confirmedMillisecondsAgo));
+        PeerStatus request = lastSent();
+        receive(responseOfFollower(request.requestNumber(), true, confirmedMillisecondsAgo));
         double until = leader.othersMayRenewUntil() - clock.now();
         assertTrue(
                 until >= -confirmedMillisecondsAgo / 1000.0 + LEASE_SECONDS / 10,
@@ -161,17 +162,17 @@
      * A restarted process must not use responses to requests of its predecessor as confirmations.
      */
     @Test
-    void answersToQuestionsOfAnEarlierProcessConfirmNothing() throws Exception {
+    void responsesToRequestsOfAnEarlierProcessConfirmNothing() throws Exception {
         peers(true, 7);
         clock.run(3);
-        long earlierQuestion = lastSent().requestNumber();
+        long earlierRequestNumber = lastSent().requestNumber();
         clock.run(0.2);
-        Peers returned = peers(true, 7);
+        Peers restarted = peers(true, 7);
         clock.run(3);
-        receive(answer(earlierQuestion, false, 60_000));
-        assertFalse(returned.quorumConfirmsOutage(7));
-        assertFalse(returned.allPeersResponded());
-        receive(answer(lastSent().requestNumber(), false, 60_000));
-        assertTrue(returned.quorumConfirmsOutage(7));
+        receive(responseOfFollower(earlierRequestNumber, false, 60_000));
+        assertFalse(restarted.quorumConfirmsOutage(7));
+        assertFalse(restarted.allPeersResponded());
+        receive(responseOfFollower(lastSent().requestNumber(), false, 60_000));
+        assertTrue(restarted.quorumConfirmsOutage(7));
     }
 }
--- a/src/test/java/org/springmill/control/membership/RemoteProgressTest.java
+++ b/src/test/java/org/springmill/control/membership/RemoteProgressTest.java
@@ -39,7 +39,7 @@
     }
 
     @Test
-    void theLatestBroadcastCounts() {
+    void theLatestBroadcastReplacesEarlierOnes() {
         broadcast(1);
         progress.receive(new ProgressUpdate("n-1", 5, List.of(new JobProgress("run-1", 2, 0))));
         assertEquals(2, progress.of("run-1").done());
