--- a/src/main/java/org/springmill/control/controller/CancellationPersister.java
+++ b/src/main/java/org/springmill/control/controller/CancellationPersister.java
@@ -14,19 +14,20 @@
 import org.springmill.transport.EventLoop;
 
 /**
- * Persists derived cancellations: the records of jobs that were cancelled with one of their
- * dependencies. Nothing depends on it, since every controller derives the same from the record of
- * the first cancelled job. So these writes have the lowest priority, and a wave of cancellations
- * delays no placement round.
+ * Persists derived cancellations: those of jobs that were cancelled because one of their
+ * dependencies was. Correctness does not depend on these writes, since every controller derives the
+ * same cancellations from the records of the dependencies. They have the lowest priority, so that
+ * many cancellations at the same time delay no placement round.
  *
- * <p>A compare-and-swap is rejected as a whole, also when only one of its records is at fault. Its
- * records are then written one by one, and only a record that is rejected alone is abandoned.
+ * <p>A compare-and-swap is rejected as a whole even if only one of its records is the reason. Its
+ * records are then written one at a time, and only a record that is rejected on its own is
+ * abandoned.
  */
 final class CancellationPersister {
     private static final Logger LOG = LoggerFactory.getLogger(CancellationPersister.class);
 
-    /** Share of the writes a second that the key-value store takes. */
-    private static final double WRITE_SHARE = 0.1;
+    /** Rate of these writes, as a ratio to the write rate limit of the key-value store. */
+    private static final double WRITE_RATE_RATIO = 0.1;
 
     private final KeyValueStoreClient store;
     private final JobDirectory directory;
@@ -34,7 +35,7 @@
     private final EventLoop loop;
     private boolean closed;
 
-    /** How many of the next records are to be written alone. */
+    /** Number of records still to be written one at a time. */
     private int singleWrites;
 
     CancellationPersister(
@@ -48,7 +49,7 @@
         this.loop = loop;
     }
 
-    /** Writes nothing more. */
+    /** Stops writing. */
     void close() {
         closed = true;
     }
@@ -60,7 +61,7 @@
         }
         List<JobRecord> batch = directory.dependencies().pendingPersistence(batchSize());
         if (batch.isEmpty() || store.backlog() > 0 || !leadership.mayPlace()) {
-            runAfter(batch);
+            scheduleRunAfter(batch);
             return;
         }
         write(batch);
@@ -70,9 +71,9 @@
         return singleWrites > 0 ? 1 : Math.max(1, store.limits().writesPerCommit() / 2);
     }
 
-    /** Waits for as long as a batch of that size takes at the write share. */
-    private void runAfter(List<JobRecord> batch) {
-        double writesPerSecond = WRITE_SHARE * store.limits().writesPerSecond();
+    /** Schedules the next run for when the write rate allows it after a batch of that size. */
+    private void scheduleRunAfter(List<JobRecord> batch) {
+        double writesPerSecond = WRITE_RATE_RATIO * store.limits().writesPerSecond();
         loop.after(Math.max(1, batch.size()) / writesPerSecond, this::run);
     }
 
@@ -90,7 +91,7 @@
                 writes,
                 result -> {
                     handleResult(batch, valueBytes, result);
-                    runAfter(batch);
+                    scheduleRunAfter(batch);
                 });
     }
 
@@ -98,13 +99,13 @@
         switch (result.outcome()) {
             case COMMITTED -> committed(batch, result.revision());
             case REJECTED -> {
-                // A leader whose term is over leaves the records to the next one.
+                // If this term is over, the next leader writes the records.
                 if (!result.failed().contains(leadership.termCondition().key())) {
                     retrySinglyOrAbandon(batch);
                 }
             }
             case TOO_LARGE -> {
-                if (batch.size() > 1 || !isShorterNow(batch.get(0), valueBytes)) {
+                if (batch.size() > 1 || !isEncodedDifferently(batch.get(0), valueBytes)) {
                     retrySinglyOrAbandon(batch);
                 }
             }
@@ -117,19 +118,21 @@
         batch.forEach(job -> directory.merge(job.committed(revision)));
     }
 
-    /** Has a batch retried record by record; abandons a single record. */
+    /** Retries a batch one record at a time; abandons a batch of a single record. */
     private void retrySinglyOrAbandon(List<JobRecord> batch) {
         if (batch.size() > 1) {
             singleWrites = batch.size();
             return;
         }
         singleWrites = Math.max(0, singleWrites - 1);
-        LOG.warn("the derived cancellation of {} cannot be persisted", batch.get(0).id());
+        LOG.warn(
+                "key-value store rejects the derived cancellation of {}: not retried until its record changes",
+                batch.get(0).id());
         directory.dependencies().abandonPersistence(batch);
     }
 
-    /** Whether a record has a shorter form under the limits that are in force by now. */
-    private boolean isShorterNow(JobRecord job, int valueBytes) {
+    /** Whether the size limit has changed such that the record is now encoded differently. */
+    private boolean isEncodedDifferently(JobRecord job, int valueBytes) {
         return !job.encode(store.limits().valueBytes()).equals(job.encode(valueBytes));
     }
 }
--- a/src/main/java/org/springmill/control/controller/CommittedRoundHandler.java
+++ b/src/main/java/org/springmill/control/controller/CommittedRoundHandler.java
@@ -32,14 +32,14 @@
     @Override
     public void committed(List<TaskAttempt> claimed, List<TaskAttempt> ended, double startedAt) {
         metrics.recordRoundCommit(startedAt, claimed.size(), ended.size());
-        broadcast.placed(claimed);
+        broadcast.recordPlaced(claimed);
         for (TaskAttempt attempt : claimed) {
             dispatcher.requestSend(attempt.machine());
         }
         for (TaskAttempt attempt : ended) {
             dispatcher.requestSend(attempt.machine());
             jobCompletion.finishIfComplete(attempt.job());
-            jobCompletion.dropIfOver(attempt.job());
+            jobCompletion.removeIfEnded(attempt.job());
         }
     }
 
--- a/src/main/java/org/springmill/control/controller/JobRecordHandler.java
+++ b/src/main/java/org/springmill/control/controller/JobRecordHandler.java
@@ -45,7 +45,7 @@
         this.historyArchiver = historyArchiver;
     }
 
-    /** Applies a changed record; before recovery the record itself is enough. */
+    /** Applies a changed record. Ignored before recovery, which reads all records itself. */
     void recordChanged(JobRecord record) {
         if (!lifecycle.isActive()) {
             return;
@@ -68,20 +68,20 @@
         if (job == null) {
             jobAdmission.admitNew(new Job(record.submission(), record.version()));
         } else {
-            // A dependency turned out to be done long ago.
+            // Its dependencies may only now be known to be done.
             jobAdmission.releaseIfReady(job);
         }
     }
 
     /** Ends a job that was cancelled or is done, and stops its attempts. */
     private void end(Job job, JobRecord record) {
-        job.end(record.version(), jobCompletion.endedSince(record));
+        job.end(record.version(), jobCompletion.endTime(record));
         dependencyPriority.recordChange(job);
         for (TaskAttempt attempt : job.attempts()) {
             fleet.stop(attempt, 0);
             dispatcher.requestSend(attempt.machine());
         }
-        jobCompletion.dropIfOver(job);
+        jobCompletion.removeIfEnded(job);
         rounds.request();
     }
 }
--- a/src/main/java/org/springmill/control/membership/PeerEvidence.java
+++ b/src/main/java/org/springmill/control/membership/PeerEvidence.java
@@ -6,8 +6,9 @@
 import org.springmill.transport.EventLoop;
 
 /**
- * What this controller may conclude from the status of its peers, and what it has itself confirmed
- * to them: terms, outages of the key-value store, and who may renew workers' leases until when.
+ * What this controller may conclude from the status of its peers and from what it has confirmed to
+ * them: terms, outages of the key-value store, and until when which controllers may renew workers'
+ * leases.
  */
 final class PeerEvidence {
     private static final double MILLISECONDS_PER_SECOND = 1000;
@@ -19,8 +20,8 @@
     /** When this controller last confirmed an outage, or renewed a worker's lease as a follower. */
     private double lastConfirmationAt;
 
-    private double lastLeaderHeardAt;
-    private double lastHeardAt;
+    private double lastLeaderStatusAt;
+    private double lastReceivedAt;
     private double renewsForNewLeaderUntil = Double.NEGATIVE_INFINITY;
     private long highestTerm;
 
@@ -31,57 +32,61 @@
         this.loop = loop;
         this.timeouts = timeouts;
         confirmations = new PeerConfirmations(loop, timeouts, nodes);
-        // An earlier process of this node may have confirmed an outage until just now.
+        // An earlier process of this node may have confirmed an outage just before this one
+        // started.
         lastConfirmationAt = loop.now();
-        lastLeaderHeardAt = loop.now();
-        lastHeardAt = loop.now();
+        lastLeaderStatusAt = loop.now();
+        lastReceivedAt = loop.now();
     }
 
-    /** The answers of the peers. */
+    /** The responses of the peers. */
     PeerConfirmations confirmations() {
         return confirmations;
     }
 
-    /** Notes a status that came, be it a question or an answer. */
+    /** Records a status received from a peer, either a request or a response. */
     void statusReceived(PeerStatus status) {
         if (status.term() > highestTerm) {
             highestTerm = status.term();
             renewsForNewLeaderUntil = loop.now() + timeouts.newLeaderKeepaliveSeconds();
         }
-        lastHeardAt = loop.now();
+        lastReceivedAt = loop.now();
         if (status.leading()) {
-            lastLeaderHeardAt = loop.now();
+            lastLeaderStatusAt = loop.now();
         }
     }
 
     /**
-     * Notes that the process was paused: it may have missed every answer, and what was confirmed to
-     * it before counts no longer.
+     * Records that the process was paused: it may have missed responses, and earlier confirmations
+     * are no longer valid.
      */
     void resumed(double resumedAt) {
-        lastLeaderHeardAt = Math.max(lastLeaderHeardAt, resumedAt);
-        confirmations.discardAnswersBefore(resumedAt);
+        lastLeaderStatusAt = Math.max(lastLeaderStatusAt, resumedAt);
+        confirmations.disregardResponsesBefore(resumedAt);
     }
 
-    /** Notes that this controller confirms an outage, or renews a lease without leading, now. */
-    void confirmedNow() {
+    /** Records that this controller now confirms an outage, or renews a lease without leading. */
+    void recordConfirmation() {
         lastConfirmationAt = loop.now();
     }
 
-    /** Negative while this controller may go on renewing leases for so long. */
+    /**
+     * Time since the last confirmation; negative if this controller may still renew leases for that
+     * long.
+     */
     int millisecondsSinceConfirmation() {
         double latest = Math.max(lastConfirmationAt, renewsForNewLeaderUntil);
         double milliseconds = (loop.now() - latest) * MILLISECONDS_PER_SECOND;
         return (int) Math.min(Integer.MAX_VALUE, milliseconds);
     }
 
-    boolean isLeaderSilent() {
-        return loop.now() - lastLeaderHeardAt > timeouts.leaderSuspectAfterSeconds();
+    boolean isLeaderSuspected() {
+        return loop.now() - lastLeaderStatusAt > timeouts.leaderSuspectAfterSeconds();
     }
 
-    /** When any other controller was last heard from. */
-    double lastHeardAt() {
-        return lastHeardAt;
+    /** When a status was last received from any other controller. */
+    double lastReceivedAt() {
+        return lastReceivedAt;
     }
 
     /** The highest term that a peer has named; 0 if none. */
@@ -89,19 +94,22 @@
         return highestTerm;
     }
 
-    /** Whether a new term began so lately that leases are still renewed for its leader. */
+    /** Whether a new term became known so recently that leases are still renewed for its leader. */
     boolean renewsForNewLeader() {
         return loop.now() < renewsForNewLeaderUntil;
     }
 
-    /** Whether a quorum confirms the outage and has not heard from a leader for some time. */
-    boolean quorumMissesLeader(long term) {
-        return isLeaderSilent() && confirmations.quorumMissesLeader(term);
+    /**
+     * Whether a quorum confirms the outage and has not received anything from a leader for some
+     * time.
+     */
+    boolean quorumSuspectsLeader(long term) {
+        return isLeaderSuspected() && confirmations.quorumSuspectsLeader(term);
     }
 
     /**
-     * Until when other controllers may have renewed leases although this one leads; infinite unless
-     * all of them have lately answered.
+     * Until when other controllers may renew leases although this one leads; infinite unless all of
+     * them have responded recently.
      */
     double othersMayRenewUntil() {
         if (!confirmations.allPeersResponded()) {
--- a/src/main/java/org/springmill/control/membership/PeerPolls.java
+++ b/src/main/java/org/springmill/control/membership/PeerPolls.java
@@ -6,41 +6,41 @@
 import org.springmill.control.timing.Timeouts;
 import org.springmill.transport.EventLoop;
 
-/** Numbers this controller's questions to its peers and dates them by its own clock. */
+/** Numbers this controller's status requests to its peers and records when they were sent. */
 final class PeerPolls {
-    /** A question has this number if it is none, and an answer if it answers none. */
-    static final long NO_QUESTION = 0;
+    /** Request number of a message that is no request, or that answers none. */
+    static final long NO_REQUEST = 0;
 
     private static final double MICROSECONDS_PER_SECOND = 1e6;
 
     private final EventLoop loop;
     private final Timeouts timeouts;
 
-    /** When each recent question was sent. */
-    private final Map<Long, Double> sentAtByQuestion = new HashMap<>();
+    /** When each recent request was sent. */
+    private final Map<Long, Double> sentAtByRequest = new HashMap<>();
 
-    private long lastQuestion;
+    private long lastRequestNumber;
 
     PeerPolls(EventLoop loop, Timeouts timeouts) {
         this.loop = loop;
         this.timeouts = timeouts;
-        // Answers to an earlier process of this node, still on the way, must not be taken for
-        // answers to this one.
-        lastQuestion = (long) (loop.timeOfDay() * MICROSECONDS_PER_SECOND);
+        // The numbers must differ from those of earlier processes of this node, whose responses may
+        // still arrive.
+        lastRequestNumber = (long) (loop.timeOfDay() * MICROSECONDS_PER_SECOND);
     }
 
-    /** The number of a question that is sent now. */
+    /** The number of a request that is sent now. */
     long next() {
-        lastQuestion++;
-        sentAtByQuestion.put(lastQuestion, loop.now());
+        lastRequestNumber++;
+        sentAtByRequest.put(lastRequestNumber, loop.now());
         double oldest = loop.now() - timeouts.peerConfirmationValiditySeconds();
-        sentAtByQuestion.values().removeIf(sentAt -> sentAt < oldest);
-        return lastQuestion;
+        sentAtByRequest.values().removeIf(sentAt -> sentAt < oldest);
+        return lastRequestNumber;
     }
 
-    /** When a question was sent; empty if too long ago for an answer to be worth anything. */
-    OptionalDouble sentAt(long question) {
-        Double sentAt = sentAtByQuestion.get(question);
+    /** When a request was sent; empty if so long ago that a response to it is no longer valid. */
+    OptionalDouble sentAt(long requestNumber) {
+        Double sentAt = sentAtByRequest.get(requestNumber);
         return sentAt == null ? OptionalDouble.empty() : OptionalDouble.of(sentAt);
     }
 }
--- a/src/test/java/org/springmill/control/controller/CancellationPersisterTest.java
+++ b/src/test/java/org/springmill/control/controller/CancellationPersisterTest.java
@@ -17,23 +17,23 @@
 import org.springmill.sim.SimulatedCluster;
 import org.springmill.transport.HttpClient.Request;
 
-/** Which derived cancellations reach the key-value store when some of them are refused. */
+/** Derived cancellations are written even if the key-value store rejects some of them. */
 class CancellationPersisterTest {
     private static final int FIRST = 1;
     private static final int LAST = 9;
 
-    /** So many, with the longest ids, that a record naming them all takes most of a value. */
-    private static final int MANY = 180;
+    /** With this many dependencies of the longest ids, a record nearly reaches the value limit. */
+    private static final int MANY_DEPENDENCIES = 180;
 
     private SimulatedCluster cluster;
 
     @BeforeEach
-    void aClusterWithALeader() {
+    void startClusterWithLeader() {
         cluster = new SimulatedCluster().machines("large", "a", 1).run(6);
     }
 
     @AfterEach
-    void noRuleIsBroken() {
+    void checkInvariants() {
         assertEquals(List.of(), cluster.violations());
     }
 
@@ -72,8 +72,8 @@
                 .toList();
     }
 
-    /** Gives a record a new version that the leader does not learn of. */
-    private void rewriteUnseen(int number) {
+    /** Writes a new version of a record, of which the leader is not informed. */
+    private void writeUnseenVersion(int number) {
         ObjectNode write = Json.newObject().put("write", "job/" + id(number));
         write.set("value", record(number));
         ObjectNode commit = Json.newObject();
@@ -83,7 +83,7 @@
         cluster.network().repeat(new Request("state:1", "POST", "/commit", body, 1));
     }
 
-    private void leaderReadsNoMoreChanges() {
+    private void blockJobWatchOfLeader() {
         String leader = "n-" + cluster.leader();
         cluster.network()
                 .judge(
@@ -92,25 +92,25 @@
                                                 && request.path().startsWith("/changes?under=job")
                                         ? Fate.DROP
                                         : Fate.DELIVER);
-        // Longer than a watch stays open.
+        // Longer than a watch request stays open.
         cluster.run(20);
     }
 
     @Test
-    void oneRefusedRecordLeavesOnlyItselfUnwritten() {
+    void onlyTheRejectedRecordStaysUnwritten() {
         submitFirstAndDependents();
-        leaderReadsNoMoreChanges();
-        rewriteUnseen(4);
+        blockJobWatchOfLeader();
+        writeUnseenVersion(4);
         assertEquals("cancelled", cluster.cancel(cluster.leader(), id(FIRST)));
         cluster.run(20);
         assertEquals(List.of(4), unwritten());
     }
 
     @Test
-    void aRefusedRecordIsWrittenOnceItsNewVersionIsKnown() {
+    void aRejectedRecordIsWrittenOnceItsNewVersionIsKnown() {
         submitFirstAndDependents();
-        leaderReadsNoMoreChanges();
-        rewriteUnseen(4);
+        blockJobWatchOfLeader();
+        writeUnseenVersion(4);
         assertEquals("cancelled", cluster.cancel(cluster.leader(), id(FIRST)));
         cluster.run(10);
         cluster.network().judge((from, request) -> Fate.DELIVER);
@@ -118,12 +118,15 @@
         assertEquals(List.of(), unwritten());
     }
 
-    /** Accepted when values could be larger; its dependencies cannot be left out to make it fit. */
+    /**
+     * The record was accepted under a larger value limit. Its dependencies cannot be omitted to
+     * shorten it.
+     */
     @Test
-    void aRecordTooLargeForTheServiceHoldsUpNoOtherAndIsNotTriedForEver() {
+    void anOversizedRecordIsAbandonedAndBlocksNoOthers() {
         submit(job(FIRST));
         ObjectNode large = job(2, FIRST);
-        for (int number = 0; number < MANY; number++) {
+        for (int number = 0; number < MANY_DEPENDENCIES; number++) {
             String longId = String.format("run-%018d", number);
             submit(job(0).put("nameId", longId));
             large.withArray("waitsOn").add(longId);
@@ -137,10 +140,10 @@
         assertEquals("cancelled", cluster.cancel(cluster.leader(), id(FIRST)));
         cluster.run(60);
         assertEquals(List.of(2), unwritten());
-        int refusals = cluster.keyValueStore().oversizedCommits();
-        assertTrue(refusals > 0);
+        int oversizedCommits = cluster.keyValueStore().oversizedCommits();
+        assertTrue(oversizedCommits > 0);
         cluster.run(60);
-        assertEquals(refusals, cluster.keyValueStore().oversizedCommits());
+        assertEquals(oversizedCommits, cluster.keyValueStore().oversizedCommits());
         assertEquals("cancelled", cluster.phase(cluster.leader(), id(2)));
     }
 }
