--- a/src/main/java/org/springmill/control/storage/ArchivedJob.java
+++ b/src/main/java/org/springmill/control/storage/ArchivedJob.java
@@ -44,7 +44,8 @@
      */
     public static ArchivedJob of(JobRecord record) {
         if (record.active()) {
-            throw new IllegalArgumentException("job " + record.id() + " has not ended");
+            throw new IllegalArgumentException(
+                    "job " + record.id() + " cannot be archived in phase " + record.phase());
         }
         return new ArchivedJob(
                 record.id(),
--- a/src/main/java/org/springmill/control/storage/CommitResponses.java
+++ b/src/main/java/org/springmill/control/storage/CommitResponses.java
@@ -49,7 +49,10 @@
                 default -> withoutRevision(CommitOutcome.UNKNOWN);
             };
         } catch (MalformedMessageException e) {
-            LOG.warn("malformed response of the key-value store: {}", e.getMessage());
+            LOG.warn(
+                    "malformed response of the key-value store to a transaction: {}; its outcome is"
+                            + " unknown",
+                    e.getMessage());
             return withoutRevision(CommitOutcome.UNKNOWN);
         }
     }
@@ -67,7 +70,7 @@
     private CommitResult refused(Reply reply, List<Write> writes, StoreLimits encodedUnder)
             throws MalformedMessageException {
         LOG.debug(
-                "key-value store refused a commit: {}",
+                "key-value store rejected a transaction with status 400: {}",
                 new String(reply.body(), StandardCharsets.UTF_8));
         boolean leaseEnded = KeyValueStoreMessages.isLeaseExpired(reply.body());
         boolean tooLarge = !leaseEnded && mayBeTooLarge(writes, encodedUnder);
--- a/src/main/java/org/springmill/control/storage/DecisionKey.java
+++ b/src/main/java/org/springmill/control/storage/DecisionKey.java
@@ -24,7 +24,7 @@
             byte[] shortened = Arrays.copyOf(hash, KEY_BYTES);
             return Base64.getUrlEncoder().withoutPadding().encodeToString(shortened);
         } catch (NoSuchAlgorithmException e) {
-            throw new IllegalStateException("every JVM has SHA-256", e);
+            throw new IllegalStateException("the Java runtime lacks SHA-256", e);
         }
     }
 }
--- a/src/main/java/org/springmill/control/storage/KeyValueStoreConnection.java
+++ b/src/main/java/org/springmill/control/storage/KeyValueStoreConnection.java
@@ -99,7 +99,9 @@
         try {
             return Optional.of(parser.parse(reply.body()));
         } catch (MalformedMessageException e) {
-            LOG.warn("malformed response of the key-value store: {}", e.getMessage());
+            LOG.warn(
+                    "malformed response of the key-value store: {}; the request counts as failed",
+                    e.getMessage());
             return Optional.empty();
         }
     }
--- a/src/test/java/org/springmill/control/storage/KeyValueStoreClientQueueTest.java
+++ b/src/test/java/org/springmill/control/storage/KeyValueStoreClientQueueTest.java
@@ -67,8 +67,9 @@
         accept("job/run-1", clock.now() + 100);
         accept("job/run-2", clock.now() + 100);
         clock.run(1);
-        assertTrue(positionOf("job/run-1") <= sentBefore + 1, "after one of work at most");
-        assertTrue(positionOf("job/run-2") <= sentBefore + 3, "in turns");
+        assertTrue(
+                positionOf("job/run-1") <= sentBefore + 1, "after at most one other transaction");
+        assertTrue(positionOf("job/run-2") <= sentBefore + 3, "alternating with the others");
         clock.run(10);
         assertEquals(62, sent.size(), "all are sent in the end");
     }
--- a/src/test/java/org/springmill/control/storage/RecordGenerationsTest.java
+++ b/src/test/java/org/springmill/control/storage/RecordGenerationsTest.java
@@ -84,7 +84,7 @@
 
                 @Override
                 public Timer after(double seconds, Runnable task) {
-                    throw new AssertionError("nothing here has to wait");
+                    throw new AssertionError("unexpected timer: nothing in this test waits");
                 }
             };
 
--- a/src/test/java/org/springmill/control/storage/RoundRecordBytesTest.java
+++ b/src/test/java/org/springmill/control/storage/RoundRecordBytesTest.java
@@ -87,7 +87,7 @@
                 List.of(),
                 () -> committed[0]++,
                 () -> {
-                    throw new AssertionError("the leadership is lost");
+                    throw new AssertionError("unexpected loss of leadership");
                 });
         clock.run(10);
         assertEquals(1, committed[0]);
