--- a/src/main/java/org/springmill/control/storage/CommitQueue.java
+++ b/src/main/java/org/springmill/control/storage/CommitQueue.java
@@ -40,7 +40,7 @@
     private final TokenBucket writeLimit;
 
     /** Transactions of jobs that were accepted, and all others that accept no new jobs. */
-    private final ArrayDeque<QueuedCommit> workQueue = new ArrayDeque<>();
+    private final ArrayDeque<QueuedCommit> regularQueue = new ArrayDeque<>();
 
     /** Transactions that accept new jobs. */
     private final ArrayDeque<QueuedCommit> acceptanceQueue = new ArrayDeque<>();
@@ -95,7 +95,7 @@
 
     /** Number of transactions in both queues. */
     int size() {
-        return workQueue.size() + acceptanceQueue.size();
+        return regularQueue.size() + acceptanceQueue.size();
     }
 
     /**
@@ -109,8 +109,8 @@
     }
 
     /** Adds a transaction that does not accept new jobs. */
-    void addWork(QueuedCommit commit) {
-        enqueue(workQueue, commit);
+    void addRegular(QueuedCommit commit) {
+        enqueue(regularQueue, commit);
     }
 
     /**
@@ -120,11 +120,11 @@
     void addAcceptance(QueuedCommit commit, double sendBy) {
         enqueue(acceptanceQueue, commit);
         if (acceptanceQueue.contains(commit)) {
-            loop.after(sendBy - loop.now(), () -> abandon(commit));
+            loop.after(sendBy - loop.now(), () -> dropUnsent(commit));
         }
     }
 
-    private void abandon(QueuedCommit commit) {
+    private void dropUnsent(QueuedCommit commit) {
         if (acceptanceQueue.remove(commit)) {
             addQueuedWrites(-commit.writes());
             commit.onReply().accept(Reply.NOT_SENT);
@@ -134,7 +134,7 @@
     private void enqueue(ArrayDeque<QueuedCommit> queue, QueuedCommit commit) {
         queue.add(commit);
         addQueuedWrites(commit.writes());
-        if (!isDrainScheduled || queue == workQueue) {
+        if (!isDrainScheduled || queue == regularQueue) {
             drain();
         }
     }
@@ -174,16 +174,16 @@
     }
 
     /**
-     * Alternates between the queues. When {@code workQueue} always came first, submissions at a
+     * Alternates between the queues. When {@code regularQueue} always came first, submissions at a
      * leader that wrote many rounds waited for seconds. Alternating, a submission waits for one
      * round, which has many more writes than the submission.
      */
     private ArrayDeque<QueuedCommit> nextQueue() {
-        if (workQueue.isEmpty()) {
+        if (regularQueue.isEmpty()) {
             return acceptanceQueue;
         }
-        boolean workWasServed = lastServedQueue == workQueue;
-        return workWasServed && !acceptanceQueue.isEmpty() ? acceptanceQueue : workQueue;
+        boolean regularWasServed = lastServedQueue == regularQueue;
+        return regularWasServed && !acceptanceQueue.isEmpty() ? acceptanceQueue : regularQueue;
     }
 
     private void scheduleDrain(double waitSeconds) {
--- a/src/main/java/org/springmill/control/storage/KeyValueStoreClient.java
+++ b/src/main/java/org/springmill/control/storage/KeyValueStoreClient.java
@@ -239,7 +239,7 @@
     /** Commits writes that do not accept new jobs, if all conditions hold. */
     public void compareAndSwap(
             List<Condition> conditions, List<Write> writes, Consumer<CommitResult> done) {
-        commitQueue.addWork(queuedCommit(conditions, writes, done));
+        commitQueue.addRegular(queuedCommit(conditions, writes, done));
     }
 
     /**
--- a/src/main/java/org/springmill/control/storage/RoundLog.java
+++ b/src/main/java/org/springmill/control/storage/RoundLog.java
@@ -108,16 +108,16 @@
 
     /** Ends that one round may hold; they get half of its bytes, and claims get the rest. */
     public int endsPerRound() {
-        return itemsIn(maxRoundBytes() / 2, StoredRound.ESTIMATED_END_BYTES);
+        return maxItemsIn(maxRoundBytes() / 2, StoredRound.ESTIMATED_END_BYTES);
     }
 
     /** Claims that fit into a round together with the given number of ends. */
     public int claimsBeside(int ends) {
         int bytesLeft = maxRoundBytes() - ends * StoredRound.ESTIMATED_END_BYTES;
-        return itemsIn(bytesLeft, StoredRound.ESTIMATED_CLAIM_BYTES);
+        return maxItemsIn(bytesLeft, StoredRound.ESTIMATED_CLAIM_BYTES);
     }
 
-    private int itemsIn(int bytes, int itemBytes) {
+    private int maxItemsIn(int bytes, int itemBytes) {
         return Math.max(1, Math.min(maxItemsPerRound, bytes / itemBytes));
     }
 
@@ -168,16 +168,16 @@
      * Commits a round.
      *
      * @param attached writes of other records that are part of the round's transaction
-     * @param done called once the round is known to be committed, and never if the leadership has
-     *     ended
-     * @param lost called instead when the key-value store shows that the term is over
+     * @param onCommitted called once the round is known to be committed, and never if the
+     *     leadership has ended
+     * @param onLeadershipLost called instead when the key-value store shows that the term is over
      */
     public void append(
             List<Claim> claims,
             List<ClaimEnd> ends,
             List<Write> attached,
-            Runnable done,
-            Runnable lost) {
-        writer.append(claims, ends, attached, done, lost);
+            Runnable onCommitted,
+            Runnable onLeadershipLost) {
+        writer.append(claims, ends, attached, onCommitted, onLeadershipLost);
     }
 }
--- a/src/main/java/org/springmill/control/storage/RoundWriter.java
+++ b/src/main/java/org/springmill/control/storage/RoundWriter.java
@@ -96,9 +96,9 @@
          * A larger transaction of the same number without a response, which may be the one that was
          * applied; or null.
          */
-        private Transaction largerOfUnknownFate;
+        private Transaction largerWithUnknownOutcome;
 
-        private boolean isFateUnknown;
+        private boolean isOutcomeUnknown;
 
         Transaction(
                 List<Claim> claims,
@@ -187,7 +187,7 @@
                 case TOO_LARGE -> split();
                 // The request is idempotent.
                 case RETRYABLE, UNKNOWN -> {
-                    isFateUnknown |= result.outcome() == CommitOutcome.UNKNOWN;
+                    isOutcomeUnknown |= result.outcome() == CommitOutcome.UNKNOWN;
                     loop.after(retryDelaySeconds(), this::send);
                 }
             }
@@ -207,7 +207,7 @@
             } else if (!keyExists) {
                 LOG.error("round {} rejected by the key-value store: term ends", firstKey());
                 onLeadershipLost.run();
-            } else if (largerOfUnknownFate == null) {
+            } else if (largerWithUnknownOutcome == null) {
                 // The key exists and the term condition held. Only this leader writes rounds, so
                 // an earlier copy was applied.
                 committed();
@@ -229,9 +229,9 @@
                 loop.after(retryDelaySeconds(), this::send);
                 return;
             }
-            for (Transaction sent = this; sent != null; sent = sent.largerOfUnknownFate) {
+            for (Transaction sent = this; sent != null; sent = sent.largerWithUnknownOutcome) {
                 if (sent.wrote(read.entry().value())) {
-                    sent.isFateUnknown |= isFateUnknown;
+                    sent.isOutcomeUnknown |= isOutcomeUnknown;
                     sent.committed();
                     return;
                 }
@@ -252,7 +252,7 @@
          */
         private void split() {
             Transaction smaller = isDivisible() ? firstHalf() : reencoded();
-            smaller.largerOfUnknownFate = isFateUnknown ? this : largerOfUnknownFate;
+            smaller.largerWithUnknownOutcome = isOutcomeUnknown ? this : largerWithUnknownOutcome;
             smaller.send();
         }
 
@@ -284,8 +284,8 @@
 
         private void committed() {
             index.setLastNumber(number);
-            for (Transaction sent = this; sent != null; sent = sent.largerOfUnknownFate) {
-                if (sent.isFateUnknown) {
+            for (Transaction sent = this; sent != null; sent = sent.largerWithUnknownOutcome) {
+                if (sent.isOutcomeUnknown) {
                     encoder.first().stored().setMayBeAppliedAgain();
                 }
             }
--- a/src/test/java/org/springmill/control/storage/CompletedTasksTest.java
+++ b/src/test/java/org/springmill/control/storage/CompletedTasksTest.java
@@ -20,21 +20,21 @@
         "16383, 1, 16386",
         "99999, 1, 100000"
     })
-    void setsSurviveInPiecesThatFitAValue(int first, int step, int end) {
+    void setsAreReadBackFromPiecesOfBoundedSize(int first, int step, int end) {
         BitSet set = new BitSet();
         for (int i = first; i < end; i += step) {
             set.set(i);
         }
-        for (int most : new int[] {4096, 921, 200}) {
-            survives(set, most);
+        for (int maxCharacters : new int[] {4096, 921, 200}) {
+            assertReadBack(set, maxCharacters);
         }
     }
 
-    private static void survives(BitSet set, int most) {
-        List<String> pieces = CompletedTasks.encode(set, most);
+    private static void assertReadBack(BitSet set, int maxCharacters) {
+        List<String> pieces = CompletedTasks.encode(set, maxCharacters);
         BitSet read = new BitSet();
         for (String piece : pieces) {
-            assertTrue(piece.length() <= Math.min(most, 2731) + 16);
+            assertTrue(piece.length() <= Math.min(maxCharacters, 2731) + 16);
             CompletedTasks.decode(piece, read);
         }
         assertEquals(set, read);
--- a/src/test/java/org/springmill/control/storage/ImageLocationsTest.java
+++ b/src/test/java/org/springmill/control/storage/ImageLocationsTest.java
@@ -9,18 +9,19 @@
 class ImageLocationsTest {
     @ParameterizedTest
     @CsvSource({"3, 4, 8192, 3", "60, 18, 8192, 60", "500, 18, 8192, 70"})
-    void notesSurviveAndFitAValue(int machines, int images, int bytes, int atLeast) {
-        ImageLocations notes = new ImageLocations();
+    void locationsAreReadBackAndFitTheSizeLimit(
+            int machines, int images, int maxBytes, int minMachines) {
+        ImageLocations locations = new ImageLocations();
         for (int m = 0; m < machines; m++) {
             for (int i = 0; i < images; i++) {
-                notes.add("host-" + m, "img-" + i, 10 + i);
+                locations.add("host-" + m, "img-" + i, 10 + i);
             }
         }
-        var value = notes.encode(bytes);
-        assertTrue(value.toString().length() <= bytes, "bytes " + value.toString().length());
+        var value = locations.encode(maxBytes);
+        assertTrue(value.toString().length() <= maxBytes, "bytes " + value.toString().length());
         ImageLocations read = ImageLocations.decode(value);
-        for (int m = 0; m < atLeast; m++) {
-            assertEquals(notes.of("host-" + m), read.of("host-" + m));
+        for (int m = 0; m < minMachines; m++) {
+            assertEquals(locations.of("host-" + m), read.of("host-" + m));
         }
     }
 }
--- a/src/test/java/org/springmill/control/storage/KeyValueStoreClientQueueTest.java
+++ b/src/test/java/org/springmill/control/storage/KeyValueStoreClientQueueTest.java
@@ -17,7 +17,7 @@
 
 /** The order in which queued transactions are sent, and which are dropped. */
 class KeyValueStoreClientQueueTest {
-    private static final double CHANGES_PER_SECOND = 10;
+    private static final double WRITES_PER_SECOND = 10;
     private static final double TIMEOUT_SECONDS = 1;
 
     private final VirtualClock clock = new VirtualClock();
@@ -32,20 +32,20 @@
                     },
                     clock,
                     SettingsFixtures.with(
-                            new Settings.StoreLimits(100, CHANGES_PER_SECOND, 8192, 4)),
+                            new Settings.StoreLimits(100, WRITES_PER_SECOND, 8192, 4)),
                     TIMEOUT_SECONDS);
 
     private static List<Write> write(String key) {
         return List.of(Write.put(key, Json.newObject()));
     }
 
-    private void work(int count) {
+    private void queueRegularCommits(int count) {
         for (int i = 0; i < count; i++) {
             store.compareAndSwap(List.of(), write("work-" + i), result -> {});
         }
     }
 
-    private void accept(String key, double sendBy) {
+    private void queueAcceptance(String key, double sendBy) {
         store.compareAndSwapAcceptance(
                 List.of(), write(key), sendBy, result -> outcomes.add(result.outcome()));
     }
@@ -61,11 +61,11 @@
 
     /** Submissions at a leader that wrote many rounds used to wait for seconds. */
     @Test
-    void acceptancesTakeTurnsWithWorkThatCameBefore() {
-        work(60);
+    void acceptancesAlternateWithEarlierTransactions() {
+        queueRegularCommits(60);
         int sentBefore = sent.size();
-        accept("job/run-1", clock.now() + 100);
-        accept("job/run-2", clock.now() + 100);
+        queueAcceptance("job/run-1", clock.now() + 100);
+        queueAcceptance("job/run-2", clock.now() + 100);
         clock.run(1);
         assertTrue(
                 positionOf("job/run-1") <= sentBefore + 1, "after at most one other transaction");
@@ -76,24 +76,24 @@
 
     /** By then the client's request has timed out, and the client retries with the same job. */
     @Test
-    void whatWasNotSentInTimeNeverIs() {
+    void acceptancesNotSentInTimeAreDropped() {
         for (int i = 0; i < 40; i++) {
-            accept("job/run-" + i + "x", clock.now() + 2);
+            queueAcceptance("job/run-" + i + "x", clock.now() + 2);
         }
         clock.run(20);
         long unsent =
                 outcomes.stream().filter(outcome -> outcome == CommitOutcome.RETRYABLE).count();
         assertEquals(40, outcomes.size(), "each is answered");
         assertEquals(40 - sent.size(), unsent);
-        double most = CHANGES_PER_SECOND * 3 + 1;
-        assertTrue(sent.size() <= most, sent.size() + " sent");
+        double maxSent = WRITES_PER_SECOND * 3 + 1;
+        assertTrue(sent.size() <= maxSent, sent.size() + " sent");
         assertEquals(0, store.backlog());
     }
 
     @Test
-    void theExpectedWaitIsThatOfTheChangesInLine() {
+    void theExpectedWaitIncludesQueuedWrites() {
         assertEquals(0, store.expectedWaitSeconds(1));
-        work(40);
+        queueRegularCommits(40);
         assertEquals(3.1, store.expectedWaitSeconds(1), 0.05);
         clock.run(2);
         assertEquals(1.1, store.expectedWaitSeconds(1), 0.15);
--- a/src/test/java/org/springmill/control/storage/RecordGenerationsTest.java
+++ b/src/test/java/org/springmill/control/storage/RecordGenerationsTest.java
@@ -44,7 +44,7 @@
             "sacks":3,"vcpus":0.5,"cards":0.0,"memGb":100.0,"mould":"img-08","pullGb":16.25,\
             "samePlace":false,"apart":true,"loaner":false,"expectS":0.0,"stashEveryS":0.0,\
             "stashS":0.0,"yard":"a\"""";
-    private static final String NAMES = ",\"waitsOn\":[\"run-000398\",\"run-000405\"]";
+    private static final String DEPENDENCIES = ",\"waitsOn\":[\"run-000398\",\"run-000405\"]";
 
     private static final String CARRIED_AND_NEW =
             """
@@ -65,12 +65,12 @@
             "images":{"img-07":[6.2,0,1],"img-08":[16.25,1]}}""";
 
     /** Completed tasks of two windows: one as ranges, one as a bitmap because that is shorter. */
-    private static final String MARKS =
+    private static final String COMPLETED_TASKS =
             "\"done\":[[\"run-000412\",\"5\"],[\"run-000412\",\"@16384:VVVVVVVVVVVVVVVVVVVVVVVVVVVVVVVVVQ\"]]";
 
     private static final Settings SETTINGS = SettingsFixtures.small();
 
-    private static final EventLoop STILL =
+    private static final EventLoop FIXED_CLOCK =
             new EventLoop() {
                 @Override
                 public double now() {
@@ -113,7 +113,8 @@
     })
     void aJobsRecordKeepsItsBytes(String shape, String accepted, String names)
             throws MalformedMessageException {
-        String job = (shape.equals("sweep") ? SWEEP : SERVICE) + (names.isEmpty() ? "" : NAMES);
+        String job =
+                (shape.equals("sweep") ? SWEEP : SERVICE) + (names.isEmpty() ? "" : DEPENDENCIES);
         String form = "{\"v\":1,%s" + accepted + "\"job\":{" + job + "}}";
         JobRecord active = read(form.formatted(""));
         assertEquals(JobPhase.QUEUED, active.phase());
@@ -156,11 +157,16 @@
                                 done.accept(answer(page(stored)));
                             }
                         },
-                        STILL,
+                        FIXED_CLOCK,
                         SETTINGS,
                         1);
         return new RoundLog(
-                store, STILL, new Condition("leader", 5), job -> true, 0.2, RoundLog.Reserve.NONE);
+                store,
+                FIXED_CLOCK,
+                new Condition("leader", 5),
+                job -> true,
+                0.2,
+                RoundLog.Reserve.NONE);
     }
 
     private static Reply answer(String body) {
@@ -187,9 +193,9 @@
         RoundLog log = rounds(List.of(), written);
         Claim carried = Claim.decide(new TaskId("run-000412", 3), "host-000007", 7);
         Claim decided = Claim.decide(new TaskId("run-000413", 0), "host-000231", 1);
-        List<ClaimEnd> some = new ArrayList<>();
+        List<ClaimEnd> ends = new ArrayList<>();
         for (int task : new int[] {0, 1, 2, 3, 17}) {
-            some.add(
+            ends.add(
                     new ClaimEnd(
                             Claim.decide(new TaskId("run-000412", task), "host-000007", 2), true));
         }
@@ -200,12 +206,12 @@
                 List.of(),
                 () -> {},
                 () -> {});
-        log.append(List.of(), some, List.of(), () -> {}, () -> {});
+        log.append(List.of(), ends, List.of(), () -> {}, () -> {});
         assertEquals(List.of(put(1, CARRIED_AND_NEW), put(2, ENDED), put(3, RANGES)), written);
     }
 
     @Test
-    void marksInAWindowKeepTheirBytes() {
+    void completedTasksOfSeveralWindowsKeepTheirBytes() {
         List<String> written = new ArrayList<>();
         List<ClaimEnd> ends = new ArrayList<>();
         for (int task = 16384; task < 16584; task += 2) {
@@ -216,14 +222,14 @@
         }
         ends.add(new ClaimEnd(new Claim("k", new TaskId("run-000412", 5), "host-000007", 3), true));
         rounds(List.of(), written).append(List.of(), ends, List.of(), () -> {}, () -> {});
-        String marks = written.get(0).substring(written.get(0).indexOf("\"done\""));
-        assertEquals(MARKS + "}}]}", marks);
+        String completedTasks = written.get(0).substring(written.get(0).indexOf("\"done\""));
+        assertEquals(COMPLETED_TASKS + "}}]}", completedTasks);
     }
 
     private static RecoveredRounds readBack(List<String> values) {
-        RecoveredRounds[] found = new RecoveredRounds[1];
-        rounds(values, new ArrayList<>()).load(rebuilt -> found[0] = rebuilt);
-        return found[0];
+        RecoveredRounds[] recovered = new RecoveredRounds[1];
+        rounds(values, new ArrayList<>()).load(rounds -> recovered[0] = rounds);
+        return recovered[0];
     }
 
     @Test
@@ -235,7 +241,12 @@
                         Claim.decide(new TaskId("run-000413", 0), "host-000231", 1)),
                 List.copyOf(first.live()));
         RecoveredRounds all =
-                readBack(List.of(CARRIED_AND_NEW, ENDED, RANGES, "{\"v\":1," + MARKS + "}"));
+                readBack(
+                        List.of(
+                                CARRIED_AND_NEW,
+                                ENDED,
+                                RANGES,
+                                "{\"v\":1," + COMPLETED_TASKS + "}"));
         assertEquals(List.of(), List.copyOf(all.live()));
         BitSet done = new BitSet();
         done.set(0, 4);
--- a/src/test/java/org/springmill/control/storage/RoundRecordBytesTest.java
+++ b/src/test/java/org/springmill/control/storage/RoundRecordBytesTest.java
@@ -54,14 +54,14 @@
         Settings settings =
                 SettingsFixtures.with(
                         new Settings.StoreLimits(1200, 200, valueBytes, writesPerCommit));
-        HttpClient stateService =
+        HttpClient keyValueStore =
                 new HttpClient() {
                     @Override
                     public void send(Request request, Consumer<Reply> done) {
                         done.accept(answer(request));
                     }
                 };
-        KeyValueStoreClient store = new KeyValueStoreClient(stateService, clock, settings, 1);
+        KeyValueStoreClient store = new KeyValueStoreClient(keyValueStore, clock, settings, 1);
         return new RoundLog(
                 store,
                 clock,
@@ -101,14 +101,14 @@
     void aRoundHoldsClaimsEndsAndCompletedTasks() {
         RoundLog log = roundLog(LARGE_VALUE_BYTES, 12);
         Claim completed = claim("run-000412", 3, "host-000231", 1);
-        Claim gone = claim("run-000398", 0, "host-000232", 1);
-        append(log, List.of(completed, gone), List.of());
+        Claim notCompleted = claim("run-000398", 0, "host-000232", 1);
+        append(log, List.of(completed, notCompleted), List.of());
         append(
                 log,
                 List.of(claim("run-000412", 4, "host-000231", 2)),
                 List.of(
                         new RoundLog.ClaimEnd(completed, true),
-                        new RoundLog.ClaimEnd(gone, false)));
+                        new RoundLog.ClaimEnd(notCompleted, false)));
         assertEquals(
                 List.of(
                         "{\"when\":[{\"key\":\"leader\",\"stamp\":7},{\"key\":\"round/000000000000001.00\",\"stamp\":0}],\"writes\":["
@@ -197,16 +197,16 @@
                         + "\"done\":[[\"run-000412\",\"@256:BQ\"]]}}"
                         + "],\"truncated\":false,\"ledgerRev\":431}";
         RoundLog log = roundLog(LARGE_VALUE_BYTES, 12);
-        List<RoundLog.RecoveredRounds> rebuilt = new ArrayList<>();
-        log.load(rebuilt::add);
+        List<RoundLog.RecoveredRounds> recovered = new ArrayList<>();
+        log.load(recovered::add);
         clock.run(10);
-        assertEquals(1, rebuilt.size());
+        assertEquals(1, recovered.size());
         assertEquals(
                 Set.of(
                         new Claim("k3", new TaskId("run-000412", 4), "host-000231", 5),
                         new Claim("k2", new TaskId("run-000398", 0), "host-000232", 1)),
-                Set.copyOf(rebuilt.get(0).live()));
-        assertEquals(Map.of("run-000412", set(0, 1, 3, 256, 258)), rebuilt.get(0).done());
+                Set.copyOf(recovered.get(0).live()));
+        assertEquals(Map.of("run-000412", set(0, 1, 3, 256, 258)), recovered.get(0).done());
         assertEquals(6, log.nextNumber());
         assertEquals(4, log.storedValueCount());
     }
