--- a/src/main/java/org/springmill/control/jobs/ArchivedDependencies.java
+++ b/src/main/java/org/springmill/control/jobs/ArchivedDependencies.java
@@ -17,7 +17,7 @@
     private final Set<String> unresolved = new LinkedHashSet<>();
 
     /**
-     * @param archivedInMemory the final state of an archived job if it is in memory anyway, else
+     * @param archivedInMemory returns the final state of an archived job if it is in memory, else
      *     null
      */
     ArchivedDependencies(Function<String, ArchivedJob> archivedInMemory) {
@@ -53,7 +53,7 @@
         }
     }
 
-    /** Removes a job that has a record in memory, or no dependents any more. */
+    /** Removes a job that now has a record in memory or has no more dependents. */
     void release(String id) {
         unresolved.remove(id);
         resolved.remove(id);
--- a/src/main/java/org/springmill/control/jobs/Cancellations.java
+++ b/src/main/java/org/springmill/control/jobs/Cancellations.java
@@ -9,31 +9,30 @@
 import org.springmill.protocol.PeerMessages.CancellationDelta;
 
 /**
- * The cancellations that this process knows, as a log in the order in which they were added, so
- * that peers can read those that they do not have. Cancellations received from a peer may precede
+ * The cancellations known to this process, as a log in the order in which they were added, so that
+ * peers can request those that they lack. Cancellations received from a peer may arrive before
  * their job records. A cancellation is dropped when its job is archived.
  */
 final class Cancellations {
-    /** A cursor is the tag of a process, followed by an index of so many bits. */
+    /** Number of low bits of a cursor that hold the log index; those above hold the process tag. */
     private static final int INDEX_BITS = 32;
 
     private static final long INDEX_MASK = (1L << INDEX_BITS) - 1;
     private static final int TAG_MASK = 0x7fff_ffff;
 
     /**
-     * By index in the log. Indices are not reused when entries are dropped, so that cursors stay
-     * valid.
+     * Cancellations by log index. Indexes of dropped entries are not reused, so cursors stay valid.
      */
     private final TreeMap<Long, Cancellation> cancellationsByIndex = new TreeMap<>();
 
     private final Map<String, Long> indexByJob = new HashMap<>();
     private long nextIndex;
 
-    /** Marks the cursors of this process: an earlier one had another order. */
+    /** Identifies cursors of this process; the log of an earlier process had a different order. */
     private final long processTag;
 
     /**
-     * @param tag random, so that it most likely differs from that of an earlier process
+     * @param tag random, so that it very likely differs from the tag of an earlier process
      */
     Cancellations(int tag) {
         this.processTag = ((long) tag & TAG_MASK) << INDEX_BITS;
@@ -42,7 +41,7 @@
     /**
      * Adds a cancellation.
      *
-     * @return false if one of the same job is known
+     * @return false if a cancellation of the same job is already known
      */
     boolean add(Cancellation cancellation) {
         if (indexByJob.putIfAbsent(cancellation.job(), nextIndex) != null) {
@@ -54,8 +53,8 @@
     }
 
     /**
-     * Drops the cancellation of an archived job: none of its tasks was left then and none can
-     * start, so no peer needs it any more.
+     * Drops the cancellation of an archived job. Such a job has no tasks left and can start none,
+     * so no peer needs the cancellation.
      */
     void drop(String job) {
         Long index = indexByJob.remove(job);
@@ -78,14 +77,14 @@
     /**
      * The cancellations that a peer does not have.
      *
-     * @param request with the revision up to which the peer has read the job records, and the
-     *     cursor that this process sent it last
+     * @param request contains the revision up to which the peer has read the job records, and the
+     *     cursor that this process last sent to it
      * @param loaded whether this process has read all job records
      */
     CancellationDelta deltaFor(CancellationDelta request, boolean loaded) {
         if (request.revision() < 0) {
-            // The peer runs the previous version, which keeps no cursor: it would get the whole log
-            // in every response.
+            // A peer of the previous version keeps no cursor and would receive the whole log in
+            // every response.
             return CancellationDelta.NONE;
         }
         boolean isOwnCursor = (request.cursor() & ~INDEX_MASK) == processTag;
--- a/src/main/java/org/springmill/control/jobs/JobDependencies.java
+++ b/src/main/java/org/springmill/control/jobs/JobDependencies.java
@@ -18,14 +18,14 @@
 /**
  * The DAG of all job dependencies, and the cancellations derived from it. A job is cancelled if its
  * record says so or any dependency is cancelled. This is a pure function of committed records, so
- * all controllers agree as soon as they know the write that cancelled the first job, after any
- * crash and in whatever order the records arrive.
+ * all controllers agree once they have read the write that cancelled the first job, after any crash
+ * and for any order in which the records arrive.
  *
- * <p>A job with a cancelled dependency can never have started. It starts only after the record of
- * every dependency says done. Done and cancelled are both written by compare-and-swap on a record
- * that says neither, so they exclude each other. A job that never started is never done, so the
- * same holds for its dependents. Hence a job's own end need not be conditional on any other record,
- * and a late write to a dependent changes nothing.
+ * <p>A job with a cancelled dependency can never have started: it starts only after the records of
+ * all dependencies are done. Done and cancelled are both written by compare-and-swap on a record
+ * that is neither, so a job is never both. A job that never started is never done, so the same
+ * holds for its dependents. Therefore the write of a job's end does not depend on the records of
+ * other jobs, and a late write to a dependent changes nothing.
  *
  * <p>The graph has no cycles, since only accepted jobs can be dependencies. It is walked without
  * recursion, since users may submit chains of any depth.
@@ -37,12 +37,12 @@
     private final ArchivedDependencies archived;
     private final Map<String, Set<String>> dependents = new HashMap<>();
 
-    /** Ids of jobs whose cancellation is derived and not yet in their own records. */
+    /** Ids of jobs whose cancellation is derived but not yet stored in their own records. */
     private final Set<String> pendingPersistence = new LinkedHashSet<>();
 
     /**
      * @param jobs the directory's records with derived cancellations applied; updated here
-     * @param archivedInMemory the final state of an archived job if it is in memory, else null
+     * @param archivedInMemory returns the final state of an archived job if in memory, else null
      */
     JobDependencies(Map<String, JobRecord> jobs, Function<String, ArchivedJob> archivedInMemory) {
         this.jobs = jobs;
@@ -50,8 +50,8 @@
     }
 
     /**
-     * Merges a record as it is stored. Returns all records that change by it, with derived
-     * cancellations applied, itself first.
+     * Merges a stored record. Returns all records that change as a result, with derived
+     * cancellations applied, starting with the record itself.
      */
     List<JobRecord> merge(JobRecord stored) {
         if (!jobs.containsKey(stored.id())) {
@@ -85,8 +85,8 @@
     }
 
     /**
-     * Evicts an archived job. Its final state stays in memory while it has dependents. If the
-     * record here does not say how it ended, that state has to be looked up.
+     * Evicts an archived job. Its final state stays in memory while it has dependents. If its
+     * record in memory is still active, the final state has to be looked up.
      */
     void evict(String id) {
         JobRecord job = jobs.remove(id);
@@ -123,14 +123,14 @@
     }
 
     /**
-     * What dependents need to know of a job, from its record in memory or its archived state.
+     * The state of a job as its dependents need it, from its record in memory or archived state.
      *
      * @param endedAt time of day in seconds
      * @param revision of its latest change, which is its end if it has ended
      */
     private record Dependency(JobPhase phase, boolean service, double endedAt, long revision) {}
 
-    /** Null if neither its record nor its archived state is in memory. */
+    /** The state of a job; null if neither its record nor its archived state is in memory. */
     private Dependency dependency(String id) {
         JobRecord job = jobs.get(id);
         if (job != null) {
@@ -160,7 +160,7 @@
         return stored;
     }
 
-    /** The list of changed records is also the work list: each may cancel its dependents. */
+    /** The list of changed records is also the work list: each record may cancel its dependents. */
     private void cancelDependentsOfAll(List<JobRecord> changed) {
         for (int next = 0; next < changed.size(); next++) {
             JobRecord job = changed.get(next);
@@ -193,17 +193,17 @@
         return job.ended(JobPhase.CANCELLED, endedAt);
     }
 
-    /** Ids of the dependencies of a submission of which nothing is in memory. */
+    /** Ids of a submission's dependencies that have neither record nor archived state in memory. */
     public List<String> unknownDependencies(Submission submission) {
         return submission.dependencies().stream().filter(id -> dependency(id) == null).toList();
     }
 
-    /** Moves a job whose final state could not be read to the end of the lookups. */
+    /** Moves a job whose final state could not be read to the end of the lookup queue. */
     void postponeUnresolved(String id) {
         archived.postpone(id);
     }
 
-    /** The archived dependency whose final state is to be looked up next; null if none is. */
+    /** The archived dependency whose final state is to be looked up next; null if none. */
     String firstUnresolved() {
         return archived.firstUnresolved();
     }
@@ -219,19 +219,19 @@
     }
 
     /**
-     * Whether some dependent is {@link #isUnsettled}, so that this job's record is still
-     * dependency.
+     * Whether some dependent is unsettled (see {@link #isUnsettled}), so that this job's record is
+     * still needed.
      */
     public boolean hasUnsettledDependents(String id) {
         return dependents(id).stream().anyMatch(this::isUnsettled);
     }
 
-    /** Whether a job has not ended, or its end is not yet in its own stored record. */
+    /** Whether a job has not ended, or its end is not yet stored in its own record. */
     public boolean isUnsettled(String id) {
         return jobs.get(id).active() || pendingPersistence.contains(id);
     }
 
-    /** The reason, as users read it, why a submission's dependencies are invalid; null if valid. */
+    /** The reason why a submission's dependencies are invalid, as sent to users; null if valid. */
     public String rejectionReason(Submission submission) {
         for (String id : submission.dependencies()) {
             Dependency dependency = dependency(id);
@@ -246,8 +246,8 @@
     }
 
     /**
-     * Whether the records of all dependencies say done. Only records count, not messages of peers
-     * or counts of finished tasks. Done is final, so a later leader finds the same.
+     * Whether all dependencies are done according to their records. Messages of peers and counts of
+     * finished tasks are not considered. Done is final, so a later leader gets the same result.
      */
     public boolean isReady(Submission submission) {
         for (String id : submission.dependencies()) {
@@ -259,7 +259,7 @@
         return true;
     }
 
-    /** Revision at which a ready job became ready: that at which its last dependency ended. */
+    /** Revision at which a ready job became ready, which is the end of its last dependency. */
     public long readySinceRevision(Submission submission) {
         long since = 0;
         for (String id : submission.dependencies()) {
@@ -273,12 +273,12 @@
         return dependents.getOrDefault(id, Set.of());
     }
 
-    /** Up to so many records whose derived cancellation is to be persisted, the oldest first. */
+    /** The oldest records whose derived cancellation is not yet stored, up to a maximum number. */
     public List<JobRecord> pendingPersistence(int most) {
         return pendingPersistence.stream().limit(most).map(jobs::get).toList();
     }
 
-    /** Gives up persisting these records until a newer version of them is merged. */
+    /** Stops persisting these records until a newer version of them is merged. */
     public void abandonPersistence(List<JobRecord> records) {
         records.forEach(job -> pendingPersistence.remove(job.id()));
     }
--- a/src/main/java/org/springmill/control/jobs/JobDirectory.java
+++ b/src/main/java/org/springmill/control/jobs/JobDirectory.java
@@ -30,8 +30,8 @@
  * Every controller's in-memory copy of the records of active and recent jobs, with derived
  * cancellations applied, and of the cancellations of such jobs. Archived jobs are looked up by key.
  *
- * <p>The copy may lag behind the key-value store, so a response that could be stale (a job unknown,
- * or not ended) waits for a {@link #readBarrier}.
+ * <p>The copy may lag behind the key-value store, so a response that could be stale (the job is
+ * unknown, or has not ended) waits for a {@link #readBarrier}.
  */
 public final class JobDirectory {
     private static final Logger LOG = LoggerFactory.getLogger(JobDirectory.class);
@@ -42,7 +42,7 @@
     private final Cancellations cancellations;
 
     /**
-     * Cancellations received from other controllers whose job records were not read yet, by job.
+     * Cancellations received from other controllers whose job records have not been read, by job.
      */
     private final Map<String, Cancellation> cancellationsWithoutRecord = new HashMap<>();
 
@@ -54,7 +54,7 @@
     private boolean lookupInFlight;
 
     /**
-     * An empty directory; {@link #start} fills it.
+     * Creates an empty directory; {@link #start} fills it.
      *
      * @param tag distinguishes this process from earlier ones of the same controller
      */
@@ -95,7 +95,7 @@
         }
     }
 
-    /** Starts to read the records and to watch their changes. */
+    /** Starts reading the records and watching their changes. */
     public void start() {
         watch.start();
     }
@@ -105,7 +105,7 @@
         watch.processResumed();
     }
 
-    /** Whether all records were read once. */
+    /** Whether all records have been read once. */
     public boolean isLoaded() {
         return watch.isLoaded();
     }
@@ -126,8 +126,8 @@
     }
 
     /**
-     * The record of a job, or null. A job with a cancelled dependency counts as cancelled, whatever
-     * its own stored record says.
+     * The record of a job, or null. A job with a cancelled dependency is returned as cancelled,
+     * even if its own stored record is not.
      */
     public JobRecord get(String id) {
         return jobs.get(id);
@@ -149,11 +149,11 @@
 
     /**
      * Looks up the final states of archived jobs, one after the other, so that {@link #archived}
-     * has them. Stops at the first that is not archived, since the caller needs all of them.
+     * returns them. Stops at the first that is not archived, since the caller needs all of them.
      *
      * @param until deadline, in seconds on the steady clock
-     * @param done takes false if one could not be read before the deadline; the others stay in
-     *     memory, so that a retry gets further
+     * @param done receives false if a state could not be read before the deadline; those already
+     *     read stay in memory, so that a retry gets further
      */
     public void lookUpAllArchived(List<String> ids, double until, Consumer<Boolean> done) {
         if (ids.isEmpty()) {
@@ -187,8 +187,8 @@
     }
 
     /**
-     * Looks up the next archived dependency whose final state is not known. One at a time: there
-     * are few, and a failover must not wait for them.
+     * Looks up the next archived dependency whose final state is not known. Lookups run one at a
+     * time, since there are few of them and they must not delay a failover.
      */
     private void lookUpNextDependency() {
         String id = dependencies.firstUnresolved();
@@ -205,9 +205,8 @@
             dependencies.mergeArchived(lookup.job()).forEach(changeListener);
             lookUpNextDependency();
         } else {
-            // Its record may not have been read yet; then the watch brings it. Other lookups must
-            // not
-            // wait for one that never succeeds.
+            // The watch may not have delivered its record yet. A lookup that never succeeds must
+            // not block the others.
             dependencies.postponeUnresolved(id);
             loop.after(
                     lookupRetrySeconds,
@@ -218,7 +217,7 @@
         }
     }
 
-    /** Drops those of jobs that were archived before their cancellations arrived here. */
+    /** Drops cancellations of jobs that were archived before the cancellations were received. */
     private void dropCancellationsOfArchivedJobs() {
         if (cancellationsWithoutRecord.isEmpty() || !watch.isLoaded()) {
             return;
@@ -243,13 +242,13 @@
     }
 
     /**
-     * Merges a record that this controller has just written or read itself. Older versions than the
+     * Merges a record that this controller has just written or read itself. Versions older than the
      * known one are ignored.
      */
     public void merge(JobRecord job) {
         boolean isSeenByWatch = watch.isLoaded() && job.version() <= watch.cursor();
         if (isSeenByWatch && !jobs.containsKey(job.id())) {
-            // The response to the commit was so late that the job has been archived since.
+            // The job was archived before the response to the commit arrived.
             return;
         }
         mergeStored(job);
@@ -271,8 +270,8 @@
     }
 
     /**
-     * Merges a cancellation received from another controller, also of a job not yet known here. It
-     * does not advance the cursor: changes committed before it may still be unknown.
+     * Merges a cancellation received from another controller, even if the job is not known yet. It
+     * does not advance the cursor, since earlier changes may not have been read yet.
      */
     public void merge(Cancellation received) {
         JobRecord known = jobs.get(received.job());
@@ -295,7 +294,7 @@
         return dependencies.isStatusCertain(job);
     }
 
-    /** Number of cancellations in memory, with those whose records were not read yet. */
+    /** Number of cancellations in memory; those without a job record are counted twice. */
     public int cancellationCount() {
         return cancellations.size() + cancellationsWithoutRecord.size();
     }
@@ -310,7 +309,7 @@
         return cancellations.find(id) != null;
     }
 
-    /** Stop commands for the tasks of cancelled jobs that a worker still has. */
+    /** Stop commands for the tasks of cancelled jobs that have not exited on a worker. */
     public List<Command> stopCommandsFor(Heartbeat heartbeat) {
         return heartbeat.tasks().stream()
                 .filter(task -> task.state() != TaskState.EXITED)
@@ -334,7 +333,7 @@
         return cancellations.deltaFor(request, watch.isLoaded());
     }
 
-    /** Every change committed before this time, on the steady clock, is known here. */
+    /** Every change committed before this time, on the steady clock, is in the copy. */
     public double currentAsOf() {
         return watch.currentAsOf();
     }
@@ -342,7 +341,7 @@
     /**
      * Waits until every change committed before this call is in the copy (a linearizable read).
      *
-     * @param done takes true then, and false if the key-value store could not be read
+     * @param done receives true then, or false if the key-value store could not be read
      */
     public void readBarrier(Consumer<Boolean> done) {
         watch.readBarrier(done);
--- a/src/main/java/org/springmill/control/jobs/JobRecordWatch.java
+++ b/src/main/java/org/springmill/control/jobs/JobRecordWatch.java
@@ -65,8 +65,9 @@
     }
 
     /**
-     * Lists all records, and watches their changes from there. Records are delivered page by page:
-     * collected first, those of some ten thousand jobs took more memory than all else.
+     * Lists all records, then watches their changes. Records are delivered page by page: when all
+     * pages were collected first, the records of some ten thousand jobs took more memory than
+     * everything else.
      */
     void start() {
         double requestedAt = loop.now();
@@ -87,7 +88,7 @@
     private void handlePage(List<Entry> entries, Set<String> keys) {
         for (Entry entry : entries) {
             keys.add(entry.key());
-            // A job whose record was delivered before may have been archived since.
+            // Records up to the cursor were delivered before; their jobs may be archived by now.
             if (entry.version() > cursor) {
                 listener.changed(new Change(entry.key(), entry.value(), entry.version()));
             }
@@ -106,7 +107,7 @@
         listener.caughtUp();
     }
 
-    /** Whether all records were read once. */
+    /** Whether all records have been read once. */
     boolean isLoaded() {
         return isLoaded;
     }
@@ -124,7 +125,7 @@
     /**
      * Waits until every change committed before this call has been delivered.
      *
-     * @param done takes true then, and false if the key-value store could not be read
+     * @param done receives true then, or false if the key-value store could not be read
      */
     void readBarrier(Consumer<Boolean> done) {
         if (!isLoaded) {
@@ -138,8 +139,8 @@
     }
 
     /**
-     * Records that this process was paused. A read that began before the pause is too old to
-     * release the barriers that wait for it, and is repeated.
+     * Records that this process was paused. A read that began before the pause is too old for the
+     * barriers that wait for it, and is repeated.
      */
     void processResumed() {
         pauseCount++;
@@ -195,8 +196,8 @@
 
     private void applyChanges(Changes changes) {
         for (Change change : changes.changes()) {
-            // The watch and barriers read the same changes. Delivered again after a later change of
-            // the same key, one would bring back the record of an archived job.
+            // The watch and barriers read the same changes. If a change were delivered again after
+            // a later change of the same key, the record of an archived job would reappear.
             if (change.version() > cursor) {
                 listener.changed(change);
             }
--- a/src/main/java/org/springmill/control/jobs/JobStatusResponses.java
+++ b/src/main/java/org/springmill/control/jobs/JobStatusResponses.java
@@ -11,18 +11,16 @@
 import org.springmill.protocol.UserMessages.JobPhase;
 import org.springmill.transport.HttpHandler.Call;
 
-/**
- * The HTTP responses to users' requests about a job, from its record and the progress of its tasks.
- */
+/** The HTTP responses to users' requests about a job, based on its record and its task progress. */
 public final class JobStatusResponses {
-    /** Response deadline. Users time out after 5 s; the rest is for the network. */
+    /** Response deadline. Clients time out after 5 s; the difference is left for the network. */
     public static final double RESPONSE_DEADLINE_SECONDS = 3.5;
 
-    /** Reason of a 503 while the final state of an archived dependency is looked up. */
+    /** Reason for a 503 while the final state of an archived dependency is being looked up. */
     public static final String DEPENDENCY_LOOKUP_PENDING =
             "the end of a job that it needs is being read";
 
-    /** Reason of a 503 while the key-value store does not respond. */
+    /** Reason for a 503 while the key-value store does not respond. */
     public static final String STORE_UNAVAILABLE = "the state service does not answer";
 
     private static final int RETRY_AFTER_SECONDS = 1;
@@ -30,9 +28,9 @@
     private final Function<String, JobProgress> progressLookup;
 
     /**
-     * Responses with the progress that this controller knows.
+     * Creates responses that use the progress known to this controller.
      *
-     * @param progressLookup the progress of an active job by its id; null if it is not known here
+     * @param progressLookup returns the progress of an active job by its id; null if not known
      */
     public JobStatusResponses(Function<String, JobProgress> progressLookup) {
         this.progressLookup = progressLookup;
@@ -43,7 +41,7 @@
         call.reply(200, UserMessages.encodePhase(job.id(), phaseOf(job)), 0);
     }
 
-    /** Responds 200 with the phase of a job and how many of its tasks are done and running. */
+    /** Responds 200 with the phase of a job and the numbers of done and running tasks. */
     public void respondProgress(Call call, JobRecord job) {
         JobProgress known = progressLookup.apply(job.id());
         int done = known == null ? 0 : known.done();
@@ -77,10 +75,10 @@
     }
 
     /**
-     * Responds by the outcome of the lookup of an archived job.
+     * Responds according to the outcome of the lookup of an archived job.
      *
-     * @param found responds if it was found
-     * @param absent responds if there is no such archived job
+     * @param found called if the job was found
+     * @param absent called if there is no such archived job
      */
     public static void respondLookup(
             Call call, Lookup lookup, Consumer<ArchivedJob> found, Runnable absent) {
@@ -96,7 +94,7 @@
         call.reply(404, UserMessages.encodeError("no such job"), 0);
     }
 
-    /** Responds 503: the request cannot be decided now. */
+    /** Responds 503: the request cannot be answered now. */
     public static void respondUnavailable(Call call, String reason) {
         call.reply(503, UserMessages.encodeError(reason), RETRY_AFTER_SECONDS);
     }
--- a/src/test/java/org/springmill/control/jobs/ArchivedDependenciesTest.java
+++ b/src/test/java/org/springmill/control/jobs/ArchivedDependenciesTest.java
@@ -14,7 +14,7 @@
 
     private final ArchivedDependencies archived = new ArchivedDependencies(id -> null);
 
-    /** One that is never found, such as a record that cannot be read, would block all others. */
+    /** Otherwise one that is never found, for example an unreadable record, would block others. */
     @Test
     void dependencyThatIsNotFoundDoesNotBlockOthers() {
         archived.require(FIRST);
--- a/src/test/java/org/springmill/control/jobs/JobDependenciesTest.java
+++ b/src/test/java/org/springmill/control/jobs/JobDependenciesTest.java
@@ -25,7 +25,7 @@
     private final Map<String, JobRecord> jobs = new HashMap<>();
     private final JobDependencies dependencies = new JobDependencies(jobs, id -> null);
 
-    /** From a line such as "3<1,2": job 3 depends on 1 and 2. */
+    /** The submission for a line such as "3<1,2": job 3 depends on 1 and 2. */
     private static Submission job(String line) throws MalformedMessageException {
         String[] parts = line.split("<");
         String body =
@@ -55,8 +55,8 @@
     }
 
     /**
-     * The same follows from the records in whatever order they are read: pages come by key, changes
-     * by revision.
+     * The result must not depend on the order in which records are read: pages of a list are sorted
+     * by key, changes by revision.
      */
     @ParameterizedTest
     @CsvSource(
@@ -69,8 +69,9 @@
                 "1 2<1 3<1 4<2,3 5 6<4,5    | 1     | 5     | 1 2 3 4 6",
                 "1 2 3<1 4<2 5<3,4          | 2     | 1 3   | 2 4 5",
                 "1 2 3<1                    | 2     | 1     | 2",
-                // A dependent that was cancelled itself, and one whose own record says done: a
-                // dependency of it is cancelled, so it is.
+                // A dependent cancelled by its own record, and one whose own record is done
+                // although
+                // a dependency is cancelled; both count as cancelled.
                 "1 2<1 3<2                  | 1 2   | ``    | 1 2 3",
                 "1 2<1 3<2                  | 1     | 2     | 1 2 3",
             })
@@ -111,7 +112,7 @@
         }
         assertEquals(deep, dependencies.merge(record("1", JobPhase.CANCELLED, deep + 1)).size());
         assertEquals(deep - 1, dependencies.pendingPersistence(deep).size());
-        // Written down, a record is a change no more, and only the others are still to be written.
+        // Once its cancellation is stored, a record is no longer pending; all others still are.
         assertEquals(1, dependencies.merge(record("2<1", JobPhase.CANCELLED, deep + 2)).size());
         assertEquals(deep - 2, dependencies.pendingPersistence(deep).size());
     }
--- a/src/test/java/org/springmill/control/jobs/JobRecordWatchTest.java
+++ b/src/test/java/org/springmill/control/jobs/JobRecordWatchTest.java
@@ -17,7 +17,7 @@
 import org.springmill.transport.HttpClient.Reply;
 import org.springmill.transport.HttpClient.Request;
 
-/** The order in which the watch delivers records and deletions when responses overtake others. */
+/** What the watch delivers when responses arrive out of order or fail. */
 class JobRecordWatchTest {
     private static final String EMPTY_LIST = "{\"pairs\":[],\"truncated\":false,\"ledgerRev\":5}";
     private static final String CREATED = "{\"write\":\"job/run-1\",\"value\":{},\"stamp\":6}";
@@ -74,8 +74,8 @@
     }
 
     /**
-     * The response to the watch tells of a job's creation, but arrives after a barrier has
-     * delivered the job's end and the deletion of its record. If the creation were delivered too,
+     * The response to the watch contains a job's creation, but arrives after a barrier has
+     * delivered the job's end and the deletion of its record. If the creation were delivered then,
      * the job would run again.
      */
     @Test
@@ -90,9 +90,7 @@
         assertEquals(9, watch.cursor());
     }
 
-    /**
-     * Records that a second list lacks have been archived; the listener gets the keys that it has.
-     */
+    /** Records missing from a second list have been archived; the listener receives its keys. */
     @Test
     void recordsAreListedAgainAfterTooManyMissedChanges() {
         watch.start();
@@ -107,7 +105,7 @@
     }
 
     /**
-     * Collected until the last page, the records of 24,000 jobs exhausted the memory of a
+     * When all pages were collected first, the records of 24,000 jobs exhausted the memory of a
      * controller that had missed too many changes while its process was paused.
      */
     @Test
@@ -130,7 +128,7 @@
     }
 
     /**
-     * A barrier delivers the job's end and the deletion of its record while the list is under way.
+     * A barrier delivers the job's end and the deletion of its record while the list is being read.
      */
     @Test
     void recordDeliveredBeforeIsNotDeliveredFromAList() {
