--- a/src/main/java/org/springmill/control/jobs/JobDirectory.java
+++ b/src/main/java/org/springmill/control/jobs/JobDirectory.java
@@ -75,7 +75,7 @@
 
         @Override
         public void loaded() {
-            LOG.info("{} jobs known", jobs.size());
+            LOG.info("job records loaded from the key-value store: {} jobs", jobs.size());
         }
 
         @Override
@@ -355,7 +355,10 @@
         try {
             mergeStored(JobRecord.decode(change.key(), change.value(), change.version()));
         } catch (MalformedMessageException e) {
-            LOG.error("{} cannot be read: {}", change.key(), e.getMessage());
+            LOG.error(
+                    "record {} cannot be decoded: {}; change ignored",
+                    change.key(),
+                    e.getMessage());
         }
     }
 }
--- a/src/test/java/org/springmill/control/jobs/JobRecordWatchTest.java
+++ b/src/test/java/org/springmill/control/jobs/JobRecordWatchTest.java
@@ -124,7 +124,7 @@
         respond(2, 200, first);
         respond(3, 200, last);
         assertEquals(List.of("put 3", "put 3", "put 8", "loaded"), events);
-        assertEquals(7, watch.cursor(), "a watch goes on from the first page");
+        assertEquals(7, watch.cursor(), "the watch starts at the first page's revision");
     }
 
     /**
