--- a/src/main/java/org/springmill/control/jobs/JobDependencies.java
+++ b/src/main/java/org/springmill/control/jobs/JobDependencies.java
@@ -60,7 +60,7 @@
         }
         pendingPersistence.remove(stored.id());
         List<JobRecord> changed = new ArrayList<>();
-        put(inEffect(stored), changed);
+        put(withDerivedCancellation(stored), changed);
         cancelDependentsOfAll(changed);
         return changed;
     }
@@ -147,14 +147,14 @@
                         archivedJob.endRevision());
     }
 
-    private JobRecord inEffect(JobRecord stored) {
+    private JobRecord withDerivedCancellation(JobRecord stored) {
         if (stored.cancelled()) {
             return stored;
         }
         for (String id : stored.submission().dependencies()) {
             Dependency dependency = dependency(id);
             if (dependency != null && dependency.phase() == JobPhase.CANCELLED) {
-                return cancelledWith(stored, id, dependency.endedAt());
+                return cancelledByDependency(stored, id, dependency.endedAt());
             }
         }
         return stored;
@@ -174,7 +174,7 @@
         for (String id : dependents(cancelled)) {
             JobRecord dependent = jobs.get(id);
             if (!dependent.cancelled()) {
-                put(cancelledWith(dependent, cancelled, endedAt), changed);
+                put(cancelledByDependency(dependent, cancelled, endedAt), changed);
             }
         }
     }
@@ -184,7 +184,7 @@
         changed.add(job);
     }
 
-    private JobRecord cancelledWith(JobRecord job, String cause, double endedAt) {
+    private JobRecord cancelledByDependency(JobRecord job, String cause, double endedAt) {
         if (job.phase() == JobPhase.DONE) {
             LOG.error("{} is done, but its dependency {} is cancelled", job.id(), cause);
         } else {
@@ -274,8 +274,8 @@
     }
 
     /** The oldest records whose derived cancellation is not yet stored, up to a maximum number. */
-    public List<JobRecord> pendingPersistence(int most) {
-        return pendingPersistence.stream().limit(most).map(jobs::get).toList();
+    public List<JobRecord> pendingPersistence(int maxRecords) {
+        return pendingPersistence.stream().limit(maxRecords).map(jobs::get).toList();
     }
 
     /** Stops persisting these records until a newer version of them is merged. */
--- a/src/main/java/org/springmill/control/jobs/JobDirectory.java
+++ b/src/main/java/org/springmill/control/jobs/JobDirectory.java
@@ -151,11 +151,11 @@
      * Looks up the final states of archived jobs, one after the other, so that {@link #archived}
      * returns them. Stops at the first that is not archived, since the caller needs all of them.
      *
-     * @param until deadline, in seconds on the steady clock
+     * @param deadline in seconds on the steady clock
      * @param done receives false if a state could not be read before the deadline; those already
      *     read stay in memory, so that a retry gets further
      */
-    public void lookUpAllArchived(List<String> ids, double until, Consumer<Boolean> done) {
+    public void lookUpAllArchived(List<String> ids, double deadline, Consumer<Boolean> done) {
         if (ids.isEmpty()) {
             done.accept(true);
             return;
@@ -163,8 +163,8 @@
         archivedJobs.find(
                 ids.get(0),
                 lookup -> {
-                    if (lookup.outcome() == Outcome.FOUND && loop.now() < until) {
-                        lookUpAllArchived(ids.subList(1, ids.size()), until, done);
+                    if (lookup.outcome() == Outcome.FOUND && loop.now() < deadline) {
+                        lookUpAllArchived(ids.subList(1, ids.size()), deadline, done);
                     } else {
                         done.accept(lookup.outcome() == Outcome.ABSENT);
                     }
--- a/src/main/java/org/springmill/control/jobs/JobStatusResponses.java
+++ b/src/main/java/org/springmill/control/jobs/JobStatusResponses.java
@@ -106,7 +106,7 @@
 
     /** Responds 503 with the seconds after which to retry: the job cannot be accepted now. */
     public static void respondRefused(Call call, AdmissionRefusal refusal) {
-        byte[] answer = UserMessages.encodeError(refusal.reason().text());
-        call.reply(503, answer, refusal.retryAfterSeconds());
+        byte[] body = UserMessages.encodeError(refusal.reason().text());
+        call.reply(503, body, refusal.retryAfterSeconds());
     }
 }
--- a/src/test/java/org/springmill/control/jobs/JobDependenciesTest.java
+++ b/src/test/java/org/springmill/control/jobs/JobDependenciesTest.java
@@ -91,11 +91,11 @@
         Random random = new Random(5);
         for (int order = 0; order < 20; order++) {
             jobs.clear();
-            JobDependencies again = new JobDependencies(jobs, id -> null);
+            JobDependencies reordered = new JobDependencies(jobs, id -> null);
             for (JobRecord next : records) {
                 JobRecord known = jobs.get(next.id());
                 if (known == null || known.version() < next.version()) {
-                    again.merge(next);
+                    reordered.merge(next);
                 }
             }
             assertEquals(expected, cancelled(), records.toString());
@@ -104,17 +104,18 @@
     }
 
     @Test
-    void cancellationReachesAllOfADeepAndWideGraph() throws MalformedMessageException {
-        int deep = 50_000;
+    void cancellationReachesEveryJobOfADeepAndWideGraph() throws MalformedMessageException {
+        int jobCount = 50_000;
         dependencies.merge(record("1", JobPhase.QUEUED, 1));
-        for (int i = 2; i <= deep; i++) {
+        for (int i = 2; i <= jobCount; i++) {
             dependencies.merge(record(i + "<" + (i % 2 == 0 ? 1 : i - 1), JobPhase.QUEUED, i));
         }
-        assertEquals(deep, dependencies.merge(record("1", JobPhase.CANCELLED, deep + 1)).size());
-        assertEquals(deep - 1, dependencies.pendingPersistence(deep).size());
+        assertEquals(
+                jobCount, dependencies.merge(record("1", JobPhase.CANCELLED, jobCount + 1)).size());
+        assertEquals(jobCount - 1, dependencies.pendingPersistence(jobCount).size());
         // Once its cancellation is stored, a record is no longer pending; all others still are.
-        assertEquals(1, dependencies.merge(record("2<1", JobPhase.CANCELLED, deep + 2)).size());
-        assertEquals(deep - 2, dependencies.pendingPersistence(deep).size());
+        assertEquals(1, dependencies.merge(record("2<1", JobPhase.CANCELLED, jobCount + 2)).size());
+        assertEquals(jobCount - 2, dependencies.pendingPersistence(jobCount).size());
     }
 
     @Test
