--- a/src/main/java/org/springmill/control/history/ArchivedJobLookup.java
+++ b/src/main/java/org/springmill/control/history/ArchivedJobLookup.java
@@ -14,18 +14,18 @@
 import org.springmill.transport.EventLoop;
 
 /**
- * Looks up archived jobs by reads of single keys. Concurrent lookups of one job share a read, the
- * latest results are cached, and reads take a bounded share of the key-value store's requests.
- * Beyond a small queue a lookup fails at once, for its user to retry.
+ * Looks up archived jobs by reads of single keys. Concurrent lookups of the same job share a read,
+ * the latest results are cached, and reads use a bounded share of the key-value store's request
+ * rate. If too many lookups are queued, further ones fail immediately and users have to retry.
  *
- * <p>A final state never changes, so a cached result stays right. The absence of a job is never
+ * <p>A final state never changes, so a cached result stays valid. The absence of a job is never
  * cached, since it may be accepted and archived later.
  */
 public final class ArchivedJobLookup {
-    /** Longest queue of lookups, in seconds of the rate at which they are sent. */
+    /** Longest queue of lookups, as the number of seconds it takes to send them. */
     private static final double MAX_QUEUED_SECONDS = 1;
 
-    /** Cached results; each takes some 200 bytes. */
+    /** Maximum number of cached results; each takes about 200 bytes. */
     static final int MAX_CACHED = 4096;
 
     private final KeyValueStoreClient store;
@@ -37,7 +37,7 @@
     private final Map<String, ArchivedJob> cache = new LruCache();
     private boolean isDrainScheduled;
 
-    /** What a lookup found. */
+    /** How a lookup ended. */
     public enum Outcome {
         /** The job is archived; its final state is known. */
         FOUND,
@@ -72,7 +72,7 @@
         }
     }
 
-    /** A lookup with an empty cache. */
+    /** Creates a lookup with an empty cache. */
     public ArchivedJobLookup(KeyValueStoreClient store, EventLoop loop) {
         this.store = store;
         this.loop = loop;
@@ -96,7 +96,7 @@
         return cache.size();
     }
 
-    /** Looks up a job; calls back at once if it is cached or too many lookups are queued. */
+    /** Looks up a job; calls back immediately if it is cached or too many lookups are queued. */
     public void find(String id, Consumer<Lookup> done) {
         ArchivedJob known = cache.get(id);
         if (known != null) {
--- a/src/main/java/org/springmill/control/history/HistoryArchiver.java
+++ b/src/main/java/org/springmill/control/history/HistoryArchiver.java
@@ -14,17 +14,17 @@
 
 /**
  * Archives the records of ended jobs: one transaction deletes the record under {@code job/} and
- * creates the archived one under {@code ended/}. It belongs to one term of a leader, since only the
- * leader knows that no task of a job is left on any machine.
+ * creates the archived one under {@code ended/}. An archiver is used for one term of a leader,
+ * since only the leader knows that no task of a job is left on any machine.
  *
- * <p>Nothing waits for archiving, so it has the lowest priority of all writes: it takes a small
- * share of them, none while another transaction is queued, and backs off when the key-value store
- * refuses or does not respond.
+ * <p>Nothing waits for archiving, so it has the lowest priority of all writes: it uses a small
+ * share of the write rate, sends nothing while another transaction is queued, and backs off when
+ * the key-value store refuses or does not respond.
  */
 public final class HistoryArchiver {
     private static final Logger LOG = LoggerFactory.getLogger(HistoryArchiver.class);
 
-    /** Share of the writes that the key-value store takes. */
+    /** Share of the key-value store's write rate limit that archiving uses. */
     private static final double WRITE_SHARE = 0.1;
 
     /** Archiving a record deletes one key and creates another. */
@@ -46,7 +46,7 @@
 
     private boolean isClosed;
 
-    /** What the archiver has to know of jobs and of the leader's term. */
+    /** Provides the state of jobs and of the leader's term. */
     public interface ArchivableJobSource {
         /** The condition that holds as long as this controller leads. */
         Condition termCondition();
@@ -68,11 +68,10 @@
     }
 
     /**
-     * An archiver that does nothing until it is started.
+     * Creates an archiver that does nothing until it is started.
      *
      * @param retentionSeconds how long a record stays under {@code job/} after its end
-     * @param backoffSeconds how long to write nothing after the key-value store refused or did not
-     *     respond
+     * @param backoffSeconds how long to pause after the key-value store refused or did not respond
      */
     public HistoryArchiver(
             KeyValueStoreClient store,
@@ -91,23 +90,24 @@
 
     /** Adds a job that has ended; it is archived once its retention is over. */
     public void jobEnded(JobRecord record) {
-        // A job that was cancelled by a clock that lags, or whose end has no time, is due at once.
+        // If the time of the end is unknown (0) or from a clock far behind, the job is due
+        // immediately.
         double age = loop.timeOfDay() - record.endedAt();
         retentionQueue.add(record.id(), loop.now() + Math.max(0, retentionSeconds - age));
     }
 
-    /** Number of jobs whose retention has not ended. */
+    /** Number of ended jobs that are queued for archiving. */
     public int pendingCount() {
         return retentionQueue.size();
     }
 
-    /** Begins to archive records, and goes on until closed. */
+    /** Starts archiving records; continues until closed. */
     public void start() {
-        // The peers have to be heard first, and failover has more urgent writes.
+        // Messages of all peers should arrive first, and a failover has more urgent writes.
         loop.after(backoffSeconds, this::archiveNextBatch);
     }
 
-    /** Ends the archiver with the leader's term: no transaction is sent any more. */
+    /** Stops the archiver at the end of the leader's term: no more transactions are sent. */
     public void close() {
         isClosed = true;
     }
@@ -125,7 +125,7 @@
         }
     }
 
-    /** Waits until so many archived records are paid for by the share of the writes. */
+    /** Schedules the next batch after the time that the write share allows for these records. */
     private void scheduleNextBatch(int records) {
         double writesPerSecond = WRITE_SHARE * store.limits().writesPerSecond();
         loop.after(records * WRITES_PER_RECORD / writesPerSecond, this::archiveNextBatch);
@@ -207,13 +207,13 @@
     private void rejected(List<JobRecord> batch, List<String> failed) {
         for (JobRecord record : batch) {
             if (failed.contains(ArchivedJob.key(record.id()))) {
-                // Archiving it would overwrite the state that users were told. Its record stays.
+                // Archiving it would overwrite a final state that users may have received.
                 LOG.error(
                         "job {} has ended a second time: a version that does not know the archive"
                                 + " accepted it again",
                         record.id());
             } else if (failed.contains(record.key())) {
-                // Its record has changed or was archived by an earlier copy; the watch shows it.
+                // The record has changed or an earlier copy archived it; the watch will show that.
                 requeueLater(record);
             } else if (failed.isEmpty()) {
                 retrySingly(batch, record);
@@ -223,7 +223,7 @@
         }
     }
 
-    /** A transaction that the store does not take as a whole is repeated record by record. */
+    /** Retries records one by one after the store rejected their transaction as a whole. */
     private void retrySingly(List<JobRecord> batch, JobRecord record) {
         if (batch.size() > 1) {
             recordsToCommitSingly = batch.size();
@@ -234,7 +234,7 @@
     }
 
     private void tooLarge(List<JobRecord> batch) {
-        // The limits are lower from now on, also for the next batch.
+        // The limits have been lowered, also for the next batch.
         batch.forEach(record -> retrySingly(batch, record));
     }
 }
--- a/src/main/java/org/springmill/control/history/HistoryMembership.java
+++ b/src/main/java/org/springmill/control/history/HistoryMembership.java
@@ -16,11 +16,12 @@
 import org.springmill.transport.EventLoop;
 
 /**
- * Which controllers take part in the bounded history. A version that does not know of archived jobs
- * accepts them again, so records may be archived only once every controller is known to look at
- * both prefixes. A controller with the history switched on registers in the key-value store, where
- * the registration stays while the controller is down, and says the same in its messages to its
- * peers. A process of an earlier version does not, and a leader that hears it stops archiving.
+ * Determines whether all controllers support archived jobs (the bounded history). A version without
+ * this support would accept an archived job again, so records may be archived only once every
+ * controller is known to read both prefixes. A controller with the history enabled registers in the
+ * key-value store, where the registration remains while the controller is down. It also reports the
+ * history in its messages to peers. A process of an earlier version does not, and a leader that
+ * receives its messages stops archiving.
  */
 public final class HistoryMembership {
     private static final Logger LOG = LoggerFactory.getLogger(HistoryMembership.class);
@@ -37,12 +38,12 @@
     private boolean peerOpposed;
 
     /**
-     * The membership before any registration is known.
+     * Creates a membership without known registrations.
      *
      * @param ownName name of this controller
      * @param peers names of all other controllers
-     * @param anyPeerOpposes whether the latest message of any peer says that it takes no part
-     * @param retrySeconds after which registration and check are tried again
+     * @param anyPeerOpposes whether the latest message of any peer reports no bounded history
+     * @param retrySeconds after which a failed registration or check is retried
      */
     public HistoryMembership(
             KeyValueStoreClient store,
@@ -63,7 +64,7 @@
         return KEY_PREFIX + node;
     }
 
-    /** Registers this controller, unless an earlier process of it did. */
+    /** Registers this controller, unless it is registered already. */
     public void register() {
         store.get(key(ownName), this::ownRegistrationRead);
     }
@@ -104,7 +105,7 @@
         }
     }
 
-    /** Whether records may be archived now, as far as this controller knows. */
+    /** Whether all controllers are known to support archived jobs, so records may be archived. */
     public boolean allParticipate() {
         boolean isOpposed = anyPeerOpposes.getAsBoolean();
         if (isOpposed && !peerOpposed && allRegistered) {
--- a/src/main/java/org/springmill/control/history/RetentionQueue.java
+++ b/src/main/java/org/springmill/control/history/RetentionQueue.java
@@ -8,8 +8,8 @@
 import java.util.Set;
 
 /**
- * Jobs that have ended, ordered by the time from which their records may be archived. Each job is
- * in it once.
+ * Jobs that have ended, ordered by the time from which their records may be archived. The queue
+ * contains each job at most once.
  */
 final class RetentionQueue {
     private final PriorityQueue<DueJob> dueJobs =
@@ -21,11 +21,11 @@
     /**
      * A job and the time from which it may be archived.
      *
-     * @param order ties are broken in favour of the job that was added first
+     * @param order sequence number; of jobs with the same time, the first one added comes first
      */
     private record DueJob(String id, double at, long order) {}
 
-    /** Adds a job unless it is there already. */
+    /** Adds a job unless it is already queued. */
     void add(String id, double at) {
         if (queuedIds.add(id)) {
             dueJobs.add(new DueJob(id, at, nextOrder++));
--- a/src/test/java/org/springmill/control/history/ArchivedJobLookupTest.java
+++ b/src/test/java/org/springmill/control/history/ArchivedJobLookupTest.java
@@ -19,7 +19,7 @@
 import org.springmill.transport.HttpClient.Reply;
 import org.springmill.transport.HttpClient.Request;
 
-/** Lookups of moved jobs: shared, bounded, and kept only where the answer can never change. */
+/** Lookups of archived jobs share reads, are limited in rate, and cache only final states. */
 class ArchivedJobLookupTest {
     private static final Settings SETTINGS = SettingsFixtures.small();
     private static final double TIMEOUT_SECONDS = 1;
@@ -87,7 +87,7 @@
         assertNull(archivedJobs.cached("run-1"));
     }
 
-    /** A flood of questions about old jobs leaves the key-value store to others. */
+    /** Many lookups of old jobs must not use up the key-value store's request rate. */
     @Test
     void lookupsTakeABoundedShareAndAreRefusedAtOnceBeyondABuffer() {
         for (int i = 0; i < 1000; i++) {
--- a/src/test/java/org/springmill/control/history/HistoryArchiverTest.java
+++ b/src/test/java/org/springmill/control/history/HistoryArchiverTest.java
@@ -28,7 +28,7 @@
 import org.springmill.transport.HttpClient.Reply;
 import org.springmill.transport.HttpClient.Request;
 
-/** When records are moved, how many at a time, and what follows from each answer. */
+/** When records are archived, in which batches, and how each response is handled. */
 class HistoryArchiverTest {
     private static final Settings SETTINGS = SettingsFixtures.small();
     private static final double RETENTION_SECONDS = 60;
@@ -126,7 +126,7 @@
         answered = replies.size();
     }
 
-    /** Lets time pass, in which every move is committed at once. */
+    /** Advances the clock second by second and commits the latest transaction each time. */
     private void runAndCommit(double seconds) {
         for (double t = 0; t < seconds; t++) {
             if (replies.size() > answered) {
@@ -163,7 +163,7 @@
         assertEquals(6, jobs.moved.size());
     }
 
-    /** At most a tenth of the changes that the key-value store takes. */
+    /** At most a tenth of the key-value store's write rate limit. */
     @Test
     void movesKeepToTheirShareOfTheWrites() {
         runUntilDue();
@@ -207,7 +207,7 @@
         assertEquals(1, commits.size());
     }
 
-    /** 429, 503 or silence: the key-value store has others to serve first. */
+    /** After status 429 or 503 or no response, other requests have priority at the store. */
     @Test
     void movesPauseWhenTheStateServiceRefusesAndAreTriedAgain() {
         runUntilDue();
@@ -220,7 +220,7 @@
         assertEquals(20, new HashSet<>(jobs.moved).size());
     }
 
-    /** An earlier copy of the move was carried out; the feed brings it in a moment. */
+    /** An earlier copy of the transaction was applied; the watch will show the deletion. */
     @Test
     void aRecordThatWasMovedAlreadyIsLeftAndTheOthersAreMoved() {
         runUntilDue();
@@ -232,8 +232,8 @@
     }
 
     /**
-     * A version that knows nothing of the history accepted the job anew after its move. Moving the
-     * new record over the first one would change a state that users were told.
+     * A version without the history accepted the job again after it was archived. Archiving the new
+     * record would overwrite a final state that users may have received.
      */
     @Test
     void aJobThatEndedASecondTimeIsNeverMovedOverItsFirstEnd() {
--- a/src/test/java/org/springmill/control/history/HistoryMembershipTest.java
+++ b/src/test/java/org/springmill/control/history/HistoryMembershipTest.java
@@ -14,7 +14,7 @@
 import org.springmill.transport.HttpClient.Reply;
 import org.springmill.transport.HttpClient.Request;
 
-/** The stored form of a registration, byte by byte: other versions read it. */
+/** The exact bytes of a stored registration, since other versions read it. */
 class HistoryMembershipTest {
     private static final double TIMEOUT_SECONDS = 1;
     private static final double RETRY_SECONDS = 2;
@@ -31,7 +31,7 @@
                     () -> false,
                     RETRY_SECONDS);
 
-    /** A key-value store without any registration. */
+    /** Responds like a key-value store that has no registrations and refuses transactions. */
     private void answer(Request request, Consumer<Reply> done) {
         if (request.path().equals("/commit")) {
             commits.add(new String(request.body(), StandardCharsets.UTF_8));
