--- a/src/main/java/org/springmill/control/history/HistoryArchiver.java
+++ b/src/main/java/org/springmill/control/history/HistoryArchiver.java
@@ -210,7 +210,7 @@
                 // Archiving it would overwrite a final state that users may have received.
                 LOG.error(
                         "job {} has ended a second time: a version that does not know the archive"
-                                + " accepted it again",
+                                + " accepted it again; its new record is not archived",
                         record.id());
             } else if (failed.contains(record.key())) {
                 // The record has changed or an earlier copy archived it; the watch will show that.
@@ -229,7 +229,10 @@
             recordsToCommitSingly = batch.size();
             requeueNow(record);
         } else {
-            LOG.warn("record of job {} cannot be archived: rejected by the store", record.id());
+            LOG.warn(
+                    "record of job {} not archived: rejected by the key-value store; no retry until the"
+                            + " record changes or the term ends",
+                    record.id());
         }
     }
 
--- a/src/main/java/org/springmill/control/history/HistoryMembership.java
+++ b/src/main/java/org/springmill/control/history/HistoryMembership.java
@@ -99,7 +99,7 @@
             allRegistered = found.containsAll(peerKeys);
         }
         if (allRegistered) {
-            LOG.info("every controller keeps the bounded history: archiving enabled");
+            LOG.info("all controllers are registered for the bounded history: archiving enabled");
         } else {
             loop.after(retrySeconds, this::checkPeers);
         }
@@ -110,8 +110,8 @@
         boolean isOpposed = anyPeerOpposes.getAsBoolean();
         if (isOpposed && !peerOpposed && allRegistered) {
             LOG.error(
-                    "a controller runs without the bounded history although records may be archived:"
-                            + " restart it with the history at once");
+                    "a peer runs without the bounded history although records may be archived:"
+                            + " archiving paused; restart that peer with the history enabled");
         }
         peerOpposed = isOpposed;
         return allRegistered && !isOpposed;
--- a/src/test/java/org/springmill/control/history/ArchivedJobLookupTest.java
+++ b/src/test/java/org/springmill/control/history/ArchivedJobLookupTest.java
@@ -65,7 +65,7 @@
         answerFound(0, "run-1");
         assertEquals(List.of(Outcome.FOUND, Outcome.FOUND), outcomes);
         find("run-1");
-        assertEquals(1, requests.size(), "a final state is kept");
+        assertEquals(1, requests.size(), "a final state is cached");
         ArchivedJob expected = new ArchivedJob("run-1", JobPhase.DONE, 3, false, 5, 7);
         assertEquals(expected, archivedJobs.cached("run-1"));
     }
@@ -102,7 +102,7 @@
         for (int i = 0; i < requests.size(); i++) {
             answer(i, 404, "{\"ledgerRev\":9}");
         }
-        assertEquals(1000, outcomes.size(), "every question has an answer");
+        assertEquals(1000, outcomes.size(), "every lookup is answered");
     }
 
     @Test
--- a/src/test/java/org/springmill/control/history/HistoryArchiverTest.java
+++ b/src/test/java/org/springmill/control/history/HistoryArchiverTest.java
@@ -158,7 +158,7 @@
         assertTrue(latest().contains("{\"key\":\"job/run-1\",\"stamp\":11}"), latest());
         assertTrue(latest().contains("{\"key\":\"ended/run-1\",\"stamp\":0}"), latest());
         assertTrue(latest().contains("{\"delete\":\"job/run-1\"}"), latest());
-        assertFalse(latest().contains("run-7\""), "six jobs are twelve writes");
+        assertFalse(latest().contains("run-7\""), "six jobs need all twelve writes");
         answerLatest(200, COMMITTED);
         assertEquals(6, jobs.moved.size());
     }
