--- a/src/main/java/org/springmill/control/history/ArchivedJobLookup.java
+++ b/src/main/java/org/springmill/control/history/ArchivedJobLookup.java
@@ -103,18 +103,18 @@
             done.accept(Lookup.found(known));
             return;
         }
-        List<Consumer<Lookup>> sharing = callbacksByJob.get(id);
-        if (sharing != null) {
-            sharing.add(done);
+        List<Consumer<Lookup>> existingCallbacks = callbacksByJob.get(id);
+        if (existingCallbacks != null) {
+            existingCallbacks.add(done);
             return;
         }
         if (queuedIds.size() >= maxQueued) {
             done.accept(Lookup.UNAVAILABLE);
             return;
         }
-        List<Consumer<Lookup>> first = new ArrayList<>(1);
-        first.add(done);
-        callbacksByJob.put(id, first);
+        List<Consumer<Lookup>> newCallbacks = new ArrayList<>(1);
+        newCallbacks.add(done);
+        callbacksByJob.put(id, newCallbacks);
         queuedIds.add(id);
         if (!isDrainScheduled) {
             drainQueue();
--- a/src/main/java/org/springmill/control/history/HistoryArchiver.java
+++ b/src/main/java/org/springmill/control/history/HistoryArchiver.java
@@ -132,11 +132,11 @@
     }
 
     private int batchSize() {
-        int most =
+        int maxRecords =
                 recordsToCommitSingly > 0
                         ? 1
                         : store.limits().writesPerCommit() / WRITES_PER_RECORD;
-        return Math.max(1, most);
+        return Math.max(1, maxRecords);
     }
 
     private List<JobRecord> takeArchivable() {
--- a/src/main/java/org/springmill/control/history/HistoryMembership.java
+++ b/src/main/java/org/springmill/control/history/HistoryMembership.java
@@ -32,17 +32,18 @@
     private final EventLoop loop;
     private final String ownName;
     private final Set<String> peerKeys;
-    private final BooleanSupplier anyPeerOpposes;
+    private final BooleanSupplier anyPeerWithoutHistory;
     private final double retrySeconds;
     private boolean allRegistered;
-    private boolean peerOpposed;
+    private boolean peerWithoutHistoryReported;
 
     /**
      * Creates a membership without known registrations.
      *
      * @param ownName name of this controller
      * @param peers names of all other controllers
-     * @param anyPeerOpposes whether the latest message of any peer reports no bounded history
+     * @param anyPeerWithoutHistory whether the latest message of any peer reports no bounded
+     *     history
      * @param retrySeconds after which a failed registration or check is retried
      */
     public HistoryMembership(
@@ -50,12 +51,12 @@
             EventLoop loop,
             String ownName,
             Set<String> peers,
-            BooleanSupplier anyPeerOpposes,
+            BooleanSupplier anyPeerWithoutHistory,
             double retrySeconds) {
         this.store = store;
         this.loop = loop;
         this.ownName = ownName;
-        this.anyPeerOpposes = anyPeerOpposes;
+        this.anyPeerWithoutHistory = anyPeerWithoutHistory;
         this.retrySeconds = retrySeconds;
         peerKeys = peers.stream().map(HistoryMembership::key).collect(Collectors.toSet());
     }
@@ -107,13 +108,13 @@
 
     /** Whether all controllers are known to support archived jobs, so records may be archived. */
     public boolean allParticipate() {
-        boolean isOpposed = anyPeerOpposes.getAsBoolean();
-        if (isOpposed && !peerOpposed && allRegistered) {
+        boolean peerWithoutHistory = anyPeerWithoutHistory.getAsBoolean();
+        if (peerWithoutHistory && !peerWithoutHistoryReported && allRegistered) {
             LOG.error(
                     "a peer runs without the bounded history although records may be archived:"
                             + " archiving paused; restart that peer with the history enabled");
         }
-        peerOpposed = isOpposed;
-        return allRegistered && !isOpposed;
+        peerWithoutHistoryReported = peerWithoutHistory;
+        return allRegistered && !peerWithoutHistory;
     }
 }
--- a/src/test/java/org/springmill/control/history/ArchivedJobLookupTest.java
+++ b/src/test/java/org/springmill/control/history/ArchivedJobLookupTest.java
@@ -44,25 +44,25 @@
         archivedJobs.find(id, lookup -> outcomes.add(lookup.outcome()));
     }
 
-    private void answerFound(int request, String id) {
+    private void respondFound(int request, String id) {
         String body =
                 "{\"key\":\"ended/"
                         + id
                         + "\",\"value\":{\"v\":1,\"end\":\"done\",\"at\":5.0,\"tasks\":3,"
                         + "\"replicated\":false,\"rev\":7},\"stamp\":9}";
-        answer(request, 200, body);
+        respond(request, 200, body);
     }
 
-    private void answer(int request, int status, String body) {
+    private void respond(int request, int status, String body) {
         replies.get(request).accept(new Reply(status, body.getBytes(StandardCharsets.UTF_8)));
     }
 
     @Test
-    void questionsAboutOneJobShareARead() {
+    void lookupsOfTheSameJobShareARead() {
         find("run-1");
         find("run-1");
         assertEquals(1, requests.size());
-        answerFound(0, "run-1");
+        respondFound(0, "run-1");
         assertEquals(List.of(Outcome.FOUND, Outcome.FOUND), outcomes);
         find("run-1");
         assertEquals(1, requests.size(), "a final state is cached");
@@ -71,25 +71,25 @@
     }
 
     @Test
-    void thatAJobIsAbsentIsReadAnewForEachQuestion() {
+    void absenceOfAJobIsNotCached() {
         find("run-1");
-        answer(0, 404, "{\"ledgerRev\":9}");
+        respond(0, 404, "{\"ledgerRev\":9}");
         find("run-1");
-        answerFound(1, "run-1");
+        respondFound(1, "run-1");
         assertEquals(List.of(Outcome.ABSENT, Outcome.FOUND), outcomes);
     }
 
     @Test
     void aLookupThatIsNotServedIsNeitherFoundNorAbsent() {
         find("run-1");
-        answer(0, 503, "{}");
+        respond(0, 503, "{}");
         assertEquals(List.of(Outcome.UNAVAILABLE), outcomes);
         assertNull(archivedJobs.cached("run-1"));
     }
 
     /** Many lookups of old jobs must not use up the key-value store's request rate. */
     @Test
-    void lookupsTakeABoundedShareAndAreRefusedAtOnceBeyondABuffer() {
+    void lookupsAreRateLimitedAndFailImmediatelyWhenTheQueueIsFull() {
         for (int i = 0; i < 1000; i++) {
             find("run-" + i);
         }
@@ -100,13 +100,13 @@
         clock.run(1);
         assertTrue(requests.size() <= 2 * perSecond + 1, requests.size() + " reads in a second");
         for (int i = 0; i < requests.size(); i++) {
-            answer(i, 404, "{\"ledgerRev\":9}");
+            respond(i, 404, "{\"ledgerRev\":9}");
         }
         assertEquals(1000, outcomes.size(), "every lookup is answered");
     }
 
     @Test
-    void theAnswersKeptAreBounded() {
+    void theCacheIsBounded() {
         for (int i = 0; i < 2 * ArchivedJobLookup.MAX_CACHED; i++) {
             archivedJobs.cache(new ArchivedJob("run-" + i, JobPhase.DONE, 1, false, 0, i + 1));
         }
--- a/src/test/java/org/springmill/control/history/HistoryArchiverTest.java
+++ b/src/test/java/org/springmill/control/history/HistoryArchiverTest.java
@@ -32,7 +32,7 @@
 class HistoryArchiverTest {
     private static final Settings SETTINGS = SettingsFixtures.small();
     private static final double RETENTION_SECONDS = 60;
-    private static final double PAUSE_SECONDS = 14;
+    private static final double BACKOFF_SECONDS = 14;
     private static final String COMMITTED = "{\"ledgerRev\":50}";
     private static final String RECORD =
             "{\"nameId\":\"%s\",\"grist\":\"c\",\"crew\":\"t\",\"shape\":\"sweep\","
@@ -46,12 +46,13 @@
     private final KeyValueStoreClient store =
             new KeyValueStoreClient(this::send, clock, SETTINGS, 1);
     private final Jobs jobs = new Jobs();
-    private boolean opposed;
-    private int answered;
+    private boolean peerWithoutHistory;
+    private int answeredCount;
     private final HistoryMembership membership =
-            new HistoryMembership(store, clock, "n-0", Set.of("n-1"), () -> opposed, PAUSE_SECONDS);
+            new HistoryMembership(
+                    store, clock, "n-0", Set.of("n-1"), () -> peerWithoutHistory, BACKOFF_SECONDS);
     private final HistoryArchiver archiver =
-            new HistoryArchiver(store, clock, membership, jobs, RETENTION_SECONDS, PAUSE_SECONDS);
+            new HistoryArchiver(store, clock, membership, jobs, RETENTION_SECONDS, BACKOFF_SECONDS);
 
     private void send(Request request, Consumer<Reply> done) {
         if (request.path().equals("/commit")) {
@@ -74,9 +75,9 @@
 
     private static final class Jobs implements HistoryArchiver.ArchivableJobSource {
         private final Map<String, JobRecord> records = new HashMap<>();
-        private final Set<String> unsettled = new HashSet<>();
-        private final List<String> moved = new ArrayList<>();
-        private boolean leads = true;
+        private final Set<String> stillNeeded = new HashSet<>();
+        private final List<String> archivedIds = new ArrayList<>();
+        private boolean isLeader = true;
 
         @Override
         public Condition termCondition() {
@@ -85,7 +86,7 @@
 
         @Override
         public boolean mayArchive() {
-            return leads;
+            return isLeader;
         }
 
         @Override
@@ -95,12 +96,12 @@
 
         @Override
         public boolean isArchivable(JobRecord record) {
-            return !unsettled.contains(record.id());
+            return !stillNeeded.contains(record.id());
         }
 
         @Override
         public void archived(ArchivedJob job) {
-            moved.add(job.id());
+            archivedIds.add(job.id());
             records.remove(job.id());
         }
     }
@@ -121,22 +122,22 @@
         archiver.start();
     }
 
-    private void answerLatest(int status, String body) {
+    private void respondToLatest(int status, String body) {
         replies.get(replies.size() - 1).accept(reply(status, body));
-        answered = replies.size();
+        answeredCount = replies.size();
     }
 
     /** Advances the clock second by second and commits the latest transaction each time. */
     private void runAndCommit(double seconds) {
         for (double t = 0; t < seconds; t++) {
-            if (replies.size() > answered) {
-                answerLatest(200, COMMITTED);
+            if (replies.size() > answeredCount) {
+                respondToLatest(200, COMMITTED);
             }
             clock.run(1);
         }
     }
 
-    private String latest() {
+    private String latestCommit() {
         return new String(commits.get(commits.size() - 1).body(), StandardCharsets.UTF_8);
     }
 
@@ -145,7 +146,7 @@
     }
 
     @Test
-    void nothingIsMovedBeforeTheRetentionIsOver() {
+    void nothingIsArchivedBeforeTheRetentionIsOver() {
         clock.run(RETENTION_SECONDS - 1);
         assertEquals(0, commits.size());
     }
@@ -154,21 +155,22 @@
     void aBatchIsConditionalOnTheLeadershipAndOnBothKeysOfEachJob() {
         runUntilDue();
         assertEquals(1, commits.size());
-        assertTrue(latest().contains("{\"key\":\"leader\",\"stamp\":3}"), latest());
-        assertTrue(latest().contains("{\"key\":\"job/run-1\",\"stamp\":11}"), latest());
-        assertTrue(latest().contains("{\"key\":\"ended/run-1\",\"stamp\":0}"), latest());
-        assertTrue(latest().contains("{\"delete\":\"job/run-1\"}"), latest());
-        assertFalse(latest().contains("run-7\""), "six jobs need all twelve writes");
-        answerLatest(200, COMMITTED);
-        assertEquals(6, jobs.moved.size());
+        assertTrue(latestCommit().contains("{\"key\":\"leader\",\"stamp\":3}"), latestCommit());
+        assertTrue(latestCommit().contains("{\"key\":\"job/run-1\",\"stamp\":11}"), latestCommit());
+        assertTrue(
+                latestCommit().contains("{\"key\":\"ended/run-1\",\"stamp\":0}"), latestCommit());
+        assertTrue(latestCommit().contains("{\"delete\":\"job/run-1\"}"), latestCommit());
+        assertFalse(latestCommit().contains("run-7\""), "six jobs need all twelve writes");
+        respondToLatest(200, COMMITTED);
+        assertEquals(6, jobs.archivedIds.size());
     }
 
     /** At most a tenth of the key-value store's write rate limit. */
     @Test
-    void movesKeepToTheirShareOfTheWrites() {
+    void archivingKeepsToItsShareOfTheWrites() {
         runUntilDue();
         double since = clock.now();
-        while (jobs.moved.size() < 18) {
+        while (jobs.archivedIds.size() < 18) {
             runAndCommit(1);
         }
         double writes = 2.0 * 12;
@@ -178,17 +180,17 @@
     }
 
     @Test
-    void nothingIsMovedWhileAnythingElseWaitsOrTheLeaseIsInDoubt() {
-        jobs.leads = false;
+    void nothingIsArchivedWhileTransactionsAreQueuedOrTheLeaseIsUncertain() {
+        jobs.isLeader = false;
         runUntilDue();
         assertEquals(0, commits.size());
-        jobs.leads = true;
+        jobs.isLeader = true;
         for (int i = 0; i < 100; i++) {
             store.compareAndSwap(List.of(), List.of(), result -> {});
         }
-        int others = commits.size();
+        int commitsBefore = commits.size();
         clock.run(0.3);
-        assertTrue(commits.stream().skip(others).noneMatch(c -> text(c).contains("ended/")));
+        assertTrue(commits.stream().skip(commitsBefore).noneMatch(c -> text(c).contains("ended/")));
         clock.run(10);
         assertTrue(commits.stream().anyMatch(c -> text(c).contains("ended/")));
     }
@@ -198,37 +200,37 @@
     }
 
     @Test
-    void nothingIsMovedBesideAControllerThatTakesNoPart() {
-        opposed = true;
+    void nothingIsArchivedWhileAPeerRunsWithoutHistory() {
+        peerWithoutHistory = true;
         runUntilDue();
         assertEquals(0, commits.size());
-        opposed = false;
+        peerWithoutHistory = false;
         clock.run(2);
         assertEquals(1, commits.size());
     }
 
     /** After status 429 or 503 or no response, other requests have priority at the store. */
     @Test
-    void movesPauseWhenTheStateServiceRefusesAndAreTriedAgain() {
+    void archivingBacksOffWhenTheStoreRefusesAndIsRetried() {
         runUntilDue();
-        answerLatest(429, "{}");
-        clock.run(PAUSE_SECONDS - 1);
+        respondToLatest(429, "{}");
+        clock.run(BACKOFF_SECONDS - 1);
         assertEquals(1, commits.size());
         clock.run(2);
         assertEquals(2, commits.size());
         runAndCommit(60);
-        assertEquals(20, new HashSet<>(jobs.moved).size());
+        assertEquals(20, new HashSet<>(jobs.archivedIds).size());
     }
 
     /** An earlier copy of the transaction was applied; the watch will show the deletion. */
     @Test
-    void aRecordThatWasMovedAlreadyIsLeftAndTheOthersAreMoved() {
+    void anAlreadyArchivedRecordIsSkippedAndTheOthersAreArchived() {
         runUntilDue();
-        answerLatest(409, "{\"failed\":[\"job/run-1\"],\"ledgerRev\":50}");
+        respondToLatest(409, "{\"failed\":[\"job/run-1\"],\"ledgerRev\":50}");
         jobs.records.remove("run-1");
         runAndCommit(60);
-        assertEquals(19, new HashSet<>(jobs.moved).size());
-        assertFalse(jobs.moved.contains("run-1"));
+        assertEquals(19, new HashSet<>(jobs.archivedIds).size());
+        assertFalse(jobs.archivedIds.contains("run-1"));
     }
 
     /**
@@ -236,28 +238,28 @@
      * record would overwrite a final state that users may have received.
      */
     @Test
-    void aJobThatEndedASecondTimeIsNeverMovedOverItsFirstEnd() {
+    void aJobThatEndedASecondTimeNeverOverwritesItsFirstEnd() {
         runUntilDue();
-        answerLatest(409, "{\"failed\":[\"ended/run-1\"],\"ledgerRev\":50}");
+        respondToLatest(409, "{\"failed\":[\"ended/run-1\"],\"ledgerRev\":50}");
         runAndCommit(100);
-        assertEquals(19, new HashSet<>(jobs.moved).size());
-        assertFalse(jobs.moved.contains("run-1"));
+        assertEquals(19, new HashSet<>(jobs.archivedIds).size());
+        assertFalse(jobs.archivedIds.contains("run-1"));
     }
 
     @Test
-    void aTransactionThatIsNotTakenAsAWholeGoesRecordByRecord() {
+    void aTransactionRejectedAsAWholeIsRetriedRecordByRecord() {
         runUntilDue();
-        answerLatest(400, "{\"error\":\"no\"}");
+        respondToLatest(400, "{\"error\":\"no\"}");
         clock.run(8);
         assertEquals(1, text(commits.get(1)).split("\"delete\"", -1).length - 1);
     }
 
     @Test
-    void aJobThatIsStillNeededIsLookedAtAgainLater() {
-        jobs.unsettled.add("run-1");
+    void aJobThatIsStillNeededIsCheckedAgainLater() {
+        jobs.stillNeeded.add("run-1");
         runUntilDue();
-        assertFalse(latest().contains("job/run-1\""), latest());
-        jobs.unsettled.clear();
+        assertFalse(latestCommit().contains("job/run-1\""), latestCommit());
+        jobs.stillNeeded.clear();
         runAndCommit(RETENTION_SECONDS);
         assertTrue(commits.stream().anyMatch(c -> text(c).contains("job/run-1\"")));
     }
