--- a/src/main/java/org/springmill/control/storage/CommitQueue.java
+++ b/src/main/java/org/springmill/control/storage/CommitQueue.java
@@ -39,7 +39,7 @@
     private final TokenBucket commitLimit;
     private final TokenBucket writeLimit;
 
-    /** Transactions of jobs that were accepted, and all others that accept no new jobs. */
+    /** Transactions that do not accept new jobs. */
     private final ArrayDeque<QueuedCommit> regularQueue = new ArrayDeque<>();
 
     /** Transactions that accept new jobs. */
@@ -56,7 +56,7 @@
      * A transaction that has not been sent.
      *
      * @param writes number of its writes
-     * @param onReply takes the reply, or {@link Reply#NOT_SENT}
+     * @param onReply receives the reply, or {@link Reply#NOT_SENT}
      */
     record QueuedCommit(Request request, int writes, Consumer<Reply> onReply) {}
 
--- a/src/main/java/org/springmill/control/storage/RoundCompactor.java
+++ b/src/main/java/org/springmill/control/storage/RoundCompactor.java
@@ -28,9 +28,9 @@
     private static final int MIN_VALUES_RATIO = 2;
 
     /**
-     * Compaction starts when at least half of the stored bytes are no longer needed, which limits
-     * the bytes copied in relation to the bytes written. Without this limit, all long-lived claims
-     * of a fleet were rewritten every few rounds.
+     * Below the maximum number of stored values, compaction waits until at least half of the stored
+     * bytes are no longer needed. This limits the bytes copied in relation to the bytes of new
+     * content. Without it, all long-lived claims of a fleet were rewritten every few rounds.
      */
     private static final int MIN_STORED_TO_NEEDED_RATIO = 2;
 
--- a/src/main/java/org/springmill/control/storage/RoundLog.java
+++ b/src/main/java/org/springmill/control/storage/RoundLog.java
@@ -66,7 +66,7 @@
     /**
      * The end of a claim.
      *
-     * @param done whether the task completed; if not, its attempt is known to have stopped
+     * @param done whether the task completed; if not, its attempt is proven not to run any more
      */
     public record ClaimEnd(Claim claim, boolean done) {}
 
