--- a/src/main/java/org/springmill/control/history/HistoryMembership.java
+++ b/src/main/java/org/springmill/control/history/HistoryMembership.java
@@ -16,11 +16,12 @@
 import org.springmill.transport.EventLoop;
 
 /**
- * Which controllers take part in the bounded history. A version that does not know of archived jobs
- * accepts them again, so records may be archived only once every controller is known to look at
- * both prefixes. A controller with the history switched on registers in the key-value store, where
- * the registration stays while the controller is down, and says the same in its messages to its
- * peers. A process of an earlier version does not, and a leader that hears it stops archiving.
+ * Determines whether all controllers support archived jobs (the bounded history). A version without
+ * this support would accept an archived job again, so records may be archived only once every
+ * controller is known to read both prefixes. A controller with the history enabled registers in the
+ * key-value store, where the registration remains while the controller is down. It also reports the
+ * history in its messages to peers. A process of an earlier version does not, and a leader that
+ * receives its messages stops archiving.
  */
 public final class HistoryMembership {
     private static final Logger LOG = LoggerFactory.getLogger(HistoryMembership.class);
@@ -31,30 +32,31 @@
     private final EventLoop loop;
     private final String ownName;
     private final Set<String> peerKeys;
-    private final BooleanSupplier anyPeerOpposes;
+    private final BooleanSupplier anyPeerWithoutHistory;
     private final double retrySeconds;
     private boolean allRegistered;
-    private boolean peerOpposed;
+    private boolean peerWithoutHistoryReported;
 
     /**
-     * The membership before any registration is known.
+     * Creates a membership without known registrations.
      *
      * @param ownName name of this controller
      * @param peers names of all other controllers
-     * @param anyPeerOpposes whether the latest message of any peer says that it takes no part
-     * @param retrySeconds after which registration and check are tried again
+     * @param anyPeerWithoutHistory whether the latest message of any peer reports no bounded
+     *     history
+     * @param retrySeconds after which a failed registration or check is retried
      */
     public HistoryMembership(
             KeyValueStoreClient store,
             EventLoop loop,
             String ownName,
             Set<String> peers,
-            BooleanSupplier anyPeerOpposes,
+            BooleanSupplier anyPeerWithoutHistory,
             double retrySeconds) {
         this.store = store;
         this.loop = loop;
         this.ownName = ownName;
-        this.anyPeerOpposes = anyPeerOpposes;
+        this.anyPeerWithoutHistory = anyPeerWithoutHistory;
         this.retrySeconds = retrySeconds;
         peerKeys = peers.stream().map(HistoryMembership::key).collect(Collectors.toSet());
     }
@@ -63,7 +65,7 @@
         return KEY_PREFIX + node;
     }
 
-    /** Registers this controller, unless an earlier process of it did. */
+    /** Registers this controller, unless it is registered already. */
     public void register() {
         store.get(key(ownName), this::ownRegistrationRead);
     }
@@ -98,21 +100,21 @@
             allRegistered = found.containsAll(peerKeys);
         }
         if (allRegistered) {
-            LOG.info("every controller keeps the bounded history: archiving enabled");
+            LOG.info("all controllers are registered for the bounded history: archiving enabled");
         } else {
             loop.after(retrySeconds, this::checkPeers);
         }
     }
 
-    /** Whether records may be archived now, as far as this controller knows. */
+    /** Whether all controllers are known to support archived jobs, so records may be archived. */
     public boolean allParticipate() {
-        boolean isOpposed = anyPeerOpposes.getAsBoolean();
-        if (isOpposed && !peerOpposed && allRegistered) {
+        boolean peerWithoutHistory = anyPeerWithoutHistory.getAsBoolean();
+        if (peerWithoutHistory && !peerWithoutHistoryReported && allRegistered) {
             LOG.error(
-                    "a controller runs without the bounded history although records may be archived:"
-                            + " restart it with the history at once");
+                    "a peer runs without the bounded history although records may be archived:"
+                            + " archiving paused; restart that peer with the history enabled");
         }
-        peerOpposed = isOpposed;
-        return allRegistered && !isOpposed;
+        peerWithoutHistoryReported = peerWithoutHistory;
+        return allRegistered && !peerWithoutHistory;
     }
 }
--- a/src/main/java/org/springmill/control/storage/DecisionKey.java
+++ b/src/main/java/org/springmill/control/storage/DecisionKey.java
@@ -6,7 +6,7 @@
 import java.util.Arrays;
 import java.util.Base64;
 
-/** Derives the idempotency key of a decision; it is stored, and read back ever after. */
+/** Derives the idempotency key of a decision once; afterwards it is read from the store. */
 public final class DecisionKey {
     private static final int KEY_BYTES = 16;
     private static final String VERSION = "v1";
@@ -24,7 +24,7 @@
             byte[] shortened = Arrays.copyOf(hash, KEY_BYTES);
             return Base64.getUrlEncoder().withoutPadding().encodeToString(shortened);
         } catch (NoSuchAlgorithmException e) {
-            throw new IllegalStateException("every JVM has SHA-256", e);
+            throw new IllegalStateException("the Java runtime lacks SHA-256", e);
         }
     }
 }
--- a/src/main/java/org/springmill/control/storage/KeyValueStoreConnection.java
+++ b/src/main/java/org/springmill/control/storage/KeyValueStoreConnection.java
@@ -12,7 +12,7 @@
 
 /** Sends requests to the key-value store and keeps track of whether it can be reached. */
 final class KeyValueStoreConnection {
-    /** Log lines of the parts of the client stand under its name. */
+    /** All parts of the client log under the client's name. */
     private static final Logger LOG = LoggerFactory.getLogger(KeyValueStoreClient.class);
 
     private static final byte[] EMPTY_BODY = new byte[0];
@@ -99,12 +99,16 @@
         try {
             return Optional.of(parser.parse(reply.body()));
         } catch (MalformedMessageException e) {
-            LOG.warn("malformed response of the key-value store: {}", e.getMessage());
+            LOG.warn(
+                    "malformed response of the key-value store: {}; the request counts as failed",
+                    e.getMessage());
             return Optional.empty();
         }
     }
 
-    /** The content of a successful response; empty if the request failed or the body is wrong. */
+    /**
+     * The content of a successful response; empty if the request failed or the body is malformed.
+     */
     static <T> Optional<T> parseIfOk(Reply reply, Parser<T> parser) {
         return reply.ok() ? parse(reply, parser) : Optional.empty();
     }
--- a/src/test/java/org/springmill/control/storage/RecordGenerationsTest.java
+++ b/src/test/java/org/springmill/control/storage/RecordGenerationsTest.java
@@ -25,11 +25,11 @@
 import org.springmill.transport.HttpClient.Reply;
 
 /**
- * Stored records as three versions wrote them: the two that served before jobs could wait for
- * others (880f457, and the last commit before that change, 025a6a8) and the first one with such
- * jobs in production (9f45bfd). The literals were printed by those versions, built from the
- * history; where not said otherwise all three printed the same. Each is read, and written again to
- * the byte: this version leads before, after and beside each of them.
+ * Stored records as three versions wrote them: two from before jobs could depend on others
+ * (880f457, and the last commit before that change, 025a6a8) and the first one with such jobs in
+ * production (9f45bfd). The literals are output of those versions; unless stated otherwise, all
+ * three wrote the same. Each is read and written again with the same bytes, since controllers of
+ * this version run before, after and together with those versions.
  */
 class RecordGenerationsTest {
     private static final String SWEEP =
@@ -44,7 +44,7 @@
             "sacks":3,"vcpus":0.5,"cards":0.0,"memGb":100.0,"mould":"img-08","pullGb":16.25,\
             "samePlace":false,"apart":true,"loaner":false,"expectS":0.0,"stashEveryS":0.0,\
             "stashS":0.0,"yard":"a\"""";
-    private static final String NAMES = ",\"waitsOn\":[\"run-000398\",\"run-000405\"]";
+    private static final String DEPENDENCIES = ",\"waitsOn\":[\"run-000398\",\"run-000405\"]";
 
     private static final String CARRIED_AND_NEW =
             """
@@ -64,13 +64,13 @@
             {"v":1,"machines":["host-000007","host-000231"],\
             "images":{"img-07":[6.2,0,1],"img-08":[16.25,1]}}""";
 
-    /** A window's marks as ranges, and another's as a bitmap, being shorter. */
-    private static final String MARKS =
+    /** Completed tasks of two windows: one as ranges, one as a bitmap because that is shorter. */
+    private static final String COMPLETED_TASKS =
             "\"done\":[[\"run-000412\",\"5\"],[\"run-000412\",\"@16384:VVVVVVVVVVVVVVVVVVVVVVVVVVVVVVVVVQ\"]]";
 
     private static final Settings SETTINGS = SettingsFixtures.small();
 
-    private static final EventLoop STILL =
+    private static final EventLoop FIXED_CLOCK =
             new EventLoop() {
                 @Override
                 public double now() {
@@ -84,7 +84,7 @@
 
                 @Override
                 public Timer after(double seconds, Runnable task) {
-                    throw new AssertionError("nothing here has to wait");
+                    throw new AssertionError("unexpected timer: nothing in this test waits");
                 }
             };
 
@@ -101,7 +101,7 @@
         return JobRecord.decode("job/" + value.path("job").path("nameId").asText(), value, 5);
     }
 
-    /** The body of each record, and its ends by their time as the versions spelled it. */
+    /** Each record while active, done and cancelled, with times as those versions wrote them. */
     @ParameterizedTest
     @CsvSource({
         "sweep,   '',                      ''",
@@ -113,7 +113,8 @@
     })
     void aJobsRecordKeepsItsBytes(String shape, String accepted, String names)
             throws MalformedMessageException {
-        String job = (shape.equals("sweep") ? SWEEP : SERVICE) + (names.isEmpty() ? "" : NAMES);
+        String job =
+                (shape.equals("sweep") ? SWEEP : SERVICE) + (names.isEmpty() ? "" : DEPENDENCIES);
         String form = "{\"v\":1,%s" + accepted + "\"job\":{" + job + "}}";
         JobRecord active = read(form.formatted(""));
         assertEquals(JobPhase.QUEUED, active.phase());
@@ -121,9 +122,8 @@
                 names.isEmpty() ? List.of() : List.of("run-000398", "run-000405"),
                 active.submission().dependencies());
         assertEquals(form.formatted(""), text(active.encode()));
-        // A controller of this version that accepts the same job itself writes the same, with the
-        // time
-        // from which a deadline counts.
+        // If this version accepts the same job, it writes the same record, plus the time from which
+        // a deadline counts.
         Submission sent = Submission.parse(json("{" + job + "}"));
         double acceptedAt = accepted.isEmpty() ? 3 : active.acceptedAt();
         boolean timed = sent.deadlineSeconds() != null || !names.isEmpty();
@@ -142,7 +142,8 @@
     }
 
     /**
-     * A key-value store that takes every transaction, and lists what it was given to begin with.
+     * A round log on a key-value store that accepts every transaction and always lists the given
+     * values.
      */
     private static RoundLog rounds(List<String> stored, List<String> written) {
         KeyValueStoreClient store =
@@ -156,11 +157,16 @@
                                 done.accept(answer(page(stored)));
                             }
                         },
-                        STILL,
+                        FIXED_CLOCK,
                         SETTINGS,
                         1);
         return new RoundLog(
-                store, STILL, new Condition("leader", 5), job -> true, 0.2, RoundLog.Reserve.NONE);
+                store,
+                FIXED_CLOCK,
+                new Condition("leader", 5),
+                job -> true,
+                0.2,
+                RoundLog.Reserve.NONE);
     }
 
     private static Reply answer(String body) {
@@ -187,9 +193,9 @@
         RoundLog log = rounds(List.of(), written);
         Claim carried = Claim.decide(new TaskId("run-000412", 3), "host-000007", 7);
         Claim decided = Claim.decide(new TaskId("run-000413", 0), "host-000231", 1);
-        List<ClaimEnd> some = new ArrayList<>();
+        List<ClaimEnd> ends = new ArrayList<>();
         for (int task : new int[] {0, 1, 2, 3, 17}) {
-            some.add(
+            ends.add(
                     new ClaimEnd(
                             Claim.decide(new TaskId("run-000412", task), "host-000007", 2), true));
         }
@@ -200,12 +206,12 @@
                 List.of(),
                 () -> {},
                 () -> {});
-        log.append(List.of(), some, List.of(), () -> {}, () -> {});
+        log.append(List.of(), ends, List.of(), () -> {}, () -> {});
         assertEquals(List.of(put(1, CARRIED_AND_NEW), put(2, ENDED), put(3, RANGES)), written);
     }
 
     @Test
-    void marksInAWindowKeepTheirBytes() {
+    void completedTasksOfSeveralWindowsKeepTheirBytes() {
         List<String> written = new ArrayList<>();
         List<ClaimEnd> ends = new ArrayList<>();
         for (int task = 16384; task < 16584; task += 2) {
@@ -216,14 +222,14 @@
         }
         ends.add(new ClaimEnd(new Claim("k", new TaskId("run-000412", 5), "host-000007", 3), true));
         rounds(List.of(), written).append(List.of(), ends, List.of(), () -> {}, () -> {});
-        String marks = written.get(0).substring(written.get(0).indexOf("\"done\""));
-        assertEquals(MARKS + "}}]}", marks);
+        String completedTasks = written.get(0).substring(written.get(0).indexOf("\"done\""));
+        assertEquals(COMPLETED_TASKS + "}}]}", completedTasks);
     }
 
     private static RecoveredRounds readBack(List<String> values) {
-        RecoveredRounds[] found = new RecoveredRounds[1];
-        rounds(values, new ArrayList<>()).load(rebuilt -> found[0] = rebuilt);
-        return found[0];
+        RecoveredRounds[] recovered = new RecoveredRounds[1];
+        rounds(values, new ArrayList<>()).load(rounds -> recovered[0] = rounds);
+        return recovered[0];
     }
 
     @Test
@@ -235,7 +241,12 @@
                         Claim.decide(new TaskId("run-000413", 0), "host-000231", 1)),
                 List.copyOf(first.live()));
         RecoveredRounds all =
-                readBack(List.of(CARRIED_AND_NEW, ENDED, RANGES, "{\"v\":1," + MARKS + "}"));
+                readBack(
+                        List.of(
+                                CARRIED_AND_NEW,
+                                ENDED,
+                                RANGES,
+                                "{\"v\":1," + COMPLETED_TASKS + "}"));
         assertEquals(List.of(), List.copyOf(all.live()));
         BitSet done = new BitSet();
         done.set(0, 4);
