--- a/src/main/java/org/springmill/control/autoscaling/ArrivalRateEstimator.java
+++ b/src/main/java/org/springmill/control/autoscaling/ArrivalRateEstimator.java
@@ -13,23 +13,26 @@
 import org.springmill.protocol.Submission;
 
 /**
- * Estimates the rate at which tasks of each class arrive, and from it the headroom that they need.
+ * Estimates how many tasks of each class arrive while a machine boots, which is the headroom to
+ * keep for the class.
  */
 public final class ArrivalRateEstimator {
     /**
-     * Arrivals are counted over this many boots: long enough to be steady, short enough to follow a
-     * burst. The window follows the machines' boot time: when it followed the workers' lease, which
-     * is not related to it, it was almost twice as long where leases are long.
+     * Length of the averaging window in boot times: long enough for a steady estimate, short enough
+     * to follow a burst. A window based on the worker lease, which is unrelated to the boot time,
+     * was almost twice as long where leases are long.
      */
     private static final double WINDOW_BOOTS = 3;
 
-    /** An objective to finish within fewer boots than these leaves no time to wait for one. */
+    /**
+     * A job that must finish within fewer boot times than this cannot wait for a machine to boot.
+     */
     private static final double TIGHT_OBJECTIVE_BOOTS = 4;
 
-    /** Machines fetch at their type's rate, give or take a third. */
+    /** The slowest fetch takes a third longer than the rate of the machine type implies. */
     private static final double SLOWEST_FETCH_FACTOR = 4 / 3.0;
 
-    /** No headroom is kept for more tasks of one job than this. */
+    /** At most this many tasks of one job count as arrivals, which bounds the headroom. */
     private static final int MAX_TASKS_PER_JOB = 100;
 
     /** The kind of an objective on the time until a task starts. */
@@ -46,7 +49,7 @@
     private record Arrival(double at, int tasks) {}
 
     /**
-     * An estimator that has seen no arrival.
+     * Creates an estimator without recorded arrivals.
      *
      * @param settings objectives by class, and the factor on the headroom
      * @param now start of the leader's term in seconds
@@ -64,9 +67,9 @@
      */
     public void recordArrival(Submission job, double now, boolean counted) {
         latestJobs.put(job.jobClass(), job);
-        // Jobs that arrive in the first moments of a term have mostly been waiting for it and say
-        // nothing of the rate: at the start of a fleet as many machines again were requested for
-        // them, which then never were idle.
+        // Most jobs that arrive at the start of a term were waiting for a leader and do not show
+        // the arrival rate. When they counted, a new fleet requested twice as many machines, which
+        // then were never idle.
         if (counted && now - startedAt > settings.workers().leaseSeconds() / 2) {
             arrivals.computeIfAbsent(job.jobClass(), jobClass -> new ArrayDeque<>())
                     .add(new Arrival(now, Math.min(job.tasks(), MAX_TASKS_PER_JOB)));
@@ -74,8 +77,8 @@
     }
 
     /**
-     * Classes that have to start sooner than a machine boots, or to be finished within so few boots
-     * that none of them may pass in waiting; each represented by its latest job.
+     * Returns the latest job of each class that must start within less than a boot time, or finish
+     * within too few boot times to wait for a machine to boot.
      */
     List<Submission> latencyCriticalJobs(double bootSeconds) {
         Set<String> classes = new HashSet<>();
@@ -103,9 +106,9 @@
     }
 
     /**
-     * Whether some class that runs on a type of machine has to start in less than a fetch may take.
-     * There the images that a machine caches are worth more than the machine costs, and the few
-     * machines that hold one are not drained.
+     * Whether some class that fits on a machine type must start within less time than an image
+     * fetch may take. Machines of such a type are not drained, since their cached images are worth
+     * more than the machines cost.
      */
     boolean isBoundToCachedImages(MachineType type) {
         for (Settings.Objective objective : settings.objectives()) {
@@ -122,9 +125,9 @@
     }
 
     /**
-     * How many tasks of a class to expect while a machine boots: mean and one standard deviation.
-     * Jobs arrive at random, each with all of its tasks at once, so the deviation grows with the
-     * size of the jobs.
+     * Returns how many tasks of a class to expect while a machine boots: the mean plus one standard
+     * deviation, times the configured factor. Jobs arrive at random, each with all of its tasks
+     * together, so the deviation grows with the size of the jobs.
      */
     int expectedTasks(String jobClass, double bootSeconds, double now) {
         Deque<Arrival> recent = arrivals.get(jobClass);
--- a/src/main/java/org/springmill/control/autoscaling/Autoscaler.java
+++ b/src/main/java/org/springmill/control/autoscaling/Autoscaler.java
@@ -11,8 +11,8 @@
 
 /**
  * Scales the fleet out and in during one leader's term: requests machines for waiting and expected
- * tasks, and deletes machines that are unusable or idle. The parts that decide and act are wired up
- * here.
+ * tasks, and deletes machines that are unusable or idle. Creates the components and calls them in
+ * order.
  *
  * <p>All methods run on the leader's event loop.
  */
@@ -29,11 +29,11 @@
     private final ScaleOutPlanner scaleOutPlanner;
 
     /**
-     * Wires up the parts for one leader's term; nothing is sent before {@link #start}.
+     * Creates the autoscaler of one leader's term; nothing is sent before {@link #start}.
      *
      * @param arrivalRates the rates at which tasks of each class arrive
-     * @param peers the other controllers, whose responses tell partitions from failures
-     * @param changed run when machines were listed or deleted
+     * @param peers the other controllers, whose responses distinguish partitions from failures
+     * @param changed run after machines were listed or deleted
      */
     public Autoscaler(
             Fleet fleet,
@@ -82,7 +82,7 @@
     }
 
     /**
-     * Begins to list machines; none is requested or deleted before the first complete list.
+     * Starts listing machines; none is requested or deleted before the first complete list.
      *
      * @param firstTerm whether no earlier leader can have requested any machine
      */
@@ -91,22 +91,22 @@
         listing.start();
     }
 
-    /** Ends all requests to the cloud with the leader's term. */
+    /** Stops all requests to the cloud at the end of the leader's term. */
     public void close() {
         cloud.close();
     }
 
-    /** How many machines are overdue: they boot for longer than others of their type and zone. */
+    /** Number of machines that take longer to boot than others of their type and zone. */
     public int overdueMachines() {
         return overdueBoots.count();
     }
 
-    /** Starts to count the silence of machines anew, after this process was paused. */
+    /** Restarts the heartbeat timeouts of all machines after a pause of this process. */
     public void resumed() {
         silence.restart(loop.now());
     }
 
-    /** Deletes machines that are unusable or idle, and requests those that demand needs. */
+    /** Deletes machines that are unusable or idle, and requests machines for unmet demand. */
     public void tick() {
         if (cloud.isClosed() || !listing.hasListed()) {
             return;
--- a/src/main/java/org/springmill/control/autoscaling/Bin.java
+++ b/src/main/java/org/springmill/control/autoscaling/Bin.java
@@ -9,11 +9,11 @@
 import org.springmill.protocol.Submission;
 
 /**
- * The free resources of one machine of the fleet or of a planned one, as the packing of demand sees
- * them. Tasks that are packed here take nothing of the machine itself.
+ * The free resources of one existing or planned machine, for bin packing. Packing a task here does
+ * not change what is allocated on the machine.
  */
 final class Bin {
-    /** What a machine does at the moment, in the order in which bins are filled. */
+    /** What a machine is doing, in the order in which bins are filled. */
     enum Activity {
         RUNNING_TASKS,
         IDLE,
@@ -30,7 +30,7 @@
     private double freeMemoryGb;
     private boolean used;
 
-    /** What was packed here of tasks that are expected to arrive. */
+    /** Resources packed here for tasks that are expected to arrive. */
     private Resources expected = Resources.NONE;
 
     private Bin(
@@ -46,7 +46,7 @@
         this.freeMemoryGb = freeMemoryGb;
     }
 
-    /** What is free on a machine of known type. */
+    /** Creates a bin with the free resources of a machine of known type. */
     static Bin of(Machine machine) {
         return new Bin(
                 new MachineKind(machine.type(), machine.zone(), machine.spot()),
@@ -56,13 +56,13 @@
                 machine.free().memoryGb());
     }
 
-    /** An empty machine that would have to be requested. */
+    /** Creates the bin of an empty machine that would have to be requested. */
     static Bin planned(MachineKind kind) {
         MachineType type = kind.type();
         return new Bin(kind, null, type.cpus(), type.gpus(), type.memoryGb());
     }
 
-    /** The same free resources; tasks that are packed into the copy take nothing of this one. */
+    /** Returns a copy with the same free resources; packing into it does not change this bin. */
     Bin copy() {
         Bin copy = new Bin(kind, machine, freeCpus, freeGpus, freeMemoryGb);
         copy.used = used;
@@ -83,12 +83,12 @@
         return machine == null;
     }
 
-    /** Records that a task which was packed here has yet to arrive. */
+    /** Records that a task packed here is expected and has not arrived yet. */
     void recordExpected(Submission spec) {
         expected = expected.plus(spec);
     }
 
-    /** What was packed here of tasks that are expected to arrive. */
+    /** Resources packed here for tasks that are expected to arrive. */
     Resources expected() {
         return expected;
     }
@@ -98,7 +98,7 @@
         return used;
     }
 
-    /** What the machine, which must not be a planned one, does at the moment. */
+    /** What the machine is doing. Must not be called for a planned machine. */
     Activity activity() {
         if (machine.state() != Machine.State.UP) {
             return Activity.BOOTING;
@@ -106,19 +106,19 @@
         return machine.attempts().isEmpty() ? Activity.IDLE : Activity.RUNNING_TASKS;
     }
 
-    /** Share of the machine that is free, by what is scarcest on it. */
+    /** The free share of the machine's scarcest resource. */
     double freeShare() {
         MachineType type = kind.type();
         double share = Math.min(freeCpus / type.cpus(), freeMemoryGb / type.memoryGb());
         return type.gpus() == 0 ? share : Math.min(share, freeGpus / type.gpus());
     }
 
-    /** What the free part of the machine costs by the hour. */
+    /** Hourly cost of the free share of the machine. */
     double freeCost() {
         return kind.price() * freeShare();
     }
 
-    /** How many of a job's tasks fit here, whatever the job has in other zones. */
+    /** How many of a job's tasks fit here, ignoring the job's limit per zone. */
     int capacityFor(Submission spec) {
         if (!isAllowedFor(spec)) {
             return 0;
@@ -134,7 +134,7 @@
     }
 
     /**
-     * Packs one task here if it fits and the job may have one more in this zone.
+     * Packs one task here if it fits and the job may have one more task in this zone.
      *
      * @param tasksPerZone the job's tasks so far; the packed one is added
      * @return whether it was packed
@@ -152,7 +152,7 @@
         return true;
     }
 
-    /** Whether the machine is one of the fleet and is excluded by a condition. */
+    /** Whether this is an existing machine that matches the condition. */
     boolean isExcluded(Predicate<Machine> excluded) {
         return machine != null && excluded.test(machine);
     }
--- a/src/main/java/org/springmill/control/autoscaling/CloudClient.java
+++ b/src/main/java/org/springmill/control/autoscaling/CloudClient.java
@@ -10,16 +10,18 @@
 import org.springmill.transport.HttpClient.Request;
 
 /**
- * Sends one leader's requests to the cloud within the agreed rate limit. It is closed at the end of
- * the leader's term; callers that schedule further requests check that first.
+ * Sends one leader's requests to the cloud within the cloud's rate limit. It is closed at the end
+ * of the leader's term; callers check {@link #isClosed} before they schedule further requests.
  */
 final class CloudClient {
     private static final byte[] NO_BODY = new byte[0];
 
-    /** Three attempts, one after the other, fit into one worker lease. */
+    /** The request timeout is set so that three consecutive attempts fit into one worker lease. */
     private static final double ATTEMPTS_PER_LEASE = 3;
 
-    /** A request that recurs takes at most one in so many of those that the rate allows. */
+    /**
+     * A repeated request uses at most one in this many of the requests that the rate limit allows.
+     */
     private static final double REQUESTS_PER_REPEAT = 2;
 
     private final HttpClient http;
@@ -37,7 +39,9 @@
         this.rateLimit = new TokenBucket(settings.cloudLimits().requestsPerSecond(), loop.now());
     }
 
-    /** Ends the leader's term: no further request is scheduled, and responses may be ignored. */
+    /**
+     * Marks the end of the leader's term: callers schedule no more requests and ignore responses.
+     */
     void close() {
         closed = true;
     }
@@ -46,19 +50,19 @@
         return closed;
     }
 
-    /** Seconds before a request is repeated, be it a regular one or one that failed. */
+    /** Seconds before a periodic or failed request is sent again. */
     double retryIntervalSeconds() {
         return Math.max(
                 timeouts.heartbeatIntervalSeconds() / 2,
                 REQUESTS_PER_REPEAT / settings.cloudLimits().requestsPerSecond());
     }
 
-    /** Seconds until the rate allows so many requests. */
+    /** Seconds until the rate limit allows this many requests. */
     double secondsUntil(int requests) {
         return rateLimit.waitFor(requests, loop.now());
     }
 
-    /** Sends a GET request as soon as the rate allows it. */
+    /** Sends a GET request as soon as the rate limit allows it. */
     void get(String path, Consumer<Reply> done) {
         send(request("GET", path, NO_BODY), done);
     }
@@ -68,7 +72,7 @@
         return request("POST", path, body);
     }
 
-    /** Sends a request as soon as the rate allows it. */
+    /** Sends a request as soon as the rate limit allows it. */
     void send(Request request, Consumer<Reply> done) {
         double waitSeconds = secondsUntil(1);
         rateLimit.take(1, loop.now());
--- a/src/main/java/org/springmill/control/autoscaling/DeletionReason.java
+++ b/src/main/java/org/springmill/control/autoscaling/DeletionReason.java
@@ -1,30 +1,30 @@
 package org.springmill.control.autoscaling;
 
-/** Why a machine is deleted, with the text of the log line that operators read. */
+/** Why a machine is deleted, with the text that is written to the log. */
 enum DeletionReason {
-    /** The cloud lists the machine as stopped by itself. */
+    /** The cloud lists the machine as failed. */
     FAILED("listed as failed"),
-    /** Known from claims alone: an earlier leader deleted it. */
+    /** Known only from claims and never listed: an earlier leader requested its deletion. */
     CLAIMED_BUT_UNLISTED("claimed but never listed"),
     /** Neither heartbeats nor responses to commands arrive. */
     UNRESPONSIVE("no heartbeat and no response to commands"),
     /** Has claims and has sent this leader no heartbeat. */
     NO_HEARTBEAT("no heartbeat in this term"),
-    /** Did not boot within the operators' patience. */
+    /** Took too long to boot. */
     BOOT_TIMED_OUT("boot timed out"),
-    /** Boots for longer than others, which serve in its place. */
+    /** Takes longer to boot than others, and no task waits for a booting machine any more. */
     BOOT_OVERDUE("boot overdue and no longer needed"),
-    /** Was listed, and is missing from lists for longer than they lag. */
+    /** Was listed, and has been missing from the lists for longer than they can lag. */
     NO_LONGER_LISTED("no longer listed"),
-    /** Silent beyond its worker's lease, with nothing left on it. */
+    /** Its worker's lease has expired, and it has no task attempts left. */
     LEASE_EXPIRED("worker lease expired"),
-    /** Sends heartbeats and receives no response to them. */
+    /** Sends heartbeats but does not receive the responses. */
     MISSES_LEADER_RESPONSES("misses the responses of this leader"),
-    /** Failed tasks of several jobs, and is empty. */
+    /** Tasks of several jobs failed on it, and it has no task attempts left. */
     QUARANTINED("quarantined"),
-    /** Was drained, and is empty. */
+    /** Was drained, and has no task attempts left. */
     DRAINED("drained"),
-    /** Was idle for longer than machines are kept for. */
+    /** Was idle for longer than the configured time. */
     IDLE("idle");
 
     private final String text;
@@ -33,7 +33,7 @@
         this.text = text;
     }
 
-    /** The reason as it stands in the log. */
+    /** The text of the reason in the log. */
     String text() {
         return text;
     }
--- a/src/main/java/org/springmill/control/autoscaling/DemandPacking.java
+++ b/src/main/java/org/springmill/control/autoscaling/DemandPacking.java
@@ -14,28 +14,31 @@
 
 /**
  * First-fit bin packing of waiting and expected tasks into the free resources of the fleet. Plans
- * further machines for tasks that fit nowhere. One instance serves one plan.
+ * additional machines for tasks that do not fit. Each plan uses a new instance.
  */
 final class DemandPacking {
     /**
-     * A plan has no more machines than can be requested at a time. A bound on all machines together
-     * would end all scaling out in a fleet that has grown past it.
+     * Limits the machines of one plan to a few full requests. The fleet as a whole has no limit,
+     * because a fleet that has grown past it could never scale out.
      */
     private static final int MAX_PLANNED_MACHINES = CloudMessages.MAX_RENTALS * 4;
 
     /**
-     * Per task of the job in a zone: less than any difference in price that matters, so that among
-     * equal prices a job's tasks are spread over zones.
+     * Surcharge per task of the job in a zone. It is smaller than any price difference that
+     * matters, so it only spreads a job's tasks over zones of equal price.
      */
     private static final double SURCHARGE_PER_TASK_IN_ZONE = 1e-3;
 
     /**
-     * Per machine in a zone: a tenth of that, so that the spread of the fleet decides only between
-     * zones that hold as many tasks of the job.
+     * Surcharge per machine in a zone. It is a tenth of the surcharge per task, so that spreading
+     * the job comes before spreading the fleet.
      */
     private static final double SURCHARGE_PER_MACHINE_IN_ZONE = 1e-4;
 
-    /** More than any machine costs: kinds whose boots fail are the last choice. */
+    /**
+     * Surcharge for kinds whose boots fail: more than any machine costs, so they are the last
+     * choice.
+     */
     private static final double SURCHARGE_IF_BOOTS_FAIL = 1e6;
 
     private final Iterable<MachineType> types;
@@ -46,15 +49,15 @@
     private final List<Bin> bins;
     private int plannedMachines;
 
-    /** The first bin that may fit an equivalence class: those before it were found not to. */
+    /** Index of the first bin that may fit tasks of a class; earlier bins were found not to. */
     private final Map<EquivalenceClass, Integer> firstOpenBin = new HashMap<>();
 
     /**
      * @param types all types that the cloud offers
      * @param zones all zones of the deployment
-     * @param rentable whether a kind of machine may be requested now
+     * @param rentable whether a kind of machine may be requested at present
      * @param failing whether machines of a kind fail to boot at present
-     * @param machinesPerZone all machines of the fleet
+     * @param machinesPerZone the number of machines of the fleet in each zone
      * @param bins the free resources of the fleet in the order in which they are to be filled;
      *     planned machines are added at the end
      */
@@ -83,9 +86,12 @@
         return bins.stream().filter(Bin::isPlanned).toList();
     }
 
-    /** Packs tasks into bins or plans machines for them, as far as some may be requested. */
+    /**
+     * Packs tasks into bins, and plans machines for those that do not fit while any may be
+     * requested.
+     */
     void pack(PackingRequest request) {
-        // A bin that does not fit one task does not fit the next: each bin is tried once for all.
+        // All tasks have the same size, so a bin that does not fit one of them is not tried again.
         int binIndex =
                 request.equivalenceClass()
                         .map(shape -> firstOpenBin.getOrDefault(shape, 0))
@@ -107,11 +113,10 @@
     }
 
     /**
-     * A job whose tasks have to be in one zone, as if it were allowed only in the zone where most
-     * of them fit. Without that, resources in one zone would be counted for the rest of a job whose
-     * first tasks go to another.
+     * Restricts a job whose tasks must share a zone to the zone where most of them fit. Otherwise
+     * its tasks could be packed into resources of different zones.
      *
-     * @param tasks how many wait
+     * @param tasks the number of waiting tasks
      */
     Submission inZoneWithMostCapacity(Submission spec, int tasks) {
         Submission best = spec;
@@ -140,7 +145,7 @@
         return packed;
     }
 
-    /** Plans one more machine; false if none may be requested for such tasks. */
+    /** Plans one more machine; returns false if none may be requested for these tasks. */
     private boolean plan(PackingRequest request, int tasks, ZoneCounts tasksPerZone) {
         if (plannedMachines == MAX_PLANNED_MACHINES) {
             return false;
@@ -159,7 +164,7 @@
         return cheapest(spec, tasks, new ZoneCounts(), Double.POSITIVE_INFINITY).isPresent();
     }
 
-    /** The kind of machine that runs so many tasks at the least price for each. */
+    /** The available kind of machine with the lowest price per task, if it runs up to this many. */
     private Optional<MachineKind> cheapest(
             Submission spec, int tasks, ZoneCounts tasksPerZone, double maxPriceRatio) {
         double maxPrice = maxPriceRatio * PricePerTask.least(types, spec, spec.spot(), tasks);
@@ -208,7 +213,7 @@
         return other.price() < best.price() && available.test(other.kind()) ? other : best;
     }
 
-    /** A kind of machine at its price for each task, with the surcharges that spread work. */
+    /** A kind of machine with its price per task, surcharges included. */
     private record Offer(MachineKind kind, double price) {
         private static final Offer NONE = new Offer(null, Double.POSITIVE_INFINITY);
     }
--- a/src/main/java/org/springmill/control/autoscaling/Headroom.java
+++ b/src/main/java/org/springmill/control/autoscaling/Headroom.java
@@ -8,18 +8,18 @@
 import org.springmill.protocol.Submission;
 
 /**
- * Keeps free resources ready for tasks that have to start sooner than a machine boots: those that
- * are expected to arrive, and replicas that a correlated failure would end.
+ * Keeps free resources ready for tasks that must start sooner than a machine boots: tasks that are
+ * expected to arrive, and replicas that a correlated failure would stop.
  */
 final class Headroom {
     /**
-     * Headroom for the replicas of a failing rack may cost this part of what the fleet costs, for
-     * each class: next to nothing. Large replicas get hardly any for that; small ones lost with a
-     * rack would otherwise wait for a boot, behind large ones that take the new machines.
+     * Share of the fleet's cost that failover headroom may cost for each class. It is small, so
+     * large replicas get hardly any headroom. Without headroom, small replicas lost with a rack
+     * would wait for a machine to boot, behind large replicas that take the new machines.
      */
     private static final double FAILOVER_COST_SHARE = 0.01;
 
-    /** Keeps a price per task from being zero. */
+    /** Lower bound of the price per task, to avoid a division by zero. */
     private static final double MIN_PRICE_PER_TASK = 1e-6;
 
     private final Fleet fleet;
@@ -32,7 +32,7 @@
         this.settings = settings;
     }
 
-    /** Packs the tasks that headroom is kept for. */
+    /** Packs the tasks for which headroom is kept. */
     void reserve(DemandPacking packing, double now) {
         double bootSeconds = fleet.catalog().slowestBootSeconds();
         double failoverBudget = FAILOVER_COST_SHARE * fleetCost();
@@ -43,7 +43,7 @@
         }
     }
 
-    /** Keeps headroom for tasks; in equal parts in all zones if their jobs have to be spread. */
+    /** Packs expected tasks, in equal parts in all zones if their jobs must be spread. */
     private void reserve(Submission job, int tasks, DemandPacking packing) {
         boolean spreadOverZones = job.spread() && job.zone() == null;
         if (!spreadOverZones) {
@@ -58,9 +58,9 @@
     }
 
     /**
-     * For how many replicas of a class headroom is kept should part of the fleet fail at once: as
-     * many as run on the share of machines that may be declared dead together, as far as the budget
-     * goes.
+     * Number of replicas of a class to keep headroom for in case part of the fleet fails at the
+     * same time: as many as run on the share of machines that may be declared dead together, within
+     * the budget.
      */
     private int failoverReplicas(Submission job, double budget) {
         if (!job.isService()) {
@@ -85,7 +85,7 @@
         return PricePerTask.least(fleet.catalog().all(), job, false, Integer.MAX_VALUE);
     }
 
-    /** What all machines cost by the hour. */
+    /** Hourly cost of all machines. */
     private double fleetCost() {
         double cost = 0;
         for (Machine machine : fleet.machines()) {
--- a/src/main/java/org/springmill/control/autoscaling/HeartbeatSilence.java
+++ b/src/main/java/org/springmill/control/autoscaling/HeartbeatSilence.java
@@ -3,7 +3,7 @@
 import org.springmill.control.cluster.Machine;
 import org.springmill.control.timing.Timeouts;
 
-/** Tells for how long the machines whose heartbeats are expected have been silent. */
+/** Measures the time since the last heartbeat of each machine whose heartbeats are expected. */
 final class HeartbeatSilence {
     private final UnlistedMachines unlistedMachines;
     private final Timeouts timeouts;
@@ -19,24 +19,24 @@
     }
 
     /**
-     * Counts silence from now on only, because this process was paused and read no heartbeats. A
-     * leader that resumes would otherwise take the whole fleet for dead before it has read a single
+     * Restarts all heartbeat timeouts, because this process was paused and read no heartbeats.
+     * Otherwise the leader would declare the whole fleet dead before it has read a single
      * heartbeat.
      */
     void restart(double now) {
         listeningSince = now;
     }
 
-    /** Whether a machine is one whose worker has to send heartbeats. */
+    /** Whether the machine's worker must send heartbeats. */
     boolean isHeartbeatExpected(Machine machine) {
         return machine.state() == Machine.State.UP
                 || (machine.state() == Machine.State.PROVISIONING && !machine.attempts().isEmpty());
     }
 
     /**
-     * Whether a listed machine's heartbeat is overdue. That is well before its silence is acted on:
-     * how many machines are silent together has to show by the time at which the first of them
-     * might be deleted.
+     * Whether a listed machine's heartbeat is overdue. This limit is well below the time after
+     * which a machine is deleted, so that the number of machines that fail together is known by
+     * then.
      */
     boolean isHeartbeatOverdue(Machine machine, double now) {
         return silentSeconds(machine, now) > timeouts.probeAfterSeconds()
@@ -45,7 +45,8 @@
 
     /**
      * Seconds since the last heartbeat of a machine whose heartbeats are expected; zero for all
-     * others. A new leader gives all machines time to find it.
+     * others. At the start of a term the count begins later, so that machines have time to find the
+     * new leader.
      */
     double silentSeconds(Machine machine, double now) {
         if (!isHeartbeatExpected(machine)) {
--- a/src/main/java/org/springmill/control/autoscaling/IdleMachines.java
+++ b/src/main/java/org/springmill/control/autoscaling/IdleMachines.java
@@ -6,10 +6,10 @@
 
 /**
  * Scales in: deletes machines that have been idle for some time and that no expected task needs,
- * and overdue boots whose replacements were ready first.
+ * and overdue machines whose replacements were ready first.
  */
 final class IdleMachines {
-    /** By the protocol a deleted machine costs at least so much of its time. */
+    /** The cloud charges at least this much time for a machine. */
     private static final double MIN_CHARGED_SECONDS = 60;
 
     private final MachineDeletion deletion;
@@ -23,9 +23,9 @@
     }
 
     /**
-     * Deletes what the fleet no longer needs.
+     * Deletes the machines that the fleet no longer needs.
      *
-     * @param bins what is left of the fleet's free resources by all that waits or is expected
+     * @param bins the free resources of the fleet after packing all waiting and expected tasks
      */
     void delete(List<Bin> bins, double now) {
         for (Bin bin : bins) {
@@ -40,7 +40,7 @@
         }
     }
 
-    /** Whether tasks are to run on a machine that is not ready yet. */
+    /** Whether tasks were packed into a machine that is not ready yet. */
     private static boolean isAwaitedByTasks(Bin bin) {
         return bin.isUsed() && (bin.isPlanned() || bin.activity() == Bin.Activity.BOOTING);
     }
--- a/src/main/java/org/springmill/control/autoscaling/MachineDeletion.java
+++ b/src/main/java/org/springmill/control/autoscaling/MachineDeletion.java
@@ -14,8 +14,8 @@
 
 /**
  * Deletes machines through the cloud. Only the cloud's confirmation proves that a machine is
- * deleted and its tasks have ended. Machines fall silent or idle by the dozen and the cloud accepts
- * few requests, so all deletions that are due share one.
+ * deleted and its tasks have ended. Dozens of machines may fail or become idle together and the
+ * cloud limits the rate of requests, so pending deletions share one request.
  */
 final class MachineDeletion {
     private static final Logger LOG = LoggerFactory.getLogger(MachineDeletion.class);
@@ -27,7 +27,7 @@
     private final List<Machine> queue = new ArrayList<>();
 
     /**
-     * @param changed run once a deletion is confirmed
+     * @param changed run after each confirmed deletion
      */
     MachineDeletion(Fleet fleet, CloudClient cloud, EventLoop loop, Runnable changed) {
         this.fleet = fleet;
@@ -81,7 +81,7 @@
         }
         List<Machine> batch = takeBatch();
         if (!queue.isEmpty()) {
-            // The rate allows the next batch once it allows two requests: this batch takes one.
+            // This batch takes one request, so the next one is due when the rate limit allows two.
             loop.after(cloud.secondsUntil(2), this::sendBatch);
         }
         byte[] body = CloudMessages.encodeDeletion(batch.stream().map(Machine::name).toList());
--- a/src/main/java/org/springmill/control/autoscaling/MachineDraining.java
+++ b/src/main/java/org/springmill/control/autoscaling/MachineDraining.java
@@ -17,26 +17,30 @@
 
 /**
  * Scales in: drains machines that are mostly free, if their tasks fit on others that hold the
- * images and neither waiting nor expected tasks need the machines. An eviction interrupts a replica
- * for a moment, a machine costs for as long as it is kept; so the one that saves most is drained
- * first, one at a time, and no task is evicted that has just started.
+ * images and no waiting or expected task needs them. An eviction interrupts a replica only briefly,
+ * while a machine costs for as long as it is kept. Machines are drained one at a time, the one that
+ * saves most first, and tasks that have just started are not evicted.
  */
 final class MachineDraining {
     private static final Logger LOG = LoggerFactory.getLogger(MachineDraining.class);
 
-    /** A machine of which less is free is not drained: evictions would cost more than it saves. */
+    /**
+     * A machine with a smaller free share is not drained: evictions would cost more than it saves.
+     */
     private static final double MIN_FREE_SHARE = 0.5;
 
-    /** Until then a new leader may not have the heartbeats of all workers. */
+    /** For this many worker leases a new leader may lack the heartbeats of some workers. */
     private static final double LEASES_AFTER_START = 2;
 
-    /** By then the heartbeats show where the tasks of the last machine run. */
+    /** After this many heartbeats it is known where the tasks of the last drained machine run. */
     private static final double HEARTBEATS_BETWEEN_DRAINS = 2;
 
-    /** Machines considered in one call, so that a large fleet takes little processor time. */
+    /** Limits the machines considered in one call, to save processor time in a large fleet. */
     private static final int MAX_CANDIDATES = 8;
 
-    /** An attempt that ran for so long has paid for its start. */
+    /**
+     * An attempt must have run for this many worker leases to be evicted: starting it had a cost.
+     */
     private static final double MIN_LEASES_RUNNING = 3;
 
     private final Fleet fleet;
@@ -60,9 +64,9 @@
     }
 
     /**
-     * Begins to drain one machine, if there is one worth it and the fleet is settled.
+     * Starts to drain one machine if one qualifies and the fleet is stable.
      *
-     * @param bins what is left of the fleet's free resources by all that waits or is expected
+     * @param bins the free resources of the fleet after packing all waiting and expected tasks
      */
     void drainOne(List<Bin> bins, double now) {
         if (!isFleetSettled(bins, now)) {
@@ -72,13 +76,13 @@
     }
 
     /**
-     * The machine of the first candidate whose tasks fit on others. While only the most costly
-     * machine was considered, one that could not be drained kept all others from being drained for
-     * minutes.
+     * Returns the first candidate machine whose tasks fit on others. When only the most costly
+     * machine was considered, one that could not be drained blocked all others for minutes.
      */
     static Optional<Machine> firstEvictable(List<Bin> candidates, List<Bin> bins) {
         for (Bin candidate : candidates) {
-            // A candidate that does not fit must not take the free resources from the next one.
+            // A copy, because a candidate whose tasks do not fit must not use up the free
+            // resources.
             List<Bin> copies = bins.stream().map(Bin::copy).toList();
             if (fitsElsewhere(candidate, copies)) {
                 return Optional.of(candidate.machine());
@@ -97,7 +101,9 @@
         machine.attemptsSnapshot().forEach(fleet::stopWithCheckpoint);
     }
 
-    /** Whether no machine is to be requested, none is silent, and none is being drained. */
+    /**
+     * Whether no machine has to be requested, no heartbeat is overdue and none is being drained.
+     */
     private boolean isFleetSettled(List<Bin> bins, double now) {
         return now - startedAt > LEASES_AFTER_START * timeouts.workerLeaseSeconds()
                 && now - drainedAt > HEARTBEATS_BETWEEN_DRAINS * timeouts.heartbeatIntervalSeconds()
@@ -142,9 +148,9 @@
     }
 
     /**
-     * Whether a task without checkpoints has run for more than half of its time. It ends sooner
-     * than it would anywhere else; some were evicted again and again a few seconds before their
-     * end.
+     * Whether a task without checkpoints has run for more than half of its estimated time. It
+     * finishes sooner here than if restarted elsewhere; without this rule some tasks were evicted
+     * repeatedly a few seconds before they finished.
      */
     private static boolean losesMostOfItsWork(TaskAttempt attempt, double now) {
         Submission spec = attempt.job().spec();
--- a/src/main/java/org/springmill/control/autoscaling/MachineHealth.java
+++ b/src/main/java/org/springmill/control/autoscaling/MachineHealth.java
@@ -6,21 +6,21 @@
 import org.springmill.control.timing.Timeouts;
 import org.springmill.protocol.Settings;
 
-/**
- * Decides by boot time, heartbeats and responses which machines are unusable, and has those
- * deleted.
- */
+/** Finds unusable machines by their boot times, heartbeats and responses, and deletes them. */
 final class MachineHealth {
     /**
-     * This share of the fleet, a rack, may fall silent at once and be declared dead like single
-     * machines. A larger share rather shows a network partition of this controller or of them.
+     * Up to this share of the fleet, the size of a rack, may be declared dead together. If the
+     * heartbeats of a larger share are overdue, a network partition of this controller or of those
+     * machines is more likely.
      */
     static final double CORRELATED_FAILURE_SHARE = 1 / 3.0;
 
-    /** A worker's own lease, and as much again to find the new leader. */
+    /**
+     * Worker leases to wait for: the worker's own lease, and as long again to find the new leader.
+     */
     private static final double LEASES_TO_FIND_LEADER = 2;
 
-    /** Where boots fail in every zone, overdue machines get so many times the patience. */
+    /** Multiplies the boot timeout of machines whose type fails to boot in their zone. */
     private static final double PATIENCES_IF_BOOTS_FAIL = 2;
 
     private final Fleet fleet;
@@ -54,7 +54,7 @@
         this.startedAt = now;
     }
 
-    /** Has every unusable machine deleted. */
+    /** Deletes every unusable machine. */
     void deleteUnusable(double now) {
         boolean fewSilent = areFewSilent(now);
         for (Machine machine : fleet.machinesSnapshot()) {
@@ -63,7 +63,7 @@
         }
     }
 
-    /** Whether no more machines are silent at once than a rack holds. */
+    /** Whether no more heartbeats are overdue than the failure of a rack explains. */
     private boolean areFewSilent(double now) {
         int up = 0;
         int silent = 0;
@@ -106,8 +106,8 @@
         if (!partitionedLately && hasSentNoHeartbeat(machine, now)) {
             return Optional.of(DeletionReason.NO_HEARTBEAT);
         }
-        // A stale list names machines that the previous leader has deleted. They never send a
-        // heartbeat, and while they counted as booting no machine was requested in their place.
+        // A stale list may name machines that the previous leader deleted. They never send a
+        // heartbeat, and while they count as booting no machine is requested in their place.
         Optional<DeletionReason> reason = unlistedMachines.reasonToDelete(machine);
         if (reason.isEmpty() && hasBootTimedOut(machine, now)) {
             return Optional.of(DeletionReason.BOOT_TIMED_OUT);
@@ -133,11 +133,11 @@
     }
 
     /**
-     * Whether a machine is to be replaced for its silence. Its deletion proves that its tasks have
-     * ended, well before its lease expiry could. Not when many listed machines are silent at once:
-     * this controller or they may be partitioned. Their tasks are lost only when their leases
-     * expire, and by then their silence proves it; deleting a fleet that was unreachable for 15 s
-     * cost it all its tasks.
+     * Whether a machine must be replaced because it sends no heartbeats and does not respond to
+     * commands. Its deletion proves that its tasks have ended well before its lease expiry does. If
+     * the heartbeats of many listed machines are overdue, this controller or those machines may be
+     * partitioned. Their tasks are lost only when their leases expire, which also proves that they
+     * have ended; deleting a fleet that was unreachable for 15 s lost all of its tasks.
      */
     private boolean isUnresponsive(Machine machine, boolean fewSilent, double now) {
         return silence.silentSeconds(machine, now) > timeouts.deadAfterSeconds()
@@ -146,23 +146,24 @@
                 && isSingleMachineFailure(machine, fewSilent);
     }
 
-    /** Whether a machine's silence is a failure of that machine and not of the network. */
+    /** Whether missing heartbeats are a failure of the machine and not of the network. */
     private boolean isSingleMachineFailure(Machine machine, boolean fewSilent) {
         boolean singleFailure = fewSilent && !partitions.contains(machine.zone());
         return unlistedMachines.contains(machine) || singleFailure;
     }
 
     /**
-     * Whether a machine has claims and sent this leader no heartbeat. Without responses of every
-     * other controller its silence proves nothing: only its deletion does.
+     * Whether a machine with claims has had enough time to send this leader a heartbeat. Unless
+     * every other controller responds, missing heartbeats do not prove that its tasks have ended;
+     * only its deletion does.
      */
     private boolean hasSentNoHeartbeat(Machine machine, double now) {
         return isEstablished(now) && !machine.attempts().isEmpty();
     }
 
     /**
-     * Whether a machine has taken too long to boot. Where boots take long at present, a new machine
-     * would be ready no sooner.
+     * Whether a machine has taken too long to boot. The limit grows with the measured boot times:
+     * where boots are slow at present, a new machine would not be ready sooner.
      */
     private boolean hasBootTimedOut(Machine machine, double now) {
         double nominalSeconds = machine.type().bootSeconds() * settings.operator().bootPatience();
@@ -178,11 +179,11 @@
     }
 
     /**
-     * Whether a machine's heartbeats arrive, and none of the responses to them. Such heartbeats
-     * renew and prove nothing, and while they arrive the machine is not silent. Its tasks were
-     * killed at its lease expiry, and only its deletion proves that. A machine that has only just
-     * connected is given time: when a partition is over, all machines of the zone come with an
-     * older fencing token at first.
+     * Whether a machine's heartbeats arrive but it does not receive the responses. Such heartbeats
+     * neither renew its lease nor prove that its tasks have ended, but they keep it from being
+     * unresponsive. Its tasks were killed at its lease expiry, and only its deletion proves that. A
+     * machine that has just reconnected is given time: after a partition all machines of the zone
+     * first send an older fencing token.
      */
     private boolean missesLeaderResponses(Machine machine, double now) {
         return isEstablished(now)
@@ -191,7 +192,7 @@
                 && machine.missesResponses(now, timeouts.workerLeaseSeconds());
     }
 
-    /** Whether workers of an earlier leader have had more than their lease to find this one. */
+    /** Whether workers of an earlier leader have had enough time to find this one. */
     private boolean isEstablished(double now) {
         double neededSeconds =
                 timeouts.followerRenewalLimitSeconds()
--- a/src/main/java/org/springmill/control/autoscaling/MachineListing.java
+++ b/src/main/java/org/springmill/control/autoscaling/MachineListing.java
@@ -17,13 +17,13 @@
 import org.springmill.transport.HttpClient.Reply;
 
 /**
- * Reads the cloud's list of machines at regular intervals, page by page, and brings the fleet up to
- * date with each complete list.
+ * Reads the cloud's list of machines at regular intervals, page by page, and updates the fleet with
+ * each complete list.
  */
 final class MachineListing {
     private static final Logger LOG = LoggerFactory.getLogger(MachineListing.class);
 
-    /** By the protocol a list may lag by twice its nominal lag. */
+    /** The protocol allows a list to lag by up to twice the configured lag. */
     private static final double NOMINAL_LAGS = 2;
 
     private final Fleet fleet;
@@ -52,7 +52,7 @@
         this.changed = changed;
     }
 
-    /** Begins a list; the next one follows by itself. */
+    /** Starts reading a list; further lists are scheduled automatically. */
     void start() {
         requestPage(null, new ArrayList<>());
     }
@@ -67,14 +67,14 @@
         return listedAt;
     }
 
-    /** By how much a list may lag behind the fleet. */
+    /** The longest time by which a list may lag behind the fleet. */
     double longestLagSeconds() {
         return NOMINAL_LAGS * settings.cloudLimits().listLagSeconds();
     }
 
     /**
      * @param after the last machine that was read; null for the first page
-     * @param found what the pages before this one held
+     * @param found the machines of the previous pages
      */
     private void requestPage(String after, List<ListedMachine> found) {
         if (!cloud.isClosed()) {
@@ -99,7 +99,7 @@
         scheduleNext();
     }
 
-    /** Empty if the reply holds no readable page. */
+    /** Returns empty if the reply is an error or malformed. */
     private static Optional<MachinePage> parse(Reply reply) {
         if (!reply.ok()) {
             return Optional.empty();
@@ -120,7 +120,7 @@
         boolean first = !hasListed();
         listedAt = loop.now();
         for (ListedMachine listed : found) {
-            // The list lags, and may still name machines that are deleted.
+            // A lagging list may still name deleted machines.
             if (!fleet.wasDeleted(listed.name())) {
                 update(listed, first);
             }
@@ -138,7 +138,7 @@
         if (machine.type() == null || machine.address().isEmpty()) {
             describe(machine, listed);
             if (first) {
-                // The new fencing token is sent at once, so that the worker refuses the previous
+                // Sends the new fencing token immediately, so that the worker rejects the previous
                 // leader's commands.
                 machine.commandChannel().requestStatus();
             }
--- a/src/main/java/org/springmill/control/autoscaling/OverdueBoots.java
+++ b/src/main/java/org/springmill/control/autoscaling/OverdueBoots.java
@@ -15,22 +15,23 @@
 import org.springmill.protocol.CloudMessages.MachineType;
 
 /**
- * Which booting machines are overdue, and for how many of them replacements are requested.
+ * Finds the booting machines that are overdue and decides how many of them to replace.
  *
- * <p>A single overdue machine is replaced at once. Where several of a type are overdue, and none
- * that was requested as late as the first of them is ready in a zone, boots of the type fail in
- * that zone: other zones come first, and one machine at a time is tried there until one is ready.
- * Where they fail in every zone, only a part of the overdue ones is replaced at a time, so that a
- * general delay does not have every machine requested twice.
+ * <p>A single overdue machine is replaced immediately. Boots of a type count as failing in a zone
+ * if several machines of the type are overdue and none that was requested in that zone at the same
+ * time as the first of them, or later, is ready. Other zones are then preferred, and one machine at
+ * a time is requested in that zone until one is ready. If boots fail in every zone, only a share of
+ * the overdue machines is replaced at a time, so that a general delay does not cause every machine
+ * to be requested twice.
  */
 final class OverdueBoots {
-    /** Fewer overdue machines of a type say nothing of its other machines. */
+    /** With fewer overdue machines of a type, its boots do not count as failing. */
     private static final int MIN_OVERDUE_TO_FAIL = 2;
 
-    /** This part of the overdue machines is replaced at a time while boots fail in every zone. */
+    /** Share of the overdue machines that is replaced at a time while boots fail in every zone. */
     private static final double REPLACED_SHARE = 0.25;
 
-    /** Part of a boot between two machines that are tried where none is ready. */
+    /** Interval between trial requests in boot times, while boots fail in a zone. */
     private static final double TRIAL_INTERVAL_BOOTS = 0.25;
 
     private final Fleet fleet;
@@ -41,9 +42,9 @@
     private Map<String, BootHistory> boots = Map.of();
 
     /**
-     * The overdue machines of each type, the earliest requested first. Cleared rather than created
-     * anew, as {@link #replaced} is: the order of iteration depends on the capacity that a
-     * collection has grown to, and the order of deletions depends on the order of iteration.
+     * The overdue machines of each type, the earliest requested first. This map and {@link
+     * #replaced} are cleared instead of created again: the iteration order depends on the capacity
+     * that a collection has grown to, and deletions follow the iteration order.
      */
     private final Map<MachineType, List<Machine>> overdueByType = new HashMap<>();
 
@@ -52,7 +53,7 @@
     /**
      * The boots of one type in one zone.
      *
-     * @param inTime how many machines boot and are not overdue
+     * @param inTime the number of booting machines that are not overdue
      * @param lastRequestedAt when the last machine was requested, in seconds
      * @param lastReadyRequestedAt when the last of those that are ready was requested, in seconds
      */
@@ -86,7 +87,7 @@
         this.timeouts = timeouts;
     }
 
-    /** Classifies all machines as they are now. */
+    /** Classifies all machines by their current state. */
     void update(double now) {
         Map<String, BootHistory> found = new HashMap<>();
         overdueByType.clear();
@@ -104,7 +105,7 @@
         overdueByType.values().forEach(this::chooseReplaced);
     }
 
-    /** The machine's part in the boots of its type and zone; lists it if it is overdue. */
+    /** Returns what the machine adds to the boots of its type and zone; records it if overdue. */
     private BootHistory classify(Machine machine, double now) {
         if (machine.state() == Machine.State.UP) {
             return BootHistory.ofReady(machine);
@@ -119,7 +120,9 @@
         return BootHistory.ofOther(machine);
     }
 
-    /** A machine that a list has just named may be ready, and its first heartbeat on the way. */
+    /**
+     * A machine that was listed only just now may be ready, with its first heartbeat in transit.
+     */
     private boolean isOverdue(Machine machine, double now) {
         double patienceSeconds =
                 fleet.bootTimes().overdueAfterSeconds(machine.type(), machine.zone());
@@ -159,8 +162,8 @@
     }
 
     /**
-     * Whether one more machine may be requested, going by whether others of its type boot. While
-     * they fail to, one is tried now and then, the more seldom the more are being tried.
+     * Whether another machine of a kind may be requested. While boots of the kind fail, trial
+     * requests are spaced out, with longer intervals the more machines are already booting.
      */
     boolean mayScaleOut(MachineKind kind, double now) {
         if (!areBootsFailing(kind)) {
@@ -177,12 +180,14 @@
         return areBootsFailing(kind) ? 1 : Integer.MAX_VALUE;
     }
 
-    /** Whether a machine is no longer counted on, so that another one is requested in its place. */
+    /**
+     * Whether a machine no longer counts as future capacity, so that a replacement is requested.
+     */
     boolean isReplaced(Machine machine) {
         return replaced.contains(machine);
     }
 
-    /** The machines that are no longer counted on. */
+    /** The machines that no longer count as future capacity. */
     Set<Machine> replaced() {
         return replaced;
     }
--- a/src/main/java/org/springmill/control/autoscaling/PackingRequest.java
+++ b/src/main/java/org/springmill/control/autoscaling/PackingRequest.java
@@ -9,15 +9,15 @@
 import org.springmill.protocol.Submission;
 
 /**
- * Tasks of the same size that are to be packed.
+ * A request to pack tasks of the same size.
  *
  * @param spec the job that they belong to, or one that represents their class
- * @param tasks how many there are
- * @param tasksPerZone called for each task: the number of its job's tasks in each zone
+ * @param tasks the number of tasks
+ * @param tasksPerZone supplies, for each task, the number of its job's tasks in each zone
  * @param excluded machines on which they may not be placed
- * @param equivalenceClass their class, if all tasks of that class fit on the same machines
- * @param expected whether they have yet to arrive
- * @param maxPriceRatio machines are planned for them only up to so many times the least price
+ * @param equivalenceClass the class of the tasks, if all of that class fit on the same machines
+ * @param expected whether the tasks have not arrived yet
+ * @param maxPriceRatio machines are planned only up to this multiple of the lowest price
  */
 record PackingRequest(
         Submission spec,
@@ -28,7 +28,7 @@
         boolean expected,
         double maxPriceRatio) {
 
-    /** Tasks of one job, which together must keep to its spread over zones. */
+    /** Tasks of one job, which share its limit of tasks per zone. */
     static PackingRequest ofJob(
             Submission spec, int tasks, ZoneCounts tasksPerZone, Predicate<Machine> excluded) {
         return new PackingRequest(
@@ -53,7 +53,7 @@
                 Double.POSITIVE_INFINITY);
     }
 
-    /** The same, where all tasks of an equivalence class fit on the same machines. */
+    /** Returns this request with an equivalence class whose tasks all fit on the same machines. */
     PackingRequest withEquivalenceClass(EquivalenceClass newShape) {
         return new PackingRequest(
                 spec,
@@ -65,7 +65,7 @@
                 maxPriceRatio);
     }
 
-    /** The same, with machines planned only up to so many times the least price. */
+    /** Returns this request with machines planned only up to this multiple of the lowest price. */
     PackingRequest withMaxPriceRatio(double ratio) {
         return new PackingRequest(
                 spec, tasks, tasksPerZone, excluded, equivalenceClass, expected, ratio);
--- a/src/main/java/org/springmill/control/autoscaling/PartitionedZones.java
+++ b/src/main/java/org/springmill/control/autoscaling/PartitionedZones.java
@@ -12,19 +12,19 @@
 /**
  * The zones that may be cut off from this leader by a network partition.
  *
- * <p>A zone counts as partitioned while most of its machines are silent and some controller is,
- * too: the zone may go on working inside, with that controller renewing its workers' leases. What
- * runs there is left alone; deleting the machines, or waiting for leases that do not end, would
- * only stop replicas that are up. This holds for a bounded time.
+ * <p>A zone counts as partitioned while the heartbeats of most of its machines are overdue and some
+ * controller does not respond: that controller may still reach the zone's workers and renew their
+ * leases. Tasks in the zone are left alone for a limited time; deleting the machines, or waiting
+ * for leases that do not expire, would only stop replicas that are up.
  */
 final class PartitionedZones {
     /**
-     * After so many leases without responses of every controller a zone counts as reachable again,
-     * however silent it is, so that machines that are lost for good are replaced in the end.
+     * After this many worker leases without responses of every controller, no zone counts as
+     * partitioned any more, so that machines that are lost permanently are replaced eventually.
      */
     private static final double MAX_PARTITION_LEASES = 10;
 
-    /** Once a partition is over, the workers need this part of a lease to reconnect. */
+    /** Share of a worker lease that workers need to reconnect after a partition. */
     private static final double RECONNECT_LEASES = 0.5;
 
     private final Fleet fleet;
@@ -34,8 +34,9 @@
     private final Timeouts timeouts;
 
     /**
-     * The zones that the latest update found. They cannot be read from {@link #lastPartitionedAt}:
-     * two updates at the same time may differ, for a peer may have responded between them.
+     * The zones that the latest update found partitioned. They cannot be derived from {@link
+     * #lastPartitionedAt}: two updates with the same time may differ, because a peer may have
+     * responded between them.
      */
     private final Set<String> partitioned = new HashSet<>();
 
@@ -58,7 +59,7 @@
         this.allPeersRespondedAt = now;
     }
 
-    /** Finds the partitioned zones by the heartbeats and responses so far. */
+    /** Finds the partitioned zones from the heartbeats and peer responses so far. */
     void update(double now) {
         if (peers.allPeersResponded()) {
             allPeersRespondedAt = now;
@@ -85,8 +86,8 @@
     }
 
     /**
-     * Whether a zone was partitioned within the last lease. Once a partition is over, the zone's
-     * heartbeats arrive one by one, and the machines with the last of them are not dead.
+     * Whether a zone was partitioned within the last lease. After a partition the zone's heartbeats
+     * arrive one by one, and the machines whose heartbeats arrive last are not dead.
      */
     boolean wasRecently(String zone, double now) {
         double since = now - lastPartitionedAt.getOrDefault(zone, Double.NEGATIVE_INFINITY);
@@ -110,13 +111,13 @@
         return zones;
     }
 
-    /** Of how many machines of a zone heartbeats are expected, and of how many they are overdue. */
+    /** Numbers of machines of a zone whose heartbeats are expected, and whose are overdue. */
     private record ZoneHeartbeats(int expected, int overdue) {
         ZoneHeartbeats plus(ZoneHeartbeats other) {
             return new ZoneHeartbeats(expected + other.expected, overdue + other.overdue);
         }
 
-        /** A single silent machine is no partition. */
+        /** A single machine without heartbeats is not a partition. */
         boolean mostAreOverdue() {
             return overdue > Math.max(1, expected / 2);
         }
--- a/src/main/java/org/springmill/control/autoscaling/PricePerTask.java
+++ b/src/main/java/org/springmill/control/autoscaling/PricePerTask.java
@@ -3,16 +3,16 @@
 import org.springmill.protocol.CloudMessages.MachineType;
 import org.springmill.protocol.Submission;
 
-/** Compares machine types by what a task costs on them. */
+/** Computes the price of a task on machine types. */
 final class PricePerTask {
     private PricePerTask() {}
 
     /**
-     * The least price of a task by the hour on any type of machine, whether one is available now or
-     * not; infinite if none fits.
+     * The lowest hourly price of a task on any machine type, available or not; infinite if the task
+     * fits on none.
      *
      * @param spot whether spot prices count
-     * @param tasks a machine runs no more of them than these
+     * @param tasks the most tasks that share a machine
      */
     static double least(Iterable<MachineType> types, Submission job, boolean spot, int tasks) {
         double least = Double.POSITIVE_INFINITY;
--- a/src/main/java/org/springmill/control/autoscaling/ScaleOutPlanner.java
+++ b/src/main/java/org/springmill/control/autoscaling/ScaleOutPlanner.java
@@ -5,7 +5,7 @@
 
 /**
  * Compares waiting and expected demand with the fleet at regular intervals: requests machines for
- * tasks that fit nowhere, has idle machines deleted, and drains one that is mostly free.
+ * tasks that do not fit, deletes idle machines, and drains one that is mostly free.
  */
 final class ScaleOutPlanner {
     private final MachineListing listing;
@@ -49,7 +49,7 @@
         firstTerm = noEarlierTerm;
     }
 
-    /** Makes one plan and carries it out. */
+    /** Plans once and carries out the plan. */
     void plan(double now) {
         if (!areEarlierMachinesListed(now)) {
             return;
--- a/src/main/java/org/springmill/control/autoscaling/ScaleOutRequests.java
+++ b/src/main/java/org/springmill/control/autoscaling/ScaleOutRequests.java
@@ -18,7 +18,7 @@
 
 /**
  * Requests machines from the cloud. A request without a response may have been carried out, so it
- * is idempotent: it is resent under the same key until it is answered, and nothing else is
+ * is idempotent: it is resent with the same key until a response arrives, and no other machines are
  * requested before that. A kind of machine that the cloud refused is not requested again for some
  * time.
  */
@@ -29,8 +29,8 @@
     private static final int MALFORMED = 400;
 
     /**
-     * A refused kind is left out for half of its boot time: whether the cloud has capacity again is
-     * asked at least twice in the time in which a machine of that kind boots.
+     * A refused kind is not requested for half of its boot time, so that it can be requested twice
+     * in the time in which a machine of that kind boots.
      */
     private static final double REFUSAL_BOOTS = 0.5;
 
@@ -39,13 +39,13 @@
     private final OverdueBoots overdueBoots;
     private final EventLoop loop;
 
-    /** Until when in seconds a kind counts as refused, by its label. */
+    /** Time in seconds until which a kind counts as refused, by its label. */
     private final Map<String, Double> refusedUntil = new HashMap<>();
 
     private final List<PendingRequest> pending = new ArrayList<>();
     private int lastRequestNumber;
 
-    /** A request for so many machines of a kind, to which there is no response yet. */
+    /** A request for machines of one kind that has no response yet. */
     private record PendingRequest(MachineKind kind, int count, Request request) {}
 
     ScaleOutRequests(Fleet fleet, CloudClient cloud, OverdueBoots overdueBoots, EventLoop loop) {
@@ -55,17 +55,17 @@
         this.loop = loop;
     }
 
-    /** Whether the cloud has lately refused a kind of machine. */
+    /** Whether the cloud has recently refused a kind of machine. */
     boolean isRefused(MachineKind kind, double now) {
         return now < refusedUntil.getOrDefault(kind.label(), 0.0);
     }
 
-    /** Removes the refusals that no longer hold. */
+    /** Removes expired refusals. */
     void removeExpiredRefusals(double now) {
         refusedUntil.values().removeIf(until -> until < now);
     }
 
-    /** Requests the machines of planned bins, unless an earlier request is still unanswered. */
+    /** Requests the machines of planned bins, unless an earlier request has no response yet. */
     void requestMachines(List<Bin> planned) {
         if (!pending.isEmpty()) {
             return;
@@ -97,7 +97,7 @@
         send(pendingRequest);
     }
 
-    /** Term and number: no other leader, nor this one again, ever uses the same key. */
+    /** Combines term and sequence number, so that no leader ever uses a key twice. */
     private String nextIdempotencyKey() {
         lastRequestNumber++;
         return "r-" + fleet.term() + "-" + lastRequestNumber;
@@ -118,7 +118,7 @@
             pending.remove(pendingRequest);
             recordRefusal(pendingRequest.kind());
         } else {
-            // The response to the same key names the machines, if the request was carried out.
+            // If the request was carried out, the response to the same key names its machines.
             loop.after(cloud.retryIntervalSeconds(), () -> resend(pendingRequest));
         }
     }
--- a/src/main/java/org/springmill/control/autoscaling/SchedulableFleet.java
+++ b/src/main/java/org/springmill/control/autoscaling/SchedulableFleet.java
@@ -11,11 +11,14 @@
 import org.springmill.protocol.Settings;
 
 /**
- * The fleet as the packing of demand sees it: the free resources of machines that take tasks now or
- * will once they have booted, and the kinds of machines that the cloud has at present.
+ * The fleet as input for the packing of demand: the free resources of machines that accept tasks
+ * now or after their boot, and the kinds of machines that may be requested at present.
  */
 final class SchedulableFleet {
-    /** The fullest first, so that free resources gather on few machines, which can be deleted. */
+    /**
+     * Fullest first among machines of equal activity and price, so that others stay empty and can
+     * be deleted.
+     */
     private static final Comparator<Bin> FILLING_ORDER =
             Comparator.comparing(Bin::activity)
                     .thenComparingDouble(bin -> bin.kind().type().price())
@@ -43,7 +46,7 @@
         this.timeouts = timeouts;
     }
 
-    /** A packing into the free resources as they are now. */
+    /** Returns a packing into the current free resources. */
     DemandPacking packing(double now) {
         ZoneCounts machinesPerZone = new ZoneCounts();
         fleet.machines().forEach(machine -> machinesPerZone.add(machine.zone()));
@@ -73,7 +76,7 @@
         return bins;
     }
 
-    /** Whether a machine takes new tasks, or will once it has booted. */
+    /** Whether a machine accepts new tasks now or after its boot. */
     private boolean isSchedulable(Machine machine, double now) {
         if (machine.type() == null || isBeingEvacuated(machine)) {
             return false;
@@ -81,7 +84,7 @@
         return switch (machine.state()) {
             case PROVISIONING ->
                     !partitions.contains(machine.zone()) && !overdueBoots.isReplaced(machine);
-            // Of a fleet that boots at once, many have sent a heartbeat before its response came.
+            // When a whole fleet boots, many machines have sent a heartbeat but lack its response.
             case UP ->
                     machine.isSchedulable(now, timeouts.workerLeaseSeconds())
                             || machine.hasJustBooted();
--- a/src/main/java/org/springmill/control/autoscaling/UnlistedMachines.java
+++ b/src/main/java/org/springmill/control/autoscaling/UnlistedMachines.java
@@ -4,11 +4,12 @@
 import org.springmill.control.cluster.Machine;
 
 /**
- * What it proves that the cloud's lists do not name a machine. Lists lag: one that misses a machine
- * may be older than the machine, and one that names it may be older than its deletion.
+ * Decides what follows if the cloud's lists do not name a machine. Lists lag: a list that does not
+ * name a machine may be older than the machine, and one that names it may be older than its
+ * deletion.
  */
 final class UnlistedMachines {
-    /** Leaves half a lag for the time that a list of several pages takes to be read. */
+    /** Includes half a lag for the time that it takes to read a list of several pages. */
     private static final double LAGS_UNTIL_DELETED = 1.5;
 
     private final MachineListing listing;
@@ -23,8 +24,8 @@
     }
 
     /**
-     * Whether the latest list misses a machine whose last heartbeat is older than lists lag. Its
-     * silence is then its own, and not one of the network.
+     * Whether the latest list does not name a machine, and its last heartbeat is older than a list
+     * can lag. The heartbeats are then missing because of the machine and not of the network.
      */
     boolean contains(Machine machine) {
         double secondsSinceHeartbeat = listing.listedAt() - machine.lastHeartbeatAt();
@@ -32,7 +33,7 @@
                 && secondsSinceHeartbeat > listing.longestLagSeconds();
     }
 
-    /** The reason to delete a machine for what the lists say of it; empty if there is none. */
+    /** The reason to delete a machine that the lists do not name; empty if there is none. */
     Optional<DeletionReason> reasonToDelete(Machine machine) {
         if (machine.type() == null) {
             return isClaimedButNeverListed(machine)
@@ -45,10 +46,11 @@
     }
 
     /**
-     * Whether a machine is known from claims alone: an earlier leader asked for its deletion, and
-     * ended before that was committed. Without word from every other controller its silence proves
-     * nothing, and it has no address to be asked at; its claims would stand, and their tasks wait,
-     * for as long as one controller is away.
+     * Whether a machine is known only from claims: an earlier leader requested its deletion, and
+     * its term ended before that was committed. Unless every other controller responds, missing
+     * heartbeats do not prove that its tasks have ended, and there is no address to send commands
+     * to. Without this rule its claims would be kept, and their tasks would wait, for as long as
+     * one controller is down.
      */
     private boolean isClaimedButNeverListed(Machine machine) {
         double listedSeconds = listing.listedAt() - startedAt;
@@ -56,10 +58,10 @@
     }
 
     /**
-     * Whether a machine that was listed is deleted by the cloud's word. A machine stays listed
-     * until it is deleted, but a list may be older than the one before it; so only one read longer
-     * after the last that named the machine than any list lags, responses and further pages
-     * included, is proof.
+     * Whether the lists prove that a machine was deleted. A machine stays listed until it is
+     * deleted, but a list may be older than the previous one. So the list must have been read later
+     * than the last one that named the machine by more than the longest lag, plus the time to read
+     * all pages.
      */
     private boolean isNoLongerListed(Machine machine) {
         boolean wasListed = machine.listedAt() > Double.NEGATIVE_INFINITY;
--- a/src/main/java/org/springmill/control/autoscaling/WaitingDemand.java
+++ b/src/main/java/org/springmill/control/autoscaling/WaitingDemand.java
@@ -12,11 +12,12 @@
 import org.springmill.protocol.Settings;
 import org.springmill.protocol.Submission;
 
-/** Packs the waiting tasks of jobs, within quotas and as their jobs may be placed. */
+/** Packs the waiting tasks of jobs within quotas and the placement constraints of the jobs. */
 final class WaitingDemand {
     /**
-     * Tasks are short if several of them follow each other within a boot. Where one does, as with
-     * job arrays that run for about a boot, half of a job would wait for the other half.
+     * Tasks are short if several of them can run one after another within a boot time. If tasks
+     * that run for about a boot time counted as short, half of a job array would wait for the other
+     * half.
      */
     private static final double SHORT_TASK_BOOTS = 0.25;
 
@@ -55,9 +56,9 @@
     }
 
     /**
-     * Packs the waiting tasks of a job. Machines where it failed are excluded, since it is not
-     * placed there: it would wait for ever where no other machine has free resources. So are those
-     * that are reserved for another job.
+     * Packs the waiting tasks of a job. Machines where the job failed are excluded, since it is not
+     * placed there: it would wait forever if no other machine had free resources. Machines that are
+     * reserved for another job are excluded, too.
      */
     private void pack(Job job, DemandPacking packing, double now) {
         int tasks = slotsNeeded(job, Math.min(job.startableTaskCount(), tasksWithinQuota(job)));
@@ -84,10 +85,10 @@
     }
 
     /**
-     * How many of a job's waiting tasks need resources of their own, so that all of the job's have
-     * run within a boot. Tasks that are much shorter than that follow each other on the same
-     * resources: a machine for each of some ten thousand short tasks would be ready when most of
-     * them are done.
+     * How many of a job's waiting tasks need resources of their own so that all tasks of the job
+     * finish within a boot time. Tasks that are much shorter than a boot run one after another on
+     * the same resources: machines requested for ten thousand short tasks at once would be ready
+     * only when most of the tasks are done.
      */
     private int slotsNeeded(Job job, int waiting) {
         Submission spec = job.spec();
@@ -113,8 +114,8 @@
     }
 
     /**
-     * A job whose tasks have to be in one zone, as if it were allowed only in the zone of those
-     * that run; if none runs, where most of them fit.
+     * Restricts a job whose tasks must share a zone to the zone of its running tasks; if none runs,
+     * to the zone where most of them fit.
      */
     private static Submission inOneZone(Job job, int tasks, DemandPacking packing) {
         for (TaskAttempt attempt : job.attempts()) {
--- a/src/test/java/org/springmill/control/autoscaling/ArrivalRateEstimatorTest.java
+++ b/src/test/java/org/springmill/control/autoscaling/ArrivalRateEstimatorTest.java
@@ -15,9 +15,9 @@
     private static final double ARRIVAL_INTERVAL = 5;
 
     /**
-     * A job of one task every 5 s for 200 s, so nine for each boot, and about three more for
-     * chance. Arrivals count for three boots, 135 s, whatever the workers' lease: with a window of
-     * nine leases room stood ready for minutes after the last job had come.
+     * A job of one task arrives every 5 s for 200 s: nine per boot time, plus about three for the
+     * standard deviation. Arrivals count for three boot times (135 s), independent of the worker
+     * lease: with a window of nine leases, headroom was kept for minutes after the last arrival.
      */
     @ParameterizedTest(name = "{0}")
     @CsvSource({
--- a/src/test/java/org/springmill/control/autoscaling/BinTest.java
+++ b/src/test/java/org/springmill/control/autoscaling/BinTest.java
@@ -18,7 +18,7 @@
 
     @ParameterizedTest
     @CsvSource({
-        // tasks, cpus, gpus, memory, held
+        // tasks, cpus, gpus, memory, capacity
         "10, 16, 1, 64, 6",
         "10, 10, 3, 10, 2",
         "10, 0,  0, 300, 2",
--- a/src/test/java/org/springmill/control/autoscaling/DeletedMachinesTest.java
+++ b/src/test/java/org/springmill/control/autoscaling/DeletedMachinesTest.java
@@ -12,7 +12,7 @@
 import org.springmill.protocol.SettingsFixtures;
 import org.springmill.sim.VirtualClock;
 
-/** A leader of many months must not keep the name of every machine that it ever deleted. */
+/** Guards against memory growth: a leader must not remember deleted machines forever. */
 class DeletedMachinesTest {
     private static final double LEASE_SECONDS = 14;
 
--- a/src/test/java/org/springmill/control/autoscaling/DemandPackingTest.java
+++ b/src/test/java/org/springmill/control/autoscaling/DemandPackingTest.java
@@ -17,7 +17,9 @@
 import org.springmill.protocol.Resources;
 import org.springmill.protocol.Submission;
 
-/** A small type of machine in zones a and b, and one of the same size, but dearer, in c as well. */
+/**
+ * Uses a cheap machine type in zones a and b, and a more expensive one of equal size in a, b and c.
+ */
 class DemandPackingTest {
     private static final MachineType CHEAP = PackingFixtures.type("cheap", 12, "a", "b");
     private static final MachineType DEAR = PackingFixtures.type("dear", 13, "a", "b", "c");
@@ -114,7 +116,7 @@
         assertEquals(200, packing.plannedBins().size());
     }
 
-    /** Guards against ordering the replacement of a late machine where machines do not come up. */
+    /** Guards against requesting replacements for overdue machines where boots fail. */
     @Test
     void kindThatDoesNotComeUpIsTheLastChoice() {
         Submission job = PackingFixtures.job(3).size(96, 0, 1).zone("b").build();
@@ -128,7 +130,7 @@
         assertEquals("cheap/b", packing.plannedBins().get(0).kind().label());
     }
 
-    /** Guards against dear machines being rented for a team without a guarantee. */
+    /** Guards against requesting expensive machines for a team without a guaranteed quota. */
     @Test
     void nothingIsPlannedAboveThePriceBoundEvenIfNothingCheaperCanBeRented() {
         Submission job = PackingFixtures.job(3).size(96, 0, 1).zone("b").spot().build();
@@ -140,7 +142,7 @@
         assertEquals("cheap/b", packing.plannedBins().get(0).kind().label());
     }
 
-    /** The next job of a shape goes on where the last one found no more room. */
+    /** The next job of an equivalence class starts at the bin where the previous one stopped. */
     @Test
     void jobsOfOneShapeFillBinsAsOneJobWould() {
         Submission job = PackingFixtures.job(1).size(30, 0, 1).build();
--- a/src/test/java/org/springmill/control/autoscaling/MachineDrainingTest.java
+++ b/src/test/java/org/springmill/control/autoscaling/MachineDrainingTest.java
@@ -14,13 +14,13 @@
 import org.springmill.protocol.TaskId;
 import org.springmill.protocol.WorkerMessages.Heartbeat;
 
-/** Which machine is drained, by where its tasks would fit. */
+/** Tests which machine is drained, given where its tasks fit. */
 class MachineDrainingTest {
     private static final double NOW = 100;
     private static final String ZONE = "a";
     private static final MachineType TYPE = PackingFixtures.type("large", 10, ZONE);
 
-    /** A machine that runs one task which takes so many CPUs, and holds its image. */
+    /** A machine that runs one task with this many CPUs and holds its image. */
     private static Machine running(String name, double cpus) {
         Machine machine = new Machine(name, 1, NOW);
         machine.describe("10.1.0.1:9000", TYPE, ZONE, false);
@@ -47,7 +47,7 @@
         assertEquals(
                 Optional.empty(),
                 MachineDraining.firstEvictable(List.of(stuck), List.of(stuck, target)));
-        // Trying a candidate takes nothing of the free resources that were counted.
+        // Trying a candidate does not change the bins.
         assertEquals(List.of(6.0, 86.0, 16.0), bins.stream().map(this::freeCpus).toList());
     }
 
--- a/src/test/java/org/springmill/control/autoscaling/PackingFixtures.java
+++ b/src/test/java/org/springmill/control/autoscaling/PackingFixtures.java
@@ -10,17 +10,17 @@
 public final class PackingFixtures {
     private PackingFixtures() {}
 
-    /** A type with 96 CPUs, 8 GPUs and 768 GB; its spot price is half of the ordinary one. */
+    /** A type with 96 CPUs, 8 GPUs and 768 GB; its spot price is half of the on-demand price. */
     public static MachineType type(String name, double price, String... zones) {
         return new MachineType(name, 96, 8, 768, 200, 1, price, price / 2, 45, List.of(zones));
     }
 
-    /** A job of tasks that each need one CPU and 1 GB, if nothing else is said. */
+    /** A job whose tasks each need one CPU and 1 GB by default. */
     public static JobBuilder job(int tasks) {
         return new JobBuilder(tasks);
     }
 
-    /** Says what is particular to a job. */
+    /** Builds a job with the given differences from the defaults. */
     public static final class JobBuilder {
         private final int tasks;
         private double cpus = 1;
