--- a/src/main/java/org/springmill/control/autoscaling/MachineListing.java
+++ b/src/main/java/org/springmill/control/autoscaling/MachineListing.java
@@ -107,7 +107,9 @@
         try {
             return Optional.of(CloudMessages.decodeMachinePage(reply.body()));
         } catch (MalformedMessageException e) {
-            LOG.warn("malformed machine list of the cloud: {}", e.getMessage());
+            LOG.warn(
+                    "ignoring the cloud's machine list, reading it again: malformed page: {}",
+                    e.getMessage());
             return Optional.empty();
         }
     }
--- a/src/main/java/org/springmill/control/autoscaling/ScaleOutRequests.java
+++ b/src/main/java/org/springmill/control/autoscaling/ScaleOutRequests.java
@@ -137,7 +137,12 @@
                 recordRefusal(pendingRequest.kind());
             }
         } catch (MalformedMessageException e) {
-            LOG.warn("malformed response of the cloud to a rental: {}", e.getMessage());
+            LOG.warn(
+                    "malformed response of the cloud to the request for {} machines of kind {}:"
+                            + " any created machines will be read from its machine list: {}",
+                    pendingRequest.count(),
+                    pendingRequest.kind().label(),
+                    e.getMessage());
         }
     }
 
--- a/src/test/java/org/springmill/control/autoscaling/DemandPackingTest.java
+++ b/src/test/java/org/springmill/control/autoscaling/DemandPackingTest.java
@@ -22,7 +22,7 @@
  */
 class DemandPackingTest {
     private static final MachineType CHEAP = PackingFixtures.type("cheap", 12, "a", "b");
-    private static final MachineType DEAR = PackingFixtures.type("dear", 13, "a", "b", "c");
+    private static final MachineType DEAR = PackingFixtures.type("expensive", 13, "a", "b", "c");
 
     private final ZoneCounts machinesPerZone = new ZoneCounts();
     private List<Bin> bins;
@@ -79,7 +79,7 @@
     @Test
     void theNextBestKindIsPlannedWhereTheCheapestIsNotRentable() {
         assertEquals(
-                List.of("dear/b"),
+                List.of("expensive/b"),
                 plannedFor(
                         PackingFixtures.job(2).size(96, 0, 1).build(),
                         kind -> !kind.type().equals(CHEAP)));
@@ -122,7 +122,7 @@
         Submission job = PackingFixtures.job(3).size(96, 0, 1).zone("b").build();
         DemandPacking packing = packing(Objects::nonNull, kind -> kind.label().equals("cheap/b"));
         packing.pack(PackingRequest.ofJob(job, 1, new ZoneCounts(), machine -> false));
-        assertEquals("dear/b", packing.plannedBins().get(0).kind().label());
+        assertEquals("expensive/b", packing.plannedBins().get(0).kind().label());
 
         oneRentedMachineInZoneA();
         packing = packing(kind -> kind.label().equals("cheap/b"), kind -> true);
