--- a/src/main/java/org/springmill/control/autoscaling/Autoscaler.java
+++ b/src/main/java/org/springmill/control/autoscaling/Autoscaler.java
@@ -21,7 +21,7 @@
     private final CloudClient cloud;
     private final MachineDeletion deletion;
     private final MachineListing listing;
-    private final HeartbeatSilence silence;
+    private final HeartbeatMonitor heartbeats;
     private final PartitionedZones partitions;
     private final OverdueBoots overdueBoots;
     private final MachineHealth health;
@@ -51,14 +51,15 @@
         deletion = new MachineDeletion(fleet, cloud, loop, changed);
         listing = new MachineListing(fleet, cloud, deletion, loop, settings, changed);
         UnlistedMachines unlistedMachines = new UnlistedMachines(listing, now);
-        silence = new HeartbeatSilence(unlistedMachines, timeouts, now);
-        partitions = new PartitionedZones(fleet, peers, unlistedMachines, silence, timeouts, now);
+        heartbeats = new HeartbeatMonitor(unlistedMachines, timeouts, now);
+        partitions =
+                new PartitionedZones(fleet, peers, unlistedMachines, heartbeats, timeouts, now);
         overdueBoots = new OverdueBoots(fleet, partitions, timeouts);
         health =
                 new MachineHealth(
                         fleet,
                         unlistedMachines,
-                        silence,
+                        heartbeats,
                         partitions,
                         overdueBoots,
                         deletion,
@@ -77,7 +78,7 @@
                         new Headroom(fleet, arrivalRates, settings),
                         scaleOutRequests,
                         new IdleMachines(deletion, overdueBoots, settings),
-                        new MachineDraining(fleet, arrivalRates, silence, timeouts, now),
+                        new MachineDraining(fleet, arrivalRates, heartbeats, timeouts, now),
                         now);
     }
 
@@ -103,7 +104,7 @@
 
     /** Restarts the heartbeat timeouts of all machines after a pause of this process. */
     public void resumed() {
-        silence.restart(loop.now());
+        heartbeats.restart(loop.now());
     }
 
     /** Deletes machines that are unusable or idle, and requests machines for unmet demand. */
--- a/src/main/java/org/springmill/control/autoscaling/DemandPacking.java
+++ b/src/main/java/org/springmill/control/autoscaling/DemandPacking.java
@@ -55,8 +55,8 @@
     /**
      * @param types all types that the cloud offers
      * @param zones all zones of the deployment
-     * @param rentable whether a kind of machine may be requested at present
-     * @param failing whether machines of a kind fail to boot at present
+     * @param available whether a kind of machine may be requested at present
+     * @param bootsFailing whether machines of a kind fail to boot at present
      * @param machinesPerZone the number of machines of the fleet in each zone
      * @param bins the free resources of the fleet in the order in which they are to be filled;
      *     planned machines are added at the end
@@ -64,14 +64,14 @@
     DemandPacking(
             Iterable<MachineType> types,
             List<String> zones,
-            Predicate<MachineKind> rentable,
-            Predicate<MachineKind> failing,
+            Predicate<MachineKind> available,
+            Predicate<MachineKind> bootsFailing,
             ZoneCounts machinesPerZone,
             List<Bin> bins) {
         this.types = types;
         this.zones = zones;
-        this.available = rentable;
-        this.bootsFailing = failing;
+        this.available = available;
+        this.bootsFailing = bootsFailing;
         this.machinesPerZone = machinesPerZone;
         this.bins = bins;
     }
@@ -94,7 +94,7 @@
         // All tasks have the same size, so a bin that does not fit one of them is not tried again.
         int binIndex =
                 request.equivalenceClass()
-                        .map(shape -> firstOpenBin.getOrDefault(shape, 0))
+                        .map(equivalenceClass -> firstOpenBin.getOrDefault(equivalenceClass, 0))
                         .orElse(0);
         int remaining = request.tasks();
         while (remaining > 0) {
@@ -109,7 +109,8 @@
             }
         }
         int firstOpen = binIndex;
-        request.equivalenceClass().ifPresent(shape -> firstOpenBin.put(shape, firstOpen));
+        request.equivalenceClass()
+                .ifPresent(equivalenceClass -> firstOpenBin.put(equivalenceClass, firstOpen));
     }
 
     /**
@@ -120,17 +121,18 @@
      */
     Submission inZoneWithMostCapacity(Submission spec, int tasks) {
         Submission best = spec;
-        int mostHeld = -1;
+        int mostCapacity = -1;
         for (String zone : zones) {
             boolean allowed = spec.zone() == null || spec.zone().equals(zone);
             if (!allowed) {
                 continue;
             }
             Submission inZone = spec.restrictedToZone(zone);
-            int held = bins.stream().mapToInt(bin -> bin.capacityFor(inZone)).sum();
-            if (held > mostHeld && (held >= tasks || isAnyKindAvailable(inZone, tasks))) {
+            int capacity = bins.stream().mapToInt(bin -> bin.capacityFor(inZone)).sum();
+            if (capacity > mostCapacity
+                    && (capacity >= tasks || isAnyKindAvailable(inZone, tasks))) {
                 best = inZone;
-                mostHeld = held;
+                mostCapacity = capacity;
             }
         }
         return best;
@@ -189,10 +191,10 @@
     }
 
     private static List<MachineKind> kinds(MachineType type, String zone, Submission spec) {
-        MachineKind ordinary = new MachineKind(type, zone, false);
+        MachineKind onDemand = new MachineKind(type, zone, false);
         return spec.spot()
-                ? List.of(new MachineKind(type, zone, true), ordinary)
-                : List.of(ordinary);
+                ? List.of(new MachineKind(type, zone, true), onDemand)
+                : List.of(onDemand);
     }
 
     private static boolean isZoneOpen(String zone, Submission spec, ZoneCounts tasksPerZone) {
--- a/src/main/java/org/springmill/control/autoscaling/HeartbeatSilence.java
+++ b/src/main/java/org/springmill/control/autoscaling/HeartbeatMonitor.java
@@ -4,18 +4,18 @@
 import org.springmill.control.timing.Timeouts;
 
 /** Measures the time since the last heartbeat of each machine whose heartbeats are expected. */
-final class HeartbeatSilence {
+final class HeartbeatMonitor {
     private final UnlistedMachines unlistedMachines;
     private final Timeouts timeouts;
-    private double listeningSince;
+    private double monitoredSince;
 
     /**
      * @param now start of the leader's term in seconds
      */
-    HeartbeatSilence(UnlistedMachines unlistedMachines, Timeouts timeouts, double now) {
+    HeartbeatMonitor(UnlistedMachines unlistedMachines, Timeouts timeouts, double now) {
         this.unlistedMachines = unlistedMachines;
         this.timeouts = timeouts;
-        this.listeningSince = now;
+        this.monitoredSince = now;
     }
 
     /**
@@ -24,7 +24,7 @@
      * heartbeat.
      */
     void restart(double now) {
-        listeningSince = now;
+        monitoredSince = now;
     }
 
     /** Whether the machine's worker must send heartbeats. */
@@ -39,7 +39,7 @@
      * then.
      */
     boolean isHeartbeatOverdue(Machine machine, double now) {
-        return silentSeconds(machine, now) > timeouts.probeAfterSeconds()
+        return secondsSinceHeartbeat(machine, now) > timeouts.probeAfterSeconds()
                 && !unlistedMachines.contains(machine);
     }
 
@@ -48,11 +48,11 @@
      * others. At the start of a term the count begins later, so that machines have time to find the
      * new leader.
      */
-    double silentSeconds(Machine machine, double now) {
+    double secondsSinceHeartbeat(Machine machine, double now) {
         if (!isHeartbeatExpected(machine)) {
             return 0;
         }
-        double listenedSince = listeningSince + timeouts.deadAfterSeconds() / 2;
-        return now - Math.max(machine.lastHeartbeatAt(), listenedSince);
+        double countedFrom = monitoredSince + timeouts.deadAfterSeconds() / 2;
+        return now - Math.max(machine.lastHeartbeatAt(), countedFrom);
     }
 }
--- a/src/main/java/org/springmill/control/autoscaling/IdleMachines.java
+++ b/src/main/java/org/springmill/control/autoscaling/IdleMachines.java
@@ -49,8 +49,8 @@
         if (!isIdle(machine)) {
             return false;
         }
-        double patienceSeconds = settings.operator().idleBoots() * machine.type().bootSeconds();
-        return now - machine.idleSince() >= patienceSeconds
+        double maxIdleSeconds = settings.operator().idleBoots() * machine.type().bootSeconds();
+        return now - machine.idleSince() >= maxIdleSeconds
                 && now - machine.firstSeenAt() >= MIN_CHARGED_SECONDS;
     }
 
--- a/src/main/java/org/springmill/control/autoscaling/MachineDraining.java
+++ b/src/main/java/org/springmill/control/autoscaling/MachineDraining.java
@@ -45,7 +45,7 @@
 
     private final Fleet fleet;
     private final ArrivalRateEstimator arrivalRates;
-    private final HeartbeatSilence silence;
+    private final HeartbeatMonitor heartbeats;
     private final Timeouts timeouts;
     private final double startedAt;
     private double drainedAt = Double.NEGATIVE_INFINITY;
@@ -53,12 +53,12 @@
     MachineDraining(
             Fleet fleet,
             ArrivalRateEstimator arrivalRates,
-            HeartbeatSilence silence,
+            HeartbeatMonitor heartbeats,
             Timeouts timeouts,
             double now) {
         this.fleet = fleet;
         this.arrivalRates = arrivalRates;
-        this.silence = silence;
+        this.heartbeats = heartbeats;
         this.timeouts = timeouts;
         this.startedAt = now;
     }
@@ -69,7 +69,7 @@
      * @param bins the free resources of the fleet after packing all waiting and expected tasks
      */
     void drainOne(List<Bin> bins, double now) {
-        if (!isFleetSettled(bins, now)) {
+        if (!isFleetStable(bins, now)) {
             return;
         }
         firstEvictable(mostCostlyToKeep(bins, now), bins).ifPresent(machine -> drain(machine, now));
@@ -104,16 +104,17 @@
     /**
      * Whether no machine has to be requested, no heartbeat is overdue and none is being drained.
      */
-    private boolean isFleetSettled(List<Bin> bins, double now) {
+    private boolean isFleetStable(List<Bin> bins, double now) {
         return now - startedAt > LEASES_AFTER_START * timeouts.workerLeaseSeconds()
                 && now - drainedAt > HEARTBEATS_BETWEEN_DRAINS * timeouts.heartbeatIntervalSeconds()
                 && bins.stream().noneMatch(Bin::isPlanned)
-                && fleet.machines().stream().noneMatch(machine -> isUnsettled(machine, now));
+                && fleet.machines().stream()
+                        .noneMatch(machine -> isDrainingOrOverdue(machine, now));
     }
 
-    private boolean isUnsettled(Machine machine, double now) {
+    private boolean isDrainingOrOverdue(Machine machine, double now) {
         boolean beingDrained = machine.isDraining() && !machine.attempts().isEmpty();
-        return beingDrained || silence.isHeartbeatOverdue(machine, now);
+        return beingDrained || heartbeats.isHeartbeatOverdue(machine, now);
     }
 
     /** Machines that may be drained, the one that saves most first. */
@@ -128,8 +129,8 @@
                 .toList();
     }
 
-    private boolean isBoundToImages(Bin bin, Map<MachineType, Boolean> known) {
-        return known.computeIfAbsent(bin.kind().type(), arrivalRates::isBoundToCachedImages);
+    private boolean isBoundToImages(Bin bin, Map<MachineType, Boolean> cache) {
+        return cache.computeIfAbsent(bin.kind().type(), arrivalRates::isBoundToCachedImages);
     }
 
     private static boolean isMostlyFree(Bin bin) {
--- a/src/main/java/org/springmill/control/autoscaling/MachineHealth.java
+++ b/src/main/java/org/springmill/control/autoscaling/MachineHealth.java
@@ -21,11 +21,11 @@
     private static final double LEASES_TO_FIND_LEADER = 2;
 
     /** Multiplies the boot timeout of machines whose type fails to boot in their zone. */
-    private static final double PATIENCES_IF_BOOTS_FAIL = 2;
+    private static final double TIMEOUT_FACTOR_IF_BOOTS_FAIL = 2;
 
     private final Fleet fleet;
     private final UnlistedMachines unlistedMachines;
-    private final HeartbeatSilence silence;
+    private final HeartbeatMonitor heartbeats;
     private final PartitionedZones partitions;
     private final OverdueBoots overdueBoots;
     private final MachineDeletion deletion;
@@ -36,7 +36,7 @@
     MachineHealth(
             Fleet fleet,
             UnlistedMachines unlistedMachines,
-            HeartbeatSilence silence,
+            HeartbeatMonitor heartbeats,
             PartitionedZones partitions,
             OverdueBoots overdueBoots,
             MachineDeletion deletion,
@@ -45,7 +45,7 @@
             double now) {
         this.fleet = fleet;
         this.unlistedMachines = unlistedMachines;
-        this.silence = silence;
+        this.heartbeats = heartbeats;
         this.partitions = partitions;
         this.overdueBoots = overdueBoots;
         this.deletion = deletion;
@@ -56,17 +56,17 @@
 
     /** Deletes every unusable machine. */
     void deleteUnusable(double now) {
-        boolean fewSilent = areFewSilent(now);
+        boolean fewOverdue = areFewHeartbeatsOverdue(now);
         for (Machine machine : fleet.machinesSnapshot()) {
-            reasonToDelete(machine, fewSilent, now)
+            reasonToDelete(machine, fewOverdue, now)
                     .ifPresent(reason -> deletion.delete(machine, reason));
         }
     }
 
     /** Whether no more heartbeats are overdue than the failure of a rack explains. */
-    private boolean areFewSilent(double now) {
+    private boolean areFewHeartbeatsOverdue(double now) {
         int up = 0;
-        int silent = 0;
+        int overdue = 0;
         for (Machine machine : fleet.machines()) {
             if (partitions.contains(machine.zone())) {
                 continue;
@@ -74,21 +74,21 @@
             if (machine.state() == Machine.State.UP) {
                 up++;
             }
-            if (silence.isHeartbeatOverdue(machine, now)) {
-                silent++;
+            if (heartbeats.isHeartbeatOverdue(machine, now)) {
+                overdue++;
             }
         }
-        return silent <= Math.max(1, up * CORRELATED_FAILURE_SHARE);
+        return overdue <= Math.max(1, up * CORRELATED_FAILURE_SHARE);
     }
 
     private Optional<DeletionReason> reasonToDelete(
-            Machine machine, boolean fewSilent, double now) {
+            Machine machine, boolean fewOverdue, double now) {
         if (machine.type() == null) {
             return unlistedMachines.reasonToDelete(machine);
         }
         return switch (machine.state()) {
-            case PROVISIONING -> reasonToDeleteProvisioning(machine, fewSilent, now);
-            case UP -> reasonToDeleteUp(machine, fewSilent, now);
+            case PROVISIONING -> reasonToDeleteProvisioning(machine, fewOverdue, now);
+            case UP -> reasonToDeleteUp(machine, fewOverdue, now);
             case LEASE_EXPIRED ->
                     machine.attempts().isEmpty()
                             ? Optional.of(DeletionReason.LEASE_EXPIRED)
@@ -98,12 +98,12 @@
     }
 
     private Optional<DeletionReason> reasonToDeleteProvisioning(
-            Machine machine, boolean fewSilent, double now) {
-        boolean partitionedLately = partitions.wasRecently(machine.zone(), now);
-        if (!partitionedLately && isUnresponsive(machine, fewSilent, now)) {
+            Machine machine, boolean fewOverdue, double now) {
+        boolean recentlyPartitioned = partitions.wasRecently(machine.zone(), now);
+        if (!recentlyPartitioned && isUnresponsive(machine, fewOverdue, now)) {
             return Optional.of(DeletionReason.UNRESPONSIVE);
         }
-        if (!partitionedLately && hasSentNoHeartbeat(machine, now)) {
+        if (!recentlyPartitioned && hasSentNoHeartbeat(machine, now)) {
             return Optional.of(DeletionReason.NO_HEARTBEAT);
         }
         // A stale list may name machines that the previous leader deleted. They never send a
@@ -116,8 +116,8 @@
     }
 
     private Optional<DeletionReason> reasonToDeleteUp(
-            Machine machine, boolean fewSilent, double now) {
-        if (isUnresponsive(machine, fewSilent, now)) {
+            Machine machine, boolean fewOverdue, double now) {
+        if (isUnresponsive(machine, fewOverdue, now)) {
             return Optional.of(DeletionReason.UNRESPONSIVE);
         }
         if (missesLeaderResponses(machine, now)) {
@@ -139,16 +139,16 @@
      * partitioned. Their tasks are lost only when their leases expire, which also proves that they
      * have ended; deleting a fleet that was unreachable for 15 s lost all of its tasks.
      */
-    private boolean isUnresponsive(Machine machine, boolean fewSilent, double now) {
-        return silence.silentSeconds(machine, now) > timeouts.deadAfterSeconds()
+    private boolean isUnresponsive(Machine machine, boolean fewOverdue, double now) {
+        return heartbeats.secondsSinceHeartbeat(machine, now) > timeouts.deadAfterSeconds()
                 && machine.areCommandsFailing()
                 && !machine.attempts().isEmpty()
-                && isSingleMachineFailure(machine, fewSilent);
+                && isSingleMachineFailure(machine, fewOverdue);
     }
 
     /** Whether missing heartbeats are a failure of the machine and not of the network. */
-    private boolean isSingleMachineFailure(Machine machine, boolean fewSilent) {
-        boolean singleFailure = fewSilent && !partitions.contains(machine.zone());
+    private boolean isSingleMachineFailure(Machine machine, boolean fewOverdue) {
+        boolean singleFailure = fewOverdue && !partitions.contains(machine.zone());
         return unlistedMachines.contains(machine) || singleFailure;
     }
 
@@ -166,15 +166,16 @@
      * where boots are slow at present, a new machine would not be ready sooner.
      */
     private boolean hasBootTimedOut(Machine machine, double now) {
-        double nominalSeconds = machine.type().bootSeconds() * settings.operator().bootPatience();
+        double configuredSeconds =
+                machine.type().bootSeconds() * settings.operator().bootPatience();
         double measuredSeconds =
                 fleet.bootTimes().overdueAfterSeconds(machine.type(), machine.zone());
-        double patienceSeconds =
+        double timeoutSeconds =
                 overdueBoots.areBootsFailing(machine.type(), machine.zone())
-                        ? PATIENCES_IF_BOOTS_FAIL * nominalSeconds
-                        : Math.max(nominalSeconds, measuredSeconds);
-        double since = machine.isBooting() ? machine.rentedAt() : machine.firstSeenAt();
-        return now - since > patienceSeconds
+                        ? TIMEOUT_FACTOR_IF_BOOTS_FAIL * configuredSeconds
+                        : Math.max(configuredSeconds, measuredSeconds);
+        double bootingSince = machine.isBooting() ? machine.rentedAt() : machine.firstSeenAt();
+        return now - bootingSince > timeoutSeconds
                 && now - machine.firstSeenAt() > timeouts.workerLeaseSeconds();
     }
 
--- a/src/main/java/org/springmill/control/autoscaling/MachineListing.java
+++ b/src/main/java/org/springmill/control/autoscaling/MachineListing.java
@@ -24,7 +24,7 @@
     private static final Logger LOG = LoggerFactory.getLogger(MachineListing.class);
 
     /** The protocol allows a list to lag by up to twice the configured lag. */
-    private static final double NOMINAL_LAGS = 2;
+    private static final double MAX_LAG_FACTOR = 2;
 
     private final Fleet fleet;
     private final CloudClient cloud;
@@ -69,7 +69,7 @@
 
     /** The longest time by which a list may lag behind the fleet. */
     double longestLagSeconds() {
-        return NOMINAL_LAGS * settings.cloudLimits().listLagSeconds();
+        return MAX_LAG_FACTOR * settings.cloudLimits().listLagSeconds();
     }
 
     /**
--- a/src/main/java/org/springmill/control/autoscaling/OverdueBoots.java
+++ b/src/main/java/org/springmill/control/autoscaling/OverdueBoots.java
@@ -124,11 +124,11 @@
      * A machine that was listed only just now may be ready, with its first heartbeat in transit.
      */
     private boolean isOverdue(Machine machine, double now) {
-        double patienceSeconds =
+        double overdueAfterSeconds =
                 fleet.bootTimes().overdueAfterSeconds(machine.type(), machine.zone());
         return !partitions.contains(machine.zone())
                 && now - machine.firstSeenAt() > timeouts.workerLeaseSeconds()
-                && now - machine.rentedAt() > patienceSeconds;
+                && now - machine.rentedAt() > overdueAfterSeconds;
     }
 
     private void chooseReplaced(List<Machine> overdueOfType) {
--- a/src/main/java/org/springmill/control/autoscaling/PackingRequest.java
+++ b/src/main/java/org/springmill/control/autoscaling/PackingRequest.java
@@ -54,13 +54,13 @@
     }
 
     /** Returns this request with an equivalence class whose tasks all fit on the same machines. */
-    PackingRequest withEquivalenceClass(EquivalenceClass newShape) {
+    PackingRequest withEquivalenceClass(EquivalenceClass newClass) {
         return new PackingRequest(
                 spec,
                 tasks,
                 tasksPerZone,
                 excluded,
-                Optional.of(newShape),
+                Optional.of(newClass),
                 expected,
                 maxPriceRatio);
     }
--- a/src/main/java/org/springmill/control/autoscaling/PartitionedZones.java
+++ b/src/main/java/org/springmill/control/autoscaling/PartitionedZones.java
@@ -30,7 +30,7 @@
     private final Fleet fleet;
     private final Peers peers;
     private final UnlistedMachines unlistedMachines;
-    private final HeartbeatSilence silence;
+    private final HeartbeatMonitor heartbeats;
     private final Timeouts timeouts;
 
     /**
@@ -48,13 +48,13 @@
             Fleet fleet,
             Peers peers,
             UnlistedMachines unlistedMachines,
-            HeartbeatSilence silence,
+            HeartbeatMonitor heartbeats,
             Timeouts timeouts,
             double now) {
         this.fleet = fleet;
         this.peers = peers;
         this.unlistedMachines = unlistedMachines;
-        this.silence = silence;
+        this.heartbeats = heartbeats;
         this.timeouts = timeouts;
         this.allPeersRespondedAt = now;
     }
@@ -72,8 +72,8 @@
         }
         heartbeatsByZone(now)
                 .forEach(
-                        (zone, heartbeats) -> {
-                            if (heartbeats.mostAreOverdue()) {
+                        (zone, zoneHeartbeats) -> {
+                            if (zoneHeartbeats.mostAreOverdue()) {
                                 partitioned.add(zone);
                                 lastPartitionedAt.put(zone, now);
                             }
@@ -102,9 +102,9 @@
     private Map<String, ZoneHeartbeats> heartbeatsByZone(double now) {
         Map<String, ZoneHeartbeats> zones = new HashMap<>();
         for (Machine machine : fleet.machines()) {
-            if (silence.isHeartbeatExpected(machine) && !unlistedMachines.contains(machine)) {
+            if (heartbeats.isHeartbeatExpected(machine) && !unlistedMachines.contains(machine)) {
                 ZoneHeartbeats ofMachine =
-                        new ZoneHeartbeats(1, silence.isHeartbeatOverdue(machine, now) ? 1 : 0);
+                        new ZoneHeartbeats(1, heartbeats.isHeartbeatOverdue(machine, now) ? 1 : 0);
                 zones.merge(machine.zone(), ofMachine, ZoneHeartbeats::plus);
             }
         }
--- a/src/main/java/org/springmill/control/autoscaling/WaitingDemand.java
+++ b/src/main/java/org/springmill/control/autoscaling/WaitingDemand.java
@@ -100,8 +100,8 @@
             return waiting;
         }
         int running = job.attemptCount();
-        double atOnce = (waiting + running) * spec.estimatedRunSeconds() / bootSeconds;
-        return Math.max(0, Math.min(waiting, (int) Math.ceil(atOnce) - running));
+        double concurrentTasks = (waiting + running) * spec.estimatedRunSeconds() / bootSeconds;
+        return Math.max(0, Math.min(waiting, (int) Math.ceil(concurrentTasks) - running));
     }
 
     private boolean isExcluded(Machine machine, Job job, double now) {
--- a/src/test/java/org/springmill/control/autoscaling/ArrivalRateEstimatorTest.java
+++ b/src/test/java/org/springmill/control/autoscaling/ArrivalRateEstimatorTest.java
@@ -26,7 +26,8 @@
         "most of the window after the last,       425, 2",
         "the whole window after the last,         431, 0",
     })
-    void arrivalsOfThreeBootsCount(String situation, double now, int expected) {
+    void expectedTasksDependOnArrivalsOfLastThreeBootTimes(
+            String situation, double now, int expected) {
         ArrivalRateEstimator arrivalRates = new ArrivalRateEstimator(SettingsFixtures.small(), 0);
         Submission job = PackingFixtures.job(1).build();
         for (double at = FIRST_ARRIVAL; at <= LAST_ARRIVAL; at += ARRIVAL_INTERVAL) {
--- a/src/test/java/org/springmill/control/autoscaling/BinTest.java
+++ b/src/test/java/org/springmill/control/autoscaling/BinTest.java
@@ -12,9 +12,9 @@
 import org.springmill.control.cluster.ZoneCounts;
 
 class BinTest {
-    private static final MachineKind ORDINARY =
+    private static final MachineKind ON_DEMAND =
             new MachineKind(PackingFixtures.type("g8", 12, "a", "b"), "a", false);
-    private static final MachineKind SPOT = new MachineKind(ORDINARY.type(), "a", true);
+    private static final MachineKind SPOT = new MachineKind(ON_DEMAND.type(), "a", true);
 
     @ParameterizedTest
     @CsvSource({
@@ -26,17 +26,17 @@
         "4,  0,  0, 0, 4",
         "1,  97, 0, 1, 0",
     })
-    void holdsAsManyTasksAsItsScarcestResourceAllows(
-            int tasks, double cpus, double gpus, double memoryGb, int held) {
-        Bin bin = Bin.planned(ORDINARY);
+    void capacityIsLimitedByScarcestResource(
+            int tasks, double cpus, double gpus, double memoryGb, int capacity) {
+        Bin bin = Bin.planned(ON_DEMAND);
         assertEquals(
-                held,
+                capacity,
                 bin.capacityFor(PackingFixtures.job(tasks).size(cpus, gpus, memoryGb).build()));
     }
 
     @Test
-    void packsUntilItIsFull() {
-        Bin bin = Bin.planned(ORDINARY);
+    void packsTasksUntilFull() {
+        Bin bin = Bin.planned(ON_DEMAND);
         var job = PackingFixtures.job(10).size(40, 1, 100).build();
         ZoneCounts tasksPerZone = new ZoneCounts();
         assertTrue(bin.pack(job, tasksPerZone));
@@ -49,8 +49,8 @@
     }
 
     @Test
-    void fractionsThatAddUpToTheWholeMachineFit() {
-        Bin bin = Bin.planned(ORDINARY);
+    void fractionsThatAddUpToWholeMachineFit() {
+        Bin bin = Bin.planned(ON_DEMAND);
         var job = PackingFixtures.job(10).size(9.6, 0.8, 76.8).build();
         for (int task = 0; task < 10; task++) {
             assertTrue(bin.pack(job, new ZoneCounts()), "task " + task);
@@ -59,8 +59,8 @@
     }
 
     @Test
-    void aRefusedTaskTakesNothing() {
-        Bin bin = Bin.planned(ORDINARY);
+    void rejectedTaskDoesNotChangeBin() {
+        Bin bin = Bin.planned(ON_DEMAND);
         ZoneCounts tasksPerZone = new ZoneCounts();
         assertFalse(bin.pack(PackingFixtures.job(1).zone("b").build(), tasksPerZone));
         assertFalse(bin.pack(PackingFixtures.job(1).size(97, 0, 1).build(), tasksPerZone));
@@ -70,15 +70,15 @@
     }
 
     @Test
-    void aSpotMachineIsRoomOnlyForJobsThatAllowIt() {
+    void spotMachineHasCapacityOnlyForJobsThatAllowSpot() {
         assertEquals(0, Bin.planned(SPOT).capacityFor(PackingFixtures.job(1).build()));
         assertEquals(1, Bin.planned(SPOT).capacityFor(PackingFixtures.job(1).spot().build()));
-        assertEquals(1, Bin.planned(ORDINARY).capacityFor(PackingFixtures.job(1).spot().build()));
+        assertEquals(1, Bin.planned(ON_DEMAND).capacityFor(PackingFixtures.job(1).spot().build()));
     }
 
     @Test
-    void aZoneTakesNoMoreThanItsShareOfASpreadJob() {
-        Bin bin = Bin.planned(ORDINARY);
+    void zoneTakesAtMostItsShareOfSpreadJob() {
+        Bin bin = Bin.planned(ON_DEMAND);
         var job = PackingFixtures.job(3).spread().build();
         ZoneCounts tasksPerZone = new ZoneCounts();
         assertTrue(bin.pack(job, tasksPerZone));
@@ -87,9 +87,10 @@
     }
 
     @Test
-    void aKindKeepsItsLabelWhenPricesMove() {
-        MachineKind dearer = new MachineKind(PackingFixtures.type("g8", 15, "a", "b"), "a", false);
-        assertEquals(ORDINARY.label(), dearer.label());
-        assertEquals(List.of("g8/a", "g8/a/spot"), List.of(ORDINARY.label(), SPOT.label()));
+    void kindKeepsLabelWhenPriceChanges() {
+        MachineKind moreExpensive =
+                new MachineKind(PackingFixtures.type("g8", 15, "a", "b"), "a", false);
+        assertEquals(ON_DEMAND.label(), moreExpensive.label());
+        assertEquals(List.of("g8/a", "g8/a/spot"), List.of(ON_DEMAND.label(), SPOT.label()));
     }
 }
--- a/src/test/java/org/springmill/control/autoscaling/DeletedMachinesTest.java
+++ b/src/test/java/org/springmill/control/autoscaling/DeletedMachinesTest.java
@@ -19,7 +19,7 @@
     private final VirtualClock clock = new VirtualClock();
 
     @Test
-    void aDeletedMachineIsRememberedForLongerThanLateReportsTakeAndThenForgotten() {
+    void deletedMachineIsForgottenOnlyAfterRetentionTime() {
         Settings settings = SettingsFixtures.small();
         Fleet fleet =
                 new Fleet(new ClusterState(settings), null, clock, Timeouts.of(settings), 1, 3.5);
--- a/src/test/java/org/springmill/control/autoscaling/DemandPackingTest.java
+++ b/src/test/java/org/springmill/control/autoscaling/DemandPackingTest.java
@@ -22,62 +22,64 @@
  */
 class DemandPackingTest {
     private static final MachineType CHEAP = PackingFixtures.type("cheap", 12, "a", "b");
-    private static final MachineType DEAR = PackingFixtures.type("expensive", 13, "a", "b", "c");
+    private static final MachineType EXPENSIVE =
+            PackingFixtures.type("expensive", 13, "a", "b", "c");
 
     private final ZoneCounts machinesPerZone = new ZoneCounts();
     private List<Bin> bins;
 
     @BeforeEach
-    void oneRentedMachineInZoneA() {
+    void addMachineInZoneA() {
         Machine machine = new Machine("host-000001", 1, 0);
         machine.describe("", CHEAP, "a", false);
         machinesPerZone.add("a");
         bins = new ArrayList<>(List.of(Bin.of(machine)));
     }
 
-    private DemandPacking packing(Predicate<MachineKind> rentable) {
-        return packing(rentable, kind -> false);
+    private DemandPacking packing(Predicate<MachineKind> available) {
+        return packing(available, kind -> false);
     }
 
-    private DemandPacking packing(Predicate<MachineKind> rentable, Predicate<MachineKind> failing) {
+    private DemandPacking packing(
+            Predicate<MachineKind> available, Predicate<MachineKind> bootsFailing) {
         return new DemandPacking(
-                List.of(CHEAP, DEAR),
+                List.of(CHEAP, EXPENSIVE),
                 List.of("a", "b", "c"),
-                rentable,
-                failing,
+                available,
+                bootsFailing,
                 machinesPerZone,
                 bins);
     }
 
-    private List<String> plannedFor(Submission job, Predicate<MachineKind> rentable) {
-        DemandPacking packing = packing(rentable);
+    private List<String> plannedFor(Submission job, Predicate<MachineKind> available) {
+        DemandPacking packing = packing(available);
         packing.pack(PackingRequest.ofJob(job, job.tasks(), new ZoneCounts(), machine -> false));
         return packing.plannedBins().stream().map(bin -> bin.kind().label()).toList();
     }
 
     @Test
-    void whatIsFreeIsFilledBeforeAnythingIsPlanned() {
+    void freeResourcesAreFilledBeforeMachinesArePlanned() {
         assertEquals(
                 List.of(),
                 plannedFor(PackingFixtures.job(2).size(48, 0, 1).build(), Objects::nonNull));
     }
 
     @Test
-    void theCheapestMachineIsPlannedInTheEmptiestZone() {
+    void cheapestMachineIsPlannedInEmptiestZone() {
         assertEquals(
                 List.of("cheap/b"),
                 plannedFor(PackingFixtures.job(2).size(96, 0, 1).build(), Objects::nonNull));
     }
 
     @Test
-    void spotIsPlannedWhereTheJobAllowsIt() {
+    void spotMachineIsPlannedIfJobAllowsSpot() {
         assertEquals(
                 List.of("cheap/b/spot"),
                 plannedFor(PackingFixtures.job(2).size(96, 0, 1).spot().build(), Objects::nonNull));
     }
 
     @Test
-    void theNextBestKindIsPlannedWhereTheCheapestIsNotRentable() {
+    void nextCheapestKindIsPlannedIfCheapestIsUnavailable() {
         assertEquals(
                 List.of("expensive/b"),
                 plannedFor(
@@ -86,14 +88,14 @@
     }
 
     @Test
-    void nothingIsPlannedWhereNoKindIsRentable() {
+    void nothingIsPlannedIfNoKindIsAvailable() {
         assertEquals(
                 List.of(),
                 plannedFor(PackingFixtures.job(2).size(96, 0, 1).build(), kind -> false));
     }
 
     @Test
-    void aSpreadJobIsPlannedInMoreThanOneZone() {
+    void spreadJobIsPlannedInSeveralZones() {
         assertEquals(
                 List.of("cheap/b", "cheap/b", "cheap/a"),
                 plannedFor(
@@ -101,7 +103,7 @@
     }
 
     @Test
-    void anExcludedMachineIsNoRoom() {
+    void excludedMachineIsNotFilled() {
         DemandPacking packing = packing(Objects::nonNull);
         Submission job = PackingFixtures.job(1).size(1, 0, 1).build();
         packing.pack(PackingRequest.ofJob(job, 1, new ZoneCounts(), machine -> true));
@@ -109,7 +111,7 @@
     }
 
     @Test
-    void aPlanRentsNoMoreThanCanBeAskedForAtOnce() {
+    void plannedMachinesAreLimited() {
         DemandPacking packing = packing(Objects::nonNull);
         Submission job = PackingFixtures.job(1000).size(96, 0, 1).build();
         packing.pack(PackingRequest.ofExpected(job, 1000));
@@ -118,13 +120,13 @@
 
     /** Guards against requesting replacements for overdue machines where boots fail. */
     @Test
-    void kindThatDoesNotComeUpIsTheLastChoice() {
+    void kindWhoseBootsFailIsLastChoice() {
         Submission job = PackingFixtures.job(3).size(96, 0, 1).zone("b").build();
         DemandPacking packing = packing(Objects::nonNull, kind -> kind.label().equals("cheap/b"));
         packing.pack(PackingRequest.ofJob(job, 1, new ZoneCounts(), machine -> false));
         assertEquals("expensive/b", packing.plannedBins().get(0).kind().label());
 
-        oneRentedMachineInZoneA();
+        addMachineInZoneA();
         packing = packing(kind -> kind.label().equals("cheap/b"), kind -> true);
         packing.pack(PackingRequest.ofJob(job, 1, new ZoneCounts(), machine -> false));
         assertEquals("cheap/b", packing.plannedBins().get(0).kind().label());
@@ -132,7 +134,7 @@
 
     /** Guards against requesting expensive machines for a team without a guaranteed quota. */
     @Test
-    void nothingIsPlannedAboveThePriceBoundEvenIfNothingCheaperCanBeRented() {
+    void nothingIsPlannedAbovePriceLimitEvenIfNothingCheaperIsAvailable() {
         Submission job = PackingFixtures.job(3).size(96, 0, 1).zone("b").spot().build();
         PackingRequest request = PackingRequest.ofJob(job, 1, new ZoneCounts(), machine -> false);
         DemandPacking packing = packing(kind -> !kind.spot());
@@ -144,20 +146,20 @@
 
     /** The next job of an equivalence class starts at the bin where the previous one stopped. */
     @Test
-    void jobsOfOneShapeFillBinsAsOneJobWould() {
+    void jobsOfOneEquivalenceClassFillBinsLikeOneJob() {
         Submission job = PackingFixtures.job(1).size(30, 0, 1).build();
-        EquivalenceClass shape = EquivalenceClass.of(new Job(job, 1)).get();
+        EquivalenceClass equivalenceClass = EquivalenceClass.of(new Job(job, 1)).get();
         DemandPacking packing = packing(Objects::nonNull);
         for (int i = 0; i < 7; i++) {
             packing.pack(
                     PackingRequest.ofJob(job, 1, new ZoneCounts(), machine -> false)
-                            .withEquivalenceClass(shape));
+                            .withEquivalenceClass(equivalenceClass));
         }
         assertEquals(2, packing.plannedBins().size());
     }
 
     @Test
-    void whatIsExpectedIsToldApartFromWhatWaits() {
+    void expectedTasksAreRecordedSeparatelyFromWaitingTasks() {
         Submission job = PackingFixtures.job(1).size(10, 0, 1).build();
         DemandPacking packing = packing(Objects::nonNull);
         packing.pack(PackingRequest.ofJob(job, 2, new ZoneCounts(), machine -> false));
@@ -166,21 +168,21 @@
     }
 
     @Test
-    void tasksThatBelongTogetherGoWhereMostOfThemFindRoom() {
+    void oneZoneJobGoesToZoneWithMostCapacity() {
         Submission small = PackingFixtures.job(2).size(48, 0, 1).build();
         assertEquals("a", packing(Objects::nonNull).inZoneWithMostCapacity(small, 2).zone());
     }
 
     @Test
-    void tasksThatBelongTogetherGoWhereTheRestCanBeRented() {
+    void oneZoneJobGoesToZoneWhereMachinesAreAvailable() {
         Submission large = PackingFixtures.job(4).size(48, 0, 1).build();
         Predicate<MachineKind> onlyInC = kind -> kind.zone().equals("c");
         assertEquals("c", packing(onlyInC).inZoneWithMostCapacity(large, 4).zone());
     }
 
     @Test
-    void tasksThatBelongTogetherKeepToTheJobsOwnZone() {
-        Submission bound = PackingFixtures.job(2).size(48, 0, 1).zone("b").build();
-        assertEquals("b", packing(Objects::nonNull).inZoneWithMostCapacity(bound, 2).zone());
+    void oneZoneJobStaysInItsAllowedZone() {
+        Submission restricted = PackingFixtures.job(2).size(48, 0, 1).zone("b").build();
+        assertEquals("b", packing(Objects::nonNull).inZoneWithMostCapacity(restricted, 2).zone());
     }
 }
--- a/src/test/java/org/springmill/control/autoscaling/MachineDrainingTest.java
+++ b/src/test/java/org/springmill/control/autoscaling/MachineDrainingTest.java
@@ -35,7 +35,7 @@
     }
 
     @Test
-    void nextCandidateIsDrainedIfTheFirstOneCannotBeEmptied() {
+    void nextCandidateIsDrainedIfTasksOfTheFirstFitNowhere() {
         Bin stuck = Bin.of(running("host-000001", 90));
         Bin movable = Bin.of(running("host-000002", 10));
         Bin target = Bin.of(running("host-000003", 80));
