--- a/src/main/java/org/springmill/control/admission/ActiveJobs.java
+++ b/src/main/java/org/springmill/control/admission/ActiveJobs.java
@@ -6,9 +6,8 @@
 import org.springmill.protocol.Submission;
 
 /**
- * Accounts for all active jobs and those that this controller is accepting now: their number, the
- * memory that they need, and the resources that each team has requested. A job counts once, however
- * often it is added.
+ * Counts the active jobs and those that this controller is accepting now: their number, the memory
+ * that they need, and the resources that each team has requested. Adding a job again has no effect.
  */
 public final class ActiveJobs {
     /**
@@ -23,7 +22,7 @@
     /** A job keeps one bit for each task. */
     private static final int TASKS_PER_BYTE = 8;
 
-    /** Time over which the memory of ended jobs is averaged. */
+    /** Averaging time of the rate at which ended jobs free memory. */
     private static final double ENDS_AVERAGING_SECONDS = 30;
 
     private final Map<String, Submission> jobCount = new HashMap<>();
@@ -31,7 +30,7 @@
     private final RateMeter endedBytes;
     private long bytes;
 
-    /** What the counted jobs of one team need and have requested. */
+    /** Memory and requested resources of the counted jobs of one team. */
     private static final class TeamWork {
         private long bytes;
         private double cpus;
@@ -44,7 +43,7 @@
         }
     }
 
-    /** An account without jobs. */
+    /** Creates an instance without jobs. */
     public ActiveJobs(double now) {
         endedBytes = new RateMeter(ENDS_AVERAGING_SECONDS, now);
     }
@@ -69,7 +68,7 @@
         }
     }
 
-    /** Removes a job that, as far as this controller knows, was not accepted after all. */
+    /** Removes a job that was not accepted, as far as this controller knows. */
     public void removeUnaccepted(String id) {
         Submission job = jobCount.remove(id);
         if (job != null) {
@@ -102,14 +101,15 @@
         return work == null ? 0 : work.bytes;
     }
 
-    /** Bytes of memory that ended jobs have freed per second, averaged over the last time. */
+    /** Bytes of memory that ended jobs free per second, as a moving average. */
     double freedBytesPerSecond(double now) {
         return endedBytes.perSecond(now);
     }
 
     /**
      * Whether a job fits into its team's guaranteed quota together with all counted jobs of that
-     * team. A resource without a guarantee is not guaranteed, except for the CPUs of a GPU job.
+     * team. A GPU job needs a GPU guarantee and any other job a CPU guarantee; the CPUs of a GPU
+     * job need none.
      */
     boolean withinGuarantee(Team team, Submission job) {
         boolean usesGpus = job.gpus() > 0;
--- a/src/main/java/org/springmill/control/admission/AdmissionControl.java
+++ b/src/main/java/org/springmill/control/admission/AdmissionControl.java
@@ -13,16 +13,16 @@
 import org.springmill.transport.EventLoop;
 
 /**
- * Decides whether a submission can be accepted now. Only new jobs are ever refused: the caller
- * makes sure that the job is not accepted already, at the latest before it responds to the user.
+ * Decides whether a submission can be accepted now. Only new jobs may be refused: before it
+ * responds with a refusal, the caller must check that the job has not been accepted already.
  */
 public final class AdmissionControl {
     private static final Logger LOG = LoggerFactory.getLogger(AdmissionControl.class);
 
-    /** At most one line per reason is logged in this time. */
+    /** Each reason is logged at most once in this time. */
     private static final double LOG_INTERVAL_SECONDS = 10;
 
-    /** Expected time for freeing memory when no job has ended lately. */
+    /** Assumed time until memory is freed if no job has ended recently. */
     private static final double UNKNOWN_DRAIN_SECONDS = 5;
 
     private final EventLoop loop;
@@ -37,10 +37,10 @@
     private final Map<AdmissionReason, Integer> refused = new EnumMap<>(AdmissionReason.class);
 
     /**
-     * Admission control of one controller.
+     * Creates the admission control of one controller.
      *
      * @param endedRecords number of records of ended jobs in memory
-     * @param heapBytes the largest heap that this process may have
+     * @param heapBytes the maximum heap size of this process
      * @param maxQueueSeconds the longest wait for the key-value store within a user's request
      */
     public AdmissionControl(
@@ -85,8 +85,8 @@
     }
 
     /**
-     * Whether a job can only be accepted once this controller knows what its peers have accepted,
-     * since little is left of the memory that it may need.
+     * Whether the memory available to a job is almost used up, so that this controller must first
+     * find out what its peers have accepted.
      */
     public boolean isNearMemoryBound(Submission job) {
         return memoryBound.isNear(activeJobs, endedBytes(), job, isGuaranteed(job));
@@ -103,7 +103,7 @@
     }
 
     /**
-     * The refusal of a job that was queued for acceptance and not sent in time.
+     * Returns the refusal of a job whose record was not sent to the key-value store in time.
      *
      * @param queueSeconds expected wait of its record for the key-value store now
      */
@@ -143,7 +143,7 @@
         return refused.getOrDefault(reason, 0);
     }
 
-    /** Bytes of memory that jobs need, with those that have ended. */
+    /** Bytes of memory that active jobs and records of ended jobs need. */
     public long usedBytes() {
         return activeJobs.bytes() + endedBytes();
     }
--- a/src/main/java/org/springmill/control/admission/AdmissionReason.java
+++ b/src/main/java/org/springmill/control/admission/AdmissionReason.java
@@ -1,11 +1,11 @@
 package org.springmill.control.admission;
 
-/** Why a submission was refused for now, rather than for good. */
+/** Why a submission was refused temporarily. */
 public enum AdmissionReason {
-    /** The records of active jobs need as much memory as they may. */
+    /** The memory that jobs of this team and priority may use is used up. */
     MEMORY("the controllers hold as many jobs as they can"),
 
-    /** Work of this kind waits longer for its start than operators want it to. */
+    /** The expected wait of such a job exceeds the configured maximum. */
     WAIT("work of this team and priority waits too long already"),
 
     /** The job's record would be committed only after its user's request has timed out. */
--- a/src/main/java/org/springmill/control/admission/Congestion.java
+++ b/src/main/java/org/springmill/control/admission/Congestion.java
@@ -8,11 +8,11 @@
 import org.springmill.protocol.Submission;
 
 /**
- * The congested queues in the leader's latest notice, which is valid for a few of its intervals. A
- * controller without a valid notice knows of no congestion, and only memory bounds its submissions.
+ * The congested queues in the leader's latest notice, which is valid for a few notice intervals.
+ * Without a valid notice no queue counts as congested.
  */
 public final class Congestion {
-    /** The waiting work of one team, or of all teams, of one priority or above. */
+    /** The waiting tasks of one team, or of all teams, with at least this priority. */
     private record Queue(String team, Priority priority) {}
 
     private final double validSeconds;
@@ -20,7 +20,7 @@
     private double updatedAt = Double.NEGATIVE_INFINITY;
 
     /**
-     * The state before any notice.
+     * Creates an instance without a notice.
      *
      * @param validSeconds how long a notice is valid
      */
@@ -37,7 +37,7 @@
         }
     }
 
-    /** Seconds by which the wait in a job's queues is too long; 0 if it is not. */
+    /** Seconds by which the expected wait in a job's queues exceeds the maximum, or 0. */
     double excessSeconds(Submission job, double now) {
         if (!isValid(now)) {
             return 0;
@@ -48,7 +48,7 @@
                 excessByQueue.getOrDefault(ofTeam, 0.0), excessByQueue.getOrDefault(ofAll, 0.0));
     }
 
-    /** Number of congested queues, as far as is known. */
+    /** Number of congested queues in the latest valid notice. */
     public int queues(double now) {
         return isValid(now) ? excessByQueue.size() : 0;
     }
--- a/src/main/java/org/springmill/control/admission/MemoryBound.java
+++ b/src/main/java/org/springmill/control/admission/MemoryBound.java
@@ -6,15 +6,15 @@
 import org.springmill.protocol.Submission;
 
 /**
- * Bounds the memory of active jobs by a share of the heap. Lower priorities are refused earlier, so
- * that they never take the memory of higher ones; a team above its guarantee is refused once it
- * alone holds half of what its priority may.
+ * Limits the memory of jobs to a share of the heap. Lower priorities are refused earlier, so that
+ * some memory is left for higher ones. A team above its guaranteed quota is refused once it alone
+ * uses half of the memory that jobs of this priority may use.
  */
 final class MemoryBound {
-    /** Of the heap, the part for records and states of jobs. The rest is for the fleet's state. */
+    /** Share of the heap for records and states of jobs. The rest is for the fleet's state. */
     static final double HEAP_SHARE = 0.4;
 
-    /** Of the bound, what all jobs together may need before a job of a priority is refused. */
+    /** Share of the bound that all jobs together may use before jobs of a priority are refused. */
     private static final Map<Priority, Double> SHARE_BY_PRIORITY =
             new EnumMap<>(
                     Map.of(
@@ -23,18 +23,18 @@
                             Priority.HIGH, 0.9,
                             Priority.PRODUCTION, 0.95));
 
-    /** Of what its priority may need, the most that one team may. */
+    /** Share of a priority's bound that one team may use. */
     private static final double TEAM_SHARE = 0.5;
 
-    /** Of a bound, the part in use from which peers are asked before a new job is accepted. */
+    /** Share of a bound above which peers are asked before a new job is accepted. */
     private static final double NEAR_SHARE = 0.9;
 
     private final long boundBytes;
 
     /**
-     * The bound of a process.
+     * Creates the bound of a process.
      *
-     * @param heapBytes the largest heap that this process may have
+     * @param heapBytes the maximum heap size of this process
      */
     MemoryBound(double heapBytes) {
         boundBytes = (long) (heapBytes * HEAP_SHARE);
@@ -58,7 +58,7 @@
         return excessOver(NEAR_SHARE, activeJobs, endedBytes, job, guaranteed) > 0;
     }
 
-    /** Bytes by which a job would exceed a part of its bound; negative if it would not. */
+    /** Bytes by which a job would exceed a share of its bound; negative if it would not. */
     private double excessOver(
             double part,
             ActiveJobs activeJobs,
--- a/src/main/java/org/springmill/control/admission/QueueWaits.java
+++ b/src/main/java/org/springmill/control/admission/QueueWaits.java
@@ -14,18 +14,18 @@
 import org.springmill.protocol.Priority;
 
 /**
- * At the leader: estimates how long a job that is submitted now would wait for its first start,
- * from the tasks ahead of it and the starts of the last minutes. A job waits behind its own team's
- * work and behind all teams' work, each of its priority or above.
+ * Estimates how long a job that is submitted now would wait for its first task to start, from the
+ * tasks ahead of it and the recent task starts. Used by the leader. A job waits behind the tasks of
+ * its own team and of all teams that have at least its priority.
  *
- * <p>A queue is reported as congested only after work has waited in it for a whole window: before
- * that, and after a failover, it is not known how fast the queue drains.
+ * <p>A queue is reported as congested only after tasks have waited in it for a whole window: before
+ * that, also after a failover, it is not known how fast the queue drains.
  */
 public final class QueueWaits {
-    /** The window in which starts are counted, as a ratio to the longest wait. */
+    /** Ratio of the window in which starts are counted to the longest accepted wait. */
     static final double WINDOW_SHARE = 0.25;
 
-    /** Slices of the window by which starts are counted. */
+    /** Number of slices into which the window is divided. */
     private static final int SLICES = 50;
 
     private final double maxWaitSeconds;
@@ -35,10 +35,10 @@
     private final Map<Queue, Integer> waitingTasks = new HashMap<>();
     private final Map<Queue, Double> waitingSince = new HashMap<>();
 
-    /** The waiting work of one team, or of all teams, of one priority or above. */
+    /** The waiting tasks of one team, or of all teams, with at least this priority. */
     private record Queue(String team, Priority priority) {}
 
-    /** Counts the starts in a sliding window, which is exact to one slice. */
+    /** Counts the starts in a sliding window with a resolution of one slice. */
     private final class StartCounter {
         private final Deque<Slice> slices = new ArrayDeque<>();
         private int total;
@@ -69,9 +69,9 @@
     }
 
     /**
-     * An estimator that knows of no work.
+     * Creates an estimator without recorded tasks.
      *
-     * @param maxWaitSeconds the longest expected wait with which jobs are still accepted
+     * @param maxWaitSeconds the longest expected wait at which jobs are accepted
      */
     public QueueWaits(double maxWaitSeconds) {
         this.maxWaitSeconds = maxWaitSeconds;
@@ -86,7 +86,7 @@
         }
     }
 
-    /** Begins a new count of the waiting tasks. */
+    /** Starts a new count of the waiting tasks. */
     public void beginCount() {
         waitingTasks.clear();
     }
@@ -117,12 +117,12 @@
 
     private double expectedSeconds(Queue queue, int tasks, double now) {
         StartCounter counted = starts.get(queue);
-        // No start in the window counts as one, which may have been about to happen.
+        // A window without starts counts as one start, since one may be about to happen.
         double startsInWindow = Math.max(1, counted == null ? 0 : counted.inWindow(now));
         return tasks / startsInWindow * windowSeconds;
     }
 
-    /** The queues to which work of a team and priority belongs. */
+    /** The queues to which tasks of a team and priority belong. */
     private static Set<Queue> queuesOf(String team, Priority priority) {
         Set<Queue> queues = new HashSet<>();
         for (Priority behind : Priority.values()) {
--- a/src/main/java/org/springmill/control/admission/RateMeter.java
+++ b/src/main/java/org/springmill/control/admission/RateMeter.java
@@ -7,7 +7,7 @@
     private double updatedAt;
 
     /**
-     * A meter without events.
+     * Creates a meter without events.
      *
      * @param averagingSeconds age at which an event still has 1/e of its weight
      */
--- a/src/main/java/org/springmill/control/admission/RetryAfter.java
+++ b/src/main/java/org/springmill/control/admission/RetryAfter.java
@@ -3,13 +3,13 @@
 import java.util.SplittableRandom;
 
 /**
- * When users whose submissions were refused should retry: after the excess has drained, each at a
- * random time within as long again, so that the retries are spread.
+ * Computes when users should retry refused submissions: after the excess has drained, plus a random
+ * time of up to the same length, so that the retries are spread.
  */
 final class RetryAfter {
     static final int MIN_SECONDS = 1;
 
-    /** Users wait no longer than this, whatever the response says. */
+    /** Users do not wait longer than this, even if a response asks for it. */
     static final int MAX_SECONDS = 30;
 
     private final SplittableRandom random;
@@ -21,7 +21,7 @@
     /**
      * Seconds after which one user should retry; draws one random number.
      *
-     * @param drainSeconds until the excess has drained, by the measured rates
+     * @param drainSeconds expected time until the excess has drained
      */
     int seconds(double drainSeconds) {
         double spread = drainSeconds * (1 + random.nextDouble());
--- a/src/main/java/org/springmill/control/admission/StoreRateShares.java
+++ b/src/main/java/org/springmill/control/admission/StoreRateShares.java
@@ -10,15 +10,15 @@
 
 /**
  * This controller's share of the rate limits of the key-value store. The leader writes the rounds
- * and so has the largest share. It lends what it does not need, for a short time each, to
- * controllers that accept many submissions. The shares of all controllers never add up to more than
- * one (docs/admission.md, claims A.1 and A.2).
+ * and so has the largest share. It lends unused parts of it, for a short time each, to controllers
+ * that accept many submissions. The shares of all controllers never add up to more than one
+ * (docs/admission.md, claims A.1 and A.2).
  */
 public final class StoreRateShares implements KeyValueStoreClient.RateShare {
     /** The most that the leader may lend, as a ratio to its share. */
     static final double MAX_LENT_RATIO = 0.5;
 
-    /** Factor on the leader's own need, which it keeps before it lends. */
+    /** Factor on the share that the leader needs itself; it lends only what exceeds that. */
     private static final double NEED_MARGIN = 1.25;
 
     /**
@@ -42,7 +42,7 @@
     private long latestLoanQuestion;
     private int queuedWrites;
 
-    /** A share that is lent until a time of the loop's clock. */
+    /** A lent share that is valid until a time of the event loop's clock. */
     private record Loan(double share, double until) {
         static final Loan NONE = new Loan(0, Double.NEGATIVE_INFINITY);
 
@@ -52,15 +52,15 @@
     }
 
     /**
-     * Shares before anything is lent.
+     * Creates the shares of a controller without loans.
      *
      * @param validTerm the term that this controller leads under a lease that is valid by its own
      *     clock; 0 if there is none
      * @param leaderShare share of the leader
      * @param controllers number of controllers; followers share the rest evenly
-     * @param validitySeconds how long a loan is valid, from the question on that it answers
+     * @param validitySeconds how long a loan is valid, counted from the borrower's question
      * @param clockDrift factor by which the clocks of two controllers may differ
-     * @param writesPerSecond what the key-value store takes from all controllers together
+     * @param writesPerSecond the rate limit of the key-value store for all controllers together
      */
     public StoreRateShares(
             EventLoop loop,
@@ -82,8 +82,8 @@
     }
 
     /**
-     * Without a leader all controllers have this share, beside what the last leader may have lent.
-     * So it is at most what a leader keeps.
+     * The share of each follower. Without a leader all controllers use this share, while loans of
+     * the last leader may still be in use. So it is at most the part that a leader never lends.
      */
     private static double otherShare(double leaderShare, int controllers) {
         double rest = (1 - leaderShare) / Math.max(1, controllers - 1);
@@ -121,9 +121,9 @@
     /**
      * Lends a part of the leader's share with the response to a controller's question.
      *
-     * @param wanted the share that the borrower asks for
-     * @return the share that it may use in addition, from its question on; 0 if this controller is
-     *     not the leader
+     * @param wanted the share that the borrower requests
+     * @return the share that the borrower may use in addition, counted from its question; 0 if this
+     *     controller is not the leader
      */
     public double lend(String borrower, double wanted) {
         double now = loop.now();
@@ -140,7 +140,7 @@
         return share;
     }
 
-    /** What a borrower may be using: the largest of its loans that have not expired. */
+    /** The share that a borrower may be using: the largest of its loans that have not expired. */
     private double outstanding(String borrower, double now) {
         Deque<Loan> borrowerLoans = loans.getOrDefault(borrower, new ArrayDeque<>());
         while (!borrowerLoans.isEmpty() && borrowerLoans.peek().until() <= now) {
@@ -150,9 +150,10 @@
     }
 
     /**
-     * Uses a loan of the leader.
+     * Accepts a loan from the leader.
      *
-     * @param question number of the question that the loan answers; an earlier one is ignored
+     * @param question number of the question that the loan answers; loans for earlier questions are
+     *     ignored
      * @param askedAt when that question was sent, in seconds of the loop's clock
      */
     public void borrow(long question, double askedAt, double share) {
@@ -168,7 +169,7 @@
 
     private double lent(double now) {
         if (now - leaderSince < lenderValiditySeconds) {
-            // What an earlier leader has lent may be in use until it expires.
+            // Loans of an earlier leader may be in use until they expire.
             return maxLent;
         }
         double sum = 0;
--- a/src/test/java/org/springmill/control/admission/AdmissionFixture.java
+++ b/src/test/java/org/springmill/control/admission/AdmissionFixture.java
@@ -11,7 +11,7 @@
 
     private AdmissionFixture() {}
 
-    /** A batch of tasks with one CPU each, under an id of its own. */
+    /** A job array whose tasks need one CPU each, with a unique id. */
     static Submission job(String team, Priority priority, int tasks, double gpus) {
         return new Submission(
                 "run-" + ++numbers,
--- a/src/test/java/org/springmill/control/admission/MemoryBoundTest.java
+++ b/src/test/java/org/springmill/control/admission/MemoryBoundTest.java
@@ -15,7 +15,7 @@
 import org.springmill.protocol.Settings.Team;
 import org.springmill.protocol.Submission;
 
-/** The account of live work and its bound. */
+/** Tests the counts of active jobs and their memory bound. */
 class MemoryBoundTest {
     private static final int JOBS = 1000;
     private static final double HEAP_BYTES =
@@ -67,7 +67,7 @@
 
     @ParameterizedTest
     @CsvSource({
-        // cpus and gpus guaranteed, tasks and GPUs of each, whether that is within the guarantee
+        // guaranteed CPUs and GPUs, tasks, GPUs per task, whether that is within the guarantee
         "0, 8, 8, 1, true",
         "0, 8, 9, 1, false",
         "0, 8, 1, 0, false",
@@ -95,7 +95,7 @@
         assertTrue(activeJobs.withinGuarantee(team, job("red", Priority.LOW, 3, 1)));
     }
 
-    /** However often and in whatever order a job is told of, it counts once while it lives. */
+    /** A job counts once from its addition to its removal, even if either is repeated. */
     @Property(tries = 200, seed = "20261204")
     void theAccountIsThatOfTheJobsThatLive(
             @ForAll @Size(max = 200) java.util.List<@IntRange(min = 0, max = 59) Integer> events) {
--- a/src/test/java/org/springmill/control/admission/QueueWaitsTest.java
+++ b/src/test/java/org/springmill/control/admission/QueueWaitsTest.java
@@ -13,7 +13,7 @@
 import org.springmill.protocol.PeerMessages.CongestionNotice;
 import org.springmill.protocol.Priority;
 
-/** How long work is expected to wait, from what waits and what has started. */
+/** Tests the expected wait, given the waiting and started tasks. */
 class QueueWaitsTest {
     private static final double MAX_WAIT_SECONDS = 400;
     private static final double WINDOW_SECONDS = MAX_WAIT_SECONDS * QueueWaits.WINDOW_SHARE;
@@ -22,7 +22,7 @@
     private final QueueWaits waits = new QueueWaits(MAX_WAIT_SECONDS);
     private double now = 1000;
 
-    /** Lets a whole window pass, second by second. */
+    /** Simulates a whole window in steps of one second. */
     private List<CongestedQueue> afterWindow(int waitingTasks, int startsPerSecond) {
         List<CongestedQueue> congested = List.of();
         for (int second = 0; second <= WINDOW_SECONDS; second++) {
@@ -57,7 +57,7 @@
         assertEquals(1000 / 2.0 - MAX_WAIT_SECONDS, worst.excessSeconds(), 15);
     }
 
-    /** Nothing is known of how fast a queue drains that work has only just begun to wait in. */
+    /** It is not known how fast a queue drains in which tasks have just started to wait. */
     @Test
     void noQueueIsCongestedBeforeWorkHasWaitedInItForAWindow() {
         for (int second = 0; second < WINDOW_SECONDS; second++) {
@@ -68,7 +68,7 @@
         assertFalse(count(100_000).isEmpty());
     }
 
-    /** What waits behind does not count for what is ahead. */
+    /** Tasks of lower priority do not delay those of higher priority. */
     @Test
     void lowerWorkDoesNotCongestTheQueuesOfHigherWork() {
         List<CongestedQueue> congested = afterWindow(100_000, 1);
@@ -83,7 +83,7 @@
         assertTrue(congested.stream().anyMatch(q -> q.team().equals(CongestedQueue.ALL_TEAMS)));
     }
 
-    /** A record between controllers holds so many; those that wait longest are told. */
+    /** A notice holds a limited number of queues: those with the longest waits. */
     @Test
     void theWorstQueuesAreToldWhenThereAreTooMany() {
         int teams = CongestionNotice.MAX_QUEUES;
--- a/src/test/java/org/springmill/control/admission/StoreRateSharesPropertyTest.java
+++ b/src/test/java/org/springmill/control/admission/StoreRateSharesPropertyTest.java
@@ -14,8 +14,8 @@
 import org.springmill.sim.VirtualClock;
 
 /**
- * Shares of several controllers under random demand, lost and late messages and changes of leader:
- * at no sampled moment do they add up to more than one.
+ * Tests that the shares of several controllers never add up to more than one after any step, under
+ * random demand, lost and late messages and changes of leader.
  */
 class StoreRateSharesPropertyTest {
     private static final double VALIDITY_SECONDS = 0.7;
@@ -23,7 +23,7 @@
     private static final double CHANGES_PER_SECOND = 60;
     private static final double TOLERANCE = 1e-9;
 
-    /** What happens in one step. */
+    /** The kind of one step. */
     private enum Kind {
         ASK,
         ASK_AND_HOLD_ANSWER,
@@ -60,7 +60,7 @@
         }
     }
 
-    /** Controllers that exchange questions and answers by hand. */
+    /** Controllers whose questions and answers are delivered by the test. */
     private static final class Group {
         private final VirtualClock clock = new VirtualClock();
         private final List<StoreRateShares> shares = new ArrayList<>();
@@ -115,7 +115,7 @@
             ofOne.sent(changes);
         }
 
-        /** The leader's answer to a question, still to be delivered. */
+        /** Sends a question to the leader and returns the delivery of the answer. */
         private Runnable ask(int controller) {
             StoreRateShares asking = shares.get(controller);
             double askedAt = clock.now();
--- a/src/test/java/org/springmill/control/admission/StoreRateSharesTest.java
+++ b/src/test/java/org/springmill/control/admission/StoreRateSharesTest.java
@@ -8,7 +8,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.springmill.sim.VirtualClock;
 
-/** What a controller may use of the key-value store, alone and with loans. */
+/** Tests the share of a controller, with and without loans. */
 class StoreRateSharesTest {
     private static final double VALIDITY_SECONDS = 0.7;
     private static final double TOLERANCE = 1e-9;
@@ -29,7 +29,7 @@
         assertEquals(share, ofOne.current(), TOLERANCE);
     }
 
-    /** What an earlier leader has lent may be in use: it ends before the new leader uses it. */
+    /** Loans of an earlier leader may be in use until they expire. */
     @Test
     void aNewLeaderLeavesOutWhatMayBeLentUntilThatHasEnded() {
         StoreRateShares leader = shares(3, true);
@@ -55,7 +55,7 @@
         assertEquals(0.6, leader.current(), TOLERANCE);
     }
 
-    /** Rounds and renewals come first. */
+    /** The leader's own rounds and lease renewals come before loans. */
     @Test
     void aLeaderThatNeedsItsShareLendsNothing() {
         StoreRateShares leader = shares(3, true);
