--- a/src/main/java/org/springmill/control/admission/ActiveJobs.java
+++ b/src/main/java/org/springmill/control/admission/ActiveJobs.java
@@ -25,13 +25,13 @@
     /** Averaging time of the rate at which ended jobs free memory. */
     private static final double ENDS_AVERAGING_SECONDS = 30;
 
-    private final Map<String, Submission> jobCount = new HashMap<>();
-    private final Map<String, TeamWork> teams = new HashMap<>();
+    private final Map<String, Submission> jobs = new HashMap<>();
+    private final Map<String, TeamUsage> teams = new HashMap<>();
     private final RateMeter endedBytes;
     private long bytes;
 
     /** Memory and requested resources of the counted jobs of one team. */
-    private static final class TeamWork {
+    private static final class TeamUsage {
         private long bytes;
         private double cpus;
         private double gpus;
@@ -54,14 +54,14 @@
 
     /** Counts a job that is accepted, or about to be. */
     public void add(Submission job) {
-        if (jobCount.putIfAbsent(job.id(), job) == null) {
+        if (jobs.putIfAbsent(job.id(), job) == null) {
             count(job, 1);
         }
     }
 
     /** Removes a job that has ended. */
     public void ended(String id, double now) {
-        Submission job = jobCount.remove(id);
+        Submission job = jobs.remove(id);
         if (job != null) {
             count(job, -1);
             endedBytes.add(bytesOf(job), now);
@@ -70,7 +70,7 @@
 
     /** Removes a job that was not accepted, as far as this controller knows. */
     public void removeUnaccepted(String id) {
-        Submission job = jobCount.remove(id);
+        Submission job = jobs.remove(id);
         if (job != null) {
             count(job, -1);
         }
@@ -78,7 +78,7 @@
 
     private void count(Submission job, int sign) {
         bytes += (long) sign * bytesOf(job);
-        TeamWork team = teams.computeIfAbsent(job.team(), name -> new TeamWork());
+        TeamUsage team = teams.computeIfAbsent(job.team(), name -> new TeamUsage());
         team.add(job, sign);
         if (team.bytes == 0) {
             teams.remove(job.team());
@@ -87,7 +87,7 @@
 
     /** Number of counted jobs. */
     public int jobCount() {
-        return jobCount.size();
+        return jobs.size();
     }
 
     /** Bytes of memory that the counted jobs need. */
@@ -97,8 +97,8 @@
 
     /** Bytes of memory that the counted jobs of one team need. */
     long bytes(String team) {
-        TeamWork work = teams.get(team);
-        return work == null ? 0 : work.bytes;
+        TeamUsage usage = teams.get(team);
+        return usage == null ? 0 : usage.bytes;
     }
 
     /** Bytes of memory that ended jobs free per second, as a moving average. */
@@ -117,8 +117,8 @@
         if (!guaranteed) {
             return false;
         }
-        TeamWork work = teams.getOrDefault(team.name(), new TeamWork());
+        TeamUsage usage = teams.getOrDefault(team.name(), new TeamUsage());
         return team.withinGuarantee(
-                work.cpus + job.cpus() * job.tasks(), work.gpus + job.gpus() * job.tasks());
+                usage.cpus + job.cpus() * job.tasks(), usage.gpus + job.gpus() * job.tasks());
     }
 }
--- a/src/main/java/org/springmill/control/admission/MemoryBound.java
+++ b/src/main/java/org/springmill/control/admission/MemoryBound.java
@@ -60,15 +60,16 @@
 
     /** Bytes by which a job would exceed a share of its bound; negative if it would not. */
     private double excessOver(
-            double part,
+            double share,
             ActiveJobs activeJobs,
             long endedBytes,
             Submission job,
             boolean guaranteed) {
-        double bound = part * boundBytes * (guaranteed ? 1 : SHARE_BY_PRIORITY.get(job.priority()));
-        long need = ActiveJobs.bytesOf(job);
-        double ofAll = activeJobs.bytes() + endedBytes + need - bound;
-        double ofTeam = activeJobs.bytes(job.team()) + need - bound * TEAM_SHARE;
-        return guaranteed ? ofAll : Math.max(ofAll, ofTeam);
+        double bound =
+                share * boundBytes * (guaranteed ? 1 : SHARE_BY_PRIORITY.get(job.priority()));
+        long jobBytes = ActiveJobs.bytesOf(job);
+        double excessOfAll = activeJobs.bytes() + endedBytes + jobBytes - bound;
+        double excessOfTeam = activeJobs.bytes(job.team()) + jobBytes - bound * TEAM_SHARE;
+        return guaranteed ? excessOfAll : Math.max(excessOfAll, excessOfTeam);
     }
 }
--- a/src/main/java/org/springmill/control/admission/QueueWaits.java
+++ b/src/main/java/org/springmill/control/admission/QueueWaits.java
@@ -101,7 +101,7 @@
     /** Ends the count and returns the queues whose expected wait is too long, the longest first. */
     public List<CongestedQueue> endCount(double now) {
         waitingSince.keySet().retainAll(waitingTasks.keySet());
-        starts.values().removeIf(counted -> counted.inWindow(now) == 0);
+        starts.values().removeIf(counter -> counter.inWindow(now) == 0);
         List<CongestedQueue> congested = new ArrayList<>();
         for (Map.Entry<Queue, Integer> entry : waitingTasks.entrySet()) {
             Queue queue = entry.getKey();
@@ -116,19 +116,19 @@
     }
 
     private double expectedSeconds(Queue queue, int tasks, double now) {
-        StartCounter counted = starts.get(queue);
+        StartCounter counter = starts.get(queue);
         // A window without starts counts as one start, since one may be about to happen.
-        double startsInWindow = Math.max(1, counted == null ? 0 : counted.inWindow(now));
+        double startsInWindow = Math.max(1, counter == null ? 0 : counter.inWindow(now));
         return tasks / startsInWindow * windowSeconds;
     }
 
     /** The queues to which tasks of a team and priority belong. */
     private static Set<Queue> queuesOf(String team, Priority priority) {
         Set<Queue> queues = new HashSet<>();
-        for (Priority behind : Priority.values()) {
-            if (!behind.isAbove(priority)) {
-                queues.add(new Queue(team, behind));
-                queues.add(new Queue(CongestedQueue.ALL_TEAMS, behind));
+        for (Priority queuePriority : Priority.values()) {
+            if (!queuePriority.isAbove(priority)) {
+                queues.add(new Queue(team, queuePriority));
+                queues.add(new Queue(CongestedQueue.ALL_TEAMS, queuePriority));
             }
         }
         return queues;
--- a/src/main/java/org/springmill/control/admission/RetryAfter.java
+++ b/src/main/java/org/springmill/control/admission/RetryAfter.java
@@ -24,7 +24,7 @@
      * @param drainSeconds expected time until the excess has drained
      */
     int seconds(double drainSeconds) {
-        double spread = drainSeconds * (1 + random.nextDouble());
-        return (int) Math.max(MIN_SECONDS, Math.min(MAX_SECONDS, Math.ceil(spread)));
+        double randomizedSeconds = drainSeconds * (1 + random.nextDouble());
+        return (int) Math.max(MIN_SECONDS, Math.min(MAX_SECONDS, Math.ceil(randomizedSeconds)));
     }
 }
--- a/src/test/java/org/springmill/control/admission/AdmissionFixture.java
+++ b/src/test/java/org/springmill/control/admission/AdmissionFixture.java
@@ -7,14 +7,14 @@
 
 /** Submissions for the tests of this package. */
 final class AdmissionFixture {
-    private static int numbers;
+    private static int lastNumber;
 
     private AdmissionFixture() {}
 
     /** A job array whose tasks need one CPU each, with a unique id. */
     static Submission job(String team, Priority priority, int tasks, double gpus) {
         return new Submission(
-                "run-" + ++numbers,
+                "run-" + ++lastNumber,
                 "sweep",
                 team,
                 JobKind.ARRAY,
--- a/src/test/java/org/springmill/control/admission/MemoryBoundTest.java
+++ b/src/test/java/org/springmill/control/admission/MemoryBoundTest.java
@@ -40,7 +40,7 @@
     }
 
     @Test
-    void workWithinAGuaranteeHasTheWholeBound() {
+    void jobsWithinGuaranteeMayUseWholeBound() {
         fill(999, Priority.PRODUCTION);
         assertEquals(0, bound.excessBytes(activeJobs, 0, job("red", Priority.LOW, 1, 0), true));
         fill(1, Priority.PRODUCTION);
@@ -48,7 +48,7 @@
     }
 
     @Test
-    void oneTeamMayHoldHalfOfWhatItsPriorityMay() {
+    void oneTeamMayUseHalfOfBoundOfItsPriority() {
         for (int i = 0; i < 400; i++) {
             assertEquals(
                     0, bound.excessBytes(activeJobs, 0, job("red", Priority.NORMAL, 1, 0), false));
@@ -77,7 +77,7 @@
         "4, 8, 5, 1, false",
         "0, 0, 1, 0, false"
     })
-    void aJobIsWithinItsTeamsGuaranteeIfWhatItNeedsIsGuaranteed(
+    void jobIsWithinGuaranteeIfItsResourcesAreGuaranteed(
             double cpus, double gpus, int tasks, double gpusEach, boolean within) {
         Team team = new Team("red", cpus, 100, gpus, 100);
         assertEquals(
@@ -86,7 +86,7 @@
     }
 
     @Test
-    void unfinishedJobsOfTheTeamTakePartOfTheGuarantee() {
+    void unfinishedJobsOfTeamUseUpGuarantee() {
         Team team = new Team("red", 0, 0, 8, 16);
         Submission earlier = job("red", Priority.LOW, 6, 1);
         activeJobs.add(earlier);
@@ -97,9 +97,9 @@
 
     /** A job counts once from its addition to its removal, even if either is repeated. */
     @Property(tries = 200, seed = "20261204")
-    void theAccountIsThatOfTheJobsThatLive(
+    void countsMatchActiveJobs(
             @ForAll @Size(max = 200) java.util.List<@IntRange(min = 0, max = 59) Integer> events) {
-        ActiveJobs account = new ActiveJobs(0);
+        ActiveJobs counts = new ActiveJobs(0);
         java.util.Map<Integer, Submission> expected = new java.util.HashMap<>();
         Submission[] jobs = new Submission[20];
         for (int i = 0; i < jobs.length; i++) {
@@ -109,27 +109,27 @@
             int number = event % jobs.length;
             switch (event / jobs.length) {
                 case 0 -> {
-                    account.add(jobs[number]);
+                    counts.add(jobs[number]);
                     expected.put(number, jobs[number]);
                 }
                 case 1 -> {
-                    account.ended(jobs[number].id(), 1);
+                    counts.ended(jobs[number].id(), 1);
                     expected.remove(number);
                 }
                 default -> {
-                    account.removeUnaccepted(jobs[number].id());
+                    counts.removeUnaccepted(jobs[number].id());
                     expected.remove(number);
                 }
             }
         }
-        assertEquals(expected.size(), account.jobCount());
+        assertEquals(expected.size(), counts.jobCount());
         assertEquals(
-                expected.values().stream().mapToLong(ActiveJobs::bytesOf).sum(), account.bytes());
+                expected.values().stream().mapToLong(ActiveJobs::bytesOf).sum(), counts.bytes());
         assertEquals(
                 expected.values().stream()
                         .filter(job -> job.team().equals("team-1"))
                         .mapToLong(ActiveJobs::bytesOf)
                         .sum(),
-                account.bytes("team-1"));
+                counts.bytes("team-1"));
     }
 }
--- a/src/test/java/org/springmill/control/admission/QueueWaitsTest.java
+++ b/src/test/java/org/springmill/control/admission/QueueWaitsTest.java
@@ -45,13 +45,13 @@
 
     @ParameterizedTest
     @CsvSource({"760, 2, false", "840, 2, true", "4, 0, false", "5, 0, true", "0, 0, false"})
-    void aQueueIsCongestedWhenItsTasksTakeLongerThanTheLongestWait(
+    void queueIsCongestedIfExpectedWaitExceedsMaximum(
             int waitingTasks, int startsPerSecond, boolean congested) {
         assertEquals(congested, !afterWindow(waitingTasks, startsPerSecond).isEmpty());
     }
 
     @Test
-    void theExcessIsTheExpectedWaitBeyondTheLongest() {
+    void excessIsExpectedWaitAboveMaximum() {
         List<CongestedQueue> congested = afterWindow(1000, 2);
         CongestedQueue worst = congested.get(0);
         assertEquals(1000 / 2.0 - MAX_WAIT_SECONDS, worst.excessSeconds(), 15);
@@ -59,7 +59,7 @@
 
     /** It is not known how fast a queue drains in which tasks have just started to wait. */
     @Test
-    void noQueueIsCongestedBeforeWorkHasWaitedInItForAWindow() {
+    void noQueueIsCongestedBeforeTasksHaveWaitedForWindow() {
         for (int second = 0; second < WINDOW_SECONDS; second++) {
             now++;
             assertEquals(List.of(), count(100_000));
@@ -70,14 +70,14 @@
 
     /** Tasks of lower priority do not delay those of higher priority. */
     @Test
-    void lowerWorkDoesNotCongestTheQueuesOfHigherWork() {
+    void lowerPriorityDoesNotCongestQueuesOfHigherPriority() {
         List<CongestedQueue> congested = afterWindow(100_000, 1);
         assertTrue(congested.stream().noneMatch(queue -> queue.priority() == Priority.HIGH));
         assertTrue(congested.stream().anyMatch(queue -> queue.priority() == Priority.LOW));
     }
 
     @Test
-    void anotherTeamsBacklogCongestsTheQueueOfAllButNotTheTeams() {
+    void backlogOfOneTeamCongestsQueueOfAllTeamsButNotOfOtherTeam() {
         List<CongestedQueue> congested = afterWindow(100_000, 1);
         assertTrue(congested.stream().noneMatch(queue -> queue.team().equals("blue")));
         assertTrue(congested.stream().anyMatch(q -> q.team().equals(CongestedQueue.ALL_TEAMS)));
@@ -85,7 +85,7 @@
 
     /** A notice holds a limited number of queues: those with the longest waits. */
     @Test
-    void theWorstQueuesAreToldWhenThereAreTooMany() {
+    void queuesWithLongestWaitsAreReportedIfThereAreTooMany() {
         int teams = CongestionNotice.MAX_QUEUES;
         for (int second = 0; second <= WINDOW_SECONDS; second++) {
             now++;
--- a/src/test/java/org/springmill/control/admission/StoreRateSharesPropertyTest.java
+++ b/src/test/java/org/springmill/control/admission/StoreRateSharesPropertyTest.java
@@ -55,7 +55,7 @@
             @ForAll("schedules") List<Step> schedule) {
         Group group = new Group(controllers);
         for (Step step : schedule) {
-            group.play(step);
+            group.execute(step);
             assertTrue(group.sum() <= 1 + TOLERANCE, "shares add up to " + group.sum());
         }
     }
@@ -89,7 +89,7 @@
             return shares.stream().mapToDouble(StoreRateShares::current).sum();
         }
 
-        void play(Step step) {
+        void execute(Step step) {
             int controller = step.controller() % shares.size();
             switch (step.kind()) {
                 case ASK -> ask(controller).run();
@@ -110,9 +110,9 @@
             }
         }
 
-        private void load(StoreRateShares ofOne, int changes) {
-            ofOne.queued(changes);
-            ofOne.sent(changes);
+        private void load(StoreRateShares target, int changes) {
+            target.queued(changes);
+            target.sent(changes);
         }
 
         /** Sends a question to the leader and returns the delivery of the answer. */
--- a/src/test/java/org/springmill/control/admission/StoreRateSharesTest.java
+++ b/src/test/java/org/springmill/control/admission/StoreRateSharesTest.java
@@ -23,15 +23,15 @@
 
     @ParameterizedTest
     @CsvSource({"1, 1.0", "2, 0.3", "3, 0.2", "5, 0.1", "6, 0.08"})
-    void theRestIsSharedEvenlyByThoseThatDoNotLead(int controllers, double share) {
-        StoreRateShares ofOne = shares(controllers, controllers == 1);
+    void followersShareTheRestEvenly(int controllers, double share) {
+        StoreRateShares controllerShares = shares(controllers, controllers == 1);
         clock.run(1);
-        assertEquals(share, ofOne.current(), TOLERANCE);
+        assertEquals(share, controllerShares.current(), TOLERANCE);
     }
 
     /** Loans of an earlier leader may be in use until they expire. */
     @Test
-    void aNewLeaderLeavesOutWhatMayBeLentUntilThatHasEnded() {
+    void newLeaderUsesLendablePartOnlyAfterOldLoansExpire() {
         StoreRateShares leader = shares(3, true);
         assertEquals(0.3, leader.current(), TOLERANCE);
         clock.run(VALIDITY_SECONDS * 1.01);
@@ -39,7 +39,7 @@
     }
 
     @Test
-    void aLoanIsTakenFromTheLendersShareAndEnds() {
+    void loanReducesShareOfLenderUntilItExpires() {
         StoreRateShares leader = shares(3, true);
         StoreRateShares other = shares(3, false);
         leader.current();
@@ -57,7 +57,7 @@
 
     /** The leader's own rounds and lease renewals come before loans. */
     @Test
-    void aLeaderThatNeedsItsShareLendsNothing() {
+    void leaderThatNeedsItsShareLendsNothing() {
         StoreRateShares leader = shares(3, true);
         leader.current();
         clock.run(1);
@@ -67,7 +67,7 @@
     }
 
     @Test
-    void loansToSeveralControllersTogetherKeepToWhatMayBeLent() {
+    void loansToSeveralControllersStayWithinMaximum() {
         StoreRateShares leader = shares(5, true);
         leader.current();
         clock.run(1);
@@ -77,7 +77,7 @@
     }
 
     @Test
-    void anAnswerToAnEarlierQuestionIsIgnored() {
+    void answerToEarlierQuestionIsIgnored() {
         StoreRateShares other = shares(3, false);
         clock.run(1);
         other.borrow(2, clock.now(), 0.1);
