--- a/src/main/java/org/springmill/control/api/AcceptanceCommits.java
+++ b/src/main/java/org/springmill/control/api/AcceptanceCommits.java
@@ -14,20 +14,18 @@
 import org.springmill.protocol.KeyValueStoreMessages.Write;
 import org.springmill.transport.EventLoop;
 
-/**
- * Creates the records of submitted jobs in the key-value store, on condition that there is none.
- */
+/** Creates the records of submitted jobs in the key-value store, on condition that none exists. */
 final class AcceptanceCommits {
     private final KeyValueStoreClient store;
     private final EventLoop loop;
     private final Timeouts timeouts;
     private final int maxUncommitted;
 
-    /** Submissions whose records are on their way to the key-value store, the oldest first. */
+    /** Submissions whose records are being written to the key-value store, oldest first. */
     private final Set<PendingSubmission> uncommitted = new LinkedHashSet<>();
 
     /**
-     * @param maxUncommitted submissions whose records may be on their way at a time
+     * @param maxUncommitted maximum number of records that are being written at a time
      */
     AcceptanceCommits(
             KeyValueStoreClient store, EventLoop loop, Timeouts timeouts, int maxUncommitted) {
@@ -38,9 +36,9 @@
     }
 
     /**
-     * How many seconds one more record would wait for the key-value store: by this controller's
-     * share of its limits, and at least as long as the oldest that is on its way has waited.
-     * Infinite if no more may be on their way.
+     * Expected seconds until one more record is written: the wait due to this controller's share of
+     * the rate limits, but at least the time that the oldest uncommitted record has taken so far.
+     * Infinite if no more records may be written now.
      */
     double expectedWaitSeconds() {
         if (uncommitted.size() >= maxUncommitted) {
@@ -54,15 +52,15 @@
         return loop.now() - uncommitted.iterator().next().since();
     }
 
-    /** The time by which a request to the key-value store has to be sent to be of use. */
+    /** Latest time to send a request to the key-value store so that the user's deadline is met. */
     double sendBy(PendingSubmission submission) {
         return submission.answerBy() - timeouts.storeRequestTimeoutSeconds();
     }
 
     /**
-     * Creates the record of a job, retrying while there is time.
+     * Creates the record of a job, retrying until the user's deadline.
      *
-     * @param onResult gets the final result
+     * @param onResult called with the final result
      */
     void commit(PendingSubmission submission, Consumer<CommitResult> onResult) {
         uncommitted.add(submission);
@@ -90,8 +88,8 @@
     }
 
     /**
-     * Whether the same write is to be sent again: it was not executed, or may have been. It is
-     * applied once at most.
+     * Whether to send the same write again because it was not executed or its outcome is unknown.
+     * Its conditions ensure that it is applied at most once.
      */
     private boolean mayRetry(PendingSubmission submission, CommitResult result) {
         boolean outage = result.outcome() == CommitOutcome.RETRYABLE && !store.isReachable();
--- a/src/main/java/org/springmill/control/api/CancellationHandler.java
+++ b/src/main/java/org/springmill/control/api/CancellationHandler.java
@@ -21,8 +21,9 @@
 import org.springmill.transport.HttpHandler.Call;
 
 /**
- * Cancels jobs for users. The write is conditional on the version of the job's record, so that of
- * done and cancelled the first stays; the user is answered only after the commit.
+ * Cancels jobs for users. The write is conditional on the version of the job's record, so that
+ * whichever of done and cancelled is written first is final. The response is sent only after the
+ * commit.
  */
 final class CancellationHandler {
     private static final Logger LOG = LoggerFactory.getLogger(CancellationHandler.class);
@@ -35,7 +36,8 @@
     private final Consumer<Cancellation> broadcast;
 
     /**
-     * @param broadcast gets each cancellation committed here before its user is answered
+     * @param broadcast called with each cancellation committed here, before the response to its
+     *     user
      */
     CancellationHandler(
             JobDirectory directory,
@@ -52,7 +54,7 @@
         this.broadcast = broadcast;
     }
 
-    /** Cancels a job that may be over already or may never have been submitted. */
+    /** Cancels a job that may have ended already or may never have been submitted. */
     void cancel(Call call, String id) {
         if (!Submission.isValidId(id)) {
             JobStatusResponses.respondNotFound(call);
@@ -81,7 +83,7 @@
         }
     }
 
-    /** An archived job is over: its cancellation, if it was cancelled, is known to all. */
+    /** An archived job has ended. If it was cancelled, all controllers know of the cancellation. */
     private static void respondArchived(Call call, Lookup lookup) {
         JobStatusResponses.respondLookup(
                 call,
@@ -113,8 +115,8 @@
 
     private void respondEnded(Call call, JobRecord job) {
         if (job.cancelled()) {
-            // Perhaps by a write of this very request whose answer was lost: then no other
-            // controller knows of it yet.
+            // The cancellation may come from this request, if the response of the store was lost:
+            // then no other controller knows of it yet.
             broadcast(job);
         }
         responses.respondPhase(call, job);
@@ -133,8 +135,8 @@
     }
 
     /**
-     * Retries while there is time. After a rejection the record has changed; without an answer the
-     * barrier shows whether the write was applied.
+     * Retries until the user's deadline. After a rejection the record has changed; if the outcome
+     * is unknown, the read barrier shows whether the write was applied.
      */
     private void notCommitted(Call call, String id, double answerBy, CommitResult result) {
         boolean outage = result.outcome() == CommitOutcome.RETRYABLE && !store.isReachable();
--- a/src/main/java/org/springmill/control/api/JobQueryHandler.java
+++ b/src/main/java/org/springmill/control/api/JobQueryHandler.java
@@ -6,7 +6,7 @@
 import org.springmill.protocol.Submission;
 import org.springmill.transport.HttpHandler.Call;
 
-/** Answers users' queries for the status of a job, with the counts of its tasks. */
+/** Responds to users' queries for the status of a job, with the counts of its tasks. */
 final class JobQueryHandler implements JobStatusReader.ResponseForm {
     private final JobStatusReader reader;
     private final JobStatusResponses responses;
@@ -16,7 +16,7 @@
         this.responses = responses;
     }
 
-    /** Answers a query for a job that may never have been submitted. */
+    /** Responds to a query for a job that may never have been submitted. */
     void query(Call call, String id) {
         if (Submission.isValidId(id)) {
             reader.respond(call, id, this);
--- a/src/main/java/org/springmill/control/api/JobStatusReader.java
+++ b/src/main/java/org/springmill/control/api/JobStatusReader.java
@@ -8,21 +8,21 @@
 import org.springmill.transport.HttpHandler.Call;
 
 /**
- * Finds the status of a job that is no older than the request. A final phase is answered at once;
- * anything else only after a barrier, since it could be outdated.
+ * Reads a job status that is no older than the request. A final phase is returned immediately, any
+ * other phase only after a read barrier, since it could be outdated.
  */
 final class JobStatusReader {
     private final JobDirectory directory;
 
-    /** The form in which a status is answered. */
+    /** Sends a status as the response to a call. */
     interface ResponseForm {
-        /** Answers from the record of a job. */
+        /** Responds with the record of a job. */
         void respond(Call call, JobRecord job);
 
-        /** Answers from the archived form of a job that ended long ago. */
+        /** Responds with the archived form of a job that ended long ago. */
         void respond(Call call, ArchivedJob job);
 
-        /** Answers that there is neither a record nor an archived form. */
+        /** Responds if there is neither a record nor an archived form. */
         void respondAbsent(Call call);
     }
 
@@ -30,7 +30,7 @@
         this.directory = directory;
     }
 
-    /** Answers with the status of a job, or 503 if it is not certain. */
+    /** Responds with the status of a job, or with 503 if the status is uncertain. */
     void respond(Call call, String id, ResponseForm form) {
         JobRecord known = directory.get(id);
         ArchivedJob archived = directory.archived(id);
--- a/src/main/java/org/springmill/control/api/PendingSubmission.java
+++ b/src/main/java/org/springmill/control/api/PendingSubmission.java
@@ -5,17 +5,17 @@
 import org.springmill.transport.HttpHandler.Call;
 
 /**
- * A submission that has not been answered yet.
+ * A submission without a response so far.
  *
  * @param job the record to be created
- * @param since when it came in
+ * @param since time of its arrival in seconds
  */
 record PendingSubmission(Call call, JobRecord job, double since) {
     String id() {
         return job.id();
     }
 
-    /** The time by which the user has to have an answer. */
+    /** Deadline of the response to the user. */
     double answerBy() {
         return since + JobStatusResponses.RESPONSE_DEADLINE_SECONDS;
     }
--- a/src/main/java/org/springmill/control/api/RefusalResponse.java
+++ b/src/main/java/org/springmill/control/api/RefusalResponse.java
@@ -4,13 +4,13 @@
 import org.springmill.control.jobs.JobStatusResponses;
 import org.springmill.transport.HttpHandler.Call;
 
-/** The answer to a submission that can never run, or cannot be accepted now. */
+/** The response to a submission that can never run, or cannot be accepted now. */
 @FunctionalInterface
 interface RefusalResponse {
-    /** Answers a submission that was certainly not accepted before. */
+    /** Responds to a submission that was certainly not accepted before. */
     void respond(Call call);
 
-    /** Answers while it is not certain that the job was not accepted before. */
+    /** Responds while it is uncertain whether the job was accepted before. */
     default void respondUncertain(Call call) {
         JobStatusResponses.respondUnavailable(call, JobStatusResponses.STORE_UNAVAILABLE);
     }
@@ -21,8 +21,9 @@
     }
 
     /**
-     * For a job that cannot be accepted now. In an overload more lookups would be needed than are
-     * allowed; when their users were told to retry after a second only, they came back as a wave.
+     * For a job that cannot be accepted now. It responds alike if it is uncertain whether the job
+     * was accepted: an overload requires more lookups than are allowed, and when the remaining
+     * users were asked to retry after one second, their retries arrived together.
      */
     record Overload(AdmissionRefusal refusal) implements RefusalResponse {
         @Override
--- a/src/main/java/org/springmill/control/api/SubmissionHandler.java
+++ b/src/main/java/org/springmill/control/api/SubmissionHandler.java
@@ -27,10 +27,10 @@
 import org.springmill.transport.HttpHandler.Call;
 
 /**
- * Accepts jobs. A job is accepted by creating its record on condition that there is none, and its
- * user is answered only after the commit. Whatever cannot be accepted is answered at once. A
- * repeated submission of an accepted job is an idempotent request: it is answered with the job's
- * phase and never refused.
+ * Accepts jobs. A job is accepted by creating its record on condition that none exists, and the
+ * response is sent only after the commit. Jobs that cannot be accepted are refused without being
+ * queued. A repeated submission of an accepted job is idempotent: the response is the job's phase,
+ * never a refusal.
  */
 public final class SubmissionHandler {
     private static final Logger LOG = LoggerFactory.getLogger(SubmissionHandler.class);
@@ -46,7 +46,7 @@
     private final JobStatusReader reader;
     private final ExistingJobForm existingJobForm;
 
-    /** How a submission of a job that was accepted before is answered: with its phase. */
+    /** Responds to the submission of a job that was accepted before, with the phase of the job. */
     private record ExistingJobForm(JobStatusResponses responses)
             implements JobStatusReader.ResponseForm {
         @Override
@@ -68,9 +68,8 @@
     /**
      * Creates the handler of a controller.
      *
-     * @param activeJobs the account of jobs that are accepted and not over
-     * @param maxUncommitted submissions whose records may be on their way to the key-value store at
-     *     a time
+     * @param activeJobs the counts of accepted jobs that have not ended
+     * @param maxUncommitted maximum number of records that are being written at a time
      */
     public SubmissionHandler(
             JobDirectory directory,
@@ -95,7 +94,7 @@
         existingJobForm = new ExistingJobForm(responses);
     }
 
-    /** Accepts the job that a request describes, or says why not. */
+    /** Accepts the job that a request describes, or responds with the reason why not. */
     void submit(Call call) {
         try {
             submit(call, Submission.parse(Json.object(call.body())));
@@ -117,7 +116,7 @@
         PendingSubmission submitted = new PendingSubmission(call, job, loop.now());
         String impossible = catalog.impossibilityReason(submission);
         if (impossible != null) {
-            // It may have been accepted long ago, under other limits or machine types.
+            // The job may have been accepted earlier, with other limits or machine types.
             refuseAfterBarrier(submitted, RefusalResponse.impossible(impossible));
         } else if (reasonForRefusal(job).isEmpty()) {
             accept(submitted);
@@ -126,7 +125,7 @@
         }
     }
 
-    /** Why a job cannot be accepted, as far as is known here; empty if it can. */
+    /** Why a job cannot be accepted, as far as this controller knows; empty if it can. */
     private Optional<String> reasonForRefusal(JobRecord job) {
         int bytes = job.maxBytes(loop.timeOfDay());
         int maxBytes = store.limits().valueBytes();
@@ -142,14 +141,14 @@
     }
 
     /**
-     * Decides again once all earlier changes are known: what the job names, or the job itself in a
-     * repeated submission, may just have been accepted by another controller.
+     * Decides again after a read barrier: another controller may just have accepted the
+     * dependencies of the job or, if the submission is repeated, the job itself.
      */
     private void decideAfterBarrier(PendingSubmission submitted) {
         directory.readBarrier(current -> findArchivedDependencies(submitted, current));
     }
 
-    /** The jobs that a job names may have ended so long ago that their records are archived. */
+    /** Looks up unknown dependencies, which may have ended so long ago that they are archived. */
     private void findArchivedDependencies(PendingSubmission submitted, boolean current) {
         List<String> unknown =
                 directory.dependencies().unknownDependencies(submitted.job().submission());
@@ -166,7 +165,7 @@
         if (reason.isEmpty() && current && isUnknown(submitted.id())) {
             accept(submitted);
         } else {
-            // Without a reason the job is known by now, or that is uncertain: none is answered.
+            // Without a reason the job is known by now or that is uncertain: no reason is sent.
             refuse(submitted, current, RefusalResponse.impossible(reason.orElse("")));
         }
     }
@@ -206,7 +205,7 @@
 
     private void accept(PendingSubmission submitted) {
         if (admission.isNearMemoryBound(submitted.job().submission())) {
-            // What other controllers have accepted meanwhile may have used up what is left.
+            // Jobs that other controllers have accepted meanwhile may have used up the memory.
             directory.readBarrier(current -> acceptNearBound(submitted, current));
         } else {
             admit(submitted);
@@ -229,8 +228,8 @@
         Optional<AdmissionRefusal> refusal =
                 admission.refusal(submission, commits.expectedWaitSeconds());
         if (refusal.isPresent()) {
-            // A repeated submission is no new work, and its user may be the one whose first answer
-            // was lost.
+            // A repeated submission is not a new job, and the first response to its user may have
+            // been lost.
             refuseAfterBarrier(submitted, new RefusalResponse.Overload(refusal.get()));
             return;
         }
@@ -263,7 +262,7 @@
                 job.submission().tasks(),
                 job.submission().jobClass(),
                 job.submission().team());
-        // Cancelled already if it names a cancelled one.
+        // The job is cancelled already if it depends on a cancelled one.
         JobRecord inEffect = directory.get(job.id());
         if (inEffect == null || !directory.isStatusCertain(inEffect)) {
             respondExisting(submitted.call(), job.id());
@@ -283,7 +282,7 @@
         }
     }
 
-    /** The record was not sent in time, or the key-value store serves nothing. */
+    /** The record was not sent in time, or the key-value store is unreachable. */
     private void commitAbandoned(PendingSubmission submitted) {
         if (store.isReachable()) {
             AdmissionRefusal refusal = admission.expired(commits.expectedWaitSeconds());
--- a/src/main/java/org/springmill/control/api/UserApi.java
+++ b/src/main/java/org/springmill/control/api/UserApi.java
@@ -21,7 +21,8 @@
     /**
      * Creates the API of a controller.
      *
-     * @param broadcast gets each cancellation committed here before its user is answered
+     * @param broadcast called with each cancellation committed here, before the response to its
+     *     user
      * @param submissions accepts jobs
      */
     public UserApi(
@@ -38,7 +39,7 @@
                 new CancellationHandler(directory, store, loop, timeouts, responses, broadcast);
     }
 
-    /** Answers a request whose path is that of the submissions or below it. */
+    /** Handles a request whose path is the submissions path or below it. */
     public void handle(Call call) {
         if (call.path().equals(UserMessages.SUBMISSIONS_PATH)) {
             if (hasMethod(call, "POST")) {
@@ -50,7 +51,7 @@
     }
 
     /**
-     * @param name what follows the path of the submissions
+     * @param name the part of the path after the submissions path
      */
     private void handleJob(Call call, String name) {
         if (name.endsWith(UserMessages.CANCELLATION_SUFFIX)) {
@@ -67,7 +68,7 @@
         }
     }
 
-    /** Answers 405 to any other method. */
+    /** Checks the method of a call; responds with 405 if it is another one. */
     private static boolean hasMethod(Call call, String method) {
         if (!call.method().equals(method)) {
             call.reply(405, EMPTY, 0);
