--- a/src/main/java/org/springmill/control/api/SubmissionHandler.java
+++ b/src/main/java/org/springmill/control/api/SubmissionHandler.java
@@ -257,7 +257,7 @@
         directory.merge(job);
         metrics.recordAcceptance(submitted.since());
         LOG.debug(
-                "{} accepted: {} of {} for {}",
+                "{} accepted: {} tasks of class {} for team {}",
                 job.id(),
                 job.submission().tasks(),
                 job.submission().jobClass(),
