--- a/src/main/java/org/springmill/control/api/AcceptanceCommits.java
+++ b/src/main/java/org/springmill/control/api/AcceptanceCommits.java
@@ -44,17 +44,19 @@
         if (uncommitted.size() >= maxUncommitted) {
             return Double.POSITIVE_INFINITY;
         }
-        double byShare = store.expectedWaitSeconds(1);
-        return uncommitted.isEmpty() ? byShare : Math.max(byShare, secondsSinceOldest());
+        double shareWaitSeconds = store.expectedWaitSeconds(1);
+        return uncommitted.isEmpty()
+                ? shareWaitSeconds
+                : Math.max(shareWaitSeconds, secondsSinceOldest());
     }
 
     private double secondsSinceOldest() {
-        return loop.now() - uncommitted.iterator().next().since();
+        return loop.now() - uncommitted.iterator().next().arrivedAt();
     }
 
     /** Latest time to send a request to the key-value store so that the user's deadline is met. */
     double sendBy(PendingSubmission submission) {
-        return submission.answerBy() - timeouts.storeRequestTimeoutSeconds();
+        return submission.responseDeadline() - timeouts.storeRequestTimeoutSeconds();
     }
 
     /**
@@ -74,10 +76,10 @@
                 List.of(new Condition(job.key(), 0), new Condition(ArchivedJob.key(job.id()), 0)),
                 List.of(Write.put(job.key(), job.encode())),
                 sendBy(submission),
-                result -> answered(submission, result, onResult));
+                result -> resultReceived(submission, result, onResult));
     }
 
-    private void answered(
+    private void resultReceived(
             PendingSubmission submission, CommitResult result, Consumer<CommitResult> onResult) {
         if (mayRetry(submission, result)) {
             loop.after(timeouts.commitRetryIntervalSeconds(), () -> send(submission, onResult));
@@ -96,7 +98,8 @@
         boolean undecided =
                 result.outcome() == CommitOutcome.RETRYABLE
                         || result.outcome() == CommitOutcome.UNKNOWN;
-        boolean inTime = loop.now() + timeouts.storeRequestTimeoutSeconds() < submission.answerBy();
+        boolean inTime =
+                loop.now() + timeouts.storeRequestTimeoutSeconds() < submission.responseDeadline();
         return undecided && !outage && inTime;
     }
 }
--- a/src/main/java/org/springmill/control/api/CancellationHandler.java
+++ b/src/main/java/org/springmill/control/api/CancellationHandler.java
@@ -63,19 +63,20 @@
         cancelById(call, id, loop.now() + JobStatusResponses.RESPONSE_DEADLINE_SECONDS);
     }
 
-    private void cancelById(Call call, String id, double answerBy) {
+    private void cancelById(Call call, String id, double responseDeadline) {
         JobRecord known = directory.get(id);
         if (known != null) {
-            cancel(call, known, answerBy);
+            cancel(call, known, responseDeadline);
             return;
         }
-        directory.readBarrier(current -> cancelAfterBarrier(call, id, answerBy, current));
+        directory.readBarrier(current -> cancelAfterBarrier(call, id, responseDeadline, current));
     }
 
-    private void cancelAfterBarrier(Call call, String id, double answerBy, boolean current) {
+    private void cancelAfterBarrier(
+            Call call, String id, double responseDeadline, boolean current) {
         JobRecord job = directory.get(id);
         if (job != null) {
-            cancel(call, job, answerBy);
+            cancel(call, job, responseDeadline);
         } else if (current) {
             directory.lookUpArchived(id, lookup -> respondArchived(call, lookup));
         } else {
@@ -92,7 +93,7 @@
                 () -> JobStatusResponses.respondNotFound(call));
     }
 
-    private void cancel(Call call, JobRecord job, double answerBy) {
+    private void cancel(Call call, JobRecord job, double responseDeadline) {
         if (job.phase().isTerminal()) {
             respondEnded(call, job);
             return;
@@ -101,15 +102,15 @@
         store.compareAndSwap(
                 List.of(new Condition(job.key(), job.version())),
                 List.of(Write.put(job.key(), cancelled.encode(store.limits().valueBytes()))),
-                result -> commitAnswered(call, cancelled, answerBy, result));
+                result -> commitCompleted(call, cancelled, responseDeadline, result));
     }
 
-    private void commitAnswered(
-            Call call, JobRecord cancelled, double answerBy, CommitResult result) {
+    private void commitCompleted(
+            Call call, JobRecord cancelled, double responseDeadline, CommitResult result) {
         if (result.outcome() == CommitOutcome.COMMITTED) {
             committed(call, cancelled.committed(result.revision()));
         } else {
-            notCommitted(call, cancelled.id(), answerBy, result);
+            notCommitted(call, cancelled.id(), responseDeadline, result);
         }
     }
 
@@ -138,14 +139,14 @@
      * Retries until the user's deadline. After a rejection the record has changed; if the outcome
      * is unknown, the read barrier shows whether the write was applied.
      */
-    private void notCommitted(Call call, String id, double answerBy, CommitResult result) {
+    private void notCommitted(Call call, String id, double responseDeadline, CommitResult result) {
         boolean outage = result.outcome() == CommitOutcome.RETRYABLE && !store.isReachable();
-        if (outage || loop.now() + timeouts.storeRequestTimeoutSeconds() > answerBy) {
+        if (outage || loop.now() + timeouts.storeRequestTimeoutSeconds() > responseDeadline) {
             JobStatusResponses.respondUnavailable(call, JobStatusResponses.STORE_UNAVAILABLE);
             return;
         }
         loop.after(
                 timeouts.commitRetryIntervalSeconds(),
-                () -> directory.readBarrier(current -> cancelById(call, id, answerBy)));
+                () -> directory.readBarrier(current -> cancelById(call, id, responseDeadline)));
     }
 }
--- a/src/main/java/org/springmill/control/api/JobQueryHandler.java
+++ b/src/main/java/org/springmill/control/api/JobQueryHandler.java
@@ -7,7 +7,7 @@
 import org.springmill.transport.HttpHandler.Call;
 
 /** Responds to users' queries for the status of a job, with the counts of its tasks. */
-final class JobQueryHandler implements JobStatusReader.ResponseForm {
+final class JobQueryHandler implements JobStatusReader.StatusResponder {
     private final JobStatusReader reader;
     private final JobStatusResponses responses;
 
--- a/src/main/java/org/springmill/control/api/JobStatusReader.java
+++ b/src/main/java/org/springmill/control/api/JobStatusReader.java
@@ -15,7 +15,7 @@
     private final JobDirectory directory;
 
     /** Sends a status as the response to a call. */
-    interface ResponseForm {
+    interface StatusResponder {
         /** Responds with the record of a job. */
         void respond(Call call, JobRecord job);
 
@@ -31,37 +31,38 @@
     }
 
     /** Responds with the status of a job, or with 503 if the status is uncertain. */
-    void respond(Call call, String id, ResponseForm form) {
+    void respond(Call call, String id, StatusResponder responder) {
         JobRecord known = directory.get(id);
         ArchivedJob archived = directory.archived(id);
         if (known != null && known.phase().isTerminal()) {
-            form.respond(call, known);
+            responder.respond(call, known);
         } else if (known == null && archived != null) {
-            form.respond(call, archived);
+            responder.respond(call, archived);
         } else {
-            directory.readBarrier(current -> respondAfterBarrier(call, id, form, current));
+            directory.readBarrier(current -> respondAfterBarrier(call, id, responder, current));
         }
     }
 
-    private void respondAfterBarrier(Call call, String id, ResponseForm form, boolean current) {
+    private void respondAfterBarrier(
+            Call call, String id, StatusResponder responder, boolean current) {
         JobRecord job = directory.get(id);
         if (!current) {
             JobStatusResponses.respondUnavailable(call, JobStatusResponses.STORE_UNAVAILABLE);
         } else if (job == null) {
-            directory.lookUpArchived(id, lookup -> respondArchived(call, lookup, form));
+            directory.lookUpArchived(id, lookup -> respondArchived(call, lookup, responder));
         } else if (directory.isStatusCertain(job)) {
-            form.respond(call, job);
+            responder.respond(call, job);
         } else {
             JobStatusResponses.respondUnavailable(
                     call, JobStatusResponses.DEPENDENCY_LOOKUP_PENDING);
         }
     }
 
-    private static void respondArchived(Call call, Lookup lookup, ResponseForm form) {
+    private static void respondArchived(Call call, Lookup lookup, StatusResponder responder) {
         JobStatusResponses.respondLookup(
                 call,
                 lookup,
-                archived -> form.respond(call, archived),
-                () -> form.respondAbsent(call));
+                archived -> responder.respond(call, archived),
+                () -> responder.respondAbsent(call));
     }
 }
--- a/src/main/java/org/springmill/control/api/PendingSubmission.java
+++ b/src/main/java/org/springmill/control/api/PendingSubmission.java
@@ -8,15 +8,15 @@
  * A submission without a response so far.
  *
  * @param job the record to be created
- * @param since time of its arrival in seconds
+ * @param arrivedAt time of its arrival in seconds
  */
-record PendingSubmission(Call call, JobRecord job, double since) {
+record PendingSubmission(Call call, JobRecord job, double arrivedAt) {
     String id() {
         return job.id();
     }
 
     /** Deadline of the response to the user. */
-    double answerBy() {
-        return since + JobStatusResponses.RESPONSE_DEADLINE_SECONDS;
+    double responseDeadline() {
+        return arrivedAt + JobStatusResponses.RESPONSE_DEADLINE_SECONDS;
     }
 }
--- a/src/main/java/org/springmill/control/api/SubmissionHandler.java
+++ b/src/main/java/org/springmill/control/api/SubmissionHandler.java
@@ -44,11 +44,11 @@
     private final ActiveJobs activeJobs;
     private final AcceptanceCommits commits;
     private final JobStatusReader reader;
-    private final ExistingJobForm existingJobForm;
+    private final ExistingJobResponder existingJobResponder;
 
     /** Responds to the submission of a job that was accepted before, with the phase of the job. */
-    private record ExistingJobForm(JobStatusResponses responses)
-            implements JobStatusReader.ResponseForm {
+    private record ExistingJobResponder(JobStatusResponses responses)
+            implements JobStatusReader.StatusResponder {
         @Override
         public void respond(Call call, JobRecord job) {
             responses.respondPhase(call, job);
@@ -91,7 +91,7 @@
         this.activeJobs = activeJobs;
         commits = new AcceptanceCommits(store, loop, timeouts, maxUncommitted);
         reader = new JobStatusReader(directory);
-        existingJobForm = new ExistingJobForm(responses);
+        existingJobResponder = new ExistingJobResponder(responses);
     }
 
     /** Accepts the job that a request describes, or responds with the reason why not. */
@@ -154,7 +154,7 @@
                 directory.dependencies().unknownDependencies(submitted.job().submission());
         if (current && isUnknown(submitted.id())) {
             directory.lookUpAllArchived(
-                    unknown, commits.sendBy(submitted), read -> decide(submitted, read));
+                    unknown, commits.sendBy(submitted), allRead -> decide(submitted, allRead));
         } else {
             decide(submitted, current);
         }
@@ -234,10 +234,10 @@
             return;
         }
         activeJobs.add(submission);
-        commits.commit(submitted, result -> commitAnswered(submitted, result));
+        commits.commit(submitted, result -> commitCompleted(submitted, result));
     }
 
-    private void commitAnswered(PendingSubmission submitted, CommitResult result) {
+    private void commitCompleted(PendingSubmission submitted, CommitResult result) {
         if (result.outcome() != CommitOutcome.COMMITTED && isUnknown(submitted.id())) {
             activeJobs.removeUnaccepted(submitted.id());
         }
@@ -255,7 +255,7 @@
     private void commitSucceeded(PendingSubmission submitted, long revision) {
         JobRecord job = submitted.job().committed(revision);
         directory.merge(job);
-        metrics.recordAcceptance(submitted.since());
+        metrics.recordAcceptance(submitted.arrivedAt());
         LOG.debug(
                 "{} accepted: {} tasks of class {} for team {}",
                 job.id(),
@@ -263,13 +263,13 @@
                 job.submission().jobClass(),
                 job.submission().team());
         // The job is cancelled already if it depends on a cancelled one.
-        JobRecord inEffect = directory.get(job.id());
-        if (inEffect == null || !directory.isStatusCertain(inEffect)) {
+        JobRecord current = directory.get(job.id());
+        if (current == null || !directory.isStatusCertain(current)) {
             respondExisting(submitted.call(), job.id());
             return;
         }
-        byte[] answer = UserMessages.encodePhase(job.id(), inEffect.phase());
-        submitted.call().reply(201, answer, 0);
+        byte[] body = UserMessages.encodePhase(job.id(), current.phase());
+        submitted.call().reply(201, body, 0);
     }
 
     private void commitRejected(PendingSubmission submitted, CommitResult result) {
@@ -294,6 +294,6 @@
     }
 
     private void respondExisting(Call call, String id) {
-        reader.respond(call, id, existingJobForm);
+        reader.respond(call, id, existingJobResponder);
     }
 }
--- a/src/main/java/org/springmill/control/api/UserApi.java
+++ b/src/main/java/org/springmill/control/api/UserApi.java
@@ -51,20 +51,20 @@
     }
 
     /**
-     * @param name the part of the path after the submissions path
+     * @param subPath the part of the path after the submissions path
      */
-    private void handleJob(Call call, String name) {
-        if (name.endsWith(UserMessages.CANCELLATION_SUFFIX)) {
+    private void handleJob(Call call, String subPath) {
+        if (subPath.endsWith(UserMessages.CANCELLATION_SUFFIX)) {
             if (hasMethod(call, "POST")) {
                 String id =
-                        name.substring(
-                                0, name.length() - UserMessages.CANCELLATION_SUFFIX.length());
+                        subPath.substring(
+                                0, subPath.length() - UserMessages.CANCELLATION_SUFFIX.length());
                 cancellations.cancel(call, id);
             }
-        } else if (name.isEmpty() || name.contains("/")) {
+        } else if (subPath.isEmpty() || subPath.contains("/")) {
             call.reply(404, EMPTY, 0);
         } else if (hasMethod(call, "GET")) {
-            queries.query(call, name);
+            queries.query(call, subPath);
         }
     }
 
