--- a/src/main/java/org/springmill/control/metrics/Metrics.java
+++ b/src/main/java/org/springmill/control/metrics/Metrics.java
@@ -55,10 +55,10 @@
     private final Counter attemptsLost;
     private final Counter recordsMoved;
     private final Counter jobsSuspected;
-    private final Counter recordRecallsCommitted;
+    private final Counter recallsCommitted;
     private final Counter tasksRecalled;
     private final Counter heldGpuSeconds;
-    private final Map<Outcome, Counter> recallsSettled = new EnumMap<>(Outcome.class);
+    private final Map<Outcome, Counter> recallsByOutcome = new EnumMap<>(Outcome.class);
     private double lastReadAt = Double.NEGATIVE_INFINITY;
 
     /** A registry with all counters and timers at 0, aged by the clock of the event loop. */
@@ -74,12 +74,12 @@
         attemptsLost = counter("attempts_lost");
         recordsMoved = counter("job_records_moved");
         jobsSuspected = counter("jobs_suspected");
-        recordRecallsCommitted = counter("recalls_committed");
+        recallsCommitted = counter("recalls_committed");
         tasksRecalled = counter("tasks_recalled");
         heldGpuSeconds = counter("held_gpu_seconds");
         for (Outcome outcome : Outcome.values()) {
             String name = outcome.name().toLowerCase(Locale.ROOT);
-            recallsSettled.put(outcome, counter("recalls_" + name));
+            recallsByOutcome.put(outcome, counter("recalls_" + name));
         }
     }
 
@@ -127,12 +127,12 @@
 
     /** Records a number of recalls that were committed. */
     public void recordRecallsCommitted(int recalls) {
-        recordRecallsCommitted.increment(recalls);
+        recallsCommitted.increment(recalls);
     }
 
     /** Records the outcome of a recall. */
     public void recordRecallOutcome(Outcome outcome) {
-        recallsSettled.get(outcome).increment();
+        recallsByOutcome.get(outcome).increment();
     }
 
     /** Records a task that is stopped for a recall. */
--- a/src/test/java/org/springmill/control/metrics/MetricsTest.java
+++ b/src/test/java/org/springmill/control/metrics/MetricsTest.java
@@ -44,7 +44,7 @@
     }
 
     /** Names of the series that a running controller shows, without what belongs to a summary. */
-    private static Set<String> seriesNamesOfAController() {
+    private static Set<String> seriesNamesOfController() {
         SimulatedCluster cluster = new SimulatedCluster(1);
         cluster.run(20);
         byte[] text = cluster.ask(cluster.leader(), "GET", "/metrics", "").body();
@@ -63,12 +63,12 @@
         while (matcher.find()) {
             described.add(matcher.group(1));
         }
-        assertEquals(seriesNamesOfAController(), described);
+        assertEquals(seriesNamesOfController(), described);
     }
 
     @Test
     void exactlyTheCountersEndInTotal() {
-        Set<String> totals = new TreeSet<>(seriesNamesOfAController());
+        Set<String> totals = new TreeSet<>(seriesNamesOfController());
         totals.removeIf(name -> !name.endsWith("_total"));
         assertEquals(new TreeSet<>(COUNTERS), totals);
     }
