--- a/src/main/java/org/springmill/control/metrics/Metrics.java
+++ b/src/main/java/org/springmill/control/metrics/Metrics.java
@@ -37,7 +37,9 @@
     /** Significant digits of the quantiles; more would cost memory. */
     private static final int QUANTILE_DIGITS = 2;
 
-    /** One reading a second is served; metrics must not compete with the work. */
+    /**
+     * Metrics are served at most once per second, so that reading them takes little processor time.
+     */
     private static final double MIN_READ_INTERVAL_SECONDS = 1;
 
     private static final double MILLIS_PER_SECOND = 1e3;
@@ -61,7 +63,7 @@
     private final Map<Outcome, Counter> recallsByOutcome = new EnumMap<>(Outcome.class);
     private double lastReadAt = Double.NEGATIVE_INFINITY;
 
-    /** A registry with all counters and timers at 0, aged by the clock of the event loop. */
+    /** Creates a registry with all counters and timers at 0, which uses the event loop's clock. */
     public Metrics(EventLoop loop) {
         this.loop = loop;
         registry = new SimpleMeterRegistry(SimpleConfig.DEFAULT, new LoopClock(loop));
@@ -140,7 +142,7 @@
         tasksRecalled.increment();
     }
 
-    /** Records GPU-seconds of recalled capacity in hold-down, in which it is not lent again. */
+    /** Records GPU-seconds of recalled capacity in hold-down, during which it is not lent again. */
     public void recordHoldDownGpuSeconds(double gpuSeconds) {
         heldGpuSeconds.increment(gpuSeconds);
     }
@@ -182,7 +184,10 @@
         timer.record((long) (seconds * NANOS_PER_SECOND), TimeUnit.NANOSECONDS);
     }
 
-    /** Micrometer adds a gauge for each quantile of a timer, which the timer's own lines show. */
+    /**
+     * Whether this is one of the gauges that Micrometer adds for each quantile of a timer; the
+     * lines of the timer show the quantiles already.
+     */
     private static boolean isDerived(Meter meter) {
         return meter.getId().syntheticAssociation() != null;
     }
@@ -215,7 +220,7 @@
         text.append(String.format(Locale.ROOT, "%.6g", value)).append('\n');
     }
 
-    /** Lets the histograms age by the event loop's clock, which tests can control. */
+    /** Makes the histograms use the event loop's clock, which tests can control. */
     private static final class LoopClock implements Clock {
         private final EventLoop loop;
 
--- a/src/test/java/org/springmill/control/metrics/MetricsTest.java
+++ b/src/test/java/org/springmill/control/metrics/MetricsTest.java
@@ -43,7 +43,9 @@
         return new String(text, StandardCharsets.UTF_8).lines().toList();
     }
 
-    /** Names of the series that a running controller shows, without what belongs to a summary. */
+    /**
+     * Names of the series of a running controller, without quantile labels and summary suffixes.
+     */
     private static Set<String> seriesNamesOfController() {
         SimulatedCluster cluster = new SimulatedCluster(1);
         cluster.run(20);
