--- a/src/main/java/org/springmill/control/admission/Congestion.java
+++ b/src/main/java/org/springmill/control/admission/Congestion.java
@@ -9,7 +9,8 @@
 
 /**
  * The congested queues in the leader's latest notice, which is valid for a few notice intervals.
- * Without a valid notice no queue counts as congested.
+ * Without a valid notice no queue counts as congested, and no submission is refused for a long
+ * wait.
  */
 public final class Congestion {
     /** The waiting tasks of one team, or of all teams, with at least this priority. */
--- a/src/main/java/org/springmill/control/api/RefusalResponse.java
+++ b/src/main/java/org/springmill/control/api/RefusalResponse.java
@@ -22,8 +22,8 @@
 
     /**
      * For a job that cannot be accepted now. It responds alike if it is uncertain whether the job
-     * was accepted: an overload requires more lookups than are allowed, and when the remaining
-     * users were asked to retry after one second, their retries arrived together.
+     * was accepted: an overload requires more lookups than are allowed, and when users without a
+     * lookup were asked to retry after one second, their retries arrived together.
      */
     record Overload(AdmissionRefusal refusal) implements RefusalResponse {
         @Override
--- a/src/main/java/org/springmill/control/autoscaling/MachineDraining.java
+++ b/src/main/java/org/springmill/control/autoscaling/MachineDraining.java
@@ -39,7 +39,8 @@
     private static final int MAX_CANDIDATES = 8;
 
     /**
-     * An attempt must have run for this many worker leases to be evicted: starting it had a cost.
+     * Attempts that have run for fewer worker leases are not evicted, since starting them had a
+     * cost.
      */
     private static final double MIN_LEASES_RUNNING = 3;
 
--- a/src/main/java/org/springmill/control/autoscaling/MachineHealth.java
+++ b/src/main/java/org/springmill/control/autoscaling/MachineHealth.java
@@ -134,10 +134,10 @@
 
     /**
      * Whether a machine must be replaced because it sends no heartbeats and does not respond to
-     * commands. Its deletion proves that its tasks have ended well before its lease expiry does. If
-     * the heartbeats of many listed machines are overdue, this controller or those machines may be
-     * partitioned. Their tasks are lost only when their leases expire, which also proves that they
-     * have ended; deleting a fleet that was unreachable for 15 s lost all of its tasks.
+     * commands. Its deletion proves, well before its lease expiry does, that its tasks have ended.
+     * If the heartbeats of many listed machines are overdue, this controller or those machines may
+     * be partitioned. Their tasks are lost only when their leases expire, which also proves that
+     * they have ended; deleting a fleet that was unreachable for 15 s lost all of its tasks.
      */
     private boolean isUnresponsive(Machine machine, boolean fewOverdue, double now) {
         return heartbeats.secondsSinceHeartbeat(machine, now) > timeouts.deadAfterSeconds()
--- a/src/main/java/org/springmill/control/autoscaling/WaitingDemand.java
+++ b/src/main/java/org/springmill/control/autoscaling/WaitingDemand.java
@@ -87,8 +87,8 @@
     /**
      * How many of a job's waiting tasks need resources of their own so that all tasks of the job
      * finish within a boot time. Tasks that are much shorter than a boot run one after another on
-     * the same resources: machines requested for ten thousand short tasks at once would be ready
-     * only when most of the tasks are done.
+     * the same resources: if a machine were requested for each of ten thousand short tasks, the
+     * machines would be ready only when most of the tasks are done.
      */
     private int slotsNeeded(Job job, int waiting) {
         Submission spec = job.spec();
