--- a/src/main/java/org/springmill/control/admission/ActiveJobs.java
+++ b/src/main/java/org/springmill/control/admission/ActiveJobs.java
@@ -6,9 +6,8 @@
 import org.springmill.protocol.Submission;
 
 /**
- * Accounts for all active jobs and those that this controller is accepting now: their number, the
- * memory that they need, and the resources that each team has requested. A job counts once, however
- * often it is added.
+ * Counts the active jobs and those that this controller is accepting now: their number, the memory
+ * that they need, and the resources that each team has requested. Adding a job again has no effect.
  */
 public final class ActiveJobs {
     /**
@@ -23,16 +22,16 @@
     /** A job keeps one bit for each task. */
     private static final int TASKS_PER_BYTE = 8;
 
-    /** Time over which the memory of ended jobs is averaged. */
+    /** Averaging time of the rate at which ended jobs free memory. */
     private static final double ENDS_AVERAGING_SECONDS = 30;
 
-    private final Map<String, Submission> jobCount = new HashMap<>();
-    private final Map<String, TeamWork> teams = new HashMap<>();
+    private final Map<String, Submission> jobs = new HashMap<>();
+    private final Map<String, TeamUsage> teams = new HashMap<>();
     private final RateMeter endedBytes;
     private long bytes;
 
-    /** What the counted jobs of one team need and have requested. */
-    private static final class TeamWork {
+    /** Memory and requested resources of the counted jobs of one team. */
+    private static final class TeamUsage {
         private long bytes;
         private double cpus;
         private double gpus;
@@ -44,7 +43,7 @@
         }
     }
 
-    /** An account without jobs. */
+    /** Creates an instance without jobs. */
     public ActiveJobs(double now) {
         endedBytes = new RateMeter(ENDS_AVERAGING_SECONDS, now);
     }
@@ -55,23 +54,23 @@
 
     /** Counts a job that is accepted, or about to be. */
     public void add(Submission job) {
-        if (jobCount.putIfAbsent(job.id(), job) == null) {
+        if (jobs.putIfAbsent(job.id(), job) == null) {
             count(job, 1);
         }
     }
 
     /** Removes a job that has ended. */
     public void ended(String id, double now) {
-        Submission job = jobCount.remove(id);
+        Submission job = jobs.remove(id);
         if (job != null) {
             count(job, -1);
             endedBytes.add(bytesOf(job), now);
         }
     }
 
-    /** Removes a job that, as far as this controller knows, was not accepted after all. */
+    /** Removes a job that was not accepted, as far as this controller knows. */
     public void removeUnaccepted(String id) {
-        Submission job = jobCount.remove(id);
+        Submission job = jobs.remove(id);
         if (job != null) {
             count(job, -1);
         }
@@ -79,7 +78,7 @@
 
     private void count(Submission job, int sign) {
         bytes += (long) sign * bytesOf(job);
-        TeamWork team = teams.computeIfAbsent(job.team(), name -> new TeamWork());
+        TeamUsage team = teams.computeIfAbsent(job.team(), name -> new TeamUsage());
         team.add(job, sign);
         if (team.bytes == 0) {
             teams.remove(job.team());
@@ -88,7 +87,7 @@
 
     /** Number of counted jobs. */
     public int jobCount() {
-        return jobCount.size();
+        return jobs.size();
     }
 
     /** Bytes of memory that the counted jobs need. */
@@ -98,18 +97,19 @@
 
     /** Bytes of memory that the counted jobs of one team need. */
     long bytes(String team) {
-        TeamWork work = teams.get(team);
-        return work == null ? 0 : work.bytes;
+        TeamUsage usage = teams.get(team);
+        return usage == null ? 0 : usage.bytes;
     }
 
-    /** Bytes of memory that ended jobs have freed per second, averaged over the last time. */
+    /** Bytes of memory that ended jobs free per second, as a moving average. */
     double freedBytesPerSecond(double now) {
         return endedBytes.perSecond(now);
     }
 
     /**
      * Whether a job fits into its team's guaranteed quota together with all counted jobs of that
-     * team. A resource without a guarantee is not guaranteed, except for the CPUs of a GPU job.
+     * team. A GPU job needs a GPU guarantee and any other job a CPU guarantee; the CPUs of a GPU
+     * job need none.
      */
     boolean withinGuarantee(Team team, Submission job) {
         boolean usesGpus = job.gpus() > 0;
@@ -117,8 +117,8 @@
         if (!guaranteed) {
             return false;
         }
-        TeamWork work = teams.getOrDefault(team.name(), new TeamWork());
+        TeamUsage usage = teams.getOrDefault(team.name(), new TeamUsage());
         return team.withinGuarantee(
-                work.cpus + job.cpus() * job.tasks(), work.gpus + job.gpus() * job.tasks());
+                usage.cpus + job.cpus() * job.tasks(), usage.gpus + job.gpus() * job.tasks());
     }
 }
--- a/src/main/java/org/springmill/control/api/JobStatusReader.java
+++ b/src/main/java/org/springmill/control/api/JobStatusReader.java
@@ -8,21 +8,21 @@
 import org.springmill.transport.HttpHandler.Call;
 
 /**
- * Finds the status of a job that is no older than the request. A final phase is answered at once;
- * anything else only after a barrier, since it could be outdated.
+ * Reads a job status that is no older than the request. A final phase is returned immediately, any
+ * other phase only after a read barrier, since it could be outdated.
  */
 final class JobStatusReader {
     private final JobDirectory directory;
 
-    /** The form in which a status is answered. */
-    interface ResponseForm {
-        /** Answers from the record of a job. */
+    /** Sends a status as the response to a call. */
+    interface StatusResponder {
+        /** Responds with the record of a job. */
         void respond(Call call, JobRecord job);
 
-        /** Answers from the archived form of a job that ended long ago. */
+        /** Responds with the archived form of a job that ended long ago. */
         void respond(Call call, ArchivedJob job);
 
-        /** Answers that there is neither a record nor an archived form. */
+        /** Responds if there is neither a record nor an archived form. */
         void respondAbsent(Call call);
     }
 
@@ -30,38 +30,39 @@
         this.directory = directory;
     }
 
-    /** Answers with the status of a job, or 503 if it is not certain. */
-    void respond(Call call, String id, ResponseForm form) {
+    /** Responds with the status of a job, or with 503 if the status is uncertain. */
+    void respond(Call call, String id, StatusResponder responder) {
         JobRecord known = directory.get(id);
         ArchivedJob archived = directory.archived(id);
         if (known != null && known.phase().isTerminal()) {
-            form.respond(call, known);
+            responder.respond(call, known);
         } else if (known == null && archived != null) {
-            form.respond(call, archived);
+            responder.respond(call, archived);
         } else {
-            directory.readBarrier(current -> respondAfterBarrier(call, id, form, current));
+            directory.readBarrier(current -> respondAfterBarrier(call, id, responder, current));
         }
     }
 
-    private void respondAfterBarrier(Call call, String id, ResponseForm form, boolean current) {
+    private void respondAfterBarrier(
+            Call call, String id, StatusResponder responder, boolean current) {
         JobRecord job = directory.get(id);
         if (!current) {
             JobStatusResponses.respondUnavailable(call, JobStatusResponses.STORE_UNAVAILABLE);
         } else if (job == null) {
-            directory.lookUpArchived(id, lookup -> respondArchived(call, lookup, form));
+            directory.lookUpArchived(id, lookup -> respondArchived(call, lookup, responder));
         } else if (directory.isStatusCertain(job)) {
-            form.respond(call, job);
+            responder.respond(call, job);
         } else {
             JobStatusResponses.respondUnavailable(
                     call, JobStatusResponses.DEPENDENCY_LOOKUP_PENDING);
         }
     }
 
-    private static void respondArchived(Call call, Lookup lookup, ResponseForm form) {
+    private static void respondArchived(Call call, Lookup lookup, StatusResponder responder) {
         JobStatusResponses.respondLookup(
                 call,
                 lookup,
-                archived -> form.respond(call, archived),
-                () -> form.respondAbsent(call));
+                archived -> responder.respond(call, archived),
+                () -> responder.respondAbsent(call));
     }
 }
--- a/src/main/java/org/springmill/control/autoscaling/Autoscaler.java
+++ b/src/main/java/org/springmill/control/autoscaling/Autoscaler.java
@@ -11,8 +11,8 @@
 
 /**
  * Scales the fleet out and in during one leader's term: requests machines for waiting and expected
- * tasks, and deletes machines that are unusable or idle. The parts that decide and act are wired up
- * here.
+ * tasks, and deletes machines that are unusable or idle. Creates the components and calls them in
+ * order.
  *
  * <p>All methods run on the leader's event loop.
  */
@@ -21,7 +21,7 @@
     private final CloudClient cloud;
     private final MachineDeletion deletion;
     private final MachineListing listing;
-    private final HeartbeatSilence silence;
+    private final HeartbeatMonitor heartbeats;
     private final PartitionedZones partitions;
     private final OverdueBoots overdueBoots;
     private final MachineHealth health;
@@ -29,11 +29,11 @@
     private final ScaleOutPlanner scaleOutPlanner;
 
     /**
-     * Wires up the parts for one leader's term; nothing is sent before {@link #start}.
+     * Creates the autoscaler of one leader's term; nothing is sent before {@link #start}.
      *
      * @param arrivalRates the rates at which tasks of each class arrive
-     * @param peers the other controllers, whose responses tell partitions from failures
-     * @param changed run when machines were listed or deleted
+     * @param peers the other controllers, whose responses distinguish partitions from failures
+     * @param changed run after machines were listed or deleted
      */
     public Autoscaler(
             Fleet fleet,
@@ -51,14 +51,15 @@
         deletion = new MachineDeletion(fleet, cloud, loop, changed);
         listing = new MachineListing(fleet, cloud, deletion, loop, settings, changed);
         UnlistedMachines unlistedMachines = new UnlistedMachines(listing, now);
-        silence = new HeartbeatSilence(unlistedMachines, timeouts, now);
-        partitions = new PartitionedZones(fleet, peers, unlistedMachines, silence, timeouts, now);
+        heartbeats = new HeartbeatMonitor(unlistedMachines, timeouts, now);
+        partitions =
+                new PartitionedZones(fleet, peers, unlistedMachines, heartbeats, timeouts, now);
         overdueBoots = new OverdueBoots(fleet, partitions, timeouts);
         health =
                 new MachineHealth(
                         fleet,
                         unlistedMachines,
-                        silence,
+                        heartbeats,
                         partitions,
                         overdueBoots,
                         deletion,
@@ -77,12 +78,12 @@
                         new Headroom(fleet, arrivalRates, settings),
                         scaleOutRequests,
                         new IdleMachines(deletion, overdueBoots, settings),
-                        new MachineDraining(fleet, arrivalRates, silence, timeouts, now),
+                        new MachineDraining(fleet, arrivalRates, heartbeats, timeouts, now),
                         now);
     }
 
     /**
-     * Begins to list machines; none is requested or deleted before the first complete list.
+     * Starts listing machines; none is requested or deleted before the first complete list.
      *
      * @param firstTerm whether no earlier leader can have requested any machine
      */
@@ -91,22 +92,22 @@
         listing.start();
     }
 
-    /** Ends all requests to the cloud with the leader's term. */
+    /** Stops all requests to the cloud at the end of the leader's term. */
     public void close() {
         cloud.close();
     }
 
-    /** How many machines are overdue: they boot for longer than others of their type and zone. */
+    /** Number of machines that take longer to boot than others of their type and zone. */
     public int overdueMachines() {
         return overdueBoots.count();
     }
 
-    /** Starts to count the silence of machines anew, after this process was paused. */
+    /** Restarts the heartbeat timeouts of all machines after a pause of this process. */
     public void resumed() {
-        silence.restart(loop.now());
+        heartbeats.restart(loop.now());
     }
 
-    /** Deletes machines that are unusable or idle, and requests those that demand needs. */
+    /** Deletes machines that are unusable or idle, and requests machines for unmet demand. */
     public void tick() {
         if (cloud.isClosed() || !listing.hasListed()) {
             return;
--- a/src/main/java/org/springmill/control/autoscaling/MachineHealth.java
+++ b/src/main/java/org/springmill/control/autoscaling/MachineHealth.java
@@ -6,26 +6,26 @@
 import org.springmill.control.timing.Timeouts;
 import org.springmill.protocol.Settings;
 
-/**
- * Decides by boot time, heartbeats and responses which machines are unusable, and has those
- * deleted.
- */
+/** Finds unusable machines by their boot times, heartbeats and responses, and deletes them. */
 final class MachineHealth {
     /**
-     * This share of the fleet, a rack, may fall silent at once and be declared dead like single
-     * machines. A larger share rather shows a network partition of this controller or of them.
+     * Up to this share of the fleet, the size of a rack, may be declared dead together. If the
+     * heartbeats of a larger share are overdue, a network partition of this controller or of those
+     * machines is more likely.
      */
     static final double CORRELATED_FAILURE_SHARE = 1 / 3.0;
 
-    /** A worker's own lease, and as much again to find the new leader. */
+    /**
+     * Worker leases to wait for: the worker's own lease, and as long again to find the new leader.
+     */
     private static final double LEASES_TO_FIND_LEADER = 2;
 
-    /** Where boots fail in every zone, overdue machines get so many times the patience. */
-    private static final double PATIENCES_IF_BOOTS_FAIL = 2;
+    /** Multiplies the boot timeout of machines whose type fails to boot in their zone. */
+    private static final double TIMEOUT_FACTOR_IF_BOOTS_FAIL = 2;
 
     private final Fleet fleet;
     private final UnlistedMachines unlistedMachines;
-    private final HeartbeatSilence silence;
+    private final HeartbeatMonitor heartbeats;
     private final PartitionedZones partitions;
     private final OverdueBoots overdueBoots;
     private final MachineDeletion deletion;
@@ -36,7 +36,7 @@
     MachineHealth(
             Fleet fleet,
             UnlistedMachines unlistedMachines,
-            HeartbeatSilence silence,
+            HeartbeatMonitor heartbeats,
             PartitionedZones partitions,
             OverdueBoots overdueBoots,
             MachineDeletion deletion,
@@ -45,7 +45,7 @@
             double now) {
         this.fleet = fleet;
         this.unlistedMachines = unlistedMachines;
-        this.silence = silence;
+        this.heartbeats = heartbeats;
         this.partitions = partitions;
         this.overdueBoots = overdueBoots;
         this.deletion = deletion;
@@ -54,19 +54,19 @@
         this.startedAt = now;
     }
 
-    /** Has every unusable machine deleted. */
+    /** Deletes every unusable machine. */
     void deleteUnusable(double now) {
-        boolean fewSilent = areFewSilent(now);
+        boolean fewOverdue = areFewHeartbeatsOverdue(now);
         for (Machine machine : fleet.machinesSnapshot()) {
-            reasonToDelete(machine, fewSilent, now)
+            reasonToDelete(machine, fewOverdue, now)
                     .ifPresent(reason -> deletion.delete(machine, reason));
         }
     }
 
-    /** Whether no more machines are silent at once than a rack holds. */
-    private boolean areFewSilent(double now) {
+    /** Whether no more heartbeats are overdue than the failure of a rack explains. */
+    private boolean areFewHeartbeatsOverdue(double now) {
         int up = 0;
-        int silent = 0;
+        int overdue = 0;
         for (Machine machine : fleet.machines()) {
             if (partitions.contains(machine.zone())) {
                 continue;
@@ -74,21 +74,21 @@
             if (machine.state() == Machine.State.UP) {
                 up++;
             }
-            if (silence.isHeartbeatOverdue(machine, now)) {
-                silent++;
+            if (heartbeats.isHeartbeatOverdue(machine, now)) {
+                overdue++;
             }
         }
-        return silent <= Math.max(1, up * CORRELATED_FAILURE_SHARE);
+        return overdue <= Math.max(1, up * CORRELATED_FAILURE_SHARE);
     }
 
     private Optional<DeletionReason> reasonToDelete(
-            Machine machine, boolean fewSilent, double now) {
+            Machine machine, boolean fewOverdue, double now) {
         if (machine.type() == null) {
             return unlistedMachines.reasonToDelete(machine);
         }
         return switch (machine.state()) {
-            case PROVISIONING -> reasonToDeleteProvisioning(machine, fewSilent, now);
-            case UP -> reasonToDeleteUp(machine, fewSilent, now);
+            case PROVISIONING -> reasonToDeleteProvisioning(machine, fewOverdue, now);
+            case UP -> reasonToDeleteUp(machine, fewOverdue, now);
             case LEASE_EXPIRED ->
                     machine.attempts().isEmpty()
                             ? Optional.of(DeletionReason.LEASE_EXPIRED)
@@ -98,16 +98,16 @@
     }
 
     private Optional<DeletionReason> reasonToDeleteProvisioning(
-            Machine machine, boolean fewSilent, double now) {
-        boolean partitionedLately = partitions.wasRecently(machine.zone(), now);
-        if (!partitionedLately && isUnresponsive(machine, fewSilent, now)) {
+            Machine machine, boolean fewOverdue, double now) {
+        boolean recentlyPartitioned = partitions.wasRecently(machine.zone(), now);
+        if (!recentlyPartitioned && isUnresponsive(machine, fewOverdue, now)) {
             return Optional.of(DeletionReason.UNRESPONSIVE);
         }
-        if (!partitionedLately && hasSentNoHeartbeat(machine, now)) {
+        if (!recentlyPartitioned && hasSentNoHeartbeat(machine, now)) {
             return Optional.of(DeletionReason.NO_HEARTBEAT);
         }
-        // A stale list names machines that the previous leader has deleted. They never send a
-        // heartbeat, and while they counted as booting no machine was requested in their place.
+        // A stale list may name machines that the previous leader deleted. They never send a
+        // heartbeat, and while they count as booting no machine is requested in their place.
         Optional<DeletionReason> reason = unlistedMachines.reasonToDelete(machine);
         if (reason.isEmpty() && hasBootTimedOut(machine, now)) {
             return Optional.of(DeletionReason.BOOT_TIMED_OUT);
@@ -116,8 +116,8 @@
     }
 
     private Optional<DeletionReason> reasonToDeleteUp(
-            Machine machine, boolean fewSilent, double now) {
-        if (isUnresponsive(machine, fewSilent, now)) {
+            Machine machine, boolean fewOverdue, double now) {
+        if (isUnresponsive(machine, fewOverdue, now)) {
             return Optional.of(DeletionReason.UNRESPONSIVE);
         }
         if (missesLeaderResponses(machine, now)) {
@@ -133,56 +133,58 @@
     }
 
     /**
-     * Whether a machine is to be replaced for its silence. Its deletion proves that its tasks have
-     * ended, well before its lease expiry could. Not when many listed machines are silent at once:
-     * this controller or they may be partitioned. Their tasks are lost only when their leases
-     * expire, and by then their silence proves it; deleting a fleet that was unreachable for 15 s
-     * cost it all its tasks.
+     * Whether a machine must be replaced because it sends no heartbeats and does not respond to
+     * commands. Its deletion proves, well before its lease expiry does, that its tasks have ended.
+     * If the heartbeats of many listed machines are overdue, this controller or those machines may
+     * be partitioned. Their tasks are lost only when their leases expire, which also proves that
+     * they have ended; deleting a fleet that was unreachable for 15 s lost all of its tasks.
      */
-    private boolean isUnresponsive(Machine machine, boolean fewSilent, double now) {
-        return silence.silentSeconds(machine, now) > timeouts.deadAfterSeconds()
+    private boolean isUnresponsive(Machine machine, boolean fewOverdue, double now) {
+        return heartbeats.secondsSinceHeartbeat(machine, now) > timeouts.deadAfterSeconds()
                 && machine.areCommandsFailing()
                 && !machine.attempts().isEmpty()
-                && isSingleMachineFailure(machine, fewSilent);
+                && isSingleMachineFailure(machine, fewOverdue);
     }
 
-    /** Whether a machine's silence is a failure of that machine and not of the network. */
-    private boolean isSingleMachineFailure(Machine machine, boolean fewSilent) {
-        boolean singleFailure = fewSilent && !partitions.contains(machine.zone());
+    /** Whether missing heartbeats are a failure of the machine and not of the network. */
+    private boolean isSingleMachineFailure(Machine machine, boolean fewOverdue) {
+        boolean singleFailure = fewOverdue && !partitions.contains(machine.zone());
         return unlistedMachines.contains(machine) || singleFailure;
     }
 
     /**
-     * Whether a machine has claims and sent this leader no heartbeat. Without responses of every
-     * other controller its silence proves nothing: only its deletion does.
+     * Whether a machine with claims has had enough time to send this leader a heartbeat. Unless
+     * every other controller responds, missing heartbeats do not prove that its tasks have ended;
+     * only its deletion does.
      */
     private boolean hasSentNoHeartbeat(Machine machine, double now) {
         return isEstablished(now) && !machine.attempts().isEmpty();
     }
 
     /**
-     * Whether a machine has taken too long to boot. Where boots take long at present, a new machine
-     * would be ready no sooner.
+     * Whether a machine has taken too long to boot. The limit grows with the measured boot times:
+     * where boots are slow at present, a new machine would not be ready sooner.
      */
     private boolean hasBootTimedOut(Machine machine, double now) {
-        double nominalSeconds = machine.type().bootSeconds() * settings.operator().bootPatience();
+        double configuredSeconds =
+                machine.type().bootSeconds() * settings.operator().bootPatience();
         double measuredSeconds =
                 fleet.bootTimes().overdueAfterSeconds(machine.type(), machine.zone());
-        double patienceSeconds =
+        double timeoutSeconds =
                 overdueBoots.areBootsFailing(machine.type(), machine.zone())
-                        ? PATIENCES_IF_BOOTS_FAIL * nominalSeconds
-                        : Math.max(nominalSeconds, measuredSeconds);
-        double since = machine.isBooting() ? machine.rentedAt() : machine.firstSeenAt();
-        return now - since > patienceSeconds
+                        ? TIMEOUT_FACTOR_IF_BOOTS_FAIL * configuredSeconds
+                        : Math.max(configuredSeconds, measuredSeconds);
+        double bootingSince = machine.isBooting() ? machine.rentedAt() : machine.firstSeenAt();
+        return now - bootingSince > timeoutSeconds
                 && now - machine.firstSeenAt() > timeouts.workerLeaseSeconds();
     }
 
     /**
-     * Whether a machine's heartbeats arrive, and none of the responses to them. Such heartbeats
-     * renew and prove nothing, and while they arrive the machine is not silent. Its tasks were
-     * killed at its lease expiry, and only its deletion proves that. A machine that has only just
-     * connected is given time: when a partition is over, all machines of the zone come with an
-     * older fencing token at first.
+     * Whether a machine's heartbeats arrive but it does not receive the responses. Such heartbeats
+     * neither renew its lease nor prove that its tasks have ended, but they keep it from being
+     * unresponsive. Its tasks were killed at its lease expiry, and only its deletion proves that. A
+     * machine that has just reconnected is given time: after a partition all machines of the zone
+     * first send an older fencing token.
      */
     private boolean missesLeaderResponses(Machine machine, double now) {
         return isEstablished(now)
@@ -191,7 +193,7 @@
                 && machine.missesResponses(now, timeouts.workerLeaseSeconds());
     }
 
-    /** Whether workers of an earlier leader have had more than their lease to find this one. */
+    /** Whether workers of an earlier leader have had enough time to find this one. */
     private boolean isEstablished(double now) {
         double neededSeconds =
                 timeouts.followerRenewalLimitSeconds()
--- a/src/test/java/org/springmill/control/autoscaling/DeletedMachinesTest.java
+++ b/src/test/java/org/springmill/control/autoscaling/DeletedMachinesTest.java
@@ -12,14 +12,14 @@
 import org.springmill.protocol.SettingsFixtures;
 import org.springmill.sim.VirtualClock;
 
-/** A leader of many months must not keep the name of every machine that it ever deleted. */
+/** Guards against memory growth: a leader must not remember deleted machines forever. */
 class DeletedMachinesTest {
     private static final double LEASE_SECONDS = 14;
 
     private final VirtualClock clock = new VirtualClock();
 
     @Test
-    void aDeletedMachineIsRememberedForLongerThanLateReportsTakeAndThenForgotten() {
+    void deletedMachineIsForgottenOnlyAfterRetentionTime() {
         Settings settings = SettingsFixtures.small();
         Fleet fleet =
                 new Fleet(new ClusterState(settings), null, clock, Timeouts.of(settings), 1, 3.5);
