--- a/src/main/java/org/springmill/control/recall/ConfirmedUsage.java
+++ b/src/main/java/org/springmill/control/recall/ConfirmedUsage.java
@@ -9,9 +9,9 @@
 import org.springmill.protocol.Submission;
 
 /**
- * What each team is known to run, by recent heartbeats. A task that no heartbeat has named lately
- * may not run any more, or may never have: when such tasks were counted, a team could lose more
- * than its entitlement allows.
+ * Resources that each team is confirmed to use by recent heartbeats. A task that no recent
+ * heartbeat reports may have ended, or may never have started. When such tasks were counted,
+ * recalls could leave a team below its entitlement.
  */
 final class ConfirmedUsage {
     private final Fleet fleet;
@@ -28,12 +28,12 @@
         this.validSeconds = validSeconds;
     }
 
-    /** Has the usage computed anew when it is next asked for. */
+    /** Discards the cached usage; the next call of {@link #of} computes it again. */
     void reset() {
         byTeam = null;
     }
 
-    /** What a team is known to run, without what is recalled already. */
+    /** Resources of a team's confirmed tasks, without those that are already recalled. */
     Resources of(String team) {
         if (byTeam == null) {
             byTeam = compute();
@@ -54,7 +54,7 @@
         return usage;
     }
 
-    /** Whether a recent heartbeat names a task as running or fetching its image. */
+    /** Whether a recent heartbeat reported a task as running or fetching its image. */
     boolean isConfirmed(TaskAttempt attempt) {
         boolean started =
                 attempt.state() == TaskAttempt.State.RUNNING
--- a/src/main/java/org/springmill/control/recall/GracePeriods.java
+++ b/src/main/java/org/springmill/control/recall/GracePeriods.java
@@ -6,12 +6,21 @@
 import org.springmill.protocol.OperatorSettings;
 import org.springmill.protocol.Submission;
 
-/** Grace periods in which recalled tasks may write a checkpoint, and the work that stops lose. */
+/**
+ * Computes the grace periods in which recalled tasks may write a checkpoint, the timeouts that
+ * follow from them, and the work that is lost when a task is stopped.
+ */
 final class GracePeriods {
-    /** Concurrent checkpoints slow each other down; past this multiple one is abandoned. */
+    /**
+     * Concurrent checkpoints slow each other down, so a checkpoint is abandoned only after this
+     * multiple of its stated duration.
+     */
     private static final double CHECKPOINT_TIMEOUT_FACTOR = 1.5;
 
-    /** A stop command and the heartbeat that proves the end take an interval each at worst. */
+    /**
+     * In the worst case, the stop command and the heartbeat that reports the end take one interval
+     * each.
+     */
     private static final double HEARTBEATS_UNTIL_PROVEN_ENDED = 2;
 
     private final double heartbeatIntervalSeconds;
@@ -22,7 +31,10 @@
         maxGraceSeconds = settings.maxGraceLeases() * timeouts.workerLeaseSeconds();
     }
 
-    /** Whether a task may write a checkpoint: not if that takes longer than the settings allow. */
+    /**
+     * Whether a task may write a checkpoint when it is stopped: not if that takes longer than the
+     * settings allow, or if its machine has a preemption notice.
+     */
     boolean mayCheckpoint(TaskAttempt attempt) {
         Submission spec = attempt.job().spec();
         return spec.hasCheckpoints()
@@ -34,7 +46,9 @@
         return mayCheckpoint(attempt) ? attempt.job().spec().checkpointSaveSeconds() : 0;
     }
 
-    /** Duration of the longest checkpoint of some tasks that are stopped; 0 if none writes one. */
+    /**
+     * The longest checkpoint duration among tasks that are stopped; 0 if none of them writes one.
+     */
     double longestCheckpointSeconds(List<TaskAttempt> attempts) {
         return attempts.stream().mapToDouble(this::checkpointSeconds).max().orElse(0);
     }
@@ -46,13 +60,13 @@
                 : 0;
     }
 
-    /** After this time a checkpoint of the duration given is taken to have failed. */
+    /** Time after which a checkpoint of the given duration counts as failed. */
     double checkpointTimeoutSeconds(double checkpointSeconds) {
         return CHECKPOINT_TIMEOUT_FACTOR * checkpointSeconds
                 + HEARTBEATS_UNTIL_PROVEN_ENDED * heartbeatIntervalSeconds;
     }
 
-    /** A task whose stop began longer ago than this is not expected to end. */
+    /** Time after which a stopping task is no longer expected to end. */
     double stopTimeoutSeconds(TaskAttempt attempt) {
         return checkpointTimeoutSeconds(attempt.graceSeconds()) + endTimeoutSeconds();
     }
@@ -63,8 +77,12 @@
     }
 
     /**
-     * Seconds of a task's work that are lost if it is stopped now, by this leader's clock: those
-     * since its last checkpoint, or all of them. If it may write a checkpoint, the time of that.
+     * Seconds of work that are lost if a task is stopped now. For a task that may write a
+     * checkpoint, this is the time the checkpoint takes, at most its running time. For one that has
+     * checkpoints but may not write another, it is the time since the last periodic one, otherwise
+     * the whole running time.
+     *
+     * @param now in seconds on this leader's clock
      */
     double lostWorkSeconds(TaskAttempt attempt, double now) {
         Submission spec = attempt.job().spec();
--- a/src/main/java/org/springmill/control/recall/HoldDownCapacity.java
+++ b/src/main/java/org/springmill/control/recall/HoldDownCapacity.java
@@ -15,8 +15,8 @@
 import org.springmill.protocol.Resources;
 
 /**
- * Capacity that was released by beneficiaries of recalls and may not be borrowed again before the
- * hold-down is over. It is not recovered at failover: what is forgotten costs one recall at most.
+ * Capacity that beneficiaries of recalls have released and that may not be borrowed again until its
+ * hold-down ends. It is not recovered at failover: losing it costs at most one recall.
  */
 final class HoldDownCapacity {
     private final ClusterState clusterState;
@@ -41,8 +41,8 @@
     /**
      * Records a recall that freed capacity for a job.
      *
-     * @param costSeconds lost work, and the wait until the recall was settled
-     * @param borrowedSeconds how long the victims had run
+     * @param costSeconds lost work plus the time from the decision until the recall was settled
+     * @param borrowedSeconds how long the victims had run on average
      */
     void recalled(
             Job beneficiary,
@@ -61,8 +61,8 @@
     }
 
     /**
-     * Whether a job runs on borrowed capacity: its tasks are those that recalls stop. Jobs of high
-     * priority are never held up.
+     * Whether a job would run on borrowed capacity, so that the hold-down applies to it. Jobs of
+     * priority {@link Priority#HIGH} or above are exempt.
      */
     private boolean usesBorrowedCapacity(Job job) {
         return highestBeneficiary != null
@@ -71,14 +71,17 @@
                 && (highestBeneficiary.isAbove(job.priority()) || !job.spec().isService());
     }
 
-    /** Whether tasks are recalled for jobs like this one. */
+    /**
+     * Whether a job counts as a beneficiary: a service of at least the highest priority for which
+     * tasks were recalled in this term.
+     */
     private boolean isBeneficiaryOfRecalls(Job job) {
         return highestBeneficiary != null
                 && job.spec().isService()
                 && !highestBeneficiary.isAbove(job.priority());
     }
 
-    /** Holds down the capacity of a beneficiary's task that has ended. */
+    /** Starts the hold-down of the capacity that a beneficiary's task has released by ending. */
     void taskReleased(TaskAttempt attempt, double now) {
         Machine machine = attempt.machine();
         if (machine.type() == null || !isBeneficiaryOfRecalls(attempt.job())) {
@@ -93,7 +96,7 @@
         }
     }
 
-    /** Releases the earliest capacity held on a machine if a beneficiary's task is placed there. */
+    /** Ends the earliest hold-down on a machine if a beneficiary's task is placed there. */
     void taskPlaced(TaskAttempt attempt, double now) {
         List<HeldCapacity> held = heldByMachine.get(attempt.machine());
         if (held == null || !isBeneficiaryOfRecalls(attempt.job())) {
@@ -135,7 +138,7 @@
         metrics.recordHoldDownGpuSeconds(capacity.amount().gpus() * seconds);
     }
 
-    /** The part of a machine's free capacity that is held down for a job. */
+    /** The part of a machine's free capacity that a job may not use because of the hold-down. */
     Resources withheldFrom(Job job, Machine machine, double now) {
         List<HeldCapacity> held = heldByMachine.get(machine);
         if (held == null || !usesBorrowedCapacity(job)) {
--- a/src/main/java/org/springmill/control/recall/InheritedRecalls.java
+++ b/src/main/java/org/springmill/control/recall/InheritedRecalls.java
@@ -18,7 +18,7 @@
 import org.springmill.protocol.TaskId;
 import org.springmill.transport.EventLoop;
 
-/** Failover: takes over the recalls that earlier leaders committed. */
+/** Takes over, at failover, the recalls that earlier leaders committed. */
 final class InheritedRecalls {
     private static final Logger LOG = LoggerFactory.getLogger(InheritedRecalls.class);
 
@@ -30,7 +30,7 @@
     private final VictimStops victimStops;
     private final GracePeriods grace;
 
-    /** The committed recalls, until jobs and attempts are recovered. */
+    /** The committed recalls, kept here until jobs and attempts are recovered. */
     private Collection<Recall> loaded = List.of();
 
     InheritedRecalls(
@@ -52,7 +52,7 @@
     /**
      * Reads the committed recalls from the key-value store.
      *
-     * @param done takes whether they could be read
+     * @param done called with whether they could be read
      */
     void load(Consumer<Boolean> done) {
         recallLog.load(
@@ -62,7 +62,7 @@
                 });
     }
 
-    /** Takes the loaded recalls over, once jobs and attempts are recovered. */
+    /** Takes over the loaded recalls; called once jobs and attempts are recovered. */
     void adoptAll() {
         loaded.forEach(this::adopt);
         loaded = List.of();
@@ -70,8 +70,8 @@
 
     /**
      * Takes over a committed recall. Whether its victims were sent stop commands is unknown until
-     * their workers' heartbeats show their state; only then is it resumed, and it expires if they
-     * do not in time.
+     * heartbeats report their state. Only then is the recall resumed; without these heartbeats it
+     * expires.
      */
     private void adopt(Recall recall) {
         Job beneficiary = fleet.clusterState().job(recall.beneficiary());
--- a/src/main/java/org/springmill/control/recall/PlannedRecalls.java
+++ b/src/main/java/org/springmill/control/recall/PlannedRecalls.java
@@ -12,7 +12,7 @@
 import org.springmill.protocol.Resources;
 import org.springmill.protocol.Submission;
 
-/** What the plan under way has chosen so far, summed by machine and by team. */
+/** Victims and reservations of the plan that is being made, summed by machine and by team. */
 final class PlannedRecalls {
     private final Set<TaskAttempt> victims = new HashSet<>();
     private final Map<String, Resources> lossByTeam = new HashMap<>();
@@ -30,7 +30,7 @@
         return victims.contains(attempt);
     }
 
-    /** What a team loses to the victims chosen so far. */
+    /** Resources that a team loses with the victims chosen so far. */
     Resources lossOf(String team) {
         return lossByTeam.getOrDefault(team, Resources.NONE);
     }
@@ -51,7 +51,7 @@
         List<RecallPlan> plans = new ArrayList<>();
         List<TaskAttempt> unassigned = new ArrayList<>(batch.victims());
         for (int tasksLeft = batch.tasks(); tasksLeft > 0; tasksLeft--) {
-            // Each task has its part of the victims, so that fewer are stopped if demand falls.
+            // Each task gets a share of the victims, so that fewer are stopped if demand falls.
             int part = (unassigned.size() + tasksLeft - 1) / tasksLeft;
             List<TaskAttempt> ofTask = new ArrayList<>(unassigned.subList(0, part));
             unassigned.subList(0, part).clear();
@@ -60,7 +60,7 @@
         return plans;
     }
 
-    /** Takes a plan for one task back. */
+    /** Removes the plan for one task. */
     void remove(RecallPlan plan) {
         Resources amount = Resources.of(plan.beneficiary().spec());
         reserve(plan.beneficiary(), plan.machine(), amount.times(-1));
--- a/src/main/java/org/springmill/control/recall/RecallBatchSelection.java
+++ b/src/main/java/org/springmill/control/recall/RecallBatchSelection.java
@@ -13,21 +13,24 @@
 import org.springmill.control.scheduling.PreemptionPolicy;
 import org.springmill.protocol.Resources;
 
-/** Chooses, on one machine, for how many tasks of a job capacity is freed, and by which victims. */
+/**
+ * Chooses for how many tasks of a job capacity is freed on one machine, and which victims are
+ * stopped for it.
+ */
 final class RecallBatchSelection {
     private final RecallReservations reservations;
     private final PlannedRecalls planned;
     private final RecallRules rules;
     private final GracePeriods grace;
 
-    /** What one machine offers a beneficiary, whatever the number of its tasks. */
+    /** Free capacity of one machine, now or soon, and the tasks that could be stopped there. */
     private record Offer(Resources free, List<Candidate<VictimUnit>> candidates) {}
 
     /**
      * The job for which capacity is freed.
      *
-     * @param maxTasks for how many of its tasks at most
-     * @param guaranteedTasks how many more tasks are within its team's guaranteed quota
+     * @param maxTasks largest number of its tasks for which capacity is freed
+     * @param guaranteedTasks how many more of its tasks are within its team's guaranteed quota
      * @param scoreSeconds score of the machine for the job
      */
     record Request(Job job, int maxTasks, int guaranteedTasks, double scoreSeconds) {}
@@ -61,7 +64,9 @@
         return Optional.ofNullable(best);
     }
 
-    /** One, two, four and so on, and the largest number last. */
+    /**
+     * The batch size to try next: sizes double, the largest comes last, and one more ends the loop.
+     */
     private static int nextSize(int tasks, int largest) {
         return tasks < largest ? Math.min(largest, 2 * tasks) : largest + 1;
     }
@@ -85,7 +90,10 @@
         return new RecallBatch(tasks, victims, waitSeconds + choice.costSeconds());
     }
 
-    /** What is free on a machine or will be, and what could be stopped there. */
+    /**
+     * Determines the capacity of a machine that is free or soon will be, and the tasks that could
+     * be stopped there.
+     */
     private Offer offer(Machine machine, double now) {
         List<Candidate<VictimUnit>> candidates = new ArrayList<>();
         Resources free =
@@ -108,7 +116,9 @@
         return new Offer(free, candidates);
     }
 
-    /** Stopping one member of a gang costs what all of its members have done. */
+    /**
+     * Stopping one member of a gang stops all, so the cost of a gang is that of all its members.
+     */
     private Candidate<VictimUnit> candidate(VictimUnit unit, double now) {
         double cost = 0;
         for (TaskAttempt attempt : unit.stopped()) {
@@ -125,12 +135,14 @@
                 || attempt.state() == TaskAttempt.State.ENDED;
     }
 
-    /** Before its claim is committed there is nothing to stop. */
+    /**
+     * Whether an attempt can be stopped: until its claim is committed, nothing is sent to a worker.
+     */
     private static boolean isStoppable(TaskAttempt attempt) {
         return attempt.state() != TaskAttempt.State.CLAIMING;
     }
 
-    /** Whether the capacity of a task that is ending is not free yet, but expected to be soon. */
+    /** Whether an ending task still holds its capacity but is expected to free it soon. */
     private boolean willFreeCapacity(TaskAttempt attempt, double now) {
         boolean overdue =
                 attempt.state() == TaskAttempt.State.STOPPING
--- a/src/main/java/org/springmill/control/recall/RecallContext.java
+++ b/src/main/java/org/springmill/control/recall/RecallContext.java
@@ -5,5 +5,5 @@
 import org.springmill.control.timing.Timeouts;
 import org.springmill.transport.EventLoop;
 
-/** What of the leader all parts of recalls use. */
+/** Objects of a leader's term that all classes for recalls share. */
 record RecallContext(Fleet fleet, EventLoop loop, Timeouts timeouts, Metrics metrics) {}
--- a/src/main/java/org/springmill/control/recall/RecallDecisions.java
+++ b/src/main/java/org/springmill/control/recall/RecallDecisions.java
@@ -36,7 +36,10 @@
         this.grace = grace;
     }
 
-    /** Decides recalls, reserves what they free and marks their victims; none if no plan is due. */
+    /**
+     * Decides recalls, reserves the capacity they free and marks their victims; empty if no plan is
+     * due.
+     */
     List<ActiveRecall> decide(long round, double now) {
         if (!planner.isDue()) {
             return List.of();
--- a/src/main/java/org/springmill/control/recall/RecallPlan.java
+++ b/src/main/java/org/springmill/control/recall/RecallPlan.java
@@ -8,8 +8,10 @@
 /**
  * Planned capacity for one task.
  *
- * @param victims what is stopped on the machine for it; empty if other plans' victims suffice
- * @param needsNoVictims whether nothing at all has to be stopped, since enough is ending already
+ * @param victims tasks that are stopped on the machine for it; empty if the victims of other plans
+ *     suffice
+ * @param needsNoVictims whether no task has to be stopped, since enough capacity is free or being
+ *     freed already
  */
 record RecallPlan(
         Job beneficiary, Machine machine, List<TaskAttempt> victims, boolean needsNoVictims) {}
--- a/src/main/java/org/springmill/control/recall/RecallPlanner.java
+++ b/src/main/java/org/springmill/control/recall/RecallPlanner.java
@@ -18,21 +18,27 @@
 import org.springmill.protocol.Resources;
 
 /**
- * Plans the recalls of one round: for all waiting jobs, in scheduling order, on which machines
- * capacity is freed for how many of their tasks, and what is stopped there. Planning changes no
- * task. No team is left below its entitlement.
+ * Plans the recalls of one round. For the waiting jobs, in scheduling order, it chooses the
+ * machines on which capacity is freed, the number of tasks this is done for, and the tasks that are
+ * stopped. Planning changes no task, and no plan leaves a team below its entitlement.
  */
 final class RecallPlanner {
-    /** Machines that are compared with each other before others are evaluated. */
+    /** How many machines are evaluated and compared before the next ones are considered. */
     private static final int MACHINES_PER_BATCH = 256;
 
-    /** Machines evaluated in one plan; jobs left over have their turn in the next plans. */
+    /**
+     * Machines evaluated in one plan, rounded up to whole batches; other jobs are left to later
+     * plans.
+     */
     private static final int MAX_EVALUATIONS = 1024;
 
     /** The least interval between plans is the heartbeat interval divided by this. */
     private static final double PLANS_PER_HEARTBEAT_INTERVAL = 16;
 
-    /** A job for which nothing was found is skipped for so many plan intervals. */
+    /**
+     * Number of plan intervals for which a job is skipped after a plan found too little capacity
+     * for it.
+     */
     private static final double BACKOFF_INTERVALS = 4;
 
     private final Fleet fleet;
@@ -45,7 +51,7 @@
     private final double intervalSeconds;
     private final double avoidanceSeconds;
 
-    /** Jobs for which a plan found nothing, with the end of their backoff. */
+    /** Jobs for which a plan found too little capacity, with the end of their backoff. */
     private final Map<Job, Double> backoffUntil = new HashMap<>();
 
     private final Map<Machine, Double> avoidedUntil = new HashMap<>();
@@ -83,17 +89,19 @@
         return fleet.clusterState().teamUsage(job.spec().team());
     }
 
-    /** Recalls nothing on a machine for a worker lease, since a recall there has expired. */
+    /**
+     * Plans no recalls on a machine for one worker lease; called after a recall there has expired.
+     */
     void avoid(Machine machine) {
         avoidedUntil.put(machine, fleet.now() + avoidanceSeconds);
     }
 
-    /** Whether the last plan is long enough ago for another. */
+    /** Whether the least interval since the last plan has passed. */
     boolean isDue() {
         return fleet.now() - plannedAt >= intervalSeconds;
     }
 
-    /** Whether the teams of recalled tasks still keep their entitlement without these. */
+    /** Whether the victims' teams still keep their entitlement without the victims. */
     boolean keepsEntitlements(Job beneficiary, List<TaskAttempt> victims) {
         return rules.keepsEntitlements(beneficiary, victims);
     }
@@ -146,7 +154,10 @@
                 && !backoffUntil.containsKey(job);
     }
 
-    /** For how many tasks of a job capacity is missing, beside what is reserved for it already. */
+    /**
+     * Number of a job's tasks for which capacity is missing and not reserved yet, within its team's
+     * maximum quota.
+     */
     private int wantedTasks(Job job) {
         Resources reserved = reservedForTeam(job.spec().team());
         int withinQuota = usage(job).tasksWithinUnreservedLimit(job.spec(), reserved);
@@ -162,8 +173,8 @@
     }
 
     /**
-     * Evaluates the machines with the best scores for a job, a batch at a time, until capacity for
-     * all of its tasks is found: all machines of a large fleet would take a leader too long.
+     * Evaluates machines for a job in batches, best scores first, until capacity for all of its
+     * tasks is found. Evaluating all machines of a large fleet would take the leader too long.
      */
     private List<RecallPlan> planFor(Job job, int wantedTasks, List<Machine> machines, double now) {
         List<Machine> eligible = eligibleMachines(job, machines, now);
@@ -178,7 +189,7 @@
             plans.addAll(planOn(eligible.subList(from, to), demand, now));
         }
         if (job.spec().isGang() && plans.size() < wantedTasks) {
-            // A gang starts with all of its members or not at all.
+            // A gang is placed as a whole or not at all.
             plans.forEach(planned::remove);
             return List.of();
         }
--- a/src/main/java/org/springmill/control/recall/RecallPreemption.java
+++ b/src/main/java/org/springmill/control/recall/RecallPreemption.java
@@ -17,7 +17,7 @@
 /**
  * Preemption by recalls: decides them with a round, stops the victims once the round is committed,
  * reserves the freed capacity for the beneficiary, and settles each recall with the round that
- * claims its task, or once it is obsolete. docs/borrowing.md has the argument.
+ * claims its task, or once it is obsolete. See docs/borrowing.md for the design.
  */
 public final class RecallPreemption implements PreemptionPolicy {
     private final RecallContext context;
@@ -91,7 +91,10 @@
         return recallLog.stage(round, decided, settlement.settledKeys());
     }
 
-    /** A beneficiary's claim and the end of its reservation are committed together. */
+    /**
+     * Settles a recall whose task was claimed: claim and end of the reservation are committed
+     * together.
+     */
     private void settleFulfilled(TaskAttempt claimed) {
         reservations.recallsFor(claimed.job()).stream()
                 .filter(recall -> recall.machine() == claimed.machine())
@@ -99,7 +102,10 @@
                 .ifPresent(recall -> settlement.settle(recall, Outcome.FULFILLED));
     }
 
-    /** Moves a recall on whose present step has timed out or whose machine takes no tasks. */
+    /**
+     * Abandons a recall whose machine takes no tasks, resumes an inherited one, and ends the
+     * current state of one that has timed out.
+     */
     private void enforceTimeouts(ActiveRecall recall, double now) {
         State state = recall.progress().state();
         if (isUnusable(recall.machine(), now)) {
@@ -117,7 +123,10 @@
         }
     }
 
-    /** After a failover, machines are PROVISIONING until their first heartbeat. */
+    /**
+     * Whether a machine takes no tasks. A PROVISIONING machine is not unusable: after a failover,
+     * machines are in this state until their first heartbeat.
+     */
     private boolean isUnusable(Machine machine, double now) {
         return !machine.isSchedulable(now, timeouts.suspectAfterSeconds())
                 && machine.state() != Machine.State.PROVISIONING;
@@ -135,13 +144,13 @@
         }
     }
 
-    /** Lets a recall expire; victims that were not sent a stop command stay. */
+    /** Settles a recall as expired; victims that were not sent a stop command continue to run. */
     private void abandon(ActiveRecall recall) {
         victimStops.unmark(recall);
         settlement.settle(recall, Outcome.EXPIRED);
     }
 
-    /** Cancels the recalls of a job beyond the tasks that still wait, the latest first. */
+    /** Withdraws the recalls of a job that exceed its waiting tasks, the latest first. */
     private void cancelSurplus(Job job) {
         List<ActiveRecall> recalls = reservations.recallsFor(job);
         int waitingTasks = job.isActive() ? job.startableTaskCount() : 0;
@@ -150,7 +159,7 @@
         }
     }
 
-    /** The recalls decided last are committed: only now are their victims stopped. */
+    /** Stops the victims of the recalls that were committed with the round. */
     @Override
     public void committed() {
         recallLog.committed();
@@ -164,8 +173,8 @@
     }
 
     /**
-     * Stops the victims of a committed recall. A commit may take long; if the demand has fallen
-     * meanwhile, or a team would now be left below its entitlement, the recall is cancelled.
+     * Stops the victims of a committed recall. A commit may take long; if demand has fallen in the
+     * meantime, or a team would now be left below its entitlement, the recall is cancelled.
      */
     private void stopVictims(ActiveRecall recall, double now) {
         if (isStillNeeded(recall)
--- a/src/main/java/org/springmill/control/recall/RecallReservations.java
+++ b/src/main/java/org/springmill/control/recall/RecallReservations.java
@@ -15,7 +15,7 @@
 import org.springmill.control.cluster.TaskAttempt;
 import org.springmill.protocol.Resources;
 
-/** The active recalls, whose capacity is reserved, by machine, beneficiary and its team. */
+/** The active recalls and the capacity that they reserve, by machine, beneficiary and team. */
 final class RecallReservations {
     private final Map<String, ActiveRecall> byKey = new LinkedHashMap<>();
     private final Map<Machine, List<ActiveRecall>> byMachine = new HashMap<>();
@@ -23,9 +23,9 @@
     private final Map<String, Resources> byTeam = new HashMap<>();
 
     /**
-     * Capacity that ending tasks are about to free: reserved from one plan to the next, and not
-     * committed, since nothing is stopped for it. Otherwise, piece by piece, it would go to work of
-     * lower priority, which would then have to be preempted.
+     * Reservations of capacity that ending tasks are about to free. They last until the next plan
+     * and are not stored, since no task is stopped for them. Without them, work of lower priority
+     * would take the capacity as it becomes free and would then have to be preempted.
      */
     private Map<Machine, List<RecallPlan>> expectedByMachine = Map.of();
 
@@ -33,8 +33,8 @@
      * A recall that is not settled, with the objects that its record names.
      *
      * @param victims those of its victims that this leader knows
-     * @param lostSeconds work that is lost by it, on average of the victims
-     * @param borrowedSeconds how long the victims had run, on average
+     * @param lostSeconds average lost work of the victims
+     * @param borrowedSeconds how long the victims had run on average
      */
     record ActiveRecall(
             RecallProgress progress,
@@ -92,17 +92,17 @@
         return List.copyOf(byJob.getOrDefault(job, List.of()));
     }
 
-    /** For how many tasks of a job capacity is reserved by recalls. */
+    /** Number of a job's tasks for which recalls reserve capacity. */
     int count(Job job) {
         return byJob.getOrDefault(job, List.of()).size();
     }
 
-    /** What recalls reserve for a team's jobs. */
+    /** Capacity that recalls reserve for a team's jobs. */
     Resources reservedForTeam(String team) {
         return byTeam.getOrDefault(team, Resources.NONE);
     }
 
-    /** What recalls reserve on a machine. */
+    /** Capacity that recalls reserve on a machine. */
     Resources reservedOn(Machine machine) {
         return sumExcept(machine, null);
     }
@@ -112,7 +112,7 @@
         expectedByMachine = plans.stream().collect(Collectors.groupingBy(RecallPlan::machine));
     }
 
-    /** What is reserved on a machine for other jobs than this one. */
+    /** Capacity that is reserved on a machine for jobs other than this one. */
     Resources reservedForOthersOn(Machine machine, Job job) {
         Resources sum = sumExcept(machine, job);
         for (RecallPlan plan : expectedByMachine.getOrDefault(machine, List.of())) {
@@ -123,7 +123,7 @@
         return sum;
     }
 
-    /** The jobs that may use capacity which is withheld from others. */
+    /** The jobs for which capacity is reserved, with or without a recall. */
     Set<Job> jobsWithReservedCapacity() {
         Set<Job> jobs = new HashSet<>(byJob.keySet());
         expectedByMachine
--- a/src/main/java/org/springmill/control/recall/RecallRules.java
+++ b/src/main/java/org/springmill/control/recall/RecallRules.java
@@ -9,7 +9,7 @@
 import org.springmill.protocol.Priority;
 import org.springmill.protocol.Resources;
 
-/** The grounds on which tasks may be recalled; no team is left below its entitlement. */
+/** Decides which tasks may be recalled, so that no team is left below its entitlement. */
 final class RecallRules {
     private final ClusterState clusterState;
     private final PlannedRecalls planned;
@@ -22,9 +22,10 @@
     }
 
     /**
-     * Whether tasks may be recalled for a job. Tasks of the job's own team yield to a higher
-     * priority. Tasks of another team yield to a higher priority, and tasks of no higher priority
-     * yield to a guaranteed quota, but their team always keeps its entitlement.
+     * Whether tasks may be recalled for a job. For tasks of the job's own team, the job needs a
+     * higher priority. For tasks of another team, the job needs a higher priority, or a guaranteed
+     * quota and no lower priority; heartbeats also have to confirm that the tasks run, and their
+     * team has to keep its entitlement.
      *
      * @param guaranteed whether the job's tasks are within its team's guaranteed quota
      * @param others units that are chosen already for the same machine
@@ -55,7 +56,7 @@
     /**
      * Whether the teams of victims that are marked as recalled still keep their entitlement without
      * them. This is checked again after the commit, which may take long: what a team runs may have
-     * changed meanwhile.
+     * changed in the meantime.
      */
     boolean keepsEntitlements(Job beneficiary, List<TaskAttempt> victims) {
         confirmed.reset();
--- a/src/main/java/org/springmill/control/recall/RecallSettlement.java
+++ b/src/main/java/org/springmill/control/recall/RecallSettlement.java
@@ -48,7 +48,9 @@
         }
     }
 
-    /** Has the record of a recall deleted that was never taken over from an earlier leader. */
+    /**
+     * Marks the record of an earlier leader's recall for deletion; that recall is not taken over.
+     */
     void deleteRecord(String key) {
         settledKeys.add(key);
     }
@@ -58,7 +60,7 @@
         return settledKeys;
     }
 
-    /** The records are deleted. */
+    /** Called once the round that deletes the records is committed. */
     void committed() {
         settledKeys.clear();
     }
--- a/src/main/java/org/springmill/control/recall/RecallSetup.java
+++ b/src/main/java/org/springmill/control/recall/RecallSetup.java
@@ -16,12 +16,12 @@
 import org.springmill.protocol.Resources;
 import org.springmill.transport.EventLoop;
 
-/** Assembles what a leader needs for preemption by recalls. */
+/** Creates the objects that a leader needs for preemption by recalls. */
 public final class RecallSetup {
-    /** The hold-down stays below so many leases, however much work a recall lost. */
+    /** Limit of the hold-down in worker leases, however much work a recall lost. */
     private static final double MAX_HOLD_DOWN_LEASES = 2;
 
-    /** Recalls closer together than a lease divided by this belong to one wave. */
+    /** Recalls less than a worker lease divided by this apart belong to one wave. */
     private static final double WAVES_PER_LEASE = 2;
 
     private final RecallContext context;
@@ -30,7 +30,7 @@
     private final HoldDownCapacity heldDownCapacity;
 
     /**
-     * Assembles the parts of one leader's term.
+     * Creates the objects of one leader's term.
      *
      * @param settings the operator's settings for borrowed capacity
      */
@@ -51,7 +51,7 @@
         heldDownCapacity = new HoldDownCapacity(fleet.clusterState(), holdDown, metrics);
     }
 
-    /** Withholds capacity that is reserved for beneficiaries, or held down after a recall. */
+    /** Excludes capacity that is reserved for other jobs or held down after a recall. */
     public CapacityFilter capacityFilter() {
         return new CapacityFilter() {
             @Override
@@ -69,7 +69,7 @@
     }
 
     /**
-     * The preemption policy that recalls borrowed capacity.
+     * Creates the preemption policy that recalls borrowed capacity.
      *
      * @param commandSender sends a machine the commands that are due
      */
--- a/src/main/java/org/springmill/control/recall/VictimStops.java
+++ b/src/main/java/org/springmill/control/recall/VictimStops.java
@@ -31,7 +31,7 @@
         this.commandSender = commandSender;
     }
 
-    /** Counts a recall's victims as leaving, so that no other recall chooses them. */
+    /** Marks a recall's victims as recalled, so that no other recall chooses them. */
     void mark(ActiveRecall recall) {
         for (TaskAttempt victim : recall.victims()) {
             victim.markRecalled(true);
@@ -39,7 +39,7 @@
         }
     }
 
-    /** Counts those victims of a recall that were not sent a stop command as staying. */
+    /** Removes the mark from those victims of a recall that were not sent a stop command. */
     void unmark(ActiveRecall recall) {
         for (TaskAttempt victim : recall.victims()) {
             if (fleet.clusterState().retractStopRequest(victim)) {
--- a/src/main/java/org/springmill/control/recall/VictimUnit.java
+++ b/src/main/java/org/springmill/control/recall/VictimUnit.java
@@ -8,8 +8,8 @@
 /**
  * Tasks that can only be stopped together: one task, or the members of a gang.
  *
- * @param onMachine those on the machine in question
- * @param loss what their team loses, on all machines
+ * @param onMachine those on the machine that is evaluated
+ * @param loss resources that their team loses on all machines
  */
 record VictimUnit(Job job, List<TaskAttempt> onMachine, Resources loss) {
     static VictimUnit ofTask(TaskAttempt attempt) {
@@ -21,7 +21,7 @@
         return new VictimUnit(gang, onMachine, loss);
     }
 
-    /** All attempts that end if these are stopped. */
+    /** All attempts that end if this unit is stopped. */
     List<TaskAttempt> stopped() {
         return job.spec().isGang() ? job.attempts() : onMachine;
     }
--- a/src/main/java/org/springmill/control/recall/package-info.java
+++ b/src/main/java/org/springmill/control/recall/package-info.java
@@ -6,6 +6,6 @@
  * the decisions and records of {@code control.borrowing}, the cluster state and the placement.
  * Called by the leader, which sets it up, and by the rounds of {@code control.scheduling}, through
  * {@link org.springmill.control.scheduling.PreemptionPolicy} and {@link
- * org.springmill.control.scheduling.CapacityFilter}. docs/borrowing.md has the claims.
+ * org.springmill.control.scheduling.CapacityFilter}. See docs/borrowing.md for the safety claims.
  */
 package org.springmill.control.recall;
--- a/src/test/java/org/springmill/control/recall/RecallCostMeasurement.java
+++ b/src/test/java/org/springmill/control/recall/RecallCostMeasurement.java
@@ -28,10 +28,10 @@
 import org.springmill.sim.VirtualClock;
 
 /**
- * Measures what it costs a leader to decide the recalls of one round, on a fleet of the size given:
- * a service asks for replicas on machines that are full of other teams' tasks.
+ * Measures how long a leader takes to plan the recalls of one round on a fleet of the given size,
+ * for a service whose replicas need machines that are full of other teams' tasks.
  *
- * <p>Arguments: machines, tasks on each, replicas asked for, GPUs of each. Not a test: the figures
+ * <p>Arguments: machines, tasks per machine, replicas, GPUs per replica. Not a test: the figures
  * depend on the processor.
  */
 public final class RecallCostMeasurement {
@@ -42,7 +42,7 @@
     private static final double MILLISECONDS_PER_MICRO = 1e-3;
     private static final int SIGNIFICANT_DIGITS = 3;
 
-    /** Fencing token of the first term, which is that of the fleet. */
+    /** Fencing token of the first term, in which the fleet is created. */
     private static final long FENCING_TOKEN = 1L << 20;
 
     private final VirtualClock clock = new VirtualClock();
