--- a/src/main/java/org/springmill/control/recall/InheritedRecalls.java
+++ b/src/main/java/org/springmill/control/recall/InheritedRecalls.java
@@ -78,7 +78,12 @@
         Machine machine = fleet.getOrAdd(recall.machine());
         boolean claimed = beneficiary != null && hasClaimSince(beneficiary, machine, recall);
         if (beneficiary == null || !beneficiary.isActive() || claimed) {
-            LOG.info("inherited recall {} is obsolete", recall.key());
+            LOG.info(
+                    "deleting inherited recall {} for job {} on machine {}: job is not active or"
+                            + " its task is claimed already",
+                    recall.key(),
+                    recall.beneficiary(),
+                    recall.machine());
             settlement.deleteRecord(recall.key());
             return;
         }
--- a/src/main/java/org/springmill/control/recall/RecallSettlement.java
+++ b/src/main/java/org/springmill/control/recall/RecallSettlement.java
@@ -37,7 +37,12 @@
         if (!recall.progress().settle(now)) {
             return;
         }
-        LOG.debug("recall {} for {}: {}", recall.key(), recall.beneficiary().id(), outcome);
+        LOG.debug(
+                "recall {} for job {} on machine {} settled: {}",
+                recall.key(),
+                recall.beneficiary().id(),
+                recall.machine().name(),
+                outcome);
         reservations.remove(recall);
         settledKeys.add(recall.key());
         metrics.recordRecallOutcome(outcome);
--- a/src/main/java/org/springmill/control/recall/VictimStops.java
+++ b/src/main/java/org/springmill/control/recall/VictimStops.java
@@ -53,7 +53,7 @@
         for (TaskAttempt victim : recall.victims()) {
             metrics.recordTaskRecalled();
             LOG.debug(
-                    "preempting {} for {} on {}",
+                    "stopping recalled task {} for job {} on machine {}",
                     victim.claim().task(),
                     recall.beneficiary().id(),
                     recall.machine().name());
