--- a/src/main/java/org/springmill/control/recall/HoldDownCapacity.java
+++ b/src/main/java/org/springmill/control/recall/HoldDownCapacity.java
@@ -44,7 +44,7 @@
      * @param costSeconds lost work plus the time from the decision until the recall was settled
      * @param borrowedSeconds how long the victims had run on average
      */
-    void recalled(
+    void recordRecall(
             Job beneficiary,
             Machine machine,
             double costSeconds,
@@ -139,21 +139,21 @@
     }
 
     /** The part of a machine's free capacity that a job may not use because of the hold-down. */
-    Resources withheldFrom(Job job, Machine machine, double now) {
+    Resources unavailableTo(Job job, Machine machine, double now) {
         List<HeldCapacity> held = heldByMachine.get(machine);
         if (held == null || !usesBorrowedCapacity(job)) {
             return Resources.NONE;
         }
-        Resources withheld = Resources.NONE;
+        Resources unavailable = Resources.NONE;
         double workSeconds = job.spec().isService() ? 0 : job.spec().estimatedRunSeconds();
         for (HeldCapacity capacity : held) {
             boolean admitted =
                     holdDown.admitsShortWork(
                             machine.type().name(), workSeconds, now - capacity.since());
             if (now < capacity.until() && !admitted) {
-                withheld = withheld.plus(capacity.amount());
+                unavailable = unavailable.plus(capacity.amount());
             }
         }
-        return withheld;
+        return unavailable;
     }
 }
--- a/src/main/java/org/springmill/control/recall/InheritedRecalls.java
+++ b/src/main/java/org/springmill/control/recall/InheritedRecalls.java
@@ -88,18 +88,19 @@
             return;
         }
         List<TaskAttempt> victims = knownVictims(recall, machine);
-        double saveSeconds =
+        double checkpointTimeoutSeconds =
                 grace.checkpointTimeoutSeconds(grace.longestCheckpointSeconds(victims));
         double graceLeftSeconds = recall.graceEndsAt() - loop.timeOfDay();
         RecallProgress progress =
-                new RecallProgress(recall, saveSeconds, grace.endTimeoutSeconds());
+                new RecallProgress(recall, checkpointTimeoutSeconds, grace.endTimeoutSeconds());
         progress.recovered(
-                Math.max(0, Math.min(graceLeftSeconds, saveSeconds)) + grace.endTimeoutSeconds(),
+                Math.max(0, Math.min(graceLeftSeconds, checkpointTimeoutSeconds))
+                        + grace.endTimeoutSeconds(),
                 loop.now());
         ActiveRecall active =
                 new ActiveRecall(progress, beneficiary, machine, victims, 0, 0, loop.now());
         reservations.add(active);
-        victimStops.mark(active);
+        victimStops.markRecalled(active);
     }
 
     private static boolean hasClaimSince(Job job, Machine machine, Recall recall) {
--- a/src/main/java/org/springmill/control/recall/PlannedRecalls.java
+++ b/src/main/java/org/springmill/control/recall/PlannedRecalls.java
@@ -52,10 +52,10 @@
         List<TaskAttempt> unassigned = new ArrayList<>(batch.victims());
         for (int tasksLeft = batch.tasks(); tasksLeft > 0; tasksLeft--) {
             // Each task gets a share of the victims, so that fewer are stopped if demand falls.
-            int part = (unassigned.size() + tasksLeft - 1) / tasksLeft;
-            List<TaskAttempt> ofTask = new ArrayList<>(unassigned.subList(0, part));
-            unassigned.subList(0, part).clear();
-            plans.add(new RecallPlan(beneficiary, machine, ofTask, batch.victims().isEmpty()));
+            int victimCount = (unassigned.size() + tasksLeft - 1) / tasksLeft;
+            List<TaskAttempt> taskVictims = new ArrayList<>(unassigned.subList(0, victimCount));
+            unassigned.subList(0, victimCount).clear();
+            plans.add(new RecallPlan(beneficiary, machine, taskVictims, batch.victims().isEmpty()));
         }
         return plans;
     }
--- a/src/main/java/org/springmill/control/recall/RecallBatchSelection.java
+++ b/src/main/java/org/springmill/control/recall/RecallBatchSelection.java
@@ -24,7 +24,7 @@
     private final GracePeriods grace;
 
     /** Free capacity of one machine, now or soon, and the tasks that could be stopped there. */
-    private record Offer(Resources free, List<Candidate<VictimUnit>> candidates) {}
+    private record MachineCapacity(Resources free, List<Candidate<VictimUnit>> candidates) {}
 
     /**
      * The job for which capacity is freed.
@@ -48,12 +48,12 @@
 
     /** The batch with the lowest cost per task; empty if not even one task can be made to fit. */
     Optional<RecallBatch> best(Request request, Machine machine, double now) {
-        Offer offer = offer(machine, now);
+        MachineCapacity capacity = capacityOf(machine, now);
         RecallBatch best = null;
         boolean zoneBound = request.job().spec().oneZone() || request.job().spec().spread();
         int largest = zoneBound ? 1 : request.maxTasks();
         for (int tasks = 1; tasks <= largest; tasks = nextSize(tasks, largest)) {
-            Optional<RecallBatch> batch = batch(request, tasks, offer);
+            Optional<RecallBatch> batch = batch(request, tasks, capacity);
             if (batch.isEmpty()) {
                 break;
             }
@@ -71,13 +71,13 @@
         return tasks < largest ? Math.min(largest, 2 * tasks) : largest + 1;
     }
 
-    private Optional<RecallBatch> batch(Request request, int tasks, Offer offer) {
+    private Optional<RecallBatch> batch(Request request, int tasks, MachineCapacity capacity) {
         Job job = request.job();
         boolean guaranteed = tasks <= request.guaranteedTasks();
         return VictimSelection.choose(
-                        offer.free(),
+                        capacity.free(),
                         Resources.of(job.spec()).times(tasks),
-                        offer.candidates(),
+                        capacity.candidates(),
                         (unit, others) -> rules.mayRecall(unit, job, guaranteed, others))
                 .map(choice -> batch(tasks, choice, request.scoreSeconds()));
     }
@@ -85,7 +85,7 @@
     private RecallBatch batch(
             int tasks, VictimSelection.Choice<VictimUnit> choice, double scoreSeconds) {
         List<TaskAttempt> victims = new ArrayList<>();
-        choice.victims().forEach(unit -> victims.addAll(unit.onMachine()));
+        choice.victims().forEach(unit -> victims.addAll(unit.attemptsOnMachine()));
         double waitSeconds = tasks * (scoreSeconds + grace.longestCheckpointSeconds(victims));
         return new RecallBatch(tasks, victims, waitSeconds + choice.costSeconds());
     }
@@ -94,7 +94,7 @@
      * Determines the capacity of a machine that is free or soon will be, and the tasks that could
      * be stopped there.
      */
-    private Offer offer(Machine machine, double now) {
+    private MachineCapacity capacityOf(Machine machine, double now) {
         List<Candidate<VictimUnit>> candidates = new ArrayList<>();
         Resources free =
                 machine.free()
@@ -113,7 +113,7 @@
         gangs.forEach(
                 (gang, members) ->
                         candidates.add(candidate(VictimUnit.ofGang(gang, members), now)));
-        return new Offer(free, candidates);
+        return new MachineCapacity(free, candidates);
     }
 
     /**
@@ -121,10 +121,10 @@
      */
     private Candidate<VictimUnit> candidate(VictimUnit unit, double now) {
         double cost = 0;
-        for (TaskAttempt attempt : unit.stopped()) {
+        for (TaskAttempt attempt : unit.stoppedAttempts()) {
             cost += PreemptionPolicy.VICTIM_COST_SECONDS + grace.lostWorkSeconds(attempt, now);
         }
-        Resources frees = Resources.of(unit.job().spec()).times(unit.onMachine().size());
+        Resources frees = Resources.of(unit.job().spec()).times(unit.attemptsOnMachine().size());
         return new Candidate<>(unit, unit.job().priority(), frees, cost);
     }
 
--- a/src/main/java/org/springmill/control/recall/RecallDecisions.java
+++ b/src/main/java/org/springmill/control/recall/RecallDecisions.java
@@ -52,12 +52,17 @@
                 withoutVictims.add(plan);
                 continue;
             }
-            double saveSeconds =
+            double checkpointTimeoutSeconds =
                     grace.checkpointTimeoutSeconds(grace.longestCheckpointSeconds(plan.victims()));
-            Recall recall = recall(plan, round, recalls.size(), loop.timeOfDay() + saveSeconds);
+            Recall recall =
+                    recall(
+                            plan,
+                            round,
+                            recalls.size(),
+                            loop.timeOfDay() + checkpointTimeoutSeconds);
             if (recallLog.fits(recalls, recall)) {
                 recalls.add(recall);
-                decided.add(activate(plan, recall, saveSeconds, now));
+                decided.add(activate(plan, recall, checkpointTimeoutSeconds, now));
             }
         }
         reservations.setExpectedCapacity(withoutVictims);
@@ -77,11 +82,12 @@
                 graceEndsAt);
     }
 
-    private ActiveRecall activate(RecallPlan plan, Recall recall, double saveSeconds, double now) {
+    private ActiveRecall activate(
+            RecallPlan plan, Recall recall, double checkpointTimeoutSeconds, double now) {
         double lost = average(plan.victims(), victim -> grace.lostWorkSeconds(victim, now));
         double ran = average(plan.victims(), victim -> victim.runningSeconds(now));
         RecallProgress progress =
-                new RecallProgress(recall, saveSeconds, grace.endTimeoutSeconds());
+                new RecallProgress(recall, checkpointTimeoutSeconds, grace.endTimeoutSeconds());
         ActiveRecall active =
                 new ActiveRecall(
                         progress,
@@ -91,7 +97,7 @@
                         lost,
                         ran,
                         now);
-        victimStops.mark(active);
+        victimStops.markRecalled(active);
         reservations.add(active);
         return active;
     }
--- a/src/main/java/org/springmill/control/recall/RecallPlanner.java
+++ b/src/main/java/org/springmill/control/recall/RecallPlanner.java
@@ -128,12 +128,12 @@
             if (wantedTasks <= 0 || !mayPlanFor(job) || exhausted.covers(job)) {
                 continue;
             }
-            List<RecallPlan> ofJob = planFor(job, wantedTasks, machines, now);
-            if (ofJob.size() < wantedTasks && evaluationsLeft > 0) {
+            List<RecallPlan> jobPlans = planFor(job, wantedTasks, machines, now);
+            if (jobPlans.size() < wantedTasks && evaluationsLeft > 0) {
                 exhausted.add(job);
                 backoffUntil.put(job, now + BACKOFF_INTERVALS * intervalSeconds);
             }
-            plans.addAll(ofJob);
+            plans.addAll(jobPlans);
         }
         return plans;
     }
@@ -161,7 +161,8 @@
     private int wantedTasks(Job job) {
         Resources reserved = reservedForTeam(job.spec().team());
         int withinQuota = usage(job).tasksWithinUnreservedLimit(job.spec(), reserved);
-        return Math.min(job.startableTaskCount() - reservations.count(job), withinQuota);
+        return Math.min(
+                job.startableTaskCount() - reservations.reservedTaskCount(job), withinQuota);
     }
 
     private Resources reservedForTeam(String team) {
--- a/src/main/java/org/springmill/control/recall/RecallPreemption.java
+++ b/src/main/java/org/springmill/control/recall/RecallPreemption.java
@@ -146,7 +146,7 @@
 
     /** Settles a recall as expired; victims that were not sent a stop command continue to run. */
     private void abandon(ActiveRecall recall) {
-        victimStops.unmark(recall);
+        victimStops.unmarkRecalled(recall);
         settlement.settle(recall, Outcome.EXPIRED);
     }
 
@@ -182,7 +182,7 @@
             recall.progress().committed(now);
             victimStops.stop(recall);
         } else {
-            victimStops.unmark(recall);
+            victimStops.unmarkRecalled(recall);
             settlement.settle(recall, Outcome.TAKEN_BACK);
         }
     }
--- a/src/main/java/org/springmill/control/recall/RecallReservations.java
+++ b/src/main/java/org/springmill/control/recall/RecallReservations.java
@@ -93,7 +93,7 @@
     }
 
     /** Number of a job's tasks for which recalls reserve capacity. */
-    int count(Job job) {
+    int reservedTaskCount(Job job) {
         return byJob.getOrDefault(job, List.of()).size();
     }
 
--- a/src/main/java/org/springmill/control/recall/RecallRules.java
+++ b/src/main/java/org/springmill/control/recall/RecallRules.java
@@ -41,7 +41,7 @@
                 && (!guaranteed || victimPriority.isAbove(priority))) {
             return false;
         }
-        if (!unit.onMachine().stream().allMatch(confirmed::isConfirmed)) {
+        if (!unit.attemptsOnMachine().stream().allMatch(confirmed::isConfirmed)) {
             return false;
         }
         Resources loss = planned.lossOf(team).plus(unit.loss());
--- a/src/main/java/org/springmill/control/recall/RecallSettlement.java
+++ b/src/main/java/org/springmill/control/recall/RecallSettlement.java
@@ -48,7 +48,7 @@
         metrics.recordRecallOutcome(outcome);
         if (outcome != Outcome.TAKEN_BACK && !recall.victims().isEmpty()) {
             double cost = recall.lostSeconds() + now - recall.decidedAt();
-            heldDownCapacity.recalled(
+            heldDownCapacity.recordRecall(
                     recall.beneficiary(), recall.machine(), cost, recall.borrowedSeconds(), now);
         }
     }
--- a/src/main/java/org/springmill/control/recall/RecallSetup.java
+++ b/src/main/java/org/springmill/control/recall/RecallSetup.java
@@ -55,10 +55,10 @@
     public CapacityFilter capacityFilter() {
         return new CapacityFilter() {
             @Override
-            public Resources withheldFrom(Job job, Machine machine) {
+            public Resources unavailableTo(Job job, Machine machine) {
                 Resources reserved = reservations.reservedForOthersOn(machine, job);
                 return reserved.plus(
-                        heldDownCapacity.withheldFrom(job, machine, context.loop().now()));
+                        heldDownCapacity.unavailableTo(job, machine, context.loop().now()));
             }
 
             @Override
--- a/src/main/java/org/springmill/control/recall/VictimStops.java
+++ b/src/main/java/org/springmill/control/recall/VictimStops.java
@@ -32,7 +32,7 @@
     }
 
     /** Marks a recall's victims as recalled, so that no other recall chooses them. */
-    void mark(ActiveRecall recall) {
+    void markRecalled(ActiveRecall recall) {
         for (TaskAttempt victim : recall.victims()) {
             victim.markRecalled(true);
             fleet.clusterState().recordStopRequested(victim);
@@ -40,7 +40,7 @@
     }
 
     /** Removes the mark from those victims of a recall that were not sent a stop command. */
-    void unmark(ActiveRecall recall) {
+    void unmarkRecalled(ActiveRecall recall) {
         for (TaskAttempt victim : recall.victims()) {
             if (fleet.clusterState().retractStopRequest(victim)) {
                 victim.markRecalled(false);
--- a/src/main/java/org/springmill/control/recall/VictimUnit.java
+++ b/src/main/java/org/springmill/control/recall/VictimUnit.java
@@ -8,10 +8,10 @@
 /**
  * Tasks that can only be stopped together: one task, or the members of a gang.
  *
- * @param onMachine those on the machine that is evaluated
+ * @param attemptsOnMachine those on the machine that is evaluated
  * @param loss resources that their team loses on all machines
  */
-record VictimUnit(Job job, List<TaskAttempt> onMachine, Resources loss) {
+record VictimUnit(Job job, List<TaskAttempt> attemptsOnMachine, Resources loss) {
     static VictimUnit ofTask(TaskAttempt attempt) {
         return new VictimUnit(attempt.job(), List.of(attempt), Resources.of(attempt.job().spec()));
     }
@@ -22,7 +22,7 @@
     }
 
     /** All attempts that end if this unit is stopped. */
-    List<TaskAttempt> stopped() {
-        return job.spec().isGang() ? job.attempts() : onMachine;
+    List<TaskAttempt> stoppedAttempts() {
+        return job.spec().isGang() ? job.attempts() : attemptsOnMachine;
     }
 }
--- a/src/main/java/org/springmill/control/scheduling/CapacityFilter.java
+++ b/src/main/java/org/springmill/control/scheduling/CapacityFilter.java
@@ -11,7 +11,7 @@
     CapacityFilter NONE =
             new CapacityFilter() {
                 @Override
-                public Resources withheldFrom(Job job, Machine machine) {
+                public Resources unavailableTo(Job job, Machine machine) {
                     return Resources.NONE;
                 }
 
@@ -22,7 +22,7 @@
             };
 
     /** The part of a machine's free capacity that a job may not use. */
-    Resources withheldFrom(Job job, Machine machine);
+    Resources unavailableTo(Job job, Machine machine);
 
     /** Jobs that may use capacity which others of their equivalence class may not. */
     Set<Job> jobsWithReservedCapacity();
--- a/src/main/java/org/springmill/control/scheduling/PlacementCost.java
+++ b/src/main/java/org/springmill/control/scheduling/PlacementCost.java
@@ -45,11 +45,11 @@
      * for would have to wait until theirs is preempted, which is longer than its start may take.
      */
     private boolean hasCapacity(Job job, Machine machine) {
-        Resources withheld = capacityFilter.withheldFrom(job, machine);
+        Resources unavailable = capacityFilter.unavailableTo(job, machine);
         if (!clusterState.teamUsage(job.spec().team()).hasGuarantee()) {
-            withheld = withheld.plus(machine.allocation().headroom());
+            unavailable = unavailable.plus(machine.allocation().headroom());
         }
-        return machine.fitsBeside(withheld, job.spec());
+        return machine.fitsBeside(unavailable, job.spec());
     }
 
     private static double avoidancePenalty(Job job, Machine machine, double now) {
