--- a/src/main/java/org/springmill/control/scheduling/CapacityFilter.java
+++ b/src/main/java/org/springmill/control/scheduling/CapacityFilter.java
@@ -5,9 +5,9 @@
 import org.springmill.control.cluster.Machine;
 import org.springmill.protocol.Resources;
 
-/** Withholds free capacity of machines from jobs that may not use it. */
+/** Excludes free capacity of machines from use by certain jobs. */
 public interface CapacityFilter {
-    /** Nothing is withheld. */
+    /** Lets every job use all free capacity. */
     CapacityFilter NONE =
             new CapacityFilter() {
                 @Override
@@ -24,6 +24,6 @@
     /** The part of a machine's free capacity that a job may not use. */
     Resources unavailableTo(Job job, Machine machine);
 
-    /** Jobs that may use capacity which others of their equivalence class may not. */
+    /** Jobs that may use capacity that is unavailable to other jobs of their equivalence class. */
     Set<Job> jobsWithReservedCapacity();
 }
--- a/src/main/java/org/springmill/control/scheduling/CompletionBatching.java
+++ b/src/main/java/org/springmill/control/scheduling/CompletionBatching.java
@@ -8,18 +8,21 @@
 import org.springmill.protocol.WorkerMessages.ExitCause;
 
 /**
- * Decides for how long ended attempts may wait to be committed with later ones. Each round costs
- * writes of the key-value store; at a low rate limit a round for each single end delayed the claims
- * of new tasks. Only ends that nothing depends on are batched.
+ * Decides for how long ended attempts may wait so that they are committed together with later ones.
+ * Each round costs writes of the key-value store; at a low rate limit, a round for each single end
+ * delayed the claims of new tasks. Only ends on which nothing depends are batched.
  */
 final class CompletionBatching {
-    /** Longest wait, in intervals between rounds: short against the time a start may take. */
+    /**
+     * Longest wait, in intervals between rounds; short compared with the time that starting a task
+     * may take.
+     */
     private static final double MAX_WAIT_INTERVALS = 4;
 
     private final double maxWaitSeconds;
 
     /**
-     * @param roundIntervalSeconds least time between two rounds
+     * @param roundIntervalSeconds minimum time between two rounds
      */
     CompletionBatching(double roundIntervalSeconds) {
         this.maxWaitSeconds = MAX_WAIT_INTERVALS * roundIntervalSeconds;
--- a/src/main/java/org/springmill/control/scheduling/ImmediatePreemption.java
+++ b/src/main/java/org/springmill/control/scheduling/ImmediatePreemption.java
@@ -17,7 +17,7 @@
 import org.springmill.protocol.Resources;
 import org.springmill.protocol.Submission;
 
-/** Stops the victims of a preemption at once, without a record of the decision. */
+/** Stops the victims of a preemption immediately, without a stored record of the decision. */
 public final class ImmediatePreemption implements PreemptionPolicy {
     private static final Logger LOG = LoggerFactory.getLogger(ImmediatePreemption.class);
 
@@ -26,7 +26,9 @@
     private final Timeouts timeouts;
     private final PreemptionVictims victims;
 
-    /** Capacity that this round frees already, or counts on, for one task or another. */
+    /**
+     * Capacity on each machine that this round has assigned to tasks for which it frees capacity.
+     */
     private final Map<Machine, Resources> plannedByMachine = new HashMap<>();
 
     /** Creates the policy of one leader's term. */
@@ -37,7 +39,9 @@
         this.victims = new PreemptionVictims(fleet.clusterState());
     }
 
-    /** The tasks of one waiting job for which capacity is freed in this round. */
+    /**
+     * How many tasks of a waiting job this round has to free capacity for, and for how many it has.
+     */
     private static final class Demand {
         private final Job job;
         private final int wantedTasks;
@@ -103,9 +107,9 @@
     }
 
     /**
-     * For how many tasks of a job capacity is missing, within what its team's maximum quota leaves
-     * beside the part held for earlier jobs. Placement counts the same way; when this did not,
-     * tasks were preempted endlessly for a job that placement then refused.
+     * Number of a job's waiting tasks that its team's maximum quota allows, without the part
+     * reserved for earlier jobs. Placement has to count in the same way: when it did not, tasks
+     * were preempted again and again for a job that placement then rejected.
      */
     private int wantedTasks(Job job) {
         return Math.min(
--- a/src/main/java/org/springmill/control/scheduling/MachineRanking.java
+++ b/src/main/java/org/springmill/control/scheduling/MachineRanking.java
@@ -7,10 +7,10 @@
 import org.springmill.control.cluster.Machine;
 
 /**
- * Machines by the cost of using them for one job. Using a machine changes its own cost, and can
- * only raise that of others in its zone, so each task compares the few machines on top rather than
- * all of them: with hundreds of machines, arrays of a hundred tasks took a controller seconds to
- * place.
+ * Ranks machines by the cost of using them for one job. Using a machine changes its own cost and
+ * can only raise the cost of others in its zone, so for each task only the few machines at the top
+ * are evaluated again. Evaluating all of them took a controller seconds to place arrays of a
+ * hundred tasks on hundreds of machines.
  */
 public final class MachineRanking {
     private record Candidate(Machine machine, double cost, int order) {}
@@ -20,7 +20,10 @@
                     Comparator.comparingDouble(Candidate::cost).thenComparingInt(Candidate::order));
     private final ToDoubleFunction<Machine> cost;
 
-    /** Not among the candidates until its cost is known again; null before the first. */
+    /**
+     * The machine returned last; it becomes a candidate again on the next call. Null before the
+     * first call, or if no machine was left.
+     */
     private Candidate lastReturned;
 
     /**
--- a/src/main/java/org/springmill/control/scheduling/MachineScore.java
+++ b/src/main/java/org/springmill/control/scheduling/MachineScore.java
@@ -12,30 +12,35 @@
  */
 public final class MachineScore {
     /**
-     * For work that may run on spot machines, on an on-demand machine: it rather waits this much
-     * longer for its image.
+     * For an on-demand machine, if the task may run on spot machines: a spot machine is preferred
+     * even if fetching the image takes this much longer there.
      */
     private static final double ON_DEMAND_PENALTY_SECONDS = 5;
 
-    /** For each of the largest replicas that would no longer fit; less than any image fetch. */
+    /**
+     * For each slot for the largest replica that the task would take up; less than any image fetch.
+     */
     private static final double FRAGMENTATION_PENALTY_SECONDS = 0.6;
 
     /** For each task that the job has in the machine's zone already, so that replicas spread. */
     private static final double SAME_ZONE_PENALTY_SECONDS = 0.5;
 
     /**
-     * Weight of a machine's free share: among machines that hold the image the fullest is taken
+     * Weight of a machine's free share: among machines that hold the image the fullest is preferred
      * (bin packing), among others the emptiest.
      */
     private static final double FREE_CAPACITY_WEIGHT_SECONDS = 0.4;
 
-    /** For a machine whose heartbeat is late: more than most image fetches. */
+    /** For a machine whose heartbeat is late; longer than most image fetches. */
     private static final double LATE_HEARTBEAT_PENALTY_SECONDS = 10;
 
-    /** Heartbeats come at most a quarter of their interval late. */
+    /**
+     * A heartbeat counts as late after this many intervals. In normal operation it is late by at
+     * most a quarter of an interval.
+     */
     private static final double HEARTBEAT_INTERVALS_UNTIL_LATE = 1.3;
 
-    /** How many replicas a resource allows that they do not need. */
+    /** Replica count for a resource that the replica does not need. */
     private static final double UNBOUNDED_REPLICAS = 1e6;
 
     /** Smallest divisor for a machine type without CPUs. */
@@ -45,7 +50,7 @@
     private final Submission largestReplica;
 
     /**
-     * @param largestReplica the largest replica of any job, or null if no service is null
+     * @param largestReplica the largest replica of any job, or null if no service is eligible
      */
     MachineScore(Timeouts timeouts, Submission largestReplica) {
         this.timeouts = timeouts;
@@ -53,8 +58,8 @@
     }
 
     /**
-     * The replica that is hardest to place, so that smaller tasks do not fragment the capacity for
-     * it; null if no service is eligible.
+     * The largest replica of the eligible services, by GPUs and then CPUs; null if there is none.
+     * It is the hardest to place, so smaller tasks should not fragment the capacity for it.
      */
     static Submission largestReplica(Iterable<Job> jobs) {
         Submission found = null;
@@ -81,7 +86,8 @@
             score += LATE_HEARTBEAT_PENALTY_SECONDS;
         }
         if (spec.spot() && !machine.spot() && !usesStrandedCpus(spec, machine, largestReplica)) {
-            // On-demand machines run out first, so they are left to work that may not use spot.
+            // On-demand machines run out first, so they are kept for work that may not use spot
+            // machines.
             score += ON_DEMAND_PENALTY_SECONDS;
         }
         if (spec.isService() && spec.tasks() > 1) {
@@ -118,7 +124,7 @@
                 && machine.free().memoryGb() - spec.memoryGb() >= replicas * largest.memoryGb();
     }
 
-    /** How many of the largest replicas fit a machine once so much more of it is in use. */
+    /** How many of the largest replicas fit on a machine after the given resources are taken. */
     private int replicaSlots(Machine machine, double cpus, double gpus, double memory) {
         if (!machine.isAllowedFor(largestReplica)) {
             return 0;
@@ -139,7 +145,7 @@
         return (int) Math.max(0, Math.floor(Math.min(byCpus, Math.min(byGpus, byMemory))));
     }
 
-    /** The free share of a machine's CPUs, or of its GPUs if that is less. */
+    /** The free share of a machine's CPUs or of its GPUs, whichever is smaller. */
     private static double freeShare(Machine machine) {
         double cpus = machine.freeCpus() / Math.max(MIN_CPUS, machine.type().cpus());
         return machine.type().gpus() == 0
--- a/src/main/java/org/springmill/control/scheduling/Placement.java
+++ b/src/main/java/org/springmill/control/scheduling/Placement.java
@@ -26,7 +26,7 @@
     /**
      * Creates the placement of one leader's term.
      *
-     * @param capacityFilter free capacity that some jobs may not use
+     * @param capacityFilter excludes free capacity that a job may not use
      */
     public Placement(Fleet fleet, Timeouts timeouts, CapacityFilter capacityFilter) {
         this.capacityFilter = capacityFilter;
@@ -103,10 +103,10 @@
     }
 
     /**
-     * Whether the last round was full before a job's turn. It is unknown then whether a machine
-     * fits the job, so nothing is preempted for it. Ranking all machines for each job of a long
-     * queue, of which a round takes the first few, blocked the leader for seconds after an outage
-     * with two thousand machines.
+     * Whether the last round was full before it reached a job. It is then unknown whether a machine
+     * fits the job, so no task is preempted for it. Ranking all machines for each job of a long
+     * queue, of which a round places only the first few, blocked the leader for seconds after an
+     * outage with two thousand machines.
      */
     public boolean skippedByFullRound(Job job) {
         return skippedByFullRound.contains(job);
--- a/src/main/java/org/springmill/control/scheduling/PlacementCost.java
+++ b/src/main/java/org/springmill/control/scheduling/PlacementCost.java
@@ -7,7 +7,7 @@
 
 /** The cost, in seconds, of placing a task on a machine; infinite where it may not be placed. */
 final class PlacementCost {
-    /** For a machine on which the job failed: more than any wait for an image. */
+    /** For a machine on which the job failed recently; longer than any wait for an image. */
     static final double AVOIDED_MACHINE_PENALTY_SECONDS = 1e4;
 
     private final ClusterState clusterState;
@@ -26,7 +26,7 @@
         this.score = score;
     }
 
-    /** The machine's score, with a penalty if the job failed there lately. */
+    /** The machine's score, with a penalty if the job failed there recently. */
     double of(Job job, Machine machine, double now) {
         return mayPlace(job, machine, now)
                 ? score.of(job, machine, now) + avoidancePenalty(job, machine, now)
@@ -41,8 +41,9 @@
     }
 
     /**
-     * Teams without a guaranteed quota leave a machine's headroom free. The work that it is kept
-     * for would have to wait until theirs is preempted, which is longer than its start may take.
+     * Whether a machine has enough capacity that the job may use. Teams without a guaranteed quota
+     * may not use a machine's headroom: the tasks for which it is reserved would otherwise have to
+     * wait for a preemption, which takes longer than their start may take.
      */
     private boolean hasCapacity(Job job, Machine machine) {
         Resources unavailable = capacityFilter.unavailableTo(job, machine);
--- a/src/main/java/org/springmill/control/scheduling/PlacementPass.java
+++ b/src/main/java/org/springmill/control/scheduling/PlacementPass.java
@@ -36,7 +36,8 @@
     record Round(long number, int limit, List<Machine> machines, double startedAt) {}
 
     /**
-     * @param jobsWithReservedCapacity jobs that may use capacity which others of their size may not
+     * @param jobsWithReservedCapacity jobs that may use capacity that is unavailable to other jobs
+     *     of the same size
      */
     PlacementPass(
             Fleet fleet,
@@ -58,7 +59,7 @@
         return placed;
     }
 
-    /** The jobs that were not considered, since the round was full before their turn. */
+    /** The jobs that were not considered because the round was full before it reached them. */
     Set<Job> skipped() {
         return skipped;
     }
@@ -102,7 +103,7 @@
         return usage(job).isWithinLimit(job.spec());
     }
 
-    /** Keeps part of the team's maximum quota for replicas that found no machine. */
+    /** Reserves part of the team's maximum quota for replicas that could not be placed. */
     private void holdQuota(Job job) {
         if (job.spec().isService()) {
             usage(job).reserveLimit(job.spec(), job.waitingTaskCount());
--- a/src/main/java/org/springmill/control/scheduling/PlacementRounds.java
+++ b/src/main/java/org/springmill/control/scheduling/PlacementRounds.java
@@ -21,7 +21,7 @@
 public final class PlacementRounds {
     private static final Logger LOG = LoggerFactory.getLogger(PlacementRounds.class);
 
-    /** Takes the outcomes of rounds. */
+    /** Is notified of the outcomes of rounds. */
     public interface Listener {
         /**
          * Called once a round is committed and applied to the cluster state.
@@ -30,7 +30,10 @@
          */
         void committed(List<TaskAttempt> claimed, List<TaskAttempt> ended, double since);
 
-        /** Called if a round's transaction is refused: another leader has taken over. */
+        /**
+         * Called if the key-value store rejects a round's transaction because another leader has
+         * taken over.
+         */
         void refused();
     }
 
@@ -77,7 +80,7 @@
     /**
      * Creates the rounds of one leader's term.
      *
-     * @param minIntervalSeconds least time between the beginnings of two rounds
+     * @param minIntervalSeconds minimum time between the starts of two rounds
      */
     public PlacementRounds(
             Fleet fleet,
@@ -105,8 +108,8 @@
     }
 
     /**
-     * Requests a round: at once if none ran lately, else after the interval that the key-value
-     * store's rate limit allows.
+     * Requests a round. It runs as soon as the minimum interval since the start of the last round
+     * has passed, which follows from the key-value store's rate limit.
      */
     public void request() {
         roundRequested = true;
@@ -160,7 +163,7 @@
                 listener::refused);
     }
 
-    /** Postpones a round that would hold only ends on which nothing depends. */
+    /** Postpones a round that would commit only ends on which nothing depends; true if it did. */
     private boolean postponeCompletions() {
         if (!fleet.clusterState().hasEnded()) {
             return false;
@@ -207,7 +210,8 @@
                 attempt.machine().state() == Machine.State.UP
                         && !attempt.machine().hasPreemptionNotice();
         if (!attempt.job().isActive() || !machineIsUsable) {
-            // Cancelled or preempted during the commit: nothing was sent, so it ends here.
+            // The job or the machine became unusable during the commit. No start was sent, so the
+            // attempt ends here.
             fleet.end(attempt, ExitCause.STOPPED);
         }
     }
--- a/src/main/java/org/springmill/control/scheduling/PreemptionPolicy.java
+++ b/src/main/java/org/springmill/control/scheduling/PreemptionPolicy.java
@@ -5,15 +5,20 @@
 import org.springmill.control.cluster.TaskAttempt;
 import org.springmill.protocol.KeyValueStoreMessages.Write;
 
-/** Frees capacity for waiting jobs that fit no machine, by stopping tasks that yield to them. */
+/**
+ * Frees capacity for waiting jobs that fit on no machine by stopping tasks that they may preempt.
+ */
 public interface PreemptionPolicy {
-    /** Cost of stopping a task beside its lost work, so that few large victims are preferred. */
+    /**
+     * Cost of stopping a task in addition to its lost work, so that a few large victims are
+     * preferred to many small ones.
+     */
     double VICTIM_COST_SECONDS = 10;
 
     /**
      * Reads the decisions of earlier leaders from the key-value store.
      *
-     * @param done takes whether they could be read
+     * @param done called with whether they could be read
      */
     default void load(Consumer<Boolean> done) {
         done.accept(true);
@@ -23,8 +28,9 @@
     default void stateRecovered() {}
 
     /**
-     * Frees the capacity of attempts whose ends this round commits, before it places anything, if
-     * one transaction may hold the end of a task and the claim that reuses its capacity.
+     * Called before the round places tasks, with the attempts whose ends it commits. A policy may
+     * free their capacity here if one transaction may contain the end of a task and the claim that
+     * reuses its capacity.
      */
     default void release(List<TaskAttempt> ended) {}
 
@@ -37,6 +43,6 @@
      */
     List<Write> decide(long round, List<TaskAttempt> claimed);
 
-    /** Called once the round is committed, with the writes that were decided. */
+    /** Called once the round and the writes that were returned for it are committed. */
     default void committed() {}
 }
--- a/src/main/java/org/springmill/control/scheduling/PreemptionVictims.java
+++ b/src/main/java/org/springmill/control/scheduling/PreemptionVictims.java
@@ -21,11 +21,11 @@
     }
 
     /**
-     * What has to be preempted on a machine for one more task of a job to fit, the lowest priority
-     * and the least lost work first; empty if it cannot be made to fit.
+     * The tasks to preempt on a machine so that one more task of a job fits, chosen by lowest
+     * priority and then least lost work; empty if not enough may be preempted.
      *
      * @param guaranteed whether the task is within its team's guaranteed quota
-     * @param planned what is being freed there for other tasks
+     * @param planned capacity there that the round has assigned to other tasks
      */
     Optional<List<TaskAttempt>> select(
             Job job, boolean guaranteed, Machine machine, Resources planned, double now) {
@@ -71,11 +71,12 @@
     }
 
     /**
-     * The protocol's grounds for preempting one job's task for another's. For a guaranteed quota,
-     * only what a team runs above its own quota is preempted, counting what is being stopped
-     * already, and nothing of a higher priority. Otherwise the victim's team was itself owed its
-     * quota, or stood first in line again, and the two teams preempted each other several times a
-     * second.
+     * Whether a task may be preempted for a job. A job of higher priority may always preempt it. A
+     * job within its team's guaranteed quota may also preempt a task of another team that has no
+     * higher priority than the job, if that team keeps its entitlement; tasks that are already
+     * being stopped do not count towards it. Without the entitlement and priority checks, the
+     * victim's team was below its guarantee itself or came first in the scheduling order again, and
+     * the two teams preempted each other several times a second.
      */
     private boolean mayPreempt(
             TaskAttempt candidate, Job job, boolean guaranteed, List<TaskAttempt> victims) {
--- a/src/main/java/org/springmill/control/scheduling/Reservations.java
+++ b/src/main/java/org/springmill/control/scheduling/Reservations.java
@@ -20,13 +20,13 @@
 import org.springmill.protocol.Resources;
 
 /**
- * Protects jobs from starvation: for a job that has waited very long to start, a machine is
- * reserved, on which nothing of a lower scheduling order is placed until the job fits.
+ * Protects jobs from starvation: reserves a machine for a job that has waited very long to start.
+ * No job later in the scheduling order is placed on that machine until the job fits.
  */
 public final class Reservations {
     private static final Logger LOG = LoggerFactory.getLogger(Reservations.class);
 
-    /** A machine is reserved for a job that has waited for so many worker leases. */
+    /** Number of worker leases for which a job has to wait before a machine is reserved for it. */
     private static final double LEASES_BEFORE_RESERVATION = 4;
 
     /** At most this share of the schedulable machines, but at least one, is reserved. */
@@ -41,7 +41,7 @@
      */
     private final Map<Job, Double> waitingSince = new HashMap<>();
 
-    /** Reserved machines; each is kept from other work until its job fits. */
+    /** The job for which each machine is reserved. */
     private final Map<Machine, Job> jobByMachine = new LinkedHashMap<>();
 
     Reservations(Fleet fleet, Timeouts timeouts) {
@@ -62,7 +62,7 @@
         return jobByMachine.values();
     }
 
-    /** Records which jobs wait, and drops reservations that are obsolete. */
+    /** Records which jobs wait to start, and removes obsolete reservations. */
     void update(List<Job> waiting, double now) {
         Set<Job> starving = new HashSet<>(waiting);
         starving.removeIf(Reservations::hasStarted);
@@ -89,8 +89,8 @@
     }
 
     /**
-     * Reserves, for a job that is starving, the machine that should have enough free capacity
-     * soonest. Without it, on a full fleet, small tasks take each piece of capacity as it comes
+     * Reserves, for a starving job, the machine that is expected to have enough free capacity
+     * soonest. Without the reservation, small tasks on a full fleet take all capacity as it becomes
      * free, and a task that needs most of a machine never starts.
      */
     void reserve(Job job, List<Machine> machines, double now) {
@@ -118,8 +118,8 @@
     }
 
     /**
-     * Seconds until a machine should have capacity for a task if nothing else is placed there;
-     * infinite if services occupy it, since these do not end by themselves.
+     * Expected seconds until a machine has capacity for a task if nothing else is placed there;
+     * infinite if services occupy it, since these do not end on their own.
      */
     private static double secondsUntilCapacity(Job job, Machine machine, double now) {
         Resources free = machine.free();
@@ -150,8 +150,8 @@
     }
 
     /**
-     * Whether the job may still be placed on the machine. Otherwise the machine would only stay
-     * idle.
+     * Whether the job may still be placed on the machine. If not, the reservation would only keep
+     * the machine idle.
      */
     private boolean isUsable(Machine machine, Job job, double now) {
         return machine.isSchedulable(now, timeouts.suspectAfterSeconds())
@@ -161,8 +161,8 @@
     }
 
     /**
-     * Whether a machine is reserved for another job, unless this one comes before that in the
-     * scheduling order.
+     * Whether a machine is reserved for another job that comes before this one in the scheduling
+     * order, by priority and guaranteed quota.
      */
     public boolean isReservedForOthers(Job job, Machine machine) {
         Job other = jobByMachine.get(machine);
--- a/src/main/java/org/springmill/control/scheduling/WaitingJobs.java
+++ b/src/main/java/org/springmill/control/scheduling/WaitingJobs.java
@@ -17,9 +17,9 @@
     }
 
     /**
-     * Waiting jobs by priority; among equals those within their team's guaranteed quota first, then
-     * services, then jobs with recalled tasks, then the earliest latest start, then the earliest
-     * arrival.
+     * Waiting jobs by priority. Among equal priorities, jobs within their team's guaranteed quota
+     * come first, then services, then jobs with recalled tasks, then jobs that have to start
+     * earliest to meet their deadline, then jobs that became eligible first.
      */
     List<Job> inSchedulingOrder() {
         List<Job> waiting = new ArrayList<>();
@@ -35,7 +35,8 @@
                         .thenComparing(job -> !guaranteed.get(job))
                         .thenComparing(job -> !job.spec().isService())
                         .thenComparing(job -> !job.hasRecalledTasks())
-                        // All jobs share one clock, so the latest start orders them by slack.
+                        // All jobs share one clock, so ordering by latest start is ordering by
+                        // slack.
                         .thenComparingDouble(Job::latestStartAt)
                         .thenComparingLong(Job::eligibleRevision));
         return waiting;
--- a/src/test/java/org/springmill/control/scheduling/CompletionBatchingTest.java
+++ b/src/test/java/org/springmill/control/scheduling/CompletionBatchingTest.java
@@ -16,7 +16,7 @@
 import org.springmill.protocol.TaskId;
 import org.springmill.protocol.WorkerMessages.ExitCause;
 
-/** Which ends of attempts are committed at once and which may be batched into a later round. */
+/** Checks which ends of attempts are committed immediately and which may wait for a later round. */
 class CompletionBatchingTest {
     private static final double ROUND_INTERVAL_SECONDS = 0.25;
     private static final double NOW = 100;
--- a/src/test/java/org/springmill/control/scheduling/FullRoundTest.java
+++ b/src/test/java/org/springmill/control/scheduling/FullRoundTest.java
@@ -20,15 +20,16 @@
 import org.springmill.sim.VirtualClock;
 
 /**
- * Which jobs a full round skips. When a leader ranked thousands of machines for each of a thousand
- * such jobs, and searched victims to preempt, it blocked for seconds and lost its lease, again and
- * again: after an outage of the key-value store at the target size.
+ * Checks which jobs a full round skips. Guards against a leader that ranks thousands of machines
+ * and searches preemption victims for each of a thousand skipped jobs. After an outage of the
+ * key-value store at the target size, this blocked the leader for seconds, so that it lost its
+ * lease repeatedly.
  */
 class FullRoundTest {
     private static final Settings SETTINGS = SettingsFixtures.small();
     private static final int JOBS = 3;
 
-    /** Fencing token of the first term, which is that of the fleet. */
+    /** Fencing token of the first term, in which the fleet is created. */
     private static final long FENCING_TOKEN = 1L << 20;
 
     private final VirtualClock clock = new VirtualClock();
@@ -105,7 +106,7 @@
         jobs.forEach(job -> assertFalse(placement.skippedByFullRound(job)));
     }
 
-    /** A job that fits no machine was considered, so work may be preempted for it. */
+    /** A job that fits on no machine was considered, so tasks may be preempted for it. */
     @Test
     void aJobThatFitsNoMachineIsNotSkipped() {
         submitJobs();
--- a/src/test/java/org/springmill/control/scheduling/StrandedCpusTest.java
+++ b/src/test/java/org/springmill/control/scheduling/StrandedCpusTest.java
@@ -15,8 +15,8 @@
 import org.springmill.protocol.TaskId;
 
 /**
- * When a task counts as using stranded CPUs, which no replica with GPUs could use. The machine has
- * 96 CPUs, 8 GPUs and 768 GB; the largest replica takes 16 CPUs, 4 GPUs and 100 GB.
+ * Checks when a task counts as using stranded CPUs, which no replica with GPUs could use. The
+ * machine has 96 CPUs, 8 GPUs and 768 GB; the largest replica takes 16 CPUs, 4 GPUs and 100 GB.
  */
 class StrandedCpusTest {
     private static final MachineType TYPE = PackingFixtures.type("large", 10, "a");
