--- a/src/main/java/org/springmill/control/scheduling/ImmediatePreemption.java
+++ b/src/main/java/org/springmill/control/scheduling/ImmediatePreemption.java
@@ -139,7 +139,7 @@
             Submission spec = victim.job().spec();
             checkpointSeconds = Math.max(checkpointSeconds, spec.checkpointSaveSeconds());
             LOG.debug(
-                    "preempting {} of {} for {} of {} on {}",
+                    "preempting task {} of team {} for job {} of team {} on machine {}",
                     victim.claim().task(),
                     spec.team(),
                     job.id(),
--- a/src/main/java/org/springmill/control/scheduling/PlacementRounds.java
+++ b/src/main/java/org/springmill/control/scheduling/PlacementRounds.java
@@ -154,7 +154,7 @@
                 () -> {
                     committing = false;
                     LOG.debug(
-                            "round {}: {} claims, {} ends",
+                            "round {} committed: {} claims, {} ends",
                             round.number(),
                             round.claimed().size(),
                             round.ended().size());
--- a/src/main/java/org/springmill/control/scheduling/Reservations.java
+++ b/src/main/java/org/springmill/control/scheduling/Reservations.java
@@ -112,7 +112,11 @@
             }
         }
         if (best != null) {
-            LOG.info("starvation: machine {} reserved for job {}", best.name(), job.id());
+            LOG.info(
+                    "reserving machine {} for job {}, whose tasks have waited {} s for capacity",
+                    best.name(),
+                    job.id(),
+                    Math.round(now - waitingSince.get(job)));
             jobByMachine.put(best, job);
         }
     }
