--- a/src/main/java/org/springmill/control/scheduling/CompletionBatching.java
+++ b/src/main/java/org/springmill/control/scheduling/CompletionBatching.java
@@ -32,11 +32,11 @@
      * Seconds for which a round with only these ends may be postponed; 0 if something depends on
      * one of them.
      *
-     * @param tasksWait whether any task waits to be placed, perhaps for the capacity that an end
-     *     frees
+     * @param hasWaitingTasks whether any task waits to be placed, perhaps for the capacity that an
+     *     end frees
      */
-    double postponeSeconds(Collection<TaskAttempt> ended, boolean tasksWait, double now) {
-        if (tasksWait) {
+    double postponeSeconds(Collection<TaskAttempt> ended, boolean hasWaitingTasks, double now) {
+        if (hasWaitingTasks) {
             return 0;
         }
         Map<Job, Integer> finishedTasks = new HashMap<>();
--- a/src/main/java/org/springmill/control/scheduling/ImmediatePreemption.java
+++ b/src/main/java/org/springmill/control/scheduling/ImmediatePreemption.java
@@ -29,7 +29,7 @@
     /**
      * Capacity on each machine that this round has assigned to tasks for which it frees capacity.
      */
-    private final Map<Machine, Resources> plannedByMachine = new HashMap<>();
+    private final Map<Machine, Resources> assignedByMachine = new HashMap<>();
 
     /** Creates the policy of one leader's term. */
     public ImmediatePreemption(Fleet fleet, Placement placement, Timeouts timeouts) {
@@ -82,7 +82,7 @@
             return;
         }
         List<Machine> machines = placement.schedulableMachines(now);
-        plannedByMachine.clear();
+        assignedByMachine.clear();
         fleet.clusterState().releaseLimitReservations();
         ExhaustedEquivalenceClasses exhausted =
                 new ExhaustedEquivalenceClasses(placement.jobsWithReservedCapacity(machines, now));
@@ -133,7 +133,7 @@
     private void preemptForNextTask(Demand demand, Machine machine, double now) {
         Job job = demand.job;
         List<TaskAttempt> chosen = victims(demand, machine, now).orElseThrow();
-        plannedByMachine.put(machine, planned(machine).plus(job.spec()));
+        assignedByMachine.put(machine, assignedCapacity(machine).plus(job.spec()));
         double checkpointSeconds = 0;
         for (TaskAttempt victim : chosen) {
             Submission spec = victim.job().spec();
@@ -169,10 +169,10 @@
 
     private Optional<List<TaskAttempt>> victims(Demand demand, Machine machine, double now) {
         return victims.select(
-                demand.job, demand.nextIsGuaranteed(), machine, planned(machine), now);
+                demand.job, demand.nextIsGuaranteed(), machine, assignedCapacity(machine), now);
     }
 
-    private Resources planned(Machine machine) {
-        return plannedByMachine.getOrDefault(machine, Resources.NONE);
+    private Resources assignedCapacity(Machine machine) {
+        return assignedByMachine.getOrDefault(machine, Resources.NONE);
     }
 }
--- a/src/main/java/org/springmill/control/scheduling/Placement.java
+++ b/src/main/java/org/springmill/control/scheduling/Placement.java
@@ -43,8 +43,8 @@
     }
 
     /** Whether any job has a task to place. */
-    boolean anyWaiting() {
-        return waitingJobs.any();
+    boolean hasWaitingTasks() {
+        return waitingJobs.hasWaitingTasks();
     }
 
     /** The machines reserved for jobs that waited too long. */
--- a/src/main/java/org/springmill/control/scheduling/PlacementPass.java
+++ b/src/main/java/org/springmill/control/scheduling/PlacementPass.java
@@ -78,7 +78,7 @@
             return;
         }
         if (exhausted.covers(job)) {
-            holdQuota(job);
+            reserveQuota(job);
             return;
         }
         MachineRanking ranking =
@@ -104,7 +104,7 @@
     }
 
     /** Reserves part of the team's maximum quota for replicas that could not be placed. */
-    private void holdQuota(Job job) {
+    private void reserveQuota(Job job) {
         if (job.spec().isService()) {
             usage(job).reserveLimit(job.spec(), job.waitingTaskCount());
         }
@@ -115,7 +115,7 @@
             Optional<TaskAttempt> attempt = placeNextTask(job, ranking);
             if (attempt.isEmpty()) {
                 exhausted.add(job);
-                holdQuota(job);
+                reserveQuota(job);
                 reservations.reserve(job, round.machines(), round.startedAt());
                 return;
             }
--- a/src/main/java/org/springmill/control/scheduling/PlacementRounds.java
+++ b/src/main/java/org/springmill/control/scheduling/PlacementRounds.java
@@ -26,9 +26,9 @@
         /**
          * Called once a round is committed and applied to the cluster state.
          *
-         * @param since when its commit began, in seconds on the event loop's clock
+         * @param commitStartedAt when its commit began, in seconds on the event loop's clock
          */
-        void committed(List<TaskAttempt> claimed, List<TaskAttempt> ended, double since);
+        void committed(List<TaskAttempt> claimed, List<TaskAttempt> ended, double commitStartedAt);
 
         /**
          * Called if the key-value store rejects a round's transaction because another leader has
@@ -40,12 +40,15 @@
     /**
      * What one round commits.
      *
-     * @param attached writes of the preemption policy
+     * @param policyWrites writes of the preemption policy
      */
     private record Round(
-            long number, List<TaskAttempt> claimed, List<TaskAttempt> ended, List<Write> attached) {
+            long number,
+            List<TaskAttempt> claimed,
+            List<TaskAttempt> ended,
+            List<Write> policyWrites) {
         boolean isEmpty() {
-            return ended.isEmpty() && claimed.isEmpty() && attached.isEmpty();
+            return ended.isEmpty() && claimed.isEmpty() && policyWrites.isEmpty();
         }
 
         List<Claim> claims() {
@@ -140,17 +143,17 @@
         preemption.release(ended);
         long number = roundLog.nextNumber();
         List<TaskAttempt> claimed = placement.place(number, roundLog.claimsBeside(ended.size()));
-        List<Write> attached = preemption.decide(number, claimed);
-        return new Round(number, claimed, ended, attached);
+        List<Write> policyWrites = preemption.decide(number, claimed);
+        return new Round(number, claimed, ended, policyWrites);
     }
 
     private void commit(Round round) {
         committing = true;
-        double since = loop.now();
+        double commitStartedAt = loop.now();
         roundLog.append(
                 round.claims(),
                 round.ends(),
-                round.attached(),
+                round.policyWrites(),
                 () -> {
                     committing = false;
                     LOG.debug(
@@ -158,7 +161,7 @@
                             round.number(),
                             round.claimed().size(),
                             round.ended().size());
-                    applyCommitted(round, since);
+                    applyCommitted(round, commitStartedAt);
                 },
                 listener::refused);
     }
@@ -168,10 +171,10 @@
         if (!fleet.clusterState().hasEnded()) {
             return false;
         }
-        boolean tasksWait = placement.anyWaiting();
+        boolean hasWaitingTasks = placement.hasWaitingTasks();
         double seconds =
                 completionBatching.postponeSeconds(
-                        fleet.clusterState().ended(), tasksWait, loop.now());
+                        fleet.clusterState().ended(), hasWaitingTasks, loop.now());
         if (seconds == 0) {
             return false;
         }
@@ -187,12 +190,12 @@
         request();
     }
 
-    private void applyCommitted(Round round, double since) {
+    private void applyCommitted(Round round, double commitStartedAt) {
         double now = loop.now();
         round.ended().forEach(attempt -> close(attempt, now));
         round.claimed().forEach(attempt -> confirmClaim(attempt, now));
         preemption.committed();
-        listener.committed(round.claimed(), round.ended(), since);
+        listener.committed(round.claimed(), round.ended(), commitStartedAt);
         request();
     }
 
--- a/src/main/java/org/springmill/control/scheduling/PreemptionVictims.java
+++ b/src/main/java/org/springmill/control/scheduling/PreemptionVictims.java
@@ -25,11 +25,11 @@
      * priority and then least lost work; empty if not enough may be preempted.
      *
      * @param guaranteed whether the task is within its team's guaranteed quota
-     * @param planned capacity there that the round has assigned to other tasks
+     * @param assigned capacity there that the round has assigned to other tasks
      */
     Optional<List<TaskAttempt>> select(
-            Job job, boolean guaranteed, Machine machine, Resources planned, double now) {
-        Resources free = machine.free().minus(planned);
+            Job job, boolean guaranteed, Machine machine, Resources assigned, double now) {
+        Resources free = machine.free().minus(assigned);
         List<TaskAttempt> candidates = new ArrayList<>();
         for (TaskAttempt attempt : machine.attempts()) {
             if (isEnding(attempt)) {
--- a/src/main/java/org/springmill/control/scheduling/WaitingJobs.java
+++ b/src/main/java/org/springmill/control/scheduling/WaitingJobs.java
@@ -43,7 +43,7 @@
     }
 
     /** Whether any job has a task to place. */
-    boolean any() {
+    boolean hasWaitingTasks() {
         return clusterState.jobs().values().stream().anyMatch(WaitingJobs::isWaiting);
     }
 
--- a/src/test/java/org/springmill/control/scheduling/CompletionBatchingTest.java
+++ b/src/test/java/org/springmill/control/scheduling/CompletionBatchingTest.java
@@ -51,13 +51,13 @@
         "a task waits to be placed,                   5, 1, DONE, 0.0, false, true, 0.0",
     })
     void endsAreBatchedOnlyWhileNothingDependsOnThem(
-            String situation,
+            String description,
             int tasks,
             int endedTasks,
             ExitCause cause,
             double secondsAgo,
             boolean cancelled,
-            boolean tasksWait,
+            boolean hasWaitingTasks,
             double expectedSeconds)
             throws MalformedMessageException {
         Job job = job(tasks);
@@ -70,6 +70,9 @@
         }
         CompletionBatching batching = new CompletionBatching(ROUND_INTERVAL_SECONDS);
         assertEquals(
-                expectedSeconds, batching.postponeSeconds(ended, tasksWait, NOW), 1e-9, situation);
+                expectedSeconds,
+                batching.postponeSeconds(ended, hasWaitingTasks, NOW),
+                1e-9,
+                description);
     }
 }
--- a/src/test/java/org/springmill/control/scheduling/StrandedCpusTest.java
+++ b/src/test/java/org/springmill/control/scheduling/StrandedCpusTest.java
@@ -45,7 +45,7 @@
         "an empty machine could be returned instead,    0,  0, 1,  0, 1,   false",
     })
     void taskUsesStrandedCpus(
-            String situation,
+            String description,
             double usedCpus,
             double usedGpus,
             double cpus,
@@ -54,7 +54,7 @@
             boolean expected) {
         Submission spec = PackingFixtures.job(1).size(cpus, gpus, memoryGb).build();
         Machine machine = running(usedCpus, usedGpus);
-        assertEquals(expected, MachineScore.usesStrandedCpus(spec, machine, LARGEST), situation);
-        assertFalse(MachineScore.usesStrandedCpus(spec, machine, null), situation);
+        assertEquals(expected, MachineScore.usesStrandedCpus(spec, machine, LARGEST), description);
+        assertFalse(MachineScore.usesStrandedCpus(spec, machine, null), description);
     }
 }
