--- a/src/main/java/org/springmill/control/borrowing/Entitlement.java
+++ b/src/main/java/org/springmill/control/borrowing/Entitlement.java
@@ -4,22 +4,23 @@
 import org.springmill.protocol.Settings.Team;
 
 /**
- * The entitlement of a team under its guaranteed quota. In each resource that a team is guaranteed,
- * its entitlement is the smaller of the guarantee and its demand, which is what it runs and what
- * waits and could run. What it runs above its guarantee is on loan and may be recalled for another
- * team's work; the rest may not.
+ * The entitlement of a team under its guaranteed quota. For each guaranteed resource, the
+ * entitlement is the smaller of the guarantee and the team's demand, which includes running tasks
+ * and waiting tasks that could run. Resources that a team uses above its guarantee are borrowed and
+ * may be recalled for another team's work; the rest may not.
  */
 public final class Entitlement {
     private Entitlement() {}
 
     /**
-     * Whether a team keeps its entitlement if some of what it runs is preempted for another team. A
-     * preempted task waits again, so the demand does not change. What the team runs has to stay at
-     * or above the guarantee in every resource that it is guaranteed and that the loss takes from
-     * it: an excess in one resource does not make up for another.
+     * Whether a team keeps its entitlement if some of its tasks are preempted for another team. A
+     * preempted task waits again, so the demand does not change. In every guaranteed resource that
+     * the preempted tasks use, the team's usage has to stay at or above the guarantee: an excess in
+     * one resource does not compensate for another. If they use no guaranteed resource, {@link
+     * #hasLoans} decides.
      *
-     * @param runs resources of what it runs, without tasks that were told to stop already
-     * @param loss resources of what is preempted
+     * @param runs resources that its tasks use, without those that are already being stopped
+     * @param loss resources of the tasks that are preempted
      */
     public static boolean coversLoss(Team team, Resources runs, Resources loss) {
         if (!team.hasGuarantee()) {
@@ -36,7 +37,10 @@
         return (!losesCpus || cpusStay) && (!losesGpus || gpusStay);
     }
 
-    /** Whether a team runs anything on loan; all that a team without a guarantee runs is. */
+    /**
+     * Whether a team uses all of its guarantee, or more, in any guaranteed resource. For a team
+     * without a guarantee, whether it uses anything, since all of that is borrowed.
+     */
     public static boolean hasLoans(Team team, Resources runs) {
         if (!team.hasGuarantee()) {
             return runs.cpus() > Resources.ROUNDING || runs.gpus() > Resources.ROUNDING;
--- a/src/main/java/org/springmill/control/borrowing/HoldDown.java
+++ b/src/main/java/org/springmill/control/borrowing/HoldDown.java
@@ -4,23 +4,23 @@
 import java.util.Map;
 
 /**
- * The hold-down by machine type: how long resources that come back from a recall's beneficiary are
- * not lent again. Each wave of recalls adds its measured cost, and what was added decays
- * exponentially, as in route flap damping (RFC 2439). Where recalls are rare or cheap, resources
- * are lent again at once; where recalls are frequent, after as long as a recall costs. Without
+ * The hold-down by machine type: how long capacity that a recall's beneficiary has released may not
+ * be borrowed again. Each wave of recalls adds its measured cost to the hold-down, which decays
+ * exponentially, as in route flap damping (RFC 2439). Where recalls are rare or cheap, capacity may
+ * be borrowed again immediately; where they are frequent, after as long as a recall costs. Without
  * recalls the hold-down is 0.
  *
- * <p>Waiting as long as a recall costs before lending again loses at most twice what the best
- * choice with knowledge of the next demand would have lost (ski rental).
+ * <p>Holding capacity for as long as a recall costs loses at most twice as much as the best choice
+ * made with knowledge of the next demand (the ski rental problem).
  */
 public final class HoldDown {
     /** A shorter hold-down counts as 0. */
     private static final double MIN_SECONDS = 0.5;
 
-    /** Weight of the latest idle time of held resources in their moving average. */
+    /** Weight of the latest idle time of held capacity in the moving average. */
     private static final double LATEST_IDLE_WEIGHT = 0.3;
 
-    /** Short work may be placed if it takes no more of the expected idle time than this share. */
+    /** Largest share of the expected idle time that short work on held capacity may take. */
     private static final double SHORT_WORK_SHARE = 0.5;
 
     private final double halfLifeSeconds;
@@ -36,7 +36,7 @@
         private double secondsBeforeWave;
         private double secondsAddedByWave;
 
-        /** Not a number before the first idle time. */
+        /** NaN until an idle time is recorded. */
         private double averageIdleSeconds = Double.NaN;
 
         private void addIdleTime(double idleSeconds) {
@@ -49,13 +49,13 @@
     }
 
     /**
-     * Hold-downs of 0 for all machine types.
+     * Creates hold-downs of 0 for all machine types.
      *
-     * @param halfLifeSeconds time in which half of what a recall added decays
+     * @param halfLifeSeconds time in which a hold-down decays by half
      * @param ratio factor on the measured cost; 0 switches the hold-down off
      * @param maxSeconds the longest hold-down
-     * @param waveSeconds recalls less than this apart belong to one wave, which counts by the
-     *     costliest of them
+     * @param waveSeconds recalls at most this far apart belong to one wave, for which only the
+     *     highest cost counts
      */
     public HoldDown(double halfLifeSeconds, double ratio, double maxSeconds, double waveSeconds) {
         this.waveSeconds = waveSeconds;
@@ -67,9 +67,10 @@
     /**
      * Records what a recall cost.
      *
-     * @param costSeconds lost work and waiting time for each unit that was recalled
-     * @param loanSeconds how long what was recalled had been lent
-     * @param now in seconds of the loop's clock
+     * @param costSeconds average lost work of the victims plus the time until the recall was
+     *     settled
+     * @param loanSeconds how long the recalled capacity had been borrowed
+     * @param now in seconds on the event loop's clock
      */
     public void recordRecall(
             String machineType, double costSeconds, double loanSeconds, double now) {
@@ -82,7 +83,8 @@
         }
         double added = ratio * costSeconds;
         if (loanSeconds < estimate.secondsBeforeWave) {
-            // It was lent too early, so the hold-down doubles, as in exponential backoff.
+            // The capacity was borrowed too early, so the hold-down doubles, as in exponential
+            // backoff.
             added = Math.max(added, estimate.secondsBeforeWave);
         }
         estimate.secondsAddedByWave = Math.max(estimate.secondsAddedByWave, added);
@@ -93,10 +95,11 @@
     }
 
     /**
-     * Records that work that may recall was placed on held capacity. Had the capacity been lent, it
-     * would have been recalled, so the estimate is as good as one made now.
+     * Records that a beneficiary's task was placed on held capacity. If the capacity had been
+     * borrowed, it would have been recalled, so the hold-down does not decay for the time the
+     * capacity was held.
      *
-     * @param heldAt when the capacity came back, in seconds of the loop's clock
+     * @param heldAt when the capacity was released, in seconds on the event loop's clock
      * @param idleSeconds how long the capacity was held
      */
     public void heldCapacityUsed(
@@ -110,7 +113,7 @@
         estimate.addIdleTime(idleSeconds);
     }
 
-    /** How long resources that come back now are not lent, in seconds. */
+    /** The hold-down, in seconds, of capacity that is released now. */
     public double seconds(String machineType, double now) {
         Estimate estimate = estimates.get(machineType);
         double seconds = estimate == null ? 0 : decayed(estimate, now);
--- a/src/main/java/org/springmill/control/borrowing/Recall.java
+++ b/src/main/java/org/springmill/control/borrowing/Recall.java
@@ -6,15 +6,15 @@
 import org.springmill.protocol.TaskId;
 
 /**
- * The decision to take resources on one machine back from borrowers and to promise them to one task
- * of a job, as committed before any borrower is told to stop.
+ * The decision to reclaim borrowed resources on one machine and to reserve them for one task of a
+ * job. It is committed before any victim is sent a stop command.
  *
- * @param key derived once, when the recall is decided, and read from the record ever after
- * @param round the round of the decision; a claim of a later round is not one of the victims
- * @param beneficiary the job for one task of which room is made
- * @param amount what is promised on the machine: what that task takes
- * @param victims the borrowers' tasks on that machine that are stopped
- * @param graceEndsAt time of day until which the victims may save
+ * @param key derived when the recall is decided; afterwards always read from the record
+ * @param round the round of the decision; attempts claimed in later rounds are not victims
+ * @param beneficiary the job for one task of which capacity is freed
+ * @param amount the resources reserved on the machine, which are those the task needs
+ * @param victims the tasks on the machine that are stopped
+ * @param graceEndsAt time of day until which the victims may write checkpoints
  */
 public record Recall(
         String key,
@@ -25,10 +25,10 @@
         List<TaskId> victims,
         double graceEndsAt) {
     /**
-     * A new decision of a round. Nothing that differs between controllers or between sends goes
-     * into the key.
+     * Creates a recall that a round decides. The key contains nothing that differs between
+     * controllers or between retries.
      *
-     * @param ordinal tells the recalls of one round apart
+     * @param ordinal distinguishes the recalls of one round
      */
     public static Recall decide(
             long round,
--- a/src/main/java/org/springmill/control/borrowing/RecallCodec.java
+++ b/src/main/java/org/springmill/control/borrowing/RecallCodec.java
@@ -14,8 +14,8 @@
 import org.springmill.protocol.TaskId;
 
 /**
- * The stored form of recalls. A key is {@code recall/<round>}, with zeros in front so that keys
- * sort by round; a value is a JSON object with an array of recalls, each an array of key, round,
+ * The stored form of recalls. A key is {@code recall/<round>}, padded with zeros so that keys sort
+ * by round; a value is a JSON object with an array of recalls, each an array of key, round,
  * machine, beneficiary, CPUs, GPUs, memory, end of the grace period and the victims, as jobs with
  * their task numbers in the form of {@link CompletedTasks}.
  */
@@ -42,7 +42,7 @@
         return String.format("%s%015d", PREFIX, round);
     }
 
-    /** Bytes that a recall takes in a value, with the comma behind it. */
+    /** Bytes that a recall takes in a value, including the comma after it. */
     static int bytes(Recall recall) {
         return encode(recall).toString().length() + 1;
     }
--- a/src/main/java/org/springmill/control/borrowing/RecallLog.java
+++ b/src/main/java/org/springmill/control/borrowing/RecallLog.java
@@ -18,18 +18,22 @@
 
 /**
  * The unsettled recalls in the key-value store, under {@code recall/<round>}. They are written in
- * the transaction of a round, so they have the round's conditions: the leader's own record and the
- * absence of the round's key. The recalls of one round share a value, which also takes over what is
- * left of earlier values, so that there are few values.
+ * the transaction of a round, so the round's conditions also apply to them: those on the leader's
+ * own record and on the absence of the round's key. The recalls of one round share a value. It also
+ * takes over the unsettled recalls of earlier values if they fit, so that the number of values
+ * stays small.
  */
 public final class RecallLog {
-    /** A value is filled to this share of its limit, like those of rounds. */
+    /** A value is filled to this share of its size limit, as for rounds. */
     private static final double FILL_RATIO = 0.9;
 
-    /** A transaction has at most one record of recalls for so many of its writes. */
+    /** Writes that a transaction has to allow for each record of recalls. */
     private static final int WRITES_PER_RECORD = 4;
 
-    /** Records and bytes of each: all of them fit into one transaction beside a round. */
+    /**
+     * Largest number of records. With their largest size, all of them fit into one transaction with
+     * a round.
+     */
     private static final int MAX_RECORDS = 3;
 
     private static final int MAX_RECORD_BYTES = 8 * 1024;
@@ -38,7 +42,10 @@
 
     private final KeyValueStoreClient store;
 
-    /** Sizes of decided recalls, so that each is encoded once: a new one is checked against all. */
+    /**
+     * Encoded sizes of decided recalls; cached, since each new recall is checked against all of
+     * them.
+     */
     private final Map<String, Integer> bytesByKey = new HashMap<>();
 
     private Map<String, List<Recall>> records = new TreeMap<>();
@@ -46,12 +53,12 @@
     /** The records as they will be once the pending transaction is committed. */
     private Map<String, List<Recall>> staged = records;
 
-    /** A log that holds nothing until it is loaded. */
+    /** Creates a log that is empty until it is loaded. */
     public RecallLog(KeyValueStoreClient store) {
         this.store = store;
     }
 
-    /** What rounds leave of each transaction for recalls. */
+    /** The part of each transaction that rounds leave free for recalls. */
     public static RoundLog.Reserve reserve(Settings.StoreLimits limits) {
         int records = maxRecords(limits) + 1;
         return new RoundLog.Reserve(records, records * recordBytes(limits));
@@ -67,10 +74,10 @@
     }
 
     /**
-     * Recovers all recalls that earlier leaders left. To be called by a leader, since nothing else
-     * can be written then.
+     * Loads all recalls that earlier leaders committed. Only a leader may call this, since no other
+     * controller can write recalls then.
      *
-     * @param done takes null if the key-value store could not be read
+     * @param done called with null if the key-value store could not be read
      */
     public void load(Consumer<Collection<Recall>> done) {
         store.list(RecallCodec.PREFIX, page -> done.accept(page == null ? null : recover(page)));
@@ -89,7 +96,10 @@
         return records.values().stream().flatMap(List::stream).toList();
     }
 
-    /** Whether one more recall fits into the next round's value beside those decided already. */
+    /**
+     * Whether one more recall fits into the next round's value in addition to those already
+     * decided.
+     */
     public boolean fits(List<Recall> decided, Recall next) {
         int bytes = VALUE_OVERHEAD_BYTES + RecallCodec.bytes(next) + bytes(decided);
         if (bytes > valueLimitBytes()) {
@@ -117,7 +127,7 @@
      * Prepares the writes of a round's transaction; {@link #committed} follows once it is applied.
      *
      * @param decided new recalls
-     * @param settled keys of recalls that are over
+     * @param settled keys of recalls that are settled
      */
     public List<Write> stage(long round, List<Recall> decided, Set<String> settled) {
         if (decided.isEmpty() && settled.isEmpty()) {
@@ -142,7 +152,7 @@
         return changedKeys.stream().map(key -> write(key, next.get(key))).toList();
     }
 
-    /** Adds the value of a round, which takes over those earlier ones that fit into it. */
+    /** Adds the value of a round and moves the recalls of earlier values into it where they fit. */
     private void addRecord(
             long round,
             List<Recall> decided,
@@ -168,7 +178,7 @@
         return recalls == null ? Write.delete(key) : Write.put(key, RecallCodec.encode(recalls));
     }
 
-    /** The writes prepared last are applied. */
+    /** Called once the writes that were prepared last are committed. */
     public void committed() {
         records = staged;
         bytesByKey.keySet().retainAll(keys());
--- a/src/main/java/org/springmill/control/borrowing/RecallProgress.java
+++ b/src/main/java/org/springmill/control/borrowing/RecallProgress.java
@@ -12,13 +12,14 @@
     /** The state of a recall. */
     public enum State {
         /**
-         * Decided; the round that holds it is not committed yet, and no victim was told to stop. Or
-         * committed by an earlier leader, of whose stop commands nothing is known yet.
+         * Decided, but the round that contains it is not committed yet, so no victim was sent a
+         * stop command. Or committed by an earlier leader, as long as it is unknown whether that
+         * leader sent stop commands.
          */
         COMMITTING,
-        /** Committed; the victims are told to stop and may write a checkpoint. */
+        /** Committed; the victims are sent stop commands and may write a checkpoint. */
         SAVING,
-        /** The grace period is over; the victims are told to stop without a checkpoint. */
+        /** The grace period is over; the victims are stopped without a checkpoint. */
         ENDING,
         /** Over; the record is removed with the next round. */
         SETTLED;
@@ -37,11 +38,16 @@
     public enum Outcome {
         /** The beneficiary's claim is committed together with the end of its reservation. */
         FULFILLED,
-        /** The demand fell before any victim was told to stop. */
+        /**
+         * Cancelled after the commit and before this leader sent stop commands: demand fell, or a
+         * team would have been left below its entitlement.
+         */
         TAKEN_BACK,
-        /** The demand fell after the victims were told to stop. */
+        /** Demand fell later, in most cases after the victims were sent stop commands. */
         WITHDRAWN,
-        /** The victims were not proven to have ended in time, or their machine is unschedulable. */
+        /**
+         * The victims were not confirmed to have ended in time, or their machine is unschedulable.
+         */
         EXPIRED
     }
 
@@ -52,11 +58,11 @@
     private double deadline = Double.POSITIVE_INFINITY;
 
     /**
-     * A recall that has been decided.
+     * Creates the state of a recall that has been decided.
      *
-     * @param checkpointTimeoutSeconds bound on the time for checkpoints, from the commit on
-     * @param terminationTimeoutSeconds bound on the time after that, until the victims are proven
-     *     to have ended
+     * @param checkpointTimeoutSeconds time allowed for checkpoints, from the commit on
+     * @param terminationTimeoutSeconds time allowed after that until the victims are confirmed to
+     *     have ended
      */
     public RecallProgress(
             Recall recall, double checkpointTimeoutSeconds, double terminationTimeoutSeconds) {
@@ -70,7 +76,7 @@
         return recall;
     }
 
-    /** The present state. */
+    /** The current state. */
     public State state() {
         return state;
     }
@@ -93,33 +99,34 @@
     }
 
     /**
-     * An earlier leader committed it. Whether the victims were told to stop is unknown until their
-     * workers have sent a heartbeat.
+     * Records that an earlier leader committed the recall. Whether the victims were sent stop
+     * commands is unknown until their workers have sent a heartbeat.
      *
-     * @param seconds after which the recall is abandoned without these heartbeats
+     * @param seconds time after which the recall is abandoned if these heartbeats are missing
      */
     public void recovered(double seconds, double now) {
         deadline = now + seconds;
     }
 
     /**
-     * Its record is committed, so the victims may be told to stop; false if that is illegal now.
+     * Records that the recall is committed, so that its victims may be stopped; false if the
+     * transition is illegal.
      */
     public boolean committed(double now) {
         return transition(State.SAVING, now);
     }
 
-    /** The grace period is over; false if that is illegal now. */
+    /** Records that the grace period is over; false if the transition is illegal. */
     public boolean graceEnded(double now) {
         return transition(State.ENDING, now);
     }
 
-    /** The recall is over; false if it was already. */
+    /** Settles the recall; false if it was settled already. */
     public boolean settle(double now) {
         return transition(State.SETTLED, now);
     }
 
-    /** Whether the timeout of the present state has passed. */
+    /** Whether the timeout of the current state has passed. */
     public boolean isOverdue(double now) {
         return now >= deadline;
     }
--- a/src/main/java/org/springmill/control/borrowing/VictimSelection.java
+++ b/src/main/java/org/springmill/control/borrowing/VictimSelection.java
@@ -9,8 +9,8 @@
 
 /**
  * Chooses the tasks of one machine to preempt so that enough capacity becomes free: those of the
- * lowest priority first, and among these the ones that cost least for what they free. A victim that
- * turns out to be unneeded, because a larger one chosen later frees enough, is left out again.
+ * lowest priority first, and among these the ones with the lowest cost for the resources that they
+ * free. A victim is dropped again if a larger one chosen later frees enough without it.
  */
 public final class VictimSelection {
     private VictimSelection() {}
@@ -25,7 +25,7 @@
 
     /** Decides whether a task may be preempted together with those chosen already. */
     public interface PreemptionRule<T> {
-        /** Whether the victim may be preempted as well. */
+        /** Whether the victim may be preempted in addition to the others. */
         boolean mayPreempt(T victim, List<T> others);
     }
 
--- a/src/main/java/org/springmill/control/borrowing/package-info.java
+++ b/src/main/java/org/springmill/control/borrowing/package-info.java
@@ -1,10 +1,10 @@
 /**
- * Loans between teams and their recall: the entitlement of a team, which borrower's tasks are
- * preempted for work with a better claim, the committed record of each such decision, and when free
- * resources are lent again. docs/borrowing.md has the design and its safety claims.
+ * Borrowing of capacity between teams: the entitlement of a team, the choice of tasks that a recall
+ * preempts, the stored record of each recall, and the time after which released capacity may be
+ * borrowed again. See docs/borrowing.md for the design and its safety claims.
  *
  * <p>Pure decisions and stored records. It uses {@code storage} and knows machines by name and
- * tasks by their resources. Called by {@code recall}, which says what runs and carries out the
- * decisions.
+ * tasks by their resources. Called by {@code recall}, which provides the running tasks and carries
+ * out the decisions.
  */
 package org.springmill.control.borrowing;
--- a/src/test/java/org/springmill/control/borrowing/EntitlementTest.java
+++ b/src/test/java/org/springmill/control/borrowing/EntitlementTest.java
@@ -7,11 +7,11 @@
 import org.springmill.protocol.Resources;
 import org.springmill.protocol.Settings.Team;
 
-/** What a team may lose to others. */
+/** Checks which resources other teams may recall from a team. */
 class EntitlementTest {
     @ParameterizedTest
     @CsvSource({
-        // guaranteed CPUs and GPUs, what runs, what is lost, whether that may be
+        // guaranteed CPUs and GPUs, used CPUs and GPUs, lost CPUs and GPUs, whether that is allowed
         "0, 8, 16, 16, 0, 8, true",
         "0, 8, 16, 16, 0, 9, false",
         "0, 8, 4, 4, 0, 1, false",
--- a/src/test/java/org/springmill/control/borrowing/HoldDownTest.java
+++ b/src/test/java/org/springmill/control/borrowing/HoldDownTest.java
@@ -6,7 +6,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** For how long room that came back stays unlent. */
+/** Checks for how long released capacity may not be borrowed again. */
 class HoldDownTest {
     private static final String TYPE = "large";
     private static final double HALF_LIFE = 100;
@@ -46,7 +46,10 @@
         assertEquals(LONGEST, holdDown.seconds(TYPE, 180));
     }
 
-    /** Guards against swings a little longer than the hold-down, each with a short, cheap loan. */
+    /**
+     * Guards against load swings slightly longer than the hold-down: capacity would be borrowed in
+     * each of them and recalled soon after, at a cost too low to raise the hold-down.
+     */
     @Test
     void loanThatWasRecalledTooSoonDoublesIt() {
         holdDown.recordRecall(TYPE, 10, 60, 0);
--- a/src/test/java/org/springmill/control/borrowing/RecallLogTest.java
+++ b/src/test/java/org/springmill/control/borrowing/RecallLogTest.java
@@ -14,7 +14,7 @@
 import org.springmill.protocol.TaskId;
 import org.springmill.sim.RecallStores;
 
-/** The stored form of recalls, and how few records they take. */
+/** Checks the stored form of recalls and the number of records that they take. */
 class RecallLogTest {
     private final RecallLog log = new RecallLog(RecallStores.unconnected());
 
@@ -38,7 +38,7 @@
         assertEquals(List.of(recall), RecallCodec.decode(stored));
     }
 
-    /** Golden: an upgrade must read what this version wrote. */
+    /** Fixes the stored form, since later versions have to read what this version has written. */
     @Test
     void storedFormIsTheDocumentedOne() {
         assertEquals(
@@ -72,7 +72,7 @@
         assertEquals(List.of(), log.stage(20, List.of(), Set.of()));
     }
 
-    /** What was staged for a round that never was committed is forgotten. */
+    /** Changes that are staged for a round take effect only when it is committed. */
     @Test
     void stagedChangesCountOnlyOnceCommitted() {
         log.stage(17, List.of(recall(17, 0, 1)), Set.of());
@@ -90,7 +90,7 @@
         assertEquals(20, log.all().size());
     }
 
-    /** There is room for many recalls, and then for none: what is under way stays bounded. */
+    /** Many recalls fit, but their number and size are bounded. */
     @Test
     void recordsAreBounded() {
         int round = 1;
--- a/src/test/java/org/springmill/control/borrowing/VictimSelectionTest.java
+++ b/src/test/java/org/springmill/control/borrowing/VictimSelectionTest.java
@@ -17,7 +17,7 @@
 import org.springmill.protocol.Priority;
 import org.springmill.protocol.Resources;
 
-/** Which tasks of one machine are stopped. */
+/** Checks which tasks of a machine are chosen for preemption. */
 class VictimSelectionTest {
     private static Resources gpus(double gpus) {
         return new Resources(0, gpus, 0);
@@ -46,7 +46,7 @@
         assertEquals(60, choice.costSeconds());
     }
 
-    /** Guards against small tasks that are stopped although the large one after them suffices. */
+    /** Guards against stopping small tasks although a large one that is chosen later suffices. */
     @Test
     void whatIsNotNeededInTheEndIsLeftOut() {
         Choice<String> choice =
@@ -69,8 +69,8 @@
     }
 
     /**
-     * Against a search through all choices: greedy finds one whenever there is one, none of its
-     * victims is to spare, and it costs at most three times the least.
+     * Compares with an exhaustive search: the greedy algorithm finds a choice whenever there is
+     * one, none of its victims is unneeded, and its cost is at most three times the minimum.
      */
     @Property(tries = 300, seed = "7")
     void greedyChoiceIsCloseToTheBest(
