--- a/src/main/java/org/springmill/control/borrowing/RecallProgress.java
+++ b/src/main/java/org/springmill/control/borrowing/RecallProgress.java
@@ -84,10 +84,14 @@
     /** The only place where the state changes; false if the transition is illegal. */
     private boolean transition(State next, double now) {
         if (!state.mayTransitionTo(next)) {
-            LOG.error("recall {}: illegal transition {} -> {}", recall.key(), state, next);
+            LOG.error(
+                    "recall {}: illegal transition {} -> {}, state unchanged",
+                    recall.key(),
+                    state,
+                    next);
             return false;
         }
-        LOG.debug("recall {} on {}: {} -> {}", recall.key(), recall.machine(), state, next);
+        LOG.debug("recall {} on machine {}: {} -> {}", recall.key(), recall.machine(), state, next);
         state = next;
         deadline =
                 switch (next) {
--- a/src/test/java/org/springmill/control/borrowing/HoldDownTest.java
+++ b/src/test/java/org/springmill/control/borrowing/HoldDownTest.java
@@ -68,10 +68,10 @@
     @Test
     void shortWorkIsAdmittedOnceTheGapIsKnown() {
         holdDown.recordRecall(TYPE, 10, 60, 0);
-        assertFalse(holdDown.admitsShortWork(TYPE, 1, 0), "nothing is known of gaps");
+        assertFalse(holdDown.admitsShortWork(TYPE, 1, 0), "no idle time is known");
         holdDown.heldCapacityUsed(TYPE, 10, 12, 22);
         assertTrue(holdDown.admitsShortWork(TYPE, 5, 0));
-        assertFalse(holdDown.admitsShortWork(TYPE, 5, 6), "too little of the gap is left");
-        assertFalse(holdDown.admitsShortWork(TYPE, 0, 0), "services have no end");
+        assertFalse(holdDown.admitsShortWork(TYPE, 5, 6), "too little idle time is left");
+        assertFalse(holdDown.admitsShortWork(TYPE, 0, 0), "services do not end");
     }
 }
--- a/src/test/java/org/springmill/control/borrowing/VictimSelectionTest.java
+++ b/src/test/java/org/springmill/control/borrowing/VictimSelectionTest.java
@@ -114,7 +114,7 @@
                 tasks.stream().filter(task -> choice.victims().contains(task.task())).toList();
         double freed = chosen.stream().mapToDouble(task -> task.frees().gpus()).sum();
         for (Candidate<String> task : chosen) {
-            assertTrue(freed - task.frees().gpus() < need, task + " is to spare");
+            assertTrue(freed - task.frees().gpus() < need, task + " is not needed");
         }
     }
 }
