--- a/src/main/java/org/springmill/control/borrowing/HoldDown.java
+++ b/src/main/java/org/springmill/control/borrowing/HoldDown.java
@@ -69,11 +69,11 @@
      *
      * @param costSeconds average lost work of the victims plus the time until the recall was
      *     settled
-     * @param loanSeconds how long the recalled capacity had been borrowed
+     * @param borrowedSeconds how long the recalled capacity had been borrowed
      * @param now in seconds on the event loop's clock
      */
     public void recordRecall(
-            String machineType, double costSeconds, double loanSeconds, double now) {
+            String machineType, double costSeconds, double borrowedSeconds, double now) {
         Estimate estimate = estimates.computeIfAbsent(machineType, t -> new Estimate());
         double decayed = decayed(estimate, now);
         boolean newWave = now - estimate.recalledAt > waveSeconds;
@@ -82,7 +82,7 @@
             estimate.secondsAddedByWave = 0;
         }
         double added = ratio * costSeconds;
-        if (loanSeconds < estimate.secondsBeforeWave) {
+        if (borrowedSeconds < estimate.secondsBeforeWave) {
             // The capacity was borrowed too early, so the hold-down doubles, as in exponential
             // backoff.
             added = Math.max(added, estimate.secondsBeforeWave);
--- a/src/test/java/org/springmill/control/borrowing/HoldDownTest.java
+++ b/src/test/java/org/springmill/control/borrowing/HoldDownTest.java
@@ -9,11 +9,11 @@
 /** Checks for how long released capacity may not be borrowed again. */
 class HoldDownTest {
     private static final String TYPE = "large";
-    private static final double HALF_LIFE = 100;
-    private static final double LONGEST = 30;
-    private static final double WAVE = 5;
+    private static final double HALF_LIFE_SECONDS = 100;
+    private static final double MAX_SECONDS = 30;
+    private static final double WAVE_SECONDS = 5;
 
-    private final HoldDown holdDown = new HoldDown(HALF_LIFE, 1, LONGEST, WAVE);
+    private final HoldDown holdDown = new HoldDown(HALF_LIFE_SECONDS, 1, MAX_SECONDS, WAVE_SECONDS);
 
     @Test
     void isZeroWithoutRecallsAndForOtherMachineTypes() {
@@ -23,11 +23,11 @@
     }
 
     @Test
-    void isWhatARecallCostAndDecays() {
+    void equalsTheCostOfARecallAndDecays() {
         holdDown.recordRecall(TYPE, 10, 60, 0);
         assertEquals(10, holdDown.seconds(TYPE, 0));
-        assertEquals(5, holdDown.seconds(TYPE, HALF_LIFE), 1e-9);
-        assertEquals(0, holdDown.seconds(TYPE, 10 * HALF_LIFE));
+        assertEquals(5, holdDown.seconds(TYPE, HALF_LIFE_SECONDS), 1e-9);
+        assertEquals(0, holdDown.seconds(TYPE, 10 * HALF_LIFE_SECONDS));
     }
 
     @Test
@@ -39,11 +39,11 @@
     }
 
     @Test
-    void wavesAddUpToTheLongest() {
+    void wavesAddUpToTheMaximum() {
         for (int i = 0; i < 10; i++) {
             holdDown.recordRecall(TYPE, 10, 60, 20.0 * i);
         }
-        assertEquals(LONGEST, holdDown.seconds(TYPE, 180));
+        assertEquals(MAX_SECONDS, holdDown.seconds(TYPE, 180));
     }
 
     /**
@@ -51,14 +51,14 @@
      * each of them and recalled soon after, at a cost too low to raise the hold-down.
      */
     @Test
-    void loanThatWasRecalledTooSoonDoublesIt() {
+    void recallSoonerThanTheHoldDownDoublesIt() {
         holdDown.recordRecall(TYPE, 10, 60, 0);
         holdDown.recordRecall(TYPE, 1, 2, 20);
         assertTrue(holdDown.seconds(TYPE, 20) > 17, holdDown.seconds(TYPE, 20) + " s");
     }
 
     @Test
-    void roomThatWasUsedByWhomItWasHeldForKeepsItUp() {
+    void useOfHeldCapacityByABeneficiaryStopsTheDecay() {
         holdDown.recordRecall(TYPE, 10, 60, 0);
         double before = holdDown.seconds(TYPE, 40);
         holdDown.heldCapacityUsed(TYPE, 40, 8, 48);
@@ -66,7 +66,7 @@
     }
 
     @Test
-    void shortWorkIsAdmittedOnceTheGapIsKnown() {
+    void shortWorkIsAdmittedOnceAnIdleTimeIsKnown() {
         holdDown.recordRecall(TYPE, 10, 60, 0);
         assertFalse(holdDown.admitsShortWork(TYPE, 1, 0), "no idle time is known");
         holdDown.heldCapacityUsed(TYPE, 10, 12, 22);
--- a/src/test/java/org/springmill/control/borrowing/RecallLogTest.java
+++ b/src/test/java/org/springmill/control/borrowing/RecallLogTest.java
@@ -58,7 +58,7 @@
     }
 
     @Test
-    void settledRecallsAreTakenOutAndEmptyRecordsDeleted() {
+    void settledRecallsAreRemovedAndEmptyRecordsDeleted() {
         Recall first = recall(17, 0, 1);
         Recall second = recall(17, 1, 1);
         assertEquals(1, log.stage(17, List.of(first, second), Set.of()).size());
--- a/src/test/java/org/springmill/control/borrowing/VictimSelectionTest.java
+++ b/src/test/java/org/springmill/control/borrowing/VictimSelectionTest.java
@@ -33,7 +33,7 @@
     }
 
     @Test
-    void lowestPriorityGoesFirstAndThenWhatCostsLeast() {
+    void lowestPriorityIsChosenFirstAndThenLowestCost() {
         Choice<String> choice =
                 choose(
                                 2,
@@ -48,7 +48,7 @@
 
     /** Guards against stopping small tasks although a large one that is chosen later suffices. */
     @Test
-    void whatIsNotNeededInTheEndIsLeftOut() {
+    void victimThatALaterOneMakesUnneededIsLeftOut() {
         Choice<String> choice =
                 choose(
                                 4,
@@ -88,7 +88,7 @@
             assertTrue(
                     choice.get().costSeconds() <= 3 * best,
                     choice.get().costSeconds() + " to " + best);
-            assertNothingToSpare(tasks, choice.get(), need);
+            assertNoUnneededVictim(tasks, choice.get(), need);
         }
     }
 
@@ -108,7 +108,7 @@
         return best;
     }
 
-    private static void assertNothingToSpare(
+    private static void assertNoUnneededVictim(
             List<Candidate<String>> tasks, Choice<String> choice, int need) {
         List<Candidate<String>> chosen =
                 tasks.stream().filter(task -> choice.victims().contains(task.task())).toList();
