--- a/src/main/java/org/springmill/control/recall/RecallDecisions.java
+++ b/src/main/java/org/springmill/control/recall/RecallDecisions.java
@@ -36,7 +36,10 @@
         this.grace = grace;
     }
 
-    /** Decides recalls, reserves what they free and marks their victims; none if no plan is due. */
+    /**
+     * Decides recalls, reserves the capacity they free and marks their victims; empty if no plan is
+     * due.
+     */
     List<ActiveRecall> decide(long round, double now) {
         if (!planner.isDue()) {
             return List.of();
@@ -49,12 +52,17 @@
                 withoutVictims.add(plan);
                 continue;
             }
-            double saveSeconds =
+            double checkpointTimeoutSeconds =
                     grace.checkpointTimeoutSeconds(grace.longestCheckpointSeconds(plan.victims()));
-            Recall recall = recall(plan, round, recalls.size(), loop.timeOfDay() + saveSeconds);
+            Recall recall =
+                    recall(
+                            plan,
+                            round,
+                            recalls.size(),
+                            loop.timeOfDay() + checkpointTimeoutSeconds);
             if (recallLog.fits(recalls, recall)) {
                 recalls.add(recall);
-                decided.add(activate(plan, recall, saveSeconds, now));
+                decided.add(activate(plan, recall, checkpointTimeoutSeconds, now));
             }
         }
         reservations.setExpectedCapacity(withoutVictims);
@@ -74,11 +82,12 @@
                 graceEndsAt);
     }
 
-    private ActiveRecall activate(RecallPlan plan, Recall recall, double saveSeconds, double now) {
+    private ActiveRecall activate(
+            RecallPlan plan, Recall recall, double checkpointTimeoutSeconds, double now) {
         double lost = average(plan.victims(), victim -> grace.lostWorkSeconds(victim, now));
         double ran = average(plan.victims(), victim -> victim.runningSeconds(now));
         RecallProgress progress =
-                new RecallProgress(recall, saveSeconds, grace.endTimeoutSeconds());
+                new RecallProgress(recall, checkpointTimeoutSeconds, grace.endTimeoutSeconds());
         ActiveRecall active =
                 new ActiveRecall(
                         progress,
@@ -88,7 +97,7 @@
                         lost,
                         ran,
                         now);
-        victimStops.mark(active);
+        victimStops.markRecalled(active);
         reservations.add(active);
         return active;
     }
--- a/src/main/java/org/springmill/control/recall/RecallSettlement.java
+++ b/src/main/java/org/springmill/control/recall/RecallSettlement.java
@@ -37,18 +37,25 @@
         if (!recall.progress().settle(now)) {
             return;
         }
-        LOG.debug("recall {} for {}: {}", recall.key(), recall.beneficiary().id(), outcome);
+        LOG.debug(
+                "recall {} for job {} on machine {} settled: {}",
+                recall.key(),
+                recall.beneficiary().id(),
+                recall.machine().name(),
+                outcome);
         reservations.remove(recall);
         settledKeys.add(recall.key());
         metrics.recordRecallOutcome(outcome);
         if (outcome != Outcome.TAKEN_BACK && !recall.victims().isEmpty()) {
             double cost = recall.lostSeconds() + now - recall.decidedAt();
-            heldDownCapacity.recalled(
+            heldDownCapacity.recordRecall(
                     recall.beneficiary(), recall.machine(), cost, recall.borrowedSeconds(), now);
         }
     }
 
-    /** Has the record of a recall deleted that was never taken over from an earlier leader. */
+    /**
+     * Marks the record of an earlier leader's recall for deletion; that recall is not taken over.
+     */
     void deleteRecord(String key) {
         settledKeys.add(key);
     }
@@ -58,7 +65,7 @@
         return settledKeys;
     }
 
-    /** The records are deleted. */
+    /** Called once the round that deletes the records is committed. */
     void committed() {
         settledKeys.clear();
     }
--- a/src/main/java/org/springmill/control/recall/VictimStops.java
+++ b/src/main/java/org/springmill/control/recall/VictimStops.java
@@ -31,16 +31,16 @@
         this.commandSender = commandSender;
     }
 
-    /** Counts a recall's victims as leaving, so that no other recall chooses them. */
-    void mark(ActiveRecall recall) {
+    /** Marks a recall's victims as recalled, so that no other recall chooses them. */
+    void markRecalled(ActiveRecall recall) {
         for (TaskAttempt victim : recall.victims()) {
             victim.markRecalled(true);
             fleet.clusterState().recordStopRequested(victim);
         }
     }
 
-    /** Counts those victims of a recall that were not sent a stop command as staying. */
-    void unmark(ActiveRecall recall) {
+    /** Removes the mark from those victims of a recall that were not sent a stop command. */
+    void unmarkRecalled(ActiveRecall recall) {
         for (TaskAttempt victim : recall.victims()) {
             if (fleet.clusterState().retractStopRequest(victim)) {
                 victim.markRecalled(false);
@@ -53,7 +53,7 @@
         for (TaskAttempt victim : recall.victims()) {
             metrics.recordTaskRecalled();
             LOG.debug(
-                    "preempting {} for {} on {}",
+                    "stopping recalled task {} for job {} on machine {}",
                     victim.claim().task(),
                     recall.beneficiary().id(),
                     recall.machine().name());
--- a/src/main/java/org/springmill/control/scheduling/ImmediatePreemption.java
+++ b/src/main/java/org/springmill/control/scheduling/ImmediatePreemption.java
@@ -17,7 +17,7 @@
 import org.springmill.protocol.Resources;
 import org.springmill.protocol.Submission;
 
-/** Stops the victims of a preemption at once, without a record of the decision. */
+/** Stops the victims of a preemption immediately, without a stored record of the decision. */
 public final class ImmediatePreemption implements PreemptionPolicy {
     private static final Logger LOG = LoggerFactory.getLogger(ImmediatePreemption.class);
 
@@ -26,8 +26,10 @@
     private final Timeouts timeouts;
     private final PreemptionVictims victims;
 
-    /** Capacity that this round frees already, or counts on, for one task or another. */
-    private final Map<Machine, Resources> plannedByMachine = new HashMap<>();
+    /**
+     * Capacity on each machine that this round has assigned to tasks for which it frees capacity.
+     */
+    private final Map<Machine, Resources> assignedByMachine = new HashMap<>();
 
     /** Creates the policy of one leader's term. */
     public ImmediatePreemption(Fleet fleet, Placement placement, Timeouts timeouts) {
@@ -37,7 +39,9 @@
         this.victims = new PreemptionVictims(fleet.clusterState());
     }
 
-    /** The tasks of one waiting job for which capacity is freed in this round. */
+    /**
+     * How many tasks of a waiting job this round has to free capacity for, and for how many it has.
+     */
     private static final class Demand {
         private final Job job;
         private final int wantedTasks;
@@ -78,7 +82,7 @@
             return;
         }
         List<Machine> machines = placement.schedulableMachines(now);
-        plannedByMachine.clear();
+        assignedByMachine.clear();
         fleet.clusterState().releaseLimitReservations();
         ExhaustedEquivalenceClasses exhausted =
                 new ExhaustedEquivalenceClasses(placement.jobsWithReservedCapacity(machines, now));
@@ -103,9 +107,9 @@
     }
 
     /**
-     * For how many tasks of a job capacity is missing, within what its team's maximum quota leaves
-     * beside the part held for earlier jobs. Placement counts the same way; when this did not,
-     * tasks were preempted endlessly for a job that placement then refused.
+     * Number of a job's waiting tasks that its team's maximum quota allows, without the part
+     * reserved for earlier jobs. Placement has to count in the same way: when it did not, tasks
+     * were preempted again and again for a job that placement then rejected.
      */
     private int wantedTasks(Job job) {
         return Math.min(
@@ -129,13 +133,13 @@
     private void preemptForNextTask(Demand demand, Machine machine, double now) {
         Job job = demand.job;
         List<TaskAttempt> chosen = victims(demand, machine, now).orElseThrow();
-        plannedByMachine.put(machine, planned(machine).plus(job.spec()));
+        assignedByMachine.put(machine, assignedCapacity(machine).plus(job.spec()));
         double checkpointSeconds = 0;
         for (TaskAttempt victim : chosen) {
             Submission spec = victim.job().spec();
             checkpointSeconds = Math.max(checkpointSeconds, spec.checkpointSaveSeconds());
             LOG.debug(
-                    "preempting {} of {} for {} of {} on {}",
+                    "preempting task {} of team {} for job {} of team {} on machine {}",
                     victim.claim().task(),
                     spec.team(),
                     job.id(),
@@ -165,10 +169,10 @@
 
     private Optional<List<TaskAttempt>> victims(Demand demand, Machine machine, double now) {
         return victims.select(
-                demand.job, demand.nextIsGuaranteed(), machine, planned(machine), now);
+                demand.job, demand.nextIsGuaranteed(), machine, assignedCapacity(machine), now);
     }
 
-    private Resources planned(Machine machine) {
-        return plannedByMachine.getOrDefault(machine, Resources.NONE);
+    private Resources assignedCapacity(Machine machine) {
+        return assignedByMachine.getOrDefault(machine, Resources.NONE);
     }
 }
--- a/src/main/java/org/springmill/control/scheduling/PlacementPass.java
+++ b/src/main/java/org/springmill/control/scheduling/PlacementPass.java
@@ -36,7 +36,8 @@
     record Round(long number, int limit, List<Machine> machines, double startedAt) {}
 
     /**
-     * @param jobsWithReservedCapacity jobs that may use capacity which others of their size may not
+     * @param jobsWithReservedCapacity jobs that may use capacity that is unavailable to other jobs
+     *     of the same size
      */
     PlacementPass(
             Fleet fleet,
@@ -58,7 +59,7 @@
         return placed;
     }
 
-    /** The jobs that were not considered, since the round was full before their turn. */
+    /** The jobs that were not considered because the round was full before it reached them. */
     Set<Job> skipped() {
         return skipped;
     }
@@ -77,7 +78,7 @@
             return;
         }
         if (exhausted.covers(job)) {
-            holdQuota(job);
+            reserveQuota(job);
             return;
         }
         MachineRanking ranking =
@@ -102,8 +103,8 @@
         return usage(job).isWithinLimit(job.spec());
     }
 
-    /** Keeps part of the team's maximum quota for replicas that found no machine. */
-    private void holdQuota(Job job) {
+    /** Reserves part of the team's maximum quota for replicas that could not be placed. */
+    private void reserveQuota(Job job) {
         if (job.spec().isService()) {
             usage(job).reserveLimit(job.spec(), job.waitingTaskCount());
         }
@@ -114,7 +115,7 @@
             Optional<TaskAttempt> attempt = placeNextTask(job, ranking);
             if (attempt.isEmpty()) {
                 exhausted.add(job);
-                holdQuota(job);
+                reserveQuota(job);
                 reservations.reserve(job, round.machines(), round.startedAt());
                 return;
             }
--- a/src/main/java/org/springmill/control/scheduling/PlacementRounds.java
+++ b/src/main/java/org/springmill/control/scheduling/PlacementRounds.java
@@ -21,28 +21,34 @@
 public final class PlacementRounds {
     private static final Logger LOG = LoggerFactory.getLogger(PlacementRounds.class);
 
-    /** Takes the outcomes of rounds. */
+    /** Is notified of the outcomes of rounds. */
     public interface Listener {
         /**
          * Called once a round is committed and applied to the cluster state.
          *
-         * @param since when its commit began, in seconds on the event loop's clock
+         * @param commitStartedAt when its commit began, in seconds on the event loop's clock
          */
-        void committed(List<TaskAttempt> claimed, List<TaskAttempt> ended, double since);
+        void committed(List<TaskAttempt> claimed, List<TaskAttempt> ended, double commitStartedAt);
 
-        /** Called if a round's transaction is refused: another leader has taken over. */
+        /**
+         * Called if the key-value store rejects a round's transaction because another leader has
+         * taken over.
+         */
         void refused();
     }
 
     /**
      * What one round commits.
      *
-     * @param attached writes of the preemption policy
+     * @param policyWrites writes of the preemption policy
      */
     private record Round(
-            long number, List<TaskAttempt> claimed, List<TaskAttempt> ended, List<Write> attached) {
+            long number,
+            List<TaskAttempt> claimed,
+            List<TaskAttempt> ended,
+            List<Write> policyWrites) {
         boolean isEmpty() {
-            return ended.isEmpty() && claimed.isEmpty() && attached.isEmpty();
+            return ended.isEmpty() && claimed.isEmpty() && policyWrites.isEmpty();
         }
 
         List<Claim> claims() {
@@ -77,7 +83,7 @@
     /**
      * Creates the rounds of one leader's term.
      *
-     * @param minIntervalSeconds least time between the beginnings of two rounds
+     * @param minIntervalSeconds minimum time between the starts of two rounds
      */
     public PlacementRounds(
             Fleet fleet,
@@ -105,8 +111,8 @@
     }
 
     /**
-     * Requests a round: at once if none ran lately, else after the interval that the key-value
-     * store's rate limit allows.
+     * Requests a round. It runs as soon as the minimum interval since the start of the last round
+     * has passed, which follows from the key-value store's rate limit.
      */
     public void request() {
         roundRequested = true;
@@ -137,38 +143,38 @@
         preemption.release(ended);
         long number = roundLog.nextNumber();
         List<TaskAttempt> claimed = placement.place(number, roundLog.claimsBeside(ended.size()));
-        List<Write> attached = preemption.decide(number, claimed);
-        return new Round(number, claimed, ended, attached);
+        List<Write> policyWrites = preemption.decide(number, claimed);
+        return new Round(number, claimed, ended, policyWrites);
     }
 
     private void commit(Round round) {
         committing = true;
-        double since = loop.now();
+        double commitStartedAt = loop.now();
         roundLog.append(
                 round.claims(),
                 round.ends(),
-                round.attached(),
+                round.policyWrites(),
                 () -> {
                     committing = false;
                     LOG.debug(
-                            "round {}: {} claims, {} ends",
+                            "round {} committed: {} claims, {} ends",
                             round.number(),
                             round.claimed().size(),
                             round.ended().size());
-                    applyCommitted(round, since);
+                    applyCommitted(round, commitStartedAt);
                 },
                 listener::refused);
     }
 
-    /** Postpones a round that would hold only ends on which nothing depends. */
+    /** Postpones a round that would commit only ends on which nothing depends; true if it did. */
     private boolean postponeCompletions() {
         if (!fleet.clusterState().hasEnded()) {
             return false;
         }
-        boolean tasksWait = placement.anyWaiting();
+        boolean hasWaitingTasks = placement.hasWaitingTasks();
         double seconds =
                 completionBatching.postponeSeconds(
-                        fleet.clusterState().ended(), tasksWait, loop.now());
+                        fleet.clusterState().ended(), hasWaitingTasks, loop.now());
         if (seconds == 0) {
             return false;
         }
@@ -184,12 +190,12 @@
         request();
     }
 
-    private void applyCommitted(Round round, double since) {
+    private void applyCommitted(Round round, double commitStartedAt) {
         double now = loop.now();
         round.ended().forEach(attempt -> close(attempt, now));
         round.claimed().forEach(attempt -> confirmClaim(attempt, now));
         preemption.committed();
-        listener.committed(round.claimed(), round.ended(), since);
+        listener.committed(round.claimed(), round.ended(), commitStartedAt);
         request();
     }
 
@@ -207,7 +213,8 @@
                 attempt.machine().state() == Machine.State.UP
                         && !attempt.machine().hasPreemptionNotice();
         if (!attempt.job().isActive() || !machineIsUsable) {
-            // Cancelled or preempted during the commit: nothing was sent, so it ends here.
+            // The job or the machine became unusable during the commit. No start was sent, so the
+            // attempt ends here.
             fleet.end(attempt, ExitCause.STOPPED);
         }
     }
--- a/src/test/java/org/springmill/control/scheduling/CompletionBatchingTest.java
+++ b/src/test/java/org/springmill/control/scheduling/CompletionBatchingTest.java
@@ -16,7 +16,7 @@
 import org.springmill.protocol.TaskId;
 import org.springmill.protocol.WorkerMessages.ExitCause;
 
-/** Which ends of attempts are committed at once and which may be batched into a later round. */
+/** Checks which ends of attempts are committed immediately and which may wait for a later round. */
 class CompletionBatchingTest {
     private static final double ROUND_INTERVAL_SECONDS = 0.25;
     private static final double NOW = 100;
@@ -51,13 +51,13 @@
         "a task waits to be placed,                   5, 1, DONE, 0.0, false, true, 0.0",
     })
     void endsAreBatchedOnlyWhileNothingDependsOnThem(
-            String situation,
+            String description,
             int tasks,
             int endedTasks,
             ExitCause cause,
             double secondsAgo,
             boolean cancelled,
-            boolean tasksWait,
+            boolean hasWaitingTasks,
             double expectedSeconds)
             throws MalformedMessageException {
         Job job = job(tasks);
@@ -70,6 +70,9 @@
         }
         CompletionBatching batching = new CompletionBatching(ROUND_INTERVAL_SECONDS);
         assertEquals(
-                expectedSeconds, batching.postponeSeconds(ended, tasksWait, NOW), 1e-9, situation);
+                expectedSeconds,
+                batching.postponeSeconds(ended, hasWaitingTasks, NOW),
+                1e-9,
+                description);
     }
 }
