--- a/src/main/java/org/springmill/control/admission/AdmissionControl.java
+++ b/src/main/java/org/springmill/control/admission/AdmissionControl.java
@@ -128,8 +128,7 @@
         }
         loggedAt.put(reason, now);
         LOG.warn(
-                "submissions are refused and users told to retry: {} ({} refused for this reason"
-                        + " so far, {} active jobs)",
+                "submissions are refused: {} ({} so far; {} active jobs)",
                 reason.text(),
                 refused(reason),
                 activeJobs.jobCount());
