--- a/src/main/java/org/springmill/control/admission/ActiveJobs.java
+++ b/src/main/java/org/springmill/control/admission/ActiveJobs.java
@@ -60,7 +60,7 @@
     }
 
     /** Removes a job that has ended. */
-    public void ended(String id, double now) {
+    public void removeEnded(String id, double now) {
         Submission job = jobs.remove(id);
         if (job != null) {
             count(job, -1);
--- a/src/main/java/org/springmill/control/admission/AdmissionControl.java
+++ b/src/main/java/org/springmill/control/admission/AdmissionControl.java
@@ -34,7 +34,7 @@
     private final LongSupplier endedRecords;
     private final double maxQueueSeconds;
     private final Map<AdmissionReason, Double> loggedAt = new EnumMap<>(AdmissionReason.class);
-    private final Map<AdmissionReason, Integer> refused = new EnumMap<>(AdmissionReason.class);
+    private final Map<AdmissionReason, Integer> refusedCount = new EnumMap<>(AdmissionReason.class);
 
     /**
      * Creates the admission control of one controller.
@@ -107,7 +107,7 @@
      *
      * @param queueSeconds expected wait of its record for the key-value store now
      */
-    public AdmissionRefusal expired(double queueSeconds) {
+    public AdmissionRefusal refuseExpired(double queueSeconds) {
         return recordRefusal(AdmissionReason.QUEUE, Math.max(maxQueueSeconds, queueSeconds));
     }
 
@@ -116,7 +116,7 @@
     }
 
     private AdmissionRefusal recordRefusal(AdmissionReason reason, double drainSeconds) {
-        refused.merge(reason, 1, Integer::sum);
+        refusedCount.merge(reason, 1, Integer::sum);
         log(reason);
         return new AdmissionRefusal(reason, retryAfter.seconds(drainSeconds));
     }
@@ -130,7 +130,7 @@
         LOG.warn(
                 "submissions are refused: {} ({} so far; {} active jobs)",
                 reason.text(),
-                refused(reason),
+                refusedCount(reason),
                 activeJobs.jobCount());
     }
 
@@ -139,8 +139,8 @@
     }
 
     /** Number of submissions refused for a reason so far. */
-    public int refused(AdmissionReason reason) {
-        return refused.getOrDefault(reason, 0);
+    public int refusedCount(AdmissionReason reason) {
+        return refusedCount.getOrDefault(reason, 0);
     }
 
     /** Bytes of memory that active jobs and records of ended jobs need. */
--- a/src/main/java/org/springmill/control/admission/StoreRateShares.java
+++ b/src/main/java/org/springmill/control/admission/StoreRateShares.java
@@ -100,12 +100,12 @@
     }
 
     @Override
-    public void sent(int writes) {
+    public void recordSent(int writes) {
         writeRate.add(writes, loop.now());
     }
 
     @Override
-    public void queued(int writes) {
+    public void recordQueued(int writes) {
         queuedWrites = writes;
     }
 
--- a/src/main/java/org/springmill/control/api/SubmissionHandler.java
+++ b/src/main/java/org/springmill/control/api/SubmissionHandler.java
@@ -285,7 +285,7 @@
     /** The record was not sent in time, or the key-value store is unreachable. */
     private void commitAbandoned(PendingSubmission submitted) {
         if (store.isReachable()) {
-            AdmissionRefusal refusal = admission.expired(commits.expectedWaitSeconds());
+            AdmissionRefusal refusal = admission.refuseExpired(commits.expectedWaitSeconds());
             JobStatusResponses.respondRefused(submitted.call(), refusal);
         } else {
             JobStatusResponses.respondUnavailable(
--- a/src/main/java/org/springmill/control/autoscaling/Autoscaler.java
+++ b/src/main/java/org/springmill/control/autoscaling/Autoscaler.java
@@ -103,7 +103,7 @@
     }
 
     /** Restarts the heartbeat timeouts of all machines after a pause of this process. */
-    public void resumed() {
+    public void processResumed() {
         heartbeats.restart(loop.now());
     }
 
--- a/src/main/java/org/springmill/control/autoscaling/CloudClient.java
+++ b/src/main/java/org/springmill/control/autoscaling/CloudClient.java
@@ -59,7 +59,7 @@
 
     /** Seconds until the rate limit allows this many requests. */
     double secondsUntil(int requests) {
-        return rateLimit.waitFor(requests, loop.now());
+        return rateLimit.waitSeconds(requests, loop.now());
     }
 
     /** Sends a GET request as soon as the rate limit allows it. */
--- a/src/main/java/org/springmill/control/borrowing/Entitlement.java
+++ b/src/main/java/org/springmill/control/borrowing/Entitlement.java
@@ -17,21 +17,21 @@
      * preempted task waits again, so the demand does not change. In every guaranteed resource that
      * the preempted tasks use, the team's usage has to stay at or above the guarantee: an excess in
      * one resource does not compensate for another. If they use no guaranteed resource, {@link
-     * #hasLoans} decides.
+     * #usesFullGuarantee} decides.
      *
-     * @param runs resources that its tasks use, without those that are already being stopped
+     * @param usage resources that its tasks use, without those that are already being stopped
      * @param loss resources of the tasks that are preempted
      */
-    public static boolean coversLoss(Team team, Resources runs, Resources loss) {
+    public static boolean keepsEntitlement(Team team, Resources usage, Resources loss) {
         if (!team.hasGuarantee()) {
             return true;
         }
         boolean losesCpus = team.cpus() > 0 && loss.cpus() > 0;
         boolean losesGpus = team.gpus() > 0 && loss.gpus() > 0;
         if (!losesCpus && !losesGpus) {
-            return hasLoans(team, runs);
+            return usesFullGuarantee(team, usage);
         }
-        Resources left = runs.minus(loss);
+        Resources left = usage.minus(loss);
         boolean cpusStay = left.cpus() >= team.cpus() - Resources.ROUNDING;
         boolean gpusStay = left.gpus() >= team.gpus() - Resources.ROUNDING;
         return (!losesCpus || cpusStay) && (!losesGpus || gpusStay);
@@ -41,7 +41,7 @@
      * Whether a team uses all of its guarantee, or more, in any guaranteed resource. For a team
      * without a guarantee, whether it uses anything, since all of that is borrowed.
      */
-    public static boolean hasLoans(Team team, Resources runs) {
+    public static boolean usesFullGuarantee(Team team, Resources runs) {
         if (!team.hasGuarantee()) {
             return runs.cpus() > Resources.ROUNDING || runs.gpus() > Resources.ROUNDING;
         }
--- a/src/main/java/org/springmill/control/cluster/Machine.java
+++ b/src/main/java/org/springmill/control/cluster/Machine.java
@@ -397,7 +397,7 @@
     }
 
     /** Whether a task fits into the free resources minus those that it may not use. */
-    public boolean fitsBeside(Resources excluded, Submission spec) {
+    public boolean fitsExcluding(Resources excluded, Submission spec) {
         Resources left = excluded.equals(Resources.NONE) ? free() : free().minus(excluded);
         return left.canFit(spec);
     }
--- a/src/main/java/org/springmill/control/cluster/TeamUsage.java
+++ b/src/main/java/org/springmill/control/cluster/TeamUsage.java
@@ -69,12 +69,12 @@
 
     /** Whether the team uses more than its guarantee, so that others may preempt or recall it. */
     boolean isAboveGuarantee() {
-        return Entitlement.hasLoans(team, usedUnlessStopping());
+        return Entitlement.usesFullGuarantee(team, usedUnlessStopping());
     }
 
     /** Whether the team keeps its entitlement if attempts that use {@code loss} are stopped. */
     public boolean keepsEntitlementWithout(Resources loss) {
-        return Entitlement.coversLoss(team, usedUnlessStopping(), loss);
+        return Entitlement.keepsEntitlement(team, usedUnlessStopping(), loss);
     }
 
     /**
@@ -83,7 +83,7 @@
      * @param confirmed resources of these attempts
      */
     public boolean keepsEntitlementWithout(Resources loss, Resources confirmed) {
-        return Entitlement.coversLoss(team, confirmed, loss);
+        return Entitlement.keepsEntitlement(team, confirmed, loss);
     }
 
     /** How many more tasks the limit allows. */
--- a/src/main/java/org/springmill/control/controller/CommittedRoundHandler.java
+++ b/src/main/java/org/springmill/control/controller/CommittedRoundHandler.java
@@ -44,7 +44,7 @@
     }
 
     @Override
-    public void refused() {
+    public void rejected() {
         leadership.stepDown("a round was refused");
     }
 }
--- a/src/main/java/org/springmill/control/controller/Controller.java
+++ b/src/main/java/org/springmill/control/controller/Controller.java
@@ -233,7 +233,7 @@
     private void addListeners(Metrics metrics) {
         pauseDetector.onResume(this::resumed);
         directory.onChange(this::jobRecordChanged);
-        directory.onEvict(id -> activeJobs.ended(id, loop.now()));
+        directory.onEvict(id -> activeJobs.removeEnded(id, loop.now()));
         peers.onProgressUpdate(remoteProgress::receive);
         peers.onCongestionNotice(congested -> congestion.update(congested.queues(), loop.now()));
         peers.onUnresponsiveLeader(leadership::leaderRefusedConnection);
@@ -291,7 +291,7 @@
         if (record.active()) {
             activeJobs.add(record.submission());
         } else {
-            activeJobs.ended(record.id(), loop.now());
+            activeJobs.removeEnded(record.id(), loop.now());
         }
         leader.ifPresent(current -> current.jobRecordChanged(record));
     }
--- a/src/main/java/org/springmill/control/controller/ControllerGauges.java
+++ b/src/main/java/org/springmill/control/controller/ControllerGauges.java
@@ -50,7 +50,7 @@
         metrics.gauge("state_service_share", shares, StoreRateShares::current);
         for (AdmissionReason reason : AdmissionReason.values()) {
             String name = "submissions_refused_" + reason.name().toLowerCase(Locale.ROOT);
-            metrics.counter(name, admission, a -> a.refused(reason));
+            metrics.counter(name, admission, a -> a.refusedCount(reason));
         }
         metrics.gauge("cancellations", directory, JobDirectory::cancellationCount);
         metrics.gauge("moved_jobs_in_memory", directory, JobDirectory::archivedCount);
--- a/src/main/java/org/springmill/control/controller/Leader.java
+++ b/src/main/java/org/springmill/control/controller/Leader.java
@@ -153,7 +153,7 @@
      * missing.
      */
     void resumed() {
-        components.autoscaler().resumed();
+        components.autoscaler().processResumed();
     }
 
     /** Applies a job record that has changed, here or at another controller. */
--- a/src/main/java/org/springmill/control/history/ArchivedJobLookup.java
+++ b/src/main/java/org/springmill/control/history/ArchivedJobLookup.java
@@ -124,7 +124,7 @@
     private void drainQueue() {
         isDrainScheduled = false;
         while (!queuedIds.isEmpty()) {
-            double wait = rateLimit.waitFor(1, loop.now());
+            double wait = rateLimit.waitSeconds(1, loop.now());
             if (wait > 0) {
                 isDrainScheduled = true;
                 loop.after(wait, this::drainQueue);
--- a/src/main/java/org/springmill/control/scheduling/PlacementCost.java
+++ b/src/main/java/org/springmill/control/scheduling/PlacementCost.java
@@ -50,7 +50,7 @@
         if (!clusterState.teamUsage(job.spec().team()).hasGuarantee()) {
             unavailable = unavailable.plus(machine.allocation().headroom());
         }
-        return machine.fitsBeside(unavailable, job.spec());
+        return machine.fitsExcluding(unavailable, job.spec());
     }
 
     private static double avoidancePenalty(Job job, Machine machine, double now) {
--- a/src/main/java/org/springmill/control/scheduling/PlacementRounds.java
+++ b/src/main/java/org/springmill/control/scheduling/PlacementRounds.java
@@ -34,7 +34,7 @@
          * Called if the key-value store rejects a round's transaction because another leader has
          * taken over.
          */
-        void refused();
+        void rejected();
     }
 
     /**
@@ -142,7 +142,7 @@
         List<TaskAttempt> ended = fleet.clusterState().pollEnded(roundLog.endsPerRound());
         preemption.release(ended);
         long number = roundLog.nextNumber();
-        List<TaskAttempt> claimed = placement.place(number, roundLog.claimsBeside(ended.size()));
+        List<TaskAttempt> claimed = placement.place(number, roundLog.maxClaimsWith(ended.size()));
         List<Write> policyWrites = preemption.decide(number, claimed);
         return new Round(number, claimed, ended, policyWrites);
     }
@@ -163,7 +163,7 @@
                             round.ended().size());
                     applyCommitted(round, commitStartedAt);
                 },
-                listener::refused);
+                listener::rejected);
     }
 
     /** Postpones a round that would commit only ends on which nothing depends; true if it did. */
--- a/src/main/java/org/springmill/control/storage/CommitQueue.java
+++ b/src/main/java/org/springmill/control/storage/CommitQueue.java
@@ -141,7 +141,7 @@
 
     private void addQueuedWrites(int change) {
         queuedWrites += change;
-        share.queued(queuedWrites);
+        share.recordQueued(queuedWrites);
     }
 
     private void drain() {
@@ -162,15 +162,15 @@
     }
 
     private double waitSeconds(QueuedCommit next) {
-        double forCommits = commitLimit.waitFor(1, loop.now());
-        double forWrites = writeLimit.waitFor(next.writes(), loop.now());
+        double forCommits = commitLimit.waitSeconds(1, loop.now());
+        double forWrites = writeLimit.waitSeconds(next.writes(), loop.now());
         return Math.max(forCommits, forWrites);
     }
 
     private void consumeRate(QueuedCommit commit) {
         commitLimit.take(1, loop.now());
         writeLimit.take(commit.writes(), loop.now());
-        share.sent(commit.writes());
+        share.recordSent(commit.writes());
     }
 
     /**
--- a/src/main/java/org/springmill/control/storage/KeyValueStoreClient.java
+++ b/src/main/java/org/springmill/control/storage/KeyValueStoreClient.java
@@ -51,20 +51,20 @@
                     }
 
                     @Override
-                    public void sent(int writes) {}
+                    public void recordSent(int writes) {}
 
                     @Override
-                    public void queued(int writes) {}
+                    public void recordQueued(int writes) {}
                 };
 
         /** The current share, between 0 and 1. */
         double current();
 
         /** Called with the number of writes of each transaction that is sent. */
-        void sent(int writes);
+        void recordSent(int writes);
 
         /** Called with the number of queued writes whenever it has changed. */
-        void queued(int writes);
+        void recordQueued(int writes);
     }
 
     /** How a transaction ended. */
--- a/src/main/java/org/springmill/control/storage/RoundLog.java
+++ b/src/main/java/org/springmill/control/storage/RoundLog.java
@@ -112,7 +112,7 @@
     }
 
     /** Claims that fit into a round together with the given number of ends. */
-    public int claimsBeside(int ends) {
+    public int maxClaimsWith(int ends) {
         int bytesLeft = maxRoundBytes() - ends * StoredRound.ESTIMATED_END_BYTES;
         return maxItemsIn(bytesLeft, StoredRound.ESTIMATED_CLAIM_BYTES);
     }
--- a/src/main/java/org/springmill/control/storage/TokenBucket.java
+++ b/src/main/java/org/springmill/control/storage/TokenBucket.java
@@ -34,7 +34,7 @@
     }
 
     /** Seconds until this amount may be taken; amounts above the capacity need a full bucket. */
-    public double waitFor(double amount, double now) {
+    public double waitSeconds(double amount, double now) {
         refill(now);
         double missing = Math.min(amount, capacity) - tokens;
         return missing <= TOLERANCE ? 0 : missing / tokensPerSecond;
--- a/src/test/java/org/springmill/control/admission/MemoryBoundTest.java
+++ b/src/test/java/org/springmill/control/admission/MemoryBoundTest.java
@@ -91,7 +91,7 @@
         Submission earlier = job("red", Priority.LOW, 6, 1);
         activeJobs.add(earlier);
         assertTrue(!activeJobs.withinGuarantee(team, job("red", Priority.LOW, 3, 1)));
-        activeJobs.ended(earlier.id(), 1);
+        activeJobs.removeEnded(earlier.id(), 1);
         assertTrue(activeJobs.withinGuarantee(team, job("red", Priority.LOW, 3, 1)));
     }
 
@@ -113,7 +113,7 @@
                     expected.put(number, jobs[number]);
                 }
                 case 1 -> {
-                    counts.ended(jobs[number].id(), 1);
+                    counts.removeEnded(jobs[number].id(), 1);
                     expected.remove(number);
                 }
                 default -> {
--- a/src/test/java/org/springmill/control/admission/StoreRateSharesPropertyTest.java
+++ b/src/test/java/org/springmill/control/admission/StoreRateSharesPropertyTest.java
@@ -111,8 +111,8 @@
         }
 
         private void load(StoreRateShares target, int changes) {
-            target.queued(changes);
-            target.sent(changes);
+            target.recordQueued(changes);
+            target.recordSent(changes);
         }
 
         /** Sends a question to the leader and returns the delivery of the answer. */
--- a/src/test/java/org/springmill/control/admission/StoreRateSharesTest.java
+++ b/src/test/java/org/springmill/control/admission/StoreRateSharesTest.java
@@ -44,7 +44,7 @@
         StoreRateShares other = shares(3, false);
         leader.current();
         clock.run(1);
-        other.queued(30);
+        other.recordQueued(30);
         double lent = leader.lend("n-1", other.wantedLoan());
         other.borrow(1, clock.now(), lent);
         assertEquals(0.3, lent, TOLERANCE);
@@ -61,7 +61,7 @@
         StoreRateShares leader = shares(3, true);
         leader.current();
         clock.run(1);
-        leader.queued(40);
+        leader.recordQueued(40);
         assertEquals(0, leader.lend("n-1", 0.3), TOLERANCE);
         assertEquals(0.6, leader.current(), TOLERANCE);
     }
--- a/src/test/java/org/springmill/control/borrowing/EntitlementTest.java
+++ b/src/test/java/org/springmill/control/borrowing/EntitlementTest.java
@@ -35,6 +35,6 @@
         Team team = new Team("t", guaranteedCpus, 0, guaranteedGpus, 0);
         Resources runs = new Resources(cpus, gpus, 0);
         Resources loss = new Resources(lostCpus, lostGpus, 0);
-        assertEquals(allowed, Entitlement.coversLoss(team, runs, loss));
+        assertEquals(allowed, Entitlement.keepsEntitlement(team, runs, loss));
     }
 }
