--- a/src/test/java/org/springmill/control/simulation/ImageHolderPlacementTest.java
+++ b/src/test/java/org/springmill/control/simulation/ImageHolderPlacementTest.java
@@ -20,9 +20,9 @@
     }
 
     /**
-     * Small tasks on the emptier one of two holders keep both from ever being returned. The largest
-     * replica, of 5 GPUs, fits the emptier one before and after, so that keeping its place whole
-     * does not decide.
+     * Guards against placing small tasks on the less used of two machines that hold the image:
+     * neither machine would ever become idle and be returned. The less used machine has room for
+     * the largest replica before and after, so free room for large tasks does not decide.
      */
     @Test
     void fullestHolderOfTheImageIsUsedFirst() {
--- a/src/test/java/org/springmill/control/simulation/IsolatedLeaderCancellationTest.java
+++ b/src/test/java/org/springmill/control/simulation/IsolatedLeaderCancellationTest.java
@@ -30,11 +30,11 @@
     }
 
     /**
-     * @param partitionSeconds how long the leader loses the other controllers as well
-     * @param crash who crashes 6 s into the outage
-     * @param othersKept whether the replicas of the other job are never restarted; they may be
-     *     where a controller that forgot, or one that is partitioned, leaves open for longer than
-     *     the cancellation deadline what else was cancelled
+     * @param partitionSeconds how long the leader is also partitioned from the other controllers
+     * @param crash which controllers crash 6 s into the outage
+     * @param othersKept whether no replica of the other job may be restarted; false where, because
+     *     of a controller that restarted or is partitioned, it stays unknown for longer than the
+     *     cancellation deadline which other jobs were cancelled
      */
     @ParameterizedTest
     @CsvSource({
@@ -83,7 +83,10 @@
         }
     }
 
-    /** The responses to its questions are bounded in size, so that the news comes in parts. */
+    /**
+     * Responses between controllers are limited in size, so the leader learns of the cancellations
+     * from several responses.
+     */
     @Test
     void manyCancellationsReachTheReconnectedLeaderInParts() {
         cluster.keyValueStore().refuseController(leader, true);
@@ -107,8 +110,8 @@
     }
 
     /**
-     * The leader is reached by workers and users only, and one machine gets none of its commands.
-     * The cancelled task ends with the machine, which the leader knows to hold it.
+     * No command reaches the machine of the cancelled task, so the leader has to delete the machine
+     * to end the task.
      */
     @Test
     void leaderUnsureOfItsLeaseDeletesAMachineItCannotCommand() {
--- a/src/test/java/org/springmill/control/simulation/JobChainCancellationTest.java
+++ b/src/test/java/org/springmill/control/simulation/JobChainCancellationTest.java
@@ -12,7 +12,7 @@
 import org.springmill.sim.SimNetwork.Fate;
 
 /**
- * The cancellation of a job is the cancellation of all jobs that need it, whatever fails meanwhile.
+ * Cancelling a job also cancels all jobs that depend on it, whichever component fails meanwhile.
  */
 class JobChainCancellationTest extends JobChainFixture {
     /**
@@ -43,7 +43,7 @@
             cluster.run(1);
         }
         assertPhaseEverywhere("cancelled", 2, 4, 5);
-        // One that names it only now is accepted all the same.
+        // A job that names a cancelled job as its dependency is still accepted.
         submit(1, 1, job(7, 1, 5));
         assertPhaseEverywhere("cancelled", 7);
         assertEquals(200, cluster.submit(0, job(5, 1, 4), 1));
@@ -75,16 +75,16 @@
         assertPhaseEverywhere("cancelled", 2, 31, 59);
         long before = storedEnds();
         cluster.run(10);
-        // A tenth of the 20 changes a second that the key-value store takes, in steps of half a
-        // transaction.
+        // The limit is a tenth of the 20 writes per second that the key-value store takes, in
+        // batches of half a transaction.
         assertTrue(storedEnds() - before <= 0.1 * 20 * 10 + 6, storedEnds() + " after " + before);
         cluster.run(30);
         assertEquals(59, storedEnds());
     }
 
     /**
-     * Only workers and users still reach the leader, while a job of the chain is cancelled through
-     * another controller.
+     * A job of the chain is cancelled through another controller while the leader is connected to
+     * workers and users only.
      */
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
@@ -100,7 +100,7 @@
         assertEquals("cancelled", cluster.cancel(other, id(before ? 1 : 2)));
         cluster.polled().run(60);
         assertEquals("cancelled", cluster.phase(other, id(3)));
-        // Unless it was told, it cannot know, and says so rather than what it knew.
+        // The isolated leader must report the cancellation or answer 503, never an outdated phase.
         String said = cluster.phase(cut, id(3));
         assertTrue(said.equals("503") || said.equals("cancelled"), said);
         cluster.endFailures().run(30);
@@ -108,8 +108,8 @@
     }
 
     /**
-     * The key-value store refuses the leader alone, a job is cancelled through another controller,
-     * and then the key-value store is down for longer than users wait.
+     * While the key-value store refuses only the leader, a job is cancelled through another
+     * controller; then the key-value store is down for all controllers for 50 s.
      */
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
@@ -142,9 +142,9 @@
     }
 
     /**
-     * A chain that is deep behind the cancelled job and wide behind the next. All controllers die
-     * just after one of the writes of the cancellation: that of the job itself or a later one of
-     * its dependents.
+     * The cancelled job has both a long chain of dependents and many dependents at one level. All
+     * controllers crash just after a commit of the cancellation is sent: the one for the job itself
+     * or a later one for its dependents.
      */
     @ParameterizedTest
     @CsvSource({
@@ -203,7 +203,7 @@
         assertEquals(20, storedEnds());
     }
 
-    /** A job is cancelled just when its last task has ended. */
+    /** A job is cancelled at or shortly after the end of its last task. */
     @ParameterizedTest
     @CsvSource({
         "DELIVER, 0",
--- a/src/test/java/org/springmill/control/simulation/JobChainEligibilityTest.java
+++ b/src/test/java/org/springmill/control/simulation/JobChainEligibilityTest.java
@@ -9,7 +9,7 @@
 import org.springmill.sim.SimNetwork.Fate;
 import org.springmill.sim.SimWorker;
 
-/** When a job becomes eligible: once the records of all its dependencies say that they are done. */
+/** A job becomes eligible once all its dependencies are recorded as done. */
 class JobChainEligibilityTest extends JobChainFixture {
     @Test
     void eachJobStartsAtOnceWhenItsLastDependencyIsDone() {
@@ -18,8 +18,8 @@
         submit(2, 9, job(3, 2, 1));
         submit(0, 4, job(4, 1, 2, 3, 1));
         assertPhaseEverywhere("queued", 4);
-        // The image takes a second and each step its time; a second each for reports, records and
-        // rounds.
+        // The sum of 2 s for the image, the run times of the jobs, 1 s after each dependency for
+        // reports, records and rounds, and 4 s of tolerance.
         cluster.run(2 + 4 + 1 + 9 + 1 + 4 + 4);
         assertPhaseEverywhere("done", 1, 2, 3, 4);
         assertEquals(200, cluster.submit(1, job(4, 1, 2, 3, 1), 4));
@@ -43,9 +43,9 @@
     }
 
     /**
-     * Records may arrive in any order: that of the dependent, written at a lower revision, becomes
-     * known before that of its dependency, to a leader that rebuilds its state from the records and
-     * to one that watches them.
+     * Records may arrive in any order. Here the dependent's record has the lower revision, so the
+     * leader reads it before that of the dependency, both when it rebuilds its state from the
+     * records and when it watches them.
      */
     @ParameterizedTest
     @CsvSource({
@@ -73,7 +73,8 @@
         String front = ",\"end\":\"" + state + "\",\"at\":1000000002.0";
         store("job/" + id(9), jobRecord(9, state.equals("queued") ? "" : front));
         if (state.equals("cancelled")) {
-            // What its user did, whose answer the invariants have to know.
+            // The cancellation was written to the store directly; the request makes it known to the
+            // invariant checks.
             cluster.restart(0);
             cluster.run(3);
             assertEquals("cancelled", cluster.cancel(0, id(9)));
@@ -87,7 +88,7 @@
     }
 
     /**
-     * A machine is lost while it runs a task of the dependency; in some cases the leader restarts.
+     * A machine that runs a task of the dependency is lost; in some cases the leader also restarts.
      */
     @ParameterizedTest
     @CsvSource({"taken, false", "taken, true", "hangs, false", "hangs, true"})
@@ -113,8 +114,8 @@
     }
 
     /**
-     * All tasks of the dependency have finished, as seen by the leader of that time and by those
-     * that take over from it, but none can commit the end of the job.
+     * All tasks of the dependency have finished, but neither the leader nor its successors can
+     * commit the end of the job.
      */
     @Test
     void aDependentWaitsForTheRecordAfterAllTasksOfItsDependencyFinished() {
--- a/src/test/java/org/springmill/control/simulation/JobChainFailoverTest.java
+++ b/src/test/java/org/springmill/control/simulation/JobChainFailoverTest.java
@@ -15,11 +15,11 @@
 import org.junit.jupiter.params.provider.ValueSource;
 import org.springmill.sim.SimNetwork.Fate;
 
-/** Chains go on under new leaders, and no task is started twice. */
+/** Job chains continue under new leaders, and no task is started twice. */
 class JobChainFailoverTest extends JobChainFixture {
     /**
-     * The leader dies with the commit of the end of the dependency, or of the first claims of the
-     * dependent, in flight.
+     * The leader crashes during a commit: that of the end of the dependency or that of the first
+     * claims of the dependent.
      */
     @ParameterizedTest
     @CsvSource({
@@ -61,8 +61,8 @@
     }
 
     /**
-     * Controllers are restarted one after the other, and the network loses and holds some of their
-     * messages.
+     * Controllers are restarted one after the other, while the network drops, refuses or delays
+     * some of their messages and loses some responses.
      */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
@@ -102,7 +102,7 @@
         }
     }
 
-    /** As a user does: again and again until there is an answer. */
+    /** Retries the submission until it is accepted, as a user would, at most 30 times. */
     private void submitUntilAccepted(ObjectNode job, SplittableRandom random) {
         int status = 0;
         for (int i = 0; i < 30 && status != 201 && status != 200; i++) {
@@ -112,7 +112,7 @@
         assertTrue(status == 201 || status == 200, job + ": " + status);
     }
 
-    /** Three leaders, each with claims of its own term, come before the one that takes over. */
+    /** The new leader reads claims that three earlier leaders committed, each in its own term. */
     @Test
     void chainsGoOnWhenALeaderTakesOverClaimsOfThreeTerms() {
         submit(0, 12, job(1, 1));
@@ -139,7 +139,7 @@
         }
     }
 
-    /** Whether a round claims tasks of a service. */
+    /** Whether a round claims tasks of one of the services. */
     private boolean claims(String round) {
         return cluster.keyValueStore().value(round).path("claims").toString().contains("run-00001");
     }
--- a/src/test/java/org/springmill/control/simulation/JobChainFixture.java
+++ b/src/test/java/org/springmill/control/simulation/JobChainFixture.java
@@ -13,14 +13,13 @@
 import org.springmill.transport.HttpClient.Request;
 
 /**
- * The simulated cluster with jobs that depend on each other, through the whole service. Jobs are
- * named by numbers. The cluster notes every task that starts before the dependencies of its job are
- * done.
+ * A simulated cluster and helpers for jobs that depend on each other. Tests name jobs by number.
+ * The cluster reports a violation if a task starts before the dependencies of its job are done.
  */
 abstract class JobChainFixture extends ClusterFixture {
     /**
-     * The record of a job of two tasks. To be filled in: fields of its end and time of acceptance,
-     * its id, the field of its dependencies.
+     * The record of a job with two tasks, as a format string. Its arguments are the fields for the
+     * job's end and time of acceptance, the job's id, and the field for its dependencies.
      */
     static final String JOB_RECORD =
             """
@@ -59,7 +58,7 @@
         assertEquals(201, cluster.submit(controller, job, runSeconds), job.toString());
     }
 
-    /** Every controller has to report that phase of each of the jobs. */
+    /** Asserts that every controller reports this phase for each of the jobs. */
     final void assertPhaseEverywhere(String phase, int... numbers) {
         for (int number : numbers) {
             for (int controller = 0; controller < CONTROLLERS; controller++) {
@@ -83,7 +82,7 @@
         }
     }
 
-    /** How many job records hold an end. */
+    /** The number of job records that contain an end. */
     final long storedEnds() {
         return cluster.keyValueStore().keysUnder("job/").stream()
                 .filter(key -> cluster.keyValueStore().value(key).has("end"))
@@ -91,7 +90,7 @@
     }
 
     /**
-     * @param front fields of the job's end and time of acceptance, each after a comma
+     * @param front the fields for the job's end and time of acceptance, each preceded by a comma
      */
     static String jobRecord(int number, String front, int... dependencies) {
         String names =
@@ -102,7 +101,7 @@
         return JOB_RECORD.formatted(front, id(number), field);
     }
 
-    /** Writes a record to the key-value store as some other process would. */
+    /** Writes a record to the key-value store directly, without a controller. */
     final void store(String key, String value) {
         String commit =
                 "{\"when\":[],\"writes\":[{\"write\":\"" + key + "\",\"value\":" + value + "}]}";
--- a/src/test/java/org/springmill/control/simulation/JobChainRecordGenerationsTest.java
+++ b/src/test/java/org/springmill/control/simulation/JobChainRecordGenerationsTest.java
@@ -5,7 +5,7 @@
 import org.junit.jupiter.api.Test;
 import org.springmill.sim.SimulatedCluster;
 
-/** Leaders take over records of jobs and rounds as every version of the service wrote them. */
+/** A leader takes over job and round records written by any version of the service. */
 class JobChainRecordGenerationsTest extends JobChainFixture {
     @Test
     void aLeaderTakesOverJobAndRoundRecordsOfBothGenerations() {
@@ -51,7 +51,8 @@
         assertEquals("cancelled", cluster.cancel(0, id(5)));
         assertPhaseEverywhere("cancelled", 5, 6);
         assertEquals(0, cluster.starts(id(2) + "/1"));
-        // What is written of a job without dependencies is what the version before reads.
+        // A job without dependencies is still written in the format that the previous version
+        // reads.
         submit(0, 1, SimulatedCluster.job(id(8), "red", "sweep", 2, 1, 1));
         assertEquals(
                 JOB_RECORD.formatted("", id(8), ""),
--- a/src/test/java/org/springmill/control/simulation/JobChainSubmissionTest.java
+++ b/src/test/java/org/springmill/control/simulation/JobChainSubmissionTest.java
@@ -62,8 +62,8 @@
     }
 
     /**
-     * Another controller may have accepted the dependency a moment ago, which only a read of the
-     * key-value store can tell.
+     * Another controller may just have accepted the dependency; only a read of the key-value store
+     * shows whether it did.
      */
     @Test
     void anUnknownDependencyGetsNoFinalAnswerWithoutAReadOfTheStateService() {
@@ -86,7 +86,7 @@
                                         ? Fate.REFUSE
                                         : Fate.DELIVER);
         assertEquals(503, cluster.submit(1, job(4, 1, 3), 1));
-        // Known there already, in whatever state the jobs are that it names.
+        // Controller 0 accepted this job, but controller 1 cannot find that out either.
         assertEquals(503, cluster.submit(1, job(3, 1), 1));
         deliverAllMessages();
         cluster.run(1);
@@ -109,7 +109,7 @@
         assertPhaseEverywhere("done", 1, 2);
     }
 
-    /** A dependency of another team in each of its states, and how its dependent ends. */
+    /** The dependency belongs to another team and is in any of its phases at the submission. */
     @ParameterizedTest
     @CsvSource({
         "queued, done",
--- a/src/test/java/org/springmill/control/simulation/KeyValueStoreLimitsTest.java
+++ b/src/test/java/org/springmill/control/simulation/KeyValueStoreLimitsTest.java
@@ -14,7 +14,7 @@
 import org.springmill.sim.SimNetwork.Fate;
 import org.springmill.sim.SimulatedCluster;
 
-/** A key-value store that takes less than it did, with and without having said so. */
+/** The limits of the key-value store shrink, with and without a change of the settings. */
 class KeyValueStoreLimitsTest {
     private static final Settings.StoreLimits SMALLER = new Settings.StoreLimits(120, 15, 2048, 4);
     private final SimulatedCluster cluster = new SimulatedCluster();
@@ -49,8 +49,8 @@
     }
 
     /**
-     * Rounds of larger values are read by a leader that keeps to smaller ones, and carried on by
-     * many transactions.
+     * A leader with smaller limits takes over rounds that are larger than these limits, and has to
+     * rewrite them in several transactions.
      */
     @Test
     void storedLargerRoundsAreSplitWhenCarriedOn() {
@@ -72,7 +72,7 @@
         for (int i = 20; i < 60; i++) {
             assertEquals("done", cluster.phase(i % 3, id(i)));
         }
-        // Nothing was lost on the way: another leader finds every replica where it is.
+        // No record was lost: the next leader finds every replica and restarts none.
         int leader = cluster.leader();
         cluster.restart(leader);
         cluster.run(20);
@@ -85,8 +85,11 @@
     }
 
     /**
-     * What becomes of the first round that is too large, and of its answer, before the limits
-     * change or after.
+     * The limits shrink around the first commit of the job's claims.
+     *
+     * @param fate what happens to one commit of claims
+     * @param later 0: to the first one, and the limits shrink just after it is sent; 1: to the
+     *     second one, and the limits shrink just before the first arrives
      */
     @ParameterizedTest
     @CsvSource({
@@ -137,8 +140,9 @@
     }
 
     /**
-     * At which moment the limits shrink, which nobody announced: as the first transaction that
-     * replaces old rounds is sent, as the next leader reads them, as it writes its first one.
+     * The limits shrink without a change of the settings, at one of these moments: the leader sends
+     * the first transaction that replaces old rounds, the next leader reads them, or the next
+     * leader writes its first round.
      */
     @ParameterizedTest
     @CsvSource({
@@ -199,9 +203,9 @@
     }
 
     /**
-     * The dependents of a cancelled job are being written down, so many in a transaction, when the
-     * limits shrink to less; with another leader half way. What users are told depends on none of
-     * that.
+     * The limits shrink while the leader writes the cancellations of a job's dependents, many in
+     * each transaction; in one case the leader also changes. All controllers still have to report
+     * every job as cancelled.
      */
     @ParameterizedTest
     @CsvSource({"false", "true"})
@@ -236,7 +240,10 @@
                 "refused " + cluster.keyValueStore().oversizedCommits());
     }
 
-    /** A job whose record the service finds too large: told so once, not put off for ever. */
+    /**
+     * The key-value store rejects the job's record as too large. The submission has to be refused
+     * for good, rather than with a status after which the user retries forever.
+     */
     @Test
     void aRecordThatIsFoundTooLargeIsRefused() {
         cluster.machines("large", "a", 2).run(6);
--- a/src/test/java/org/springmill/control/simulation/KeyValueStoreOutageTest.java
+++ b/src/test/java/org/springmill/control/simulation/KeyValueStoreOutageTest.java
@@ -56,7 +56,7 @@
         SimWorker hung = cluster.workerRunning(FIRST_TASK);
         hung.hang(true);
         cluster.run(25);
-        // The cloud refuses all deletions, so silence alone proved that the task was gone.
+        // The cloud refuses all deletions, so only missing reports proved that the task was gone.
         assertEquals(2, cluster.starts(FIRST_TASK));
     }
 
@@ -72,8 +72,8 @@
             cluster.restart((leader + 2) % 3);
         }
         cluster.run(25);
-        // If the restarted controller cannot confirm the leader, the isolated one renews the
-        // leases of the workers.
+        // If the restarted controller cannot confirm the leader, the partitioned controller renews
+        // the leases of the workers.
         assertEquals(4, cluster.running(JOB));
         cluster.keyValueStore().setDown(false);
         cluster.run(20);
@@ -104,10 +104,10 @@
     }
 
     /**
-     * A controller without contact to others renews the leases of its workers in an outage, but
-     * only until a cancellation that another one may have confirmed since has to have taken effect:
-     * it can tell neither crashed controllers from controllers behind a packet filter nor an outage
-     * from being refused alone.
+     * During an outage a controller without contact to the others renews the leases of its workers,
+     * but only until the deadline of a cancellation that another controller may have confirmed
+     * since. It cannot tell crashed controllers from controllers behind a packet filter, nor an
+     * outage from a key-value store that refuses only this controller.
      */
     @ParameterizedTest
     @CsvSource({"false, 40, 1", "false, 60, 0", "true, 60, 0"})
@@ -134,7 +134,8 @@
         }
         cluster.keyValueStore().setDown(true);
         cluster.run(durationSeconds);
-        // A later leader takes no silence for proof before it has contact to this controller.
+        // Without contact to this controller a later leader must not take missing reports as proof
+        // that the tasks have ended.
         assertEquals(replicasLeft == 1, holder.epoch() == 1);
         assertEquals(replicasLeft, holder.running());
     }
--- a/src/test/java/org/springmill/control/simulation/LargeFleetTest.java
+++ b/src/test/java/org/springmill/control/simulation/LargeFleetTest.java
@@ -13,8 +13,8 @@
 import org.springmill.sim.SimulatedCluster;
 
 /**
- * Fleets as large as those of the largest deployments and larger. The bounds are on counted
- * requests, never on time, so that they hold on any machine.
+ * Fleets at least as large as those of the largest deployments. The bounds are on numbers of
+ * requests and not on processing time, so that they hold on any machine.
  */
 class LargeFleetTest extends ClusterFixture {
     private static final int REPLICAS = 8;
@@ -23,7 +23,7 @@
     private final Map<String, Integer> requests = new HashMap<>();
     private int largestRequestBytes;
 
-    /** Counted work follows what changes: nothing, then one array, then the leader. */
+    /** Counts requests without changes, then for one array, then for a change of the leader. */
     @Test
     void requestsFollowChangesAndNotTheSizeOfTheFleet() {
         int machines = 200;
@@ -71,15 +71,15 @@
     }
 
     /**
-     * The cost of a lost rack and of a takeover is bounded by the replicas and machines touched.
+     * The number of requests after the loss of a rack and at a takeover is bounded by the number of
+     * affected replicas and machines.
      */
     @Test
     void lostRackAndThenTheLeaderAreReplacedWithBoundedRequests() {
         int machines = 1600;
         int jobs = machines / 4;
-        // Jobs are accepted no faster than the key-value store takes them, so that the last ones
-        // come
-        // when machines that stood idle would have been returned.
+        // The key-value store limits the rate of submissions. With the default settings idle
+        // machines would be returned before the last jobs are accepted.
         startFleet(machines, SimOptions.DEFAULTS.withIdleBoots(100));
         submitServices(jobs);
         cluster.run(20);
@@ -114,7 +114,7 @@
         assertAtMost(3 * lost + 4 * rack.size(), "/orders", "for " + lost + " replicas");
     }
 
-    /** Starts controllers and machines; no others can be rented. */
+    /** Starts controllers and machines; no further machines can be rented. */
     private void startFleet(int machines, SimOptions options) {
         cluster =
                 new SimulatedCluster(options)
@@ -132,7 +132,7 @@
                         });
     }
 
-    /** Submits services through all controllers, before machines are returned as idle. */
+    /** Submits services through all controllers in turn. */
     private void submitServices(int jobs) {
         for (int i = 0; i < jobs; i++) {
             var job = SimulatedCluster.job(id(i), "blue", "service", REPLICAS, 4, 0);
--- a/src/test/java/org/springmill/control/simulation/LeaderFailoverTest.java
+++ b/src/test/java/org/springmill/control/simulation/LeaderFailoverTest.java
@@ -21,7 +21,7 @@
         BEFORE_SEND(Fate.DROP),
         /** Between the sending of the command and its response. */
         BEFORE_ANSWER(Fate.LOSE_ANSWER),
-        /** While the network delays the command, which arrives long after. */
+        /** While the network delays the command; it arrives long after the crash. */
         COMMAND_DELAYED(Fate.HOLD);
 
         private final Fate fate;
--- a/src/test/java/org/springmill/control/simulation/MessageMatchers.java
+++ b/src/test/java/org/springmill/control/simulation/MessageMatchers.java
@@ -3,7 +3,7 @@
 import java.nio.charset.StandardCharsets;
 import org.springmill.transport.HttpClient.Request;
 
-/** Tells messages on the simulated network apart by sender, receiver and content. */
+/** Predicates that match messages on the simulated network by sender, receiver or content. */
 final class MessageMatchers {
     private MessageMatchers() {}
 
@@ -27,7 +27,7 @@
         return request.address().equals("state:1");
     }
 
-    /** Commands that a controller sends straight to a worker. */
+    /** Whether the request carries commands from a controller to a worker. */
     static boolean isCommand(Request request) {
         return request.path().equals("/orders");
     }
--- a/src/test/java/org/springmill/control/simulation/NetworkPartitionTest.java
+++ b/src/test/java/org/springmill/control/simulation/NetworkPartitionTest.java
@@ -18,7 +18,7 @@
 
 /** Partitions between the leader, the other controllers, the workers and the key-value store. */
 class NetworkPartitionTest extends SingleFailureFixture {
-    /** The leader loses its connections to one or several kinds of components for some time. */
+    /** The leader is partitioned from one or more kinds of components for some time. */
     @ParameterizedTest
     @CsvSource({
         "state,                10", "state,                40",
@@ -46,7 +46,7 @@
         assertEquals(4, cluster.running(JOB));
     }
 
-    /** Whether a message is lost by a controller that lost the named connections. */
+    /** Whether a message is lost because the isolated controller lost the named connections. */
     private static boolean isLost(
             String lostConnections, int isolated, String from, Request request) {
         boolean fromIsolated = fromController(from, isolated);
@@ -84,7 +84,7 @@
         int isolated = cluster.leader();
         cluster.partitionPeers(isolated, true);
         // The other controllers see an outage and, without a leader, renew the leases of the
-        // workers; the leader sees only silent workers.
+        // workers; the leader receives no report from any worker.
         cluster.network()
                 .judge(
                         (from, request) -> {
@@ -138,7 +138,7 @@
                         });
         cluster.run(15);
         assertNotEquals(isolated, cluster.leader());
-        // A cancellation through another controller has to take effect in time there, too.
+        // A cancellation through another controller has to take effect in time on this machine too.
         assertEquals("cancelled", cluster.cancel((isolated + 1) % 3, JOB));
         cluster.run(50);
         assertEquals(0, cluster.running(JOB));
@@ -163,7 +163,7 @@
         assertEquals(0, cluster.running(JOB), "the new leader reaches the workers");
     }
 
-    /** Whether a message goes from any worker to a controller, or the other way. */
+    /** Whether a message goes from any worker to this controller, or from it to any worker. */
     private static boolean isBetweenWorkersAnd(int controller, String from, Request request) {
         return (fromWorker(from) && toController(request, controller))
                 || (fromController(from, controller) && toWorker(request));
--- a/src/test/java/org/springmill/control/simulation/OverdueBootTest.java
+++ b/src/test/java/org/springmill/control/simulation/OverdueBootTest.java
@@ -9,8 +9,8 @@
 import org.springmill.sim.SimulatedCluster;
 
 /**
- * New machines that come up late, never, or at once. The cluster has four machines with 8 GPUs; a
- * new one boots in 20 s, and operators wait 3.5 times as long for one.
+ * New machines that boot late, never or very quickly. The cluster has four machines with 8 GPUs;
+ * the nominal boot time is 20 s, and a machine that is not up after 3.5 times as long is returned.
  */
 class OverdueBootTest extends ClusterFixture {
     private static final double BOOT_SECONDS = 20;
@@ -31,8 +31,8 @@
     }
 
     /**
-     * Guards against waiting for a machine that never comes up for as long as it takes to give it
-     * up, and against keeping the machine once another one serves.
+     * Guards against renting a replacement only when the overdue machine is given up, and against
+     * keeping the overdue machine once the replacement runs the job.
      */
     @Test
     void machineThatNeverComesUpIsReplacedAndGivenBack() {
@@ -50,7 +50,7 @@
         assertEquals(MACHINES + 2, cluster.cloud().everRented());
     }
 
-    /** Guards against renting everything twice when all machines are merely slow to come up. */
+    /** Guards against renting a replacement for every machine when all machines boot slowly. */
     @Test
     void generalDelayHasFewMachinesRentedTwice() {
         setBootSeconds(4 * BOOT_SECONDS);
@@ -73,7 +73,7 @@
         return SimulatedCluster.job(id, "blue", "sweep", 1, 1, GPUS);
     }
 
-    /** Guards against a second wave of orders by a new leader, and tasks placed twice. */
+    /** Guards against a new leader that rents machines again or places tasks twice. */
     @Test
     void newLeaderOrdersNothingTwiceWhileMachinesAreLate() {
         setBootSeconds(3 * BOOT_SECONDS);
@@ -88,7 +88,10 @@
         assertEachTaskStartedOnce(JOB, 3);
     }
 
-    /** A type that fails in one zone is tried there with one machine, and used in the other. */
+    /**
+     * If machines of a type do not boot in one zone, they are rented in the other zone; the first
+     * zone is used again later.
+     */
     @Test
     void zoneWhereNothingComesUpIsLeftForTheOther() {
         cluster.cloud().setBootSeconds("a", FOREVER);
@@ -103,7 +106,7 @@
         assertEquals(1, cluster.running(OTHER), "it is used again once machines come up there");
     }
 
-    /** Machines that come up in a twentieth of their time are used at once, all of them once. */
+    /** Machines that boot in a twentieth of the nominal time are used without delay. */
     @Test
     void machinesThatComeUpAtOnceAreUsedAtOnce() {
         setBootSeconds(BOOT_SECONDS / 20);
--- a/src/test/java/org/springmill/control/simulation/ResourceLimitTest.java
+++ b/src/test/java/org/springmill/control/simulation/ResourceLimitTest.java
@@ -18,9 +18,8 @@
         cluster.submit(0, spread, FOREVER);
         cluster.run(8);
         assertEquals(6, cluster.running(JOB));
-        // Two machines fall silent with their tasks running; the team's limit of 16 GPUs leaves
-        // room
-        // for two more tasks, not for six.
+        // Two machines stop reporting while their tasks run. Next to six tasks of 2 GPUs the team's
+        // limit of 16 GPUs allows two more.
         List<SimWorker> silent = cluster.cloud().machines().values().stream().limit(2).toList();
         silent.forEach(w -> w.hang(true));
         submitService(1, OTHER, "red", 5, 2);
@@ -65,12 +64,12 @@
         assertEquals(2, cluster.running(OTHER));
     }
 
-    /** "red" and "blue" are both guaranteed 8 of the 32 GPUs here. */
+    /** Teams red and blue are guaranteed 8 of the 32 GPUs each. */
     @ParameterizedTest
     @CsvSource({
-        // Usage above blue's guarantee is preempted for red's, and none of it a second time.
+        // Red gets its guarantee by preemption of usage above blue's guarantee, and only once.
         "normal, normal, 8, 24",
-        // But not for work of a lower priority.
+        // Work of a lower priority preempts nothing.
         "normal, best_effort, 0, 32",
     })
     void guaranteeIsMetOnceAndOnlyFromUsageAboveAGuarantee(
@@ -88,8 +87,8 @@
     }
 
     /**
-     * A job that cannot be placed, because its team's limit is reserved for an earlier job, must
-     * not have other tasks preempted.
+     * A job that cannot be placed because its team's limit is reserved for an earlier job must not
+     * cause preemption of other tasks.
      */
     @Test
     void jobHeldBackByItsTeamLimitPreemptsNothing() {
--- a/src/test/java/org/springmill/control/simulation/SingleFailureFixture.java
+++ b/src/test/java/org/springmill/control/simulation/SingleFailureFixture.java
@@ -2,7 +2,7 @@
 
 import org.junit.jupiter.api.BeforeEach;
 
-/** The simulated cluster, with a leader, as each test of one failure finds it. */
+/** Starts a simulated cluster and waits for its leader before each test of a single failure. */
 abstract class SingleFailureFixture extends ClusterFixture {
     @BeforeEach
     void startCluster() {
--- a/src/test/java/org/springmill/control/simulation/TeamWithoutGuaranteeTest.java
+++ b/src/test/java/org/springmill/control/simulation/TeamWithoutGuaranteeTest.java
@@ -7,8 +7,8 @@
 import org.springmill.sim.SimulatedCluster;
 
 /**
- * A team whose guarantee is 0 in the settings has none. Each machine of the cluster has 8 GPUs, 32
- * in all; the teams red and blue are guaranteed 8 each.
+ * A guarantee of 0 in the settings means that the team has no guarantee. The cluster has four
+ * machines with 8 GPUs each; the teams red and blue are guaranteed 8 GPUs each.
  */
 class TeamWithoutGuaranteeTest extends ClusterFixture {
     private static final String GUEST = "guest";
@@ -26,8 +26,8 @@
     }
 
     /**
-     * Guards against taking a guarantee of 0 for one without a bound: whatever the guest ran
-     * counted as guaranteed to it, so that a team that was owed its guarantee waited.
+     * Guards against reading a guarantee of 0 as an unlimited one: everything that the team without
+     * a guarantee ran counted as guaranteed, and a team below its guarantee had to wait.
      */
     @Test
     void teamGetsItsGuaranteeFromAGuestOfTheSamePriority() {
@@ -43,7 +43,7 @@
         assertEquals(ALL_GPUS - GUARANTEED_GPUS, cluster.running(JOB));
     }
 
-    /** Guards against the same mistake the other way round: a guest is owed nothing of others. */
+    /** Guards against preemption on behalf of a team without a guarantee. */
     @Test
     void guestStopsNothingThatOthersRunAboveTheirGuarantee() {
         startFullCluster();
@@ -57,7 +57,10 @@
         assertEquals(0, cluster.running(OTHER));
     }
 
-    /** Guards against serving a guest first among equals, as if its work were guaranteed. */
+    /**
+     * Guards against placing work of a team without a guarantee before guaranteed work of the same
+     * priority.
+     */
     @Test
     void guestWaitsBehindGuaranteedWorkAcrossAChangeOfLeader() {
         startFullCluster();
--- a/src/test/java/org/springmill/control/simulation/UnguaranteedWorkTest.java
+++ b/src/test/java/org/springmill/control/simulation/UnguaranteedWorkTest.java
@@ -9,9 +9,9 @@
 import org.springmill.sim.SimulatedCluster;
 
 /**
- * Work of a team without a guarantee: one large array of short tasks, a swarm of one-task jobs,
- * work for idle time. The cluster has four machines of 32 CPUs and 8 GPUs at 10 an hour; small ones
- * of 4 CPUs at 0.2 can be rented, and boot in 20 s.
+ * Work of a team without a guarantee: a large array of short tasks, many one-task jobs, and work on
+ * capacity that others leave idle. The cluster has four machines with 32 CPUs and 8 GPUs at a price
+ * of 10 per hour; small machines with 4 CPUs at 0.2 per hour can be rented and boot in 20 s.
  */
 class UnguaranteedWorkTest extends ClusterFixture {
     private static final String GUEST = "guest";
@@ -31,10 +31,13 @@
                 .put("expectS", seconds);
     }
 
-    /** Guards against a machine for every sixteen tasks that are over in four seconds. */
+    /**
+     * Guards against renting a machine for every sixteen tasks, as many as fit one at a time,
+     * although the tasks take only 4 s each.
+     */
     @Test
     void shortTasksAreRentedForByTheTimeThatTheyTake() {
-        // The four machines are full, so that all of it runs on rented ones.
+        // This service fills the four machines, so the whole array runs on newly rented ones.
         accept(SimulatedCluster.job(OTHER, "blue", "service", 4, 32, 8), FOREVER);
         cluster.run(5);
         accept(guestArray(JOB, SHORT_TASKS, SHORT_SECONDS), SHORT_SECONDS);
@@ -47,7 +50,10 @@
         assertTrue(rented <= Math.ceil(slots * TASK_CPUS / 4) + 2, rented + " machines rented");
     }
 
-    /** A guest uses what others leave over, and makes way at once for what they are owed. */
+    /**
+     * A team without a guarantee uses capacity that other teams leave idle, and is preempted for
+     * work of higher priority.
+     */
     @Test
     void guestUsesWhatIsLeftOverAndMakesWay() {
         cluster.cloud().exhaustCapacity();
@@ -66,7 +72,7 @@
         assertEquals(4, cluster.running(JOB));
     }
 
-    /** Guards against a swarm that starves or is run twice when the leader ends in between. */
+    /** Guards against one-task jobs that never run, or run twice, when the leader changes. */
     @Test
     void swarmOfOneTaskJobsEndsAcrossAChangeOfLeader() {
         int jobs = 120;
--- a/src/test/java/org/springmill/control/simulation/UserRequestTest.java
+++ b/src/test/java/org/springmill/control/simulation/UserRequestTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 import org.springmill.sim.SimulatedCluster;
 
-/** Answers to users and to those who scrape metrics. */
+/** Responses to users and to clients that scrape metrics. */
 class UserRequestTest extends SingleFailureFixture {
     @ParameterizedTest
     @ValueSource(ints = {0, 1, 2})
@@ -24,7 +24,7 @@
             assertEquals("done", cluster.phase(i, JOB));
             assertEquals(1, cluster.starts(JOB + "/" + i));
         }
-        // A retry may come at any time, also after the end.
+        // A retry may come at any time, also after the job is done.
         assertEquals(
                 200,
                 cluster.submit(follower(), SimulatedCluster.job(JOB, "red", "sweep", 3, 1, 1), 5));
--- a/src/test/java/org/springmill/control/simulation/WaitingJobTest.java
+++ b/src/test/java/org/springmill/control/simulation/WaitingJobTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.springmill.sim.SimulatedCluster;
 
-/** From when the times of a job count that waits for others. */
+/** The queue position and the deadline of a job that waits for its dependencies. */
 class WaitingJobTest {
     private static final String SLOW = "run-000001";
     private static final String QUICK = "run-000002";
@@ -40,9 +40,9 @@
     }
 
     /**
-     * One job is accepted 25 s before another and becomes eligible 25 s after it; then there is
-     * room for one of them. Its place counts from the end of what it waited for, its deadline from
-     * its submission.
+     * One job is accepted about 25 s before another and becomes eligible about 25 s after it; then
+     * there is room for only one of them. A job's queue position depends on the time when its last
+     * dependency ended, its deadline on the time of its submission.
      */
     @ParameterizedTest
     @CsvSource({
--- a/src/test/java/org/springmill/control/simulation/WorkerLeaseTest.java
+++ b/src/test/java/org/springmill/control/simulation/WorkerLeaseTest.java
@@ -11,9 +11,8 @@
 import org.springmill.sim.SimWorker;
 import org.springmill.sim.SimulatedCluster;
 
-/** Silent, unreachable and faulty machines, and the leases of their workers. */
+/** Machines that hang, are unreachable or fail tasks, and the leases of their workers. */
 class WorkerLeaseTest extends SingleFailureFixture {
-    /** Also when the whole fleet is unreachable. */
     @ParameterizedTest
     @ValueSource(doubles = {3, 5, 8})
     void fleetUnreachableForLessThanALeaseKeepsItsMachinesAndTasks(double durationSeconds) {
--- a/src/test/java/org/springmill/control/simulation/ZonePartitionTest.java
+++ b/src/test/java/org/springmill/control/simulation/ZonePartitionTest.java
@@ -17,7 +17,7 @@
 
 /** A zone, with its machines and one controller, is partitioned from everything else. */
 class ZonePartitionTest extends SingleFailureFixture {
-    /** Partitions a zone, with one controller in it, from everything else. */
+    /** Partitions a zone and one controller from everything else. */
     private void partitionZone(String zone, int controllerInside) {
         Set<String> hosts = new HashSet<>();
         for (SimWorker worker : cluster.cloud().machines().values()) {
@@ -38,8 +38,8 @@
     }
 
     /**
-     * A partitioned zone goes on working, whether the leader was inside or not, and also when all
-     * controllers are restarted meanwhile.
+     * The tasks of a partitioned zone keep running, whether the leader is inside the zone or not,
+     * and also when all controllers restart during the partition.
      */
     @ParameterizedTest
     @CsvSource({
@@ -80,9 +80,9 @@
     }
 
     /**
-     * After a zone's partition its machines report one after the other, at first with the token of
-     * the leader inside. Machines that report late, or that had no time to report the new token,
-     * must not be returned with all that runs on them.
+     * After the partition of a zone its machines report one after the other, at first with the
+     * token of the leader that was inside the zone. Machines that report late, or that had no time
+     * to report the new token, must not be deleted together with their tasks.
      */
     @Test
     void machinesOfAZoneAreKeptWhileTheyReconnectAfterItsPartition() {
@@ -115,8 +115,8 @@
     }
 
     /**
-     * Tokens rise between two partitions; the second one must not be judged by the tokens of the
-     * first.
+     * Workers get higher tokens between two partitions. During the second one the controllers must
+     * not decide by the tokens of the first.
      */
     @Test
     void zonePartitionedTwiceKeepsItsTasksBothTimes() {
@@ -124,8 +124,8 @@
         cluster.run(8);
         int controllerInside = follower();
         for (int partition = 0; partition < 2; partition++) {
-            // Its workers first try the controllers that they cannot reach: by then the one inside
-            // knows that it is isolated.
+            // First no worker reaches any controller, so that the controller inside the zone
+            // detects its isolation before the workers of the zone connect to it.
             cluster.partitionPeers(controllerInside, true);
             cluster.network()
                     .judge(
@@ -156,9 +156,10 @@
     }
 
     /**
-     * Cancelled tasks in a partitioned zone end in time, with their machines and everything else on
-     * them, but no sooner than they have to: the next leader reads the time of the cancellation
-     * from the job's record. The replicas of the other job fill the rest of the zone's machines.
+     * Cancelled tasks in a partitioned zone have to end in time, which also ends their machines and
+     * the other tasks there, but not earlier than the deadline requires: the next leader reads the
+     * time of the cancellation from the job's record. The replicas of the other job use the rest of
+     * the zone's machines.
      */
     @ParameterizedTest
     @CsvSource({"20, 40, false", "3, 40, false", "3, 13, true"})
