--- a/src/test/java/org/springmill/control/simulation/JobChainCancellationTest.java
+++ b/src/test/java/org/springmill/control/simulation/JobChainCancellationTest.java
@@ -77,7 +77,9 @@
         cluster.run(10);
         // The limit is a tenth of the 20 writes per second that the key-value store takes, in
         // batches of half a transaction.
-        assertTrue(storedEnds() - before <= 0.1 * 20 * 10 + 6, storedEnds() + " after " + before);
+        assertTrue(
+                storedEnds() - before <= 0.1 * 20 * 10 + 6,
+                storedEnds() + " stored ends, before " + before);
         cluster.run(30);
         assertEquals(59, storedEnds());
     }
@@ -187,7 +189,7 @@
                         });
         String answer = cluster.cancel(follower(), id(2));
         cluster.run(20);
-        assertTrue(seen[0] > which, "only " + seen[0] + " writes");
+        assertTrue(seen[0] > which, "only " + seen[0] + " commits of cancellations");
         restartControllers();
         cluster.run(4);
         for (int i = 0; i < 10 && !answer.equals("cancelled"); i++) {
--- a/src/test/java/org/springmill/control/simulation/KeyValueStoreLimitsTest.java
+++ b/src/test/java/org/springmill/control/simulation/KeyValueStoreLimitsTest.java
@@ -55,7 +55,7 @@
     @Test
     void storedLargerRoundsAreSplitWhenCarriedOn() {
         machinesAndServices();
-        assertTrue(largest() > 2048, "largest " + largest());
+        assertTrue(largest() > 2048, "largest round record: " + largest() + " bytes");
         cluster.settings(SMALLER);
         for (int node = 0; node < 3; node++) {
             cluster.restart(node);
@@ -68,7 +68,7 @@
         }
         cluster.run(20);
         assertEquals(0, cluster.keyValueStore().oversizedCommits());
-        assertTrue(largest() <= 2048, "largest " + largest());
+        assertTrue(largest() <= 2048, "largest round record: " + largest() + " bytes");
         for (int i = 20; i < 60; i++) {
             assertEquals("done", cluster.phase(i % 3, id(i)));
         }
@@ -130,7 +130,7 @@
         assertEquals(term, cluster.keyValueStore().value("leader").toString());
         assertTrue(
                 cluster.keyValueStore().oversizedCommits() < 8,
-                "refused " + cluster.keyValueStore().oversizedCommits());
+                "oversized commits: " + cluster.keyValueStore().oversizedCommits());
         cluster.restart(leader);
         cluster.run(20);
         assertEquals(90, cluster.running(id(1)));
@@ -183,7 +183,7 @@
             cluster.run(2);
         }
         cluster.run(20);
-        assertTrue(seen[0] > 0, "never " + what);
+        assertTrue(seen[0] > 0, "the limits never shrank during: " + what);
         cluster.network().releaseHeld();
         cluster.run(5);
         for (int i = 20; i < 60; i++) {
@@ -191,7 +191,7 @@
         }
         assertTrue(
                 cluster.keyValueStore().oversizedCommits() < 12,
-                "refused " + cluster.keyValueStore().oversizedCommits());
+                "oversized commits: " + cluster.keyValueStore().oversizedCommits());
         cluster.restart(cluster.leader());
         cluster.run(20);
         for (int i = 1; i <= 12; i++) {
@@ -237,7 +237,7 @@
         }
         assertTrue(
                 cluster.keyValueStore().oversizedCommits() < 8,
-                "refused " + cluster.keyValueStore().oversizedCommits());
+                "oversized commits: " + cluster.keyValueStore().oversizedCommits());
     }
 
     /**
--- a/src/test/java/org/springmill/control/simulation/LargeFleetTest.java
+++ b/src/test/java/org/springmill/control/simulation/LargeFleetTest.java
@@ -33,7 +33,7 @@
         cluster.run(20);
         assertEquals(jobs * REPLICAS, running(jobs));
         int rounds = cluster.keyValueStore().keysUnder("round/").size();
-        assertTrue(rounds <= 2 * jobs, rounds + " keys of rounds for " + jobs + " jobs");
+        assertTrue(rounds <= 2 * jobs, rounds + " round keys for " + jobs + " jobs");
 
         idleFleetCausesHardlyAnyRequest(machines);
         arrayCausesOneCommandForEachMachineAndTask();
@@ -45,7 +45,7 @@
         cluster.run(20);
         assertAtMost(machines / 20, "/orders", "while nothing changes");
         assertAtMost(4, "/commit", "while nothing changes");
-        assertAtMost(4, "/rentals/delete", "though idle machines are returned by the dozen");
+        assertAtMost(4, "/rentals/delete", "while idle machines are returned");
     }
 
     private void arrayCausesOneCommandForEachMachineAndTask() {
@@ -102,13 +102,13 @@
     private void lostRackIsReplaced(List<SimWorker> rack, int jobs) {
         requests.clear();
         int lost = running(rack);
-        assertTrue(lost > 0, "the rack ran something");
+        assertTrue(lost > 0, "the lost rack runs no task");
         rack.forEach(worker -> worker.hang(true));
         cluster.run(9);
         assertEquals(
                 jobs * REPLICAS,
                 running(jobs) - running(rack),
-                "all that the rack ran is up elsewhere within 9 s");
+                "replicas of the lost rack run on other machines within 9 s");
         assertAtMost(12, "/rentals/delete", "for a rack of " + rack.size());
         assertAtMost(60, "/commit", "for " + lost + " replicas");
         assertAtMost(3 * lost + 4 * rack.size(), "/orders", "for " + lost + " replicas");
--- a/src/test/java/org/springmill/control/simulation/LeaderFailoverTest.java
+++ b/src/test/java/org/springmill/control/simulation/LeaderFailoverTest.java
@@ -114,7 +114,7 @@
         cluster.run(120);
         assertTrue(
                 cluster.keyValueStore().keysUnder("round/").size() < 60,
-                "keys of rounds: " + cluster.keyValueStore().keysUnder("round/").size());
+                "round keys: " + cluster.keyValueStore().keysUnder("round/").size());
         cluster.run(100);
         assertEquals("done", cluster.phase(follower(), JOB));
     }
--- a/src/test/java/org/springmill/control/simulation/NetworkPartitionTest.java
+++ b/src/test/java/org/springmill/control/simulation/NetworkPartitionTest.java
@@ -73,7 +73,7 @@
                 changes++;
             }
         }
-        assertTrue(changes <= 1, "changes of leader: " + changes);
+        assertTrue(changes <= 1, "leader changes: " + changes);
         assertEquals(4, cluster.running(JOB));
     }
 
--- a/src/test/java/org/springmill/control/simulation/OverdueBootTest.java
+++ b/src/test/java/org/springmill/control/simulation/OverdueBootTest.java
@@ -46,7 +46,7 @@
 
         assertEquals(1, cluster.running(JOB));
         cluster.run(5);
-        assertEquals(MACHINES + 1, machines().size(), "the late one was given back");
+        assertEquals(MACHINES + 1, machines().size(), "the overdue machine was returned");
         assertEquals(MACHINES + 2, cluster.cloud().everRented());
     }
 
@@ -65,7 +65,7 @@
         assertEquals(2, cluster.running(JOB));
         assertEquals(1, cluster.running(OTHER));
         int surplus = cluster.cloud().everRented() - MACHINES - late;
-        assertTrue(surplus <= 1 + late / 4, surplus + " machines too many");
+        assertTrue(surplus <= 1 + late / 4, surplus + " more machines rented than needed");
         assertEachTaskStartedOnce(JOB, 2);
     }
 
@@ -84,7 +84,9 @@
         cluster.run(3 * BOOT_SECONDS);
 
         assertEquals(3, cluster.running(JOB));
-        assertTrue(cluster.cloud().everRented() <= MACHINES + 3 + 1, "one more at most");
+        assertTrue(
+                cluster.cloud().everRented() <= MACHINES + 3 + 1,
+                "more than one machine rented in addition");
         assertEachTaskStartedOnce(JOB, 3);
     }
 
@@ -103,7 +105,7 @@
         cluster.cloud().exhaustCapacity("b");
         acceptService(OTHER, "blue", 1, GPUS);
         cluster.run(3 * BOOT_SECONDS);
-        assertEquals(1, cluster.running(OTHER), "it is used again once machines come up there");
+        assertEquals(1, cluster.running(OTHER), "the zone is used again once machines boot there");
     }
 
     /** Machines that boot in a twentieth of the nominal time are used without delay. */
--- a/src/test/java/org/springmill/control/simulation/ResourceLimitTest.java
+++ b/src/test/java/org/springmill/control/simulation/ResourceLimitTest.java
@@ -36,7 +36,7 @@
         submitService(0, OTHER, "blue", 3, 8);
         cluster.submit(0, SimulatedCluster.job(JOB, "blue", "group", 4, 1, 4), 20);
         cluster.run(10);
-        assertEquals(0, cluster.running(JOB), "there is room for two of four");
+        assertEquals(0, cluster.running(JOB), "there is room for only two of the four tasks");
         cluster.cancel(0, OTHER);
         cluster.run(8);
         assertEquals(4, cluster.running(JOB));
--- a/src/test/java/org/springmill/control/simulation/UnguaranteedWorkTest.java
+++ b/src/test/java/org/springmill/control/simulation/UnguaranteedWorkTest.java
@@ -61,7 +61,9 @@
         cluster.run(5);
         accept(guestArray(OTHER, 2000, 60), 60);
         cluster.run(10);
-        assertTrue(cluster.running(OTHER) >= 100, "on the machines that blue's replicas hold");
+        assertTrue(
+                cluster.running(OTHER) >= 100,
+                "too few tasks run on the machines next to blue's replicas");
 
         accept(
                 SimulatedCluster.job("run-000003", "red", "service", 1, 30, 4)
--- a/src/test/java/org/springmill/control/simulation/WaitingJobTest.java
+++ b/src/test/java/org/springmill/control/simulation/WaitingJobTest.java
@@ -64,7 +64,7 @@
         cluster.run(50);
         boolean accepted = cluster.running(ACCEPTED_FIRST) > 0;
         boolean eligible = cluster.running(ELIGIBLE_FIRST) > 0;
-        assertTrue(accepted ^ eligible, accepted + ", " + eligible);
+        assertTrue(accepted ^ eligible, "exactly one job runs: " + accepted + ", " + eligible);
         assertEquals(winner, accepted ? "ACCEPTED" : "ELIGIBLE");
     }
 }
