--- a/src/test/java/org/springmill/control/simulation/IsolatedLeaderCancellationTest.java
+++ b/src/test/java/org/springmill/control/simulation/IsolatedLeaderCancellationTest.java
@@ -32,9 +32,9 @@
     /**
      * @param partitionSeconds how long the leader is also partitioned from the other controllers
      * @param crash which controllers crash 6 s into the outage
-     * @param othersKept whether no replica of the other job may be restarted; false where, because
-     *     of a controller that restarted or is partitioned, it stays unknown for longer than the
-     *     cancellation deadline which other jobs were cancelled
+     * @param otherReplicasKept whether no replica of the other job may be restarted; false where,
+     *     because of a controller that restarted or is partitioned, it stays unknown for longer
+     *     than the cancellation deadline which other jobs were cancelled
      */
     @ParameterizedTest
     @CsvSource({
@@ -49,7 +49,7 @@
         "90, all, false",
     })
     void cancellationConfirmedByAnotherControllerEndsTasksInTime(
-            double partitionSeconds, String crash, boolean othersKept) {
+            double partitionSeconds, String crash, boolean otherReplicasKept) {
         cluster.keyValueStore().refuseController(leader, true);
         cluster.partitionPeers(leader, partitionSeconds > 0);
         cluster.run(1);
@@ -75,7 +75,7 @@
         cluster.keyValueStore().setDown(false);
         cluster.run(60);
         assertEquals(4, cluster.running(OTHER));
-        if (othersKept) {
+        if (otherReplicasKept) {
             assertEachTaskStartedOnce(OTHER, 4);
         }
         for (int i = 0; i < 3; i++) {
--- a/src/test/java/org/springmill/control/simulation/JobChainCancellationTest.java
+++ b/src/test/java/org/springmill/control/simulation/JobChainCancellationTest.java
@@ -16,11 +16,11 @@
  */
 class JobChainCancellationTest extends JobChainFixture {
     /**
-     * @param lost what restarts or fails just after the answer to the user
+     * @param failure what restarts or fails just after the answer to the user
      */
     @ParameterizedTest
     @ValueSource(strings = {"nobody", "leader", "all", "outage"})
-    void cancellingAJobCancelsAllItsDependentsAndNoOtherJob(String lost) {
+    void cancellingAJobCancelsAllItsDependentsAndNoOtherJob(String failure) {
         submit(0, 3, job(1, 1));
         submit(0, 60, job(2, 1, 1));
         submit(1, 3, job(3, 2, 1));
@@ -29,14 +29,14 @@
         submit(2, 1, job(6, 1, 3));
         cluster.run(10);
         assertEquals("cancelled", cluster.cancel(follower(), id(2)));
-        if (lost.equals("leader") || lost.equals("all")) {
+        if (failure.equals("leader") || failure.equals("all")) {
             for (int node = 0; node < 3; node++) {
-                if (node == cluster.leader() || lost.equals("all")) {
+                if (node == cluster.leader() || failure.equals("all")) {
                     cluster.restart(node);
                 }
             }
             cluster.run(3);
-        } else if (lost.equals("outage")) {
+        } else if (failure.equals("outage")) {
             cluster.keyValueStore().setDown(true);
             cluster.run(10);
             cluster.keyValueStore().setDown(false);
@@ -66,7 +66,7 @@
     }
 
     @Test
-    void manyCancelledDependentsAreReportedAtOnceAndStoredSlowly() {
+    void manyCancelledDependentsAreReportedImmediatelyAndStoredAtALimitedRate() {
         submit(0, 1e9, job(1, 1));
         for (int i = 2; i < 60; i++) {
             submit(i % 3, 1, job(i, 1, i % 4 == 0 ? 1 : i - 1));
@@ -90,21 +90,21 @@
      */
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
-    void dependentsAreCancelledWhileTheLeaderIsIsolated(boolean before) {
-        submit(0, before ? 1e9 : 20, job(1, 2));
+    void dependentsAreCancelledWhileTheLeaderIsIsolated(boolean dependencyRunning) {
+        submit(0, dependencyRunning ? 1e9 : 20, job(1, 2));
         submit(1, 1e9, job(2, 2, 1));
         submit(2, 1, job(3, 2, 2));
         cluster.run(8);
-        int cut = cluster.leader();
-        cluster.isolate(cut);
-        cluster.run(before ? 1 : 25);
-        int other = (cut + 1) % 3;
-        assertEquals("cancelled", cluster.cancel(other, id(before ? 1 : 2)));
+        int isolated = cluster.leader();
+        cluster.isolate(isolated);
+        cluster.run(dependencyRunning ? 1 : 25);
+        int other = (isolated + 1) % 3;
+        assertEquals("cancelled", cluster.cancel(other, id(dependencyRunning ? 1 : 2)));
         cluster.polled().run(60);
         assertEquals("cancelled", cluster.phase(other, id(3)));
         // The isolated leader must report the cancellation or answer 503, never an outdated phase.
-        String said = cluster.phase(cut, id(3));
-        assertTrue(said.equals("503") || said.equals("cancelled"), said);
+        String phase = cluster.phase(isolated, id(3));
+        assertTrue(phase.equals("503") || phase.equals("cancelled"), phase);
         cluster.endFailures().run(30);
         assertPhaseEverywhere("cancelled", 2, 3);
     }
@@ -115,7 +115,8 @@
      */
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
-    void dependentsAreCancelledThoughTheLeaderIsRefusedBeforeALongOutage(boolean confirmerDies) {
+    void dependentsAreCancelledIfTheStoreRefusesTheLeaderBeforeALongOutage(
+            boolean confirmerCrashes) {
         submit(0, 1e9, job(1, 2));
         submit(1, 1, job(2, 2, 1));
         submit(2, 1, job(3, 2, 2));
@@ -127,14 +128,14 @@
         assertEquals("cancelled", cluster.cancel(confirmer, id(1)));
         cluster.keyValueStore().setDown(true);
         cluster.run(5);
-        if (confirmerDies) {
+        if (confirmerCrashes) {
             cluster.restart(confirmer);
         }
         cluster.run(45);
         assertEquals(0, cluster.running(id(1)));
         for (int node = 0; node < 3; node++) {
-            String said = cluster.phase(node, id(3));
-            assertTrue(said.equals("503") || said.equals("cancelled"), said + " at " + node);
+            String phase = cluster.phase(node, id(3));
+            assertTrue(phase.equals("503") || phase.equals("cancelled"), phase + " at " + node);
         }
         cluster.keyValueStore().refuseController(leader, false);
         cluster.keyValueStore().setDown(false);
@@ -163,7 +164,8 @@
         "DELIVER, 3",
         "LOSE_ANSWER, 3"
     })
-    void dependentsStayCancelledWhenAllControllersDieDuringTheWrites(Fate fate, int which) {
+    void dependentsStayCancelledWhenAllControllersCrashDuringTheCommits(
+            Fate fate, int commitIndex) {
         submit(0, 2, job(1, 1));
         submit(1, 1e9, job(2, 2, 1));
         for (int i = 3; i <= 8; i++) {
@@ -174,14 +176,14 @@
         }
         cluster.run(6);
         assertPhaseEverywhere("running", 2);
-        int[] seen = new int[1];
+        int[] commitsSeen = new int[1];
         cluster.network()
                 .judge(
                         (from, request) -> {
                             boolean hit =
                                     isCommit(request)
                                             && text(request).contains("\"end\":\"cancelled\"")
-                                            && seen[0]++ == which;
+                                            && commitsSeen[0]++ == commitIndex;
                             if (hit) {
                                 cluster.clock().after(0.003, this::killControllers);
                             }
@@ -189,7 +191,9 @@
                         });
         String answer = cluster.cancel(follower(), id(2));
         cluster.run(20);
-        assertTrue(seen[0] > which, "only " + seen[0] + " commits of cancellations");
+        assertTrue(
+                commitsSeen[0] > commitIndex,
+                "only " + commitsSeen[0] + " commits of cancellations");
         restartControllers();
         cluster.run(4);
         for (int i = 0; i < 10 && !answer.equals("cancelled"); i++) {
@@ -219,7 +223,7 @@
         "LOSE_ANSWER, 0.05"
     })
     void aDependentFollowsWhicheverOfDoneAndCancelledIsCommittedFirst(
-            Fate fate, double laterSeconds) {
+            Fate fate, double delaySeconds) {
         submit(0, 4, job(1, 2));
         submit(1, 1, job(2, 1, 1));
         cluster.network()
@@ -233,7 +237,7 @@
         while (cluster.running(id(1)) > 0) {
             cluster.run(0.001);
         }
-        cluster.run(laterSeconds);
+        cluster.run(delaySeconds);
         String answer = cluster.cancel(follower(), id(1));
         assertTrue(answer.equals("cancelled") || answer.equals("done"), answer);
         deliverAllMessages();
--- a/src/test/java/org/springmill/control/simulation/JobChainEligibilityTest.java
+++ b/src/test/java/org/springmill/control/simulation/JobChainEligibilityTest.java
@@ -12,7 +12,7 @@
 /** A job becomes eligible once all its dependencies are recorded as done. */
 class JobChainEligibilityTest extends JobChainFixture {
     @Test
-    void eachJobStartsAtOnceWhenItsLastDependencyIsDone() {
+    void eachJobStartsAsSoonAsItsLastDependencyIsDone() {
         submit(0, 4, job(1, 2));
         submit(1, 4, job(2, 3, 1));
         submit(2, 9, job(3, 2, 1));
@@ -58,8 +58,8 @@
     })
     void aDependentWhoseRecordArrivesFirstWaitsForItsDependency(
             String how, String state, String end) {
-        int[] over = state.equals("done") ? new int[] {0, 1} : new int[0];
-        cluster.assume(job(9, 2), over);
+        int[] doneTasks = state.equals("done") ? new int[] {0, 1} : new int[0];
+        cluster.assume(job(9, 2), doneTasks);
         cluster.assume(job(1, 2, 9));
         cluster.assume(job(2, 2, 1));
         if (how.equals("rebuild")) {
@@ -70,8 +70,8 @@
         store("job/" + id(1), jobRecord(1, ",\"accepted\":1000000001.0", 9));
         cluster.run(5);
         assertEquals(0, cluster.starts(id(1) + "/0") + cluster.starts(id(2) + "/0"));
-        String front = ",\"end\":\"" + state + "\",\"at\":1000000002.0";
-        store("job/" + id(9), jobRecord(9, state.equals("queued") ? "" : front));
+        String stateFields = ",\"end\":\"" + state + "\",\"at\":1000000002.0";
+        store("job/" + id(9), jobRecord(9, state.equals("queued") ? "" : stateFields));
         if (state.equals("cancelled")) {
             // The cancellation was written to the store directly; the request makes it known to the
             // invariant checks.
@@ -92,7 +92,7 @@
      */
     @ParameterizedTest
     @CsvSource({"taken, false", "taken, true", "hangs, false", "hangs, true"})
-    void aDependentWaitsForTheReplacementOfALostTask(String how, boolean leaderToo) {
+    void aDependentWaitsForTheReplacementOfALostTask(String how, boolean leaderRestarts) {
         submit(0, 9, job(1, 2));
         submit(1, 1, job(2, 2, 1));
         cluster.run(8);
@@ -102,7 +102,7 @@
         } else {
             lost.hang(true);
         }
-        if (leaderToo) {
+        if (leaderRestarts) {
             cluster.restart(cluster.leader());
         }
         cluster.run(6);
--- a/src/test/java/org/springmill/control/simulation/JobChainFailoverTest.java
+++ b/src/test/java/org/springmill/control/simulation/JobChainFailoverTest.java
@@ -30,7 +30,7 @@
         "LOSE_ANSWER, claim",
         "HOLD, claim"
     })
-    void dependentsStartOnceWhenTheLeaderDiesBetweenTwoJobs(Fate fate, String what) {
+    void dependentsStartOnceWhenTheLeaderCrashesBetweenTwoJobs(Fate fate, String what) {
         submit(follower(), 3, job(1, 2));
         submit(follower(), 3, job(2, 2, 1));
         int leader = cluster.leader();
@@ -114,7 +114,7 @@
 
     /** The new leader reads claims that three earlier leaders committed, each in its own term. */
     @Test
-    void chainsGoOnWhenALeaderTakesOverClaimsOfThreeTerms() {
+    void chainsContinueWhenALeaderTakesOverClaimsOfThreeTerms() {
         submit(0, 12, job(1, 1));
         submit(1, 12, job(2, 1, 1));
         submit(2, 2, job(3, 1, 2));
@@ -126,7 +126,9 @@
         }
         assertEquals(
                 3,
-                cluster.keyValueStore().keysUnder("round/").stream().filter(this::claims).count());
+                cluster.keyValueStore().keysUnder("round/").stream()
+                        .filter(this::claimsServiceTasks)
+                        .count());
         killControllers();
         cluster.run(2);
         restartControllers();
@@ -140,7 +142,7 @@
     }
 
     /** Whether a round claims tasks of one of the services. */
-    private boolean claims(String round) {
+    private boolean claimsServiceTasks(String round) {
         return cluster.keyValueStore().value(round).path("claims").toString().contains("run-00001");
     }
 }
--- a/src/test/java/org/springmill/control/simulation/JobChainFixture.java
+++ b/src/test/java/org/springmill/control/simulation/JobChainFixture.java
@@ -90,15 +90,16 @@
     }
 
     /**
-     * @param front the fields for the job's end and time of acceptance, each preceded by a comma
+     * @param stateFields the fields for the job's end and time of acceptance, each preceded by a
+     *     comma
      */
-    static String jobRecord(int number, String front, int... dependencies) {
+    static String jobRecord(int number, String stateFields, int... dependencies) {
         String names =
                 Arrays.stream(dependencies)
                         .mapToObj(dependency -> '"' + id(dependency) + '"')
                         .collect(Collectors.joining(","));
         String field = names.isEmpty() ? "" : ",\"waitsOn\":[" + names + "]";
-        return JOB_RECORD.formatted(front, id(number), field);
+        return JOB_RECORD.formatted(stateFields, id(number), field);
     }
 
     /** Writes a record to the key-value store directly, without a controller. */
--- a/src/test/java/org/springmill/control/simulation/JobChainSubmissionTest.java
+++ b/src/test/java/org/springmill/control/simulation/JobChainSubmissionTest.java
@@ -34,7 +34,7 @@
             },
             ignoreLeadingAndTrailingWhitespace = true)
     void aSubmissionIsAcceptedOrRefusedByTheDependenciesItNames(
-            String names, int status, String says) {
+            String names, int status, String expectedText) {
         submit(0, 1e9, job(1, 1));
         submit(0, 1e9, service(2, 1));
         String body = SimulatedCluster.job(id(9), "red", "sweep", 1, 1, 1).toString();
@@ -44,9 +44,9 @@
                         + names.replace('~', '"')
                         + "}";
         Reply reply = cluster.ask(1, "POST", "/submissions", body);
-        String said = bodyOf(reply);
-        assertEquals(status, reply.status(), said);
-        assertTrue(said.contains(says), said);
+        String responseText = bodyOf(reply);
+        assertEquals(status, reply.status(), responseText);
+        assertTrue(responseText.contains(expectedText), responseText);
     }
 
     @Test
@@ -57,8 +57,8 @@
         }
         Reply reply = cluster.ask(1, "POST", "/submissions", job.toString());
         assertEquals(422, reply.status());
-        String said = bodyOf(reply);
-        assertTrue(said.contains("bytes to store, more than"), said);
+        String responseText = bodyOf(reply);
+        assertTrue(responseText.contains("bytes to store, more than"), responseText);
     }
 
     /**
--- a/src/test/java/org/springmill/control/simulation/KeyValueStoreLimitsTest.java
+++ b/src/test/java/org/springmill/control/simulation/KeyValueStoreLimitsTest.java
@@ -16,11 +16,12 @@
 
 /** The limits of the key-value store shrink, with and without a change of the settings. */
 class KeyValueStoreLimitsTest {
-    private static final Settings.StoreLimits SMALLER = new Settings.StoreLimits(120, 15, 2048, 4);
+    private static final Settings.StoreLimits SMALLER_LIMITS =
+            new Settings.StoreLimits(120, 15, 2048, 4);
     private final SimulatedCluster cluster = new SimulatedCluster();
 
     @AfterEach
-    void noRuleIsBroken() {
+    void noInvariantIsBroken() {
         assertEquals(List.of(), cluster.violations());
     }
 
@@ -32,7 +33,7 @@
         return SimulatedCluster.job(id(number), "blue", shape, tasks, 0.5, 0.2);
     }
 
-    private void machinesAndServices() {
+    private void startMachinesAndServices() {
         cluster.machines("large", "a", 4).machines("large", "b", 4).run(6);
         for (int i = 1; i <= 12; i++) {
             assertEquals(201, cluster.submit(i % 3, job(i, "service", 12), 1e9));
@@ -41,7 +42,7 @@
         assertEquals(12, cluster.running(id(12)));
     }
 
-    private long largest() {
+    private long largestRoundBytes() {
         return cluster.keyValueStore().keysUnder("round/").stream()
                 .mapToLong(key -> cluster.keyValueStore().value(key).toString().length())
                 .max()
@@ -54,9 +55,11 @@
      */
     @Test
     void storedLargerRoundsAreSplitWhenCarriedOn() {
-        machinesAndServices();
-        assertTrue(largest() > 2048, "largest round record: " + largest() + " bytes");
-        cluster.settings(SMALLER);
+        startMachinesAndServices();
+        assertTrue(
+                largestRoundBytes() > 2048,
+                "largest round record: " + largestRoundBytes() + " bytes");
+        cluster.settings(SMALLER_LIMITS);
         for (int node = 0; node < 3; node++) {
             cluster.restart(node);
             cluster.run(12);
@@ -68,7 +71,9 @@
         }
         cluster.run(20);
         assertEquals(0, cluster.keyValueStore().oversizedCommits());
-        assertTrue(largest() <= 2048, "largest round record: " + largest() + " bytes");
+        assertTrue(
+                largestRoundBytes() <= 2048,
+                "largest round record: " + largestRoundBytes() + " bytes");
         for (int i = 20; i < 60; i++) {
             assertEquals("done", cluster.phase(i % 3, id(i)));
         }
@@ -105,7 +110,7 @@
         cluster.machines("large", "a", 4).machines("large", "b", 4).run(6);
         int leader = cluster.leader();
         String term = cluster.keyValueStore().value("leader").toString();
-        int[] seen = new int[1];
+        int[] matches = new int[1];
         cluster.network()
                 .judge(
                         (from, request) -> {
@@ -113,12 +118,12 @@
                                     request.path().equals("/commit")
                                             && new String(request.body(), StandardCharsets.UTF_8)
                                                     .contains("\"claims\":[[\"" + id(1));
-                            if (round && seen[0]++ == later) {
+                            if (round && matches[0]++ == later) {
                                 cluster.clock()
                                         .after(0.001, () -> cluster.keyValueStore().limit(2048, 3));
                                 return fate;
                             }
-                            if (round && later == 1 && seen[0] == 1) {
+                            if (round && later == 1 && matches[0] == 1) {
                                 cluster.keyValueStore().limit(2048, 3);
                             }
                             return Fate.DELIVER;
@@ -154,28 +159,28 @@
         "firstRound, DELIVER",
         "firstRound, LOSE_ANSWER"
     })
-    void limitsShrinkDuring(String what, Fate fate) {
-        machinesAndServices();
-        int[] seen = new int[1];
+    void jobsRunOnceWhenLimitsShrink(String moment, Fate fate) {
+        startMachinesAndServices();
+        int[] matches = new int[1];
         cluster.network()
                 .judge(
                         (from, request) -> {
                             String body = new String(request.body(), StandardCharsets.UTF_8);
                             boolean hit =
-                                    switch (what) {
+                                    switch (moment) {
                                         case "compaction" -> body.contains("\"delete\":\"round/");
                                         case "takeover" ->
                                                 request.path().startsWith("/store?under=round/");
                                         default -> body.contains("\"write\":\"round/");
                                     };
-                            if (hit && seen[0]++ == 0) {
+                            if (hit && matches[0]++ == 0) {
                                 cluster.clock()
                                         .after(0.001, () -> cluster.keyValueStore().limit(2048, 4));
                                 return fate;
                             }
                             return Fate.DELIVER;
                         });
-        if (!what.equals("compaction")) {
+        if (!moment.equals("compaction")) {
             cluster.restart(cluster.leader());
         }
         for (int i = 20; i < 60; i++) {
@@ -183,7 +188,7 @@
             cluster.run(2);
         }
         cluster.run(20);
-        assertTrue(seen[0] > 0, "the limits never shrank during: " + what);
+        assertTrue(matches[0] > 0, "the limits never shrank during: " + moment);
         cluster.network().releaseHeld();
         cluster.run(5);
         for (int i = 20; i < 60; i++) {
@@ -209,7 +214,7 @@
      */
     @ParameterizedTest
     @CsvSource({"false", "true"})
-    void limitsShrinkInAWaveOfCancellations(boolean leaderChanges) {
+    void limitsShrinkWhileManyCancellationsAreWritten(boolean leaderChanges) {
         cluster.machines("large", "a", 2).run(6);
         assertEquals(201, cluster.submit(0, job(1, "sweep", 2), 1e9));
         for (int i = 2; i <= 40; i++) {
--- a/src/test/java/org/springmill/control/simulation/NetworkPartitionTest.java
+++ b/src/test/java/org/springmill/control/simulation/NetworkPartitionTest.java
@@ -78,7 +78,7 @@
     }
 
     @Test
-    void leaderAloneWithTheStateServiceTakesSilenceForNoProof() {
+    void leaderReachingOnlyTheStateServiceDoesNotTakeMissingReportsAsProof() {
         submitService(0, JOB, "red", 4, 1);
         cluster.run(8);
         int isolated = cluster.leader();
@@ -121,7 +121,7 @@
         submitService(0, JOB, "red", 2, 1);
         cluster.run(8);
         int isolated = cluster.leader();
-        SimWorker follows = cluster.workerRunning(FIRST_TASK);
+        SimWorker machine = cluster.workerRunning(FIRST_TASK);
         cluster.partitionPeers(isolated, true);
         // One machine exchanges messages with the old leader only.
         cluster.network()
@@ -130,10 +130,10 @@
                             boolean oldLeader =
                                     fromController(from, isolated) && toStateService(request);
                             boolean outwards =
-                                    from.equals(follows.name()) && !toController(request, isolated);
+                                    from.equals(machine.name()) && !toController(request, isolated);
                             boolean inwards =
                                     !fromController(from, isolated)
-                                            && request.address().equals(follows.address());
+                                            && request.address().equals(machine.address());
                             return oldLeader || outwards || inwards ? Fate.DROP : Fate.DELIVER;
                         });
         cluster.run(15);
--- a/src/test/java/org/springmill/control/simulation/OverdueBootTest.java
+++ b/src/test/java/org/springmill/control/simulation/OverdueBootTest.java
@@ -35,7 +35,7 @@
      * keeping the overdue machine once the replacement runs the job.
      */
     @Test
-    void machineThatNeverComesUpIsReplacedAndGivenBack() {
+    void machineThatNeverBootsIsReplacedAndReturned() {
         setBootSeconds(FOREVER);
         acceptService(JOB, "blue", 1, GPUS);
         cluster.run(5);
@@ -52,20 +52,21 @@
 
     /** Guards against renting a replacement for every machine when all machines boot slowly. */
     @Test
-    void generalDelayHasFewMachinesRentedTwice() {
+    void slowBootOfAllMachinesCausesFewReplacements() {
         setBootSeconds(4 * BOOT_SECONDS);
-        int late = 8;
+        int machinesNeeded = 8;
         acceptService(JOB, "blue", 2, GPUS);
         acceptService(OTHER, "blue", 1, GPUS);
-        for (int i = 0; i < late - 3; i++) {
+        for (int i = 0; i < machinesNeeded - 3; i++) {
             cluster.submit(follower(), lowPriority("run-00020" + i), 60);
         }
         cluster.run(4 * BOOT_SECONDS + 15);
 
         assertEquals(2, cluster.running(JOB));
         assertEquals(1, cluster.running(OTHER));
-        int surplus = cluster.cloud().everRented() - MACHINES - late;
-        assertTrue(surplus <= 1 + late / 4, surplus + " more machines rented than needed");
+        int surplus = cluster.cloud().everRented() - MACHINES - machinesNeeded;
+        assertTrue(
+                surplus <= 1 + machinesNeeded / 4, surplus + " more machines rented than needed");
         assertEachTaskStartedOnce(JOB, 2);
     }
 
@@ -75,7 +76,7 @@
 
     /** Guards against a new leader that rents machines again or places tasks twice. */
     @Test
-    void newLeaderOrdersNothingTwiceWhileMachinesAreLate() {
+    void newLeaderRentsNothingTwiceWhileMachinesAreLate() {
         setBootSeconds(3 * BOOT_SECONDS);
         acceptService(JOB, "blue", 3, GPUS);
         cluster.run(25);
@@ -95,7 +96,7 @@
      * zone is used again later.
      */
     @Test
-    void zoneWhereNothingComesUpIsLeftForTheOther() {
+    void zoneWhereMachinesDoNotBootIsReplacedByTheOther() {
         cluster.cloud().setBootSeconds("a", FOREVER);
         acceptService(JOB, "blue", 3, GPUS);
         cluster.run(1.6 * BOOT_SECONDS + BOOT_SECONDS + 10);
@@ -110,7 +111,7 @@
 
     /** Machines that boot in a twentieth of the nominal time are used without delay. */
     @Test
-    void machinesThatComeUpAtOnceAreUsedAtOnce() {
+    void machinesThatBootQuicklyAreUsedImmediately() {
         setBootSeconds(BOOT_SECONDS / 20);
         cluster.cloud().freezeMachineList();
         acceptService(JOB, "blue", 3, GPUS);
--- a/src/test/java/org/springmill/control/simulation/ResourceLimitTest.java
+++ b/src/test/java/org/springmill/control/simulation/ResourceLimitTest.java
@@ -12,7 +12,7 @@
 /** Team limits, guarantees, spread over zones and room for large tasks. */
 class ResourceLimitTest extends SingleFailureFixture {
     @Test
-    void teamLimitAndSpreadHoldWhileMachinesAreSilent() {
+    void teamLimitAndSpreadHoldWhileMachinesDoNotReport() {
         var spread = SimulatedCluster.job(JOB, "red", "service", 6, 1, 2);
         spread.put("apart", true);
         cluster.submit(0, spread, FOREVER);
@@ -20,11 +20,11 @@
         assertEquals(6, cluster.running(JOB));
         // Two machines stop reporting while their tasks run. Next to six tasks of 2 GPUs the team's
         // limit of 16 GPUs allows two more.
-        List<SimWorker> silent = cluster.cloud().machines().values().stream().limit(2).toList();
-        silent.forEach(w -> w.hang(true));
+        List<SimWorker> hung = cluster.cloud().machines().values().stream().limit(2).toList();
+        hung.forEach(w -> w.hang(true));
         submitService(1, OTHER, "red", 5, 2);
         cluster.run(60);
-        silent.forEach(w -> w.hang(false));
+        hung.forEach(w -> w.hang(false));
         cluster.run(40);
         assertEquals(6, cluster.running(JOB));
         assertEquals(2, cluster.running(OTHER));
@@ -73,13 +73,16 @@
         "normal, best_effort, 0, 32",
     })
     void guaranteeIsMetOnceAndOnlyFromUsageAboveAGuarantee(
-            String running, String claiming, int claimantsRunning, int othersRunning) {
+            String runningPriority,
+            String claimantPriority,
+            int claimantsRunning,
+            int othersRunning) {
         cluster.cloud().exhaustCapacity();
         var first = SimulatedCluster.job(JOB, "blue", "service", 32, 1, 1);
-        cluster.submit(0, first.put("urgency", running), FOREVER);
+        cluster.submit(0, first.put("urgency", runningPriority), FOREVER);
         cluster.run(8);
         var second = SimulatedCluster.job(OTHER, "red", "service", 12, 1, 1);
-        cluster.submit(0, second.put("urgency", claiming), FOREVER);
+        cluster.submit(0, second.put("urgency", claimantPriority), FOREVER);
         cluster.run(30);
         assertEquals(claimantsRunning, cluster.running(OTHER));
         assertEquals(othersRunning, cluster.running(JOB));
--- a/src/test/java/org/springmill/control/simulation/TeamWithoutGuaranteeTest.java
+++ b/src/test/java/org/springmill/control/simulation/TeamWithoutGuaranteeTest.java
@@ -11,7 +11,7 @@
  * machines with 8 GPUs each; the teams red and blue are guaranteed 8 GPUs each.
  */
 class TeamWithoutGuaranteeTest extends ClusterFixture {
-    private static final String GUEST = "guest";
+    private static final String TEAM_WITHOUT_GUARANTEE = "guest";
     private static final int ALL_GPUS = 32;
     private static final int GUARANTEED_GPUS = 8;
     private static final double SETTLE_SECONDS = 20;
@@ -21,7 +21,7 @@
         cluster.cloud().exhaustCapacity();
     }
 
-    private static ObjectNode lowArray(String id, String team, int tasks) {
+    private static ObjectNode bestEffortArray(String id, String team, int tasks) {
         return SimulatedCluster.job(id, team, "sweep", tasks, 1, 1).put("urgency", "best_effort");
     }
 
@@ -30,13 +30,13 @@
      * a guarantee ran counted as guaranteed, and a team below its guarantee had to wait.
      */
     @Test
-    void teamGetsItsGuaranteeFromAGuestOfTheSamePriority() {
+    void teamGetsItsGuaranteeFromATeamWithoutOneAtTheSamePriority() {
         startFullCluster();
-        accept(lowArray(JOB, GUEST, ALL_GPUS), FOREVER);
+        accept(bestEffortArray(JOB, TEAM_WITHOUT_GUARANTEE, ALL_GPUS), FOREVER);
         cluster.run(SETTLE_SECONDS);
         assertEquals(ALL_GPUS, cluster.running(JOB));
 
-        accept(lowArray(OTHER, "red", GUARANTEED_GPUS), FOREVER);
+        accept(bestEffortArray(OTHER, "red", GUARANTEED_GPUS), FOREVER);
         cluster.run(SETTLE_SECONDS);
 
         assertEquals(GUARANTEED_GPUS, cluster.running(OTHER));
@@ -45,12 +45,12 @@
 
     /** Guards against preemption on behalf of a team without a guarantee. */
     @Test
-    void guestStopsNothingThatOthersRunAboveTheirGuarantee() {
+    void teamWithoutGuaranteePreemptsNothing() {
         startFullCluster();
-        accept(lowArray(JOB, "blue", ALL_GPUS), FOREVER);
+        accept(bestEffortArray(JOB, "blue", ALL_GPUS), FOREVER);
         cluster.run(SETTLE_SECONDS);
 
-        accept(lowArray(OTHER, GUEST, GUARANTEED_GPUS), FOREVER);
+        accept(bestEffortArray(OTHER, TEAM_WITHOUT_GUARANTEE, GUARANTEED_GPUS), FOREVER);
         cluster.run(SETTLE_SECONDS);
 
         assertEquals(ALL_GPUS, cluster.running(JOB));
@@ -62,11 +62,11 @@
      * priority.
      */
     @Test
-    void guestWaitsBehindGuaranteedWorkAcrossAChangeOfLeader() {
+    void unguaranteedWorkWaitsBehindGuaranteedWorkAcrossAChangeOfLeader() {
         startFullCluster();
-        accept(lowArray("run-000003", "blue", ALL_GPUS), SETTLE_SECONDS);
-        accept(lowArray(JOB, GUEST, ALL_GPUS), FOREVER);
-        accept(lowArray(OTHER, "red", GUARANTEED_GPUS), FOREVER);
+        accept(bestEffortArray("run-000003", "blue", ALL_GPUS), SETTLE_SECONDS);
+        accept(bestEffortArray(JOB, TEAM_WITHOUT_GUARANTEE, ALL_GPUS), FOREVER);
+        accept(bestEffortArray(OTHER, "red", GUARANTEED_GPUS), FOREVER);
         cluster.kill(cluster.leader());
         cluster.run(4 * SETTLE_SECONDS);
 
--- a/src/test/java/org/springmill/control/simulation/UnguaranteedWorkTest.java
+++ b/src/test/java/org/springmill/control/simulation/UnguaranteedWorkTest.java
@@ -14,7 +14,7 @@
  * of 10 per hour; small machines with 4 CPUs at 0.2 per hour can be rented and boot in 20 s.
  */
 class UnguaranteedWorkTest extends ClusterFixture {
-    private static final String GUEST = "guest";
+    private static final String TEAM_WITHOUT_GUARANTEE = "guest";
     private static final double TASK_CPUS = 0.25;
     private static final int SHORT_TASKS = 1600;
     private static final double SHORT_SECONDS = 4;
@@ -24,8 +24,8 @@
         startCluster(41);
     }
 
-    private static ObjectNode guestArray(String id, int tasks, double seconds) {
-        return SimulatedCluster.job(id, GUEST, "sweep", tasks, TASK_CPUS, 0)
+    private static ObjectNode unguaranteedArray(String id, int tasks, double seconds) {
+        return SimulatedCluster.job(id, TEAM_WITHOUT_GUARANTEE, "sweep", tasks, TASK_CPUS, 0)
                 .put("urgency", "best_effort")
                 .put("memGb", 0.1)
                 .put("expectS", seconds);
@@ -36,11 +36,11 @@
      * although the tasks take only 4 s each.
      */
     @Test
-    void shortTasksAreRentedForByTheTimeThatTheyTake() {
+    void fewMachinesAreRentedForManyShortTasks() {
         // This service fills the four machines, so the whole array runs on newly rented ones.
         accept(SimulatedCluster.job(OTHER, "blue", "service", 4, 32, 8), FOREVER);
         cluster.run(5);
-        accept(guestArray(JOB, SHORT_TASKS, SHORT_SECONDS), SHORT_SECONDS);
+        accept(unguaranteedArray(JOB, SHORT_TASKS, SHORT_SECONDS), SHORT_SECONDS);
         cluster.run(40);
         cluster.kill(cluster.leader());
         cluster.run(120);
@@ -55,11 +55,11 @@
      * work of higher priority.
      */
     @Test
-    void guestUsesWhatIsLeftOverAndMakesWay() {
+    void unguaranteedWorkUsesIdleCapacityAndIsPreempted() {
         cluster.cloud().exhaustCapacity();
         acceptService(JOB, "blue", 4, 4);
         cluster.run(5);
-        accept(guestArray(OTHER, 2000, 60), 60);
+        accept(unguaranteedArray(OTHER, 2000, 60), 60);
         cluster.run(10);
         assertTrue(
                 cluster.running(OTHER) >= 100,
@@ -76,7 +76,7 @@
 
     /** Guards against one-task jobs that never run, or run twice, when the leader changes. */
     @Test
-    void swarmOfOneTaskJobsEndsAcrossAChangeOfLeader() {
+    void manyOneTaskJobsEndAcrossAChangeOfLeader() {
         int jobs = 120;
         for (int i = 0; i < jobs; i++) {
             int controller = i % CONTROLLERS;
@@ -85,7 +85,7 @@
                 cluster.run(6);
             }
             String id = String.format("run-%06d", 1000 + i);
-            assertEquals(201, cluster.submit(controller, guestArray(id, 1, 10), 10));
+            assertEquals(201, cluster.submit(controller, unguaranteedArray(id, 1, 10), 10));
         }
         cluster.run(90);
         for (int i = 0; i < jobs; i++) {
--- a/src/test/java/org/springmill/control/simulation/UserRequestTest.java
+++ b/src/test/java/org/springmill/control/simulation/UserRequestTest.java
@@ -14,11 +14,13 @@
 class UserRequestTest extends SingleFailureFixture {
     @ParameterizedTest
     @ValueSource(ints = {0, 1, 2})
-    void jobSubmittedToAnyControllerRunsOnceAndIsDoneEverywhere(int node) {
+    void jobSubmittedToAnyControllerRunsOnceAndIsDoneEverywhere(int controller) {
         assertEquals(
-                201, cluster.submit(node, SimulatedCluster.job(JOB, "red", "sweep", 3, 1, 1), 5));
+                201,
+                cluster.submit(controller, SimulatedCluster.job(JOB, "red", "sweep", 3, 1, 1), 5));
         assertEquals(
-                200, cluster.submit(node, SimulatedCluster.job(JOB, "red", "sweep", 3, 1, 1), 5));
+                200,
+                cluster.submit(controller, SimulatedCluster.job(JOB, "red", "sweep", 3, 1, 1), 5));
         cluster.run(12);
         for (int i = 0; i < 3; i++) {
             assertEquals("done", cluster.phase(i, JOB));
@@ -63,8 +65,8 @@
     })
     void requestGetsTheStatusOfItsMethodAndPathFromEveryController(
             String method, String path, int status) {
-        for (int node = 0; node < 3; node++) {
-            assertEquals(status, cluster.ask(node, method, path, "").status());
+        for (int controller = 0; controller < 3; controller++) {
+            assertEquals(status, cluster.ask(controller, method, path, "").status());
         }
     }
 
@@ -76,7 +78,7 @@
         "red, 2, 1, 8, 201",
         "blue, 1, 99, 0, 422"
     })
-    void jobThatCanNeverRunIsRefusedAtOnce(
+    void jobThatCanNeverRunIsRefusedOnSubmission(
             String team, int tasks, double cpus, double gpus, int status) {
         assertEquals(
                 status,
--- a/src/test/java/org/springmill/control/simulation/WaitingJobTest.java
+++ b/src/test/java/org/springmill/control/simulation/WaitingJobTest.java
@@ -21,7 +21,7 @@
     private final SimulatedCluster cluster = new SimulatedCluster();
 
     @AfterEach
-    void noRuleIsBroken() {
+    void noInvariantIsBroken() {
         assertEquals(List.of(), cluster.violations());
     }
 
@@ -29,13 +29,13 @@
         assertEquals(201, cluster.submit(0, job, runSeconds));
     }
 
-    private static ObjectNode small(String id) {
+    private static ObjectNode oneTaskJob(String id) {
         return SimulatedCluster.job(id, "blue", "sweep", 1, 1, 0);
     }
 
-    private static ObjectNode whole(String id, String needed, double dueSeconds) {
+    private static ObjectNode wholeMachineJob(String id, String dependency, double dueSeconds) {
         ObjectNode job = SimulatedCluster.job(id, "blue", "sweep", 8, 1, 1);
-        job.putArray("waitsOn").add(needed);
+        job.putArray("waitsOn").add(dependency);
         return dueSeconds < 0 ? job : job.put("dueS", dueSeconds);
     }
 
@@ -50,17 +50,17 @@
         "100, 90, ACCEPTED",
         "130, 90, ELIGIBLE",
     })
-    void placeCountsFromTheLastEndAndDeadlineFromSubmission(
+    void queuePositionCountsFromLastDependencyAndDeadlineFromSubmission(
             double firstDueSeconds, double secondDueSeconds, String winner) {
         cluster.machines("large", "a", 1).run(6);
         cluster.cloud().exhaustCapacity();
-        submit(50, small(SLOW));
-        submit(1, small(QUICK));
-        submit(1e9, whole(ACCEPTED_FIRST, SLOW, firstDueSeconds));
+        submit(50, oneTaskJob(SLOW));
+        submit(1, oneTaskJob(QUICK));
+        submit(1e9, wholeMachineJob(ACCEPTED_FIRST, SLOW, firstDueSeconds));
         cluster.run(20);
         submit(45, SimulatedCluster.job(OCCUPANT, "blue", "sweep", 8, 1, 1));
         cluster.run(5);
-        submit(1e9, whole(ELIGIBLE_FIRST, QUICK, secondDueSeconds));
+        submit(1e9, wholeMachineJob(ELIGIBLE_FIRST, QUICK, secondDueSeconds));
         cluster.run(50);
         boolean accepted = cluster.running(ACCEPTED_FIRST) > 0;
         boolean eligible = cluster.running(ELIGIBLE_FIRST) > 0;
--- a/src/test/java/org/springmill/control/simulation/WorkerLeaseTest.java
+++ b/src/test/java/org/springmill/control/simulation/WorkerLeaseTest.java
@@ -31,7 +31,7 @@
     }
 
     @Test
-    void replicasOfASilentMachineAreReplacedBeforeItsLeaseEnds() {
+    void replicasOfAHungMachineAreReplacedBeforeItsLeaseEnds() {
         submitService(0, JOB, "red", 1, 1);
         cluster.run(8);
         cluster.workerRunning(FIRST_TASK).hang(true);
--- a/src/test/java/org/springmill/control/simulation/ZonePartitionTest.java
+++ b/src/test/java/org/springmill/control/simulation/ZonePartitionTest.java
@@ -164,7 +164,7 @@
     @ParameterizedTest
     @CsvSource({"20, 40, false", "3, 40, false", "3, 13, true"})
     void cancelledTasksInAPartitionedZoneEndInTime(
-            double restartAfterSeconds, double partitionSeconds, boolean othersStay) {
+            double restartAfterSeconds, double partitionSeconds, boolean otherReplicasStay) {
         submitService(0, JOB, "blue", 4, 4);
         submitService(0, OTHER, "blue", 4, 4);
         cluster.run(8);
@@ -185,6 +185,6 @@
         for (int i = 0; i < 4; i++) {
             starts += cluster.starts(OTHER + "/" + i);
         }
-        assertEquals(othersStay, starts == 4, starts + " starts");
+        assertEquals(otherReplicasStay, starts == 4, starts + " starts");
     }
 }
