--- a/src/test/java/org/springmill/control/simulation/JobChainSubmissionTest.java
+++ b/src/test/java/org/springmill/control/simulation/JobChainSubmissionTest.java
@@ -34,7 +34,7 @@
             },
             ignoreLeadingAndTrailingWhitespace = true)
     void aSubmissionIsAcceptedOrRefusedByTheDependenciesItNames(
-            String names, int status, String says) {
+            String names, int status, String expectedText) {
         submit(0, 1e9, job(1, 1));
         submit(0, 1e9, service(2, 1));
         String body = SimulatedCluster.job(id(9), "red", "sweep", 1, 1, 1).toString();
@@ -44,9 +44,9 @@
                         + names.replace('~', '"')
                         + "}";
         Reply reply = cluster.ask(1, "POST", "/submissions", body);
-        String said = bodyOf(reply);
-        assertEquals(status, reply.status(), said);
-        assertTrue(said.contains(says), said);
+        String responseText = bodyOf(reply);
+        assertEquals(status, reply.status(), responseText);
+        assertTrue(responseText.contains(expectedText), responseText);
     }
 
     @Test
@@ -57,13 +57,13 @@
         }
         Reply reply = cluster.ask(1, "POST", "/submissions", job.toString());
         assertEquals(422, reply.status());
-        String said = bodyOf(reply);
-        assertTrue(said.contains("bytes to store, more than"), said);
+        String responseText = bodyOf(reply);
+        assertTrue(responseText.contains("bytes to store, more than"), responseText);
     }
 
     /**
-     * Another controller may have accepted the dependency a moment ago, which only a read of the
-     * key-value store can tell.
+     * Another controller may just have accepted the dependency; only a read of the key-value store
+     * shows whether it did.
      */
     @Test
     void anUnknownDependencyGetsNoFinalAnswerWithoutAReadOfTheStateService() {
@@ -86,7 +86,7 @@
                                         ? Fate.REFUSE
                                         : Fate.DELIVER);
         assertEquals(503, cluster.submit(1, job(4, 1, 3), 1));
-        // Known there already, in whatever state the jobs are that it names.
+        // Controller 0 accepted this job, but controller 1 cannot find that out either.
         assertEquals(503, cluster.submit(1, job(3, 1), 1));
         deliverAllMessages();
         cluster.run(1);
@@ -109,7 +109,7 @@
         assertPhaseEverywhere("done", 1, 2);
     }
 
-    /** A dependency of another team in each of its states, and how its dependent ends. */
+    /** The dependency belongs to another team and is in any of its phases at the submission. */
     @ParameterizedTest
     @CsvSource({
         "queued, done",
--- a/src/test/java/org/springmill/control/simulation/KeyValueStoreLimitsTest.java
+++ b/src/test/java/org/springmill/control/simulation/KeyValueStoreLimitsTest.java
@@ -14,13 +14,14 @@
 import org.springmill.sim.SimNetwork.Fate;
 import org.springmill.sim.SimulatedCluster;
 
-/** A key-value store that takes less than it did, with and without having said so. */
+/** The limits of the key-value store shrink, with and without a change of the settings. */
 class KeyValueStoreLimitsTest {
-    private static final Settings.StoreLimits SMALLER = new Settings.StoreLimits(120, 15, 2048, 4);
+    private static final Settings.StoreLimits SMALLER_LIMITS =
+            new Settings.StoreLimits(120, 15, 2048, 4);
     private final SimulatedCluster cluster = new SimulatedCluster();
 
     @AfterEach
-    void noRuleIsBroken() {
+    void noInvariantIsBroken() {
         assertEquals(List.of(), cluster.violations());
     }
 
@@ -32,7 +33,7 @@
         return SimulatedCluster.job(id(number), "blue", shape, tasks, 0.5, 0.2);
     }
 
-    private void machinesAndServices() {
+    private void startMachinesAndServices() {
         cluster.machines("large", "a", 4).machines("large", "b", 4).run(6);
         for (int i = 1; i <= 12; i++) {
             assertEquals(201, cluster.submit(i % 3, job(i, "service", 12), 1e9));
@@ -41,7 +42,7 @@
         assertEquals(12, cluster.running(id(12)));
     }
 
-    private long largest() {
+    private long largestRoundBytes() {
         return cluster.keyValueStore().keysUnder("round/").stream()
                 .mapToLong(key -> cluster.keyValueStore().value(key).toString().length())
                 .max()
@@ -49,14 +50,16 @@
     }
 
     /**
-     * Rounds of larger values are read by a leader that keeps to smaller ones, and carried on by
-     * many transactions.
+     * A leader with smaller limits takes over rounds that are larger than these limits, and has to
+     * rewrite them in several transactions.
      */
     @Test
     void storedLargerRoundsAreSplitWhenCarriedOn() {
-        machinesAndServices();
-        assertTrue(largest() > 2048, "largest " + largest());
-        cluster.settings(SMALLER);
+        startMachinesAndServices();
+        assertTrue(
+                largestRoundBytes() > 2048,
+                "largest round record: " + largestRoundBytes() + " bytes");
+        cluster.settings(SMALLER_LIMITS);
         for (int node = 0; node < 3; node++) {
             cluster.restart(node);
             cluster.run(12);
@@ -68,11 +71,13 @@
         }
         cluster.run(20);
         assertEquals(0, cluster.keyValueStore().oversizedCommits());
-        assertTrue(largest() <= 2048, "largest " + largest());
+        assertTrue(
+                largestRoundBytes() <= 2048,
+                "largest round record: " + largestRoundBytes() + " bytes");
         for (int i = 20; i < 60; i++) {
             assertEquals("done", cluster.phase(i % 3, id(i)));
         }
-        // Nothing was lost on the way: another leader finds every replica where it is.
+        // No record was lost: the next leader finds every replica and restarts none.
         int leader = cluster.leader();
         cluster.restart(leader);
         cluster.run(20);
@@ -85,8 +90,11 @@
     }
 
     /**
-     * What becomes of the first round that is too large, and of its answer, before the limits
-     * change or after.
+     * The limits shrink around the first commit of the job's claims.
+     *
+     * @param fate what happens to one commit of claims
+     * @param later 0: to the first one, and the limits shrink just after it is sent; 1: to the
+     *     second one, and the limits shrink just before the first arrives
      */
     @ParameterizedTest
     @CsvSource({
@@ -102,7 +110,7 @@
         cluster.machines("large", "a", 4).machines("large", "b", 4).run(6);
         int leader = cluster.leader();
         String term = cluster.keyValueStore().value("leader").toString();
-        int[] seen = new int[1];
+        int[] matches = new int[1];
         cluster.network()
                 .judge(
                         (from, request) -> {
@@ -110,12 +118,12 @@
                                     request.path().equals("/commit")
                                             && new String(request.body(), StandardCharsets.UTF_8)
                                                     .contains("\"claims\":[[\"" + id(1));
-                            if (round && seen[0]++ == later) {
+                            if (round && matches[0]++ == later) {
                                 cluster.clock()
                                         .after(0.001, () -> cluster.keyValueStore().limit(2048, 3));
                                 return fate;
                             }
-                            if (round && later == 1 && seen[0] == 1) {
+                            if (round && later == 1 && matches[0] == 1) {
                                 cluster.keyValueStore().limit(2048, 3);
                             }
                             return Fate.DELIVER;
@@ -127,7 +135,7 @@
         assertEquals(term, cluster.keyValueStore().value("leader").toString());
         assertTrue(
                 cluster.keyValueStore().oversizedCommits() < 8,
-                "refused " + cluster.keyValueStore().oversizedCommits());
+                "oversized commits: " + cluster.keyValueStore().oversizedCommits());
         cluster.restart(leader);
         cluster.run(20);
         assertEquals(90, cluster.running(id(1)));
@@ -137,8 +145,9 @@
     }
 
     /**
-     * At which moment the limits shrink, which nobody announced: as the first transaction that
-     * replaces old rounds is sent, as the next leader reads them, as it writes its first one.
+     * The limits shrink without a change of the settings, at one of these moments: the leader sends
+     * the first transaction that replaces old rounds, the next leader reads them, or the next
+     * leader writes its first round.
      */
     @ParameterizedTest
     @CsvSource({
@@ -150,28 +159,28 @@
         "firstRound, DELIVER",
         "firstRound, LOSE_ANSWER"
     })
-    void limitsShrinkDuring(String what, Fate fate) {
-        machinesAndServices();
-        int[] seen = new int[1];
+    void jobsRunOnceWhenLimitsShrink(String moment, Fate fate) {
+        startMachinesAndServices();
+        int[] matches = new int[1];
         cluster.network()
                 .judge(
                         (from, request) -> {
                             String body = new String(request.body(), StandardCharsets.UTF_8);
                             boolean hit =
-                                    switch (what) {
+                                    switch (moment) {
                                         case "compaction" -> body.contains("\"delete\":\"round/");
                                         case "takeover" ->
                                                 request.path().startsWith("/store?under=round/");
                                         default -> body.contains("\"write\":\"round/");
                                     };
-                            if (hit && seen[0]++ == 0) {
+                            if (hit && matches[0]++ == 0) {
                                 cluster.clock()
                                         .after(0.001, () -> cluster.keyValueStore().limit(2048, 4));
                                 return fate;
                             }
                             return Fate.DELIVER;
                         });
-        if (!what.equals("compaction")) {
+        if (!moment.equals("compaction")) {
             cluster.restart(cluster.leader());
         }
         for (int i = 20; i < 60; i++) {
@@ -179,7 +188,7 @@
             cluster.run(2);
         }
         cluster.run(20);
-        assertTrue(seen[0] > 0, "never " + what);
+        assertTrue(matches[0] > 0, "the limits never shrank during: " + moment);
         cluster.network().releaseHeld();
         cluster.run(5);
         for (int i = 20; i < 60; i++) {
@@ -187,7 +196,7 @@
         }
         assertTrue(
                 cluster.keyValueStore().oversizedCommits() < 12,
-                "refused " + cluster.keyValueStore().oversizedCommits());
+                "oversized commits: " + cluster.keyValueStore().oversizedCommits());
         cluster.restart(cluster.leader());
         cluster.run(20);
         for (int i = 1; i <= 12; i++) {
@@ -199,13 +208,13 @@
     }
 
     /**
-     * The dependents of a cancelled job are being written down, so many in a transaction, when the
-     * limits shrink to less; with another leader half way. What users are told depends on none of
-     * that.
+     * The limits shrink while the leader writes the cancellations of a job's dependents, many in
+     * each transaction; in one case the leader also changes. All controllers still have to report
+     * every job as cancelled.
      */
     @ParameterizedTest
     @CsvSource({"false", "true"})
-    void limitsShrinkInAWaveOfCancellations(boolean leaderChanges) {
+    void limitsShrinkWhileManyCancellationsAreWritten(boolean leaderChanges) {
         cluster.machines("large", "a", 2).run(6);
         assertEquals(201, cluster.submit(0, job(1, "sweep", 2), 1e9));
         for (int i = 2; i <= 40; i++) {
@@ -233,10 +242,13 @@
         }
         assertTrue(
                 cluster.keyValueStore().oversizedCommits() < 8,
-                "refused " + cluster.keyValueStore().oversizedCommits());
+                "oversized commits: " + cluster.keyValueStore().oversizedCommits());
     }
 
-    /** A job whose record the service finds too large: told so once, not put off for ever. */
+    /**
+     * The key-value store rejects the job's record as too large. The submission has to be refused
+     * for good, rather than with a status after which the user retries forever.
+     */
     @Test
     void aRecordThatIsFoundTooLargeIsRefused() {
         cluster.machines("large", "a", 2).run(6);
--- a/src/test/java/org/springmill/control/simulation/LargeFleetTest.java
+++ b/src/test/java/org/springmill/control/simulation/LargeFleetTest.java
@@ -13,8 +13,8 @@
 import org.springmill.sim.SimulatedCluster;
 
 /**
- * Fleets as large as those of the largest deployments and larger. The bounds are on counted
- * requests, never on time, so that they hold on any machine.
+ * Fleets at least as large as those of the largest deployments. The bounds are on numbers of
+ * requests and not on processing time, so that they hold on any machine.
  */
 class LargeFleetTest extends ClusterFixture {
     private static final int REPLICAS = 8;
@@ -23,7 +23,7 @@
     private final Map<String, Integer> requests = new HashMap<>();
     private int largestRequestBytes;
 
-    /** Counted work follows what changes: nothing, then one array, then the leader. */
+    /** Counts requests without changes, then for one array, then for a change of the leader. */
     @Test
     void requestsFollowChangesAndNotTheSizeOfTheFleet() {
         int machines = 200;
@@ -33,7 +33,7 @@
         cluster.run(20);
         assertEquals(jobs * REPLICAS, running(jobs));
         int rounds = cluster.keyValueStore().keysUnder("round/").size();
-        assertTrue(rounds <= 2 * jobs, rounds + " keys of rounds for " + jobs + " jobs");
+        assertTrue(rounds <= 2 * jobs, rounds + " round keys for " + jobs + " jobs");
 
         idleFleetCausesHardlyAnyRequest(machines);
         arrayCausesOneCommandForEachMachineAndTask();
@@ -45,7 +45,7 @@
         cluster.run(20);
         assertAtMost(machines / 20, "/orders", "while nothing changes");
         assertAtMost(4, "/commit", "while nothing changes");
-        assertAtMost(4, "/rentals/delete", "though idle machines are returned by the dozen");
+        assertAtMost(4, "/rentals/delete", "while idle machines are returned");
     }
 
     private void arrayCausesOneCommandForEachMachineAndTask() {
@@ -71,15 +71,15 @@
     }
 
     /**
-     * The cost of a lost rack and of a takeover is bounded by the replicas and machines touched.
+     * The number of requests after the loss of a rack and at a takeover is bounded by the number of
+     * affected replicas and machines.
      */
     @Test
     void lostRackAndThenTheLeaderAreReplacedWithBoundedRequests() {
         int machines = 1600;
         int jobs = machines / 4;
-        // Jobs are accepted no faster than the key-value store takes them, so that the last ones
-        // come
-        // when machines that stood idle would have been returned.
+        // The key-value store limits the rate of submissions. With the default settings idle
+        // machines would be returned before the last jobs are accepted.
         startFleet(machines, SimOptions.DEFAULTS.withIdleBoots(100));
         submitServices(jobs);
         cluster.run(20);
@@ -102,19 +102,19 @@
     private void lostRackIsReplaced(List<SimWorker> rack, int jobs) {
         requests.clear();
         int lost = running(rack);
-        assertTrue(lost > 0, "the rack ran something");
+        assertTrue(lost > 0, "the lost rack runs no task");
         rack.forEach(worker -> worker.hang(true));
         cluster.run(9);
         assertEquals(
                 jobs * REPLICAS,
                 running(jobs) - running(rack),
-                "all that the rack ran is up elsewhere within 9 s");
+                "replicas of the lost rack run on other machines within 9 s");
         assertAtMost(12, "/rentals/delete", "for a rack of " + rack.size());
         assertAtMost(60, "/commit", "for " + lost + " replicas");
         assertAtMost(3 * lost + 4 * rack.size(), "/orders", "for " + lost + " replicas");
     }
 
-    /** Starts controllers and machines; no others can be rented. */
+    /** Starts controllers and machines; no further machines can be rented. */
     private void startFleet(int machines, SimOptions options) {
         cluster =
                 new SimulatedCluster(options)
@@ -132,7 +132,7 @@
                         });
     }
 
-    /** Submits services through all controllers, before machines are returned as idle. */
+    /** Submits services through all controllers in turn. */
     private void submitServices(int jobs) {
         for (int i = 0; i < jobs; i++) {
             var job = SimulatedCluster.job(id(i), "blue", "service", REPLICAS, 4, 0);
--- a/src/test/java/org/springmill/control/simulation/OverdueBootTest.java
+++ b/src/test/java/org/springmill/control/simulation/OverdueBootTest.java
@@ -9,8 +9,8 @@
 import org.springmill.sim.SimulatedCluster;
 
 /**
- * New machines that come up late, never, or at once. The cluster has four machines with 8 GPUs; a
- * new one boots in 20 s, and operators wait 3.5 times as long for one.
+ * New machines that boot late, never or very quickly. The cluster has four machines with 8 GPUs;
+ * the nominal boot time is 20 s, and a machine that is not up after 3.5 times as long is returned.
  */
 class OverdueBootTest extends ClusterFixture {
     private static final double BOOT_SECONDS = 20;
@@ -31,11 +31,11 @@
     }
 
     /**
-     * Guards against waiting for a machine that never comes up for as long as it takes to give it
-     * up, and against keeping the machine once another one serves.
+     * Guards against renting a replacement only when the overdue machine is given up, and against
+     * keeping the overdue machine once the replacement runs the job.
      */
     @Test
-    void machineThatNeverComesUpIsReplacedAndGivenBack() {
+    void machineThatNeverBootsIsReplacedAndReturned() {
         setBootSeconds(FOREVER);
         acceptService(JOB, "blue", 1, GPUS);
         cluster.run(5);
@@ -46,26 +46,27 @@
 
         assertEquals(1, cluster.running(JOB));
         cluster.run(5);
-        assertEquals(MACHINES + 1, machines().size(), "the late one was given back");
+        assertEquals(MACHINES + 1, machines().size(), "the overdue machine was returned");
         assertEquals(MACHINES + 2, cluster.cloud().everRented());
     }
 
-    /** Guards against renting everything twice when all machines are merely slow to come up. */
+    /** Guards against renting a replacement for every machine when all machines boot slowly. */
     @Test
-    void generalDelayHasFewMachinesRentedTwice() {
+    void slowBootOfAllMachinesCausesFewReplacements() {
         setBootSeconds(4 * BOOT_SECONDS);
-        int late = 8;
+        int machinesNeeded = 8;
         acceptService(JOB, "blue", 2, GPUS);
         acceptService(OTHER, "blue", 1, GPUS);
-        for (int i = 0; i < late - 3; i++) {
+        for (int i = 0; i < machinesNeeded - 3; i++) {
             cluster.submit(follower(), lowPriority("run-00020" + i), 60);
         }
         cluster.run(4 * BOOT_SECONDS + 15);
 
         assertEquals(2, cluster.running(JOB));
         assertEquals(1, cluster.running(OTHER));
-        int surplus = cluster.cloud().everRented() - MACHINES - late;
-        assertTrue(surplus <= 1 + late / 4, surplus + " machines too many");
+        int surplus = cluster.cloud().everRented() - MACHINES - machinesNeeded;
+        assertTrue(
+                surplus <= 1 + machinesNeeded / 4, surplus + " more machines rented than needed");
         assertEachTaskStartedOnce(JOB, 2);
     }
 
@@ -73,9 +74,9 @@
         return SimulatedCluster.job(id, "blue", "sweep", 1, 1, GPUS);
     }
 
-    /** Guards against a second wave of orders by a new leader, and tasks placed twice. */
+    /** Guards against a new leader that rents machines again or places tasks twice. */
     @Test
-    void newLeaderOrdersNothingTwiceWhileMachinesAreLate() {
+    void newLeaderRentsNothingTwiceWhileMachinesAreLate() {
         setBootSeconds(3 * BOOT_SECONDS);
         acceptService(JOB, "blue", 3, GPUS);
         cluster.run(25);
@@ -84,13 +85,18 @@
         cluster.run(3 * BOOT_SECONDS);
 
         assertEquals(3, cluster.running(JOB));
-        assertTrue(cluster.cloud().everRented() <= MACHINES + 3 + 1, "one more at most");
+        assertTrue(
+                cluster.cloud().everRented() <= MACHINES + 3 + 1,
+                "more than one machine rented in addition");
         assertEachTaskStartedOnce(JOB, 3);
     }
 
-    /** A type that fails in one zone is tried there with one machine, and used in the other. */
+    /**
+     * If machines of a type do not boot in one zone, they are rented in the other zone; the first
+     * zone is used again later.
+     */
     @Test
-    void zoneWhereNothingComesUpIsLeftForTheOther() {
+    void zoneWhereMachinesDoNotBootIsReplacedByTheOther() {
         cluster.cloud().setBootSeconds("a", FOREVER);
         acceptService(JOB, "blue", 3, GPUS);
         cluster.run(1.6 * BOOT_SECONDS + BOOT_SECONDS + 10);
@@ -100,12 +106,12 @@
         cluster.cloud().exhaustCapacity("b");
         acceptService(OTHER, "blue", 1, GPUS);
         cluster.run(3 * BOOT_SECONDS);
-        assertEquals(1, cluster.running(OTHER), "it is used again once machines come up there");
+        assertEquals(1, cluster.running(OTHER), "the zone is used again once machines boot there");
     }
 
-    /** Machines that come up in a twentieth of their time are used at once, all of them once. */
+    /** Machines that boot in a twentieth of the nominal time are used without delay. */
     @Test
-    void machinesThatComeUpAtOnceAreUsedAtOnce() {
+    void machinesThatBootQuicklyAreUsedImmediately() {
         setBootSeconds(BOOT_SECONDS / 20);
         cluster.cloud().freezeMachineList();
         acceptService(JOB, "blue", 3, GPUS);
--- a/src/test/java/org/springmill/control/simulation/ResourceLimitTest.java
+++ b/src/test/java/org/springmill/control/simulation/ResourceLimitTest.java
@@ -12,20 +12,19 @@
 /** Team limits, guarantees, spread over zones and room for large tasks. */
 class ResourceLimitTest extends SingleFailureFixture {
     @Test
-    void teamLimitAndSpreadHoldWhileMachinesAreSilent() {
+    void teamLimitAndSpreadHoldWhileMachinesDoNotReport() {
         var spread = SimulatedCluster.job(JOB, "red", "service", 6, 1, 2);
         spread.put("apart", true);
         cluster.submit(0, spread, FOREVER);
         cluster.run(8);
         assertEquals(6, cluster.running(JOB));
-        // Two machines fall silent with their tasks running; the team's limit of 16 GPUs leaves
-        // room
-        // for two more tasks, not for six.
-        List<SimWorker> silent = cluster.cloud().machines().values().stream().limit(2).toList();
-        silent.forEach(w -> w.hang(true));
+        // Two machines stop reporting while their tasks run. Next to six tasks of 2 GPUs the team's
+        // limit of 16 GPUs allows two more.
+        List<SimWorker> hung = cluster.cloud().machines().values().stream().limit(2).toList();
+        hung.forEach(w -> w.hang(true));
         submitService(1, OTHER, "red", 5, 2);
         cluster.run(60);
-        silent.forEach(w -> w.hang(false));
+        hung.forEach(w -> w.hang(false));
         cluster.run(40);
         assertEquals(6, cluster.running(JOB));
         assertEquals(2, cluster.running(OTHER));
@@ -37,7 +36,7 @@
         submitService(0, OTHER, "blue", 3, 8);
         cluster.submit(0, SimulatedCluster.job(JOB, "blue", "group", 4, 1, 4), 20);
         cluster.run(10);
-        assertEquals(0, cluster.running(JOB), "there is room for two of four");
+        assertEquals(0, cluster.running(JOB), "there is room for only two of the four tasks");
         cluster.cancel(0, OTHER);
         cluster.run(8);
         assertEquals(4, cluster.running(JOB));
@@ -65,22 +64,25 @@
         assertEquals(2, cluster.running(OTHER));
     }
 
-    /** "red" and "blue" are both guaranteed 8 of the 32 GPUs here. */
+    /** Teams red and blue are guaranteed 8 of the 32 GPUs each. */
     @ParameterizedTest
     @CsvSource({
-        // Usage above blue's guarantee is preempted for red's, and none of it a second time.
+        // Red gets its guarantee by preemption of usage above blue's guarantee, and only once.
         "normal, normal, 8, 24",
-        // But not for work of a lower priority.
+        // Work of a lower priority preempts nothing.
         "normal, best_effort, 0, 32",
     })
     void guaranteeIsMetOnceAndOnlyFromUsageAboveAGuarantee(
-            String running, String claiming, int claimantsRunning, int othersRunning) {
+            String runningPriority,
+            String claimantPriority,
+            int claimantsRunning,
+            int othersRunning) {
         cluster.cloud().exhaustCapacity();
         var first = SimulatedCluster.job(JOB, "blue", "service", 32, 1, 1);
-        cluster.submit(0, first.put("urgency", running), FOREVER);
+        cluster.submit(0, first.put("urgency", runningPriority), FOREVER);
         cluster.run(8);
         var second = SimulatedCluster.job(OTHER, "red", "service", 12, 1, 1);
-        cluster.submit(0, second.put("urgency", claiming), FOREVER);
+        cluster.submit(0, second.put("urgency", claimantPriority), FOREVER);
         cluster.run(30);
         assertEquals(claimantsRunning, cluster.running(OTHER));
         assertEquals(othersRunning, cluster.running(JOB));
@@ -88,8 +90,8 @@
     }
 
     /**
-     * A job that cannot be placed, because its team's limit is reserved for an earlier job, must
-     * not have other tasks preempted.
+     * A job that cannot be placed because its team's limit is reserved for an earlier job must not
+     * cause preemption of other tasks.
      */
     @Test
     void jobHeldBackByItsTeamLimitPreemptsNothing() {
--- a/src/test/java/org/springmill/control/simulation/TeamWithoutGuaranteeTest.java
+++ b/src/test/java/org/springmill/control/simulation/TeamWithoutGuaranteeTest.java
@@ -7,11 +7,11 @@
 import org.springmill.sim.SimulatedCluster;
 
 /**
- * A team whose guarantee is 0 in the settings has none. Each machine of the cluster has 8 GPUs, 32
- * in all; the teams red and blue are guaranteed 8 each.
+ * A guarantee of 0 in the settings means that the team has no guarantee. The cluster has four
+ * machines with 8 GPUs each; the teams red and blue are guaranteed 8 GPUs each.
  */
 class TeamWithoutGuaranteeTest extends ClusterFixture {
-    private static final String GUEST = "guest";
+    private static final String TEAM_WITHOUT_GUARANTEE = "guest";
     private static final int ALL_GPUS = 32;
     private static final int GUARANTEED_GPUS = 8;
     private static final double SETTLE_SECONDS = 20;
@@ -21,49 +21,52 @@
         cluster.cloud().exhaustCapacity();
     }
 
-    private static ObjectNode lowArray(String id, String team, int tasks) {
+    private static ObjectNode bestEffortArray(String id, String team, int tasks) {
         return SimulatedCluster.job(id, team, "sweep", tasks, 1, 1).put("urgency", "best_effort");
     }
 
     /**
-     * Guards against taking a guarantee of 0 for one without a bound: whatever the guest ran
-     * counted as guaranteed to it, so that a team that was owed its guarantee waited.
+     * Guards against reading a guarantee of 0 as an unlimited one: everything that the team without
+     * a guarantee ran counted as guaranteed, and a team below its guarantee had to wait.
      */
     @Test
-    void teamGetsItsGuaranteeFromAGuestOfTheSamePriority() {
+    void teamGetsItsGuaranteeFromATeamWithoutOneAtTheSamePriority() {
         startFullCluster();
-        accept(lowArray(JOB, GUEST, ALL_GPUS), FOREVER);
+        accept(bestEffortArray(JOB, TEAM_WITHOUT_GUARANTEE, ALL_GPUS), FOREVER);
         cluster.run(SETTLE_SECONDS);
         assertEquals(ALL_GPUS, cluster.running(JOB));
 
-        accept(lowArray(OTHER, "red", GUARANTEED_GPUS), FOREVER);
+        accept(bestEffortArray(OTHER, "red", GUARANTEED_GPUS), FOREVER);
         cluster.run(SETTLE_SECONDS);
 
         assertEquals(GUARANTEED_GPUS, cluster.running(OTHER));
         assertEquals(ALL_GPUS - GUARANTEED_GPUS, cluster.running(JOB));
     }
 
-    /** Guards against the same mistake the other way round: a guest is owed nothing of others. */
+    /** Guards against preemption on behalf of a team without a guarantee. */
     @Test
-    void guestStopsNothingThatOthersRunAboveTheirGuarantee() {
+    void teamWithoutGuaranteePreemptsNothing() {
         startFullCluster();
-        accept(lowArray(JOB, "blue", ALL_GPUS), FOREVER);
+        accept(bestEffortArray(JOB, "blue", ALL_GPUS), FOREVER);
         cluster.run(SETTLE_SECONDS);
 
-        accept(lowArray(OTHER, GUEST, GUARANTEED_GPUS), FOREVER);
+        accept(bestEffortArray(OTHER, TEAM_WITHOUT_GUARANTEE, GUARANTEED_GPUS), FOREVER);
         cluster.run(SETTLE_SECONDS);
 
         assertEquals(ALL_GPUS, cluster.running(JOB));
         assertEquals(0, cluster.running(OTHER));
     }
 
-    /** Guards against serving a guest first among equals, as if its work were guaranteed. */
+    /**
+     * Guards against placing work of a team without a guarantee before guaranteed work of the same
+     * priority.
+     */
     @Test
-    void guestWaitsBehindGuaranteedWorkAcrossAChangeOfLeader() {
+    void unguaranteedWorkWaitsBehindGuaranteedWorkAcrossAChangeOfLeader() {
         startFullCluster();
-        accept(lowArray("run-000003", "blue", ALL_GPUS), SETTLE_SECONDS);
-        accept(lowArray(JOB, GUEST, ALL_GPUS), FOREVER);
-        accept(lowArray(OTHER, "red", GUARANTEED_GPUS), FOREVER);
+        accept(bestEffortArray("run-000003", "blue", ALL_GPUS), SETTLE_SECONDS);
+        accept(bestEffortArray(JOB, TEAM_WITHOUT_GUARANTEE, ALL_GPUS), FOREVER);
+        accept(bestEffortArray(OTHER, "red", GUARANTEED_GPUS), FOREVER);
         cluster.kill(cluster.leader());
         cluster.run(4 * SETTLE_SECONDS);
 
--- a/src/test/java/org/springmill/control/simulation/UnguaranteedWorkTest.java
+++ b/src/test/java/org/springmill/control/simulation/UnguaranteedWorkTest.java
@@ -9,12 +9,12 @@
 import org.springmill.sim.SimulatedCluster;
 
 /**
- * Work of a team without a guarantee: one large array of short tasks, a swarm of one-task jobs,
- * work for idle time. The cluster has four machines of 32 CPUs and 8 GPUs at 10 an hour; small ones
- * of 4 CPUs at 0.2 can be rented, and boot in 20 s.
+ * Work of a team without a guarantee: a large array of short tasks, many one-task jobs, and work on
+ * capacity that others leave idle. The cluster has four machines with 32 CPUs and 8 GPUs at a price
+ * of 10 per hour; small machines with 4 CPUs at 0.2 per hour can be rented and boot in 20 s.
  */
 class UnguaranteedWorkTest extends ClusterFixture {
-    private static final String GUEST = "guest";
+    private static final String TEAM_WITHOUT_GUARANTEE = "guest";
     private static final double TASK_CPUS = 0.25;
     private static final int SHORT_TASKS = 1600;
     private static final double SHORT_SECONDS = 4;
@@ -24,20 +24,23 @@
         startCluster(41);
     }
 
-    private static ObjectNode guestArray(String id, int tasks, double seconds) {
-        return SimulatedCluster.job(id, GUEST, "sweep", tasks, TASK_CPUS, 0)
+    private static ObjectNode unguaranteedArray(String id, int tasks, double seconds) {
+        return SimulatedCluster.job(id, TEAM_WITHOUT_GUARANTEE, "sweep", tasks, TASK_CPUS, 0)
                 .put("urgency", "best_effort")
                 .put("memGb", 0.1)
                 .put("expectS", seconds);
     }
 
-    /** Guards against a machine for every sixteen tasks that are over in four seconds. */
+    /**
+     * Guards against renting a machine for every sixteen tasks, as many as fit one at a time,
+     * although the tasks take only 4 s each.
+     */
     @Test
-    void shortTasksAreRentedForByTheTimeThatTheyTake() {
-        // The four machines are full, so that all of it runs on rented ones.
+    void fewMachinesAreRentedForManyShortTasks() {
+        // This service fills the four machines, so the whole array runs on newly rented ones.
         accept(SimulatedCluster.job(OTHER, "blue", "service", 4, 32, 8), FOREVER);
         cluster.run(5);
-        accept(guestArray(JOB, SHORT_TASKS, SHORT_SECONDS), SHORT_SECONDS);
+        accept(unguaranteedArray(JOB, SHORT_TASKS, SHORT_SECONDS), SHORT_SECONDS);
         cluster.run(40);
         cluster.kill(cluster.leader());
         cluster.run(120);
@@ -47,15 +50,20 @@
         assertTrue(rented <= Math.ceil(slots * TASK_CPUS / 4) + 2, rented + " machines rented");
     }
 
-    /** A guest uses what others leave over, and makes way at once for what they are owed. */
+    /**
+     * A team without a guarantee uses capacity that other teams leave idle, and is preempted for
+     * work of higher priority.
+     */
     @Test
-    void guestUsesWhatIsLeftOverAndMakesWay() {
+    void unguaranteedWorkUsesIdleCapacityAndIsPreempted() {
         cluster.cloud().exhaustCapacity();
         acceptService(JOB, "blue", 4, 4);
         cluster.run(5);
-        accept(guestArray(OTHER, 2000, 60), 60);
+        accept(unguaranteedArray(OTHER, 2000, 60), 60);
         cluster.run(10);
-        assertTrue(cluster.running(OTHER) >= 100, "on the machines that blue's replicas hold");
+        assertTrue(
+                cluster.running(OTHER) >= 100,
+                "too few tasks run on the machines next to blue's replicas");
 
         accept(
                 SimulatedCluster.job("run-000003", "red", "service", 1, 30, 4)
@@ -66,9 +74,9 @@
         assertEquals(4, cluster.running(JOB));
     }
 
-    /** Guards against a swarm that starves or is run twice when the leader ends in between. */
+    /** Guards against one-task jobs that never run, or run twice, when the leader changes. */
     @Test
-    void swarmOfOneTaskJobsEndsAcrossAChangeOfLeader() {
+    void manyOneTaskJobsEndAcrossAChangeOfLeader() {
         int jobs = 120;
         for (int i = 0; i < jobs; i++) {
             int controller = i % CONTROLLERS;
@@ -77,7 +85,7 @@
                 cluster.run(6);
             }
             String id = String.format("run-%06d", 1000 + i);
-            assertEquals(201, cluster.submit(controller, guestArray(id, 1, 10), 10));
+            assertEquals(201, cluster.submit(controller, unguaranteedArray(id, 1, 10), 10));
         }
         cluster.run(90);
         for (int i = 0; i < jobs; i++) {
--- a/src/test/java/org/springmill/control/simulation/WaitingJobTest.java
+++ b/src/test/java/org/springmill/control/simulation/WaitingJobTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.springmill.sim.SimulatedCluster;
 
-/** From when the times of a job count that waits for others. */
+/** The queue position and the deadline of a job that waits for its dependencies. */
 class WaitingJobTest {
     private static final String SLOW = "run-000001";
     private static final String QUICK = "run-000002";
@@ -21,7 +21,7 @@
     private final SimulatedCluster cluster = new SimulatedCluster();
 
     @AfterEach
-    void noRuleIsBroken() {
+    void noInvariantIsBroken() {
         assertEquals(List.of(), cluster.violations());
     }
 
@@ -29,20 +29,20 @@
         assertEquals(201, cluster.submit(0, job, runSeconds));
     }
 
-    private static ObjectNode small(String id) {
+    private static ObjectNode oneTaskJob(String id) {
         return SimulatedCluster.job(id, "blue", "sweep", 1, 1, 0);
     }
 
-    private static ObjectNode whole(String id, String needed, double dueSeconds) {
+    private static ObjectNode wholeMachineJob(String id, String dependency, double dueSeconds) {
         ObjectNode job = SimulatedCluster.job(id, "blue", "sweep", 8, 1, 1);
-        job.putArray("waitsOn").add(needed);
+        job.putArray("waitsOn").add(dependency);
         return dueSeconds < 0 ? job : job.put("dueS", dueSeconds);
     }
 
     /**
-     * One job is accepted 25 s before another and becomes eligible 25 s after it; then there is
-     * room for one of them. Its place counts from the end of what it waited for, its deadline from
-     * its submission.
+     * One job is accepted about 25 s before another and becomes eligible about 25 s after it; then
+     * there is room for only one of them. A job's queue position depends on the time when its last
+     * dependency ended, its deadline on the time of its submission.
      */
     @ParameterizedTest
     @CsvSource({
@@ -50,21 +50,21 @@
         "100, 90, ACCEPTED",
         "130, 90, ELIGIBLE",
     })
-    void placeCountsFromTheLastEndAndDeadlineFromSubmission(
+    void queuePositionCountsFromLastDependencyAndDeadlineFromSubmission(
             double firstDueSeconds, double secondDueSeconds, String winner) {
         cluster.machines("large", "a", 1).run(6);
         cluster.cloud().exhaustCapacity();
-        submit(50, small(SLOW));
-        submit(1, small(QUICK));
-        submit(1e9, whole(ACCEPTED_FIRST, SLOW, firstDueSeconds));
+        submit(50, oneTaskJob(SLOW));
+        submit(1, oneTaskJob(QUICK));
+        submit(1e9, wholeMachineJob(ACCEPTED_FIRST, SLOW, firstDueSeconds));
         cluster.run(20);
         submit(45, SimulatedCluster.job(OCCUPANT, "blue", "sweep", 8, 1, 1));
         cluster.run(5);
-        submit(1e9, whole(ELIGIBLE_FIRST, QUICK, secondDueSeconds));
+        submit(1e9, wholeMachineJob(ELIGIBLE_FIRST, QUICK, secondDueSeconds));
         cluster.run(50);
         boolean accepted = cluster.running(ACCEPTED_FIRST) > 0;
         boolean eligible = cluster.running(ELIGIBLE_FIRST) > 0;
-        assertTrue(accepted ^ eligible, accepted + ", " + eligible);
+        assertTrue(accepted ^ eligible, "exactly one job runs: " + accepted + ", " + eligible);
         assertEquals(winner, accepted ? "ACCEPTED" : "ELIGIBLE");
     }
 }
