--- a/src/main/java/org/springmill/transport/Addresses.java
+++ b/src/main/java/org/springmill/transport/Addresses.java
@@ -2,11 +2,11 @@
 
 import java.net.InetSocketAddress;
 
-/** Addresses as the settings write them. */
+/** Parses addresses in the format of the settings. */
 final class Addresses {
     private Addresses() {}
 
-    /** Reads "ip:port". */
+    /** Parses "ip:port". */
     static InetSocketAddress parse(String address) {
         int colon = address.lastIndexOf(':');
         return new InetSocketAddress(
--- a/src/main/java/org/springmill/transport/Callbacks.java
+++ b/src/main/java/org/springmill/transport/Callbacks.java
@@ -4,7 +4,7 @@
 import java.io.IOException;
 import java.util.function.Consumer;
 
-/** Undertow's callbacks, made of one function for either outcome. */
+/** Creates Undertow callbacks from one function for success and one for failure. */
 final class Callbacks {
     private Callbacks() {}
 
--- a/src/main/java/org/springmill/transport/ClientContext.java
+++ b/src/main/java/org/springmill/transport/ClientContext.java
@@ -4,7 +4,7 @@
 import org.xnio.XnioIoThread;
 
 /**
- * What the connections of a client share.
+ * Resources that the connections of a client share.
  *
  * @param thread the I/O thread that they run on
  * @param buffers for reading and writing
--- a/src/main/java/org/springmill/transport/ConnectionLimit.java
+++ b/src/main/java/org/springmill/transport/ConnectionLimit.java
@@ -9,18 +9,18 @@
 import org.xnio.StreamConnection;
 
 /**
- * Limits the open connections of the HTTP server, and always accepts the next one: at the limit,
- * each new connection closes the oldest one that never sent a whole request, or else the least
- * recently used one. So a flood of idle connections or half-sent requests evicts itself rather than
- * workers and users, who send requests every few seconds.
+ * Limits the open connections of the HTTP server without rejecting new ones: at the limit, each new
+ * connection evicts the oldest one that never sent a whole request, or else the least recently used
+ * one. A flood of idle connections or half-sent requests therefore evicts its own connections, not
+ * those of workers and users, who send requests every few seconds.
  *
- * <p>Where more workers send heartbeats than may stay connected, the limit on established
- * connections applies first: the others are answered and asked to open a new connection the next
- * time. To a worker, an evicted connection would look like a failure of this controller, after
- * which it turns to another one.
+ * <p>If more workers send heartbeats than may stay connected, the limit on established connections
+ * applies first: the requests of the others are answered with {@code Connection: close}, so that
+ * they open a new connection the next time. A worker would take an evicted connection for a failure
+ * of this controller and switch to another one.
  */
 final class ConnectionLimit {
-    /** One in so many connections is kept for newcomers. */
+    /** 1/8 of the connections is reserved for new ones. */
     private static final int NEWCOMER_FRACTION = 8;
 
     private final int maxConnections;
@@ -34,7 +34,7 @@
             new LinkedHashMap<>(64, 0.75f, true);
 
     /**
-     * Limits connections to a number.
+     * Creates a limit without connections.
      *
      * @param maxConnections the most open connections
      */
@@ -43,7 +43,7 @@
         this.maxEstablished = maxConnections - maxConnections / NEWCOMER_FRACTION;
     }
 
-    /** Takes a new connection; at the limit it evicts another one. */
+    /** Registers a new connection; at the limit, evicts another one. */
     void accept(StreamConnection connection) {
         if (isReached()) {
             unproven.values().removeIf(other -> !other.isOpen());
@@ -77,7 +77,7 @@
             return true;
         }
         if (established.size() >= maxEstablished) {
-            // It stays among the unproven ones, in case its peer has died and never closes it.
+            // It can still be evicted, in case its peer has died and never closes it.
             return false;
         }
         StreamConnection connection = unproven.remove(peer);
--- a/src/main/java/org/springmill/transport/ConnectionPool.java
+++ b/src/main/java/org/springmill/transport/ConnectionPool.java
@@ -16,10 +16,10 @@
 final class ConnectionPool {
     private static final Logger LOG = LoggerFactory.getLogger(ConnectionPool.class);
 
-    /** Connection attempts at once, as long as none of them hangs. */
+    /** Limit of concurrent connection attempts while none of them hangs. */
     private static final int MAX_CONNECTING = 2;
 
-    /** After this time without a new attempt, those under way are taken to hang. */
+    /** Pending attempts count as hanging if the latest one was started longer ago than this. */
     private static final double CONNECT_RETRY_SECONDS = 5.0;
 
     private static final OptionMap OPTIONS =
@@ -42,7 +42,7 @@
     private double lastConnectTime;
 
     /**
-     * A pool without connections.
+     * Creates a pool without connections.
      *
      * @param address host and port of the server
      * @param maxOpen the most connections of this pool
@@ -142,8 +142,7 @@
         connecting--;
         releaseSocket();
         LOG.debug("connect to {}: {}", address, e.getMessage());
-        // All requests that waited for this attempt fail together; each caller decides for itself
-        // what to do next.
+        // All requests that waited for this attempt fail; each caller decides whether to retry.
         while (waiting.size() > connecting) {
             waiting.poll().finish(HttpClient.Reply.NOT_SENT);
         }
@@ -176,7 +175,7 @@
         }
     }
 
-    /** Sends what waits, in this pool first, after a connection became idle. */
+    /** Sends waiting requests after a connection became idle, those of this pool first. */
     void dispatchAll() {
         dispatch();
         budget.serveWaiting();
--- a/src/main/java/org/springmill/transport/HttpHandler.java
+++ b/src/main/java/org/springmill/transport/HttpHandler.java
@@ -1,6 +1,6 @@
 package org.springmill.transport;
 
-/** Handles requests on the event loop; each is answered at once or later. */
+/** Handles requests on the event loop; may answer them after {@link #handle} has returned. */
 public interface HttpHandler {
 
     /**
--- a/src/main/java/org/springmill/transport/PeerLink.java
+++ b/src/main/java/org/springmill/transport/PeerLink.java
@@ -17,21 +17,22 @@
     /**
      * Sets the listener that receives all records from now on.
      *
-     * @param listener replaces the one before it
+     * @param listener replaces the previous one
      */
     void setListener(Listener listener);
 
     /** Receives records, on the event loop. */
     interface Listener {
         /**
-         * A record has arrived; its content names the sender.
+         * Called for each received record; its content names the sender.
          *
          * @param record as it was sent
          */
         void onRecord(byte[] record);
 
         /**
-         * A node refused a connection: a hint that its process has ended, but no proof.
+         * Called when a node refuses a connection, which suggests, but does not prove, that its
+         * process has ended.
          *
          * @param node name of the node
          */
--- a/src/main/java/org/springmill/transport/PendingRequest.java
+++ b/src/main/java/org/springmill/transport/PendingRequest.java
@@ -21,11 +21,11 @@
 import org.xnio.channels.StreamSinkChannel;
 import org.xnio.channels.StreamSourceChannel;
 
-/** One request, from its queueing to its outcome. */
+/** A request, from the time it is queued until its outcome is known. */
 final class PendingRequest {
     private static final Logger LOG = LoggerFactory.getLogger(PendingRequest.class);
 
-    /** Most response bodies fit without the buffer having to grow. */
+    /** Large enough for most response bodies, so that the buffer rarely grows. */
     private static final int INITIAL_BODY_BYTES = 512;
 
     private final ClientContext context;
@@ -39,7 +39,7 @@
 
     private boolean finished;
 
-    /** A request that has not been sent; its timeout begins now. */
+    /** Creates a request that has not been sent; its timeout starts now. */
     PendingRequest(
             ClientContext context, ConnectionPool pool, Request request, Consumer<Reply> done) {
         this.context = context;
@@ -62,7 +62,7 @@
         }
     }
 
-    /** Passes the outcome to the caller; only the first one counts. */
+    /** Passes the first outcome to the caller and ignores later ones. */
     void finish(Reply reply) {
         if (finished) {
             return;
@@ -165,8 +165,8 @@
 
     private void complete(ClientResponse response, byte[] body) {
         HeaderMap headers = response.getResponseHeaders();
-        // The connection goes back first, so that a request sent by the caller's handler can use
-        // it.
+        // Return the connection to the pool first, so that a request sent by the caller's callback
+        // can use it.
         if ("close".equalsIgnoreCase(headers.getFirst(Headers.CONNECTION))) {
             IoUtils.safeClose(connection);
         } else if (!finished) {
--- a/src/main/java/org/springmill/transport/SocketBudget.java
+++ b/src/main/java/org/springmill/transport/SocketBudget.java
@@ -7,8 +7,8 @@
 import org.xnio.IoUtils;
 
 /**
- * The connections that the pools of a client may open together. At the limit a new connection
- * evicts the least recently used idle one of any pool; while all are busy, pools wait their turn.
+ * Limits the connections of all pools of a client. At the limit, a new connection evicts the least
+ * recently used idle one of any pool. While none is idle, pools wait in order of arrival.
  */
 final class SocketBudget {
     private final int maxConnections;
@@ -26,7 +26,9 @@
         this.maxConnections = maxConnections;
     }
 
-    /** Evicts an idle connection if the limit is reached; false if all of them are busy. */
+    /**
+     * Evicts an idle connection if the limit is reached; returns false if there is still no room.
+     */
     boolean makeRoom() {
         if (connections < maxConnections) {
             return true;
@@ -57,17 +59,17 @@
         idle.add(connection);
     }
 
-    /** Forbids to evict a connection, which is in use or closed. */
+    /** Excludes a connection from eviction because it is in use or closed. */
     void removeIdle(ClientConnection connection) {
         idle.remove(connection);
     }
 
-    /** Registers a pool that needs a connection while all are busy. */
+    /** Registers a pool that needs a connection while none can be opened. */
     void addWaiting(ConnectionPool pool) {
         waitingPools.add(pool);
     }
 
-    /** Removes a pool that needs no connection any more. */
+    /** Removes a pool that no longer needs a connection. */
     void removeWaiting(ConnectionPool pool) {
         waitingPools.remove(pool);
     }
--- a/src/main/java/org/springmill/transport/Transport.java
+++ b/src/main/java/org/springmill/transport/Transport.java
@@ -12,8 +12,8 @@
 import org.xnio.XnioWorker;
 
 /**
- * The only I/O thread and all that runs on it: event loop, HTTP servers and clients, peer link.
- * Closing it closes all of them.
+ * The only I/O thread of the process and everything that runs on it: event loop, HTTP servers and
+ * clients, peer link. Closing it closes all of them.
  */
 public final class Transport implements AutoCloseable {
     /** Most requests and responses fit into one buffer. */
@@ -22,10 +22,10 @@
     /** Share of the sockets for connections of workers, one each, and of users. */
     private static final double SERVER_SHARE = 0.6;
 
-    /** Share of the sockets for connections to workers, kept open as far as they suffice. */
+    /** Share of the sockets for connections to workers, kept open until the limit is reached. */
     private static final double CLIENT_SHARE = 0.3;
 
-    /** Share of the sockets for one preferred address, out of those in neither other share. */
+    /** Share of the sockets for each preferred address, taken from those in neither other share. */
     private static final double PREFERRED_ADDRESS_SHARE = 0.03;
 
     private static final int MIN_SERVER_SOCKETS = 16;
@@ -47,8 +47,8 @@
      *
      * @param maxSockets the most open sockets; those in neither share are for the other controllers
      *     and the preferred addresses
-     * @param preferred addresses with a connection limit of their own, apart from the one for all
-     *     workers
+     * @param preferred addresses with separate connection limits, not counted against the limit for
+     *     all workers
      * @throws IOException if the thread cannot be started
      */
     public Transport(int maxSockets, Set<String> preferred) throws IOException {
@@ -85,14 +85,14 @@
     /**
      * The client for all outgoing requests.
      *
-     * @return the client that has the sockets of the client share
+     * @return the client that uses the client share of the sockets
      */
     public HttpClient client() {
         return client;
     }
 
     /**
-     * Creates another client, with connections of its own, as another host would have.
+     * Creates another client, which shares no connections with {@link #client()}.
      *
      * @param maxSockets its most open connections
      * @return a client without preferred addresses
--- a/src/main/java/org/springmill/transport/UndertowHttpClient.java
+++ b/src/main/java/org/springmill/transport/UndertowHttpClient.java
@@ -20,12 +20,12 @@
     private final Map<String, ConnectionPool> pools = new HashMap<>();
 
     /**
-     * A client without connections.
+     * Creates a client without connections.
      *
      * @param maxConnections the most open connections, without those to preferred addresses
      * @param preferred a few addresses whose connections do not count against that limit
      * @param connectionsPerPreferredAddress the most connections to each of them. Each carries one
-     *     request at a time, so they bound the request rate of a server with a high latency.
+     *     request at a time, so this limits the request rate to a server with a high latency.
      */
     UndertowHttpClient(
             ClientContext context,
--- a/src/main/java/org/springmill/transport/UndertowServer.java
+++ b/src/main/java/org/springmill/transport/UndertowServer.java
@@ -28,26 +28,26 @@
     static final int MAX_BODY_BYTES = 64 * 1024;
     private static final int MAX_HEADER_BYTES = 8 * 1024;
 
-    /** Time in which a request has to be complete; a half-sent one must not hold a socket. */
+    /** Maximum time to receive a request; a half-sent one must not occupy a socket. */
     private static final int REQUEST_TIMEOUT_MILLISECONDS = 5_000;
 
     private static final int IDLE_TIMEOUT_MILLISECONDS = 30_000;
 
     private static final double MILLISECONDS_PER_SECOND = 1000.0;
 
-    /** One in so many sockets stays free between the connection limit and the high water mark. */
+    /** 1/8 of the sockets stays free between the connection limit and the high water mark. */
     private static final int SPARE_FRACTION = 8;
 
-    /** Accepting resumes so many connections below the high water mark. */
+    /** Accepting resumes at this number of connections below the high water mark. */
     private static final int LOW_WATER_DISTANCE = 4;
 
-    /** Connections that may wait to be accepted; the operating system may keep fewer. */
+    /** Minimum listen backlog; the operating system may apply a lower one. */
     private static final int MIN_BACKLOG = 256;
 
     private UndertowServer() {}
 
     /**
-     * Starts to listen; the worker that it runs on stops it.
+     * Starts listening; the server stops when its XNIO worker is shut down.
      *
      * @param maxSockets the most open connections
      * @return the port that was bound
@@ -73,9 +73,9 @@
                                 .set(UndertowOptions.ALWAYS_SET_DATE, false)
                                 .set(UndertowOptions.ENABLE_HTTP2, false)
                                 .getMap());
-        // Connections above the high water mark wait in the backlog: a flood must not take the
-        // sockets that this controller needs for the key-value store, the cloud and the commands to
-        // workers.
+        // Connections above the high water mark wait in the backlog: a flood of connections must
+        // not take the sockets that this controller needs for the key-value store, the cloud and
+        // the commands to workers.
         ConnectionLimit connections = new ConnectionLimit(maxSockets - maxSockets / SPARE_FRACTION);
         listener.setRootHandler(
                 exchange ->
--- a/src/main/java/org/springmill/transport/XnioEventLoop.java
+++ b/src/main/java/org/springmill/transport/XnioEventLoop.java
@@ -41,7 +41,7 @@
         return key::remove;
     }
 
-    /** Runs a task; an exception of one must not end the thread that runs all others. */
+    /** Runs a task and logs its exception, which must not end the thread that runs all tasks. */
     static void runGuarded(Runnable task) {
         try {
             task.run();
--- a/src/main/java/org/springmill/transport/XnioPeerLink.java
+++ b/src/main/java/org/springmill/transport/XnioPeerLink.java
@@ -21,9 +21,9 @@
 import org.xnio.conduits.ConduitStreamSourceChannel;
 
 /**
- * Records over TCP, each after its length. Every controller sends on connections that it opened
- * itself and only reads from those it accepted, so that a half-open connection of one direction
- * never blocks the other.
+ * Sends records over TCP, each prefixed with its length. A controller sends only on connections
+ * that it opened and reads records only from those that it accepted, so that a half-open connection
+ * in one direction never blocks the other.
  */
 final class XnioPeerLink implements PeerLink {
     private static final Logger LOG = LoggerFactory.getLogger(XnioPeerLink.class);
@@ -32,7 +32,7 @@
     private static final int MAX_QUEUED_RECORDS = 16;
     private static final double CONNECT_TIMEOUT_SECONDS = 2.0;
 
-    /** Bytes of the length before each record. */
+    /** Size of the length prefix of a record. */
     private static final int LENGTH_BYTES = Integer.BYTES;
 
     private static final OptionMap OPTIONS = OptionMap.create(Options.TCP_NODELAY, true);
@@ -123,7 +123,7 @@
         source.resumeReads();
     }
 
-    /** Delivers every whole record; false if the sender exceeds the size limit. */
+    /** Delivers every whole record; returns false if a record exceeds the size limit. */
     private boolean deliver(ByteBuffer buffer) {
         buffer.flip();
         while (buffer.remaining() >= LENGTH_BYTES) {
@@ -143,7 +143,7 @@
         return true;
     }
 
-    /** The connection to one peer, with the records that wait for it. */
+    /** The connection to one peer, with the queue of records to send. */
     private final class Sender {
         private final String node;
         private final InetSocketAddress address;
@@ -158,7 +158,8 @@
 
         void send(byte[] record) {
             if (queue.size() >= MAX_QUEUED_RECORDS) {
-                // The peer does not read: the queue is stale by now, and so is the connection.
+                // The peer does not read: the queued records are outdated and the connection is
+                // unusable.
                 queue.clear();
                 close();
             }
--- a/src/test/java/org/springmill/transport/TransportTest.java
+++ b/src/test/java/org/springmill/transport/TransportTest.java
@@ -16,15 +16,15 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Sockets are the first thing that a controller of a large fleet runs out of: bounds on real ones,
- * on loopback.
+ * Checks the socket limits on real connections over loopback. In a large fleet, a controller runs
+ * out of sockets before any other resource.
  */
 class TransportTest {
     private static final String REQUEST = "GET /ready HTTP/1.1\r\nHost: x\r\n\r\n";
 
     /**
-     * More workers than connections: each is answered, and those above the limit are asked to
-     * reconnect.
+     * With more workers than allowed connections, every request is answered, and connections above
+     * the limit are closed after the response.
      */
     @Test
     void connectionsAboveTheLimitAreAnsweredAndClosed() throws Exception {
@@ -70,7 +70,7 @@
         return head.toString();
     }
 
-    /** More machines than sockets: commands to them wait for a connection and all are sent. */
+    /** With more machines than sockets, commands wait for a connection, and all are sent. */
     @Test
     void connectionsToAllWorkersShareOneLimit() throws Exception {
         int machines = 30;
