--- a/src/main/java/org/springmill/transport/ConnectionPool.java
+++ b/src/main/java/org/springmill/transport/ConnectionPool.java
@@ -141,7 +141,7 @@
     private void connectFailed(IOException e) {
         connecting--;
         releaseSocket();
-        LOG.debug("connect to {}: {}", address, e.getMessage());
+        LOG.debug("connecting to {} failed: {}", address, e.getMessage());
         // All requests that waited for this attempt fail; each caller decides whether to retry.
         while (waiting.size() > connecting) {
             waiting.poll().finish(HttpClient.Reply.NOT_SENT);
--- a/src/main/java/org/springmill/transport/PendingRequest.java
+++ b/src/main/java/org/springmill/transport/PendingRequest.java
@@ -74,7 +74,11 @@
 
     private void fail(IOException e) {
         LOG.debug(
-                "{} {}{}: {}", request.method(), request.address(), request.path(), e.getMessage());
+                "{} {}{} failed: {}",
+                request.method(),
+                request.address(),
+                request.path(),
+                e.getMessage());
         finish(Reply.LOST);
         IoUtils.safeClose(connection);
     }
--- a/src/main/java/org/springmill/transport/UndertowServer.java
+++ b/src/main/java/org/springmill/transport/UndertowServer.java
@@ -153,7 +153,11 @@
                     try {
                         handler.handle(call);
                     } catch (RuntimeException e) {
-                        LOG.error("{} {} failed", call.method(), call.path(), e);
+                        LOG.error(
+                                "{} {} failed; answering with status 500 unless already answered",
+                                call.method(),
+                                call.path(),
+                                e);
                         call.reply(500, new byte[0], 0);
                     }
                 });
--- a/src/main/java/org/springmill/transport/XnioEventLoop.java
+++ b/src/main/java/org/springmill/transport/XnioEventLoop.java
@@ -46,7 +46,7 @@
         try {
             task.run();
         } catch (RuntimeException e) {
-            LOG.error("task failed", e);
+            LOG.error("event loop task failed; the loop continues with the next task", e);
         }
     }
 }
--- a/src/main/java/org/springmill/transport/XnioPeerLink.java
+++ b/src/main/java/org/springmill/transport/XnioPeerLink.java
@@ -44,12 +44,12 @@
             new Listener() {
                 @Override
                 public void onRecord(byte[] record) {
-                    LOG.debug("dropped a peer record: no listener yet");
+                    LOG.debug("dropped a peer record of {} bytes: no listener set", record.length);
                 }
 
                 @Override
                 public void onConnectionRefused(String node) {
-                    LOG.debug("connection refused by {}: no listener yet", node);
+                    LOG.debug("connection refused by {}: no listener set", node);
                 }
             };
 
--- a/src/test/java/org/springmill/transport/TransportTest.java
+++ b/src/test/java/org/springmill/transport/TransportTest.java
@@ -46,10 +46,9 @@
             assertEquals(
                     47,
                     kept,
-                    "of 60 sockets one in eight is left to newcomers, and one in eight of the rest");
+                    "1/8 of 60 sockets stays free, and 1/8 of the rest is reserved for new ones");
             for (Socket worker : workers.subList(0, 47)) {
-                assertTrue(
-                        ask(worker).startsWith("HTTP/1.1 200"), "a kept connection was pushed out");
+                assertTrue(ask(worker).startsWith("HTTP/1.1 200"), "a kept connection was evicted");
             }
             for (Socket worker : workers) {
                 worker.close();
@@ -64,7 +63,7 @@
         StringBuilder head = new StringBuilder();
         while (!head.toString().endsWith("\r\n\r\n")) {
             int next = in.read();
-            assertTrue(next >= 0, "closed without an answer");
+            assertTrue(next >= 0, "closed without a response");
             head.append((char) next);
         }
         return head.toString();
@@ -121,8 +120,8 @@
                             });
             assertTrue(
                     answered.await(30, TimeUnit.SECONDS),
-                    answered.getCount() + " requests are not answered");
-            assertTrue(most.get() <= 9, most + " connections at once");
+                    answered.getCount() + " of 60 requests are not answered");
+            assertTrue(most.get() <= 9, most + " concurrent requests, limit 9");
         }
     }
 }
