--- a/src/main/java/org/springmill/transport/ConnectionLimit.java
+++ b/src/main/java/org/springmill/transport/ConnectionLimit.java
@@ -21,13 +21,13 @@
  */
 final class ConnectionLimit {
     /** 1/8 of the connections is reserved for new ones. */
-    private static final int NEWCOMER_FRACTION = 8;
+    private static final int RESERVED_FRACTION = 8;
 
     private final int maxConnections;
     private final int maxEstablished;
 
     /** Connections without a whole request yet, oldest first. */
-    private final Map<SocketAddress, StreamConnection> unproven = new LinkedHashMap<>();
+    private final Map<SocketAddress, StreamConnection> withoutRequest = new LinkedHashMap<>();
 
     /** Connections that may stay open after a request, least recently used first. */
     private final Map<SocketAddress, StreamConnection> established =
@@ -40,27 +40,27 @@
      */
     ConnectionLimit(int maxConnections) {
         this.maxConnections = maxConnections;
-        this.maxEstablished = maxConnections - maxConnections / NEWCOMER_FRACTION;
+        this.maxEstablished = maxConnections - maxConnections / RESERVED_FRACTION;
     }
 
     /** Registers a new connection; at the limit, evicts another one. */
     void accept(StreamConnection connection) {
         if (isReached()) {
-            unproven.values().removeIf(other -> !other.isOpen());
+            withoutRequest.values().removeIf(other -> !other.isOpen());
         }
         if (isReached()) {
             evictOne();
         }
-        unproven.put(connection.getPeerAddress(), connection);
+        withoutRequest.put(connection.getPeerAddress(), connection);
     }
 
     private boolean isReached() {
-        return unproven.size() + established.size() >= maxConnections;
+        return withoutRequest.size() + established.size() >= maxConnections;
     }
 
     private void evictOne() {
         Iterator<StreamConnection> candidates =
-                (unproven.isEmpty() ? established : unproven).values().iterator();
+                (withoutRequest.isEmpty() ? established : withoutRequest).values().iterator();
         IoUtils.safeClose(candidates.next());
         candidates.remove();
     }
@@ -80,7 +80,7 @@
             // It can still be evicted, in case its peer has died and never closes it.
             return false;
         }
-        StreamConnection connection = unproven.remove(peer);
+        StreamConnection connection = withoutRequest.remove(peer);
         if (connection == null) {
             return false;
         }
--- a/src/main/java/org/springmill/transport/ConnectionPool.java
+++ b/src/main/java/org/springmill/transport/ConnectionPool.java
@@ -31,7 +31,7 @@
     private final String address;
     private final URI uri;
     private final int maxOpen;
-    private final boolean limited;
+    private final boolean countsAgainstBudget;
     private final SocketBudget budget;
     private final ClientContext context;
     private final Consumer<ConnectionPool> onUnused;
@@ -46,20 +46,20 @@
      *
      * @param address host and port of the server
      * @param maxOpen the most connections of this pool
-     * @param limited whether its connections count against the budget of all pools
+     * @param countsAgainstBudget whether its connections count against the budget of all pools
      * @param onUnused called when the pool has neither connections nor requests left
      */
     ConnectionPool(
             String address,
             int maxOpen,
-            boolean limited,
+            boolean countsAgainstBudget,
             SocketBudget budget,
             ClientContext context,
             Consumer<ConnectionPool> onUnused) {
         this.address = address;
         this.uri = URI.create("http://" + address);
         this.maxOpen = maxOpen;
-        this.limited = limited;
+        this.countsAgainstBudget = countsAgainstBudget;
         this.budget = budget;
         this.context = context;
         this.onUnused = onUnused;
@@ -85,7 +85,7 @@
         if (!needsConnection()) {
             return;
         }
-        if (!limited || budget.makeRoom()) {
+        if (!countsAgainstBudget || budget.makeRoom()) {
             connect();
         } else {
             budget.addWaiting(this);
@@ -115,7 +115,7 @@
 
     private void connect() {
         connecting++;
-        if (limited) {
+        if (countsAgainstBudget) {
             budget.acquire();
         }
         lastConnectTime = context.loop().now();
@@ -161,7 +161,7 @@
     }
 
     private void releaseSocket() {
-        if (limited) {
+        if (countsAgainstBudget) {
             budget.release();
         }
         budget.serveWaiting();
@@ -170,7 +170,7 @@
     /** Takes back a connection whose request is complete. */
     void addIdle(ClientConnection connection) {
         idle.push(connection);
-        if (limited) {
+        if (countsAgainstBudget) {
             budget.addIdle(connection);
         }
     }
--- a/src/main/java/org/springmill/transport/PendingRequest.java
+++ b/src/main/java/org/springmill/transport/PendingRequest.java
@@ -86,7 +86,7 @@
     /** Sends the request on a connection that no other request uses. */
     void send(ClientConnection idleConnection) {
         connection = idleConnection;
-        connection.sendRequest(toClientRequest(), Callbacks.of(this::sent, this::fail));
+        connection.sendRequest(toClientRequest(), Callbacks.of(this::startExchange, this::fail));
     }
 
     private ClientRequest toClientRequest() {
@@ -102,7 +102,7 @@
         return message;
     }
 
-    private void sent(ClientExchange exchange) {
+    private void startExchange(ClientExchange exchange) {
         exchange.setResponseListener(Callbacks.of(this::readResponse, this::fail));
         if (request.body().length > 0) {
             writeBody(exchange.getRequestChannel(), ByteBuffer.wrap(request.body()));
--- a/src/test/java/org/springmill/transport/TransportTest.java
+++ b/src/test/java/org/springmill/transport/TransportTest.java
@@ -35,7 +35,7 @@
             for (int i = 0; i < 80; i++) {
                 Socket worker = new Socket(InetAddress.getLoopbackAddress(), port);
                 workers.add(worker);
-                String answer = ask(worker);
+                String answer = sendAndReadHead(worker);
                 assertTrue(answer.startsWith("HTTP/1.1 200"), answer);
                 if (answer.contains("Connection: close")) {
                     worker.close();
@@ -48,7 +48,9 @@
                     kept,
                     "1/8 of 60 sockets stays free, and 1/8 of the rest is reserved for new ones");
             for (Socket worker : workers.subList(0, 47)) {
-                assertTrue(ask(worker).startsWith("HTTP/1.1 200"), "a kept connection was evicted");
+                assertTrue(
+                        sendAndReadHead(worker).startsWith("HTTP/1.1 200"),
+                        "a kept connection was evicted");
             }
             for (Socket worker : workers) {
                 worker.close();
@@ -56,7 +58,7 @@
         }
     }
 
-    private static String ask(Socket socket) throws Exception {
+    private static String sendAndReadHead(Socket socket) throws Exception {
         socket.setSoTimeout(10_000);
         socket.getOutputStream().write(REQUEST.getBytes(StandardCharsets.US_ASCII));
         InputStream in = socket.getInputStream();
@@ -73,8 +75,8 @@
     @Test
     void connectionsToAllWorkersShareOneLimit() throws Exception {
         int machines = 30;
-        AtomicInteger held = new AtomicInteger();
-        AtomicInteger most = new AtomicInteger();
+        AtomicInteger concurrent = new AtomicInteger();
+        AtomicInteger maxConcurrent = new AtomicInteger();
         CountDownLatch answered = new CountDownLatch(2 * machines);
         try (Transport workers = new Transport(1000, Set.of());
                 Transport controller = new Transport(30, Set.of())) {
@@ -85,13 +87,13 @@
                                 + workers.serve(
                                         "127.0.0.1:0",
                                         call -> {
-                                            most.accumulateAndGet(
-                                                    held.incrementAndGet(), Math::max);
+                                            maxConcurrent.accumulateAndGet(
+                                                    concurrent.incrementAndGet(), Math::max);
                                             workers.loop()
                                                     .after(
                                                             0.01,
                                                             () -> {
-                                                                held.decrementAndGet();
+                                                                concurrent.decrementAndGet();
                                                                 call.reply(200, new byte[0], 0);
                                                             });
                                         }));
@@ -121,7 +123,7 @@
             assertTrue(
                     answered.await(30, TimeUnit.SECONDS),
                     answered.getCount() + " of 60 requests are not answered");
-            assertTrue(most.get() <= 9, most + " concurrent requests, limit 9");
+            assertTrue(maxConcurrent.get() <= 9, maxConcurrent + " concurrent requests, limit 9");
         }
     }
 }
