--- a/src/main/java/org/springmill/cli/RunCommand.java
+++ b/src/main/java/org/springmill/cli/RunCommand.java
@@ -69,9 +69,9 @@
     }
 
     /**
-     * A seed that differs between the processes of a node, which is all that their incarnations
-     * need. The process id is not part of it: to obtain it, the JVM reads system files in native
-     * code, which has crashed processes at their start.
+     * Returns a seed that differs between the processes of a node, so that their incarnations
+     * differ. It does not contain the process id: to obtain it, the JVM reads system files in
+     * native code, which has crashed processes at their start.
      */
     private static long seed(Settings settings) {
         return System.currentTimeMillis() << 20 ^ System.nanoTime() ^ settings.node().hashCode();
--- a/src/main/java/org/springmill/cli/TrainArchiveCommand.java
+++ b/src/main/java/org/springmill/cli/TrainArchiveCommand.java
@@ -21,8 +21,8 @@
 import picocli.CommandLine.Command;
 
 /**
- * Runs a controller for a few seconds on loopback, for the build to record which classes it loads.
- * A restarted process has little CPU time while leases expire: classes that are not in the archive
+ * Runs a controller on loopback for a few seconds while the build records which classes it loads. A
+ * restarted process has little CPU time while leases expire: classes that are not in the archive
  * would have to be read from the jar and verified during the failover.
  */
 @Command(name = "train-archive", hidden = true)
@@ -103,7 +103,7 @@
         return 0;
     }
 
-    /** No peer sends a record in this run, but one does so soon after a start. */
+    /** Loads the decoder: no peer sends a record in this run, but one does soon after a start. */
     private static void loadPeerRecordReader() throws MalformedMessageException {
         PeerMessages.decode(PeerMessages.encode(new CancellationNotice("other", List.of())));
     }
@@ -123,9 +123,7 @@
         }
     }
 
-    /**
-     * Sends the next request of a user and the next heartbeat of the worker, and so on in steps.
-     */
+    /** Sends the next request and a heartbeat of the worker, and schedules the next step. */
     private void sendRequests(Transport surroundings, String api, int step) {
         List<Request> requests =
                 List.of(
--- a/src/test/java/org/springmill/cli/ClassDataArchiveIT.java
+++ b/src/test/java/org/springmill/cli/ClassDataArchiveIT.java
@@ -18,14 +18,14 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * A start by the run line of deploy/service.toml takes every class of the application from the
- * class-data archive. One that the training run missed is read from the jar and verified at the
- * very moment at which a restarted controller has no time for it. Runs after the jar is built.
+ * Checks that a controller started by the run line of deploy/service.toml loads every class of the
+ * application from the class-data archive. A class that the training run missed is read from the
+ * jar and verified, for which a restarted controller has no time. Runs after the jar is built.
  */
 class ClassDataArchiveIT {
     private static final String STARTED = "starts";
 
-    /** Nothing listens there, so that the start goes no further than this process. */
+    /** Nothing listens at the services' addresses, so the controller reaches no other process. */
     private static final String SETTINGS =
             """
             node = "n-0"
--- a/src/test/java/org/springmill/cli/SettingsTest.java
+++ b/src/test/java/org/springmill/cli/SettingsTest.java
@@ -61,7 +61,7 @@
 
     private record Ran(int code, String out, String err) {}
 
-    /** Runs the command line as a user would, catching what it prints. */
+    /** Runs the command line as a user does and captures its output. */
     private static Ran run(String... args) {
         PrintStream out = System.out;
         PrintStream err = System.err;
@@ -167,8 +167,8 @@
     }
 
     /**
-     * Whatever is written keeps to both sets, so both are checked, and the smaller of each pair
-     * counts.
+     * Writes have to fit the current limits and those in {@code cluster.state.next}, so both are
+     * checked, and the smaller of each pair applies.
      */
     @ParameterizedTest
     @CsvSource(
