--- a/src/test/java/org/springmill/architecture/DocumentedNamesTest.java
+++ b/src/test/java/org/springmill/architecture/DocumentedNamesTest.java
@@ -17,11 +17,11 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Documents name what exists: each class, member and package that stands in {@code code font} in
- * the README or in a page of docs is one of the sources, and each link leads to a file and heading.
+ * Checks the README and the pages of docs: each class, member and package in {@code code font}
+ * exists in the sources, and each link leads to an existing file and heading.
  *
- * <p>Records of the past (docs/records, docs/incidents) keep the names of their time, so only their
- * links are checked.
+ * <p>Records (docs/records, docs/incidents) keep the names that were in use when they were written,
+ * so only their links are checked.
  */
 class DocumentedNamesTest {
     private static final Path README = Path.of("README.md");
@@ -36,33 +36,33 @@
             Pattern.compile(
                     "([A-Z][A-Za-z0-9*]*[a-z][A-Za-z0-9*]*(?:\\.[A-Za-z]\\w*)*)(?:\\([^)]*\\))?");
 
-    /** A name of a function that says a whole sentence, as tests have. */
+    /** A method name of at least five words, as tests have. */
     private static final Pattern FUNCTION =
             Pattern.compile("([a-z][a-z0-9]*(?:[A-Z][a-z0-9]*){4,})(?:\\([^)]*\\))?");
 
-    /** A package of the program, perhaps with a type in it. */
+    /** A package of the project, optionally followed by a type. */
     private static final Pattern PACKAGE =
             Pattern.compile("(org\\.springmill(?:\\.[a-z]\\w*)*)(?:\\.([A-Z].*))?");
 
-    /** A name of a setting, rule or field in lower case, perhaps with those of its tables. */
+    /** A name of a setting, rule or field in lower case, optionally prefixed with its tables. */
     private static final Pattern LOWER_CASE_NAME =
             Pattern.compile("(?:[a-z0-9_]+\\.)*[a-z0-9]+(?:_[a-z0-9]+)+");
 
-    /** A constant, or a variable of the environment. */
+    /** A constant or an environment variable. */
     private static final Pattern UPPER_CASE_NAME = Pattern.compile("[A-Z]+(?:_[A-Z]+)+");
 
     private static final Pattern METRIC =
             Pattern.compile("springmill_([a-z_]+?)(?:_seconds)?(?:_total|_count|_sum)?");
 
-    /** Of a metric's name, what is put together from a text that ends so and a constant. */
+    /** A metric name that the program builds from a prefix and the name of a constant. */
     private static final Pattern METRIC_OF_CONSTANT =
             Pattern.compile("(recalls_|submissions_refused_)([a-z_]+)");
 
     private static final Pattern HEADER_OF_LOG_LINES = Pattern.compile("\\| (log )?line \\|.*");
 
     /**
-     * Where a quoted log line has values in place of the text of the sources, or a text of its own:
-     * after a colon, in brackets, and for states, which are constants.
+     * Separates the parts of a quoted log line that are string literals in the sources: colons,
+     * opening brackets, placeholders for values, and states, which are constants.
      */
     private static final Pattern PLACEHOLDER =
             Pattern.compile(": | \\(|\\.\\.\\.|\\b[A-Z]\\b|\\b[A-Z][A-Z_]+\\b|run-N\\b");
@@ -134,7 +134,9 @@
         assertEquals(List.of(), unknown);
     }
 
-    /** Whoever searches the log for a line of operations.md has to find it. */
+    /**
+     * A log line quoted in a page has to be in the sources, so that a search of the log finds it.
+     */
     @Test
     void quotedLogLinesAreThoseOfTheSources() throws IOException {
         List<String> unknown = new ArrayList<>();
@@ -156,7 +158,7 @@
         assertEquals(List.of(), unknown);
     }
 
-    /** Else a mistake in the patterns above would let every document pass. */
+    /** Guards against a mistake in the patterns above that would let every document pass. */
     @Test
     void wrongNamesAreFoundAndOrdinaryWordsAreNot() {
         List<String> wrong =
@@ -229,7 +231,7 @@
         }
     }
 
-    /** Checks the names in a line, and returns how many there were. */
+    /** Checks the names in a line and returns their number. */
     private static int checkNames(Line line, List<String> unknown) {
         int checked = 0;
         Matcher span = CODE_SPAN.matcher(line.text());
@@ -285,7 +287,7 @@
         return checked;
     }
 
-    /** Names of settings and rules are texts; some values of settings are made of constants. */
+    /** Names of settings and rules are string literals; some values of settings are constants. */
     private static boolean isTextOrConstant(String name) {
         return names.hasText(name) || names.hasMemberAnywhere(name.toUpperCase(Locale.ROOT));
     }
@@ -352,7 +354,7 @@
         return pathAndHeading.length == 1 || headings(path).contains(pathAndHeading[1]);
     }
 
-    /** The anchors that readers of Markdown make of a page's headings. */
+    /** The anchors that Markdown renderers generate for a page's headings. */
     private static List<String> headings(Path page) throws IOException {
         return proseLines(page).stream()
                 .map(Line::text)
--- a/src/test/java/org/springmill/architecture/LayersTest.java
+++ b/src/test/java/org/springmill/architecture/LayersTest.java
@@ -14,9 +14,9 @@
 import java.util.Set;
 
 /**
- * The layers of the program. A package depends only on those of the layers below its own, never on
- * another package of its layer. The emulator stands beside the controllers: it uses protocol and
- * transport alone.
+ * Checks the layers of the program. A package depends only on packages of lower layers, never on
+ * another package of its own layer. The emulator uses only protocol and transport, and no package
+ * of the controllers.
  */
 @AnalyzeClasses(packages = "org.springmill", importOptions = ImportOption.DoNotIncludeTests.class)
 class LayersTest {
@@ -78,7 +78,9 @@
                     .dependOnClassesThat()
                     .resideInAPackage(CONTROL);
 
-    /** Of the controllers' packages, the command line uses the one that starts a controller. */
+    /**
+     * Of the controllers' packages, the command line uses only the one that starts a controller.
+     */
     @ArchTest
     static final ArchRule theCommandLineUsesTheControllerPackageAlone =
             noClasses()
--- a/src/test/java/org/springmill/architecture/SourceNames.java
+++ b/src/test/java/org/springmill/architecture/SourceNames.java
@@ -18,7 +18,7 @@
 import java.util.Set;
 import java.util.regex.Pattern;
 
-/** The packages, types and members that the sources declare, those of the tests included. */
+/** The packages, types and members that the sources declare, including the tests. */
 final class SourceNames {
     private static final Path PROGRAM = Path.of("src/main/java");
     private static final List<Path> ROOTS = List.of(PROGRAM, Path.of("src/test/java"));
@@ -30,7 +30,7 @@
      */
     private final Map<String, Set<String>> membersByType = new HashMap<>();
 
-    /** Texts in the program, without its tests; those that a {@code +} joins stand as one. */
+    /** String literals of the program without its tests, also as joined by {@code +}. */
     private final List<String> texts = new ArrayList<>();
 
     private SourceNames() {}
@@ -76,7 +76,7 @@
         scanner.scan(unit, null);
     }
 
-    /** The texts of a sum one after the other, with {@code {}} for each part that is no text. */
+    /** Joins the string literals of a sum, with {@code {}} for each part that is not a literal. */
     private static String joinedText(Tree part) {
         if (part instanceof BinaryTree sum && sum.getKind() == Tree.Kind.PLUS) {
             return joinedText(sum.getLeftOperand()) + joinedText(sum.getRightOperand());
@@ -103,7 +103,7 @@
     }
 
     /**
-     * Whether a type is declared, and each further part of the name in the part before it.
+     * Whether a type is declared and each further part of the name is a member of the previous one.
      *
      * @param name {@code Type}, {@code Type.member} or {@code Outer.Inner.member}; a {@code *} in
      *     the first part stands for any characters
@@ -129,12 +129,12 @@
         return membersByType.keySet().stream().anyMatch(type -> pattern.matcher(type).matches());
     }
 
-    /** Whether some text in the program contains a part. */
+    /** Whether some string literal of the program contains a text. */
     boolean hasText(String part) {
         return texts.stream().anyMatch(text -> text.contains(part));
     }
 
-    /** Whether some text in the program is just this one. */
+    /** Whether some string literal of the program equals a text. */
     boolean hasWholeText(String text) {
         return texts.contains(text);
     }
--- a/src/test/java/org/springmill/architecture/WireNamesTest.java
+++ b/src/test/java/org/springmill/architecture/WireNamesTest.java
@@ -15,10 +15,11 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * The names of the wire's fields, values and paths are spelled in the protocol package only.
+ * Checks that wire names of fields, values and paths are string literals only in the protocol
+ * package.
  *
- * <p>Not listed are names that stored records, the command line or metrics use in a sense of their
- * own: {@code done}, {@code ended}, {@code cancelled}, {@code error} and {@code start}.
+ * <p>Not listed are names that stored records, the command line or metrics use with another
+ * meaning: {@code done}, {@code ended}, {@code cancelled}, {@code error} and {@code start}.
  */
 class WireNamesTest {
     private static final Path SOURCES = Path.of("src/main/java/org/springmill");
@@ -129,7 +130,7 @@
                     "/touch",
                     "/changes");
 
-    /** Names of the protocol that no message of this program reads or writes so far. */
+    /** Names of the protocol that no message of this program reads or writes. */
     private static final Set<String> UNUSED = Set.of("stored", "pulling", "/status");
 
     private record StringLiteral(Path file, String text) {}
@@ -145,7 +146,7 @@
         assertEquals(List.of(), breaches);
     }
 
-    /** Else a renamed or mistyped entry of the lists above would check nothing. */
+    /** Guards against a renamed or mistyped entry of the lists above, which would check nothing. */
     @Test
     void everyListedNameStandsInTheProtocolPackage() throws IOException {
         List<String> protocolLiterals =
@@ -181,7 +182,7 @@
         return names().anyMatch(name -> spells(literal, name));
     }
 
-    /** Whether a literal is a name, is a path beginning with it or quotes it as JSON text does. */
+    /** Whether a literal equals a name, is a path starting with it or contains it in quotes. */
     private static boolean spells(String literal, String name) {
         return literal.equals(name)
                 || (name.startsWith("/") && literal.startsWith(name))
