--- a/src/test/java/org/springmill/measure/BorrowingReport.java
+++ b/src/test/java/org/springmill/measure/BorrowingReport.java
@@ -19,11 +19,11 @@
 import org.knowm.xchart.style.markers.SeriesMarkers;
 
 /**
- * One HTML page on emulated surges of serving demand, without recalls and with them: capacity,
- * requests, samples of teams against their entitlement, lost work and idle GPUs.
+ * Writes an HTML page that compares emulated surges of serving demand without and with recalls:
+ * capacity, requests, samples of teams against their entitlement, lost work and idle GPUs.
  *
  * <p>Arguments: the page to write, the folder with the results {@code off-SEED.json} and {@code
- * on-SEED.json}, the guarantee of each team in GPUs, the seed to draw, and the seeds.
+ * on-SEED.json}, the guarantee of each team in GPUs, the seed of the plotted runs, and all seeds.
  */
 public final class BorrowingReport {
     private static final ObjectMapper JSON = new ObjectMapper();
@@ -107,7 +107,7 @@
         return html.toString();
     }
 
-    /** A percentile of the seconds until capacity met demand; a run that never got there fails. */
+    /** A percentile of the seconds until capacity met demand; infinite if it never did in a run. */
     private static double capacity(Mode mode, double percentile) {
         Histogram millis = new Histogram(DIGITS);
         for (JsonNode run : mode.runs()) {
--- a/src/test/java/org/springmill/measure/HistoryMeasurement.java
+++ b/src/test/java/org/springmill/measure/HistoryMeasurement.java
@@ -35,9 +35,9 @@
 import org.springmill.transport.Transport;
 
 /**
- * Measures what a controller that starts needs with many ended jobs: time until it is ready and
- * heap in use after a collection, with their records where they were and moved to the history. Not
- * part of the build; docs/history.md says how it is run.
+ * Measures the start of a controller with many ended jobs: time until it is ready and heap in use
+ * after a garbage collection, with their records in {@code job/} and with the records moved to the
+ * history. Not part of the build; docs/history.md describes how to run it.
  */
 public final class HistoryMeasurement {
     private static final int[] COUNTS = {10_000, 50_000, 100_000, 400_000};
@@ -59,7 +59,7 @@
     private HistoryMeasurement() {}
 
     /**
-     * One controller that was started.
+     * The measurement of one started controller.
      *
      * @param readySeconds negative if it was not ready in time or ended before
      * @param heapMb in use after a collection
@@ -69,9 +69,9 @@
     /**
      * Measures all counts.
      *
-     * @param args file for the results, file for the picture (PNG, without its ending), and the run
-     *     line of a controller, of which --operator may be a part; without a run line the results
-     *     are read from their file and drawn again
+     * @param args file for the results, file for the chart (PNG, without extension), and the run
+     *     line of a controller, which may contain --operator; without a run line, the results are
+     *     read from their file and only the chart is drawn
      */
     public static void main(String[] args) throws Exception {
         ObjectMapper mapper = new ObjectMapper().enable(SerializationFeature.INDENT_OUTPUT);
