--- a/src/test/java/org/springmill/cli/ClassDataArchiveIT.java
+++ b/src/test/java/org/springmill/cli/ClassDataArchiveIT.java
@@ -64,7 +64,7 @@
         Path settings = Files.writeString(folder.resolve("settings.toml"), SETTINGS);
         Process process = new ProcessBuilder(command(loads, settings)).start();
         try {
-            assertTrue(startsBySayingSo(process), "the controller ended before it started");
+            assertTrue(startsBySayingSo(process), "the controller exited before it logged its start");
         } finally {
             process.destroyForcibly().waitFor(10, TimeUnit.SECONDS);
         }
