--- a/src/main/java/org/springmill/cli/TrainArchiveCommand.java
+++ b/src/main/java/org/springmill/cli/TrainArchiveCommand.java
@@ -86,16 +86,16 @@
     @Override
     public Integer call() throws Exception {
         Path file = Files.createTempFile("training", ".toml");
-        Transport surroundings = new Transport(MAX_SOCKETS, Set.of());
+        Transport transport = new Transport(MAX_SOCKETS, Set.of());
         try {
-            int port = surroundings.serve("127.0.0.1:0", this::answer);
+            int port = transport.serve("127.0.0.1:0", this::answer);
             messages = new ArchiveTrainingMessages("127.0.0.1:" + port);
             int api = freePort();
             Files.writeString(file, SETTINGS.formatted(api, "127.0.0.1:" + port));
             // Through the command line, which loads classes that a start needs.
             new CommandLine(new Main()).execute("run", "--config", file.toString());
             loadPeerRecordReader();
-            sendRequests(surroundings, "127.0.0.1:" + api, 0);
+            sendRequests(transport, "127.0.0.1:" + api, 0);
             Thread.sleep((long) ((STEPS + 2) * STEP_SECONDS * MILLISECONDS_PER_SECOND));
         } finally {
             Files.delete(file);
@@ -124,7 +124,7 @@
     }
 
     /** Sends the next request and a heartbeat of the worker, and schedules the next step. */
-    private void sendRequests(Transport surroundings, String api, int step) {
+    private void sendRequests(Transport transport, String api, int step) {
         List<Request> requests =
                 List.of(
                         post(api, WorkerMessages.HEARTBEAT_PATH, messages.heartbeat()),
@@ -154,14 +154,12 @@
                                         + "/run-000001"
                                         + UserMessages.CANCELLATION_SUFFIX,
                                 new byte[0]));
-        surroundings
+        transport
                 .client()
                 .send(requests.get(step / STEPS_PER_REQUEST % requests.size()), reply -> {});
-        surroundings.client().send(requests.get(0), reply -> {});
+        transport.client().send(requests.get(0), reply -> {});
         if (step < STEPS) {
-            surroundings
-                    .loop()
-                    .after(STEP_SECONDS, () -> sendRequests(surroundings, api, step + 1));
+            transport.loop().after(STEP_SECONDS, () -> sendRequests(transport, api, step + 1));
         }
     }
 
--- a/src/test/java/org/springmill/cli/ClassDataArchiveIT.java
+++ b/src/test/java/org/springmill/cli/ClassDataArchiveIT.java
@@ -23,7 +23,7 @@
  * jar and verified, for which a restarted controller has no time. Runs after the jar is built.
  */
 class ClassDataArchiveIT {
-    private static final String STARTED = "starts";
+    private static final String START_MESSAGE = "starts";
 
     /** Nothing listens at the services' addresses, so the controller reaches no other process. */
     private static final String SETTINGS =
@@ -60,36 +60,36 @@
 
     @Test
     void aStartReadsNoClassOfTheApplicationFromTheJar() throws Exception {
-        Path loads = folder.resolve("loads.log");
+        Path classLoadLog = folder.resolve("loads.log");
         Path settings = Files.writeString(folder.resolve("settings.toml"), SETTINGS);
-        Process process = new ProcessBuilder(command(loads, settings)).start();
+        Process process = new ProcessBuilder(command(classLoadLog, settings)).start();
         try {
-            assertTrue(startsBySayingSo(process), "the controller exited before it logged its start");
+            assertTrue(logsItsStart(process), "the controller exited before it logged its start");
         } finally {
             process.destroyForcibly().waitFor(10, TimeUnit.SECONDS);
         }
         List<String> fromJar =
-                Files.readAllLines(loads).stream()
+                Files.readAllLines(classLoadLog).stream()
                         .filter(line -> line.matches(".*source: (jar:)?file:.*"))
                         .toList();
         assertEquals(List.of(), fromJar);
     }
 
-    private static List<String> command(Path loads, Path settings) throws IOException {
+    private static List<String> command(Path classLoadLog, Path settings) throws IOException {
         JsonNode deployment =
                 new TomlMapper().readTree(Files.readString(Path.of("deploy/service.toml")));
         List<String> command = new ArrayList<>(List.of(deployment.path("run").asText().split(" ")));
-        command.add(1, "-Xlog:class+load:file=" + loads);
+        command.add(1, "-Xlog:class+load:file=" + classLoadLog);
         command.add(settings.toString());
         return command;
     }
 
-    private static boolean startsBySayingSo(Process process) throws IOException {
+    private static boolean logsItsStart(Process process) throws IOException {
         try (BufferedReader log =
                 new BufferedReader(
                         new InputStreamReader(process.getErrorStream(), StandardCharsets.UTF_8))) {
             for (String line = log.readLine(); line != null; line = log.readLine()) {
-                if (line.endsWith(STARTED)) {
+                if (line.endsWith(START_MESSAGE)) {
                     return true;
                 }
             }
--- a/src/test/java/org/springmill/cli/SettingsTest.java
+++ b/src/test/java/org/springmill/cli/SettingsTest.java
@@ -18,7 +18,7 @@
 import picocli.CommandLine;
 
 class SettingsTest {
-    private static final String GOOD =
+    private static final String VALID_SETTINGS =
             """
             node = "n-0"
             site = "east"
@@ -59,10 +59,10 @@
 
     @TempDir private Path folder;
 
-    private record Ran(int code, String out, String err) {}
+    private record CommandResult(int code, String out, String err) {}
 
     /** Runs the command line as a user does and captures its output. */
-    private static Ran run(String... args) {
+    private static CommandResult run(String... args) {
         PrintStream out = System.out;
         PrintStream err = System.err;
         ByteArrayOutputStream outBytes = new ByteArrayOutputStream();
@@ -71,7 +71,7 @@
             System.setOut(new PrintStream(outBytes, true, StandardCharsets.UTF_8));
             System.setErr(new PrintStream(errBytes, true, StandardCharsets.UTF_8));
             int code = new CommandLine(new Main()).execute(args);
-            return new Ran(
+            return new CommandResult(
                     code,
                     outBytes.toString(StandardCharsets.UTF_8),
                     errBytes.toString(StandardCharsets.UTF_8));
@@ -111,15 +111,16 @@
                 "txn_ops = 16          | txn_ops = 1              | 2 | cluster.state.txn_ops must be at least 4",
                 "[cluster.cloud]       | [cluster.cloud           | 2 | not valid TOML",
             })
-    void theErrorNamesTheInvalidField(String from, String to, int code, String says)
+    void theErrorNamesTheInvalidField(String from, String to, int code, String expected)
             throws IOException {
-        assertTrue(GOOD.contains(from));
-        Path file = Files.writeString(folder.resolve("service.toml"), GOOD.replace(from, to));
-        Ran ran = run("check", "--config", file.toString());
-        assertEquals(code, ran.code(), ran.err());
-        String said = ran.out() + ran.err();
-        assertTrue(said.contains(says) && said.contains(file.toString()), said);
-        assertFalse(said.contains("Exception"), said);
+        assertTrue(VALID_SETTINGS.contains(from));
+        Path file =
+                Files.writeString(folder.resolve("service.toml"), VALID_SETTINGS.replace(from, to));
+        CommandResult result = run("check", "--config", file.toString());
+        assertEquals(code, result.code(), result.err());
+        String output = result.out() + result.err();
+        assertTrue(output.contains(expected) && output.contains(file.toString()), output);
+        assertFalse(output.contains("Exception"), output);
     }
 
     @ParameterizedTest
@@ -155,15 +156,18 @@
                 "rentals = 5                             | 2 | rentals must be a block",
                 "rentals { idle_boots =                  | 2 | operator.hcl",
             })
-    void theErrorNamesTheInvalidOperatorSetting(String hcl, int code, String says)
+    void theErrorNamesTheInvalidOperatorSetting(String hcl, int code, String expected)
             throws IOException {
-        Path file = Files.writeString(folder.resolve("service.toml"), GOOD);
+        Path file = Files.writeString(folder.resolve("service.toml"), VALID_SETTINGS);
         Path operator = Files.writeString(folder.resolve("operator.hcl"), hcl);
-        Ran ran = run("check", "--config", file.toString(), "--operator", operator.toString());
-        String said = ran.out() + ran.err();
-        assertEquals(code, ran.code(), said);
-        assertTrue(said.contains(says) && (code == 0 || said.contains(operator.toString())), said);
-        assertFalse(said.contains("Exception"), said);
+        CommandResult result =
+                run("check", "--config", file.toString(), "--operator", operator.toString());
+        String output = result.out() + result.err();
+        assertEquals(code, result.code(), output);
+        assertTrue(
+                output.contains(expected) && (code == 0 || output.contains(operator.toString())),
+                output);
+        assertFalse(output.contains("Exception"), output);
     }
 
     /**
@@ -208,18 +212,19 @@
                 "{ value_kb = 4.0, txn_ops = 1 }                    | | cluster.state.next.txn_ops must be at least 4",
                 "{ rps =                                            | | not valid TOML",
             })
-    void limitsToComeAreCheckedAndKeptTo(String next, String kept, String says) throws Exception {
+    void nextLimitsAreCheckedAndApplied(String next, String appliedLimits, String expected)
+            throws Exception {
         Path file =
                 Files.writeString(
                         folder.resolve("service.toml"),
-                        GOOD.replace("txn_ops = 16", "txn_ops = 16\nnext = " + next));
-        Ran ran = run("check", "--config", file.toString());
-        assertEquals(kept == null ? 2 : 0, ran.code(), ran.err());
-        String said = ran.out() + ran.err();
-        assertTrue(said.contains(says) && said.contains(file.toString()), said);
-        assertFalse(said.contains("Exception"), said);
-        if (kept != null) {
-            String[] limits = kept.split(", ");
+                        VALID_SETTINGS.replace("txn_ops = 16", "txn_ops = 16\nnext = " + next));
+        CommandResult result = run("check", "--config", file.toString());
+        assertEquals(appliedLimits == null ? 2 : 0, result.code(), result.err());
+        String output = result.out() + result.err();
+        assertTrue(output.contains(expected) && output.contains(file.toString()), output);
+        assertFalse(output.contains("Exception"), output);
+        if (appliedLimits != null) {
+            String[] limits = appliedLimits.split(", ");
             assertEquals(
                     new Settings.StoreLimits(
                             Double.parseDouble(limits[0]),
@@ -238,9 +243,9 @@
         "run, 2, --config",
         "dance, 2, dance"
     })
-    void theCommandLinePrintsHelpVersionAndErrors(String args, int code, String says) {
-        Ran ran = run(args.split(" "));
-        assertEquals(code, ran.code());
-        assertTrue((ran.out() + ran.err()).contains(says), ran.out() + ran.err());
+    void theCommandLinePrintsHelpVersionAndErrors(String args, int code, String expected) {
+        CommandResult result = run(args.split(" "));
+        assertEquals(code, result.code());
+        assertTrue((result.out() + result.err()).contains(expected), result.out() + result.err());
     }
 }
