--- a/src/test/java/org/springmill/architecture/DocumentedNamesTest.java
+++ b/src/test/java/org/springmill/architecture/DocumentedNamesTest.java
@@ -26,7 +26,7 @@
 class DocumentedNamesTest {
     private static final Path README = Path.of("README.md");
     private static final Path DOCS = Path.of("docs");
-    private static final List<Path> FOLDERS_OF_RECORDS =
+    private static final List<Path> RECORD_FOLDERS =
             List.of(DOCS.resolve("records"), DOCS.resolve("incidents"));
 
     private static final Pattern CODE_SPAN = Pattern.compile("`([^`]+)`");
@@ -37,7 +37,7 @@
                     "([A-Z][A-Za-z0-9*]*[a-z][A-Za-z0-9*]*(?:\\.[A-Za-z]\\w*)*)(?:\\([^)]*\\))?");
 
     /** A method name of at least five words, as tests have. */
-    private static final Pattern FUNCTION =
+    private static final Pattern LONG_METHOD_NAME =
             Pattern.compile("([a-z][a-z0-9]*(?:[A-Z][a-z0-9]*){4,})(?:\\([^)]*\\))?");
 
     /** A package of the project, optionally followed by a type. */
@@ -55,10 +55,10 @@
             Pattern.compile("springmill_([a-z_]+?)(?:_seconds)?(?:_total|_count|_sum)?");
 
     /** A metric name that the program builds from a prefix and the name of a constant. */
-    private static final Pattern METRIC_OF_CONSTANT =
+    private static final Pattern METRIC_WITH_CONSTANT =
             Pattern.compile("(recalls_|submissions_refused_)([a-z_]+)");
 
-    private static final Pattern HEADER_OF_LOG_LINES = Pattern.compile("\\| (log )?line \\|.*");
+    private static final Pattern LOG_TABLE_HEADER = Pattern.compile("\\| (log )?line \\|.*");
 
     /**
      * Separates the parts of a quoted log line that are string literals in the sources: colons,
@@ -148,7 +148,7 @@
                 inTableOfLogLines =
                         inTable
                                 && (inTableOfLogLines
-                                        || HEADER_OF_LOG_LINES.matcher(line.text()).matches());
+                                        || LOG_TABLE_HEADER.matcher(line.text()).matches());
                 if (inTableOfLogLines) {
                     checked += checkLogLine(line, unknown);
                 }
@@ -248,7 +248,7 @@
     }
 
     private static boolean isName(String text) {
-        return Stream.of(TYPE_OR_MEMBER, FUNCTION, PACKAGE)
+        return Stream.of(TYPE_OR_MEMBER, LONG_METHOD_NAME, PACKAGE)
                 .anyMatch(pattern -> pattern.matcher(text).matches());
     }
 
@@ -262,7 +262,7 @@
         if (type.matches()) {
             return names.hasTypeOrMember(type.group(1));
         }
-        Matcher function = FUNCTION.matcher(text);
+        Matcher function = LONG_METHOD_NAME.matcher(text);
         return function.matches() && names.hasMemberAnywhere(function.group(1));
     }
 
@@ -278,7 +278,7 @@
                         text.startsWith("springmill_")
                                 ? isMetric(text)
                                 : Stream.of(text.split("\\."))
-                                        .allMatch(DocumentedNamesTest::isTextOrConstant);
+                                        .allMatch(DocumentedNamesTest::isLiteralOrConstant);
                 if (!known) {
                     unknown.add(line.at(span.group()));
                 }
@@ -288,8 +288,9 @@
     }
 
     /** Names of settings and rules are string literals; some values of settings are constants. */
-    private static boolean isTextOrConstant(String name) {
-        return names.hasText(name) || names.hasMemberAnywhere(name.toUpperCase(Locale.ROOT));
+    private static boolean isLiteralOrConstant(String name) {
+        return names.hasLiteralContaining(name)
+                || names.hasMemberAnywhere(name.toUpperCase(Locale.ROOT));
     }
 
     private static boolean isMetric(String text) {
@@ -298,12 +299,12 @@
             return false;
         }
         String name = metric.group(1);
-        Matcher parts = METRIC_OF_CONSTANT.matcher(name);
+        Matcher parts = METRIC_WITH_CONSTANT.matcher(name);
         boolean ofConstant =
                 parts.matches()
-                        && names.hasWholeText(parts.group(1))
+                        && names.hasLiteral(parts.group(1))
                         && names.hasMemberAnywhere(parts.group(2).toUpperCase(Locale.ROOT));
-        return ofConstant || names.hasWholeText(name) || names.hasWholeText(name + "_seconds");
+        return ofConstant || names.hasLiteral(name) || names.hasLiteral(name + "_seconds");
     }
 
     /** Checks the log line in the first column of a row of a table. */
@@ -317,7 +318,7 @@
                 PLACEHOLDER
                         .splitAsStream(quoted)
                         .map(part -> part.replaceAll("^[^\\w]+|[^\\w]+$", ""))
-                        .allMatch(names::hasText);
+                        .allMatch(names::hasLiteralContaining);
         boolean constantsExist =
                 CONSTANT.matcher(quoted)
                         .results()
@@ -337,7 +338,7 @@
             String target = link.group(1);
             if (!target.contains("://")) {
                 checked++;
-                if (!leadsSomewhere(line.page(), target)) {
+                if (!targetExists(line.page(), target)) {
                     broken.add(line.at(target));
                 }
             }
@@ -345,7 +346,7 @@
         return checked;
     }
 
-    private static boolean leadsSomewhere(Path page, String target) throws IOException {
+    private static boolean targetExists(Path page, String target) throws IOException {
         String[] pathAndHeading = target.split("#", 2);
         Path path = pathAndHeading[0].isEmpty() ? page : page.resolveSibling(pathAndHeading[0]);
         if (!Files.exists(path)) {
@@ -388,7 +389,7 @@
 
     private static List<Path> allPages() throws IOException {
         List<Path> pages = currentPages();
-        for (Path folder : FOLDERS_OF_RECORDS) {
+        for (Path folder : RECORD_FOLDERS) {
             pages.addAll(pagesIn(folder));
         }
         return pages;
--- a/src/test/java/org/springmill/architecture/SourceNames.java
+++ b/src/test/java/org/springmill/architecture/SourceNames.java
@@ -31,7 +31,7 @@
     private final Map<String, Set<String>> membersByType = new HashMap<>();
 
     /** String literals of the program without its tests, also as joined by {@code +}. */
-    private final List<String> texts = new ArrayList<>();
+    private final List<String> literals = new ArrayList<>();
 
     private SourceNames() {}
 
@@ -59,16 +59,16 @@
                     @Override
                     public Void visitLiteral(LiteralTree literal, Void unused) {
                         if (isProgram && literal.getValue() instanceof String text) {
-                            texts.add(text);
+                            literals.add(text);
                         }
                         return null;
                     }
 
                     @Override
                     public Void visitBinary(BinaryTree sum, Void unused) {
-                        String joined = joinedText(sum);
+                        String joined = joinLiterals(sum);
                         if (isProgram) {
-                            texts.add(joined);
+                            literals.add(joined);
                         }
                         return super.visitBinary(sum, null);
                     }
@@ -77,9 +77,9 @@
     }
 
     /** Joins the string literals of a sum, with {@code {}} for each part that is not a literal. */
-    private static String joinedText(Tree part) {
+    private static String joinLiterals(Tree part) {
         if (part instanceof BinaryTree sum && sum.getKind() == Tree.Kind.PLUS) {
-            return joinedText(sum.getLeftOperand()) + joinedText(sum.getRightOperand());
+            return joinLiterals(sum.getLeftOperand()) + joinLiterals(sum.getRightOperand());
         }
         boolean isText =
                 part instanceof LiteralTree literal && literal.getValue() instanceof String;
@@ -130,13 +130,13 @@
     }
 
     /** Whether some string literal of the program contains a text. */
-    boolean hasText(String part) {
-        return texts.stream().anyMatch(text -> text.contains(part));
+    boolean hasLiteralContaining(String part) {
+        return literals.stream().anyMatch(text -> text.contains(part));
     }
 
     /** Whether some string literal of the program equals a text. */
-    boolean hasWholeText(String text) {
-        return texts.contains(text);
+    boolean hasLiteral(String text) {
+        return literals.contains(text);
     }
 
     /** Whether some type declares a member of that name. */
--- a/src/test/java/org/springmill/architecture/WireNamesTest.java
+++ b/src/test/java/org/springmill/architecture/WireNamesTest.java
@@ -136,19 +136,19 @@
     private record StringLiteral(Path file, String text) {}
 
     @Test
-    void wireNamesStandAsLiteralsInTheProtocolPackageOnly() throws IOException {
-        List<String> breaches =
+    void wireNamesAreLiteralsInTheProtocolPackageOnly() throws IOException {
+        List<String> violations =
                 literals()
                         .filter(literal -> !literal.file().startsWith(PROTOCOL))
-                        .filter(literal -> namesTheWire(literal.text()))
+                        .filter(literal -> containsWireName(literal.text()))
                         .map(literal -> literal.file() + ": \"" + literal.text() + '"')
                         .toList();
-        assertEquals(List.of(), breaches);
+        assertEquals(List.of(), violations);
     }
 
     /** Guards against a renamed or mistyped entry of the lists above, which would check nothing. */
     @Test
-    void everyListedNameStandsInTheProtocolPackage() throws IOException {
+    void everyListedNameIsInTheProtocolPackage() throws IOException {
         List<String> protocolLiterals =
                 literals()
                         .filter(literal -> literal.file().startsWith(PROTOCOL))
@@ -160,7 +160,7 @@
                         .filter(
                                 name ->
                                         protocolLiterals.stream()
-                                                .noneMatch(text -> spells(text, name)))
+                                                .noneMatch(text -> containsName(text, name)))
                         .sorted()
                         .toList();
         assertEquals(List.of(), absent);
@@ -178,12 +178,12 @@
                 .flatMap(Set::stream);
     }
 
-    private static boolean namesTheWire(String literal) {
-        return names().anyMatch(name -> spells(literal, name));
+    private static boolean containsWireName(String literal) {
+        return names().anyMatch(name -> containsName(literal, name));
     }
 
     /** Whether a literal equals a name, is a path starting with it or contains it in quotes. */
-    private static boolean spells(String literal, String name) {
+    private static boolean containsName(String literal, String name) {
         return literal.equals(name)
                 || (name.startsWith("/") && literal.startsWith(name))
                 || literal.contains('"' + name + '"');
