--- a/src/test/java/org/springmill/measure/BorrowingReport.java
+++ b/src/test/java/org/springmill/measure/BorrowingReport.java
@@ -46,12 +46,13 @@
     public static void main(String[] arguments) throws IOException {
         Path folder = Path.of(arguments[1]);
         double guarantee = Double.parseDouble(arguments[2]);
-        String drawn = arguments[3];
+        String plottedSeed = arguments[3];
         List<String> seeds = List.of(arguments).subList(4, arguments.length);
         Mode off = read("off", folder, seeds);
         Mode on = read("on", folder, seeds);
         Files.writeString(
-                Path.of(arguments[0]), page(off, on, guarantee, drawn, seeds.indexOf(drawn)));
+                Path.of(arguments[0]),
+                page(off, on, guarantee, plottedSeed, seeds.indexOf(plottedSeed)));
     }
 
     private static Mode read(String name, Path folder, List<String> seeds) throws IOException {
@@ -62,7 +63,8 @@
         return new Mode(name, runs);
     }
 
-    private static String page(Mode off, Mode on, double guarantee, String seed, int drawn)
+    private static String page(
+            Mode off, Mode on, double guarantee, String plottedSeed, int plottedIndex)
             throws IOException {
         StringBuilder html = new StringBuilder();
         html.append("<!doctype html><meta charset=\"utf-8\"><title>Recalls of loans</title>");
@@ -97,9 +99,9 @@
         counter(html, off, on, "recalls withdrawn", "recalls_withdrawn_total");
         counter(html, off, on, "recalls expired", "recalls_expired_total");
         row(html, "rules broken", off, on, mode -> mode.sum(r -> r.path("violationCount").asInt()));
-        html.append("</table><p>Plots: seed ").append(seed).append(".</p>");
+        html.append("</table><p>Plots: seed ").append(plottedSeed).append(".</p>");
         for (Mode mode : List.of(off, on)) {
-            JsonNode timeline = mode.runs().get(drawn).path("serving").path("timeline");
+            JsonNode timeline = mode.runs().get(plottedIndex).path("serving").path("timeline");
             html.append("<h2>").append(mode.name()).append("</h2>");
             demandChart(html, timeline);
             teamChart(html, timeline, guarantee);
--- a/src/test/java/org/springmill/measure/HistoryMeasurement.java
+++ b/src/test/java/org/springmill/measure/HistoryMeasurement.java
@@ -48,7 +48,7 @@
             "{\"frames\":[{\"sku\":\"m\",\"vcpus\":64,\"cards\":8,\"memGb\":256,\"localGb\":900,"
                     + "\"pullGbPerS\":1.0,\"price\":1.0,\"marketPrice\":0.5,\"bootS\":30,"
                     + "\"yards\":[\"a\"]}]}";
-    private static final Pattern USED = Pattern.compile("total \\d+K, used (\\d+)K");
+    private static final Pattern HEAP_USED = Pattern.compile("total \\d+K, used (\\d+)K");
     private static final String RECORD =
             "{\"nameId\":\"run-%06d\",\"grist\":\"storm-sweep\",\"crew\":\"team-001\","
                     + "\"shape\":\"sweep\",\"urgency\":\"best_effort\",\"sacks\":4,\"vcpus\":5.0,"
@@ -209,7 +209,7 @@
     private static double heapMb(Process process) throws Exception {
         Thread.sleep(2000);
         jcmd(process, "GC.run");
-        Matcher used = USED.matcher(jcmd(process, "GC.heap_info"));
+        Matcher used = HEAP_USED.matcher(jcmd(process, "GC.heap_info"));
         double kilobytes = 0;
         while (used.find()) {
             kilobytes += Double.parseDouble(used.group(1));
@@ -217,9 +217,9 @@
         return kilobytes / 1024;
     }
 
-    private static String jcmd(Process process, String what) throws Exception {
+    private static String jcmd(Process process, String command) throws Exception {
         Process jcmd =
-                new ProcessBuilder("jcmd", Long.toString(process.pid()), what)
+                new ProcessBuilder("jcmd", Long.toString(process.pid()), command)
                         .redirectErrorStream(true)
                         .start();
         String text = new String(jcmd.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
