--- a/src/main/java/org/springmill/cli/TrainArchiveCommand.java
+++ b/src/main/java/org/springmill/cli/TrainArchiveCommand.java
@@ -21,8 +21,8 @@
 import picocli.CommandLine.Command;
 
 /**
- * Runs a controller for a few seconds on loopback, for the build to record which classes it loads.
- * A restarted process has little CPU time while leases expire: classes that are not in the archive
+ * Runs a controller on loopback for a few seconds while the build records which classes it loads. A
+ * restarted process has little CPU time while leases expire: classes that are not in the archive
  * would have to be read from the jar and verified during the failover.
  */
 @Command(name = "train-archive", hidden = true)
@@ -86,16 +86,16 @@
     @Override
     public Integer call() throws Exception {
         Path file = Files.createTempFile("training", ".toml");
-        Transport surroundings = new Transport(MAX_SOCKETS, Set.of());
+        Transport transport = new Transport(MAX_SOCKETS, Set.of());
         try {
-            int port = surroundings.serve("127.0.0.1:0", this::answer);
+            int port = transport.serve("127.0.0.1:0", this::answer);
             messages = new ArchiveTrainingMessages("127.0.0.1:" + port);
             int api = freePort();
             Files.writeString(file, SETTINGS.formatted(api, "127.0.0.1:" + port));
             // Through the command line, which loads classes that a start needs.
             new CommandLine(new Main()).execute("run", "--config", file.toString());
             loadPeerRecordReader();
-            sendRequests(surroundings, "127.0.0.1:" + api, 0);
+            sendRequests(transport, "127.0.0.1:" + api, 0);
             Thread.sleep((long) ((STEPS + 2) * STEP_SECONDS * MILLISECONDS_PER_SECOND));
         } finally {
             Files.delete(file);
@@ -103,7 +103,7 @@
         return 0;
     }
 
-    /** No peer sends a record in this run, but one does so soon after a start. */
+    /** Loads the decoder: no peer sends a record in this run, but one does soon after a start. */
     private static void loadPeerRecordReader() throws MalformedMessageException {
         PeerMessages.decode(PeerMessages.encode(new CancellationNotice("other", List.of())));
     }
@@ -123,10 +123,8 @@
         }
     }
 
-    /**
-     * Sends the next request of a user and the next heartbeat of the worker, and so on in steps.
-     */
-    private void sendRequests(Transport surroundings, String api, int step) {
+    /** Sends the next request and a heartbeat of the worker, and schedules the next step. */
+    private void sendRequests(Transport transport, String api, int step) {
         List<Request> requests =
                 List.of(
                         post(api, WorkerMessages.HEARTBEAT_PATH, messages.heartbeat()),
@@ -156,14 +154,12 @@
                                         + "/run-000001"
                                         + UserMessages.CANCELLATION_SUFFIX,
                                 new byte[0]));
-        surroundings
+        transport
                 .client()
                 .send(requests.get(step / STEPS_PER_REQUEST % requests.size()), reply -> {});
-        surroundings.client().send(requests.get(0), reply -> {});
+        transport.client().send(requests.get(0), reply -> {});
         if (step < STEPS) {
-            surroundings
-                    .loop()
-                    .after(STEP_SECONDS, () -> sendRequests(surroundings, api, step + 1));
+            transport.loop().after(STEP_SECONDS, () -> sendRequests(transport, api, step + 1));
         }
     }
 
--- a/src/main/java/org/springmill/transport/ConnectionPool.java
+++ b/src/main/java/org/springmill/transport/ConnectionPool.java
@@ -16,10 +16,10 @@
 final class ConnectionPool {
     private static final Logger LOG = LoggerFactory.getLogger(ConnectionPool.class);
 
-    /** Connection attempts at once, as long as none of them hangs. */
+    /** Limit of concurrent connection attempts while none of them hangs. */
     private static final int MAX_CONNECTING = 2;
 
-    /** After this time without a new attempt, those under way are taken to hang. */
+    /** Pending attempts count as hanging if the latest one was started longer ago than this. */
     private static final double CONNECT_RETRY_SECONDS = 5.0;
 
     private static final OptionMap OPTIONS =
@@ -31,7 +31,7 @@
     private final String address;
     private final URI uri;
     private final int maxOpen;
-    private final boolean limited;
+    private final boolean countsAgainstBudget;
     private final SocketBudget budget;
     private final ClientContext context;
     private final Consumer<ConnectionPool> onUnused;
@@ -42,24 +42,24 @@
     private double lastConnectTime;
 
     /**
-     * A pool without connections.
+     * Creates a pool without connections.
      *
      * @param address host and port of the server
      * @param maxOpen the most connections of this pool
-     * @param limited whether its connections count against the budget of all pools
+     * @param countsAgainstBudget whether its connections count against the budget of all pools
      * @param onUnused called when the pool has neither connections nor requests left
      */
     ConnectionPool(
             String address,
             int maxOpen,
-            boolean limited,
+            boolean countsAgainstBudget,
             SocketBudget budget,
             ClientContext context,
             Consumer<ConnectionPool> onUnused) {
         this.address = address;
         this.uri = URI.create("http://" + address);
         this.maxOpen = maxOpen;
-        this.limited = limited;
+        this.countsAgainstBudget = countsAgainstBudget;
         this.budget = budget;
         this.context = context;
         this.onUnused = onUnused;
@@ -85,7 +85,7 @@
         if (!needsConnection()) {
             return;
         }
-        if (!limited || budget.makeRoom()) {
+        if (!countsAgainstBudget || budget.makeRoom()) {
             connect();
         } else {
             budget.addWaiting(this);
@@ -115,7 +115,7 @@
 
     private void connect() {
         connecting++;
-        if (limited) {
+        if (countsAgainstBudget) {
             budget.acquire();
         }
         lastConnectTime = context.loop().now();
@@ -141,9 +141,8 @@
     private void connectFailed(IOException e) {
         connecting--;
         releaseSocket();
-        LOG.debug("connect to {}: {}", address, e.getMessage());
-        // All requests that waited for this attempt fail together; each caller decides for itself
-        // what to do next.
+        LOG.debug("connecting to {} failed: {}", address, e.getMessage());
+        // All requests that waited for this attempt fail; each caller decides whether to retry.
         while (waiting.size() > connecting) {
             waiting.poll().finish(HttpClient.Reply.NOT_SENT);
         }
@@ -162,7 +161,7 @@
     }
 
     private void releaseSocket() {
-        if (limited) {
+        if (countsAgainstBudget) {
             budget.release();
         }
         budget.serveWaiting();
@@ -171,12 +170,12 @@
     /** Takes back a connection whose request is complete. */
     void addIdle(ClientConnection connection) {
         idle.push(connection);
-        if (limited) {
+        if (countsAgainstBudget) {
             budget.addIdle(connection);
         }
     }
 
-    /** Sends what waits, in this pool first, after a connection became idle. */
+    /** Sends waiting requests after a connection became idle, those of this pool first. */
     void dispatchAll() {
         dispatch();
         budget.serveWaiting();
--- a/src/test/java/org/springmill/architecture/DocumentedNamesTest.java
+++ b/src/test/java/org/springmill/architecture/DocumentedNamesTest.java
@@ -17,16 +17,16 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Documents name what exists: each class, member and package that stands in {@code code font} in
- * the README or in a page of docs is one of the sources, and each link leads to a file and heading.
+ * Checks the README and the pages of docs: each class, member and package in {@code code font}
+ * exists in the sources, and each link leads to an existing file and heading.
  *
- * <p>Records of the past (docs/records, docs/incidents) keep the names of their time, so only their
- * links are checked.
+ * <p>Records (docs/records, docs/incidents) keep the names that were in use when they were written,
+ * so only their links are checked.
  */
 class DocumentedNamesTest {
     private static final Path README = Path.of("README.md");
     private static final Path DOCS = Path.of("docs");
-    private static final List<Path> FOLDERS_OF_RECORDS =
+    private static final List<Path> RECORD_FOLDERS =
             List.of(DOCS.resolve("records"), DOCS.resolve("incidents"));
 
     private static final Pattern CODE_SPAN = Pattern.compile("`([^`]+)`");
@@ -36,33 +36,33 @@
             Pattern.compile(
                     "([A-Z][A-Za-z0-9*]*[a-z][A-Za-z0-9*]*(?:\\.[A-Za-z]\\w*)*)(?:\\([^)]*\\))?");
 
-    /** A name of a function that says a whole sentence, as tests have. */
-    private static final Pattern FUNCTION =
+    /** A method name of at least five words, as tests have. */
+    private static final Pattern LONG_METHOD_NAME =
             Pattern.compile("([a-z][a-z0-9]*(?:[A-Z][a-z0-9]*){4,})(?:\\([^)]*\\))?");
 
-    /** A package of the program, perhaps with a type in it. */
+    /** A package of the project, optionally followed by a type. */
     private static final Pattern PACKAGE =
             Pattern.compile("(org\\.springmill(?:\\.[a-z]\\w*)*)(?:\\.([A-Z].*))?");
 
-    /** A name of a setting, rule or field in lower case, perhaps with those of its tables. */
+    /** A name of a setting, rule or field in lower case, optionally prefixed with its tables. */
     private static final Pattern LOWER_CASE_NAME =
             Pattern.compile("(?:[a-z0-9_]+\\.)*[a-z0-9]+(?:_[a-z0-9]+)+");
 
-    /** A constant, or a variable of the environment. */
+    /** A constant or an environment variable. */
     private static final Pattern UPPER_CASE_NAME = Pattern.compile("[A-Z]+(?:_[A-Z]+)+");
 
     private static final Pattern METRIC =
             Pattern.compile("springmill_([a-z_]+?)(?:_seconds)?(?:_total|_count|_sum)?");
 
-    /** Of a metric's name, what is put together from a text that ends so and a constant. */
-    private static final Pattern METRIC_OF_CONSTANT =
+    /** A metric name that the program builds from a prefix and the name of a constant. */
+    private static final Pattern METRIC_WITH_CONSTANT =
             Pattern.compile("(recalls_|submissions_refused_)([a-z_]+)");
 
-    private static final Pattern HEADER_OF_LOG_LINES = Pattern.compile("\\| (log )?line \\|.*");
+    private static final Pattern LOG_TABLE_HEADER = Pattern.compile("\\| (log )?line \\|.*");
 
     /**
-     * Where a quoted log line has values in place of the text of the sources, or a text of its own:
-     * after a colon, in brackets, and for states, which are constants.
+     * Separates the parts of a quoted log line that are string literals in the sources: colons,
+     * opening brackets, placeholders for values, and states, which are constants.
      */
     private static final Pattern PLACEHOLDER =
             Pattern.compile(": | \\(|\\.\\.\\.|\\b[A-Z]\\b|\\b[A-Z][A-Z_]+\\b|run-N\\b");
@@ -134,7 +134,9 @@
         assertEquals(List.of(), unknown);
     }
 
-    /** Whoever searches the log for a line of operations.md has to find it. */
+    /**
+     * A log line quoted in a page has to be in the sources, so that a search of the log finds it.
+     */
     @Test
     void quotedLogLinesAreThoseOfTheSources() throws IOException {
         List<String> unknown = new ArrayList<>();
@@ -146,7 +148,7 @@
                 inTableOfLogLines =
                         inTable
                                 && (inTableOfLogLines
-                                        || HEADER_OF_LOG_LINES.matcher(line.text()).matches());
+                                        || LOG_TABLE_HEADER.matcher(line.text()).matches());
                 if (inTableOfLogLines) {
                     checked += checkLogLine(line, unknown);
                 }
@@ -156,7 +158,7 @@
         assertEquals(List.of(), unknown);
     }
 
-    /** Else a mistake in the patterns above would let every document pass. */
+    /** Guards against a mistake in the patterns above that would let every document pass. */
     @Test
     void wrongNamesAreFoundAndOrdinaryWordsAreNot() {
         List<String> wrong =
@@ -229,7 +231,7 @@
         }
     }
 
-    /** Checks the names in a line, and returns how many there were. */
+    /** Checks the names in a line and returns their number. */
     private static int checkNames(Line line, List<String> unknown) {
         int checked = 0;
         Matcher span = CODE_SPAN.matcher(line.text());
@@ -246,7 +248,7 @@
     }
 
     private static boolean isName(String text) {
-        return Stream.of(TYPE_OR_MEMBER, FUNCTION, PACKAGE)
+        return Stream.of(TYPE_OR_MEMBER, LONG_METHOD_NAME, PACKAGE)
                 .anyMatch(pattern -> pattern.matcher(text).matches());
     }
 
@@ -260,7 +262,7 @@
         if (type.matches()) {
             return names.hasTypeOrMember(type.group(1));
         }
-        Matcher function = FUNCTION.matcher(text);
+        Matcher function = LONG_METHOD_NAME.matcher(text);
         return function.matches() && names.hasMemberAnywhere(function.group(1));
     }
 
@@ -276,7 +278,7 @@
                         text.startsWith("springmill_")
                                 ? isMetric(text)
                                 : Stream.of(text.split("\\."))
-                                        .allMatch(DocumentedNamesTest::isTextOrConstant);
+                                        .allMatch(DocumentedNamesTest::isLiteralOrConstant);
                 if (!known) {
                     unknown.add(line.at(span.group()));
                 }
@@ -285,9 +287,10 @@
         return checked;
     }
 
-    /** Names of settings and rules are texts; some values of settings are made of constants. */
-    private static boolean isTextOrConstant(String name) {
-        return names.hasText(name) || names.hasMemberAnywhere(name.toUpperCase(Locale.ROOT));
+    /** Names of settings and rules are string literals; some values of settings are constants. */
+    private static boolean isLiteralOrConstant(String name) {
+        return names.hasLiteralContaining(name)
+                || names.hasMemberAnywhere(name.toUpperCase(Locale.ROOT));
     }
 
     private static boolean isMetric(String text) {
@@ -296,12 +299,12 @@
             return false;
         }
         String name = metric.group(1);
-        Matcher parts = METRIC_OF_CONSTANT.matcher(name);
+        Matcher parts = METRIC_WITH_CONSTANT.matcher(name);
         boolean ofConstant =
                 parts.matches()
-                        && names.hasWholeText(parts.group(1))
+                        && names.hasLiteral(parts.group(1))
                         && names.hasMemberAnywhere(parts.group(2).toUpperCase(Locale.ROOT));
-        return ofConstant || names.hasWholeText(name) || names.hasWholeText(name + "_seconds");
+        return ofConstant || names.hasLiteral(name) || names.hasLiteral(name + "_seconds");
     }
 
     /** Checks the log line in the first column of a row of a table. */
@@ -315,7 +318,7 @@
                 PLACEHOLDER
                         .splitAsStream(quoted)
                         .map(part -> part.replaceAll("^[^\\w]+|[^\\w]+$", ""))
-                        .allMatch(names::hasText);
+                        .allMatch(names::hasLiteralContaining);
         boolean constantsExist =
                 CONSTANT.matcher(quoted)
                         .results()
@@ -335,7 +338,7 @@
             String target = link.group(1);
             if (!target.contains("://")) {
                 checked++;
-                if (!leadsSomewhere(line.page(), target)) {
+                if (!targetExists(line.page(), target)) {
                     broken.add(line.at(target));
                 }
             }
@@ -343,7 +346,7 @@
         return checked;
     }
 
-    private static boolean leadsSomewhere(Path page, String target) throws IOException {
+    private static boolean targetExists(Path page, String target) throws IOException {
         String[] pathAndHeading = target.split("#", 2);
         Path path = pathAndHeading[0].isEmpty() ? page : page.resolveSibling(pathAndHeading[0]);
         if (!Files.exists(path)) {
@@ -352,7 +355,7 @@
         return pathAndHeading.length == 1 || headings(path).contains(pathAndHeading[1]);
     }
 
-    /** The anchors that readers of Markdown make of a page's headings. */
+    /** The anchors that Markdown renderers generate for a page's headings. */
     private static List<String> headings(Path page) throws IOException {
         return proseLines(page).stream()
                 .map(Line::text)
@@ -386,7 +389,7 @@
 
     private static List<Path> allPages() throws IOException {
         List<Path> pages = currentPages();
-        for (Path folder : FOLDERS_OF_RECORDS) {
+        for (Path folder : RECORD_FOLDERS) {
             pages.addAll(pagesIn(folder));
         }
         return pages;
--- a/src/test/java/org/springmill/architecture/SourceNames.java
+++ b/src/test/java/org/springmill/architecture/SourceNames.java
@@ -18,7 +18,7 @@
 import java.util.Set;
 import java.util.regex.Pattern;
 
-/** The packages, types and members that the sources declare, those of the tests included. */
+/** The packages, types and members that the sources declare, including the tests. */
 final class SourceNames {
     private static final Path PROGRAM = Path.of("src/main/java");
     private static final List<Path> ROOTS = List.of(PROGRAM, Path.of("src/test/java"));
@@ -30,8 +30,8 @@
      */
     private final Map<String, Set<String>> membersByType = new HashMap<>();
 
-    /** Texts in the program, without its tests; those that a {@code +} joins stand as one. */
-    private final List<String> texts = new ArrayList<>();
+    /** String literals of the program without its tests, also as joined by {@code +}. */
+    private final List<String> literals = new ArrayList<>();
 
     private SourceNames() {}
 
@@ -59,16 +59,16 @@
                     @Override
                     public Void visitLiteral(LiteralTree literal, Void unused) {
                         if (isProgram && literal.getValue() instanceof String text) {
-                            texts.add(text);
+                            literals.add(text);
                         }
                         return null;
                     }
 
                     @Override
                     public Void visitBinary(BinaryTree sum, Void unused) {
-                        String joined = joinedText(sum);
+                        String joined = joinLiterals(sum);
                         if (isProgram) {
-                            texts.add(joined);
+                            literals.add(joined);
                         }
                         return super.visitBinary(sum, null);
                     }
@@ -76,10 +76,10 @@
         scanner.scan(unit, null);
     }
 
-    /** The texts of a sum one after the other, with {@code {}} for each part that is no text. */
-    private static String joinedText(Tree part) {
+    /** Joins the string literals of a sum, with {@code {}} for each part that is not a literal. */
+    private static String joinLiterals(Tree part) {
         if (part instanceof BinaryTree sum && sum.getKind() == Tree.Kind.PLUS) {
-            return joinedText(sum.getLeftOperand()) + joinedText(sum.getRightOperand());
+            return joinLiterals(sum.getLeftOperand()) + joinLiterals(sum.getRightOperand());
         }
         boolean isText =
                 part instanceof LiteralTree literal && literal.getValue() instanceof String;
@@ -103,7 +103,7 @@
     }
 
     /**
-     * Whether a type is declared, and each further part of the name in the part before it.
+     * Whether a type is declared and each further part of the name is a member of the previous one.
      *
      * @param name {@code Type}, {@code Type.member} or {@code Outer.Inner.member}; a {@code *} in
      *     the first part stands for any characters
@@ -129,14 +129,14 @@
         return membersByType.keySet().stream().anyMatch(type -> pattern.matcher(type).matches());
     }
 
-    /** Whether some text in the program contains a part. */
-    boolean hasText(String part) {
-        return texts.stream().anyMatch(text -> text.contains(part));
+    /** Whether some string literal of the program contains a text. */
+    boolean hasLiteralContaining(String part) {
+        return literals.stream().anyMatch(text -> text.contains(part));
     }
 
-    /** Whether some text in the program is just this one. */
-    boolean hasWholeText(String text) {
-        return texts.contains(text);
+    /** Whether some string literal of the program equals a text. */
+    boolean hasLiteral(String text) {
+        return literals.contains(text);
     }
 
     /** Whether some type declares a member of that name. */
--- a/src/test/java/org/springmill/architecture/WireNamesTest.java
+++ b/src/test/java/org/springmill/architecture/WireNamesTest.java
@@ -15,10 +15,11 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * The names of the wire's fields, values and paths are spelled in the protocol package only.
+ * Checks that wire names of fields, values and paths are string literals only in the protocol
+ * package.
  *
- * <p>Not listed are names that stored records, the command line or metrics use in a sense of their
- * own: {@code done}, {@code ended}, {@code cancelled}, {@code error} and {@code start}.
+ * <p>Not listed are names that stored records, the command line or metrics use with another
+ * meaning: {@code done}, {@code ended}, {@code cancelled}, {@code error} and {@code start}.
  */
 class WireNamesTest {
     private static final Path SOURCES = Path.of("src/main/java/org/springmill");
@@ -129,25 +130,25 @@
                     "/touch",
                     "/changes");
 
-    /** Names of the protocol that no message of this program reads or writes so far. */
+    /** Names of the protocol that no message of this program reads or writes. */
     private static final Set<String> UNUSED = Set.of("stored", "pulling", "/status");
 
     private record StringLiteral(Path file, String text) {}
 
     @Test
-    void wireNamesStandAsLiteralsInTheProtocolPackageOnly() throws IOException {
-        List<String> breaches =
+    void wireNamesAreLiteralsInTheProtocolPackageOnly() throws IOException {
+        List<String> violations =
                 literals()
                         .filter(literal -> !literal.file().startsWith(PROTOCOL))
-                        .filter(literal -> namesTheWire(literal.text()))
+                        .filter(literal -> containsWireName(literal.text()))
                         .map(literal -> literal.file() + ": \"" + literal.text() + '"')
                         .toList();
-        assertEquals(List.of(), breaches);
+        assertEquals(List.of(), violations);
     }
 
-    /** Else a renamed or mistyped entry of the lists above would check nothing. */
+    /** Guards against a renamed or mistyped entry of the lists above, which would check nothing. */
     @Test
-    void everyListedNameStandsInTheProtocolPackage() throws IOException {
+    void everyListedNameIsInTheProtocolPackage() throws IOException {
         List<String> protocolLiterals =
                 literals()
                         .filter(literal -> literal.file().startsWith(PROTOCOL))
@@ -159,7 +160,7 @@
                         .filter(
                                 name ->
                                         protocolLiterals.stream()
-                                                .noneMatch(text -> spells(text, name)))
+                                                .noneMatch(text -> containsName(text, name)))
                         .sorted()
                         .toList();
         assertEquals(List.of(), absent);
@@ -177,12 +178,12 @@
                 .flatMap(Set::stream);
     }
 
-    private static boolean namesTheWire(String literal) {
-        return names().anyMatch(name -> spells(literal, name));
+    private static boolean containsWireName(String literal) {
+        return names().anyMatch(name -> containsName(literal, name));
     }
 
-    /** Whether a literal is a name, is a path beginning with it or quotes it as JSON text does. */
-    private static boolean spells(String literal, String name) {
+    /** Whether a literal equals a name, is a path starting with it or contains it in quotes. */
+    private static boolean containsName(String literal, String name) {
         return literal.equals(name)
                 || (name.startsWith("/") && literal.startsWith(name))
                 || literal.contains('"' + name + '"');
--- a/src/test/java/org/springmill/measure/BorrowingReport.java
+++ b/src/test/java/org/springmill/measure/BorrowingReport.java
@@ -19,11 +19,11 @@
 import org.knowm.xchart.style.markers.SeriesMarkers;
 
 /**
- * One HTML page on emulated surges of serving demand, without recalls and with them: capacity,
- * requests, samples of teams against their entitlement, lost work and idle GPUs.
+ * Writes an HTML page that compares emulated surges of serving demand without and with recalls:
+ * capacity, requests, samples of teams against their entitlement, lost work and idle GPUs.
  *
  * <p>Arguments: the page to write, the folder with the results {@code off-SEED.json} and {@code
- * on-SEED.json}, the guarantee of each team in GPUs, the seed to draw, and the seeds.
+ * on-SEED.json}, the guarantee of each team in GPUs, the seed of the plotted runs, and all seeds.
  */
 public final class BorrowingReport {
     private static final ObjectMapper JSON = new ObjectMapper();
@@ -46,12 +46,13 @@
     public static void main(String[] arguments) throws IOException {
         Path folder = Path.of(arguments[1]);
         double guarantee = Double.parseDouble(arguments[2]);
-        String drawn = arguments[3];
+        String plottedSeed = arguments[3];
         List<String> seeds = List.of(arguments).subList(4, arguments.length);
         Mode off = read("off", folder, seeds);
         Mode on = read("on", folder, seeds);
         Files.writeString(
-                Path.of(arguments[0]), page(off, on, guarantee, drawn, seeds.indexOf(drawn)));
+                Path.of(arguments[0]),
+                page(off, on, guarantee, plottedSeed, seeds.indexOf(plottedSeed)));
     }
 
     private static Mode read(String name, Path folder, List<String> seeds) throws IOException {
@@ -62,7 +63,8 @@
         return new Mode(name, runs);
     }
 
-    private static String page(Mode off, Mode on, double guarantee, String seed, int drawn)
+    private static String page(
+            Mode off, Mode on, double guarantee, String plottedSeed, int plottedIndex)
             throws IOException {
         StringBuilder html = new StringBuilder();
         html.append("<!doctype html><meta charset=\"utf-8\"><title>Recalls of loans</title>");
@@ -97,9 +99,9 @@
         counter(html, off, on, "recalls withdrawn", "recalls_withdrawn_total");
         counter(html, off, on, "recalls expired", "recalls_expired_total");
         row(html, "rules broken", off, on, mode -> mode.sum(r -> r.path("violationCount").asInt()));
-        html.append("</table><p>Plots: seed ").append(seed).append(".</p>");
+        html.append("</table><p>Plots: seed ").append(plottedSeed).append(".</p>");
         for (Mode mode : List.of(off, on)) {
-            JsonNode timeline = mode.runs().get(drawn).path("serving").path("timeline");
+            JsonNode timeline = mode.runs().get(plottedIndex).path("serving").path("timeline");
             html.append("<h2>").append(mode.name()).append("</h2>");
             demandChart(html, timeline);
             teamChart(html, timeline, guarantee);
@@ -107,7 +109,7 @@
         return html.toString();
     }
 
-    /** A percentile of the seconds until capacity met demand; a run that never got there fails. */
+    /** A percentile of the seconds until capacity met demand; infinite if it never did in a run. */
     private static double capacity(Mode mode, double percentile) {
         Histogram millis = new Histogram(DIGITS);
         for (JsonNode run : mode.runs()) {
--- a/src/test/java/org/springmill/measure/HistoryMeasurement.java
+++ b/src/test/java/org/springmill/measure/HistoryMeasurement.java
@@ -35,9 +35,9 @@
 import org.springmill.transport.Transport;
 
 /**
- * Measures what a controller that starts needs with many ended jobs: time until it is ready and
- * heap in use after a collection, with their records where they were and moved to the history. Not
- * part of the build; docs/history.md says how it is run.
+ * Measures the start of a controller with many ended jobs: time until it is ready and heap in use
+ * after a garbage collection, with their records in {@code job/} and with the records moved to the
+ * history. Not part of the build; docs/history.md describes how to run it.
  */
 public final class HistoryMeasurement {
     private static final int[] COUNTS = {10_000, 50_000, 100_000, 400_000};
@@ -48,7 +48,7 @@
             "{\"frames\":[{\"sku\":\"m\",\"vcpus\":64,\"cards\":8,\"memGb\":256,\"localGb\":900,"
                     + "\"pullGbPerS\":1.0,\"price\":1.0,\"marketPrice\":0.5,\"bootS\":30,"
                     + "\"yards\":[\"a\"]}]}";
-    private static final Pattern USED = Pattern.compile("total \\d+K, used (\\d+)K");
+    private static final Pattern HEAP_USED = Pattern.compile("total \\d+K, used (\\d+)K");
     private static final String RECORD =
             "{\"nameId\":\"run-%06d\",\"grist\":\"storm-sweep\",\"crew\":\"team-001\","
                     + "\"shape\":\"sweep\",\"urgency\":\"best_effort\",\"sacks\":4,\"vcpus\":5.0,"
@@ -59,7 +59,7 @@
     private HistoryMeasurement() {}
 
     /**
-     * One controller that was started.
+     * The measurement of one started controller.
      *
      * @param readySeconds negative if it was not ready in time or ended before
      * @param heapMb in use after a collection
@@ -69,9 +69,9 @@
     /**
      * Measures all counts.
      *
-     * @param args file for the results, file for the picture (PNG, without its ending), and the run
-     *     line of a controller, of which --operator may be a part; without a run line the results
-     *     are read from their file and drawn again
+     * @param args file for the results, file for the chart (PNG, without extension), and the run
+     *     line of a controller, which may contain --operator; without a run line, the results are
+     *     read from their file and only the chart is drawn
      */
     public static void main(String[] args) throws Exception {
         ObjectMapper mapper = new ObjectMapper().enable(SerializationFeature.INDENT_OUTPUT);
@@ -209,7 +209,7 @@
     private static double heapMb(Process process) throws Exception {
         Thread.sleep(2000);
         jcmd(process, "GC.run");
-        Matcher used = USED.matcher(jcmd(process, "GC.heap_info"));
+        Matcher used = HEAP_USED.matcher(jcmd(process, "GC.heap_info"));
         double kilobytes = 0;
         while (used.find()) {
             kilobytes += Double.parseDouble(used.group(1));
@@ -217,9 +217,9 @@
         return kilobytes / 1024;
     }
 
-    private static String jcmd(Process process, String what) throws Exception {
+    private static String jcmd(Process process, String command) throws Exception {
         Process jcmd =
-                new ProcessBuilder("jcmd", Long.toString(process.pid()), what)
+                new ProcessBuilder("jcmd", Long.toString(process.pid()), command)
                         .redirectErrorStream(true)
                         .start();
         String text = new String(jcmd.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
--- a/src/test/java/org/springmill/transport/TransportTest.java
+++ b/src/test/java/org/springmill/transport/TransportTest.java
@@ -16,15 +16,15 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Sockets are the first thing that a controller of a large fleet runs out of: bounds on real ones,
- * on loopback.
+ * Checks the socket limits on real connections over loopback. In a large fleet, a controller runs
+ * out of sockets before any other resource.
  */
 class TransportTest {
     private static final String REQUEST = "GET /ready HTTP/1.1\r\nHost: x\r\n\r\n";
 
     /**
-     * More workers than connections: each is answered, and those above the limit are asked to
-     * reconnect.
+     * With more workers than allowed connections, every request is answered, and connections above
+     * the limit are closed after the response.
      */
     @Test
     void connectionsAboveTheLimitAreAnsweredAndClosed() throws Exception {
@@ -35,7 +35,7 @@
             for (int i = 0; i < 80; i++) {
                 Socket worker = new Socket(InetAddress.getLoopbackAddress(), port);
                 workers.add(worker);
-                String answer = ask(worker);
+                String answer = sendAndReadHead(worker);
                 assertTrue(answer.startsWith("HTTP/1.1 200"), answer);
                 if (answer.contains("Connection: close")) {
                     worker.close();
@@ -46,10 +46,11 @@
             assertEquals(
                     47,
                     kept,
-                    "of 60 sockets one in eight is left to newcomers, and one in eight of the rest");
+                    "1/8 of 60 sockets stays free, and 1/8 of the rest is reserved for new ones");
             for (Socket worker : workers.subList(0, 47)) {
                 assertTrue(
-                        ask(worker).startsWith("HTTP/1.1 200"), "a kept connection was pushed out");
+                        sendAndReadHead(worker).startsWith("HTTP/1.1 200"),
+                        "a kept connection was evicted");
             }
             for (Socket worker : workers) {
                 worker.close();
@@ -57,25 +58,25 @@
         }
     }
 
-    private static String ask(Socket socket) throws Exception {
+    private static String sendAndReadHead(Socket socket) throws Exception {
         socket.setSoTimeout(10_000);
         socket.getOutputStream().write(REQUEST.getBytes(StandardCharsets.US_ASCII));
         InputStream in = socket.getInputStream();
         StringBuilder head = new StringBuilder();
         while (!head.toString().endsWith("\r\n\r\n")) {
             int next = in.read();
-            assertTrue(next >= 0, "closed without an answer");
+            assertTrue(next >= 0, "closed without a response");
             head.append((char) next);
         }
         return head.toString();
     }
 
-    /** More machines than sockets: commands to them wait for a connection and all are sent. */
+    /** With more machines than sockets, commands wait for a connection, and all are sent. */
     @Test
     void connectionsToAllWorkersShareOneLimit() throws Exception {
         int machines = 30;
-        AtomicInteger held = new AtomicInteger();
-        AtomicInteger most = new AtomicInteger();
+        AtomicInteger concurrent = new AtomicInteger();
+        AtomicInteger maxConcurrent = new AtomicInteger();
         CountDownLatch answered = new CountDownLatch(2 * machines);
         try (Transport workers = new Transport(1000, Set.of());
                 Transport controller = new Transport(30, Set.of())) {
@@ -86,13 +87,13 @@
                                 + workers.serve(
                                         "127.0.0.1:0",
                                         call -> {
-                                            most.accumulateAndGet(
-                                                    held.incrementAndGet(), Math::max);
+                                            maxConcurrent.accumulateAndGet(
+                                                    concurrent.incrementAndGet(), Math::max);
                                             workers.loop()
                                                     .after(
                                                             0.01,
                                                             () -> {
-                                                                held.decrementAndGet();
+                                                                concurrent.decrementAndGet();
                                                                 call.reply(200, new byte[0], 0);
                                                             });
                                         }));
@@ -121,8 +122,8 @@
                             });
             assertTrue(
                     answered.await(30, TimeUnit.SECONDS),
-                    answered.getCount() + " requests are not answered");
-            assertTrue(most.get() <= 9, most + " connections at once");
+                    answered.getCount() + " of 60 requests are not answered");
+            assertTrue(maxConcurrent.get() <= 9, maxConcurrent + " concurrent requests, limit 9");
         }
     }
 }
