--- a/src/main/java/org/springmill/protocol/ArchiveTrainingMessages.java
+++ b/src/main/java/org/springmill/protocol/ArchiveTrainingMessages.java
@@ -9,9 +9,9 @@
 import java.util.Map;
 
 /**
- * Messages of an emulated key-value store, cloud and worker for the training run of the class-data
- * archive (see {@code cli}): just enough for a controller to become leader, to place a task and to
- * stop it.
+ * Minimal emulated responses of the key-value store, the cloud and a worker for the training run of
+ * the class-data archive (see {@code cli}): enough for a controller to become leader, place a task
+ * and stop it.
  */
 public final class ArchiveTrainingMessages {
     private static final String MACHINE = "host-000001";
@@ -33,7 +33,7 @@
     public record Answer(int status, byte[] body) {}
 
     /**
-     * Messages of a worker at an address.
+     * Creates the messages for a worker with this address.
      *
      * @param address on which the worker takes commands
      */
@@ -42,7 +42,7 @@
     }
 
     /**
-     * The response of whichever of the three a request is addressed to.
+     * The response to a request; the path determines which of the three services answers it.
      *
      * @throws MalformedMessageException if commands are not a JSON object
      */
--- a/src/main/java/org/springmill/protocol/CloudMessages.java
+++ b/src/main/java/org/springmill/protocol/CloudMessages.java
@@ -15,16 +15,16 @@
     /** Path to which deletions of machines are posted. */
     public static final String DELETIONS_PATH = "/rentals/delete";
 
-    /** The most machines in one rental request. */
+    /** Maximum number of machines in one rental request. */
     public static final int MAX_RENTALS = 50;
 
-    /** The most machines in one deletion request. */
+    /** Maximum number of machines in one deletion request. */
     public static final int MAX_DELETIONS = 100;
 
-    /** The most machines on one page of the list. */
+    /** Maximum number of machines on one page of the list. */
     public static final int MAX_LISTED = 500;
 
-    /** Replaces an amount of 0 in divisors. */
+    /** Lower bound of divisors, which avoids a division by 0. */
     private static final double MIN_AMOUNT = 1e-6;
 
     private CloudMessages() {}
@@ -88,7 +88,7 @@
         /**
          * The current price per hour.
          *
-         * @param spot whether of a spot machine, rather than of an ordinary one
+         * @param spot whether the price of a spot machine is requested
          */
         public double price(boolean spot) {
             return spot ? spotPrice : price;
@@ -97,11 +97,11 @@
 
     /** Phase of a machine in the cloud's list. */
     public enum MachinePhase {
-        /** Has been rented and is not up yet. */
+        /** Rented, but not booted yet. */
         BOOTING,
-        /** Is up, or was so until lately. */
+        /** Has booted. Since the list lags, the machine may have ended since. */
         RUNNING,
-        /** Has stopped on its own; stays listed until it is deleted. */
+        /** Has stopped without being deleted; stays listed until it is deleted. */
         FAILED
     }
 
@@ -114,7 +114,7 @@
      * @param zone of the machine
      * @param spot whether it is a spot machine
      * @param phase of the machine
-     * @param ageSeconds seconds since its rental, as of the time that the list describes
+     * @param ageSeconds seconds from its rental to the time of the listed state
      */
     public record ListedMachine(
             String name,
@@ -164,7 +164,7 @@
     /**
      * Encodes a rental request.
      *
-     * @param request name that makes the request idempotent; never used for another one
+     * @param request idempotency key; never reused for another request
      * @param type name of the machine type
      * @param zone of the machines
      * @param spot whether to rent spot machines
--- a/src/main/java/org/springmill/protocol/JobKind.java
+++ b/src/main/java/org/springmill/protocol/JobKind.java
@@ -1,12 +1,12 @@
 package org.springmill.protocol;
 
-/** How the tasks of a job belong together. */
+/** Execution model of the tasks of a job. */
 public enum JobKind {
     /** Independent tasks, each of which runs to completion. */
     ARRAY("sweep"),
     /** Replicas, which run until the job is cancelled. */
     SERVICE("service"),
-    /** Tasks that run to completion, but only all at the same time. */
+    /** Tasks that run to completion and must all run at the same time. */
     GANG("group");
 
     private final String wireName;
--- a/src/main/java/org/springmill/protocol/Json.java
+++ b/src/main/java/org/springmill/protocol/Json.java
@@ -17,7 +17,7 @@
     private static final ObjectMapper MAPPER =
             new ObjectMapper().enable(DeserializationFeature.FAIL_ON_TRAILING_TOKENS);
 
-    /** Most messages fit without the buffer having to grow. */
+    /** Large enough for most messages. */
     private static final int INITIAL_BUFFER_BYTES = 256;
 
     private static final JsonFactory FACTORY = MAPPER.getFactory();
@@ -25,7 +25,7 @@
     private Json() {}
 
     /**
-     * Parses a body that has to be one object.
+     * Parses a body, which must be a single JSON object.
      *
      * @param body the body; null if it was too large to be read
      * @throws MalformedMessageException if it is too large, not JSON or not an object
--- a/src/main/java/org/springmill/protocol/KeyValueStoreMessages.java
+++ b/src/main/java/org/springmill/protocol/KeyValueStoreMessages.java
@@ -22,8 +22,8 @@
     private static final String LEASE_EXPIRED = "no such lease";
 
     /**
-     * Keys on one page. Pages are small, since decoding one must not keep a controller that has
-     * just started from answering workers.
+     * Maximum number of keys on one page. Pages are small so that decoding one does not delay the
+     * responses to workers of a controller that has just started.
      */
     private static final int PAGE_LIMIT = 100;
 
@@ -58,10 +58,10 @@
     public record Change(String key, JsonNode value, long version) {}
 
     /**
-     * Changes in their order.
+     * Changes in the order of their revisions.
      *
      * @param changes oldest first
-     * @param revision up to which they are complete
+     * @param revision up to which the changes are complete
      */
     public record Changes(List<Change> changes, long revision) {}
 
@@ -153,8 +153,8 @@
     }
 
     /**
-     * Encodes a transaction: all writes are applied, at one revision, if all conditions hold; else
-     * none.
+     * Encodes a transaction: if all conditions hold, all writes are applied at one revision;
+     * otherwise none is.
      */
     public static byte[] encodeTransaction(List<Condition> conditions, List<Write> writes) {
         return Json.write(
--- a/src/main/java/org/springmill/protocol/MalformedMessageException.java
+++ b/src/main/java/org/springmill/protocol/MalformedMessageException.java
@@ -1,13 +1,13 @@
 package org.springmill.protocol;
 
-/** A message that does not keep to the protocol. */
+/** Thrown for a message that violates the protocol. */
 public final class MalformedMessageException extends Exception {
     private static final long serialVersionUID = 1L;
 
     /**
-     * Describes what is wrong; users get this text as the reason of a refusal.
+     * Creates an exception whose message is returned to users as the reason of a refusal.
      *
-     * @param message names the field at fault, if one is
+     * @param message describes the error and names the invalid field, if there is one
      */
     public MalformedMessageException(String message) {
         super(message);
--- a/src/main/java/org/springmill/protocol/OperatorSettingsFile.java
+++ b/src/main/java/org/springmill/protocol/OperatorSettingsFile.java
@@ -8,8 +8,8 @@
 import java.util.TreeSet;
 
 /**
- * Reads and checks the operators' settings file, which is HCL. Since people write it by hand, a
- * block or field that is not known is refused rather than ignored.
+ * Reads and checks the operators' settings file, which is HCL. The file is written by hand, so an
+ * unknown block or field is rejected as a likely typing error.
  */
 final class OperatorSettingsFile {
     private static final String RENTALS = "rentals";
@@ -29,26 +29,28 @@
     private static final String HOLD_DOWN_RATIO = "hold_down_ratio";
     private static final String HOLD_DOWN_HALF_LIFE = "hold_down_half_life_leases";
 
-    /** Tasks must have time to save; a recall must end while its beneficiary still waits. */
+    /** Recalled tasks need time to save a checkpoint. */
     private static final double MIN_GRACE_LEASES = 0.1;
 
+    /** A recall must end while the job that needs the resources is still waiting. */
     private static final double MAX_GRACE_LEASES = 20;
+
     private static final double MAX_HOLD_DOWN_RATIO = 10;
     private static final double MIN_HALF_LIFE_LEASES = 1;
     private static final double MAX_HALF_LIFE_LEASES = 1000;
 
-    /** The rate of starts is measured over a quarter of it, which must be long enough for that. */
+    /** The rate of starts is measured over a quarter of this time, so it must not be too short. */
     private static final double MIN_MAX_WAIT_SECONDS = 20;
 
     private static final double MAX_MAX_WAIT_SECONDS = 7 * 86_400.0;
 
-    /** The leader writes all placement rounds, and lends half of its share. */
+    /** The leader writes all placement rounds and may lend half of its share to its peers. */
     private static final double MIN_LEADER_SHARE = 0.4;
 
     /** The other controllers need the rest to accept jobs. */
     private static final double MAX_LEADER_SHARE = 0.9;
 
-    /** Users poll a job until they see its final phase, which takes seconds. */
+    /** Users poll a job for some seconds until they see its final phase. */
     private static final double MIN_RETENTION_SECONDS = 30;
 
     private static final double MAX_RETENTION_SECONDS = 30 * 86_400.0;
@@ -138,7 +140,7 @@
                 borrowing());
     }
 
-    /** The block enables recalls; it may be empty. */
+    /** The presence of the block enables recalls, even if it is empty. */
     private Optional<OperatorSettings.Borrowing> borrowing() throws SettingsException {
         if (!blocks.containsKey(BORROWING)) {
             return Optional.empty();
@@ -168,14 +170,14 @@
         return Optional.of(new OperatorSettings.Borrowing(maxGrace, ratio, halfLife));
     }
 
-    /** Without the field the wait is not bounded. */
+    /** Returns an empty value if the field is missing: the wait is then not bounded. */
     private OptionalDouble maxWait() throws SettingsException {
         double maxWait =
                 number(ADMISSION, MAX_WAIT, Double.NaN, MIN_MAX_WAIT_SECONDS, MAX_MAX_WAIT_SECONDS);
         return Double.isNaN(maxWait) ? OptionalDouble.empty() : OptionalDouble.of(maxWait);
     }
 
-    /** The block enables archiving, so it has to state the retention. */
+    /** The presence of the block enables archiving, so the retention is required in it. */
     private OptionalDouble historyRetention() throws SettingsException {
         if (!blocks.containsKey(HISTORY)) {
             return OptionalDouble.empty();
--- a/src/main/java/org/springmill/protocol/PeerMessageReader.java
+++ b/src/main/java/org/springmill/protocol/PeerMessageReader.java
@@ -63,7 +63,7 @@
                 in.readBoolean(),
                 in.readInt(),
                 in.readLong(),
-                // Earlier versions end here, or after one of the fields that follow.
+                // Records of earlier versions end here or after one of the following fields.
                 hasMore() ? readCancellationDelta() : CancellationDelta.NONE,
                 hasMore() && in.readBoolean(),
                 hasMore() ? in.readDouble() : 0);
--- a/src/main/java/org/springmill/protocol/PeerMessageWriter.java
+++ b/src/main/java/org/springmill/protocol/PeerMessageWriter.java
@@ -64,8 +64,8 @@
         out.writeBoolean(status.leaderSilent());
         out.writeInt(status.confirmedMillisecondsAgo());
         out.writeLong(status.term());
-        // Fields of later versions follow: earlier versions leave unread what they do not know. The
-        // last two are left out where they hold their defaults, as earlier versions do.
+        // The following fields were added later; earlier versions ignore them. The last two are
+        // omitted at their default values, so that the bytes equal those of earlier versions.
         writeCancellationDelta(status.cancellationDelta());
         boolean hasStoreShare = status.storeShare() != 0;
         if (status.keepsHistory() || hasStoreShare) {
--- a/src/main/java/org/springmill/protocol/PeerMessages.java
+++ b/src/main/java/org/springmill/protocol/PeerMessages.java
@@ -31,24 +31,24 @@
     }
 
     /**
-     * State of a controller at this moment; each is also a request for the receiver's own. As a
-     * response it confirms the request that it answers, so that the receiver, whose request that
-     * was, can date it by its own clock.
+     * Current state of a controller; each is also a request for the receiver's status. A response
+     * carries the number of the request that it answers, so that the receiver can date it by the
+     * time at which it sent that request.
      *
      * @param from name of the sender
      * @param requestNumber sequence number of the sender's own request
      * @param answeredRequestNumber sequence number of the request that is answered; 0 for none
      * @param storeReachable whether the sender's last request to the key-value store was served
      * @param leading whether it answers workers as the leader
-     * @param hasReadLeaderRecord whether it has read the leader's record since it was started, so
-     *     that its term means something
-     * @param redirectedWorkers how many workers lately sent heartbeats to it although it does not
-     *     lead
-     * @param leaderSilent whether it has not heard from a leading controller for some time
-     * @param confirmedMillisecondsAgo how long ago it last confirmed an outage, or renewed a
-     *     worker's lease although it does not lead; negative while it may go on renewing them for
-     *     so long
-     * @param term the highest leadership term it knows of
+     * @param hasReadLeaderRecord whether it has read the leader's record since its start; its term
+     *     is not valid before that
+     * @param redirectedWorkers number of workers that recently sent heartbeats to it although it
+     *     does not lead
+     * @param leaderSilent whether it has received no message of a leading controller for some time
+     * @param confirmedMillisecondsAgo milliseconds since it last confirmed an outage, or renewed a
+     *     worker's lease although it does not lead; if negative, it may continue to renew leases
+     *     for that many milliseconds
+     * @param term the highest leadership term that it knows
      * @param cancellationDelta cancelled jobs that it knows of; {@link CancellationDelta#NONE} from
      *     a version without this field
      * @param keepsHistory whether it archives the records of ended jobs
@@ -103,7 +103,7 @@
     }
 
     /**
-     * A committed cancellation. It is final, so it may be acted on whichever peer sent it.
+     * A committed cancellation. It is final, so any peer may pass it on.
      *
      * @param job id of the cancelled job
      * @param revision of the key-value store at which it was committed
@@ -112,16 +112,16 @@
     public record Cancellation(String job, long revision, double requestedAtSeconds) {}
 
     /**
-     * Anti-entropy of cancellations. A request says which ones its sender has, a response carries
-     * those that are missing.
+     * Anti-entropy of cancellations. A request states which cancellations its sender has; a
+     * response carries those that are missing.
      *
-     * @param revision in a request: its sender has read all job records up to it; negative if it
-     *     takes no cancellations
-     * @param cursor how many cancellations the sender of the request has received; opaque to it,
-     *     and handed out by the peer that answers
-     * @param complete in a response: no cancellation that its sender knows remains to be sent
-     * @param hasReadJobRecords whether the sender has read the job records since it was started, so
-     *     that it knows all cancellations before that
+     * @param revision in a request: its sender has read all job records up to this revision;
+     *     negative if it does not support cancellations
+     * @param cursor position up to which the sender of the request has received the peer's
+     *     cancellations; issued by that peer, opaque to the sender of the request
+     * @param complete in a response: whether no cancellations remain to be sent after this record
+     * @param hasReadJobRecords whether the sender has read the job records since its start and so
+     *     knows all earlier cancellations
      * @param cancellations those that this record carries; empty in a request
      */
     public record CancellationDelta(
@@ -130,16 +130,16 @@
             boolean complete,
             boolean hasReadJobRecords,
             List<Cancellation> cancellations) {
-        /** The most cancellations in one record. */
+        /** Maximum number of cancellations in one record. */
         public static final int MAX_CANCELLATIONS = 100;
 
-        /** Neither knows nor carries any cancellation. */
+        /** Stands for a sender that does not support cancellations. */
         public static final CancellationDelta NONE =
                 new CancellationDelta(-1, 0, false, false, List.of());
     }
 
     /**
-     * Cancellations that the sender has just committed; sent before its user is answered.
+     * Cancellations that the sender has just committed; sent before the response to the user.
      *
      * @param from name of the sender
      * @param cancellations at most {@link CancellationDelta#MAX_CANCELLATIONS} are sent
@@ -157,7 +157,7 @@
     public record JobProgress(String job, int done, int running) {}
 
     /**
-     * Progress of the running jobs, as the leader sees it.
+     * Progress of the running jobs, sent by the leader.
      *
      * @param from name of the leader
      * @param term its leadership term
@@ -165,16 +165,16 @@
      */
     public record ProgressUpdate(String from, long term, List<JobProgress> jobs)
             implements PeerRecord {
-        /** The most jobs in one record. */
+        /** Maximum number of jobs in one record. */
         public static final int MAX_JOBS = 400;
     }
 
     /**
-     * A queue whose expected wait for starts is too long.
+     * A queue whose expected wait for starts exceeds the limit.
      *
      * @param team the team whose work waits, or {@link #ALL_TEAMS}
      * @param priority work of this priority, or of a higher one, waits in it
-     * @param excessSeconds by how much its expected wait is too long
+     * @param excessSeconds by how much its expected wait exceeds the limit
      */
     public record CongestedQueue(String team, Priority priority, double excessSeconds) {
         /** Stands for the work of all teams together. */
@@ -182,7 +182,7 @@
     }
 
     /**
-     * The queues whose expected wait is too long, the longest wait first.
+     * The queues whose expected wait exceeds the limit, the longest wait first.
      *
      * @param from name of the leader
      * @param term its leadership term
@@ -190,7 +190,7 @@
      */
     public record CongestionNotice(String from, long term, List<CongestedQueue> queues)
             implements PeerRecord {
-        /** The most queues in one record. */
+        /** Maximum number of queues in one record. */
         public static final int MAX_QUEUES = 1000;
     }
 
--- a/src/main/java/org/springmill/protocol/Settings.java
+++ b/src/main/java/org/springmill/protocol/Settings.java
@@ -42,7 +42,7 @@
         OperatorSettings operator) {
 
     /**
-     * Quota of a team: its guarantee and its limit. An amount of 0 means that there is none.
+     * Quota of a team: its guarantee and its limit. An amount of 0 means no guarantee or no limit.
      *
      * @param name of the team
      * @param cpus guaranteed CPUs
@@ -54,7 +54,7 @@
         /** Tolerates the rounding of sums of decimal amounts. */
         private static final double TOLERANCE = 1e-6;
 
-        /** Whether a use of these amounts is within the team's limit. */
+        /** Whether this usage is within the team's limit. */
         public boolean withinLimit(double usedCpus, double usedGpus) {
             return within(usedCpus, cpusMax) && within(usedGpus, gpusMax);
         }
@@ -64,7 +64,7 @@
             return cpus > 0 || gpus > 0;
         }
 
-        /** Whether a use of these amounts is within the team's guarantee. */
+        /** Whether this usage is within the team's guarantee. */
         public boolean withinGuarantee(double usedCpus, double usedGpus) {
             return hasGuarantee() && within(usedCpus, cpus) && within(usedGpus, gpus);
         }
@@ -75,12 +75,12 @@
     }
 
     /**
-     * A service-level objective: a share of a class of jobs started or finished within a time.
+     * A service-level objective, such as a share of the jobs of a class that must start in time.
      *
      * @param kind what is measured, as the settings name it
      * @param jobClass the class of jobs; null for all work within guarantees
      * @param withinSeconds the time; 0 if the kind has none
-     * @param share of the jobs that must keep to the time; 0 if the kind has none
+     * @param share of the jobs that must meet the time; 0 if the kind has none
      */
     public record Objective(String kind, String jobClass, double withinSeconds, double share) {}
 
@@ -104,23 +104,23 @@
      * @param requestsPerSecond requests per second of all controllers together
      * @param writesPerSecond puts and deletes per second of all controllers together
      * @param valueBytes size of the largest value
-     * @param writesPerCommit most puts and deletes in one transaction
+     * @param writesPerCommit maximum number of puts and deletes in one transaction
      */
     public record StoreLimits(
             double requestsPerSecond, double writesPerSecond, int valueBytes, int writesPerCommit) {
-        /** The record of an ordinary job fits. */
+        /** Large enough for the record of a typical job. */
         private static final int MIN_HALVED_VALUE_BYTES = 1024;
 
-        /** One put and one delete of the key that it replaces. */
+        /** One put of a key and one delete of the key that it replaces. */
         private static final int MIN_HALVED_WRITES = 2;
 
-        /** Share of the writes of one second that one transaction may take. */
+        /** Maximum size of a transaction, as a share of the writes per second. */
         private static final double COMMIT_SHARE_OF_SECOND = 0.6;
 
         /**
-         * Bounds the size of a transaction by the rate limit. The store accepts bursts worth one
-         * second: a transaction larger than that, less the writes of others, would never be
-         * accepted.
+         * Bounds the size of a transaction by the rate limit. The store accepts bursts of at most
+         * one second's writes: a transaction that exceeds this together with the writes of other
+         * controllers would never be accepted.
          */
         public StoreLimits {
             int writesPerBurst = (int) (writesPerSecond * COMMIT_SHARE_OF_SECOND);
@@ -153,7 +153,7 @@
      * Rate limit of the cloud, and lag of its list of machines.
      *
      * @param requestsPerSecond requests per second of all controllers together
-     * @param listLagSeconds nominal lag of the list; it may be twice as long
+     * @param listLagSeconds nominal lag of the list; the actual lag may be twice as long
      */
     public record CloudLimits(double requestsPerSecond, double listLagSeconds) {}
 
@@ -162,7 +162,7 @@
      *
      * @param cpuShare share of one core
      * @param memoryMb memory of the process, in MB
-     * @param maxSockets the most open sockets
+     * @param maxSockets maximum number of open sockets
      */
     public record Limits(double cpuShare, double memoryMb, int maxSockets) {
         /**
@@ -174,9 +174,9 @@
         private static final double BYTES_PER_MB = 1024.0 * 1024.0;
 
         /**
-         * The largest heap that this controller may have, in bytes.
+         * The largest heap that this controller may use, in bytes.
          *
-         * @param heapBoundBytes the largest heap that the process was started with
+         * @param heapBoundBytes maximum heap size of the JVM
          */
         public double heapBytes(double heapBoundBytes) {
             double remainingBytes = (memoryMb - MEMORY_BESIDE_HEAP_MB) * BYTES_PER_MB;
--- a/src/main/java/org/springmill/protocol/SettingsException.java
+++ b/src/main/java/org/springmill/protocol/SettingsException.java
@@ -3,14 +3,14 @@
 import java.nio.file.Path;
 
 /**
- * A settings file that cannot be used. The message names the file, the field if one is at fault,
- * and how to correct it.
+ * Thrown for a settings file that cannot be used. The message names the file, the invalid field if
+ * there is one, and how to correct it.
  */
 public final class SettingsException extends Exception {
     private static final long serialVersionUID = 1L;
 
     /**
-     * An error of a whole file.
+     * Reports an error that concerns the whole file.
      *
      * @param file the settings file
      * @param problem what is wrong and how to correct it
@@ -20,10 +20,10 @@
     }
 
     /**
-     * An error of one field.
+     * Reports an error in one field.
      *
      * @param file the settings file
-     * @param field the field, with the tables around it
+     * @param field path of the field, such as {@code cluster.workers.lease_s}
      * @param problem what is wrong and how to correct it
      */
     public SettingsException(Path file, String field, String problem) {
--- a/src/main/java/org/springmill/protocol/SettingsFile.java
+++ b/src/main/java/org/springmill/protocol/SettingsFile.java
@@ -157,9 +157,8 @@
     }
 
     /**
-     * The limits in force and, if there is a second set, those that will be in force from an
-     * unannounced time on. All requests keep to both from the start, so that the time need not be
-     * known.
+     * The current limits, combined with those of the table {@code next} if there is one. Those take
+     * effect at an unannounced time, so requests keep to both sets from startup on.
      */
     private static Settings.StoreLimits storeLimits(SettingsTable store) throws SettingsException {
         Settings.StoreLimits current = storeLimits(store, store);
@@ -170,7 +169,7 @@
     /**
      * One set of limits.
      *
-     * @param defaults the table to read a limit from that the set itself does not have
+     * @param defaults table that supplies the limits which the set itself does not have
      */
     private static Settings.StoreLimits storeLimits(SettingsTable limits, SettingsTable defaults)
             throws SettingsException {
--- a/src/main/java/org/springmill/protocol/SettingsTable.java
+++ b/src/main/java/org/springmill/protocol/SettingsTable.java
@@ -7,8 +7,8 @@
 
 /**
  * One table of a settings file. Each accessor checks the value that it returns; the exception that
- * it throws names the file, the field with the tables around it, and how to correct it. A missing
- * table is treated as an empty one.
+ * it throws names the file, the path of the field, and how to correct it. A missing table is
+ * treated as an empty one.
  */
 final class SettingsTable {
     private static final int MAX_PORT = 65_535;
@@ -149,7 +149,8 @@
     }
 
     /**
-     * A number of at least a minimum. A smaller one fails at the start rather than in operation.
+     * A number of at least a minimum. Smaller values are rejected at startup, since they would only
+     * fail in operation.
      *
      * @param purpose what needs the minimum, for the error message
      */
--- a/src/main/java/org/springmill/protocol/SettingsWarnings.java
+++ b/src/main/java/org/springmill/protocol/SettingsWarnings.java
@@ -8,13 +8,13 @@
  * consequence of its value, and what to change.
  */
 public final class SettingsWarnings {
-    /** A heartbeat may be late by a quarter of its interval, and one may be lost. */
+    /** Allows for one lost heartbeat, and for heartbeats late by a quarter of the interval. */
     private static final double HEARTBEATS_PER_LEASE = 2.5;
 
-    /** Twice the heap of the largest fleet that was run; no larger heap is asked for. */
+    /** Twice the heap used with the largest tested fleet; no warning asks for a larger heap. */
     private static final double LARGEST_FLEET_HEAP_MB = 512;
 
-    /** The JVM does not count part of the young generation in the heap that it reports. */
+    /** The JVM excludes part of the young generation from the maximum heap that it reports. */
     private static final double REPORTED_SHARE = 0.9;
 
     private SettingsWarnings() {}
@@ -23,8 +23,8 @@
      * Returns the warnings; empty for consistent settings.
      *
      * @param settings to check
-     * @param heapMb size of the heap of this process at its start, in MB
-     * @param heapBoundMb the largest heap that this process may have, in MB
+     * @param heapMb initial heap size of this process, in MB
+     * @param heapBoundMb maximum heap size of this process, in MB
      */
     public static List<String> of(Settings settings, double heapMb, double heapBoundMb) {
         List<String> warnings = new ArrayList<>();
@@ -80,7 +80,7 @@
         }
     }
 
-    /** A bound above what ram_mb leaves is harmless: the heap grows with the accepted jobs. */
+    /** A maximum above what ram_mb allows is harmless: the heap grows with the accepted jobs. */
     private static void addMaximumHeapWarnings(
             Settings.Limits limits, double heapBoundMb, List<String> warnings) {
         double availableMb = limits.memoryMb() - Settings.Limits.MEMORY_BESIDE_HEAP_MB;
--- a/src/main/java/org/springmill/protocol/Submission.java
+++ b/src/main/java/org/springmill/protocol/Submission.java
@@ -10,12 +10,12 @@
 import java.util.regex.Pattern;
 
 /**
- * A job as its user described it.
+ * The specification of a job, as submitted by its user.
  *
  * @param id unique id of the job, chosen by its user
  * @param jobClass the class of jobs that it belongs to, for which the settings hold objectives
  * @param team the team whose guarantee and limit apply
- * @param kind how its tasks belong together
+ * @param kind execution model of its tasks
  * @param priority decides which work it may preempt
  * @param tasks number of tasks, which are numbered from 0
  * @param cpus CPUs that each task takes
@@ -31,7 +31,7 @@
  * @param estimatedRunSeconds the owner's estimate of a task's run time; 0 for services
  * @param checkpointIntervalSeconds interval of a running task's checkpoints; 0 if it saves none
  * @param checkpointSaveSeconds time that a task takes to save a checkpoint when it is stopped
- * @param deadlineSeconds from the submission on; null if the job has none
+ * @param deadlineSeconds deadline in seconds after the submission; null if the job has none
  * @param dependencies ids of the jobs that have to be done before any task of this one starts, each
  *     once; empty for none
  */
@@ -104,7 +104,7 @@
                 dependencies(json.path(WireFields.DEPENDENCIES), id));
     }
 
-    /** The same form that {@link #parse} takes; also how a job is kept in the key-value store. */
+    /** The form that {@link #parse} reads; jobs are also stored in the key-value store in it. */
     public ObjectNode toJson() {
         ObjectNode json = Json.newObject();
         json.put(WireFields.JOB_ID, id)
@@ -133,8 +133,8 @@
         if (deadlineSeconds != null) {
             json.put(WireFields.DEADLINE_SECONDS, deadlineSeconds);
         }
-        // Only where used, so that every other record keeps the form that the version before this
-        // field reads and writes.
+        // Omitted if empty, so that records without dependencies keep the format of the version
+        // before this field.
         if (!dependencies.isEmpty()) {
             putTexts(json, WireFields.DEPENDENCIES, dependencies);
         }
@@ -151,17 +151,17 @@
         return kind == JobKind.SERVICE;
     }
 
-    /** Whether the tasks run only all together. */
+    /** Whether all tasks must run at the same time. */
     public boolean isGang() {
         return kind == JobKind.GANG;
     }
 
-    /** The same job as if it were allowed in one zone only. */
+    /** A copy of this job that is only allowed in one zone. */
     public Submission restrictedToZone(String onlyZone) {
         return allowedOn(machineTypes, onlyZone);
     }
 
-    /** The same job without its list of types, which nobody asks for once the job has ended. */
+    /** A copy without the allowed machine types, which are not needed once the job has ended. */
     public Submission withoutMachineTypes() {
         return allowedOn(null, zone);
     }
@@ -191,7 +191,7 @@
                 dependencies);
     }
 
-    /** How many tasks of the job one zone may hold. */
+    /** Maximum number of tasks of the job in one zone. */
     public int maxTasksPerZone() {
         return spread ? (tasks + 1) / 2 : tasks;
     }
@@ -269,7 +269,7 @@
         return List.copyOf(types);
     }
 
-    /** Each job counts once, however often it is named. */
+    /** Parses the dependencies and removes duplicates. */
     private static List<String> dependencies(JsonNode node, String self)
             throws MalformedMessageException {
         if (isAbsent(node)) {
--- a/src/main/java/org/springmill/protocol/TaskId.java
+++ b/src/main/java/org/springmill/protocol/TaskId.java
@@ -24,8 +24,8 @@
         }
     }
 
-    // The generated methods of a record go through method handles. A leader of a large fleet, which
-    // looks up every task of every heartbeat, spent much of its time in them.
+    // Replace the generated methods, which go through method handles: the leader of a large fleet
+    // looks up every task of every heartbeat and spent much of its time in them.
 
     @Override
     public boolean equals(Object other) {
--- a/src/main/java/org/springmill/protocol/WireFields.java
+++ b/src/main/java/org/springmill/protocol/WireFields.java
@@ -1,8 +1,8 @@
 package org.springmill.protocol;
 
 /**
- * Names of the JSON fields on the wire, each under the term that this program uses for it. This is
- * the only place that spells them.
+ * Names of the JSON fields on the wire. Each constant is named after the term that this program
+ * uses. Only the fixed responses of {@link ArchiveTrainingMessages} spell the names as well.
  */
 public final class WireFields {
     private WireFields() {}
@@ -24,7 +24,7 @@
     /** Priority of a job. */
     public static final String PRIORITY = "urgency";
 
-    /** Number of tasks of a job; in a heartbeat the tasks on the machine. */
+    /** Number of tasks of a job; in a heartbeat, the list of tasks on the machine. */
     public static final String TASKS = "sacks";
 
     /** CPUs of a task or a machine type. */
@@ -42,7 +42,7 @@
     /** Size of the image, in GB. */
     public static final String IMAGE_GB = "pullGb";
 
-    /** Allowed machine types of a job; in an answer of the cloud all types on offer. */
+    /** Allowed machine types of a job; in a response of the cloud, all types that it offers. */
     public static final String MACHINE_TYPES = "frames";
 
     /** Zone of a machine, or the only allowed zone of a job. */
@@ -69,7 +69,7 @@
     /** Deadline of a job, in seconds from its submission. */
     public static final String DEADLINE_SECONDS = "dueS";
 
-    /** Jobs that have to be done before a job starts. */
+    /** Jobs that must be done before a job starts. */
     public static final String DEPENDENCIES = "waitsOn";
 
     /** Phase of a job, a task or a machine. */
@@ -95,7 +95,7 @@
     /** Type of a machine. */
     public static final String MACHINE_TYPE = "frame";
 
-    /** Epoch of a worker, which rises whenever its lease has expired. */
+    /** Epoch of a worker, which increases each time its lease expires. */
     public static final String EPOCH = "shift";
 
     /** Sequence number of a worker's message. */
@@ -104,7 +104,7 @@
     /** Fencing token of a leader. */
     public static final String FENCING_TOKEN = "baton";
 
-    /** Seconds until the cloud takes a spot machine away. */
+    /** Seconds until the cloud preempts a spot machine. */
     public static final String PREEMPTION_NOTICE_SECONDS = "warningS";
 
     /** Id of a task. */
@@ -122,7 +122,7 @@
     /** Commands to a worker. */
     public static final String COMMANDS = "orders";
 
-    /** What a command demands. */
+    /** Action that a command requests: start, stop or forget a task. */
     public static final String VERB = "verb";
 
     /** Time that a stopped task has to save a checkpoint, in seconds. */
@@ -139,7 +139,7 @@
     /** Name of a machine type. */
     public static final String TYPE_NAME = "sku";
 
-    /** Space for images on a machine, in GB. */
+    /** Size of a machine's image cache, in GB. */
     public static final String CACHE_GB = "localGb";
 
     /** Rate at which a machine fetches images, in GB per second. */
@@ -157,7 +157,7 @@
     /** Zones in which a machine type is offered. */
     public static final String ZONES = "yards";
 
-    /** Name that makes a rental request idempotent. */
+    /** Idempotency key of a rental request. */
     public static final String RENTAL_REQUEST = "hire";
 
     /** Number of machines to rent. */
@@ -207,6 +207,6 @@
     /** Entries of a page. */
     public static final String ENTRIES = "pairs";
 
-    /** Changes that a watch has seen. */
+    /** Changes in the response to a watch. */
     public static final String CHANGES = "news";
 }
--- a/src/main/java/org/springmill/protocol/WorkerMessages.java
+++ b/src/main/java/org/springmill/protocol/WorkerMessages.java
@@ -8,7 +8,7 @@
 
 /**
  * Messages between controllers and workers. Commands carry the leader's fencing token, which a
- * worker compares with the highest one that it has seen. Unknown fields are ignored.
+ * worker compares with the highest token that it has seen. Unknown fields are ignored.
  */
 public final class WorkerMessages {
     /** Path of a controller to which workers post heartbeats. */
@@ -21,11 +21,11 @@
 
     /** State of a task on its machine. */
     public enum TaskState {
-        /** Waits for its image, or is in a state that this version does not know. */
+        /** Waits for its image; also stands for any state that this version does not know. */
         FETCHING,
-        /** Runs. */
+        /** Is running. */
         RUNNING,
-        /** Has been stopped and saves a checkpoint. */
+        /** Is saving a checkpoint after a stop command. */
         SAVING,
         /** Has ended; see its {@link ExitCause}. */
         EXITED
@@ -43,7 +43,7 @@
         ERROR,
         /** Start refused: not enough free resources. */
         NO_ROOM,
-        /** Start refused: the task is on this machine with another attempt. */
+        /** Start refused: another attempt of the task is on this machine. */
         BUSY,
         /** Start refused: no such job or task. */
         UNKNOWN_JOB
@@ -67,12 +67,12 @@
      * @param type name of its machine type
      * @param zone of the machine
      * @param spot whether it is a spot machine
-     * @param epoch begins at 1 and rises whenever the worker's lease has expired
-     * @param sequence rises with every message of the worker
-     * @param fencingToken highest one that the worker has seen
-     * @param preemptionNoticeSeconds seconds until the cloud takes the machine away; null without
-     *     notice
-     * @param tasks all tasks on the machine, those that have ended included
+     * @param epoch starts at 1 and increases each time the worker's lease expires
+     * @param sequence increases with every message of the worker
+     * @param fencingToken highest fencing token that the worker has seen
+     * @param preemptionNoticeSeconds seconds until the cloud preempts the machine; null without a
+     *     preemption notice
+     * @param tasks all tasks on the machine, including those that have ended
      */
     public record Heartbeat(
             String machine,
@@ -107,7 +107,7 @@
     }
 
     /**
-     * Starts an attempt; does nothing while the worker knows that attempt.
+     * Starts an attempt; does nothing if the worker already knows that attempt.
      *
      * @param task id of the task
      * @param attempt number of the attempt to start
@@ -119,7 +119,7 @@
      *
      * @param task id of the task
      * @param attempt number of the attempt to stop
-     * @param graceSeconds time that a task with checkpoints has to save one; 0 ends it at once
+     * @param graceSeconds time that a task with checkpoints has to save one; 0 ends it immediately
      */
     public record Stop(TaskId task, long attempt, double graceSeconds) implements Command {}
 
@@ -135,7 +135,7 @@
     /**
      * Decodes a heartbeat, or the response to a command, which has the same form.
      *
-     * @throws MalformedMessageException if a field that is needed is missing or invalid
+     * @throws MalformedMessageException if a required field is missing or invalid
      */
     public static Heartbeat decodeHeartbeat(byte[] body) throws MalformedMessageException {
         JsonNode json = Json.object(body);
@@ -188,7 +188,7 @@
      * Encodes commands that are sent directly to a worker; they do not renew its lease.
      *
      * @param fencingToken of the leader
-     * @param epoch of the worker; it refuses commands of any other
+     * @param epoch of the worker, which refuses commands with any other epoch
      */
     public static byte[] encodeCommands(long fencingToken, long epoch, List<Command> commands) {
         return Json.write(
@@ -252,7 +252,7 @@
             case "running" -> TaskState.RUNNING;
             case "saving" -> TaskState.SAVING;
             case "ended" -> TaskState.EXITED;
-            // Any other state takes resources of the machine without running yet, as a fetch does.
+            // Any other state is treated like a fetch: it takes resources but does not run yet.
             default -> TaskState.FETCHING;
         };
     }
--- a/src/test/java/org/springmill/protocol/PeerMessagesTest.java
+++ b/src/test/java/org/springmill/protocol/PeerMessagesTest.java
@@ -23,7 +23,7 @@
 import org.springmill.protocol.PeerMessages.ProgressUpdate;
 
 class PeerMessagesTest {
-    /** A status as 880f457 wrote it, whole. */
+    /** A complete status as commit 880f457 encoded it, without the fields added later. */
     private static final String STATUS =
             "0101"
                     + "00036e2d31"
@@ -35,7 +35,7 @@
                     + "000000fa"
                     + "0000000000000063";
 
-    /** One cancellation. */
+    /** A list of one cancellation. */
     private static final String CANCELLATIONS =
             "0001" + "000a72756e2d303030343132" + "0000000000000028" + "41d954fc40000000";
 
@@ -93,8 +93,8 @@
     }
 
     /**
-     * During an upgrade both versions lead and follow beside each other: these bytes are what 0.1.0
-     * wrote and read.
+     * During an upgrade, controllers of both versions exchange records. These bytes are what
+     * version 0.1.0 wrote and read.
      */
     @Test
     void aStatusOfTheFirstVersionIsCompatibleBothWays() throws MalformedMessageException {
@@ -119,9 +119,9 @@
     }
 
     /**
-     * Messages as three versions wrote them (880f457, which has no news, 025a6a8 and 9f45bfd),
-     * printed by those versions, built from the history. This version reads each and writes the
-     * same bytes; to 880f457 a status with news is its own with a rest that it leaves unread.
+     * Records as builds of commits 880f457, 025a6a8 and 9f45bfd printed them; 880f457 has no
+     * cancellation deltas. This version must decode each and encode the same bytes. A status with a
+     * delta begins with the bytes of 880f457, which ignores the rest.
      */
     static Stream<Arguments> bytesOfEarlierVersions() {
         PeerStatus plain =
@@ -175,7 +175,7 @@
         }
     }
 
-    /** Told only by those who take part, so that every other status keeps its bytes. */
+    /** Only controllers that archive records write the flag; other statuses keep their bytes. */
     @Test
     void theHistoryFlagIsOneByteAfterTheCancellationDelta() throws MalformedMessageException {
         CancellationDelta delta = new CancellationDelta(41, 7, false, true, List.of());
--- a/src/test/java/org/springmill/protocol/SettingsFixtures.java
+++ b/src/test/java/org/springmill/protocol/SettingsFixtures.java
@@ -3,7 +3,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** Settings of a small deployment, for tests that need some and depend on few of them. */
+/** Settings of a small deployment, for tests that depend on few of them. */
 public final class SettingsFixtures {
     private static final String ZONE = "a";
     private static final Settings.Workers WORKERS = new Settings.Workers(2, 14, 44);
@@ -13,7 +13,7 @@
 
     private SettingsFixtures() {}
 
-    /** Settings that are the same for every test. */
+    /** The default settings for tests. */
     public static Settings small() {
         return settings(ZONE, WORKERS, STATE_LIMITS, LIMITS);
     }
@@ -23,7 +23,7 @@
         return settings(ZONE, WORKERS, stateLimits, LIMITS);
     }
 
-    /** Settings of a controller in a zone, with times of the workers and limits of its host. */
+    /** Settings with another zone, worker intervals and limits of the host. */
     public static Settings with(String zone, Settings.Workers workers, Settings.Limits limits) {
         return settings(zone, workers, STATE_LIMITS, limits);
     }
--- a/src/test/java/org/springmill/protocol/SettingsWarningsTest.java
+++ b/src/test/java/org/springmill/protocol/SettingsWarningsTest.java
@@ -7,7 +7,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Which settings are warned of, and with what remedy. */
+/** Checks which settings cause a warning and which remedy the warning names. */
 class SettingsWarningsTest {
     @ParameterizedTest(name = "{0}")
     @CsvSource({
