--- a/src/main/java/org/springmill/protocol/OperatorSettingsFile.java
+++ b/src/main/java/org/springmill/protocol/OperatorSettingsFile.java
@@ -212,7 +212,7 @@
             throw new SettingsException(
                     file,
                     block + "." + field,
-                    "must be a number from " + minimum + " to " + maximum);
+                    "must be a number from " + minimum + " to " + maximum + ", but is " + value);
         }
         return number;
     }
--- a/src/main/java/org/springmill/protocol/PeerMessageReader.java
+++ b/src/main/java/org/springmill/protocol/PeerMessageReader.java
@@ -32,14 +32,20 @@
         try (DataInputStream in = new DataInputStream(new ByteArrayInputStream(bytes))) {
             return new PeerMessageReader(in).readRecord();
         } catch (IOException e) {
-            throw new MalformedMessageException("peer record cut short");
+            throw new MalformedMessageException(
+                    "peer record of " + bytes.length + " bytes is truncated");
         }
     }
 
     private PeerRecord readRecord() throws IOException, MalformedMessageException {
         int version = in.readUnsignedByte();
         if (version != PeerMessages.VERSION) {
-            throw new MalformedMessageException("peer record of version " + version);
+            throw new MalformedMessageException(
+                    "peer record has version "
+                            + version
+                            + "; only version "
+                            + PeerMessages.VERSION
+                            + " is supported");
         }
         int kind = in.readUnsignedByte();
         return switch (kind) {
@@ -47,7 +53,8 @@
             case PeerMessages.CANCELLATIONS -> readCancellationNotice();
             case PeerMessages.PROGRESS -> readProgress();
             case PeerMessages.CONGESTION -> readCongestion();
-            default -> throw new MalformedMessageException("peer record of kind " + kind);
+            default ->
+                    throw new MalformedMessageException("peer record has the unknown kind " + kind);
         };
     }
 
@@ -123,7 +130,13 @@
             throws IOException, MalformedMessageException {
         int count = in.readUnsignedShort();
         if (count > maxElements) {
-            throw new MalformedMessageException("peer record of " + count + " " + name);
+            throw new MalformedMessageException(
+                    "peer record has "
+                            + count
+                            + " "
+                            + name
+                            + ", more than the limit of "
+                            + maxElements);
         }
         List<T> elements = new ArrayList<>(count);
         for (int i = 0; i < count; i++) {
--- a/src/main/java/org/springmill/protocol/SettingsFile.java
+++ b/src/main/java/org/springmill/protocol/SettingsFile.java
@@ -85,7 +85,8 @@
             String address = seed.address("addr");
             if (node.equals(ownNode) || peers.put(node, address) != null) {
                 throw seed.invalid(
-                        "node", "each controller must be listed once, without this one itself");
+                        "node",
+                        "is \"" + node + "\"; list each other controller once, and not this one");
             }
         }
         return Map.copyOf(peers);
@@ -133,8 +134,12 @@
         if (heartbeatIntervalSeconds >= leaseSeconds) {
             throw workers.invalid(
                     "report_s",
-                    "is not below lease_s, so that every lease would end between two reports; set"
-                            + " it to less than half of lease_s");
+                    "is not below lease_s ("
+                            + heartbeatIntervalSeconds
+                            + " >= "
+                            + leaseSeconds
+                            + "), so that every lease would end between two reports; set it to"
+                            + " less than half of lease_s");
         }
         return new Settings.Workers(
                 heartbeatIntervalSeconds, leaseSeconds, workers.positive("cancel_s"));
--- a/src/main/java/org/springmill/protocol/SettingsTable.java
+++ b/src/main/java/org/springmill/protocol/SettingsTable.java
@@ -129,7 +129,7 @@
         }
         double value = found.isNumber() ? found.doubleValue() : Double.NaN;
         if (!Double.isFinite(value) || value < 0) {
-            throw invalid(field, "must be a number of at least 0");
+            throw invalid(field, "must be a number of at least 0, but is " + found);
         }
         return value;
     }
@@ -157,7 +157,8 @@
     double atLeast(String field, int minimum, String purpose) throws SettingsException {
         double value = number(field);
         if (value < minimum) {
-            throw invalid(field, "must be at least " + minimum + ' ' + purpose);
+            throw invalid(
+                    field, "must be at least " + minimum + ' ' + purpose + ", but is " + value);
         }
         return value;
     }
--- a/src/main/java/org/springmill/protocol/SettingsWarnings.java
+++ b/src/main/java/org/springmill/protocol/SettingsWarnings.java
@@ -50,8 +50,8 @@
             warnings.add(
                     "cluster.workers.cancel_s is "
                             + workers.cancellationDeadlineSeconds()
-                            + ", not above lease_s, so that a cancelled task out of reach is only"
-                            + " removed by deleting its machine; set it above "
+                            + ", not above lease_s, so that a cancelled task on an unreachable"
+                            + " machine only ends when the machine is deleted; set it above "
                             + workers.leaseSeconds());
         }
     }
@@ -71,7 +71,7 @@
             warnings.add(
                     String.format(
                             "cluster.machine_limits.ram_mb is %.0f, but as started here the heap"
-                                    + " begins with %.0f MB beside some %d MB of other memory;"
+                                    + " begins with %.0f MB beside about %d MB of other memory;"
                                     + " start with -Xms%.0fm or less",
                             limits.memoryMb(),
                             heapMb,
@@ -88,7 +88,7 @@
             warnings.add(
                     String.format(
                             "cluster.machine_limits.ram_mb is %.0f, but as started here the heap"
-                                    + " may not grow beyond %.0f MB; start with -Xmx%.0fm or more,"
+                                    + " cannot grow beyond %.0f MB; start with -Xmx%.0fm or more,"
                                     + " as the run line of deploy/service.toml does",
                             limits.memoryMb(),
                             heapBoundMb,
