--- a/src/main/java/org/springmill/protocol/counterpart/UserSideMessages.java
+++ b/src/main/java/org/springmill/protocol/counterpart/UserSideMessages.java
@@ -21,7 +21,7 @@
         try {
             return JobPhase.valueOf(phase.toUpperCase(Locale.ROOT));
         } catch (IllegalArgumentException e) {
-            throw new MalformedMessageException("no phase");
+            throw new MalformedMessageException("unknown job phase \"" + phase + "\"");
         }
     }
 
