--- a/src/main/java/org/springmill/protocol/KeyValueStoreMessages.java
+++ b/src/main/java/org/springmill/protocol/KeyValueStoreMessages.java
@@ -15,8 +15,8 @@
     /** Path of leases; posting to it requests one. */
     public static final String LEASES_PATH = "/grants";
 
-    private static final String KEYS = "/store";
-    private static final String WATCHES = "/changes";
+    private static final String KEYS_PATH = "/store";
+    private static final String WATCHES_PATH = "/changes";
 
     /** The error of a write that names a lease which has expired. */
     private static final String LEASE_EXPIRED = "no such lease";
@@ -94,7 +94,7 @@
 
     /** Path of a key. */
     public static String keyPath(String key) {
-        return KEYS + "/" + key;
+        return KEYS_PATH + "/" + key;
     }
 
     /**
@@ -104,7 +104,7 @@
      * @param after the key after which the page begins; null for the first page
      */
     public static String listPath(String prefix, String after) {
-        return KEYS
+        return KEYS_PATH
                 + "?under="
                 + prefix
                 + (after == null ? "" : "&from=" + after)
@@ -120,7 +120,7 @@
      * @param waitMs time to wait for a change, in milliseconds
      */
     public static String watchPath(String prefix, long from, long waitMs) {
-        return WATCHES + "?under=" + prefix + "&from=" + from + "&waitMs=" + waitMs;
+        return WATCHES_PATH + "?under=" + prefix + "&from=" + from + "&waitMs=" + waitMs;
     }
 
     /** Path to which the renewal of a lease is posted. */
--- a/src/main/java/org/springmill/protocol/OperatorSettingsFile.java
+++ b/src/main/java/org/springmill/protocol/OperatorSettingsFile.java
@@ -206,7 +206,7 @@
         if (value == null) {
             return defaultValue;
         }
-        double number = value instanceof Number given ? given.doubleValue() : Double.NaN;
+        double number = value instanceof Number numeric ? numeric.doubleValue() : Double.NaN;
         boolean inRange = number >= minimum && number <= maximum;
         if (!inRange) {
             throw new SettingsException(
--- a/src/main/java/org/springmill/protocol/PeerMessages.java
+++ b/src/main/java/org/springmill/protocol/PeerMessages.java
@@ -75,8 +75,8 @@
         /** The status of a controller that does not archive records and lends no rate share. */
         public PeerStatus(
                 String from,
-                long question,
-                long answeredQuestion,
+                long requestNumber,
+                long answeredRequestNumber,
                 boolean storeReachable,
                 boolean leading,
                 boolean hasReadLeaderRecord,
@@ -87,8 +87,8 @@
                 CancellationDelta cancellationDelta) {
             this(
                     from,
-                    question,
-                    answeredQuestion,
+                    requestNumber,
+                    answeredRequestNumber,
                     storeReachable,
                     leading,
                     hasReadLeaderRecord,
--- a/src/main/java/org/springmill/protocol/SettingsWarnings.java
+++ b/src/main/java/org/springmill/protocol/SettingsWarnings.java
@@ -9,13 +9,13 @@
  */
 public final class SettingsWarnings {
     /** Allows for one lost heartbeat, and for heartbeats late by a quarter of the interval. */
-    private static final double HEARTBEATS_PER_LEASE = 2.5;
+    private static final double MIN_HEARTBEATS_PER_LEASE = 2.5;
 
     /** Twice the heap used with the largest tested fleet; no warning asks for a larger heap. */
-    private static final double LARGEST_FLEET_HEAP_MB = 512;
+    private static final double MAX_SUGGESTED_HEAP_MB = 512;
 
     /** The JVM excludes part of the young generation from the maximum heap that it reports. */
-    private static final double REPORTED_SHARE = 0.9;
+    private static final double REPORTED_HEAP_SHARE = 0.9;
 
     private SettingsWarnings() {}
 
@@ -36,14 +36,15 @@
     }
 
     private static void addWorkerWarnings(Settings.Workers workers, List<String> warnings) {
-        if (workers.heartbeatIntervalSeconds() * HEARTBEATS_PER_LEASE > workers.leaseSeconds()) {
+        if (workers.heartbeatIntervalSeconds() * MIN_HEARTBEATS_PER_LEASE
+                > workers.leaseSeconds()) {
             warnings.add(
                     "cluster.workers.report_s is "
                             + workers.heartbeatIntervalSeconds()
                             + ", so one lost report can end a lease of "
                             + workers.leaseSeconds()
                             + " s; set it to "
-                            + workers.leaseSeconds() / HEARTBEATS_PER_LEASE
+                            + workers.leaseSeconds() / MIN_HEARTBEATS_PER_LEASE
                             + " or less");
         }
         if (workers.cancellationDeadlineSeconds() <= workers.leaseSeconds()) {
@@ -84,7 +85,7 @@
     private static void addMaximumHeapWarnings(
             Settings.Limits limits, double heapBoundMb, List<String> warnings) {
         double availableMb = limits.memoryMb() - Settings.Limits.MEMORY_BESIDE_HEAP_MB;
-        if (heapBoundMb < Math.min(availableMb, LARGEST_FLEET_HEAP_MB) * REPORTED_SHARE) {
+        if (heapBoundMb < Math.min(availableMb, MAX_SUGGESTED_HEAP_MB) * REPORTED_HEAP_SHARE) {
             warnings.add(
                     String.format(
                             "cluster.machine_limits.ram_mb is %.0f, but as started here the heap"
@@ -92,7 +93,7 @@
                                     + " as the run line of deploy/service.toml does",
                             limits.memoryMb(),
                             heapBoundMb,
-                            Math.min(availableMb, LARGEST_FLEET_HEAP_MB)));
+                            Math.min(availableMb, MAX_SUGGESTED_HEAP_MB)));
         }
     }
 }
--- a/src/test/java/org/springmill/protocol/PeerMessagesTest.java
+++ b/src/test/java/org/springmill/protocol/PeerMessagesTest.java
@@ -84,12 +84,12 @@
         assertThrows(
                 MalformedMessageException.class,
                 () -> PeerMessages.decode(Arrays.copyOf(bytes, bytes.length - 1)));
-        byte[] newer = bytes.clone();
-        newer[0]++;
-        assertThrows(MalformedMessageException.class, () -> PeerMessages.decode(newer));
-        byte[] strange = bytes.clone();
-        strange[1] = 77;
-        assertThrows(MalformedMessageException.class, () -> PeerMessages.decode(strange));
+        byte[] newerVersion = bytes.clone();
+        newerVersion[0]++;
+        assertThrows(MalformedMessageException.class, () -> PeerMessages.decode(newerVersion));
+        byte[] unknownKind = bytes.clone();
+        unknownKind[1] = 77;
+        assertThrows(MalformedMessageException.class, () -> PeerMessages.decode(unknownKind));
     }
 
     /**
@@ -98,7 +98,7 @@
      */
     @Test
     void aStatusOfTheFirstVersionIsCompatibleBothWays() throws MalformedMessageException {
-        byte[] first =
+        byte[] firstVersion =
                 HexFormat.of()
                         .parseHex(
                                 "0101"
@@ -113,9 +113,10 @@
         PeerStatus status =
                 new PeerStatus(
                         "n-1", 7, 0, true, false, true, 3, false, 250, 99, CancellationDelta.NONE);
-        assertEquals(status, PeerMessages.decode(first));
-        byte[] now = PeerMessages.encode(status);
-        assertArrayEquals(first, Arrays.copyOf(now, first.length), "new fields come last");
+        assertEquals(status, PeerMessages.decode(firstVersion));
+        byte[] encoded = PeerMessages.encode(status);
+        assertArrayEquals(
+                firstVersion, Arrays.copyOf(encoded, firstVersion.length), "new fields come last");
     }
 
     /**
@@ -128,7 +129,7 @@
                 new PeerStatus(
                         "n-1", 7, 3, true, false, true, 3, false, 250, 99, CancellationDelta.NONE);
         Cancellation cancellation = new Cancellation("run-000412", 40, 1.7e9);
-        PeerStatus withNews =
+        PeerStatus withDelta =
                 new PeerStatus(
                         "n-1",
                         7,
@@ -144,7 +145,7 @@
         return Stream.of(
                 Arguments.of(plain, STATUS + "ffffffffffffffff000000000000000000000000"),
                 Arguments.of(
-                        withNews,
+                        withDelta,
                         STATUS + "0000000000000029" + "0000000000000007" + "0001" + CANCELLATIONS),
                 Arguments.of(
                         new CancellationNotice("n-1", List.of(cancellation)),
@@ -167,10 +168,10 @@
         assertEquals(message, PeerMessages.decode(HexFormat.of().parseHex(hex)));
         assertEquals(hex, HexFormat.of().formatHex(PeerMessages.encode(message)));
         if (message instanceof PeerStatus status) {
-            PeerStatus withoutNews =
+            PeerStatus withoutDelta =
                     (PeerStatus) PeerMessages.decode(HexFormat.of().parseHex(STATUS));
-            assertEquals(CancellationDelta.NONE, withoutNews.cancellationDelta());
-            assertEquals(status.term(), withoutNews.term());
+            assertEquals(CancellationDelta.NONE, withoutDelta.cancellationDelta());
+            assertEquals(status.term(), withoutDelta.term());
             assertTrue(hex.startsWith(STATUS));
         }
     }
--- a/src/test/java/org/springmill/protocol/SettingsFixtures.java
+++ b/src/test/java/org/springmill/protocol/SettingsFixtures.java
@@ -8,30 +8,30 @@
     private static final String ZONE = "a";
     private static final Settings.Workers WORKERS = new Settings.Workers(2, 14, 44);
     private static final Settings.Limits LIMITS = new Settings.Limits(0.2, 176, 700);
-    private static final Settings.StoreLimits STATE_LIMITS =
+    private static final Settings.StoreLimits STORE_LIMITS =
             new Settings.StoreLimits(120, 20, 8192, 12);
 
     private SettingsFixtures() {}
 
     /** The default settings for tests. */
     public static Settings small() {
-        return settings(ZONE, WORKERS, STATE_LIMITS, LIMITS);
+        return settings(ZONE, WORKERS, STORE_LIMITS, LIMITS);
     }
 
     /** Settings with other limits of the key-value store. */
-    public static Settings with(Settings.StoreLimits stateLimits) {
-        return settings(ZONE, WORKERS, stateLimits, LIMITS);
+    public static Settings with(Settings.StoreLimits storeLimits) {
+        return settings(ZONE, WORKERS, storeLimits, LIMITS);
     }
 
     /** Settings with another zone, worker intervals and limits of the host. */
     public static Settings with(String zone, Settings.Workers workers, Settings.Limits limits) {
-        return settings(zone, workers, STATE_LIMITS, limits);
+        return settings(zone, workers, STORE_LIMITS, limits);
     }
 
     private static Settings settings(
             String zone,
             Settings.Workers workers,
-            Settings.StoreLimits stateLimits,
+            Settings.StoreLimits storeLimits,
             Settings.Limits limits) {
         return new Settings(
                 "n-0",
@@ -46,7 +46,7 @@
                 List.of(),
                 List.of(),
                 workers,
-                stateLimits,
+                storeLimits,
                 new Settings.CloudLimits(4, 3),
                 limits,
                 OperatorSettings.DEFAULTS);
--- a/src/test/java/org/springmill/protocol/SubmissionTest.java
+++ b/src/test/java/org/springmill/protocol/SubmissionTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 class SubmissionTest {
-    private static final String GOOD =
+    private static final String VALID =
             """
             {"nameId":"run-000412","grist":"train","crew":"vision","shape":"sweep","urgency":"urgent","sacks":16,
              "vcpus":8.0,"cards":1.0,"memGb":64.0,"mould":"img-07","pullGb":6.2,"frames":["g8"],"yard":null,
@@ -24,7 +24,7 @@
 
     @Test
     void aStoredSubmissionIsReadBackUnchanged() throws MalformedMessageException {
-        Submission job = parse(GOOD);
+        Submission job = parse(VALID);
         assertEquals(job, Submission.parse(job.toJson()));
         assertEquals(16, job.tasks());
         assertEquals(Priority.HIGH, job.priority());
@@ -56,9 +56,9 @@
                 "\"dueS\":900.0            | \"dueS\":-3                  | dueS",
             })
     void theErrorNamesTheInvalidField(String from, String to, String field) {
-        assertTrue(GOOD.contains(from));
+        assertTrue(VALID.contains(from));
         MalformedMessageException e =
-                assertThrows(MalformedMessageException.class, () -> parse(GOOD.replace(from, to)));
+                assertThrows(MalformedMessageException.class, () -> parse(VALID.replace(from, to)));
         assertTrue(e.getMessage().startsWith(field), e.getMessage());
     }
 
@@ -77,13 +77,13 @@
         assertEquals(
                 perZone,
                 parse(
-                                GOOD.replace("\"sacks\":16", "\"sacks\":" + tasks)
+                                VALID.replace("\"sacks\":16", "\"sacks\":" + tasks)
                                         .replace("\"apart\":false", "\"apart\":true"))
                         .maxTasksPerZone());
     }
 
     private static String withDependencies(String names) {
-        return GOOD.replace("\"unheardOf\":[1]", "\"waitsOn\":" + names.replace('~', '"'));
+        return VALID.replace("\"unheardOf\":[1]", "\"waitsOn\":" + names.replace('~', '"'));
     }
 
     @ParameterizedTest
@@ -107,7 +107,7 @@
 
     @Test
     void aSubmissionWithoutTheFieldHasNoDependencies() throws MalformedMessageException {
-        assertEquals(List.of(), parse(GOOD).dependencies());
+        assertEquals(List.of(), parse(VALID).dependencies());
     }
 
     @ParameterizedTest
