--- a/src/main/java/org/springmill/protocol/counterpart/CloudSideMessages.java
+++ b/src/main/java/org/springmill/protocol/counterpart/CloudSideMessages.java
@@ -15,7 +15,7 @@
 
 /** The cloud's side of {@link CloudMessages}: decodes requests, encodes responses. */
 public final class CloudSideMessages {
-    private static final String PAGE_START = "from=";
+    private static final String PAGE_START_PARAMETER = "from=";
 
     private CloudSideMessages() {}
 
@@ -63,8 +63,8 @@
      */
     public static String decodePageStart(String query) {
         for (String pair : query.split("&")) {
-            if (pair.startsWith(PAGE_START)) {
-                return pair.substring(PAGE_START.length());
+            if (pair.startsWith(PAGE_START_PARAMETER)) {
+                return pair.substring(PAGE_START_PARAMETER.length());
             }
         }
         return "";
--- a/src/main/java/org/springmill/protocol/counterpart/KeyValueStoreServerMessages.java
+++ b/src/main/java/org/springmill/protocol/counterpart/KeyValueStoreServerMessages.java
@@ -19,12 +19,12 @@
 
 /** The store's side of {@link KeyValueStoreMessages}: decodes requests, encodes responses. */
 public final class KeyValueStoreServerMessages {
-    private static final String STORE = "/store";
-    private static final String CHANGES = "/changes";
+    private static final String KEYS_PATH = "/store";
+    private static final String WATCHES_PATH = "/changes";
     private static final int DEFAULT_LIMIT = 1000;
     private static final double MILLISECONDS_PER_SECOND = 1000;
-    private static final String PREFIX = "under";
-    private static final String START = "from";
+    private static final String PREFIX_PARAMETER = "under";
+    private static final String START_PARAMETER = "from";
 
     private KeyValueStoreServerMessages() {}
 
@@ -112,18 +112,18 @@
             long lease = Long.parseLong(path.split("/")[2]);
             return method.equals("DELETE") ? new Revoke(lease) : new Renew(lease);
         }
-        if (path.equals(CHANGES)) {
+        if (path.equals(WATCHES_PATH)) {
             double waitMs = Double.parseDouble(query.getOrDefault("waitMs", "0"));
-            long from = Long.parseLong(query.get(START));
-            return new Watch(query.get(PREFIX), from, waitMs / MILLISECONDS_PER_SECOND);
+            long from = Long.parseLong(query.get(START_PARAMETER));
+            return new Watch(query.get(PREFIX_PARAMETER), from, waitMs / MILLISECONDS_PER_SECOND);
         }
-        if (path.equals(STORE)) {
+        if (path.equals(KEYS_PATH)) {
             String limit = query.getOrDefault("limit", Integer.toString(DEFAULT_LIMIT));
-            String after = query.getOrDefault(START, "");
-            return new ListKeys(query.get(PREFIX), after, Integer.parseInt(limit));
+            String after = query.getOrDefault(START_PARAMETER, "");
+            return new ListKeys(query.get(PREFIX_PARAMETER), after, Integer.parseInt(limit));
         }
-        if (path.startsWith(STORE + "/")) {
-            return new Get(path.substring(STORE.length() + 1));
+        if (path.startsWith(KEYS_PATH + "/")) {
+            return new Get(path.substring(KEYS_PATH.length() + 1));
         }
         throw new MalformedMessageException("no such path");
     }
