--- a/src/main/java/org/springmill/protocol/KeyValueStoreMessages.java
+++ b/src/main/java/org/springmill/protocol/KeyValueStoreMessages.java
@@ -15,15 +15,15 @@
     /** Path of leases; posting to it requests one. */
     public static final String LEASES_PATH = "/grants";
 
-    private static final String KEYS = "/store";
-    private static final String WATCHES = "/changes";
+    private static final String KEYS_PATH = "/store";
+    private static final String WATCHES_PATH = "/changes";
 
     /** The error of a write that names a lease which has expired. */
     private static final String LEASE_EXPIRED = "no such lease";
 
     /**
-     * Keys on one page. Pages are small, since decoding one must not keep a controller that has
-     * just started from answering workers.
+     * Maximum number of keys on one page. Pages are small so that decoding one does not delay the
+     * responses to workers of a controller that has just started.
      */
     private static final int PAGE_LIMIT = 100;
 
@@ -58,10 +58,10 @@
     public record Change(String key, JsonNode value, long version) {}
 
     /**
-     * Changes in their order.
+     * Changes in the order of their revisions.
      *
      * @param changes oldest first
-     * @param revision up to which they are complete
+     * @param revision up to which the changes are complete
      */
     public record Changes(List<Change> changes, long revision) {}
 
@@ -94,7 +94,7 @@
 
     /** Path of a key. */
     public static String keyPath(String key) {
-        return KEYS + "/" + key;
+        return KEYS_PATH + "/" + key;
     }
 
     /**
@@ -104,7 +104,7 @@
      * @param after the key after which the page begins; null for the first page
      */
     public static String listPath(String prefix, String after) {
-        return KEYS
+        return KEYS_PATH
                 + "?under="
                 + prefix
                 + (after == null ? "" : "&from=" + after)
@@ -120,7 +120,7 @@
      * @param waitMs time to wait for a change, in milliseconds
      */
     public static String watchPath(String prefix, long from, long waitMs) {
-        return WATCHES + "?under=" + prefix + "&from=" + from + "&waitMs=" + waitMs;
+        return WATCHES_PATH + "?under=" + prefix + "&from=" + from + "&waitMs=" + waitMs;
     }
 
     /** Path to which the renewal of a lease is posted. */
@@ -153,8 +153,8 @@
     }
 
     /**
-     * Encodes a transaction: all writes are applied, at one revision, if all conditions hold; else
-     * none.
+     * Encodes a transaction: if all conditions hold, all writes are applied at one revision;
+     * otherwise none is.
      */
     public static byte[] encodeTransaction(List<Condition> conditions, List<Write> writes) {
         return Json.write(
--- a/src/main/java/org/springmill/protocol/SettingsFile.java
+++ b/src/main/java/org/springmill/protocol/SettingsFile.java
@@ -85,7 +85,8 @@
             String address = seed.address("addr");
             if (node.equals(ownNode) || peers.put(node, address) != null) {
                 throw seed.invalid(
-                        "node", "each controller must be listed once, without this one itself");
+                        "node",
+                        "is \"" + node + "\"; list each other controller once, and not this one");
             }
         }
         return Map.copyOf(peers);
@@ -133,8 +134,12 @@
         if (heartbeatIntervalSeconds >= leaseSeconds) {
             throw workers.invalid(
                     "report_s",
-                    "is not below lease_s, so that every lease would end between two reports; set"
-                            + " it to less than half of lease_s");
+                    "is not below lease_s ("
+                            + heartbeatIntervalSeconds
+                            + " >= "
+                            + leaseSeconds
+                            + "), so that every lease would end between two reports; set it to"
+                            + " less than half of lease_s");
         }
         return new Settings.Workers(
                 heartbeatIntervalSeconds, leaseSeconds, workers.positive("cancel_s"));
@@ -157,9 +162,8 @@
     }
 
     /**
-     * The limits in force and, if there is a second set, those that will be in force from an
-     * unannounced time on. All requests keep to both from the start, so that the time need not be
-     * known.
+     * The current limits, combined with those of the table {@code next} if there is one. Those take
+     * effect at an unannounced time, so requests keep to both sets from startup on.
      */
     private static Settings.StoreLimits storeLimits(SettingsTable store) throws SettingsException {
         Settings.StoreLimits current = storeLimits(store, store);
@@ -170,7 +174,7 @@
     /**
      * One set of limits.
      *
-     * @param defaults the table to read a limit from that the set itself does not have
+     * @param defaults table that supplies the limits which the set itself does not have
      */
     private static Settings.StoreLimits storeLimits(SettingsTable limits, SettingsTable defaults)
             throws SettingsException {
--- a/src/main/java/org/springmill/protocol/SettingsWarnings.java
+++ b/src/main/java/org/springmill/protocol/SettingsWarnings.java
@@ -8,14 +8,14 @@
  * consequence of its value, and what to change.
  */
 public final class SettingsWarnings {
-    /** A heartbeat may be late by a quarter of its interval, and one may be lost. */
-    private static final double HEARTBEATS_PER_LEASE = 2.5;
+    /** Allows for one lost heartbeat, and for heartbeats late by a quarter of the interval. */
+    private static final double MIN_HEARTBEATS_PER_LEASE = 2.5;
 
-    /** Twice the heap of the largest fleet that was run; no larger heap is asked for. */
-    private static final double LARGEST_FLEET_HEAP_MB = 512;
+    /** Twice the heap used with the largest tested fleet; no warning asks for a larger heap. */
+    private static final double MAX_SUGGESTED_HEAP_MB = 512;
 
-    /** The JVM does not count part of the young generation in the heap that it reports. */
-    private static final double REPORTED_SHARE = 0.9;
+    /** The JVM excludes part of the young generation from the maximum heap that it reports. */
+    private static final double REPORTED_HEAP_SHARE = 0.9;
 
     private SettingsWarnings() {}
 
@@ -23,8 +23,8 @@
      * Returns the warnings; empty for consistent settings.
      *
      * @param settings to check
-     * @param heapMb size of the heap of this process at its start, in MB
-     * @param heapBoundMb the largest heap that this process may have, in MB
+     * @param heapMb initial heap size of this process, in MB
+     * @param heapBoundMb maximum heap size of this process, in MB
      */
     public static List<String> of(Settings settings, double heapMb, double heapBoundMb) {
         List<String> warnings = new ArrayList<>();
@@ -36,22 +36,23 @@
     }
 
     private static void addWorkerWarnings(Settings.Workers workers, List<String> warnings) {
-        if (workers.heartbeatIntervalSeconds() * HEARTBEATS_PER_LEASE > workers.leaseSeconds()) {
+        if (workers.heartbeatIntervalSeconds() * MIN_HEARTBEATS_PER_LEASE
+                > workers.leaseSeconds()) {
             warnings.add(
                     "cluster.workers.report_s is "
                             + workers.heartbeatIntervalSeconds()
                             + ", so one lost report can end a lease of "
                             + workers.leaseSeconds()
                             + " s; set it to "
-                            + workers.leaseSeconds() / HEARTBEATS_PER_LEASE
+                            + workers.leaseSeconds() / MIN_HEARTBEATS_PER_LEASE
                             + " or less");
         }
         if (workers.cancellationDeadlineSeconds() <= workers.leaseSeconds()) {
             warnings.add(
                     "cluster.workers.cancel_s is "
                             + workers.cancellationDeadlineSeconds()
-                            + ", not above lease_s, so that a cancelled task out of reach is only"
-                            + " removed by deleting its machine; set it above "
+                            + ", not above lease_s, so that a cancelled task on an unreachable"
+                            + " machine only ends when the machine is deleted; set it above "
                             + workers.leaseSeconds());
         }
     }
@@ -71,7 +72,7 @@
             warnings.add(
                     String.format(
                             "cluster.machine_limits.ram_mb is %.0f, but as started here the heap"
-                                    + " begins with %.0f MB beside some %d MB of other memory;"
+                                    + " begins with %.0f MB beside about %d MB of other memory;"
                                     + " start with -Xms%.0fm or less",
                             limits.memoryMb(),
                             heapMb,
@@ -80,19 +81,19 @@
         }
     }
 
-    /** A bound above what ram_mb leaves is harmless: the heap grows with the accepted jobs. */
+    /** A maximum above what ram_mb allows is harmless: the heap grows with the accepted jobs. */
     private static void addMaximumHeapWarnings(
             Settings.Limits limits, double heapBoundMb, List<String> warnings) {
         double availableMb = limits.memoryMb() - Settings.Limits.MEMORY_BESIDE_HEAP_MB;
-        if (heapBoundMb < Math.min(availableMb, LARGEST_FLEET_HEAP_MB) * REPORTED_SHARE) {
+        if (heapBoundMb < Math.min(availableMb, MAX_SUGGESTED_HEAP_MB) * REPORTED_HEAP_SHARE) {
             warnings.add(
                     String.format(
                             "cluster.machine_limits.ram_mb is %.0f, but as started here the heap"
-                                    + " may not grow beyond %.0f MB; start with -Xmx%.0fm or more,"
+                                    + " cannot grow beyond %.0f MB; start with -Xmx%.0fm or more,"
                                     + " as the run line of deploy/service.toml does",
                             limits.memoryMb(),
                             heapBoundMb,
-                            Math.min(availableMb, LARGEST_FLEET_HEAP_MB)));
+                            Math.min(availableMb, MAX_SUGGESTED_HEAP_MB)));
         }
     }
 }
--- a/src/test/java/org/springmill/protocol/PeerMessagesTest.java
+++ b/src/test/java/org/springmill/protocol/PeerMessagesTest.java
@@ -23,7 +23,7 @@
 import org.springmill.protocol.PeerMessages.ProgressUpdate;
 
 class PeerMessagesTest {
-    /** A status as 880f457 wrote it, whole. */
+    /** A complete status as commit 880f457 encoded it, without the fields added later. */
     private static final String STATUS =
             "0101"
                     + "00036e2d31"
@@ -35,7 +35,7 @@
                     + "000000fa"
                     + "0000000000000063";
 
-    /** One cancellation. */
+    /** A list of one cancellation. */
     private static final String CANCELLATIONS =
             "0001" + "000a72756e2d303030343132" + "0000000000000028" + "41d954fc40000000";
 
@@ -84,21 +84,21 @@
         assertThrows(
                 MalformedMessageException.class,
                 () -> PeerMessages.decode(Arrays.copyOf(bytes, bytes.length - 1)));
-        byte[] newer = bytes.clone();
-        newer[0]++;
-        assertThrows(MalformedMessageException.class, () -> PeerMessages.decode(newer));
-        byte[] strange = bytes.clone();
-        strange[1] = 77;
-        assertThrows(MalformedMessageException.class, () -> PeerMessages.decode(strange));
+        byte[] newerVersion = bytes.clone();
+        newerVersion[0]++;
+        assertThrows(MalformedMessageException.class, () -> PeerMessages.decode(newerVersion));
+        byte[] unknownKind = bytes.clone();
+        unknownKind[1] = 77;
+        assertThrows(MalformedMessageException.class, () -> PeerMessages.decode(unknownKind));
     }
 
     /**
-     * During an upgrade both versions lead and follow beside each other: these bytes are what 0.1.0
-     * wrote and read.
+     * During an upgrade, controllers of both versions exchange records. These bytes are what
+     * version 0.1.0 wrote and read.
      */
     @Test
     void aStatusOfTheFirstVersionIsCompatibleBothWays() throws MalformedMessageException {
-        byte[] first =
+        byte[] firstVersion =
                 HexFormat.of()
                         .parseHex(
                                 "0101"
@@ -113,22 +113,23 @@
         PeerStatus status =
                 new PeerStatus(
                         "n-1", 7, 0, true, false, true, 3, false, 250, 99, CancellationDelta.NONE);
-        assertEquals(status, PeerMessages.decode(first));
-        byte[] now = PeerMessages.encode(status);
-        assertArrayEquals(first, Arrays.copyOf(now, first.length), "new fields come last");
+        assertEquals(status, PeerMessages.decode(firstVersion));
+        byte[] encoded = PeerMessages.encode(status);
+        assertArrayEquals(
+                firstVersion, Arrays.copyOf(encoded, firstVersion.length), "new fields come last");
     }
 
     /**
-     * Messages as three versions wrote them (880f457, which has no news, 025a6a8 and 9f45bfd),
-     * printed by those versions, built from the history. This version reads each and writes the
-     * same bytes; to 880f457 a status with news is its own with a rest that it leaves unread.
+     * Records as builds of commits 880f457, 025a6a8 and 9f45bfd printed them; 880f457 has no
+     * cancellation deltas. This version must decode each and encode the same bytes. A status with a
+     * delta begins with the bytes of 880f457, which ignores the rest.
      */
     static Stream<Arguments> bytesOfEarlierVersions() {
         PeerStatus plain =
                 new PeerStatus(
                         "n-1", 7, 3, true, false, true, 3, false, 250, 99, CancellationDelta.NONE);
         Cancellation cancellation = new Cancellation("run-000412", 40, 1.7e9);
-        PeerStatus withNews =
+        PeerStatus withDelta =
                 new PeerStatus(
                         "n-1",
                         7,
@@ -144,7 +145,7 @@
         return Stream.of(
                 Arguments.of(plain, STATUS + "ffffffffffffffff000000000000000000000000"),
                 Arguments.of(
-                        withNews,
+                        withDelta,
                         STATUS + "0000000000000029" + "0000000000000007" + "0001" + CANCELLATIONS),
                 Arguments.of(
                         new CancellationNotice("n-1", List.of(cancellation)),
@@ -167,15 +168,15 @@
         assertEquals(message, PeerMessages.decode(HexFormat.of().parseHex(hex)));
         assertEquals(hex, HexFormat.of().formatHex(PeerMessages.encode(message)));
         if (message instanceof PeerStatus status) {
-            PeerStatus withoutNews =
+            PeerStatus withoutDelta =
                     (PeerStatus) PeerMessages.decode(HexFormat.of().parseHex(STATUS));
-            assertEquals(CancellationDelta.NONE, withoutNews.cancellationDelta());
-            assertEquals(status.term(), withoutNews.term());
+            assertEquals(CancellationDelta.NONE, withoutDelta.cancellationDelta());
+            assertEquals(status.term(), withoutDelta.term());
             assertTrue(hex.startsWith(STATUS));
         }
     }
 
-    /** Told only by those who take part, so that every other status keeps its bytes. */
+    /** Only controllers that archive records write the flag; other statuses keep their bytes. */
     @Test
     void theHistoryFlagIsOneByteAfterTheCancellationDelta() throws MalformedMessageException {
         CancellationDelta delta = new CancellationDelta(41, 7, false, true, List.of());
