--- a/src/test/java/org/springmill/control/simulation/AdmissionTest.java
+++ b/src/test/java/org/springmill/control/simulation/AdmissionTest.java
@@ -19,21 +19,24 @@
 import org.springmill.transport.HttpClient.Request;
 
 /**
- * Three controllers that hold acceptance back: at the bound of their memory, with queues that wait
- * too long, and while the key-value store takes less than users ask for.
+ * Three controllers that refuse submissions: at the limit on the memory for jobs, when a queue
+ * waits too long, and when users submit faster than the key-value store takes changes.
  */
 class AdmissionTest extends ClusterFixture {
     /**
-     * Heap for some so many live jobs of low priority; a job needs 1,600 bytes, 0.4 is for jobs.
+     * Live jobs of low priority that fit into {@link #SMALL_HEAP}: a job needs 1,600 bytes, jobs
+     * may use 0.4 of the heap, and low priority 0.7 of that.
      */
     private static final int LOW_JOBS = 100;
 
     private static final double SMALL_HEAP = LOW_JOBS / 0.7 * 1600 / 0.4;
 
-    /** The key-value store takes so many changes a second from all controllers. */
+    /** Changes per second that the key-value store takes from all controllers together. */
     private static final double CHANGES_PER_SECOND = 20;
 
-    /** Records that were checked against the bound and not yet known to the other controllers. */
+    /**
+     * Time from the check of a submission against the limit until all controllers know its record.
+     */
     private static final double UNDER_WAY_SECONDS = 3.5;
 
     private static final int OVERSHOOT = (int) (CHANGES_PER_SECOND * UNDER_WAY_SECONDS);
@@ -56,7 +59,10 @@
         return cluster.ask(controller, "POST", "/submissions", job.toString());
     }
 
-    /** Fills what low priority may need, with two teams since one may not have all of it. */
+    /**
+     * Submits jobs of low priority until they are refused. Alternates between two teams because one
+     * team alone may not use the whole share of low priority.
+     */
     private List<ObjectNode> fill() {
         List<ObjectNode> accepted = new ArrayList<>();
         for (int i = 0; i < 4 * LOW_JOBS && !refusedLately(accepted, i); i++) {
@@ -84,7 +90,7 @@
                 .sum();
     }
 
-    /** Users are told at once, and when to come back; whoever is refused leaves nothing behind. */
+    /** The refusal is immediate and says when to retry; nothing of the refused job is stored. */
     @Test
     void beyondTheBoundSubmissionsAreRefusedAtOnceWithWhenToComeBack() {
         startSmall(SimOptions.DEFAULTS);
@@ -105,7 +111,10 @@
         return job.path("nameId").asText();
     }
 
-    /** What each admits before it has read of the others' is all that can go beyond the bound. */
+    /**
+     * The limit can be exceeded only by jobs that a controller admits before it has read the
+     * records of the others.
+     */
     @Test
     void controllersThatAdmitAtTheBoundInTheSameMomentOvershootByWhatIsUnderWay() {
         startSmall(SimOptions.DEFAULTS);
@@ -130,7 +139,10 @@
         assertTrue(accepted[0] <= LOW_JOBS + OVERSHOOT, accepted[0] + " accepted");
     }
 
-    /** A controller that reads nothing of the others may not take what they have taken. */
+    /**
+     * A controller that cannot read the records of the others must not use the room that they may
+     * have used.
+     */
     @Test
     void aControllerThatCannotReadWhatOthersAcceptedRefusesNearTheBound() {
         startSmall(SimOptions.DEFAULTS);
@@ -170,14 +182,14 @@
         }
     }
 
-    /** Its user sends it again, at another controller, which has not read of it. */
+    /** The user repeats the submission at another controller, which has not read the record yet. */
     @Test
     void aSubmissionWhoseAnswerWasLostAtTheBoundIsKnownAgainAndCountsOnce() {
         startSmall(SimOptions.DEFAULTS);
         List<ObjectNode> accepted = fill();
         ObjectNode last = job("red", "best_effort", 1);
         cluster.network().judge((from, request) -> fateOfLast(from, request, idOf(last)));
-        // The watches of the second controller are lost from now on: it finds itself at the bound.
+        // The watches of controller 1 are lost from now on, so by its own count it is at the limit.
         cluster.run(15);
         cluster.cancel(0, idOf(accepted.get(0)));
         cluster.run(1);
@@ -200,7 +212,7 @@
         return watch && from.equals("n-1") ? Fate.DROP : Fate.DELIVER;
     }
 
-    /** Whoever fills the bound with low work, others are not held back by it. */
+    /** Jobs of low priority cannot use the room for urgent and production jobs. */
     @Test
     void urgentWorkAndGuaranteedWorkAreTakenWhereLowWorkIsRefused() {
         startSmall(SimOptions.DEFAULTS);
@@ -210,7 +222,9 @@
         assertEquals(201, submit(1, job("blue", "prod", 1)).status());
     }
 
-    /** Red has eight GPUs guaranteed and holds nothing; blue alone has filled what it may. */
+    /**
+     * Team red is guaranteed eight GPUs and has no jobs; team blue has submitted as many as it may.
+     */
     @Test
     void aFloodOfOneTeamLeavesRoomForOthersAndForGuarantees() {
         startSmall(SimOptions.DEFAULTS);
@@ -225,7 +239,7 @@
         }
     }
 
-    /** Controllers that were started again with less memory hold more than they may. */
+    /** Controllers that are restarted with less memory hold more jobs than the new limit. */
     @Test
     void nothingIsDroppedWhenALeaderRebuildsAboveTheBound() {
         startSmall(SimOptions.DEFAULTS);
@@ -249,7 +263,7 @@
         assertEquals(201, submit(0, job("blue", "best_effort", 1)).status());
     }
 
-    /** Nothing waits for a person: once there is room, whoever comes back is served. */
+    /** Recovery needs no operator: once there is room, retried submissions are accepted. */
     @ParameterizedTest
     @ValueSource(ints = {1, 2, 3})
     void afterABurstOfThreeTimesTheDrainRateGoodputIsBackAtOnce(int seed) {
@@ -269,7 +283,7 @@
                 duringBurst + " accepted during the burst");
         cluster.run(70);
         assertEquals(burst, users.accepted() + users.gaveUp());
-        // Goodput stays: what is refused costs the key-value store nothing.
+        // Goodput does not fall: a refusal costs no write to the key-value store.
         double drainSeconds = cluster.clock().now() - burstStart;
         assertTrue(
                 users.accepted() >= 0.5 * CHANGES_PER_SECOND * Math.min(drainSeconds, 80),
@@ -279,7 +293,10 @@
         assertTrue(users.lastAcceptanceSeconds() < 1, users.lastAcceptanceSeconds() + " s");
     }
 
-    /** Out for half a minute, then everybody comes back: refusals are spread, nobody is lost. */
+    /**
+     * All submissions of a 30 s outage are retried after it: their retry times are spread, and none
+     * is given up.
+     */
     @Test
     void afterAnOutageOfTheStateServiceTheWaveOfRetriesIsServed() {
         startCluster(1);
@@ -297,7 +314,10 @@
         assertEquals(0, users.gaveUp());
     }
 
-    /** More are refused than can be looked up; told to come back in a second they were a wave. */
+    /**
+     * More submissions are refused than can be looked up. If all were to retry after a second, they
+     * would arrive together.
+     */
     @Test
     void everyoneWhoIsRefusedInABurstIsToldWhenToComeBackByTheDrainRate() {
         startCluster(1);
@@ -328,7 +348,10 @@
         return new String(reply.body(), StandardCharsets.UTF_8);
     }
 
-    /** A slow key-value store: what cannot be committed while its user waits is refused at once. */
+    /**
+     * With a slow key-value store, a submission that cannot be committed before its user's timeout
+     * is refused.
+     */
     @Test
     void whileTheStateServiceIsSlowSubmissionsAreRefusedRatherThanHeld() {
         startCluster(1);
@@ -345,7 +368,8 @@
     }
 
     /**
-     * A batch that would wait for longer than operators want is refused, until the queue drains.
+     * Jobs are refused while their queue would wait longer than the limit of the operators, until
+     * it drains.
      */
     @Test
     void workIsRefusedWhileItsQueueWaitsTooLongAndTakenOnceItDrains() {
--- a/src/test/java/org/springmill/control/simulation/AutoscalerTest.java
+++ b/src/test/java/org/springmill/control/simulation/AutoscalerTest.java
@@ -10,7 +10,7 @@
 import org.springmill.sim.SimWorker;
 import org.springmill.sim.SimulatedCluster;
 
-/** Machines are rented, left before they are taken away, drained and returned. */
+/** Machines are rented, evacuated before they are reclaimed, drained and returned. */
 class AutoscalerTest extends SingleFailureFixture {
     @Test
     void replicaLeavesAMachineWithTerminationNoticeInTime() {
@@ -35,8 +35,8 @@
 
     @Test
     void underusedMachineIsDrainedAndItsReplicasMoveAtMostOnce() {
-        // Four replicas of 3 GPUs fill up two machines of 8 in each zone, one each after the others
-        // have gone.
+        // Four replicas of 3 GPUs use two machines of 8 GPUs in each zone. Two of them
+        // fit on one machine.
         for (int i = 0; i < 8; i++) {
             var job = SimulatedCluster.job("run-00060" + i, "blue", "service", 1, 1, 3);
             cluster.submit(0, job.put("yard", i < 4 ? "a" : "b"), FOREVER);
@@ -76,8 +76,9 @@
     }
 
     /**
-     * A machine is gone when the leader fails, and the next leader reads a list that still names
-     * it. While it counted as booting, for three and a half boots, nothing was rented in its place.
+     * Guards against waiting for a machine that is gone: it is reclaimed when the leader fails, and
+     * the next leader reads a stale list that still names it. While it counted as booting, for
+     * three and a half boot times, no replacement was rented.
      */
     @Test
     void machineOfALateListIsReplacedOnceLaterListsLackIt() {
--- a/src/test/java/org/springmill/control/simulation/BorrowingFailureTest.java
+++ b/src/test/java/org/springmill/control/simulation/BorrowingFailureTest.java
@@ -23,10 +23,10 @@
 import org.springmill.transport.HttpClient.Request;
 
 /**
- * Recalls while controllers, the key-value store and machines fail. The fleet is full of
- * fine-tuning work of red and blue, 16 tasks each, of which 8 each are on loan; then amber asks for
- * 8 replicas, which it is guaranteed. In the end these run, and the work that gave way goes on from
- * its checkpoints.
+ * Recalls while controllers, the key-value store and machines fail. Fine-tuning jobs of teams red
+ * and blue fill the fleet, 16 tasks each, of which 8 each run on borrowed resources. Then team
+ * amber submits 8 replicas within its guarantee. In the end these run, and the stopped tasks resume
+ * from their checkpoints.
  */
 class BorrowingFailureTest extends BorrowingFixture {
     private static final int REPLICAS = 8;
@@ -51,7 +51,7 @@
         }
     }
 
-    /** What becomes of the leader. */
+    /** How the leader fails. */
     private enum Failure {
         KILLED,
         STANDS_STILL
@@ -73,7 +73,9 @@
         accept(serving(SERVING, "amber", REPLICAS), FOREVER);
     }
 
-    /** Once, at the first message of a step, something happens and the message has a fate. */
+    /**
+     * Runs an action and applies a fate to the message when the first message of a step is sent.
+     */
     private void at(Step step, Runnable then, Fate fate) {
         boolean[] happened = new boolean[1];
         cluster.network()
@@ -100,7 +102,10 @@
         assertTrue(checker.haltsForOthers() >= 1, "recalls took place");
     }
 
-    /** Guards against halts that nobody has committed, and promises that a new leader forgets. */
+    /**
+     * Guards against halts without a committed recall, and against a new leader that does not know
+     * a committed recall.
+     */
     @ParameterizedTest
     @CsvSource({
         "COMMIT, KILLED, DROP",
@@ -142,7 +147,10 @@
         servingRunsAndWorkGoesOn();
     }
 
-    /** The leader is killed while victims save, and again while the next one carries on. */
+    /**
+     * The leader is killed while victims save, and so is the next one while it continues the
+     * recall.
+     */
     @ParameterizedTest
     @ValueSource(doubles = {0.3, 0.7, 1.1, 1.5, 2.0})
     void leadersAreKilledOneAfterTheOtherWhileVictimsSave(double seconds) {
@@ -164,7 +172,9 @@
         servingRunsAndWorkGoesOn();
     }
 
-    /** Commits and halts of a deposed leader are delivered after its successor has decided. */
+    /**
+     * Commits and commands of a deposed leader are delivered after its successor has taken over.
+     */
     @ParameterizedTest
     @EnumSource(
             value = Step.class,
@@ -194,7 +204,10 @@
         servingRunsAndWorkGoesOn();
     }
 
-    /** The leader alone is refused, all are, or writes are carried out late, in the middle. */
+    /**
+     * During a recall, the key-value store refuses the leader, is down, applies commits late, or
+     * refuses commits for their rate.
+     */
     @ParameterizedTest
     @CsvSource({
         "COMMIT, refused",
@@ -232,7 +245,7 @@
         servingRunsAndWorkGoesOn();
     }
 
-    /** For some seconds the key-value store refuses all commits for their rate. */
+    /** Lets the key-value store refuse all commits for 6 s, as if the rate limit were reached. */
     private void spendWriteBudget() {
         double until = cluster.clock().now() + 6;
         cluster.network()
@@ -245,7 +258,10 @@
                                         : Fate.DELIVER);
     }
 
-    /** The machine of victims stops to act or to hear, or its reports are lost, at any step. */
+    /**
+     * At any step, a machine hangs, is unreachable, loses its reports, gets a preemption notice or
+     * is reclaimed.
+     */
     @ParameterizedTest
     @CsvSource({
         "COMMIT, hung",
@@ -289,7 +305,7 @@
         }
     }
 
-    /** The demand falls before the halts are out: nobody is stopped. */
+    /** The demand ends before the halts are sent, so no task is stopped. */
     @Test
     void recallIsTakenBackIfTheDemandFallsBeforeTheHalts() {
         lend(100);
@@ -310,8 +326,9 @@
     }
 
     /**
-     * Guards against halts that were right when they were decided: while the commit's answer is
-     * lost, the user of the team that is to give way withdraws most of what it runs.
+     * Guards against halts based on outdated usage: while the response to the commit is lost, a
+     * user cancels most of what the team with the recalled tasks runs, so that it would fall below
+     * its guarantee.
      */
     @Test
     void nobodyIsToldIfATeamWouldBeLeftWithTooLittleByTheTimeOfTheCommit() {
@@ -340,14 +357,14 @@
     }
 
     /**
-     * Guards against a recall that is carried on unseen: between its commit and its halts the
-     * leader dies, and the team that is to give way loses its other machine.
+     * Guards against a new leader that continues a recall without checking it: between commit and
+     * halts the leader is killed, and the team with the recalled tasks loses its other machine.
      */
     @Test
     void inheritedRecallIsNotCarriedOnIfItsTeamHasLostTooMuchMeanwhile() {
         lend(180);
         int leader = cluster.leader();
-        // No other leader is elected before the loss has long been a fact.
+        // The outage prevents the election of another leader until the machine is lost.
         at(
                 Step.COMMIT,
                 () -> {
@@ -375,7 +392,7 @@
         assertEquals(8, cluster.running(FINE_TUNING), "blue's guarantee");
     }
 
-    /** Whether a machine runs tasks of the job of which others are recalled. */
+    /** Whether a machine runs tasks of the job that has recalled tasks. */
     private boolean sharesTeam(SimWorker machine) {
         boolean recalledFromBatch =
                 machines().stream()
@@ -389,8 +406,8 @@
     }
 
     /**
-     * Guards against a new leader that knows nothing of a recall under way and recalls others for
-     * the same demand: the victims save, and their machine does not report for some seconds.
+     * Guards against a new leader that recalls further tasks for a demand that already has a
+     * recall: the victims save, and their machine does not report for some seconds.
      */
     @Test
     void newLeaderRecallsNobodyElseForADemandThatIsBeingServed() {
@@ -412,7 +429,10 @@
         cluster.restart(leader);
     }
 
-    /** The beneficiary is cancelled at any step: what was stopped goes on, nothing is kept. */
+    /**
+     * The job that the recall is for is cancelled at any step: stopped tasks run again, and no
+     * recall record is left.
+     */
     @ParameterizedTest
     @ValueSource(doubles = {0.3, 0.6, 1, 1.4, 1.8, 2.4, 3})
     void beneficiaryIsCancelledMidway(double seconds) {
@@ -425,7 +445,7 @@
         assertEquals(0, checker.recorded());
     }
 
-    /** Victims' job is cancelled while they save: they are gone within {@code cancel_s}. */
+    /** The job of the victims is cancelled while they save: they end within {@code cancel_s}. */
     @ParameterizedTest
     @ValueSource(doubles = {0.3, 0.8, 1.3, 2})
     void victimsJobIsCancelledWhileSaving(double seconds) {
@@ -442,7 +462,10 @@
         assertEquals(0, checker.recorded());
     }
 
-    /** Two teams ask for the same loans at once: each GPU is promised to one of them. */
+    /**
+     * Two teams request the same borrowed GPUs at the same time: each GPU is recalled for one of
+     * them.
+     */
     @ParameterizedTest
     @ValueSource(booleans = {false, true})
     void twoTeamsClaimTheSameLoansAtOnce(boolean leaderIsKilled) {
@@ -465,7 +488,10 @@
         assertTrue(cluster.running(OTHER) >= 8, "blue's guarantee");
     }
 
-    /** Controllers of the version without recalls and with them follow each other. */
+    /**
+     * Controllers are restarted one by one from a version without recalls to one with them, or
+     * back.
+     */
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
     void upgradeToRecallsAndBack(boolean toRecalls) {
@@ -496,7 +522,7 @@
                 on ? Optional.of(OperatorSettings.Borrowing.DEFAULTS) : Optional.empty());
     }
 
-    /** Records that a rolled-back version left are settled by the next that knows them. */
+    /** Recall records that a version without recalls leaves are settled after the next upgrade. */
     @Test
     void recallsLeftBehindAreSettledLater() {
         lend(150);
--- a/src/test/java/org/springmill/control/simulation/BorrowingFixture.java
+++ b/src/test/java/org/springmill/control/simulation/BorrowingFixture.java
@@ -12,9 +12,8 @@
 import org.springmill.sim.SimulatedCluster;
 
 /**
- * Three controllers that recall loans, and four machines with 32 GPUs; "red" and "blue" are
- * guaranteed 8 of them each, as is "amber", which is guaranteed 8 CPUs as well. A checker looks at
- * the loans every 50 ms.
+ * Three controllers with recalls, and four machines with 32 GPUs in all. Teams red, blue and amber
+ * are guaranteed 8 GPUs each, and amber also 8 CPUs. A checker verifies the loans every 50 ms.
  */
 abstract class BorrowingFixture extends ClusterFixture {
     static final String SERVING = "run-000010";
--- a/src/test/java/org/springmill/control/simulation/BorrowingPropertyTest.java
+++ b/src/test/java/org/springmill/control/simulation/BorrowingPropertyTest.java
@@ -21,9 +21,10 @@
 import org.springmill.sim.SimulatedCluster;
 
 /**
- * Random demand, failures and timings on a fleet that is full of borrowed work. Whatever happens,
- * no team is pushed below its entitlement for another or runs above its limit, each GPU is promised
- * once, nothing runs twice, no checkpoint is lost, and in the end every recall is settled.
+ * Random demand, failures and timings on a fleet that is full of tasks on borrowed resources. No
+ * team is pushed below its entitlement for another or runs above its limit, each GPU is recalled
+ * for one team only, nothing runs twice, no checkpoint is lost, and in the end every recall is
+ * settled.
  */
 class BorrowingPropertyTest {
     private static final int CONTROLLERS = 3;
@@ -83,8 +84,9 @@
     }
 
     /**
-     * A schedule that was found: a deaf machine's worker began its next session, the leader after
-     * that had no proof that its tasks were gone, and counted them as what their team runs.
+     * A schedule found by the property test. The worker of an unreachable machine began a new
+     * session, and the next leader, without proof that the machine's tasks had ended, counted them
+     * as usage of their team.
      */
     @Example
     void tasksThatNoReportNamesDoNotCount() {
@@ -113,7 +115,7 @@
                                 new Step(Kind.FREEZE_LEADER, 248, 5, 0.5)));
     }
 
-    /** One cluster on which a schedule is played. */
+    /** A cluster that a schedule is run on. */
     private static final class Run {
         private final SimulatedCluster cluster;
         private final BorrowingChecker checker;
@@ -191,7 +193,7 @@
             }
         }
 
-        /** Empty once all machines were given up. */
+        /** Empty if no machine is left. */
         private Optional<SimWorker> machine(Step step) {
             List<SimWorker> machines = cluster.machines();
             return machines.isEmpty()
--- a/src/test/java/org/springmill/control/simulation/BorrowingTest.java
+++ b/src/test/java/org/springmill/control/simulation/BorrowingTest.java
@@ -27,7 +27,10 @@
         assertEquals(0, checker.recalls());
     }
 
-    /** What red runs above its guarantee is on loan, and comes back as soon as it is wanted. */
+    /**
+     * What red runs above its guarantee uses borrowed resources, which are recalled when another
+     * team needs them within its guarantee.
+     */
     @Test
     void loansAreRecalledForServingAndReturnedAfterwards() {
         startBorrowing(2);
@@ -51,7 +54,9 @@
         assertEquals(0, cluster.progress().lostSeconds(), 0.1);
     }
 
-    /** A recall's victims and its beneficiary change places in one transaction. */
+    /**
+     * One transaction releases the victims' allocations and allocates the replicas of the recall.
+     */
     @Test
     void replicasStartSoonAfterTheirVictimsAreGone() {
         startBorrowing(3);
@@ -64,7 +69,10 @@
         assertEquals(8, cluster.running(SERVING));
     }
 
-    /** What stops least work is stopped: tasks that can save, rather than those that cannot. */
+    /**
+     * Victims are chosen for the least lost work: tasks that save checkpoints before tasks that
+     * cannot.
+     */
     @Test
     void victimsAreChosenForTheWholeDemandByWhatIsLost() {
         startBorrowing(4);
@@ -78,7 +86,7 @@
         assertEquals(8, cluster.running(FINE_TUNING));
     }
 
-    /** Many small loans on one machine make way for one large replica. */
+    /** Many small tasks on one machine are recalled for one large replica. */
     @Test
     void manySmallLoansMakeWayForOneLargeReplica() {
         startBorrowing(5);
@@ -107,7 +115,10 @@
         return tasks;
     }
 
-    /** Guards against lending again at once: ten swings stopped 80 tasks. */
+    /**
+     * Guards against lending again immediately after a recall: ten swings in demand stopped 80
+     * tasks.
+     */
     @Test
     void demandThatSwingsStopsFewTasks() {
         startBorrowing(6);
@@ -127,7 +138,7 @@
         assertEquals(32, cluster.running(BATCH) + cluster.running(FINE_TUNING), "lent again");
     }
 
-    /** Without recalls nothing is held back: freed GPUs go to whoever waits, at once. */
+    /** Without recalls no GPUs are reserved: freed GPUs go to waiting tasks immediately. */
     @Test
     void withoutRecallsFreeRoomIsLentAtOnce() {
         startBorrowing(7);
@@ -141,7 +152,10 @@
         assertEquals(0, checker.recalls());
     }
 
-    /** A save that never ends is given up: the halt without grace follows within its bound. */
+    /**
+     * A save that never ends is aborted: a halt without a grace period follows after a limited
+     * time.
+     */
     @Test
     void saveThatNeverEndsIsEnded() {
         startBorrowing(8);
@@ -155,7 +169,9 @@
         assertEquals(8, cluster.running(SERVING));
     }
 
-    /** A machine that hangs keeps its room; the recall falls back to other victims. */
+    /**
+     * The resources of a hung machine are not released, so the recall falls back to other victims.
+     */
     @Test
     void recallFallsBackWhenTheVictimsMachineHangs() {
         startBorrowing(9);
@@ -172,7 +188,7 @@
         cluster.run(20);
     }
 
-    /** A task that never goes although its machine answers: others give way in its place. */
+    /** A task ignores its halt while its machine responds: other tasks are recalled instead. */
     @Test
     void recallFallsBackWhenAVictimNeverGoes() {
         startBorrowing(11);
@@ -198,7 +214,7 @@
                 .orElse(machines().get(0));
     }
 
-    /** A team's own work gives way to its own of higher priority, as ever. */
+    /** Work of a team is preempted for work of higher priority of the same team. */
     @Test
     void ownWorkGivesWayToOwnWorkOfHigherPriority() {
         startBorrowing(10);
--- a/src/test/java/org/springmill/control/simulation/CompoundDelayTest.java
+++ b/src/test/java/org/springmill/control/simulation/CompoundDelayTest.java
@@ -74,8 +74,8 @@
     }
 
     /**
-     * A leader's record may still be written, under a lease that nobody renews any more, after its
-     * sender has gone on.
+     * The election record of a candidate is written late, with a lease that the candidate no longer
+     * renews.
      */
     @ParameterizedTest
     @ValueSource(doubles = {1.2, 1.6, 2, 2.4, 2.7, 4})
@@ -132,7 +132,7 @@
         }
     }
 
-    /** The report reaches the new leader only after that one has acted without it. */
+    /** The report reaches the new leader only after it has acted without the report. */
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
     void reportDelayedUntilTheNextLeaderHasActedBreaksNoInvariant(boolean machineLives) {
@@ -167,7 +167,7 @@
         accept(SimulatedCluster.job(OTHER, "red", "sweep", 3, 1, 2), 2);
     }
 
-    /** Commands, or their responses, are delayed by seconds while the machine goes on. */
+    /** Commands, or their responses, are delayed by seconds while the machine continues to work. */
     @ParameterizedTest
     @CsvSource({"1, true", "2, true", "3, true", "1, false", "2, false"})
     void delayedCommandsOrResponsesBreakNoInvariant(long seed, boolean commands) {
--- a/src/test/java/org/springmill/control/simulation/CompoundFailureFixture.java
+++ b/src/test/java/org/springmill/control/simulation/CompoundFailureFixture.java
@@ -9,8 +9,8 @@
 
 /**
  * The simulated cluster under several failures at once; docs/compound-failures.md lists them. Users
- * poll their jobs throughout. After each test all failures end, and then work has to go on: every
- * job that is not over runs, and its user gets answers.
+ * poll their jobs throughout. After each test all failures end, and then every unfinished job must
+ * run and its user must get answers.
  */
 abstract class CompoundFailureFixture extends ClusterFixture {
     /** Longer than a job may wait while a machine has room for it. */
--- a/src/test/java/org/springmill/control/simulation/CompoundLeaderFailoverTest.java
+++ b/src/test/java/org/springmill/control/simulation/CompoundLeaderFailoverTest.java
@@ -207,7 +207,7 @@
             cluster.restart(leader);
         }
         cluster.run(120);
-        // The failure persists: the tasks that it hit have been replaced.
+        // The failure persists, and the affected tasks have been replaced.
         assertEquals(8, cluster.running(JOB));
         assertEquals(4, cluster.running(OTHER));
         cluster.restart(leader);
--- a/src/test/java/org/springmill/control/simulation/CompoundPlacementTest.java
+++ b/src/test/java/org/springmill/control/simulation/CompoundPlacementTest.java
@@ -13,11 +13,11 @@
 import org.springmill.sim.SimWorker;
 import org.springmill.sim.SimulatedCluster;
 
-/** More work than room, lost zones and team limits while something else fails. */
+/** Overload, lost zones and team limits while something else fails. */
 class CompoundPlacementTest extends CompoundFailureFixture {
     /**
-     * Small jobs keep arriving, in all more than the machines hold, and image fetches are slow: the
-     * largest job must start all the same.
+     * Small jobs keep arriving, more than fit on the machines, and image fetches are slow: the
+     * largest job must still start.
      */
     @ParameterizedTest
     @CsvSource({"normal, sweep", "best_effort, sweep", "urgent, sweep", "normal, service"})
@@ -89,8 +89,8 @@
     }
 
     /**
-     * A machine on which the job failed counts as no room for that job, even before other jobs have
-     * failed there.
+     * A machine on which the job failed does not count as free capacity for that job, even before
+     * other jobs have failed there.
      */
     @Test
     void jobCompletesWhenTheOnlyFreeMachineOfItsZoneIsFaulty() {
--- a/src/test/java/org/springmill/control/simulation/CompoundUserRequestTest.java
+++ b/src/test/java/org/springmill/control/simulation/CompoundUserRequestTest.java
@@ -10,11 +10,10 @@
 import org.springmill.sim.SimulatedCluster;
 import org.springmill.sim.SubmissionRules;
 
-/** Bad, early and repeated requests of users while controllers restart. */
+/** Invalid, early and repeated requests of users while controllers restart. */
 class CompoundUserRequestTest extends CompoundFailureFixture {
     /**
-     * Invalid input gets a final answer at once from any controller; a job that can never run is
-     * never accepted.
+     * Any controller rejects invalid input immediately; a job that can never run is never accepted.
      */
     @Test
     void incompleteOrImpossibleSubmissionsAreRefusedByEveryController() {
@@ -72,8 +71,8 @@
     }
 
     /**
-     * Right after a restart, while the machine types are not known yet, a valid submission is
-     * neither accepted nor refused.
+     * Right after a restart, while the machine types are unknown, a valid submission gets status
+     * 503.
      */
     @Test
     void submissionsGetNoFinalAnswerBeforeTheMachineTypesAreKnown() {
--- a/src/test/java/org/springmill/control/simulation/ControllerPauseTest.java
+++ b/src/test/java/org/springmill/control/simulation/ControllerPauseTest.java
@@ -16,8 +16,8 @@
 import org.springmill.transport.HttpClient.Reply;
 
 /**
- * Controllers that stand still while their clocks run on. The leader's lease is 2.8 s, a worker's
- * 14 s. Whoever wakes finds everything queued that was sent to it meanwhile.
+ * Controller processes are paused while their clocks continue. The leader's lease is 2.8 s, a
+ * worker's 14 s. A resumed process finds all messages queued that were sent to it during the pause.
  */
 class ControllerPauseTest extends ClusterFixture {
     private static final int TASKS = 6;
@@ -32,7 +32,7 @@
         assertEquals(TASKS, cluster.running(JOB));
     }
 
-    /** Less and more than each lease and timeout, as leader. */
+    /** Pauses of the leader that are shorter and longer than each lease and timeout. */
     @ParameterizedTest
     @ValueSource(doubles = {0.5, 1, 1.5, 2, 2.7, 2.9, 4, 5.7, 8, 13, 16, 30})
     void leaderThatStandsStillLosesNoTaskAndStartsNoneTwice(double seconds) {
@@ -47,7 +47,7 @@
         assertEquals("done", cluster.phase((leader + 1) % CONTROLLERS, OTHER));
     }
 
-    /** The same as a follower, and all at once. */
+    /** All controllers are paused at the same time. */
     @ParameterizedTest
     @ValueSource(doubles = {1, 2, 4, 8, 12})
     void allControllersMayStandStillForLessThanAWorkersLease(double seconds) {
@@ -59,7 +59,7 @@
         assertEachTaskStartedOnce(JOB, TASKS);
     }
 
-    /** Two pauses close together, the second while the first is being recovered from. */
+    /** Two pauses close together, the second during the recovery from the first. */
     @ParameterizedTest
     @ValueSource(doubles = {0.05, 0.3, 0.7, 1.5, 3})
     void leaderMayStandStillAgainJustAfterItWoke(double awake) {
@@ -73,9 +73,9 @@
     }
 
     /**
-     * Guards against an answer from what was read before the pause: the read had been sent when the
-     * question came, and its answer waited for the controller to wake, while another controller
-     * told the user that the job is cancelled.
+     * Guards against an answer based on a read from before the pause: the read was sent for the
+     * query, and its response waited until the controller resumed, while another controller
+     * answered that the job is cancelled.
      */
     @ParameterizedTest
     @ValueSource(doubles = {0, 0.002, 0.004, 0.006, 0.008, 0.01, 0.012, 0.015, 0.02})
@@ -102,7 +102,7 @@
         assertTrue(answers.get(0).contains("cancelled"), answers.get(0));
     }
 
-    /** Guards against a leader that acts on a lease it has slept through, before it has renewed. */
+    /** Guards against a leader that acts after a pause on a lease that it has not renewed yet. */
     @Test
     void reportsThatWaitedThroughAPauseRenewNoLeaseBeforeTheLeaderHasProvenItself() {
         int leader = cluster.leader();
@@ -128,7 +128,7 @@
         assertEquals(TASKS, cluster.running(JOB));
     }
 
-    /** A pause of the leader while the key-value store is out. */
+    /** The leader is paused during an outage of the key-value store. */
     @ParameterizedTest
     @ValueSource(doubles = {2, 5, 9})
     void leaderMayStandStillInAnOutageOfTheStateService(double seconds) {
--- a/src/test/java/org/springmill/control/simulation/DelayedMessageTest.java
+++ b/src/test/java/org/springmill/control/simulation/DelayedMessageTest.java
@@ -20,7 +20,7 @@
 
 /** Commands, reports and transactions that are delayed, duplicated or whose response is lost. */
 class DelayedMessageTest extends SingleFailureFixture {
-    /** Delivers every message; the list returned grows by those of one kind as they are sent. */
+    /** Delivers every message, and adds those that match to the returned list as they are sent. */
     private List<Request> recordDelivered(Predicate<Request> kind) {
         List<Request> delivered = new ArrayList<>();
         cluster.network()
--- a/src/test/java/org/springmill/control/simulation/DependencyPriorityTest.java
+++ b/src/test/java/org/springmill/control/simulation/DependencyPriorityTest.java
@@ -10,10 +10,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.springmill.sim.SimulatedCluster;
 
-/**
- * What comes first where there is not room for all, seen from outside. Room is for eight tasks at a
- * time.
- */
+/** Order in which jobs with dependencies start when capacity is short: eight tasks at a time. */
 class DependencyPriorityTest {
     private static final String FIRST = "run-000001";
     private static final String RIVAL = "run-000002";
@@ -38,7 +35,7 @@
     private void room() {
         cluster.machines("large", "a", 1).run(6);
         cluster.cloud().exhaustCapacity();
-        // Runs first, so that all that follows waits and is placed in order.
+        // Occupies the machine first, so that later jobs wait and are placed in order of priority.
         cluster.submit(
                 0,
                 SimulatedCluster.job("run-000009", "blue", "sweep", 8, 1, 1).put("urgency", "prod"),
@@ -47,13 +44,13 @@
     }
 
     /**
-     * Of two jobs of one priority the earlier would come first; what needs it, or needed it,
-     * changes that.
+     * A job inherits the priority of the jobs that depend on it, until these are cancelled. Of two
+     * jobs of equal priority the earlier starts first.
      */
     @ParameterizedTest
     @CsvSource({
-        // Its own, that of the last of its chain, when that is cancelled, a new leader before and
-        // after.
+        // Priority of the rival, priority of the last job of its chain, event before placement
+        // (cancellation of that last job, or a leader change), expected winner.
         "normal, best_effort, none,      first",
         "normal, urgent,      none,      rival",
         "normal, urgent,      cancelled, first",
@@ -81,8 +78,8 @@
     }
 
     /**
-     * The last jobs' deadlines, and the estimate of the step between; the job accepted first has
-     * the later or none.
+     * Parameters: deadlines of the two last jobs (-1 for none), and the estimated run time of the
+     * rival.
      */
     @ParameterizedTest
     @CsvSource({
@@ -107,7 +104,10 @@
         assertEquals(winner, cluster.starts(RIVAL + "/0") > 0 ? "rival" : "first");
     }
 
-    /** A pipeline of one job, against one of one or two jobs; the rival is accepted later. */
+    /**
+     * A job with a deadline that is accepted later, against a single job or the first of a chain of
+     * two, with the deadline of its last job or none.
+     */
     @ParameterizedTest
     @CsvSource({
         "none, alone, 100, none,     rival",
--- a/src/test/java/org/springmill/control/simulation/DependencyValidationTest.java
+++ b/src/test/java/org/springmill/control/simulation/DependencyValidationTest.java
@@ -17,7 +17,7 @@
 import org.springmill.sim.SimulatedCluster;
 import org.springmill.transport.HttpClient.Reply;
 
-/** How a submission is answered that names other jobs, and what is stored of it. */
+/** Response to a submission that depends on other jobs, and the dependencies that are stored. */
 class DependencyValidationTest {
     private static final int VALUE_BYTES = 8192;
     private static final String NEVER_ACCEPTED = "run-000077";
@@ -83,7 +83,7 @@
         assertEquals(422, post(1, job).status());
     }
 
-    /** A form that is wrong needs no read, so it is told at once also during an outage. */
+    /** A malformed list of dependencies is rejected without a read, so also during an outage. */
     @ParameterizedTest
     @ValueSource(strings = {"true", "7", "\"run-000001\"", "[[]]", "[\"run-000009\"]"})
     void aWrongFormIsRefusedWithoutTheStateService(String names) {
@@ -118,11 +118,14 @@
         assertEquals(stored.replace('~', '"'), record.path("waitsOn").toString());
     }
 
-    /** The refusal names both sizes, and the longest list that is taken can still be cancelled. */
+    /**
+     * The refusal states the size and the limit. A job with the longest accepted list can still be
+     * cancelled, which adds its end to the record.
+     */
     @Test
     void theLongestListThatIsTakenFitsWithItsEnd() {
         ObjectNode job = job(9);
-        // Until the list is too long, the answer is about the name that is added last.
+        // Until the list is too long, the response names the unknown job that was added last.
         Reply reply = addUnknownName(job, 0);
         int accepted = 0;
         while (text(reply).contains("never accepted")) {
--- a/src/test/java/org/springmill/control/simulation/FailingJobTest.java
+++ b/src/test/java/org/springmill/control/simulation/FailingJobTest.java
@@ -12,14 +12,14 @@
 import org.springmill.sim.SimWorker;
 import org.springmill.sim.SimulatedCluster;
 
-/** Jobs whose tasks fail on every machine, until their users cancel or mend them. */
+/** Jobs whose tasks fail on every machine, until their users cancel or repair them. */
 class FailingJobTest extends ClusterFixture {
     private static final int TASKS = 16;
     private static final double CANCEL_SECONDS = 44;
 
     @BeforeEach
     void start() {
-        // Machines stay although nothing that works runs on them.
+        // Machines are kept for 100 boot times although no task runs on them successfully.
         startCluster(new SimulatedCluster(SimOptions.DEFAULTS.withSeed(11).withIdleBoots(100)));
         cluster.cloud().exhaustCapacity();
     }
@@ -34,8 +34,8 @@
     }
 
     /**
-     * Guards against a job that fails everywhere being tried at full width again and again, and
-     * against its machines being taken out of service for it.
+     * Guards against retrying all tasks of a job that fails everywhere again and again, and against
+     * the removal of its machines because of it.
      */
     @Test
     void jobThatFailsEverywhereCostsFewStartsAndNoMachine() {
@@ -54,7 +54,7 @@
         assertEquals(before, machines());
     }
 
-    /** Guards against pauses and limits that outlast what caused them. */
+    /** Guards against retry delays and limits that continue long after the job was repaired. */
     @Test
     void jobThatWorksAfterSomeFailuresIsDoneSoon() {
         acceptBroken(JOB);
@@ -64,7 +64,10 @@
         assertEquals("done", cluster.phase(follower(), JOB));
     }
 
-    /** Guards against a machine that fails everything hiding behind jobs that fail everywhere. */
+    /**
+     * Guards against a faulty machine that is not detected because jobs that fail everywhere ran
+     * there.
+     */
     @Test
     void machineThatFailsEverythingIsFoundAlthoughBrokenJobsRanThere() {
         SimWorker sick = machines().get(0);
@@ -82,7 +85,7 @@
         }
     }
 
-    /** Guards against a retry after a pause that begins before a cancellation. */
+    /** Guards against a retry that was scheduled before the cancellation and starts after it. */
     @Test
     void cancelledWhileItPausesAJobStartsNothingMoreAcrossAChangeOfLeader() {
         acceptBroken(JOB);
@@ -97,7 +100,7 @@
         assertEquals(0, cluster.running(JOB));
     }
 
-    /** What a new leader forgets costs one more start of each task at most. */
+    /** A new leader does not know earlier failures, which may cost one more start of each task. */
     @Test
     void newLeaderTriesAFailingJobOnceAtFullWidth() {
         acceptBroken(JOB);
--- a/src/test/java/org/springmill/control/simulation/FourThousandMachinesTest.java
+++ b/src/test/java/org/springmill/control/simulation/FourThousandMachinesTest.java
@@ -11,26 +11,26 @@
 import org.springmill.sim.SimulatedCluster;
 
 /**
- * More than four thousand machines, from an empty fleet: rented, filled, taken over by another
- * leader, and half of them lost with their zone. No fixed limit may stand below that, so what is
- * asserted is that the work runs, and within how many seconds of the virtual clock.
+ * More than 4,000 machines, from an empty fleet: they are rented and filled, another leader takes
+ * over, and half of them are lost with their zone. Guards against fixed limits below this size: all
+ * tasks must run within a number of seconds of the virtual clock.
  */
 class FourThousandMachinesTest extends ClusterFixture {
     private static final int SERVICES = 42;
     private static final int REPLICAS = 100;
 
-    /** Each replica takes a machine of its own but for two CPUs. */
+    /** Each replica uses a whole machine except for two CPUs. */
     private static final int MACHINES = SERVICES * REPLICAS;
 
     private static final int CPUS_OF_REPLICA = 30;
     private static final String ARRAY = "run-900000";
     private static final String ARRAY_AFTER_TAKEOVER = "run-900001";
 
-    /** What the key-value store of a fleet of this size has to take. */
+    /** Limits of a key-value store that is large enough for this fleet. */
     private static final Settings.StoreLimits STATE_LIMITS =
             new Settings.StoreLimits(1100, 550, 8192, 32);
 
-    /** The cloud takes four requests a second, each for fifty machines. */
+    /** The cloud accepts four requests a second, each for fifty machines. */
     private static final double RENTAL_SECONDS = MACHINES / 200.0;
 
     private static final double BOOT_SECONDS = 20;
@@ -78,7 +78,7 @@
         for (int i = 0; i < SERVICES; i++) {
             assertEquals(1, cluster.starts(id(i) + "/7"), "starts of " + id(i));
         }
-        // While a controller is silent nothing that is silent too is given up for its leases.
+        // No unreachable machine is declared lost because of its lease while a controller is down.
         cluster.restart(killed);
         cluster.run(LEASE_SECONDS);
     }
--- a/src/test/java/org/springmill/control/simulation/GuaranteeByResourceTest.java
+++ b/src/test/java/org/springmill/control/simulation/GuaranteeByResourceTest.java
@@ -5,11 +5,10 @@
 import org.junit.jupiter.api.Test;
 import org.springmill.sim.SimulatedCluster;
 
-/** Guarantees hold for each resource by itself, also without recalls. */
+/** Guarantees hold for each resource separately, also without recalls. */
 class GuaranteeByResourceTest extends SingleFailureFixture {
     /**
-     * Guards against an excess in one resource that paid for another: a team with CPUs to spare
-     * lost GPUs that it is guaranteed.
+     * Guards against a team losing guaranteed GPUs because it uses more CPUs than it is guaranteed.
      */
     @Test
     void teamWithCpusToSpareKeepsTheGpusThatItIsGuaranteed() {
--- a/src/test/java/org/springmill/control/simulation/HistoryArchivingTest.java
+++ b/src/test/java/org/springmill/control/simulation/HistoryArchivingTest.java
@@ -10,7 +10,10 @@
 import org.springmill.sim.SimNetwork.Fate;
 import org.springmill.sim.SimulatedCluster;
 
-/** Records of ended jobs leave every controller's memory, and their ends are told for good. */
+/**
+ * Records of ended jobs are removed from the memory of all controllers, and their final states can
+ * still be queried.
+ */
 class HistoryArchivingTest extends HistoryFixture {
     private static final int DONE = 1;
     private static final int CANCELLED = 2;
@@ -62,7 +65,9 @@
                                 request.path().startsWith("/rentals/delete")
                                         ? Fate.DROP
                                         : Fate.DELIVER);
-        // Nothing proves the task gone while a controller is silent and the cloud deletes nothing.
+        // There is no proof that the task has ended while a controller is down and the cloud
+        // deletes
+        // no machine.
         cluster.kill(follower());
         int asked = (cluster.leader() + 2) % CONTROLLERS;
         assertEquals("cancelled", cluster.cancel(asked, id(CANCELLED)));
@@ -73,7 +78,7 @@
         assertMoved(CANCELLED);
     }
 
-    /** Another controller tells of a cancellation whose record was moved long ago. */
+    /** A peer message announces a cancellation long after the record was moved. */
     @Test
     void aCancellationToldAfterTheMoveIsNotKept() {
         submit(follower(), FOREVER, job(CANCELLED, 1));
@@ -89,11 +94,11 @@
         }
     }
 
-    /** A job once moved is answered, whatever becomes of its team or of the machine types. */
+    /** A resubmission of a moved job gets its final state even if its team no longer exists. */
     @Test
     void aResubmissionThatWouldBeImpossibleNowGetsTheFinalState() {
         runAndMove(DONE);
-        // None has the answer in memory.
+        // After the restart no controller has the final state in memory.
         killControllers();
         restartControllers();
         cluster.run(20);
@@ -121,8 +126,9 @@
     }
 
     /**
-     * The record's creation is carried out only after the job was accepted elsewhere, has ended and
-     * was moved. Without the condition on the moved record it would create the job anew.
+     * The transaction that creates the record is applied only after another controller accepted the
+     * job, and the job has ended and was moved. Without its condition that there is no moved record
+     * it would create the job again.
      */
     @Test
     void anAcceptanceCarriedOutAfterTheMoveIsRefused() {
@@ -149,7 +155,7 @@
         assertEachTaskStartedOnce(id(DONE), 1);
     }
 
-    /** The old leader's move arrives after the new one's, or in its stead. */
+    /** The move of the deposed leader arrives before or after that of its successor. */
     @ParameterizedTest
     @EnumSource(MoveOrder.class)
     void aDeposedLeadersMoveChangesNothing(MoveOrder order) {
@@ -160,7 +166,7 @@
         assertTrue(cluster.network().holdsAny());
         cluster.kill(old);
         deliverAllMessages();
-        // Another leads by now, and moves nothing yet.
+        // There is a new leader by now, which has not moved records yet.
         cluster.run(10);
         assertTrue(cluster.leader() != old);
         if (order == MoveOrder.LATE_FIRST) {
@@ -183,7 +189,10 @@
         LATE_LAST
     }
 
-    /** A controller whose copy lags must not call a job unknown that others have told of. */
+    /**
+     * A controller that lags behind must not report a job as unknown that the others have reported
+     * as known.
+     */
     @Test
     void aQuestionAtAControllerThatReadsNothingGetsNoFinalAnswer() {
         int lagging = follower();
@@ -205,7 +214,10 @@
         assertPhaseEverywhere("done", DONE);
     }
 
-    /** Reads every record again after an outage so long that the changes are no longer kept. */
+    /**
+     * The controller missed more changes than the key-value store keeps, so it reads all records
+     * again.
+     */
     @Test
     void recordsMovedWhileAControllerMissedTooManyChangesAreForgottenThere() {
         runToEnd(DONE);
@@ -226,7 +238,7 @@
         assertPhaseEverywhere("done", DONE);
     }
 
-    /** Memory follows live and recent jobs: many pass through, and nothing of them stays. */
+    /** Memory depends on live and recently ended jobs only, not on the number of jobs so far. */
     @Test
     void whatIsHeldInMemoryDoesNotGrowWithTheJobsThatPassThrough() {
         int most = 0;
--- a/src/test/java/org/springmill/control/simulation/HistoryChainTest.java
+++ b/src/test/java/org/springmill/control/simulation/HistoryChainTest.java
@@ -8,7 +8,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 import org.springmill.sim.SimNetwork.Fate;
 
-/** Chains of jobs of which a part has been moved to the history. */
+/** Chains of dependent jobs, some of which have been moved to the history. */
 class HistoryChainTest extends HistoryFixture {
     private static final int FIRST = 1;
     private static final int DEPENDENT = 2;
@@ -42,7 +42,9 @@
         assertEquals(422, cluster.submit(follower(), job(DEPENDENT, 1, 77), 1));
     }
 
-    /** While a job waits on others too, the records of those that are done stay. */
+    /**
+     * The record of a finished job is not moved while a dependent job still waits on other jobs.
+     */
     @Test
     void aJobThatAnotherWaitsOnIsNotMoved() {
         submit(follower(), FOREVER, job(LAST, 1));
@@ -59,7 +61,7 @@
         assertPhaseEverywhere("cancelled", DEPENDENT, LAST);
     }
 
-    /** A lagging controller has accepted a dependent while the leader moved what it names. */
+    /** A lagging controller accepts a job while the leader moves the record of its dependency. */
     @ParameterizedTest
     @ValueSource(booleans = {false, true})
     void aDependentReadAfterItsDependencyWasMovedIsRunOrCancelled(boolean cancelled) {
@@ -78,7 +80,10 @@
         assertEquals(cancelled ? 0 : 1, cluster.starts(id(DEPENDENT) + "/0"));
     }
 
-    /** Until the end of what it needs has been read, a job is neither run nor given an answer. */
+    /**
+     * A job is not run, and queries for it get 503, until the final state of its dependency was
+     * read.
+     */
     @Test
     void aDependentWhoseDependencyCannotBeReadIsNeitherRunNorAnswered() {
         cancelAndMove(job(FIRST, 1), FIRST);
@@ -102,7 +107,7 @@
         assertMoved(LAST);
     }
 
-    /** Restarts all controllers: none then has the final state of a moved job in memory. */
+    /** Restarts all controllers, so that none has the final state of a moved job in memory. */
     private void forgetAnswersInMemory() {
         killControllers();
         restartControllers();
--- a/src/test/java/org/springmill/control/simulation/HistoryFixture.java
+++ b/src/test/java/org/springmill/control/simulation/HistoryFixture.java
@@ -12,18 +12,23 @@
 import org.springmill.transport.HttpClient.Request;
 
 /**
- * The simulated cluster with the bounded history switched on at every controller. Jobs are named by
- * numbers.
+ * The simulated cluster with the bounded history enabled at every controller. Jobs are identified
+ * by numbers.
  */
 abstract class HistoryFixture extends JobChainFixture {
     static final double RETENTION_SECONDS = 30;
 
-    /** Beyond the retention: what is due was moved, and every controller has seen it. */
+    /**
+     * The retention time and a margin, in which records are moved and all controllers read the
+     * change.
+     */
     static final double UNTIL_MOVED_SECONDS = RETENTION_SECONDS + 12;
 
     private static final double RUN_SECONDS = 2;
 
-    /** By now the machines of the start are returned for being idle, and one has to boot. */
+    /**
+     * Includes the boot of a machine, since the initial machines may have been returned as idle.
+     */
     private static final double UNTIL_DONE_SECONDS = 60;
 
     @BeforeEach
@@ -41,7 +46,7 @@
                 "done", cluster.keyValueStore().value("job/" + id(number)).path("end").asText());
     }
 
-    /** Lets time pass until a job's record says that it is done, or no longer. */
+    /** Waits until a job's record says that it is done, at most {@link #UNTIL_DONE_SECONDS}. */
     final void runUntilDone(int number) {
         for (int i = 0; i < UNTIL_DONE_SECONDS && !isDone(number); i++) {
             cluster.run(1);
--- a/src/test/java/org/springmill/control/simulation/HistoryOutageTest.java
+++ b/src/test/java/org/springmill/control/simulation/HistoryOutageTest.java
@@ -5,7 +5,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** Moves while the key-value store fails in some way, or takes less than before. */
+/** Moves of records while the key-value store fails, is slow or lowers its limits. */
 class HistoryOutageTest extends HistoryFixture {
     private static final int JOBS = 8;
 
@@ -54,7 +54,7 @@
         assertEquals(0, cluster.keyValueStore().keysUnder("job/").size());
     }
 
-    /** Transactions without an answer, carried out seconds later, in the middle of the moves. */
+    /** During the moves, half of the commits get no response and are applied seconds later. */
     @Test
     void movesCarriedOutLateLoseNothing() {
         endJobs();
@@ -65,7 +65,7 @@
         assertAllMovedAndAnswered();
     }
 
-    /** A slow key-value store delays moves; leadership and acceptance go on. */
+    /** A slow key-value store delays moves, but not leadership and acceptance. */
     @Test
     void aSlowStateServiceKeepsItsTimeForLeadershipAndAcceptance() {
         endJobs();
@@ -81,7 +81,7 @@
         assertAllMovedAndAnswered();
     }
 
-    /** The service takes smaller transactions from one moment to the next, unannounced. */
+    /** The key-value store lowers its limits on transactions while the controllers run. */
     @Test
     void movesKeepToLowerLimits() {
         endJobs();
--- a/src/test/java/org/springmill/control/simulation/HistoryPropertyTest.java
+++ b/src/test/java/org/springmill/control/simulation/HistoryPropertyTest.java
@@ -25,10 +25,10 @@
 import org.springmill.sim.SimulatedCluster;
 
 /**
- * Random interleavings of what users, controllers, key-value store and network do, with records
- * moved all along. No job is accepted twice, no final state is lost or changed, and nothing stays
- * in memory. The simulated cluster checks the protocol's invariants meanwhile: no task runs twice,
- * no accepted job is forgotten, no answer goes back.
+ * Random interleavings of user requests and of failures of controllers, key-value store and network
+ * while records are moved. No job is accepted twice, no final state is lost or changed, and no
+ * ended job stays in memory. The simulated cluster also checks its invariants: no task runs twice,
+ * no accepted job is lost, and no answer contradicts an earlier one.
  */
 class HistoryPropertyTest {
     private static final int CONTROLLERS = 3;
@@ -81,7 +81,7 @@
         new Run().play(schedule);
     }
 
-    /** One cluster on which a schedule is played. */
+    /** A cluster that a schedule is run on. */
     private static final class Run {
         private final SimulatedCluster cluster =
                 new SimulatedCluster(1, OptionalDouble.of(RETENTION_SECONDS))
--- a/src/test/java/org/springmill/control/simulation/HistoryRolloutTest.java
+++ b/src/test/java/org/springmill/control/simulation/HistoryRolloutTest.java
@@ -6,8 +6,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Controllers that take no part in the history, as every earlier version. Such a version accepts a
- * job anew whose record has been moved, so nothing may be moved beside it.
+ * Controllers without the history, like every earlier version. Such a controller would accept a job
+ * again whose record has been moved, so no record may be moved while one is part of the cluster.
  */
 class HistoryRolloutTest extends HistoryFixture {
     private static final int JOB_NUMBER = 1;
@@ -34,7 +34,8 @@
             cluster.run(UNTIL_MOVED_SECONDS);
             assertNotMoved(JOB_NUMBER);
         }
-        // Dead, it takes no part either: it may come back as what it was.
+        // A controller that is down still counts as one without the history: it may restart that
+        // way.
         cluster.kill(CONTROLLERS - 1);
         cluster.run(2 * UNTIL_MOVED_SECONDS);
         assertNotMoved(JOB_NUMBER);
@@ -74,7 +75,7 @@
         assertEachTaskStartedOnce(id(JOB_NUMBER), 1);
     }
 
-    /** A controller that is down for long takes part if it was started with the history before. */
+    /** A controller that is down does not prevent moves if its last start was with the history. */
     @Test
     void aDeadControllerThatTookPartDoesNotStopTheMoves() {
         cluster.kill(follower());
