--- a/src/test/java/org/springmill/control/simulation/HistoryArchivingTest.java
+++ b/src/test/java/org/springmill/control/simulation/HistoryArchivingTest.java
@@ -65,9 +65,8 @@
                                 request.path().startsWith("/rentals/delete")
                                         ? Fate.DROP
                                         : Fate.DELIVER);
-        // There is no proof that the task has ended while a controller is down and the cloud
-        // deletes
-        // no machine.
+        // While a controller is down and the cloud deletes no machine, there is no proof that
+        // the task has ended.
         cluster.kill(follower());
         int asked = (cluster.leader() + 2) % CONTROLLERS;
         assertEquals("cancelled", cluster.cancel(asked, id(CANCELLED)));
--- a/src/test/java/org/springmill/control/simulation/HistoryRolloutTest.java
+++ b/src/test/java/org/springmill/control/simulation/HistoryRolloutTest.java
@@ -34,8 +34,7 @@
             cluster.run(UNTIL_MOVED_SECONDS);
             assertNotMoved(JOB_NUMBER);
         }
-        // A controller that is down still counts as one without the history: it may restart that
-        // way.
+        // A controller that is down counts as well, since it may restart without the history.
         cluster.kill(CONTROLLERS - 1);
         cluster.run(2 * UNTIL_MOVED_SECONDS);
         assertNotMoved(JOB_NUMBER);
