--- a/src/test/java/org/springmill/control/simulation/AdmissionTest.java
+++ b/src/test/java/org/springmill/control/simulation/AdmissionTest.java
@@ -102,7 +102,7 @@
         Reply answer = submit(follower(), refused);
         assertEquals(503, answer.status());
         assertTrue(answer.retryAfterSeconds() >= 1 && answer.retryAfterSeconds() <= 30);
-        assertTrue(cluster.clock().now() - before < 0.5, "at once");
+        assertTrue(cluster.clock().now() - before < 0.5, "answered within 0.5 s");
         assertEquals(404, cluster.ask(0, "GET", "/submissions/" + idOf(refused), "").status());
         assertTrue(metric(follower(), "submissions_refused_memory_total") > 0);
     }
@@ -162,8 +162,12 @@
             acceptedByOthers += accepts(other, job(team, "best_effort", 1));
             acceptedByStale += accepts(stale, job(team, "best_effort", 1));
         }
-        assertTrue(acceptedByOthers <= LOW_JOBS, acceptedByOthers + " by the others");
-        assertTrue(acceptedByStale <= 0.9 * LOW_JOBS, acceptedByStale + " by its own account");
+        assertTrue(
+                acceptedByOthers <= LOW_JOBS,
+                acceptedByOthers + " accepted by the other controllers");
+        assertTrue(
+                acceptedByStale <= 0.9 * LOW_JOBS,
+                acceptedByStale + " accepted by the lagging controller");
         deliverAllMessages();
         cluster.run(20);
         assertEquals(503, submit(stale, job("blue", "best_effort", 1)).status());
@@ -287,7 +291,7 @@
         double drainSeconds = cluster.clock().now() - burstStart;
         assertTrue(
                 users.accepted() >= 0.5 * CHANGES_PER_SECOND * Math.min(drainSeconds, 80),
-                users.accepted() + " accepted in all");
+                users.accepted() + " accepted in total");
         users.submit(job("red", "normal", 0), FOREVER);
         cluster.run(5);
         assertTrue(users.lastAcceptanceSeconds() < 1, users.lastAcceptanceSeconds() + " s");
@@ -339,9 +343,9 @@
         cluster.run(5);
         assertTrue(refused.size() > 300, refused.size() + " refused");
         long early = refused.stream().filter(reply -> reply.retryAfterSeconds() < 2).count();
-        assertEquals(0, early, "told to come back within a second");
+        assertEquals(0, early, "refusals with a retry time below 2 s");
         long reasons = refused.stream().map(AdmissionTest::textOf).distinct().count();
-        assertEquals(1, reasons, "one reason for all");
+        assertEquals(1, reasons, "the same reason for all");
     }
 
     private static String textOf(Reply reply) {
@@ -381,7 +385,8 @@
         for (int i = 0; i < CONTROLLERS; i++) {
             assertEquals(503, submit(i, job("blue", "normal", 1)).status(), "at " + i);
         }
-        assertEquals(201, submit(0, job("blue", "prod", 1)).status(), "above that queue");
+        assertEquals(
+                201, submit(0, job("blue", "prod", 1)).status(), "higher priority than the queue");
         assertEquals(201, submit(1, job("red", "best_effort", 1)).status(), "guaranteed");
         assertTrue(metric(cluster.leader(), "congested_queues") > 0);
         cluster.kill(cluster.leader());
--- a/src/test/java/org/springmill/control/simulation/AutoscalerTest.java
+++ b/src/test/java/org/springmill/control/simulation/AutoscalerTest.java
@@ -71,7 +71,10 @@
             }
         }
         cluster.run(180);
-        assertEquals(2, cluster.cloud().machines().size(), "two of them do");
+        assertEquals(
+                2,
+                cluster.cloud().machines().size(),
+                "two replicas of 3 GPUs fit one machine of 8");
         assertEquals(4, IntStream.range(0, 8).map(i -> cluster.running("run-00060" + i)).sum());
     }
 
--- a/src/test/java/org/springmill/control/simulation/BorrowingFailureTest.java
+++ b/src/test/java/org/springmill/control/simulation/BorrowingFailureTest.java
@@ -210,18 +210,18 @@
      */
     @ParameterizedTest
     @CsvSource({
-        "COMMIT, refused",
-        "HALT, refused",
-        "CLAIM, refused",
-        "COMMIT, out",
-        "HALT, out",
-        "CLAIM, out",
-        "COMMIT, late",
-        "HALT, late",
-        "CLAIM, late",
-        "COMMIT, budget",
-        "HALT, budget",
-        "CLAIM, budget"
+        "COMMIT, leader_refused",
+        "HALT, leader_refused",
+        "CLAIM, leader_refused",
+        "COMMIT, down",
+        "HALT, down",
+        "CLAIM, down",
+        "COMMIT, late_commits",
+        "HALT, late_commits",
+        "CLAIM, late_commits",
+        "COMMIT, rate_limit",
+        "HALT, rate_limit",
+        "CLAIM, rate_limit"
     })
     void stateServiceFailsInTheMiddleOfARecall(Step step, String trouble) {
         lend(60);
@@ -230,16 +230,17 @@
                 step,
                 () -> {
                     switch (trouble) {
-                        case "refused" -> cluster.keyValueStore().refuseController(leader, true);
-                        case "out" -> cluster.keyValueStore().setDown(true);
-                        case "late" -> cluster.keyValueStore().delayCommits(0.5);
+                        case "leader_refused" ->
+                                cluster.keyValueStore().refuseController(leader, true);
+                        case "down" -> cluster.keyValueStore().setDown(true);
+                        case "late_commits" -> cluster.keyValueStore().delayCommits(0.5);
                         default -> spendWriteBudget();
                     }
                 },
                 Fate.DELIVER);
         ask();
         cluster.run(20);
-        if (trouble.equals("out")) {
+        if (trouble.equals("down")) {
             cluster.keyValueStore().setDown(false);
         }
         servingRunsAndWorkGoesOn();
@@ -267,15 +268,15 @@
         "COMMIT, hung",
         "HALT, hung",
         "CLAIM, hung",
-        "COMMIT, deaf",
-        "HALT, deaf",
-        "COMMIT, mute",
-        "HALT, mute",
+        "COMMIT, unreachable",
+        "HALT, unreachable",
+        "COMMIT, reports_lost",
+        "HALT, reports_lost",
         "COMMIT, notice",
         "HALT, notice",
         "CLAIM, notice",
-        "HALT, taken",
-        "CLAIM, taken"
+        "HALT, reclaimed",
+        "CLAIM, reclaimed"
     })
     void machineOfVictimsFailsInTheMiddleOfARecall(Step step, String trouble) {
         lend(80);
@@ -298,8 +299,8 @@
     private void fail(SimWorker machine, String trouble) {
         switch (trouble) {
             case "hung" -> machine.hang(true);
-            case "deaf" -> cluster.network().blockMessagesTo(machine);
-            case "mute" -> cluster.network().blockHeartbeatsFrom(machine);
+            case "unreachable" -> cluster.network().blockMessagesTo(machine);
+            case "reports_lost" -> cluster.network().blockHeartbeatsFrom(machine);
             case "notice" -> machine.givePreemptionNotice(20);
             default -> cluster.cloud().reclaim(machine);
         }
@@ -348,11 +349,11 @@
                         });
         ask();
         cluster.run(0.3);
-        assertTrue(checker.recorded() > 0, "the recall is committed, and the leader doesn't know");
+        assertTrue(checker.recorded() > 0, "the recall is committed, but its response is lost");
         cluster.cancel(cluster.leader(), OTHER);
         cluster.run(8);
         assertEquals(REPLICAS, cluster.running(SERVING));
-        assertTrue(checker.haltsForOthers() <= 2, "blue keeps 8 of the 10 that were left");
+        assertTrue(checker.haltsForOthers() <= 2, "blue keeps 8 of its 10 tasks");
         assertTrue(cluster.running(FINE_TUNING) >= 8);
     }
 
@@ -537,7 +538,7 @@
         }
         cluster.run(15);
         assertEquals(REPLICAS, cluster.running(SERVING));
-        assertTrue(checker.recorded() > 0, "an older version leaves the record");
+        assertTrue(checker.recorded() > 0, "a version without recalls leaves the record");
         setRecalls(true);
         for (int i = 0; i < CONTROLLERS; i++) {
             cluster.restart(i);
--- a/src/test/java/org/springmill/control/simulation/BorrowingTest.java
+++ b/src/test/java/org/springmill/control/simulation/BorrowingTest.java
@@ -50,7 +50,7 @@
         cluster.run(160);
         assertEquals("done", cluster.phase(0, BATCH));
         assertEquals("done", cluster.phase(0, FINE_TUNING));
-        assertEquals(8, cluster.progress().resumed(), "each goes on from where it was stopped");
+        assertEquals(8, cluster.progress().resumed(), "each resumes from its checkpoint");
         assertEquals(0, cluster.progress().lostSeconds(), 0.1);
     }
 
--- a/src/test/java/org/springmill/control/simulation/CompoundCancellationTest.java
+++ b/src/test/java/org/springmill/control/simulation/CompoundCancellationTest.java
@@ -59,10 +59,10 @@
      * Whichever of done and cancelled is committed first is final and reported by every controller.
      */
     @ParameterizedTest
-    @CsvSource({"calm", "late", "slow"})
+    @CsvSource({"normal", "late_commits", "slow"})
     void cancellationAtTheEndOfTheLastTaskYieldsOneFinalPhase(String state) {
         startCluster(1);
-        cluster.keyValueStore().delayCommits(state.equals("late") ? 0.2 : 0);
+        cluster.keyValueStore().delayCommits(state.equals("late_commits") ? 0.2 : 0);
         SplittableRandom random = new SplittableRandom(1);
         if (state.equals("slow")) {
             cluster.network()
--- a/src/test/java/org/springmill/control/simulation/CompoundLeaderFailoverTest.java
+++ b/src/test/java/org/springmill/control/simulation/CompoundLeaderFailoverTest.java
@@ -17,7 +17,7 @@
 /** Leadership changes again and again, or while machines are unreachable. */
 class CompoundLeaderFailoverTest extends CompoundFailureFixture {
     @ParameterizedTest
-    @CsvSource({"calm, 0", "outage, 0", "outage, 0.2", "reports, 0.2", "away, 0"})
+    @CsvSource({"none, 0", "outage, 0", "outage, 0.2", "reports, 0.2", "leader_down, 0"})
     void tenLeaderChangesInTwoMinutesStartEachTaskOnce(String meanwhile, double late) {
         startCluster(3);
         acceptService(JOB, "red", 6, 1);
@@ -30,9 +30,9 @@
             cluster.keyValueStore().setDown(meanwhile.equals("outage") && i >= 3 && i < 6);
             int leader = Math.max(0, cluster.leader());
             cluster.kill(leader);
-            cluster.run(meanwhile.equals("away") ? 11 : 1);
+            cluster.run(meanwhile.equals("leader_down") ? 11 : 1);
             cluster.restart(leader);
-            cluster.run(meanwhile.equals("away") ? 1 : 5);
+            cluster.run(meanwhile.equals("leader_down") ? 1 : 5);
             cluster.submit(
                     i % 3, SimulatedCluster.job("run-00070" + i, "blue", "sweep", 1, 1, 1), 3);
             cluster.run(5);
@@ -167,8 +167,8 @@
         "unreachable, 1, returns", "unreachable, 3, returns", "unreachable, 1, away",
                 "unreachable, 3, away",
         "reports_refused, 1, returns", "reports_refused, 3, returns", "reports_refused, 3, away",
-                "taken,       1, away",
-        "taken,       3, away", "responses_lost,  1, stays", "responses_lost,  3, stays",
+                "reclaimed,   1, away",
+        "reclaimed,   3, away", "responses_lost,  1, stays", "responses_lost,  3, stays",
                 "unreachable, 3, stays",
     })
     void tasksOnUnreachableMachinesAreReplacedWhenTheLeaderCrashes(
@@ -186,7 +186,7 @@
                     switch (failure) {
                         case "responses_lost" -> cluster.network().blockMessagesTo(machine);
                         case "reports_refused" -> cluster.network().blockHeartbeatsFrom(machine);
-                        case "taken" -> cluster.cloud().reclaim(machine);
+                        case "reclaimed" -> cluster.cloud().reclaim(machine);
                         default -> {}
                     }
                 });
--- a/src/test/java/org/springmill/control/simulation/CompoundPlacementTest.java
+++ b/src/test/java/org/springmill/control/simulation/CompoundPlacementTest.java
@@ -52,10 +52,10 @@
     /** Machines for pending tasks are rented in the zone that the job is bound to. */
     @ParameterizedTest
     @CsvSource({
-        "service, true, false, taken",
-        "sweep, true, false, taken",
-        "service, false, true, taken",
-        "sweep, false, true, taken",
+        "service, true, false, reclaimed",
+        "sweep, true, false, reclaimed",
+        "service, false, true, reclaimed",
+        "sweep, false, true, reclaimed",
         "service, true, false, hung",
         "service, false, true, hung"
     })
@@ -77,7 +77,7 @@
         acceptService(OTHER, "red", 2, 4);
         for (SimWorker machine : machines()) {
             if (machine.zone().equals(zone)) {
-                if (how.equals("taken")) {
+                if (how.equals("reclaimed")) {
                     cluster.cloud().reclaim(machine);
                 } else {
                     machine.hang(true);
--- a/src/test/java/org/springmill/control/simulation/FailingJobTest.java
+++ b/src/test/java/org/springmill/control/simulation/FailingJobTest.java
@@ -78,8 +78,8 @@
             accept(array("run-00010" + i), 5);
             cluster.run(15);
         }
-        assertFalse(machines().contains(sick), "it was returned");
-        assertEquals(3, machines().size(), "no other was");
+        assertFalse(machines().contains(sick), "the faulty machine was returned");
+        assertEquals(3, machines().size(), "no other machine was returned");
         for (int i = 0; i < 3; i++) {
             assertEquals("done", cluster.phase(follower(), "run-00010" + i));
         }
--- a/src/test/java/org/springmill/control/simulation/FourThousandMachinesTest.java
+++ b/src/test/java/org/springmill/control/simulation/FourThousandMachinesTest.java
@@ -52,7 +52,7 @@
                     SimulatedCluster.job(id(i), "blue", "service", REPLICAS, CPUS_OF_REPLICA, 0);
             assertEquals(201, cluster.submit(i % CONTROLLERS, service, FOREVER));
         }
-        runUntilAllRun(2 * RENTAL_SECONDS + 2 * BOOT_SECONDS, "rented from none");
+        runUntilAllRun(2 * RENTAL_SECONDS + 2 * BOOT_SECONDS, "rented from an empty fleet");
         assertTrue(machines().size() <= MACHINES * 1.05, machines().size() + " machines");
     }
 
@@ -72,7 +72,7 @@
         int killed = cluster.leader();
         cluster.kill(killed);
         cluster.run(LEASE_SECONDS);
-        assertTrue(cluster.leader() >= 0, "another leads");
+        assertTrue(cluster.leader() >= 0, "another controller leads");
         runUntilAllRun(1, "after the takeover");
         assertTrue(machines().size() >= before * 0.99, machines().size() + " of " + before);
         for (int i = 0; i < SERVICES; i++) {
