--- a/src/test/java/org/springmill/control/simulation/AdmissionTest.java
+++ b/src/test/java/org/springmill/control/simulation/AdmissionTest.java
@@ -37,18 +37,18 @@
     /**
      * Time from the check of a submission against the limit until all controllers know its record.
      */
-    private static final double UNDER_WAY_SECONDS = 3.5;
+    private static final double PROPAGATION_SECONDS = 3.5;
 
-    private static final int OVERSHOOT = (int) (CHANGES_PER_SECOND * UNDER_WAY_SECONDS);
+    private static final int MAX_EXCESS = (int) (CHANGES_PER_SECOND * PROPAGATION_SECONDS);
 
-    private int numbers = 100_000;
+    private int lastJobNumber = 100_000;
 
     private void startSmall(SimOptions options) {
         startCluster(new SimulatedCluster(options.withHeapBytes(SMALL_HEAP)));
     }
 
     private ObjectNode job(String team, String priority, double gpus) {
-        String id = "run-" + ++numbers;
+        String id = "run-" + ++lastJobNumber;
         ObjectNode job = SimulatedCluster.job(id, team, "sweep", 1, 1, gpus);
         job.put("urgency", priority);
         return job;
@@ -63,9 +63,9 @@
      * Submits jobs of low priority until they are refused. Alternates between two teams because one
      * team alone may not use the whole share of low priority.
      */
-    private List<ObjectNode> fill() {
+    private List<ObjectNode> fillLowPriority() {
         List<ObjectNode> accepted = new ArrayList<>();
-        for (int i = 0; i < 4 * LOW_JOBS && !refusedLately(accepted, i); i++) {
+        for (int i = 0; i < 4 * LOW_JOBS && !manyRefused(accepted, i); i++) {
             ObjectNode job = job(i % 2 == 0 ? "red" : "blue", "best_effort", 1);
             if (submit(i % CONTROLLERS, job).status() == 201) {
                 accepted.add(job);
@@ -74,7 +74,7 @@
         return accepted;
     }
 
-    private static boolean refusedLately(List<ObjectNode> accepted, int submitted) {
+    private static boolean manyRefused(List<ObjectNode> accepted, int submitted) {
         return submitted - accepted.size() > 20;
     }
 
@@ -92,9 +92,9 @@
 
     /** The refusal is immediate and says when to retry; nothing of the refused job is stored. */
     @Test
-    void beyondTheBoundSubmissionsAreRefusedAtOnceWithWhenToComeBack() {
+    void submissionsBeyondTheMemoryLimitAreRefusedWithARetryTime() {
         startSmall(SimOptions.DEFAULTS);
-        List<ObjectNode> accepted = fill();
+        List<ObjectNode> accepted = fillLowPriority();
         assertTrue(accepted.size() >= LOW_JOBS * 0.9, accepted.size() + " accepted");
         assertTrue(accepted.size() <= LOW_JOBS, accepted.size() + " accepted one after another");
         ObjectNode refused = job("blue", "best_effort", 1);
@@ -116,7 +116,7 @@
      * records of the others.
      */
     @Test
-    void controllersThatAdmitAtTheBoundInTheSameMomentOvershootByWhatIsUnderWay() {
+    void controllersAdmittingConcurrentlyExceedTheLimitOnlyByUnreadRecords() {
         startSmall(SimOptions.DEFAULTS);
         int[] accepted = new int[1];
         for (int i = 0; i < 6 * LOW_JOBS; i++) {
@@ -136,7 +136,7 @@
         }
         cluster.run(40);
         assertTrue(accepted[0] >= LOW_JOBS * 0.9, accepted[0] + " accepted");
-        assertTrue(accepted[0] <= LOW_JOBS + OVERSHOOT, accepted[0] + " accepted");
+        assertTrue(accepted[0] <= LOW_JOBS + MAX_EXCESS, accepted[0] + " accepted");
     }
 
     /**
@@ -144,7 +144,7 @@
      * have used.
      */
     @Test
-    void aControllerThatCannotReadWhatOthersAcceptedRefusesNearTheBound() {
+    void aControllerThatCannotReadRecordsOfOthersRefusesBelowTheLimit() {
         startSmall(SimOptions.DEFAULTS);
         int stale = follower();
         String staleName = "n-" + stale;
@@ -180,7 +180,7 @@
     @Test
     void aRepeatedSubmissionIsNeverRefused() {
         startSmall(SimOptions.DEFAULTS);
-        List<ObjectNode> accepted = fill();
+        List<ObjectNode> accepted = fillLowPriority();
         for (int i = 0; i < CONTROLLERS; i++) {
             assertEquals(200, submit(i, accepted.get(i)).status());
         }
@@ -188,11 +188,11 @@
 
     /** The user repeats the submission at another controller, which has not read the record yet. */
     @Test
-    void aSubmissionWhoseAnswerWasLostAtTheBoundIsKnownAgainAndCountsOnce() {
+    void aSubmissionWithALostResponseIsRecognizedAtTheLimitAndCountedOnce() {
         startSmall(SimOptions.DEFAULTS);
-        List<ObjectNode> accepted = fill();
+        List<ObjectNode> accepted = fillLowPriority();
         ObjectNode last = job("red", "best_effort", 1);
-        cluster.network().judge((from, request) -> fateOfLast(from, request, idOf(last)));
+        cluster.network().judge((from, request) -> fateOfRequest(from, request, idOf(last)));
         // The watches of controller 1 are lost from now on, so by its own count it is at the limit.
         cluster.run(15);
         cluster.cancel(0, idOf(accepted.get(0)));
@@ -206,7 +206,7 @@
         assertEquals(accepted.size(), metric(0, "live_jobs"));
     }
 
-    private static Fate fateOfLast(String from, Request request, String id) {
+    private static Fate fateOfRequest(String from, Request request, String id) {
         String body = new String(request.body(), StandardCharsets.UTF_8);
         if (request.path().equals("/commit") && body.contains(id)) {
             return Fate.LOSE_ANSWER;
@@ -218,9 +218,9 @@
 
     /** Jobs of low priority cannot use the room for urgent and production jobs. */
     @Test
-    void urgentWorkAndGuaranteedWorkAreTakenWhereLowWorkIsRefused() {
+    void urgentAndProductionJobsAreAcceptedWhenLowPriorityIsRefused() {
         startSmall(SimOptions.DEFAULTS);
-        fill();
+        fillLowPriority();
         assertEquals(503, submit(0, job("blue", "best_effort", 1)).status());
         assertEquals(201, submit(0, job("blue", "urgent", 1)).status());
         assertEquals(201, submit(1, job("blue", "prod", 1)).status());
@@ -230,7 +230,7 @@
      * Team red is guaranteed eight GPUs and has no jobs; team blue has submitted as many as it may.
      */
     @Test
-    void aFloodOfOneTeamLeavesRoomForOthersAndForGuarantees() {
+    void manySubmissionsOfOneTeamLeaveRoomForGuaranteesOfOthers() {
         startSmall(SimOptions.DEFAULTS);
         int flooded = 0;
         for (int i = 0; i < 3 * LOW_JOBS; i++) {
@@ -245,9 +245,9 @@
 
     /** Controllers that are restarted with less memory hold more jobs than the new limit. */
     @Test
-    void nothingIsDroppedWhenALeaderRebuildsAboveTheBound() {
+    void noJobIsDroppedWhenALeaderStartsAboveTheLimit() {
         startSmall(SimOptions.DEFAULTS);
-        List<ObjectNode> accepted = fill();
+        List<ObjectNode> accepted = fillLowPriority();
         cluster.heapBytes(SMALL_HEAP / 4);
         for (int i = 0; i < CONTROLLERS; i++) {
             cluster.restart(i);
@@ -270,7 +270,7 @@
     /** Recovery needs no operator: once there is room, retried submissions are accepted. */
     @ParameterizedTest
     @ValueSource(ints = {1, 2, 3})
-    void afterABurstOfThreeTimesTheDrainRateGoodputIsBackAtOnce(int seed) {
+    void goodputRecoversAfterABurstOfThreeTimesTheDrainRate(int seed) {
         startCluster(seed);
         RetryingUsers users = new RetryingUsers(cluster, seed);
         double burstSeconds = 20;
@@ -302,7 +302,7 @@
      * is given up.
      */
     @Test
-    void afterAnOutageOfTheStateServiceTheWaveOfRetriesIsServed() {
+    void retriesAfterAnOutageOfTheStateServiceAreAccepted() {
         startCluster(1);
         RetryingUsers users = new RetryingUsers(cluster, 1);
         cluster.keyValueStore().setDown(true);
@@ -323,7 +323,7 @@
      * would arrive together.
      */
     @Test
-    void everyoneWhoIsRefusedInABurstIsToldWhenToComeBackByTheDrainRate() {
+    void refusalsInABurstHaveARetryTimeBasedOnTheDrainRate() {
         startCluster(1);
         List<Reply> refused = new ArrayList<>();
         for (int i = 0; i < 600; i++) {
@@ -357,7 +357,7 @@
      * is refused.
      */
     @Test
-    void whileTheStateServiceIsSlowSubmissionsAreRefusedRatherThanHeld() {
+    void submissionsAreRefusedRatherThanHeldWhileTheStateServiceIsSlow() {
         startCluster(1);
         cluster.network()
                 .delayRequests((from, request) -> request.path().equals("/commit") ? 0.8 : 0);
@@ -376,7 +376,7 @@
      * it drains.
      */
     @Test
-    void workIsRefusedWhileItsQueueWaitsTooLongAndTakenOnceItDrains() {
+    void jobsAreRefusedWhileTheirQueueWaitsTooLongAndAcceptedOnceItDrains() {
         startCluster(new SimulatedCluster(SimOptions.DEFAULTS.withMaxWait(60)));
         ObjectNode large = SimulatedCluster.job("run-000050", "blue", "sweep", 2000, 1, 1);
         cluster.setRunSeconds("run-000050", 30);
--- a/src/test/java/org/springmill/control/simulation/AutoscalerTest.java
+++ b/src/test/java/org/springmill/control/simulation/AutoscalerTest.java
@@ -13,7 +13,7 @@
 /** Machines are rented, evacuated before they are reclaimed, drained and returned. */
 class AutoscalerTest extends SingleFailureFixture {
     @Test
-    void replicaLeavesAMachineWithTerminationNoticeInTime() {
+    void replicaIsMovedFromAMachineWithPreemptionNoticeInTime() {
         submitService(0, JOB, "red", 1, 1);
         cluster.run(5);
         SimWorker first = cluster.workerRunning(FIRST_TASK);
@@ -84,7 +84,7 @@
      * three and a half boot times, no replacement was rented.
      */
     @Test
-    void machineOfALateListIsReplacedOnceLaterListsLackIt() {
+    void machineInAStaleListIsReplacedOnceNewerListsLackIt() {
         for (int i = 0; i < 3; i++) {
             submitService(0, "run-00070" + i, "blue", 1, 8);
         }
--- a/src/test/java/org/springmill/control/simulation/BorrowingFailureTest.java
+++ b/src/test/java/org/springmill/control/simulation/BorrowingFailureTest.java
@@ -41,7 +41,7 @@
         CLAIM,
         START;
 
-        private boolean isBegunBy(Request request) {
+        private boolean isStartedBy(Request request) {
             return switch (this) {
                 case COMMIT -> isCommit(request) && text(request).contains("recall/");
                 case HALT -> isCommand(request) && text(request).contains("\"halt\"");
@@ -54,34 +54,34 @@
     /** How the leader fails. */
     private enum Failure {
         KILLED,
-        STANDS_STILL
+        PAUSED
     }
 
-    private void lend(long seed) {
+    private void startWithFullFleet(long seed) {
         startBorrowing(seed);
         accept(fineTuning(BATCH, "red", 16), WORK_SECONDS);
         accept(fineTuning(FINE_TUNING, "blue", 16), WORK_SECONDS);
         cluster.run(12);
-        assertEquals(GPUS, lent());
+        assertEquals(GPUS, runningBatchTasks());
     }
 
-    private int lent() {
+    private int runningBatchTasks() {
         return cluster.running(BATCH) + cluster.running(FINE_TUNING);
     }
 
-    private void ask() {
+    private void submitServing() {
         accept(serving(SERVING, "amber", REPLICAS), FOREVER);
     }
 
     /**
      * Runs an action and applies a fate to the message when the first message of a step is sent.
      */
-    private void at(Step step, Runnable then, Fate fate) {
+    private void onFirstMessage(Step step, Runnable then, Fate fate) {
         boolean[] happened = new boolean[1];
         cluster.network()
                 .judge(
                         (from, request) -> {
-                            if (happened[0] || !step.isBegunBy(request)) {
+                            if (happened[0] || !step.isStartedBy(request)) {
                                 return Fate.DELIVER;
                             }
                             happened[0] = true;
@@ -90,7 +90,7 @@
                         });
     }
 
-    private void servingRunsAndWorkGoesOn() {
+    private void assertServingRunsAndBatchCompletes() {
         cluster.endFailures().run(45);
         assertEquals(REPLICAS, cluster.running(SERVING));
         assertEquals(0, checker.recorded(), "every recall is settled");
@@ -110,25 +110,25 @@
     @CsvSource({
         "COMMIT, KILLED, DROP",
         "COMMIT, KILLED, LOSE_ANSWER",
-        "COMMIT, STANDS_STILL, DROP",
-        "COMMIT, STANDS_STILL, LOSE_ANSWER",
+        "COMMIT, PAUSED, DROP",
+        "COMMIT, PAUSED, LOSE_ANSWER",
         "HALT, KILLED, DROP",
         "HALT, KILLED, DELIVER",
-        "HALT, STANDS_STILL, DROP",
-        "HALT, STANDS_STILL, DELIVER",
+        "HALT, PAUSED, DROP",
+        "HALT, PAUSED, DELIVER",
         "CLAIM, KILLED, DROP",
         "CLAIM, KILLED, LOSE_ANSWER",
-        "CLAIM, STANDS_STILL, DROP",
-        "CLAIM, STANDS_STILL, LOSE_ANSWER",
+        "CLAIM, PAUSED, DROP",
+        "CLAIM, PAUSED, LOSE_ANSWER",
         "START, KILLED, DROP",
         "START, KILLED, DELIVER",
-        "START, STANDS_STILL, DROP",
-        "START, STANDS_STILL, DELIVER"
+        "START, PAUSED, DROP",
+        "START, PAUSED, DELIVER"
     })
     void leaderFailsInTheMiddleOfARecall(Step step, Failure failure, Fate fate) {
-        lend(20);
+        startWithFullFleet(20);
         int leader = cluster.leader();
-        at(
+        onFirstMessage(
                 step,
                 () -> {
                     if (failure == Failure.KILLED) {
@@ -138,13 +138,13 @@
                     }
                 },
                 fate);
-        ask();
+        submitServing();
         cluster.run(12);
         assertNotEquals(leader, cluster.leader());
         if (failure == Failure.KILLED) {
             cluster.restart(leader);
         }
-        servingRunsAndWorkGoesOn();
+        assertServingRunsAndBatchCompletes();
     }
 
     /**
@@ -154,10 +154,10 @@
     @ParameterizedTest
     @ValueSource(doubles = {0.3, 0.7, 1.1, 1.5, 2.0})
     void leadersAreKilledOneAfterTheOtherWhileVictimsSave(double seconds) {
-        lend(40);
+        startWithFullFleet(40);
         cluster.progress().setSaveSeconds(BATCH, 2);
         int first = cluster.leader();
-        ask();
+        submitServing();
         cluster.run(seconds);
         cluster.kill(first);
         cluster.run(7 + seconds);
@@ -169,7 +169,7 @@
             cluster.run(8);
             cluster.restart(second);
         }
-        servingRunsAndWorkGoesOn();
+        assertServingRunsAndBatchCompletes();
     }
 
     /**
@@ -180,20 +180,20 @@
             value = Step.class,
             names = {"COMMIT", "HALT", "CLAIM"})
     void messagesOfADeposedLeaderArriveLate(Step step) {
-        lend(50);
+        startWithFullFleet(50);
         int leader = cluster.leader();
         boolean[] begun = new boolean[1];
         cluster.network()
                 .judge(
                         (from, request) -> {
-                            begun[0] |= step.isBegunBy(request);
+                            begun[0] |= step.isStartedBy(request);
                             boolean held =
                                     begun[0]
                                             && fromController(from, leader)
                                             && (isCommit(request) || isCommand(request));
                             return held ? Fate.HOLD : Fate.DELIVER;
                         });
-        ask();
+        submitServing();
         cluster.run(4);
         cluster.kill(leader);
         cluster.run(9);
@@ -201,7 +201,7 @@
         cluster.network().releaseHeld();
         cluster.run(3);
         cluster.restart(leader);
-        servingRunsAndWorkGoesOn();
+        assertServingRunsAndBatchCompletes();
     }
 
     /**
@@ -223,31 +223,31 @@
         "HALT, rate_limit",
         "CLAIM, rate_limit"
     })
-    void stateServiceFailsInTheMiddleOfARecall(Step step, String trouble) {
-        lend(60);
+    void stateServiceFailsInTheMiddleOfARecall(Step step, String failure) {
+        startWithFullFleet(60);
         int leader = cluster.leader();
-        at(
+        onFirstMessage(
                 step,
                 () -> {
-                    switch (trouble) {
+                    switch (failure) {
                         case "leader_refused" ->
                                 cluster.keyValueStore().refuseController(leader, true);
                         case "down" -> cluster.keyValueStore().setDown(true);
                         case "late_commits" -> cluster.keyValueStore().delayCommits(0.5);
-                        default -> spendWriteBudget();
+                        default -> rejectCommitsForTheirRate();
                     }
                 },
                 Fate.DELIVER);
-        ask();
+        submitServing();
         cluster.run(20);
-        if (trouble.equals("down")) {
+        if (failure.equals("down")) {
             cluster.keyValueStore().setDown(false);
         }
-        servingRunsAndWorkGoesOn();
+        assertServingRunsAndBatchCompletes();
     }
 
     /** Lets the key-value store refuse all commits for 6 s, as if the rate limit were reached. */
-    private void spendWriteBudget() {
+    private void rejectCommitsForTheirRate() {
         double until = cluster.clock().now() + 6;
         cluster.network()
                 .judge(
@@ -278,26 +278,26 @@
         "HALT, reclaimed",
         "CLAIM, reclaimed"
     })
-    void machineOfVictimsFailsInTheMiddleOfARecall(Step step, String trouble) {
-        lend(80);
+    void machineOfVictimsFailsInTheMiddleOfARecall(Step step, String failure) {
+        startWithFullFleet(80);
         SimWorker machine = machines().get(1);
-        at(step, () -> fail(machine, trouble), Fate.DELIVER);
-        ask();
+        onFirstMessage(step, () -> fail(machine, failure), Fate.DELIVER);
+        submitServing();
         cluster.run(10);
         machine.hang(false);
         cluster.run(LEASE_SECONDS);
-        if (trouble.equals("notice")) {
+        if (failure.equals("notice")) {
             cluster.cloud().reclaim(machine);
         }
         if (!cluster.cloud().machines().containsValue(machine)) {
             cluster.machines("large", "a", 1);
         }
         cluster.cloud().restoreCapacity();
-        servingRunsAndWorkGoesOn();
+        assertServingRunsAndBatchCompletes();
     }
 
-    private void fail(SimWorker machine, String trouble) {
-        switch (trouble) {
+    private void fail(SimWorker machine, String failure) {
+        switch (failure) {
             case "hung" -> machine.hang(true);
             case "unreachable" -> cluster.network().blockMessagesTo(machine);
             case "reports_lost" -> cluster.network().blockHeartbeatsFrom(machine);
@@ -309,19 +309,19 @@
     /** The demand ends before the halts are sent, so no task is stopped. */
     @Test
     void recallIsTakenBackIfTheDemandFallsBeforeTheHalts() {
-        lend(100);
+        startWithFullFleet(100);
         cluster.network()
                 .delayAnswers(
                         (from, request) ->
                                 toStateService(request) && text(request).contains("recall/")
                                         ? 0.8
                                         : 0);
-        ask();
+        submitServing();
         cluster.run(0.25);
         cluster.cancel(cluster.leader(), SERVING);
         cluster.run(6);
         assertEquals(0, checker.haltsForOthers());
-        assertEquals(GPUS, lent());
+        assertEquals(GPUS, runningBatchTasks());
         assertEquals(0, checker.recorded());
         assertTrue(checker.recalls() > 0, "a recall was committed");
     }
@@ -332,7 +332,7 @@
      * its guarantee.
      */
     @Test
-    void nobodyIsToldIfATeamWouldBeLeftWithTooLittleByTheTimeOfTheCommit() {
+    void noTaskIsHaltedIfItsTeamWouldFallBelowItsGuaranteeByTheTimeOfTheCommit() {
         startBorrowing(160);
         accept(fineTuning(BATCH, "red", 8), FOREVER);
         accept(serving(OTHER, "blue", 14), FOREVER);
@@ -343,11 +343,11 @@
         cluster.network()
                 .judge(
                         (from, request) -> {
-                            boolean first = !lost[0] && Step.COMMIT.isBegunBy(request);
+                            boolean first = !lost[0] && Step.COMMIT.isStartedBy(request);
                             lost[0] |= first;
                             return first ? Fate.LOSE_ANSWER : Fate.DELIVER;
                         });
-        ask();
+        submitServing();
         cluster.run(0.3);
         assertTrue(checker.recorded() > 0, "the recall is committed, but its response is lost");
         cluster.cancel(cluster.leader(), OTHER);
@@ -362,23 +362,24 @@
      * halts the leader is killed, and the team with the recalled tasks loses its other machine.
      */
     @Test
-    void inheritedRecallIsNotCarriedOnIfItsTeamHasLostTooMuchMeanwhile() {
-        lend(180);
+    void newLeaderDropsARecallWhoseTeamWouldFallBelowItsGuarantee() {
+        startWithFullFleet(180);
         int leader = cluster.leader();
         // The outage prevents the election of another leader until the machine is lost.
-        at(
+        onFirstMessage(
                 Step.COMMIT,
                 () -> {
                     cluster.kill(leader);
                     cluster.clock().after(0.05, () -> cluster.keyValueStore().setDown(true));
                 },
                 Fate.LOSE_ANSWER);
-        ask();
+        submitServing();
         cluster.run(0.5);
         assertTrue(checker.recorded() > 0);
         for (SimWorker machine : machines()) {
-            boolean otherOfTheTeam = !checker.isRecalledOn(machine) && sharesTeam(machine);
-            if (otherOfTheTeam) {
+            boolean otherMachineOfTheTeam =
+                    !checker.isRecalledOn(machine) && runsJobWithRecalledTasks(machine);
+            if (otherMachineOfTheTeam) {
                 cluster.cloud().reclaim(machine);
             }
         }
@@ -394,15 +395,15 @@
     }
 
     /** Whether a machine runs tasks of the job that has recalled tasks. */
-    private boolean sharesTeam(SimWorker machine) {
+    private boolean runsJobWithRecalledTasks(SimWorker machine) {
         boolean recalledFromBatch =
                 machines().stream()
                         .filter(checker::isRecalledOn)
-                        .anyMatch(recalled -> holdsAnyOf(recalled, BATCH));
-        return holdsAnyOf(machine, recalledFromBatch ? BATCH : FINE_TUNING);
+                        .anyMatch(recalled -> hasTaskOf(recalled, BATCH));
+        return hasTaskOf(machine, recalledFromBatch ? BATCH : FINE_TUNING);
     }
 
-    private static boolean holdsAnyOf(SimWorker machine, String job) {
+    private static boolean hasTaskOf(SimWorker machine, String job) {
         return IntStream.range(0, 16).anyMatch(task -> machine.hasTask(job + "/" + task));
     }
 
@@ -411,11 +412,11 @@
      * recall: the victims save, and their machine does not report for some seconds.
      */
     @Test
-    void newLeaderRecallsNobodyElseForADemandThatIsBeingServed() {
-        lend(190);
+    void newLeaderRecallsNoFurtherTasksForADemandWithARecall() {
+        startWithFullFleet(190);
         int leader = cluster.leader();
-        at(Step.HALT, () -> cluster.kill(leader), Fate.DELIVER);
-        ask();
+        onFirstMessage(Step.HALT, () -> cluster.kill(leader), Fate.DELIVER);
+        submitServing();
         cluster.run(0.5);
         SimWorker recalledOn =
                 machines().stream().filter(checker::isRecalledOn).findFirst().orElseThrow();
@@ -436,13 +437,13 @@
      */
     @ParameterizedTest
     @ValueSource(doubles = {0.3, 0.6, 1, 1.4, 1.8, 2.4, 3})
-    void beneficiaryIsCancelledMidway(double seconds) {
-        lend(110);
-        ask();
+    void beneficiaryIsCancelledDuringARecall(double seconds) {
+        startWithFullFleet(110);
+        submitServing();
         cluster.run(seconds);
         assertEquals("cancelled", cluster.cancel(follower(), SERVING));
         cluster.run(40);
-        assertEquals(GPUS, lent());
+        assertEquals(GPUS, runningBatchTasks());
         assertEquals(0, checker.recorded());
     }
 
@@ -450,10 +451,10 @@
     @ParameterizedTest
     @ValueSource(doubles = {0.3, 0.8, 1.3, 2})
     void victimsJobIsCancelledWhileSaving(double seconds) {
-        lend(120);
+        startWithFullFleet(120);
         cluster.progress().setSaveSeconds(BATCH, 60);
         cluster.progress().setSaveSeconds(FINE_TUNING, 60);
-        ask();
+        submitServing();
         cluster.run(seconds);
         assertEquals("cancelled", cluster.cancel(follower(), BATCH));
         cluster.run(8);
@@ -469,14 +470,14 @@
      */
     @ParameterizedTest
     @ValueSource(booleans = {false, true})
-    void twoTeamsClaimTheSameLoansAtOnce(boolean leaderIsKilled) {
+    void twoTeamsRequestTheSameLoansConcurrently(boolean leaderIsKilled) {
         startBorrowing(130);
         accept(fineTuning(BATCH, "amber", 32), 400);
         cluster.run(12);
         assertEquals(GPUS, cluster.running(BATCH));
         int leader = cluster.leader();
         if (leaderIsKilled) {
-            at(Step.HALT, () -> cluster.kill(leader), Fate.DROP);
+            onFirstMessage(Step.HALT, () -> cluster.kill(leader), Fate.DROP);
         }
         String red = serving(SERVING, "red", 16).toString();
         String blue = serving(OTHER, "blue", 16).toString();
@@ -505,7 +506,7 @@
         accept(fineTuning(BATCH, "red", 16), 200);
         accept(fineTuning(FINE_TUNING, "blue", 16), 200);
         cluster.run(12);
-        ask();
+        submitServing();
         cluster.run(0.7);
         setRecalls(toRecalls);
         for (int i = 0; i < CONTROLLERS; i++) {
@@ -514,7 +515,7 @@
         }
         cluster.run(20);
         assertEquals(REPLICAS, cluster.running(SERVING));
-        assertEquals(GPUS - REPLICAS, lent());
+        assertEquals(GPUS - REPLICAS, runningBatchTasks());
         checker.olderVersionsTookPart();
     }
 
@@ -526,10 +527,10 @@
     /** Recall records that a version without recalls leaves are settled after the next upgrade. */
     @Test
     void recallsLeftBehindAreSettledLater() {
-        lend(150);
+        startWithFullFleet(150);
         int leader = cluster.leader();
-        at(Step.HALT, () -> cluster.kill(leader), Fate.DROP);
-        ask();
+        onFirstMessage(Step.HALT, () -> cluster.kill(leader), Fate.DROP);
+        submitServing();
         cluster.run(0.8);
         assertTrue(checker.recorded() > 0);
         setRecalls(false);
--- a/src/test/java/org/springmill/control/simulation/BorrowingPropertyTest.java
+++ b/src/test/java/org/springmill/control/simulation/BorrowingPropertyTest.java
@@ -38,16 +38,16 @@
         SERVE_LARGE,
         WITHDRAW,
         KILL_LEADER,
-        FREEZE_LEADER,
+        PAUSE_LEADER,
         RESTART,
         OUTAGE,
         REFUSE_LEADER,
-        LATE_COMMITS,
-        LAG,
+        DELAY_COMMITS,
+        DELAY_RESPONSES,
         HANG,
-        DEAF,
-        MUTE,
-        LATE_REPORTS,
+        BLOCK_MESSAGES,
+        BLOCK_REPORTS,
+        DUPLICATE_REPORTS,
         HEAL,
         WAIT
     }
@@ -79,8 +79,8 @@
     }
 
     @Property(tries = 40, seed = "20261202", shrinking = ShrinkingMode.BOUNDED)
-    void loansAreKeptToTheirTermsWhateverFails(@ForAll("schedules") List<Step> schedule) {
-        new Run(schedule.size()).play(schedule);
+    void loanInvariantsHoldUnderRandomFailures(@ForAll("schedules") List<Step> schedule) {
+        new Run(schedule.size()).execute(schedule);
     }
 
     /**
@@ -89,13 +89,13 @@
      * as usage of their team.
      */
     @Example
-    void tasksThatNoReportNamesDoNotCount() {
+    void tasksMissingFromReportsAreNotCountedAsUsage() {
         new Run(20)
-                .play(
+                .execute(
                         List.of(
                                 new Step(Kind.SERVE, 0, 1, 0.05),
-                                new Step(Kind.DEAF, 2, 1, 1.0),
-                                new Step(Kind.FREEZE_LEADER, 482, 8, 3.0),
+                                new Step(Kind.BLOCK_MESSAGES, 2, 1, 1.0),
+                                new Step(Kind.PAUSE_LEADER, 482, 8, 3.0),
                                 new Step(Kind.SERVE, 999, 10, 0.05),
                                 new Step(Kind.REFUSE_LEADER, 34, 7, 3.0),
                                 new Step(Kind.WITHDRAW, 2, 9, 0.05),
@@ -106,13 +106,13 @@
                                 new Step(Kind.RESTART, 30, 7, 1.0),
                                 new Step(Kind.SERVE, 372, 6, 9.0),
                                 new Step(Kind.SERVE, 2, 1, 9.0),
-                                new Step(Kind.FREEZE_LEADER, 17, 7, 0.2),
+                                new Step(Kind.PAUSE_LEADER, 17, 7, 0.2),
                                 new Step(Kind.WITHDRAW, 91, 7, 1.0),
                                 new Step(Kind.WITHDRAW, 230, 7, 0.2),
                                 new Step(Kind.SERVE, 999, 2, 0.05),
                                 new Step(Kind.SERVE, 1000, 1, 0.05),
                                 new Step(Kind.SERVE, 0, 10, 9.0),
-                                new Step(Kind.FREEZE_LEADER, 248, 5, 0.5)));
+                                new Step(Kind.PAUSE_LEADER, 248, 5, 0.5)));
     }
 
     /** A cluster that a schedule is run on. */
@@ -120,7 +120,7 @@
         private final SimulatedCluster cluster;
         private final BorrowingChecker checker;
         private final List<String> services = new ArrayList<>();
-        private int numbers = 100;
+        private int nextJobNumber = 100;
 
         Run(long seed) {
             cluster =
@@ -140,9 +140,9 @@
             cluster.run(12);
         }
 
-        void play(List<Step> schedule) {
+        void execute(List<Step> schedule) {
             for (Step step : schedule) {
-                act(step);
+                apply(step);
                 cluster.run(step.seconds());
             }
             restart();
@@ -155,7 +155,7 @@
             assertEquals(0, cluster.progress().lostCheckpointedSeconds());
         }
 
-        private void act(Step step) {
+        private void apply(Step step) {
             int leader = cluster.leader();
             switch (step.kind()) {
                 case SERVE -> serve(step, 1);
@@ -166,7 +166,7 @@
                         cluster.kill(leader);
                     }
                 }
-                case FREEZE_LEADER -> {
+                case PAUSE_LEADER -> {
                     if (leader >= 0 && cluster.isUp(leader)) {
                         cluster.pauseProcess(leader, 0.5 * step.amount());
                     }
@@ -178,13 +178,14 @@
                         cluster.keyValueStore().refuseController(leader, true);
                     }
                 }
-                case LATE_COMMITS -> cluster.keyValueStore().delayCommits(0.3);
-                case LAG ->
+                case DELAY_COMMITS -> cluster.keyValueStore().delayCommits(0.3);
+                case DELAY_RESPONSES ->
                         cluster.network().delayAnswers((from, request) -> 0.1 * (step.pick() % 6));
                 case HANG -> machine(step).ifPresent(m -> m.hang(step.amount() % 2 == 0));
-                case DEAF -> machine(step).ifPresent(cluster.network()::blockMessagesTo);
-                case MUTE -> machine(step).ifPresent(cluster.network()::blockHeartbeatsFrom);
-                case LATE_REPORTS -> cluster.network().duplicateHeartbeats(0.2);
+                case BLOCK_MESSAGES -> machine(step).ifPresent(cluster.network()::blockMessagesTo);
+                case BLOCK_REPORTS ->
+                        machine(step).ifPresent(cluster.network()::blockHeartbeatsFrom);
+                case DUPLICATE_REPORTS -> cluster.network().duplicateHeartbeats(0.2);
                 case HEAL -> {
                     cluster.keyValueStore().setDown(false);
                     cluster.heal();
@@ -202,7 +203,7 @@
         }
 
         private void serve(Step step, double gpus) {
-            String id = "run-000" + numbers++;
+            String id = "run-000" + nextJobNumber++;
             String team = TEAMS.get(step.pick() % TEAMS.size());
             int replicas = gpus > 1 ? 1 : step.amount();
             ObjectNode job =
--- a/src/test/java/org/springmill/control/simulation/BorrowingTest.java
+++ b/src/test/java/org/springmill/control/simulation/BorrowingTest.java
@@ -88,7 +88,7 @@
 
     /** Many small tasks on one machine are recalled for one large replica. */
     @Test
-    void manySmallLoansMakeWayForOneLargeReplica() {
+    void manySmallTasksAreRecalledForOneLargeReplica() {
         startBorrowing(5);
         for (int i = 0; i < 4; i++) {
             accept(smallBatch("run-00004" + i, 250), FOREVER);
@@ -120,7 +120,7 @@
      * tasks.
      */
     @Test
-    void demandThatSwingsStopsFewTasks() {
+    void oscillatingDemandStopsFewTasks() {
         startBorrowing(6);
         accept(batch(BATCH, "red", 16), FOREVER);
         accept(batch(FINE_TUNING, "blue", 16), FOREVER);
@@ -140,7 +140,7 @@
 
     /** Without recalls no GPUs are reserved: freed GPUs go to waiting tasks immediately. */
     @Test
-    void withoutRecallsFreeRoomIsLentAtOnce() {
+    void freedGpusAreLentImmediatelyWithoutRecalls() {
         startBorrowing(7);
         accept(serving(SERVING, "amber", 16), FOREVER);
         accept(batch(FINE_TUNING, "blue", 32), FOREVER);
@@ -157,7 +157,7 @@
      * time.
      */
     @Test
-    void saveThatNeverEndsIsEnded() {
+    void saveThatNeverEndsIsAborted() {
         startBorrowing(8);
         accept(fineTuning(BATCH, "red", 16), 500);
         accept(fineTuning(FINE_TUNING, "blue", 16), 500);
@@ -190,19 +190,19 @@
 
     /** A task ignores its halt while its machine responds: other tasks are recalled instead. */
     @Test
-    void recallFallsBackWhenAVictimNeverGoes() {
+    void recallFallsBackWhenAVictimIgnoresItsHalt() {
         startBorrowing(11);
         accept(fineTuning(BATCH, "red", 16), 500);
         accept(fineTuning(FINE_TUNING, "blue", 16), 500);
         cluster.run(12);
-        SimWorker stubborn = cluster.workerRunning(BATCH + "/0");
+        SimWorker first = cluster.workerRunning(BATCH + "/0");
         SimWorker other = cluster.workerRunning(FINE_TUNING + "/0");
-        stubborn.ignoreHalts(true);
+        first.ignoreHalts(true);
         other.ignoreHalts(true);
         accept(serving(SERVING, "amber", 2), FOREVER);
         cluster.run(40);
         assertEquals(2, cluster.running(SERVING));
-        stubborn.ignoreHalts(false);
+        first.ignoreHalts(false);
         other.ignoreHalts(false);
         cluster.run(10);
     }
@@ -216,7 +216,7 @@
 
     /** Work of a team is preempted for work of higher priority of the same team. */
     @Test
-    void ownWorkGivesWayToOwnWorkOfHigherPriority() {
+    void workIsPreemptedForWorkOfHigherPriorityOfTheSameTeam() {
         startBorrowing(10);
         accept(batch(BATCH, "red", 8), FOREVER);
         accept(serving("run-000060", "blue", 24), FOREVER);
--- a/src/test/java/org/springmill/control/simulation/CompoundDelayTest.java
+++ b/src/test/java/org/springmill/control/simulation/CompoundDelayTest.java
@@ -79,7 +79,7 @@
      */
     @ParameterizedTest
     @ValueSource(doubles = {1.2, 1.6, 2, 2.4, 2.7, 4})
-    void delayedElectionWriteKeepsNobodyFromLeading(double delaySeconds) {
+    void delayedElectionWriteDoesNotPreventALeader(double delaySeconds) {
         startCluster(1);
         acceptService(JOB, "red", 4, 1);
         cluster.run(5);
--- a/src/test/java/org/springmill/control/simulation/CompoundPlacementTest.java
+++ b/src/test/java/org/springmill/control/simulation/CompoundPlacementTest.java
@@ -97,9 +97,9 @@
         startCluster(1);
         accept(SimulatedCluster.job(OTHER, "blue", "service", 1, 1, 8).put("yard", "b"), FOREVER);
         cluster.run(5);
-        SimWorker sound = cluster.workerRunning(OTHER + "/0");
+        SimWorker healthy = cluster.workerRunning(OTHER + "/0");
         machines().stream()
-                .filter(m -> m != sound && m.zone().equals("b"))
+                .filter(m -> m != healthy && m.zone().equals("b"))
                 .forEach(SimWorker::failEverything);
         accept(SimulatedCluster.job(JOB, "blue", "sweep", 1, 1, 8).put("yard", "b"), 30);
         cluster.run(90);
@@ -112,13 +112,14 @@
      */
     @ParameterizedTest
     @CsvSource({"1, false", "2, false", "1, true", "2, true"})
-    void teamAtItsLimitGetsItsReplicasAfterFailoverWithSilentMachines(int silent, boolean hang) {
+    void teamAtItsLimitGetsItsReplicasAfterFailoverWithUnreachableMachines(
+            int unreachable, boolean hang) {
         startCluster(1);
         acceptService(JOB, "red", 8, 1);
         acceptService(OTHER, "red", 8, 1);
         cluster.run(8);
         Set<String> names = new HashSet<>();
-        List<SimWorker> machines = machines().subList(0, silent);
+        List<SimWorker> machines = machines().subList(0, unreachable);
         machines.forEach(
                 machine -> {
                     names.add(machine.name());
--- a/src/test/java/org/springmill/control/simulation/ControllerPauseTest.java
+++ b/src/test/java/org/springmill/control/simulation/ControllerPauseTest.java
@@ -35,7 +35,7 @@
     /** Pauses of the leader that are shorter and longer than each lease and timeout. */
     @ParameterizedTest
     @ValueSource(doubles = {0.5, 1, 1.5, 2, 2.7, 2.9, 4, 5.7, 8, 13, 16, 30})
-    void leaderThatStandsStillLosesNoTaskAndStartsNoneTwice(double seconds) {
+    void pausedLeaderLosesNoTaskAndStartsNoneTwice(double seconds) {
         int leader = cluster.leader();
         cluster.pauseProcess(leader, seconds);
         cluster.submit((leader + 1) % CONTROLLERS, array(OTHER), 3);
@@ -50,7 +50,7 @@
     /** All controllers are paused at the same time. */
     @ParameterizedTest
     @ValueSource(doubles = {1, 2, 4, 8, 12})
-    void allControllersMayStandStillForLessThanAWorkersLease(double seconds) {
+    void pausesOfAllControllersShorterThanAWorkerLeaseLoseNoTask(double seconds) {
         for (int i = 0; i < CONTROLLERS; i++) {
             cluster.pauseProcess(i, seconds);
         }
@@ -62,10 +62,10 @@
     /** Two pauses close together, the second during the recovery from the first. */
     @ParameterizedTest
     @ValueSource(doubles = {0.05, 0.3, 0.7, 1.5, 3})
-    void leaderMayStandStillAgainJustAfterItWoke(double awake) {
+    void leaderPausedAgainDuringRecoveryLosesNoTask(double secondsBetweenPauses) {
         int leader = cluster.leader();
         cluster.pauseProcess(leader, 4);
-        cluster.run(4 + awake);
+        cluster.run(4 + secondsBetweenPauses);
         cluster.pauseProcess(leader, 3);
         cluster.run(40);
         assertEquals(TASKS, cluster.running(JOB));
@@ -79,7 +79,7 @@
      */
     @ParameterizedTest
     @ValueSource(doubles = {0, 0.002, 0.004, 0.006, 0.008, 0.01, 0.012, 0.015, 0.02})
-    void questionThatWaitedThroughAPauseIsNotAnsweredFromBeforeIt(double seconds) {
+    void queryQueuedDuringAPauseIsNotAnsweredFromAnEarlierRead(double seconds) {
         int follower = follower();
         List<String> answers = new ArrayList<>();
         cluster.user(
@@ -104,7 +104,7 @@
 
     /** Guards against a leader that acts after a pause on a lease that it has not renewed yet. */
     @Test
-    void reportsThatWaitedThroughAPauseRenewNoLeaseBeforeTheLeaderHasProvenItself() {
+    void reportsQueuedDuringAPauseRenewNoLeaseBeforeTheLeaderRenewsItsOwn() {
         int leader = cluster.leader();
         cluster.network().partitionFromStore("n-" + leader);
         List<Integer> statuses = new ArrayList<>();
@@ -131,7 +131,7 @@
     /** The leader is paused during an outage of the key-value store. */
     @ParameterizedTest
     @ValueSource(doubles = {2, 5, 9})
-    void leaderMayStandStillInAnOutageOfTheStateService(double seconds) {
+    void leaderPausedInAnOutageOfTheStateServiceLosesNoTask(double seconds) {
         int leader = cluster.leader();
         cluster.keyValueStore().setDown(true);
         cluster.run(3);
--- a/src/test/java/org/springmill/control/simulation/DependencyPriorityTest.java
+++ b/src/test/java/org/springmill/control/simulation/DependencyPriorityTest.java
@@ -20,19 +20,19 @@
     private final SimulatedCluster cluster = new SimulatedCluster();
 
     @AfterEach
-    void noRuleIsBroken() {
+    void noInvariantIsBroken() {
         assertEquals(List.of(), cluster.violations());
     }
 
-    private static ObjectNode job(String id, String urgency, String... needed) {
+    private static ObjectNode job(String id, String urgency, String... dependencies) {
         ObjectNode job = SimulatedCluster.job(id, "blue", "sweep", 8, 1, 1).put("urgency", urgency);
-        for (String n : needed) {
+        for (String n : dependencies) {
             job.withArray("waitsOn").add(n);
         }
         return job;
     }
 
-    private void room() {
+    private void startFullMachine() {
         cluster.machines("large", "a", 1).run(6);
         cluster.cloud().exhaustCapacity();
         // Occupies the machine first, so that later jobs wait and are placed in order of priority.
@@ -59,15 +59,16 @@
         "best_effort, prod,   takeover,  rival",
         "best_effort, prod,   cancelled, first",
     })
-    void aJobHasThePriorityOfAllThatNeedIt(String own, String last, String then, String winner) {
-        room();
+    void aJobInheritsThePriorityOfItsDependents(
+            String own, String last, String event, String winner) {
+        startFullMachine();
         cluster.submit(0, job(FIRST, "normal"), 5);
         cluster.submit(1, job(RIVAL, own), 5);
         cluster.submit(2, job(LAST, "best_effort", RIVAL), 5);
         cluster.submit(2, job(OTHER_LAST, last, LAST), 5);
-        if (then.equals("cancelled")) {
+        if (event.equals("cancelled")) {
             assertEquals("cancelled", cluster.cancel(0, OTHER_LAST));
-        } else if (then.equals("takeover")) {
+        } else if (event.equals("takeover")) {
             cluster.restart(cluster.leader());
         }
         cluster.run(12);
@@ -89,15 +90,15 @@
         "-1, 300, 10, none, rival",
         "200, 100, 10, takeover, rival"
     })
-    void insideAPriorityTheChainWithLeastSlackComesFirst(
-            double firstDue, double rivalDue, double rivalEstimate, String then, String winner) {
-        room();
+    void theChainWithLeastSlackStartsFirstWithinAPriority(
+            double firstDue, double rivalDue, double rivalEstimate, String event, String winner) {
+        startFullMachine();
         cluster.submit(0, job(FIRST, "normal"), 5);
         cluster.submit(1, job(RIVAL, "normal").put("expectS", rivalEstimate), 5);
         ObjectNode last = job(LAST, "normal", FIRST);
         cluster.submit(2, firstDue < 0 ? last : last.put("dueS", firstDue), 5);
         cluster.submit(2, job(OTHER_LAST, "normal", RIVAL).put("dueS", rivalDue), 5);
-        if (then.equals("takeover")) {
+        if (event.equals("takeover")) {
             cluster.restart(cluster.leader());
         }
         cluster.run(12);
@@ -118,9 +119,9 @@
         "none, alone, 100, takeover, rival",
         "200,  chain, 100, takeover, rival",
     })
-    void aDeadlineCountsForAJobThatNothingElseNeeds(
-            String firstDue, String shape, double rivalDue, String then, String winner) {
-        room();
+    void aDeadlineCountsForAJobWithoutDependents(
+            String firstDue, String shape, double rivalDue, String event, String winner) {
+        startFullMachine();
         boolean chain = shape.equals("chain");
         ObjectNode first = job(FIRST, "normal");
         ObjectNode last = job(LAST, "normal", FIRST);
@@ -132,7 +133,7 @@
         if (chain) {
             cluster.submit(2, last, 5);
         }
-        if (then.equals("takeover")) {
+        if (event.equals("takeover")) {
             cluster.restart(cluster.leader());
         }
         cluster.run(12);
--- a/src/test/java/org/springmill/control/simulation/DependencyValidationTest.java
+++ b/src/test/java/org/springmill/control/simulation/DependencyValidationTest.java
@@ -26,7 +26,7 @@
             new SimulatedCluster().machines("large", "a", 1).run(6);
 
     @AfterEach
-    void noRuleIsBroken() {
+    void noInvariantIsBroken() {
         assertEquals(List.of(), cluster.violations());
     }
 
@@ -56,7 +56,7 @@
     }
 
     @Test
-    void aNameNeverAcceptedIsRefusedOnlyAfterAReadOfTheStateService() {
+    void anUnknownDependencyIsRefusedOnlyAfterAReadOfTheStateService() {
         ObjectNode job = job(9);
         job.putArray("waitsOn").add(NEVER_ACCEPTED);
         refuseReadsOf("n-1");
@@ -70,7 +70,7 @@
     }
 
     @Test
-    void aServiceIsRefusedWhereverItWasAcceptedAndAlsoOnceItIsCancelled() {
+    void aServiceAsDependencyIsRefusedByEveryControllerAlsoOnceItIsCancelled() {
         assertEquals(201, post(0, job(1).put("shape", "service")).status());
         ObjectNode job = job(9);
         job.putArray("waitsOn").add(id(1));
@@ -86,7 +86,7 @@
     /** A malformed list of dependencies is rejected without a read, so also during an outage. */
     @ParameterizedTest
     @ValueSource(strings = {"true", "7", "\"run-000001\"", "[[]]", "[\"run-000009\"]"})
-    void aWrongFormIsRefusedWithoutTheStateService(String names) {
+    void malformedDependenciesAreRefusedWithoutTheStateService(String names) {
         refuseReadsOf("n-1");
         String body = job(9).toString();
         body = body.substring(0, body.length() - 1) + ",\"waitsOn\":" + names + "}";
@@ -105,7 +105,7 @@
                 "[~run-000002~,~run-000001~]               | [~run-000002~,~run-000001~]",
                 "[~run-000002~,~run-000001~,~run-000002~]  | [~run-000002~,~run-000001~]",
             })
-    void eachNameIsStoredOnceAndNoFieldWithoutNames(String names, String stored) {
+    void eachDependencyIsStoredOnceAndNoFieldWithoutDependencies(String names, String stored) {
         assertEquals(201, post(0, job(1)).status());
         assertEquals(201, post(0, job(2)).status());
         String body = job(9).toString();
@@ -123,7 +123,7 @@
      * cancelled, which adds its end to the record.
      */
     @Test
-    void theLongestListThatIsTakenFitsWithItsEnd() {
+    void theLongestAcceptedListLeavesRoomForTheEndOfTheJob() {
         ObjectNode job = job(9);
         // Until the list is too long, the response names the unknown job that was added last.
         Reply reply = addUnknownName(job, 0);
--- a/src/test/java/org/springmill/control/simulation/FailingJobTest.java
+++ b/src/test/java/org/springmill/control/simulation/FailingJobTest.java
@@ -70,15 +70,15 @@
      */
     @Test
     void machineThatFailsEverythingIsFoundAlthoughBrokenJobsRanThere() {
-        SimWorker sick = machines().get(0);
-        sick.failEverything();
+        SimWorker faulty = machines().get(0);
+        faulty.failEverything();
         acceptBroken(JOB);
         cluster.run(15);
         for (int i = 0; i < 3; i++) {
             accept(array("run-00010" + i), 5);
             cluster.run(15);
         }
-        assertFalse(machines().contains(sick), "the faulty machine was returned");
+        assertFalse(machines().contains(faulty), "the faulty machine was returned");
         assertEquals(3, machines().size(), "no other machine was returned");
         for (int i = 0; i < 3; i++) {
             assertEquals("done", cluster.phase(follower(), "run-00010" + i));
@@ -87,7 +87,7 @@
 
     /** Guards against a retry that was scheduled before the cancellation and starts after it. */
     @Test
-    void cancelledWhileItPausesAJobStartsNothingMoreAcrossAChangeOfLeader() {
+    void jobCancelledDuringARetryDelayStartsNothingAfterALeaderChange() {
         acceptBroken(JOB);
         cluster.run(30);
         int asked = follower();
@@ -102,7 +102,7 @@
 
     /** A new leader does not know earlier failures, which may cost one more start of each task. */
     @Test
-    void newLeaderTriesAFailingJobOnceAtFullWidth() {
+    void newLeaderRetriesAllTasksOfAFailingJobOnce() {
         acceptBroken(JOB);
         cluster.run(30);
         int before = cluster.startsOfJob(JOB);
--- a/src/test/java/org/springmill/control/simulation/FourThousandMachinesTest.java
+++ b/src/test/java/org/springmill/control/simulation/FourThousandMachinesTest.java
@@ -39,14 +39,14 @@
     @Test
     void aFleetIsRentedFilledTakenOverAndRebuiltAfterTheLossOfAZone() {
         cluster = new SimulatedCluster(SimOptions.DEFAULTS.withStateLimits(STATE_LIMITS)).run(6);
-        allMachinesAreRentedFromNone();
-        anArrayOverAllMachinesIsDone(ARRAY, 20);
-        aTakeoverLosesNothing();
-        anArrayOverAllMachinesIsDone(ARRAY_AFTER_TAKEOVER, 20);
-        aLostZoneIsReplaced();
+        rentAllMachines();
+        runArrayOverAllMachines(ARRAY, 20);
+        killLeaderAndCheckThatNothingIsLost();
+        runArrayOverAllMachines(ARRAY_AFTER_TAKEOVER, 20);
+        loseZoneAndCheckThatItIsReplaced();
     }
 
-    private void allMachinesAreRentedFromNone() {
+    private void rentAllMachines() {
         for (int i = 0; i < SERVICES; i++) {
             var service =
                     SimulatedCluster.job(id(i), "blue", "service", REPLICAS, CPUS_OF_REPLICA, 0);
@@ -56,7 +56,7 @@
         assertTrue(machines().size() <= MACHINES * 1.05, machines().size() + " machines");
     }
 
-    private void anArrayOverAllMachinesIsDone(String id, double seconds) {
+    private void runArrayOverAllMachines(String id, double seconds) {
         var array = SimulatedCluster.job(id, "blue", "sweep", MACHINES, 2, 0);
         assertEquals(201, cluster.submit(follower(), array, 2));
         double since = cluster.clock().now();
@@ -67,7 +67,7 @@
         }
     }
 
-    private void aTakeoverLosesNothing() {
+    private void killLeaderAndCheckThatNothingIsLost() {
         int before = machines().size();
         int killed = cluster.leader();
         cluster.kill(killed);
@@ -83,7 +83,7 @@
         cluster.run(LEASE_SECONDS);
     }
 
-    private void aLostZoneIsReplaced() {
+    private void loseZoneAndCheckThatItIsReplaced() {
         List<SimWorker> lost =
                 machines().stream().filter(machine -> machine.zone().equals("b")).toList();
         assertTrue(lost.size() > MACHINES / 4, lost.size() + " machines in the zone");
--- a/src/test/java/org/springmill/control/simulation/HistoryArchivingTest.java
+++ b/src/test/java/org/springmill/control/simulation/HistoryArchivingTest.java
@@ -79,7 +79,7 @@
 
     /** A peer message announces a cancellation long after the record was moved. */
     @Test
-    void aCancellationToldAfterTheMoveIsNotKept() {
+    void aCancellationAnnouncedAfterTheMoveIsNotKept() {
         submit(follower(), FOREVER, job(CANCELLED, 1));
         cluster.holdPeerMessages();
         assertEquals("cancelled", cluster.cancel(follower(), id(CANCELLED)));
@@ -108,7 +108,7 @@
     @EnumSource(
             value = Fate.class,
             names = {"LOSE_ANSWER", "DROP", "HOLD", "REFUSE"})
-    void resubmissionsDuringAMoveThatGoesWrongNeverRunTheJobAgain(Fate fate) {
+    void resubmissionsDuringAFailedMoveNeverRunTheJobAgain(Fate fate) {
         runToEnd(DONE);
         moves(fate);
         cluster.run(UNTIL_MOVED_SECONDS);
@@ -193,7 +193,7 @@
      * as known.
      */
     @Test
-    void aQuestionAtAControllerThatReadsNothingGetsNoFinalAnswer() {
+    void requestsAtALaggingControllerGetNoFinalAnswer() {
         int lagging = follower();
         cluster.network()
                 .judge(
@@ -218,7 +218,7 @@
      * again.
      */
     @Test
-    void recordsMovedWhileAControllerMissedTooManyChangesAreForgottenThere() {
+    void recordsMovedWhileAControllerMissedTooManyChangesAreRemovedThere() {
         runToEnd(DONE);
         int lagging = follower();
         cluster.network()
@@ -239,7 +239,7 @@
 
     /** Memory depends on live and recently ended jobs only, not on the number of jobs so far. */
     @Test
-    void whatIsHeldInMemoryDoesNotGrowWithTheJobsThatPassThrough() {
+    void memoryDoesNotGrowWithTheNumberOfJobsSoFar() {
         int most = 0;
         for (int number = 1; number <= 120; number++) {
             submit(number % CONTROLLERS, 0.5, job(number, 1));
--- a/src/test/java/org/springmill/control/simulation/HistoryOutageTest.java
+++ b/src/test/java/org/springmill/control/simulation/HistoryOutageTest.java
@@ -25,7 +25,7 @@
     }
 
     @Test
-    void movesGoOnAfterAnOutage() {
+    void movesContinueAfterAnOutage() {
         endJobs();
         cluster.run(RETENTION_SECONDS - 15);
         cluster.keyValueStore().setDown(true);
@@ -36,7 +36,7 @@
     }
 
     @Test
-    void movesGoOnWhenTheLeaderAloneIsRefused() {
+    void movesContinueWhenTheLeaderAloneIsRefused() {
         endJobs();
         cluster.run(RETENTION_SECONDS - 15);
         int refused = cluster.leader();
@@ -67,7 +67,7 @@
 
     /** A slow key-value store delays moves, but not leadership and acceptance. */
     @Test
-    void aSlowStateServiceKeepsItsTimeForLeadershipAndAcceptance() {
+    void aSlowStateServiceDelaysNeitherLeadershipNorAcceptance() {
         endJobs();
         cluster.network()
                 .delayAnswers((from, request) -> MessageMatchers.toStateService(request) ? 0.3 : 0);
--- a/src/test/java/org/springmill/control/simulation/HistoryPropertyTest.java
+++ b/src/test/java/org/springmill/control/simulation/HistoryPropertyTest.java
@@ -43,7 +43,7 @@
         QUERY,
         RESTART,
         KILL,
-        LAG,
+        DROP_WATCHES,
         HOLD_COMMITS,
         DELAY_COMMITS,
         OUTAGE,
@@ -78,7 +78,7 @@
     @Property(tries = 60, seed = "20261202", shrinking = ShrinkingMode.BOUNDED)
     void noJobIsAcceptedTwiceAndNoFinalStateIsLostOrChanged(
             @ForAll("schedules") List<Step> schedule) {
-        new Run().play(schedule);
+        new Run().execute(schedule);
     }
 
     /** A cluster that a schedule is run on. */
@@ -92,9 +92,9 @@
         private final Set<String> accepted = new HashSet<>();
         private final Map<String, String> finalStates = new HashMap<>();
 
-        void play(List<Step> schedule) {
+        void execute(List<Step> schedule) {
             for (Step step : schedule) {
-                act(step);
+                apply(step);
                 cluster.run(step.seconds());
             }
             cluster.network().releaseHeld();
@@ -113,7 +113,7 @@
             assertNothingStaysInMemory();
         }
 
-        private void act(Step step) {
+        private void apply(Step step) {
             int controller = step.controller();
             switch (step.kind()) {
                 case SUBMIT -> submit(controller, newJob());
@@ -123,8 +123,8 @@
                 case QUERY -> withJob(step, job -> query(controller, idOf(job)));
                 case RESTART -> cluster.restart(controller);
                 case KILL -> cluster.kill(controller);
-                case LAG -> judge(controller, "/changes?under=job/", Fate.DROP);
-                case HOLD_COMMITS -> judge(controller, "/commit", Fate.HOLD);
+                case DROP_WATCHES -> setFate(controller, "/changes?under=job/", Fate.DROP);
+                case HOLD_COMMITS -> setFate(controller, "/commit", Fate.HOLD);
                 case DELAY_COMMITS -> cluster.keyValueStore().delayCommits(0.4);
                 case OUTAGE -> cluster.keyValueStore().setDown(true);
                 case REFUSE -> cluster.keyValueStore().refuseController(controller, true);
@@ -134,7 +134,7 @@
             }
         }
 
-        private void judge(int controller, String path, Fate fate) {
+        private void setFate(int controller, String path, Fate fate) {
             cluster.network()
                     .judge(
                             (from, request) ->
@@ -198,14 +198,14 @@
         }
 
         private void withdraw(int controller, String id) {
-            note(id, cluster.cancel(controller, id));
+            recordFinalState(id, cluster.cancel(controller, id));
         }
 
         private void query(int controller, String id) {
-            note(id, cluster.phase(controller, id));
+            recordFinalState(id, cluster.phase(controller, id));
         }
 
-        private void note(String id, String phase) {
+        private void recordFinalState(String id, String phase) {
             if (phase.equals("done") || phase.equals("cancelled")) {
                 assertEquals(finalStates.computeIfAbsent(id, i -> phase), phase, id);
             }
@@ -218,7 +218,7 @@
                 boolean never = phase.equals("404") && !accepted.contains(id);
                 boolean over = phase.equals("done") || phase.equals("cancelled");
                 assertTrue(never || over, id + " is " + phase + " at " + controller);
-                note(id, phase);
+                recordFinalState(id, phase);
             }
         }
 
