--- a/src/test/java/org/springmill/control/simulation/AdmissionTest.java
+++ b/src/test/java/org/springmill/control/simulation/AdmissionTest.java
@@ -19,33 +19,36 @@
 import org.springmill.transport.HttpClient.Request;
 
 /**
- * Three controllers that hold acceptance back: at the bound of their memory, with queues that wait
- * too long, and while the key-value store takes less than users ask for.
+ * Three controllers that refuse submissions: at the limit on the memory for jobs, when a queue
+ * waits too long, and when users submit faster than the key-value store takes changes.
  */
 class AdmissionTest extends ClusterFixture {
     /**
-     * Heap for some so many live jobs of low priority; a job needs 1,600 bytes, 0.4 is for jobs.
+     * Live jobs of low priority that fit into {@link #SMALL_HEAP}: a job needs 1,600 bytes, jobs
+     * may use 0.4 of the heap, and low priority 0.7 of that.
      */
     private static final int LOW_JOBS = 100;
 
     private static final double SMALL_HEAP = LOW_JOBS / 0.7 * 1600 / 0.4;
 
-    /** The key-value store takes so many changes a second from all controllers. */
+    /** Changes per second that the key-value store takes from all controllers together. */
     private static final double CHANGES_PER_SECOND = 20;
 
-    /** Records that were checked against the bound and not yet known to the other controllers. */
-    private static final double UNDER_WAY_SECONDS = 3.5;
+    /**
+     * Time from the check of a submission against the limit until all controllers know its record.
+     */
+    private static final double PROPAGATION_SECONDS = 3.5;
 
-    private static final int OVERSHOOT = (int) (CHANGES_PER_SECOND * UNDER_WAY_SECONDS);
+    private static final int MAX_EXCESS = (int) (CHANGES_PER_SECOND * PROPAGATION_SECONDS);
 
-    private int numbers = 100_000;
+    private int lastJobNumber = 100_000;
 
     private void startSmall(SimOptions options) {
         startCluster(new SimulatedCluster(options.withHeapBytes(SMALL_HEAP)));
     }
 
     private ObjectNode job(String team, String priority, double gpus) {
-        String id = "run-" + ++numbers;
+        String id = "run-" + ++lastJobNumber;
         ObjectNode job = SimulatedCluster.job(id, team, "sweep", 1, 1, gpus);
         job.put("urgency", priority);
         return job;
@@ -56,10 +59,13 @@
         return cluster.ask(controller, "POST", "/submissions", job.toString());
     }
 
-    /** Fills what low priority may need, with two teams since one may not have all of it. */
-    private List<ObjectNode> fill() {
+    /**
+     * Submits jobs of low priority until they are refused. Alternates between two teams because one
+     * team alone may not use the whole share of low priority.
+     */
+    private List<ObjectNode> fillLowPriority() {
         List<ObjectNode> accepted = new ArrayList<>();
-        for (int i = 0; i < 4 * LOW_JOBS && !refusedLately(accepted, i); i++) {
+        for (int i = 0; i < 4 * LOW_JOBS && !manyRefused(accepted, i); i++) {
             ObjectNode job = job(i % 2 == 0 ? "red" : "blue", "best_effort", 1);
             if (submit(i % CONTROLLERS, job).status() == 201) {
                 accepted.add(job);
@@ -68,7 +74,7 @@
         return accepted;
     }
 
-    private static boolean refusedLately(List<ObjectNode> accepted, int submitted) {
+    private static boolean manyRefused(List<ObjectNode> accepted, int submitted) {
         return submitted - accepted.size() > 20;
     }
 
@@ -84,11 +90,11 @@
                 .sum();
     }
 
-    /** Users are told at once, and when to come back; whoever is refused leaves nothing behind. */
+    /** The refusal is immediate and says when to retry; nothing of the refused job is stored. */
     @Test
-    void beyondTheBoundSubmissionsAreRefusedAtOnceWithWhenToComeBack() {
+    void submissionsBeyondTheMemoryLimitAreRefusedWithARetryTime() {
         startSmall(SimOptions.DEFAULTS);
-        List<ObjectNode> accepted = fill();
+        List<ObjectNode> accepted = fillLowPriority();
         assertTrue(accepted.size() >= LOW_JOBS * 0.9, accepted.size() + " accepted");
         assertTrue(accepted.size() <= LOW_JOBS, accepted.size() + " accepted one after another");
         ObjectNode refused = job("blue", "best_effort", 1);
@@ -96,7 +102,7 @@
         Reply answer = submit(follower(), refused);
         assertEquals(503, answer.status());
         assertTrue(answer.retryAfterSeconds() >= 1 && answer.retryAfterSeconds() <= 30);
-        assertTrue(cluster.clock().now() - before < 0.5, "at once");
+        assertTrue(cluster.clock().now() - before < 0.5, "answered within 0.5 s");
         assertEquals(404, cluster.ask(0, "GET", "/submissions/" + idOf(refused), "").status());
         assertTrue(metric(follower(), "submissions_refused_memory_total") > 0);
     }
@@ -105,9 +111,12 @@
         return job.path("nameId").asText();
     }
 
-    /** What each admits before it has read of the others' is all that can go beyond the bound. */
+    /**
+     * The limit can be exceeded only by jobs that a controller admits before it has read the
+     * records of the others.
+     */
     @Test
-    void controllersThatAdmitAtTheBoundInTheSameMomentOvershootByWhatIsUnderWay() {
+    void controllersAdmittingConcurrentlyExceedTheLimitOnlyByUnreadRecords() {
         startSmall(SimOptions.DEFAULTS);
         int[] accepted = new int[1];
         for (int i = 0; i < 6 * LOW_JOBS; i++) {
@@ -127,12 +136,15 @@
         }
         cluster.run(40);
         assertTrue(accepted[0] >= LOW_JOBS * 0.9, accepted[0] + " accepted");
-        assertTrue(accepted[0] <= LOW_JOBS + OVERSHOOT, accepted[0] + " accepted");
+        assertTrue(accepted[0] <= LOW_JOBS + MAX_EXCESS, accepted[0] + " accepted");
     }
 
-    /** A controller that reads nothing of the others may not take what they have taken. */
+    /**
+     * A controller that cannot read the records of the others must not use the room that they may
+     * have used.
+     */
     @Test
-    void aControllerThatCannotReadWhatOthersAcceptedRefusesNearTheBound() {
+    void aControllerThatCannotReadRecordsOfOthersRefusesBelowTheLimit() {
         startSmall(SimOptions.DEFAULTS);
         int stale = follower();
         String staleName = "n-" + stale;
@@ -150,8 +162,12 @@
             acceptedByOthers += accepts(other, job(team, "best_effort", 1));
             acceptedByStale += accepts(stale, job(team, "best_effort", 1));
         }
-        assertTrue(acceptedByOthers <= LOW_JOBS, acceptedByOthers + " by the others");
-        assertTrue(acceptedByStale <= 0.9 * LOW_JOBS, acceptedByStale + " by its own account");
+        assertTrue(
+                acceptedByOthers <= LOW_JOBS,
+                acceptedByOthers + " accepted by the other controllers");
+        assertTrue(
+                acceptedByStale <= 0.9 * LOW_JOBS,
+                acceptedByStale + " accepted by the lagging controller");
         deliverAllMessages();
         cluster.run(20);
         assertEquals(503, submit(stale, job("blue", "best_effort", 1)).status());
@@ -164,20 +180,20 @@
     @Test
     void aRepeatedSubmissionIsNeverRefused() {
         startSmall(SimOptions.DEFAULTS);
-        List<ObjectNode> accepted = fill();
+        List<ObjectNode> accepted = fillLowPriority();
         for (int i = 0; i < CONTROLLERS; i++) {
             assertEquals(200, submit(i, accepted.get(i)).status());
         }
     }
 
-    /** Its user sends it again, at another controller, which has not read of it. */
+    /** The user repeats the submission at another controller, which has not read the record yet. */
     @Test
-    void aSubmissionWhoseAnswerWasLostAtTheBoundIsKnownAgainAndCountsOnce() {
+    void aSubmissionWithALostResponseIsRecognizedAtTheLimitAndCountedOnce() {
         startSmall(SimOptions.DEFAULTS);
-        List<ObjectNode> accepted = fill();
+        List<ObjectNode> accepted = fillLowPriority();
         ObjectNode last = job("red", "best_effort", 1);
-        cluster.network().judge((from, request) -> fateOfLast(from, request, idOf(last)));
-        // The watches of the second controller are lost from now on: it finds itself at the bound.
+        cluster.network().judge((from, request) -> fateOfRequest(from, request, idOf(last)));
+        // The watches of controller 1 are lost from now on, so by its own count it is at the limit.
         cluster.run(15);
         cluster.cancel(0, idOf(accepted.get(0)));
         cluster.run(1);
@@ -190,7 +206,7 @@
         assertEquals(accepted.size(), metric(0, "live_jobs"));
     }
 
-    private static Fate fateOfLast(String from, Request request, String id) {
+    private static Fate fateOfRequest(String from, Request request, String id) {
         String body = new String(request.body(), StandardCharsets.UTF_8);
         if (request.path().equals("/commit") && body.contains(id)) {
             return Fate.LOSE_ANSWER;
@@ -200,19 +216,21 @@
         return watch && from.equals("n-1") ? Fate.DROP : Fate.DELIVER;
     }
 
-    /** Whoever fills the bound with low work, others are not held back by it. */
+    /** Jobs of low priority cannot use the room for urgent and production jobs. */
     @Test
-    void urgentWorkAndGuaranteedWorkAreTakenWhereLowWorkIsRefused() {
+    void urgentAndProductionJobsAreAcceptedWhenLowPriorityIsRefused() {
         startSmall(SimOptions.DEFAULTS);
-        fill();
+        fillLowPriority();
         assertEquals(503, submit(0, job("blue", "best_effort", 1)).status());
         assertEquals(201, submit(0, job("blue", "urgent", 1)).status());
         assertEquals(201, submit(1, job("blue", "prod", 1)).status());
     }
 
-    /** Red has eight GPUs guaranteed and holds nothing; blue alone has filled what it may. */
+    /**
+     * Team red is guaranteed eight GPUs and has no jobs; team blue has submitted as many as it may.
+     */
     @Test
-    void aFloodOfOneTeamLeavesRoomForOthersAndForGuarantees() {
+    void manySubmissionsOfOneTeamLeaveRoomForGuaranteesOfOthers() {
         startSmall(SimOptions.DEFAULTS);
         int flooded = 0;
         for (int i = 0; i < 3 * LOW_JOBS; i++) {
@@ -225,11 +243,11 @@
         }
     }
 
-    /** Controllers that were started again with less memory hold more than they may. */
+    /** Controllers that are restarted with less memory hold more jobs than the new limit. */
     @Test
-    void nothingIsDroppedWhenALeaderRebuildsAboveTheBound() {
+    void noJobIsDroppedWhenALeaderStartsAboveTheLimit() {
         startSmall(SimOptions.DEFAULTS);
-        List<ObjectNode> accepted = fill();
+        List<ObjectNode> accepted = fillLowPriority();
         cluster.heapBytes(SMALL_HEAP / 4);
         for (int i = 0; i < CONTROLLERS; i++) {
             cluster.restart(i);
@@ -249,10 +267,10 @@
         assertEquals(201, submit(0, job("blue", "best_effort", 1)).status());
     }
 
-    /** Nothing waits for a person: once there is room, whoever comes back is served. */
+    /** Recovery needs no operator: once there is room, retried submissions are accepted. */
     @ParameterizedTest
     @ValueSource(ints = {1, 2, 3})
-    void afterABurstOfThreeTimesTheDrainRateGoodputIsBackAtOnce(int seed) {
+    void goodputRecoversAfterABurstOfThreeTimesTheDrainRate(int seed) {
         startCluster(seed);
         RetryingUsers users = new RetryingUsers(cluster, seed);
         double burstSeconds = 20;
@@ -269,19 +287,22 @@
                 duringBurst + " accepted during the burst");
         cluster.run(70);
         assertEquals(burst, users.accepted() + users.gaveUp());
-        // Goodput stays: what is refused costs the key-value store nothing.
+        // Goodput does not fall: a refusal costs no write to the key-value store.
         double drainSeconds = cluster.clock().now() - burstStart;
         assertTrue(
                 users.accepted() >= 0.5 * CHANGES_PER_SECOND * Math.min(drainSeconds, 80),
-                users.accepted() + " accepted in all");
+                users.accepted() + " accepted in total");
         users.submit(job("red", "normal", 0), FOREVER);
         cluster.run(5);
         assertTrue(users.lastAcceptanceSeconds() < 1, users.lastAcceptanceSeconds() + " s");
     }
 
-    /** Out for half a minute, then everybody comes back: refusals are spread, nobody is lost. */
+    /**
+     * All submissions of a 30 s outage are retried after it: their retry times are spread, and none
+     * is given up.
+     */
     @Test
-    void afterAnOutageOfTheStateServiceTheWaveOfRetriesIsServed() {
+    void retriesAfterAnOutageOfTheStateServiceAreAccepted() {
         startCluster(1);
         RetryingUsers users = new RetryingUsers(cluster, 1);
         cluster.keyValueStore().setDown(true);
@@ -297,9 +318,12 @@
         assertEquals(0, users.gaveUp());
     }
 
-    /** More are refused than can be looked up; told to come back in a second they were a wave. */
+    /**
+     * More submissions are refused than can be looked up. If all were to retry after a second, they
+     * would arrive together.
+     */
     @Test
-    void everyoneWhoIsRefusedInABurstIsToldWhenToComeBackByTheDrainRate() {
+    void refusalsInABurstHaveARetryTimeBasedOnTheDrainRate() {
         startCluster(1);
         List<Reply> refused = new ArrayList<>();
         for (int i = 0; i < 600; i++) {
@@ -319,18 +343,21 @@
         cluster.run(5);
         assertTrue(refused.size() > 300, refused.size() + " refused");
         long early = refused.stream().filter(reply -> reply.retryAfterSeconds() < 2).count();
-        assertEquals(0, early, "told to come back within a second");
+        assertEquals(0, early, "refusals with a retry time below 2 s");
         long reasons = refused.stream().map(AdmissionTest::textOf).distinct().count();
-        assertEquals(1, reasons, "one reason for all");
+        assertEquals(1, reasons, "the same reason for all");
     }
 
     private static String textOf(Reply reply) {
         return new String(reply.body(), StandardCharsets.UTF_8);
     }
 
-    /** A slow key-value store: what cannot be committed while its user waits is refused at once. */
+    /**
+     * With a slow key-value store, a submission that cannot be committed before its user's timeout
+     * is refused.
+     */
     @Test
-    void whileTheStateServiceIsSlowSubmissionsAreRefusedRatherThanHeld() {
+    void submissionsAreRefusedRatherThanHeldWhileTheStateServiceIsSlow() {
         startCluster(1);
         cluster.network()
                 .delayRequests((from, request) -> request.path().equals("/commit") ? 0.8 : 0);
@@ -345,10 +372,11 @@
     }
 
     /**
-     * A batch that would wait for longer than operators want is refused, until the queue drains.
+     * Jobs are refused while their queue would wait longer than the limit of the operators, until
+     * it drains.
      */
     @Test
-    void workIsRefusedWhileItsQueueWaitsTooLongAndTakenOnceItDrains() {
+    void jobsAreRefusedWhileTheirQueueWaitsTooLongAndAcceptedOnceItDrains() {
         startCluster(new SimulatedCluster(SimOptions.DEFAULTS.withMaxWait(60)));
         ObjectNode large = SimulatedCluster.job("run-000050", "blue", "sweep", 2000, 1, 1);
         cluster.setRunSeconds("run-000050", 30);
@@ -357,7 +385,8 @@
         for (int i = 0; i < CONTROLLERS; i++) {
             assertEquals(503, submit(i, job("blue", "normal", 1)).status(), "at " + i);
         }
-        assertEquals(201, submit(0, job("blue", "prod", 1)).status(), "above that queue");
+        assertEquals(
+                201, submit(0, job("blue", "prod", 1)).status(), "higher priority than the queue");
         assertEquals(201, submit(1, job("red", "best_effort", 1)).status(), "guaranteed");
         assertTrue(metric(cluster.leader(), "congested_queues") > 0);
         cluster.kill(cluster.leader());
--- a/src/test/java/org/springmill/control/simulation/BorrowingFailureTest.java
+++ b/src/test/java/org/springmill/control/simulation/BorrowingFailureTest.java
@@ -23,10 +23,10 @@
 import org.springmill.transport.HttpClient.Request;
 
 /**
- * Recalls while controllers, the key-value store and machines fail. The fleet is full of
- * fine-tuning work of red and blue, 16 tasks each, of which 8 each are on loan; then amber asks for
- * 8 replicas, which it is guaranteed. In the end these run, and the work that gave way goes on from
- * its checkpoints.
+ * Recalls while controllers, the key-value store and machines fail. Fine-tuning jobs of teams red
+ * and blue fill the fleet, 16 tasks each, of which 8 each run on borrowed resources. Then team
+ * amber submits 8 replicas within its guarantee. In the end these run, and the stopped tasks resume
+ * from their checkpoints.
  */
 class BorrowingFailureTest extends BorrowingFixture {
     private static final int REPLICAS = 8;
@@ -41,7 +41,7 @@
         CLAIM,
         START;
 
-        private boolean isBegunBy(Request request) {
+        private boolean isStartedBy(Request request) {
             return switch (this) {
                 case COMMIT -> isCommit(request) && text(request).contains("recall/");
                 case HALT -> isCommand(request) && text(request).contains("\"halt\"");
@@ -51,35 +51,37 @@
         }
     }
 
-    /** What becomes of the leader. */
+    /** How the leader fails. */
     private enum Failure {
         KILLED,
-        STANDS_STILL
+        PAUSED
     }
 
-    private void lend(long seed) {
+    private void startWithFullFleet(long seed) {
         startBorrowing(seed);
         accept(fineTuning(BATCH, "red", 16), WORK_SECONDS);
         accept(fineTuning(FINE_TUNING, "blue", 16), WORK_SECONDS);
         cluster.run(12);
-        assertEquals(GPUS, lent());
+        assertEquals(GPUS, runningBatchTasks());
     }
 
-    private int lent() {
+    private int runningBatchTasks() {
         return cluster.running(BATCH) + cluster.running(FINE_TUNING);
     }
 
-    private void ask() {
+    private void submitServing() {
         accept(serving(SERVING, "amber", REPLICAS), FOREVER);
     }
 
-    /** Once, at the first message of a step, something happens and the message has a fate. */
-    private void at(Step step, Runnable then, Fate fate) {
+    /**
+     * Runs an action and applies a fate to the message when the first message of a step is sent.
+     */
+    private void onFirstMessage(Step step, Runnable then, Fate fate) {
         boolean[] happened = new boolean[1];
         cluster.network()
                 .judge(
                         (from, request) -> {
-                            if (happened[0] || !step.isBegunBy(request)) {
+                            if (happened[0] || !step.isStartedBy(request)) {
                                 return Fate.DELIVER;
                             }
                             happened[0] = true;
@@ -88,7 +90,7 @@
                         });
     }
 
-    private void servingRunsAndWorkGoesOn() {
+    private void assertServingRunsAndBatchCompletes() {
         cluster.endFailures().run(45);
         assertEquals(REPLICAS, cluster.running(SERVING));
         assertEquals(0, checker.recorded(), "every recall is settled");
@@ -100,30 +102,33 @@
         assertTrue(checker.haltsForOthers() >= 1, "recalls took place");
     }
 
-    /** Guards against halts that nobody has committed, and promises that a new leader forgets. */
+    /**
+     * Guards against halts without a committed recall, and against a new leader that does not know
+     * a committed recall.
+     */
     @ParameterizedTest
     @CsvSource({
         "COMMIT, KILLED, DROP",
         "COMMIT, KILLED, LOSE_ANSWER",
-        "COMMIT, STANDS_STILL, DROP",
-        "COMMIT, STANDS_STILL, LOSE_ANSWER",
+        "COMMIT, PAUSED, DROP",
+        "COMMIT, PAUSED, LOSE_ANSWER",
         "HALT, KILLED, DROP",
         "HALT, KILLED, DELIVER",
-        "HALT, STANDS_STILL, DROP",
-        "HALT, STANDS_STILL, DELIVER",
+        "HALT, PAUSED, DROP",
+        "HALT, PAUSED, DELIVER",
         "CLAIM, KILLED, DROP",
         "CLAIM, KILLED, LOSE_ANSWER",
-        "CLAIM, STANDS_STILL, DROP",
-        "CLAIM, STANDS_STILL, LOSE_ANSWER",
+        "CLAIM, PAUSED, DROP",
+        "CLAIM, PAUSED, LOSE_ANSWER",
         "START, KILLED, DROP",
         "START, KILLED, DELIVER",
-        "START, STANDS_STILL, DROP",
-        "START, STANDS_STILL, DELIVER"
+        "START, PAUSED, DROP",
+        "START, PAUSED, DELIVER"
     })
     void leaderFailsInTheMiddleOfARecall(Step step, Failure failure, Fate fate) {
-        lend(20);
+        startWithFullFleet(20);
         int leader = cluster.leader();
-        at(
+        onFirstMessage(
                 step,
                 () -> {
                     if (failure == Failure.KILLED) {
@@ -133,23 +138,26 @@
                     }
                 },
                 fate);
-        ask();
+        submitServing();
         cluster.run(12);
         assertNotEquals(leader, cluster.leader());
         if (failure == Failure.KILLED) {
             cluster.restart(leader);
         }
-        servingRunsAndWorkGoesOn();
+        assertServingRunsAndBatchCompletes();
     }
 
-    /** The leader is killed while victims save, and again while the next one carries on. */
+    /**
+     * The leader is killed while victims save, and so is the next one while it continues the
+     * recall.
+     */
     @ParameterizedTest
     @ValueSource(doubles = {0.3, 0.7, 1.1, 1.5, 2.0})
     void leadersAreKilledOneAfterTheOtherWhileVictimsSave(double seconds) {
-        lend(40);
+        startWithFullFleet(40);
         cluster.progress().setSaveSeconds(BATCH, 2);
         int first = cluster.leader();
-        ask();
+        submitServing();
         cluster.run(seconds);
         cluster.kill(first);
         cluster.run(7 + seconds);
@@ -161,29 +169,31 @@
             cluster.run(8);
             cluster.restart(second);
         }
-        servingRunsAndWorkGoesOn();
+        assertServingRunsAndBatchCompletes();
     }
 
-    /** Commits and halts of a deposed leader are delivered after its successor has decided. */
+    /**
+     * Commits and commands of a deposed leader are delivered after its successor has taken over.
+     */
     @ParameterizedTest
     @EnumSource(
             value = Step.class,
             names = {"COMMIT", "HALT", "CLAIM"})
     void messagesOfADeposedLeaderArriveLate(Step step) {
-        lend(50);
+        startWithFullFleet(50);
         int leader = cluster.leader();
         boolean[] begun = new boolean[1];
         cluster.network()
                 .judge(
                         (from, request) -> {
-                            begun[0] |= step.isBegunBy(request);
+                            begun[0] |= step.isStartedBy(request);
                             boolean held =
                                     begun[0]
                                             && fromController(from, leader)
                                             && (isCommit(request) || isCommand(request));
                             return held ? Fate.HOLD : Fate.DELIVER;
                         });
-        ask();
+        submitServing();
         cluster.run(4);
         cluster.kill(leader);
         cluster.run(9);
@@ -191,49 +201,53 @@
         cluster.network().releaseHeld();
         cluster.run(3);
         cluster.restart(leader);
-        servingRunsAndWorkGoesOn();
+        assertServingRunsAndBatchCompletes();
     }
 
-    /** The leader alone is refused, all are, or writes are carried out late, in the middle. */
+    /**
+     * During a recall, the key-value store refuses the leader, is down, applies commits late, or
+     * refuses commits for their rate.
+     */
     @ParameterizedTest
     @CsvSource({
-        "COMMIT, refused",
-        "HALT, refused",
-        "CLAIM, refused",
-        "COMMIT, out",
-        "HALT, out",
-        "CLAIM, out",
-        "COMMIT, late",
-        "HALT, late",
-        "CLAIM, late",
-        "COMMIT, budget",
-        "HALT, budget",
-        "CLAIM, budget"
+        "COMMIT, leader_refused",
+        "HALT, leader_refused",
+        "CLAIM, leader_refused",
+        "COMMIT, down",
+        "HALT, down",
+        "CLAIM, down",
+        "COMMIT, late_commits",
+        "HALT, late_commits",
+        "CLAIM, late_commits",
+        "COMMIT, rate_limit",
+        "HALT, rate_limit",
+        "CLAIM, rate_limit"
     })
-    void stateServiceFailsInTheMiddleOfARecall(Step step, String trouble) {
-        lend(60);
+    void stateServiceFailsInTheMiddleOfARecall(Step step, String failure) {
+        startWithFullFleet(60);
         int leader = cluster.leader();
-        at(
+        onFirstMessage(
                 step,
                 () -> {
-                    switch (trouble) {
-                        case "refused" -> cluster.keyValueStore().refuseController(leader, true);
-                        case "out" -> cluster.keyValueStore().setDown(true);
-                        case "late" -> cluster.keyValueStore().delayCommits(0.5);
-                        default -> spendWriteBudget();
+                    switch (failure) {
+                        case "leader_refused" ->
+                                cluster.keyValueStore().refuseController(leader, true);
+                        case "down" -> cluster.keyValueStore().setDown(true);
+                        case "late_commits" -> cluster.keyValueStore().delayCommits(0.5);
+                        default -> rejectCommitsForTheirRate();
                     }
                 },
                 Fate.DELIVER);
-        ask();
+        submitServing();
         cluster.run(20);
-        if (trouble.equals("out")) {
+        if (failure.equals("down")) {
             cluster.keyValueStore().setDown(false);
         }
-        servingRunsAndWorkGoesOn();
+        assertServingRunsAndBatchCompletes();
     }
 
-    /** For some seconds the key-value store refuses all commits for their rate. */
-    private void spendWriteBudget() {
+    /** Lets the key-value store refuse all commits for 6 s, as if the rate limit were reached. */
+    private void rejectCommitsForTheirRate() {
         double until = cluster.clock().now() + 6;
         cluster.network()
                 .judge(
@@ -245,76 +259,80 @@
                                         : Fate.DELIVER);
     }
 
-    /** The machine of victims stops to act or to hear, or its reports are lost, at any step. */
+    /**
+     * At any step, a machine hangs, is unreachable, loses its reports, gets a preemption notice or
+     * is reclaimed.
+     */
     @ParameterizedTest
     @CsvSource({
         "COMMIT, hung",
         "HALT, hung",
         "CLAIM, hung",
-        "COMMIT, deaf",
-        "HALT, deaf",
-        "COMMIT, mute",
-        "HALT, mute",
+        "COMMIT, unreachable",
+        "HALT, unreachable",
+        "COMMIT, reports_lost",
+        "HALT, reports_lost",
         "COMMIT, notice",
         "HALT, notice",
         "CLAIM, notice",
-        "HALT, taken",
-        "CLAIM, taken"
+        "HALT, reclaimed",
+        "CLAIM, reclaimed"
     })
-    void machineOfVictimsFailsInTheMiddleOfARecall(Step step, String trouble) {
-        lend(80);
+    void machineOfVictimsFailsInTheMiddleOfARecall(Step step, String failure) {
+        startWithFullFleet(80);
         SimWorker machine = machines().get(1);
-        at(step, () -> fail(machine, trouble), Fate.DELIVER);
-        ask();
+        onFirstMessage(step, () -> fail(machine, failure), Fate.DELIVER);
+        submitServing();
         cluster.run(10);
         machine.hang(false);
         cluster.run(LEASE_SECONDS);
-        if (trouble.equals("notice")) {
+        if (failure.equals("notice")) {
             cluster.cloud().reclaim(machine);
         }
         if (!cluster.cloud().machines().containsValue(machine)) {
             cluster.machines("large", "a", 1);
         }
         cluster.cloud().restoreCapacity();
-        servingRunsAndWorkGoesOn();
+        assertServingRunsAndBatchCompletes();
     }
 
-    private void fail(SimWorker machine, String trouble) {
-        switch (trouble) {
+    private void fail(SimWorker machine, String failure) {
+        switch (failure) {
             case "hung" -> machine.hang(true);
-            case "deaf" -> cluster.network().blockMessagesTo(machine);
-            case "mute" -> cluster.network().blockHeartbeatsFrom(machine);
+            case "unreachable" -> cluster.network().blockMessagesTo(machine);
+            case "reports_lost" -> cluster.network().blockHeartbeatsFrom(machine);
             case "notice" -> machine.givePreemptionNotice(20);
             default -> cluster.cloud().reclaim(machine);
         }
     }
 
-    /** The demand falls before the halts are out: nobody is stopped. */
+    /** The demand ends before the halts are sent, so no task is stopped. */
     @Test
     void recallIsTakenBackIfTheDemandFallsBeforeTheHalts() {
-        lend(100);
+        startWithFullFleet(100);
         cluster.network()
                 .delayAnswers(
                         (from, request) ->
                                 toStateService(request) && text(request).contains("recall/")
                                         ? 0.8
                                         : 0);
-        ask();
+        submitServing();
         cluster.run(0.25);
         cluster.cancel(cluster.leader(), SERVING);
         cluster.run(6);
         assertEquals(0, checker.haltsForOthers());
-        assertEquals(GPUS, lent());
+        assertEquals(GPUS, runningBatchTasks());
         assertEquals(0, checker.recorded());
         assertTrue(checker.recalls() > 0, "a recall was committed");
     }
 
     /**
-     * Guards against halts that were right when they were decided: while the commit's answer is
-     * lost, the user of the team that is to give way withdraws most of what it runs.
+     * Guards against halts based on outdated usage: while the response to the commit is lost, a
+     * user cancels most of what the team with the recalled tasks runs, so that it would fall below
+     * its guarantee.
      */
     @Test
-    void nobodyIsToldIfATeamWouldBeLeftWithTooLittleByTheTimeOfTheCommit() {
+    void noTaskIsHaltedIfItsTeamWouldFallBelowItsGuaranteeByTheTimeOfTheCommit() {
         startBorrowing(160);
         accept(fineTuning(BATCH, "red", 8), FOREVER);
         accept(serving(OTHER, "blue", 14), FOREVER);
@@ -325,42 +343,43 @@
         cluster.network()
                 .judge(
                         (from, request) -> {
-                            boolean first = !lost[0] && Step.COMMIT.isBegunBy(request);
+                            boolean first = !lost[0] && Step.COMMIT.isStartedBy(request);
                             lost[0] |= first;
                             return first ? Fate.LOSE_ANSWER : Fate.DELIVER;
                         });
-        ask();
+        submitServing();
         cluster.run(0.3);
-        assertTrue(checker.recorded() > 0, "the recall is committed, and the leader doesn't know");
+        assertTrue(checker.recorded() > 0, "the recall is committed, but its response is lost");
         cluster.cancel(cluster.leader(), OTHER);
         cluster.run(8);
         assertEquals(REPLICAS, cluster.running(SERVING));
-        assertTrue(checker.haltsForOthers() <= 2, "blue keeps 8 of the 10 that were left");
+        assertTrue(checker.haltsForOthers() <= 2, "blue keeps 8 of its 10 tasks");
         assertTrue(cluster.running(FINE_TUNING) >= 8);
     }
 
     /**
-     * Guards against a recall that is carried on unseen: between its commit and its halts the
-     * leader dies, and the team that is to give way loses its other machine.
+     * Guards against a new leader that continues a recall without checking it: between commit and
+     * halts the leader is killed, and the team with the recalled tasks loses its other machine.
      */
     @Test
-    void inheritedRecallIsNotCarriedOnIfItsTeamHasLostTooMuchMeanwhile() {
-        lend(180);
+    void newLeaderDropsARecallWhoseTeamWouldFallBelowItsGuarantee() {
+        startWithFullFleet(180);
         int leader = cluster.leader();
-        // No other leader is elected before the loss has long been a fact.
-        at(
+        // The outage prevents the election of another leader until the machine is lost.
+        onFirstMessage(
                 Step.COMMIT,
                 () -> {
                     cluster.kill(leader);
                     cluster.clock().after(0.05, () -> cluster.keyValueStore().setDown(true));
                 },
                 Fate.LOSE_ANSWER);
-        ask();
+        submitServing();
         cluster.run(0.5);
         assertTrue(checker.recorded() > 0);
         for (SimWorker machine : machines()) {
-            boolean otherOfTheTeam = !checker.isRecalledOn(machine) && sharesTeam(machine);
-            if (otherOfTheTeam) {
+            boolean otherMachineOfTheTeam =
+                    !checker.isRecalledOn(machine) && runsJobWithRecalledTasks(machine);
+            if (otherMachineOfTheTeam) {
                 cluster.cloud().reclaim(machine);
             }
         }
@@ -375,29 +394,29 @@
         assertEquals(8, cluster.running(FINE_TUNING), "blue's guarantee");
     }
 
-    /** Whether a machine runs tasks of the job of which others are recalled. */
-    private boolean sharesTeam(SimWorker machine) {
+    /** Whether a machine runs tasks of the job that has recalled tasks. */
+    private boolean runsJobWithRecalledTasks(SimWorker machine) {
         boolean recalledFromBatch =
                 machines().stream()
                         .filter(checker::isRecalledOn)
-                        .anyMatch(recalled -> holdsAnyOf(recalled, BATCH));
-        return holdsAnyOf(machine, recalledFromBatch ? BATCH : FINE_TUNING);
+                        .anyMatch(recalled -> hasTaskOf(recalled, BATCH));
+        return hasTaskOf(machine, recalledFromBatch ? BATCH : FINE_TUNING);
     }
 
-    private static boolean holdsAnyOf(SimWorker machine, String job) {
+    private static boolean hasTaskOf(SimWorker machine, String job) {
         return IntStream.range(0, 16).anyMatch(task -> machine.hasTask(job + "/" + task));
     }
 
     /**
-     * Guards against a new leader that knows nothing of a recall under way and recalls others for
-     * the same demand: the victims save, and their machine does not report for some seconds.
+     * Guards against a new leader that recalls further tasks for a demand that already has a
+     * recall: the victims save, and their machine does not report for some seconds.
      */
     @Test
-    void newLeaderRecallsNobodyElseForADemandThatIsBeingServed() {
-        lend(190);
+    void newLeaderRecallsNoFurtherTasksForADemandWithARecall() {
+        startWithFullFleet(190);
         int leader = cluster.leader();
-        at(Step.HALT, () -> cluster.kill(leader), Fate.DELIVER);
-        ask();
+        onFirstMessage(Step.HALT, () -> cluster.kill(leader), Fate.DELIVER);
+        submitServing();
         cluster.run(0.5);
         SimWorker recalledOn =
                 machines().stream().filter(checker::isRecalledOn).findFirst().orElseThrow();
@@ -412,27 +431,30 @@
         cluster.restart(leader);
     }
 
-    /** The beneficiary is cancelled at any step: what was stopped goes on, nothing is kept. */
+    /**
+     * The job that the recall is for is cancelled at any step: stopped tasks run again, and no
+     * recall record is left.
+     */
     @ParameterizedTest
     @ValueSource(doubles = {0.3, 0.6, 1, 1.4, 1.8, 2.4, 3})
-    void beneficiaryIsCancelledMidway(double seconds) {
-        lend(110);
-        ask();
+    void beneficiaryIsCancelledDuringARecall(double seconds) {
+        startWithFullFleet(110);
+        submitServing();
         cluster.run(seconds);
         assertEquals("cancelled", cluster.cancel(follower(), SERVING));
         cluster.run(40);
-        assertEquals(GPUS, lent());
+        assertEquals(GPUS, runningBatchTasks());
         assertEquals(0, checker.recorded());
     }
 
-    /** Victims' job is cancelled while they save: they are gone within {@code cancel_s}. */
+    /** The job of the victims is cancelled while they save: they end within {@code cancel_s}. */
     @ParameterizedTest
     @ValueSource(doubles = {0.3, 0.8, 1.3, 2})
     void victimsJobIsCancelledWhileSaving(double seconds) {
-        lend(120);
+        startWithFullFleet(120);
         cluster.progress().setSaveSeconds(BATCH, 60);
         cluster.progress().setSaveSeconds(FINE_TUNING, 60);
-        ask();
+        submitServing();
         cluster.run(seconds);
         assertEquals("cancelled", cluster.cancel(follower(), BATCH));
         cluster.run(8);
@@ -442,17 +464,20 @@
         assertEquals(0, checker.recorded());
     }
 
-    /** Two teams ask for the same loans at once: each GPU is promised to one of them. */
+    /**
+     * Two teams request the same borrowed GPUs at the same time: each GPU is recalled for one of
+     * them.
+     */
     @ParameterizedTest
     @ValueSource(booleans = {false, true})
-    void twoTeamsClaimTheSameLoansAtOnce(boolean leaderIsKilled) {
+    void twoTeamsRequestTheSameLoansConcurrently(boolean leaderIsKilled) {
         startBorrowing(130);
         accept(fineTuning(BATCH, "amber", 32), 400);
         cluster.run(12);
         assertEquals(GPUS, cluster.running(BATCH));
         int leader = cluster.leader();
         if (leaderIsKilled) {
-            at(Step.HALT, () -> cluster.kill(leader), Fate.DROP);
+            onFirstMessage(Step.HALT, () -> cluster.kill(leader), Fate.DROP);
         }
         String red = serving(SERVING, "red", 16).toString();
         String blue = serving(OTHER, "blue", 16).toString();
@@ -465,7 +490,10 @@
         assertTrue(cluster.running(OTHER) >= 8, "blue's guarantee");
     }
 
-    /** Controllers of the version without recalls and with them follow each other. */
+    /**
+     * Controllers are restarted one by one from a version without recalls to one with them, or
+     * back.
+     */
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
     void upgradeToRecallsAndBack(boolean toRecalls) {
@@ -478,7 +506,7 @@
         accept(fineTuning(BATCH, "red", 16), 200);
         accept(fineTuning(FINE_TUNING, "blue", 16), 200);
         cluster.run(12);
-        ask();
+        submitServing();
         cluster.run(0.7);
         setRecalls(toRecalls);
         for (int i = 0; i < CONTROLLERS; i++) {
@@ -487,7 +515,7 @@
         }
         cluster.run(20);
         assertEquals(REPLICAS, cluster.running(SERVING));
-        assertEquals(GPUS - REPLICAS, lent());
+        assertEquals(GPUS - REPLICAS, runningBatchTasks());
         checker.olderVersionsTookPart();
     }
 
@@ -496,13 +524,13 @@
                 on ? Optional.of(OperatorSettings.Borrowing.DEFAULTS) : Optional.empty());
     }
 
-    /** Records that a rolled-back version left are settled by the next that knows them. */
+    /** Recall records that a version without recalls leaves are settled after the next upgrade. */
     @Test
     void recallsLeftBehindAreSettledLater() {
-        lend(150);
+        startWithFullFleet(150);
         int leader = cluster.leader();
-        at(Step.HALT, () -> cluster.kill(leader), Fate.DROP);
-        ask();
+        onFirstMessage(Step.HALT, () -> cluster.kill(leader), Fate.DROP);
+        submitServing();
         cluster.run(0.8);
         assertTrue(checker.recorded() > 0);
         setRecalls(false);
@@ -511,7 +539,7 @@
         }
         cluster.run(15);
         assertEquals(REPLICAS, cluster.running(SERVING));
-        assertTrue(checker.recorded() > 0, "an older version leaves the record");
+        assertTrue(checker.recorded() > 0, "a version without recalls leaves the record");
         setRecalls(true);
         for (int i = 0; i < CONTROLLERS; i++) {
             cluster.restart(i);
--- a/src/test/java/org/springmill/control/simulation/BorrowingTest.java
+++ b/src/test/java/org/springmill/control/simulation/BorrowingTest.java
@@ -27,7 +27,10 @@
         assertEquals(0, checker.recalls());
     }
 
-    /** What red runs above its guarantee is on loan, and comes back as soon as it is wanted. */
+    /**
+     * What red runs above its guarantee uses borrowed resources, which are recalled when another
+     * team needs them within its guarantee.
+     */
     @Test
     void loansAreRecalledForServingAndReturnedAfterwards() {
         startBorrowing(2);
@@ -47,11 +50,13 @@
         cluster.run(160);
         assertEquals("done", cluster.phase(0, BATCH));
         assertEquals("done", cluster.phase(0, FINE_TUNING));
-        assertEquals(8, cluster.progress().resumed(), "each goes on from where it was stopped");
+        assertEquals(8, cluster.progress().resumed(), "each resumes from its checkpoint");
         assertEquals(0, cluster.progress().lostSeconds(), 0.1);
     }
 
-    /** A recall's victims and its beneficiary change places in one transaction. */
+    /**
+     * One transaction releases the victims' allocations and allocates the replicas of the recall.
+     */
     @Test
     void replicasStartSoonAfterTheirVictimsAreGone() {
         startBorrowing(3);
@@ -64,7 +69,10 @@
         assertEquals(8, cluster.running(SERVING));
     }
 
-    /** What stops least work is stopped: tasks that can save, rather than those that cannot. */
+    /**
+     * Victims are chosen for the least lost work: tasks that save checkpoints before tasks that
+     * cannot.
+     */
     @Test
     void victimsAreChosenForTheWholeDemandByWhatIsLost() {
         startBorrowing(4);
@@ -78,9 +86,9 @@
         assertEquals(8, cluster.running(FINE_TUNING));
     }
 
-    /** Many small loans on one machine make way for one large replica. */
+    /** Many small tasks on one machine are recalled for one large replica. */
     @Test
-    void manySmallLoansMakeWayForOneLargeReplica() {
+    void manySmallTasksAreRecalledForOneLargeReplica() {
         startBorrowing(5);
         for (int i = 0; i < 4; i++) {
             accept(smallBatch("run-00004" + i, 250), FOREVER);
@@ -107,9 +115,12 @@
         return tasks;
     }
 
-    /** Guards against lending again at once: ten swings stopped 80 tasks. */
+    /**
+     * Guards against lending again immediately after a recall: ten swings in demand stopped 80
+     * tasks.
+     */
     @Test
-    void demandThatSwingsStopsFewTasks() {
+    void oscillatingDemandStopsFewTasks() {
         startBorrowing(6);
         accept(batch(BATCH, "red", 16), FOREVER);
         accept(batch(FINE_TUNING, "blue", 16), FOREVER);
@@ -127,9 +138,9 @@
         assertEquals(32, cluster.running(BATCH) + cluster.running(FINE_TUNING), "lent again");
     }
 
-    /** Without recalls nothing is held back: freed GPUs go to whoever waits, at once. */
+    /** Without recalls no GPUs are reserved: freed GPUs go to waiting tasks immediately. */
     @Test
-    void withoutRecallsFreeRoomIsLentAtOnce() {
+    void freedGpusAreLentImmediatelyWithoutRecalls() {
         startBorrowing(7);
         accept(serving(SERVING, "amber", 16), FOREVER);
         accept(batch(FINE_TUNING, "blue", 32), FOREVER);
@@ -141,9 +152,12 @@
         assertEquals(0, checker.recalls());
     }
 
-    /** A save that never ends is given up: the halt without grace follows within its bound. */
+    /**
+     * A save that never ends is aborted: a halt without a grace period follows after a limited
+     * time.
+     */
     @Test
-    void saveThatNeverEndsIsEnded() {
+    void saveThatNeverEndsIsAborted() {
         startBorrowing(8);
         accept(fineTuning(BATCH, "red", 16), 500);
         accept(fineTuning(FINE_TUNING, "blue", 16), 500);
@@ -155,7 +169,9 @@
         assertEquals(8, cluster.running(SERVING));
     }
 
-    /** A machine that hangs keeps its room; the recall falls back to other victims. */
+    /**
+     * The resources of a hung machine are not released, so the recall falls back to other victims.
+     */
     @Test
     void recallFallsBackWhenTheVictimsMachineHangs() {
         startBorrowing(9);
@@ -172,21 +188,21 @@
         cluster.run(20);
     }
 
-    /** A task that never goes although its machine answers: others give way in its place. */
+    /** A task ignores its halt while its machine responds: other tasks are recalled instead. */
     @Test
-    void recallFallsBackWhenAVictimNeverGoes() {
+    void recallFallsBackWhenAVictimIgnoresItsHalt() {
         startBorrowing(11);
         accept(fineTuning(BATCH, "red", 16), 500);
         accept(fineTuning(FINE_TUNING, "blue", 16), 500);
         cluster.run(12);
-        SimWorker stubborn = cluster.workerRunning(BATCH + "/0");
+        SimWorker first = cluster.workerRunning(BATCH + "/0");
         SimWorker other = cluster.workerRunning(FINE_TUNING + "/0");
-        stubborn.ignoreHalts(true);
+        first.ignoreHalts(true);
         other.ignoreHalts(true);
         accept(serving(SERVING, "amber", 2), FOREVER);
         cluster.run(40);
         assertEquals(2, cluster.running(SERVING));
-        stubborn.ignoreHalts(false);
+        first.ignoreHalts(false);
         other.ignoreHalts(false);
         cluster.run(10);
     }
@@ -198,9 +214,9 @@
                 .orElse(machines().get(0));
     }
 
-    /** A team's own work gives way to its own of higher priority, as ever. */
+    /** Work of a team is preempted for work of higher priority of the same team. */
     @Test
-    void ownWorkGivesWayToOwnWorkOfHigherPriority() {
+    void workIsPreemptedForWorkOfHigherPriorityOfTheSameTeam() {
         startBorrowing(10);
         accept(batch(BATCH, "red", 8), FOREVER);
         accept(serving("run-000060", "blue", 24), FOREVER);
--- a/src/test/java/org/springmill/control/simulation/CompoundPlacementTest.java
+++ b/src/test/java/org/springmill/control/simulation/CompoundPlacementTest.java
@@ -13,11 +13,11 @@
 import org.springmill.sim.SimWorker;
 import org.springmill.sim.SimulatedCluster;
 
-/** More work than room, lost zones and team limits while something else fails. */
+/** Overload, lost zones and team limits while something else fails. */
 class CompoundPlacementTest extends CompoundFailureFixture {
     /**
-     * Small jobs keep arriving, in all more than the machines hold, and image fetches are slow: the
-     * largest job must start all the same.
+     * Small jobs keep arriving, more than fit on the machines, and image fetches are slow: the
+     * largest job must still start.
      */
     @ParameterizedTest
     @CsvSource({"normal, sweep", "best_effort, sweep", "urgent, sweep", "normal, service"})
@@ -52,10 +52,10 @@
     /** Machines for pending tasks are rented in the zone that the job is bound to. */
     @ParameterizedTest
     @CsvSource({
-        "service, true, false, taken",
-        "sweep, true, false, taken",
-        "service, false, true, taken",
-        "sweep, false, true, taken",
+        "service, true, false, reclaimed",
+        "sweep, true, false, reclaimed",
+        "service, false, true, reclaimed",
+        "sweep, false, true, reclaimed",
         "service, true, false, hung",
         "service, false, true, hung"
     })
@@ -77,7 +77,7 @@
         acceptService(OTHER, "red", 2, 4);
         for (SimWorker machine : machines()) {
             if (machine.zone().equals(zone)) {
-                if (how.equals("taken")) {
+                if (how.equals("reclaimed")) {
                     cluster.cloud().reclaim(machine);
                 } else {
                     machine.hang(true);
@@ -89,17 +89,17 @@
     }
 
     /**
-     * A machine on which the job failed counts as no room for that job, even before other jobs have
-     * failed there.
+     * A machine on which the job failed does not count as free capacity for that job, even before
+     * other jobs have failed there.
      */
     @Test
     void jobCompletesWhenTheOnlyFreeMachineOfItsZoneIsFaulty() {
         startCluster(1);
         accept(SimulatedCluster.job(OTHER, "blue", "service", 1, 1, 8).put("yard", "b"), FOREVER);
         cluster.run(5);
-        SimWorker sound = cluster.workerRunning(OTHER + "/0");
+        SimWorker healthy = cluster.workerRunning(OTHER + "/0");
         machines().stream()
-                .filter(m -> m != sound && m.zone().equals("b"))
+                .filter(m -> m != healthy && m.zone().equals("b"))
                 .forEach(SimWorker::failEverything);
         accept(SimulatedCluster.job(JOB, "blue", "sweep", 1, 1, 8).put("yard", "b"), 30);
         cluster.run(90);
@@ -112,13 +112,14 @@
      */
     @ParameterizedTest
     @CsvSource({"1, false", "2, false", "1, true", "2, true"})
-    void teamAtItsLimitGetsItsReplicasAfterFailoverWithSilentMachines(int silent, boolean hang) {
+    void teamAtItsLimitGetsItsReplicasAfterFailoverWithUnreachableMachines(
+            int unreachable, boolean hang) {
         startCluster(1);
         acceptService(JOB, "red", 8, 1);
         acceptService(OTHER, "red", 8, 1);
         cluster.run(8);
         Set<String> names = new HashSet<>();
-        List<SimWorker> machines = machines().subList(0, silent);
+        List<SimWorker> machines = machines().subList(0, unreachable);
         machines.forEach(
                 machine -> {
                     names.add(machine.name());
--- a/src/test/java/org/springmill/control/simulation/DependencyPriorityTest.java
+++ b/src/test/java/org/springmill/control/simulation/DependencyPriorityTest.java
@@ -10,10 +10,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.springmill.sim.SimulatedCluster;
 
-/**
- * What comes first where there is not room for all, seen from outside. Room is for eight tasks at a
- * time.
- */
+/** Order in which jobs with dependencies start when capacity is short: eight tasks at a time. */
 class DependencyPriorityTest {
     private static final String FIRST = "run-000001";
     private static final String RIVAL = "run-000002";
@@ -23,22 +20,22 @@
     private final SimulatedCluster cluster = new SimulatedCluster();
 
     @AfterEach
-    void noRuleIsBroken() {
+    void noInvariantIsBroken() {
         assertEquals(List.of(), cluster.violations());
     }
 
-    private static ObjectNode job(String id, String urgency, String... needed) {
+    private static ObjectNode job(String id, String urgency, String... dependencies) {
         ObjectNode job = SimulatedCluster.job(id, "blue", "sweep", 8, 1, 1).put("urgency", urgency);
-        for (String n : needed) {
+        for (String n : dependencies) {
             job.withArray("waitsOn").add(n);
         }
         return job;
     }
 
-    private void room() {
+    private void startFullMachine() {
         cluster.machines("large", "a", 1).run(6);
         cluster.cloud().exhaustCapacity();
-        // Runs first, so that all that follows waits and is placed in order.
+        // Occupies the machine first, so that later jobs wait and are placed in order of priority.
         cluster.submit(
                 0,
                 SimulatedCluster.job("run-000009", "blue", "sweep", 8, 1, 1).put("urgency", "prod"),
@@ -47,13 +44,13 @@
     }
 
     /**
-     * Of two jobs of one priority the earlier would come first; what needs it, or needed it,
-     * changes that.
+     * A job inherits the priority of the jobs that depend on it, until these are cancelled. Of two
+     * jobs of equal priority the earlier starts first.
      */
     @ParameterizedTest
     @CsvSource({
-        // Its own, that of the last of its chain, when that is cancelled, a new leader before and
-        // after.
+        // Priority of the rival, priority of the last job of its chain, event before placement
+        // (cancellation of that last job, or a leader change), expected winner.
         "normal, best_effort, none,      first",
         "normal, urgent,      none,      rival",
         "normal, urgent,      cancelled, first",
@@ -62,15 +59,16 @@
         "best_effort, prod,   takeover,  rival",
         "best_effort, prod,   cancelled, first",
     })
-    void aJobHasThePriorityOfAllThatNeedIt(String own, String last, String then, String winner) {
-        room();
+    void aJobInheritsThePriorityOfItsDependents(
+            String own, String last, String event, String winner) {
+        startFullMachine();
         cluster.submit(0, job(FIRST, "normal"), 5);
         cluster.submit(1, job(RIVAL, own), 5);
         cluster.submit(2, job(LAST, "best_effort", RIVAL), 5);
         cluster.submit(2, job(OTHER_LAST, last, LAST), 5);
-        if (then.equals("cancelled")) {
+        if (event.equals("cancelled")) {
             assertEquals("cancelled", cluster.cancel(0, OTHER_LAST));
-        } else if (then.equals("takeover")) {
+        } else if (event.equals("takeover")) {
             cluster.restart(cluster.leader());
         }
         cluster.run(12);
@@ -81,8 +79,8 @@
     }
 
     /**
-     * The last jobs' deadlines, and the estimate of the step between; the job accepted first has
-     * the later or none.
+     * Parameters: deadlines of the two last jobs (-1 for none), and the estimated run time of the
+     * rival.
      */
     @ParameterizedTest
     @CsvSource({
@@ -92,22 +90,25 @@
         "-1, 300, 10, none, rival",
         "200, 100, 10, takeover, rival"
     })
-    void insideAPriorityTheChainWithLeastSlackComesFirst(
-            double firstDue, double rivalDue, double rivalEstimate, String then, String winner) {
-        room();
+    void theChainWithLeastSlackStartsFirstWithinAPriority(
+            double firstDue, double rivalDue, double rivalEstimate, String event, String winner) {
+        startFullMachine();
         cluster.submit(0, job(FIRST, "normal"), 5);
         cluster.submit(1, job(RIVAL, "normal").put("expectS", rivalEstimate), 5);
         ObjectNode last = job(LAST, "normal", FIRST);
         cluster.submit(2, firstDue < 0 ? last : last.put("dueS", firstDue), 5);
         cluster.submit(2, job(OTHER_LAST, "normal", RIVAL).put("dueS", rivalDue), 5);
-        if (then.equals("takeover")) {
+        if (event.equals("takeover")) {
             cluster.restart(cluster.leader());
         }
         cluster.run(12);
         assertEquals(winner, cluster.starts(RIVAL + "/0") > 0 ? "rival" : "first");
     }
 
-    /** A pipeline of one job, against one of one or two jobs; the rival is accepted later. */
+    /**
+     * A job with a deadline that is accepted later, against a single job or the first of a chain of
+     * two, with the deadline of its last job or none.
+     */
     @ParameterizedTest
     @CsvSource({
         "none, alone, 100, none,     rival",
@@ -118,9 +119,9 @@
         "none, alone, 100, takeover, rival",
         "200,  chain, 100, takeover, rival",
     })
-    void aDeadlineCountsForAJobThatNothingElseNeeds(
-            String firstDue, String shape, double rivalDue, String then, String winner) {
-        room();
+    void aDeadlineCountsForAJobWithoutDependents(
+            String firstDue, String shape, double rivalDue, String event, String winner) {
+        startFullMachine();
         boolean chain = shape.equals("chain");
         ObjectNode first = job(FIRST, "normal");
         ObjectNode last = job(LAST, "normal", FIRST);
@@ -132,7 +133,7 @@
         if (chain) {
             cluster.submit(2, last, 5);
         }
-        if (then.equals("takeover")) {
+        if (event.equals("takeover")) {
             cluster.restart(cluster.leader());
         }
         cluster.run(12);
--- a/src/test/java/org/springmill/control/simulation/DependencyValidationTest.java
+++ b/src/test/java/org/springmill/control/simulation/DependencyValidationTest.java
@@ -17,7 +17,7 @@
 import org.springmill.sim.SimulatedCluster;
 import org.springmill.transport.HttpClient.Reply;
 
-/** How a submission is answered that names other jobs, and what is stored of it. */
+/** Response to a submission that depends on other jobs, and the dependencies that are stored. */
 class DependencyValidationTest {
     private static final int VALUE_BYTES = 8192;
     private static final String NEVER_ACCEPTED = "run-000077";
@@ -26,7 +26,7 @@
             new SimulatedCluster().machines("large", "a", 1).run(6);
 
     @AfterEach
-    void noRuleIsBroken() {
+    void noInvariantIsBroken() {
         assertEquals(List.of(), cluster.violations());
     }
 
@@ -56,7 +56,7 @@
     }
 
     @Test
-    void aNameNeverAcceptedIsRefusedOnlyAfterAReadOfTheStateService() {
+    void anUnknownDependencyIsRefusedOnlyAfterAReadOfTheStateService() {
         ObjectNode job = job(9);
         job.putArray("waitsOn").add(NEVER_ACCEPTED);
         refuseReadsOf("n-1");
@@ -70,7 +70,7 @@
     }
 
     @Test
-    void aServiceIsRefusedWhereverItWasAcceptedAndAlsoOnceItIsCancelled() {
+    void aServiceAsDependencyIsRefusedByEveryControllerAlsoOnceItIsCancelled() {
         assertEquals(201, post(0, job(1).put("shape", "service")).status());
         ObjectNode job = job(9);
         job.putArray("waitsOn").add(id(1));
@@ -83,10 +83,10 @@
         assertEquals(422, post(1, job).status());
     }
 
-    /** A form that is wrong needs no read, so it is told at once also during an outage. */
+    /** A malformed list of dependencies is rejected without a read, so also during an outage. */
     @ParameterizedTest
     @ValueSource(strings = {"true", "7", "\"run-000001\"", "[[]]", "[\"run-000009\"]"})
-    void aWrongFormIsRefusedWithoutTheStateService(String names) {
+    void malformedDependenciesAreRefusedWithoutTheStateService(String names) {
         refuseReadsOf("n-1");
         String body = job(9).toString();
         body = body.substring(0, body.length() - 1) + ",\"waitsOn\":" + names + "}";
@@ -105,7 +105,7 @@
                 "[~run-000002~,~run-000001~]               | [~run-000002~,~run-000001~]",
                 "[~run-000002~,~run-000001~,~run-000002~]  | [~run-000002~,~run-000001~]",
             })
-    void eachNameIsStoredOnceAndNoFieldWithoutNames(String names, String stored) {
+    void eachDependencyIsStoredOnceAndNoFieldWithoutDependencies(String names, String stored) {
         assertEquals(201, post(0, job(1)).status());
         assertEquals(201, post(0, job(2)).status());
         String body = job(9).toString();
@@ -118,11 +118,14 @@
         assertEquals(stored.replace('~', '"'), record.path("waitsOn").toString());
     }
 
-    /** The refusal names both sizes, and the longest list that is taken can still be cancelled. */
+    /**
+     * The refusal states the size and the limit. A job with the longest accepted list can still be
+     * cancelled, which adds its end to the record.
+     */
     @Test
-    void theLongestListThatIsTakenFitsWithItsEnd() {
+    void theLongestAcceptedListLeavesRoomForTheEndOfTheJob() {
         ObjectNode job = job(9);
-        // Until the list is too long, the answer is about the name that is added last.
+        // Until the list is too long, the response names the unknown job that was added last.
         Reply reply = addUnknownName(job, 0);
         int accepted = 0;
         while (text(reply).contains("never accepted")) {
--- a/src/test/java/org/springmill/control/simulation/FourThousandMachinesTest.java
+++ b/src/test/java/org/springmill/control/simulation/FourThousandMachinesTest.java
@@ -11,26 +11,26 @@
 import org.springmill.sim.SimulatedCluster;
 
 /**
- * More than four thousand machines, from an empty fleet: rented, filled, taken over by another
- * leader, and half of them lost with their zone. No fixed limit may stand below that, so what is
- * asserted is that the work runs, and within how many seconds of the virtual clock.
+ * More than 4,000 machines, from an empty fleet: they are rented and filled, another leader takes
+ * over, and half of them are lost with their zone. Guards against fixed limits below this size: all
+ * tasks must run within a number of seconds of the virtual clock.
  */
 class FourThousandMachinesTest extends ClusterFixture {
     private static final int SERVICES = 42;
     private static final int REPLICAS = 100;
 
-    /** Each replica takes a machine of its own but for two CPUs. */
+    /** Each replica uses a whole machine except for two CPUs. */
     private static final int MACHINES = SERVICES * REPLICAS;
 
     private static final int CPUS_OF_REPLICA = 30;
     private static final String ARRAY = "run-900000";
     private static final String ARRAY_AFTER_TAKEOVER = "run-900001";
 
-    /** What the key-value store of a fleet of this size has to take. */
+    /** Limits of a key-value store that is large enough for this fleet. */
     private static final Settings.StoreLimits STATE_LIMITS =
             new Settings.StoreLimits(1100, 550, 8192, 32);
 
-    /** The cloud takes four requests a second, each for fifty machines. */
+    /** The cloud accepts four requests a second, each for fifty machines. */
     private static final double RENTAL_SECONDS = MACHINES / 200.0;
 
     private static final double BOOT_SECONDS = 20;
@@ -39,24 +39,24 @@
     @Test
     void aFleetIsRentedFilledTakenOverAndRebuiltAfterTheLossOfAZone() {
         cluster = new SimulatedCluster(SimOptions.DEFAULTS.withStateLimits(STATE_LIMITS)).run(6);
-        allMachinesAreRentedFromNone();
-        anArrayOverAllMachinesIsDone(ARRAY, 20);
-        aTakeoverLosesNothing();
-        anArrayOverAllMachinesIsDone(ARRAY_AFTER_TAKEOVER, 20);
-        aLostZoneIsReplaced();
+        rentAllMachines();
+        runArrayOverAllMachines(ARRAY, 20);
+        killLeaderAndCheckThatNothingIsLost();
+        runArrayOverAllMachines(ARRAY_AFTER_TAKEOVER, 20);
+        loseZoneAndCheckThatItIsReplaced();
     }
 
-    private void allMachinesAreRentedFromNone() {
+    private void rentAllMachines() {
         for (int i = 0; i < SERVICES; i++) {
             var service =
                     SimulatedCluster.job(id(i), "blue", "service", REPLICAS, CPUS_OF_REPLICA, 0);
             assertEquals(201, cluster.submit(i % CONTROLLERS, service, FOREVER));
         }
-        runUntilAllRun(2 * RENTAL_SECONDS + 2 * BOOT_SECONDS, "rented from none");
+        runUntilAllRun(2 * RENTAL_SECONDS + 2 * BOOT_SECONDS, "rented from an empty fleet");
         assertTrue(machines().size() <= MACHINES * 1.05, machines().size() + " machines");
     }
 
-    private void anArrayOverAllMachinesIsDone(String id, double seconds) {
+    private void runArrayOverAllMachines(String id, double seconds) {
         var array = SimulatedCluster.job(id, "blue", "sweep", MACHINES, 2, 0);
         assertEquals(201, cluster.submit(follower(), array, 2));
         double since = cluster.clock().now();
@@ -67,23 +67,23 @@
         }
     }
 
-    private void aTakeoverLosesNothing() {
+    private void killLeaderAndCheckThatNothingIsLost() {
         int before = machines().size();
         int killed = cluster.leader();
         cluster.kill(killed);
         cluster.run(LEASE_SECONDS);
-        assertTrue(cluster.leader() >= 0, "another leads");
+        assertTrue(cluster.leader() >= 0, "another controller leads");
         runUntilAllRun(1, "after the takeover");
         assertTrue(machines().size() >= before * 0.99, machines().size() + " of " + before);
         for (int i = 0; i < SERVICES; i++) {
             assertEquals(1, cluster.starts(id(i) + "/7"), "starts of " + id(i));
         }
-        // While a controller is silent nothing that is silent too is given up for its leases.
+        // No unreachable machine is declared lost because of its lease while a controller is down.
         cluster.restart(killed);
         cluster.run(LEASE_SECONDS);
     }
 
-    private void aLostZoneIsReplaced() {
+    private void loseZoneAndCheckThatItIsReplaced() {
         List<SimWorker> lost =
                 machines().stream().filter(machine -> machine.zone().equals("b")).toList();
         assertTrue(lost.size() > MACHINES / 4, lost.size() + " machines in the zone");
