--- a/src/main/java/org/springmill/control/autoscaling/ArrivalRateEstimator.java
+++ b/src/main/java/org/springmill/control/autoscaling/ArrivalRateEstimator.java
@@ -152,6 +152,6 @@
                                 .sum()
                         / observedSeconds
                         * bootSeconds;
-        return (int) Math.ceil((mean + Math.sqrt(variance)) * settings.operator().reserve());
+        return (int) Math.ceil((mean + Math.sqrt(variance)) * settings.operator().headroomFactor());
     }
 }
--- a/src/main/java/org/springmill/control/autoscaling/IdleMachines.java
+++ b/src/main/java/org/springmill/control/autoscaling/IdleMachines.java
@@ -49,7 +49,8 @@
         if (!isIdle(machine)) {
             return false;
         }
-        double maxIdleSeconds = settings.operator().idleBoots() * machine.type().bootSeconds();
+        double maxIdleSeconds =
+                settings.operator().idleTimeoutFactor() * machine.type().bootSeconds();
         return now - machine.idleSince() >= maxIdleSeconds
                 && now - machine.firstSeenAt() >= MIN_CHARGED_SECONDS;
     }
--- a/src/main/java/org/springmill/control/autoscaling/MachineHealth.java
+++ b/src/main/java/org/springmill/control/autoscaling/MachineHealth.java
@@ -167,7 +167,7 @@
      */
     private boolean hasBootTimedOut(Machine machine, double now) {
         double configuredSeconds =
-                machine.type().bootSeconds() * settings.operator().bootPatience();
+                machine.type().bootSeconds() * settings.operator().bootTimeoutFactor();
         double measuredSeconds =
                 fleet.bootTimes().overdueAfterSeconds(machine.type(), machine.zone());
         double timeoutSeconds =
--- a/src/main/java/org/springmill/control/controller/LeaderFactory.java
+++ b/src/main/java/org/springmill/control/controller/LeaderFactory.java
@@ -141,7 +141,7 @@
                 loop,
                 timeouts,
                 leadership.term(),
-                settings.operator().bootPatience());
+                settings.operator().bootTimeoutFactor());
     }
 
     private RoundLog roundLog(ClusterState clusterState) {
--- a/src/main/java/org/springmill/control/membership/PeerConfirmations.java
+++ b/src/main/java/org/springmill/control/membership/PeerConfirmations.java
@@ -78,7 +78,7 @@
                 node ->
                         confirmationOfOutage(node, term)
                                 .filter(PeerStatus::hasReadLeaderRecord)
-                                .filter(PeerStatus::leaderSilent)
+                                .filter(PeerStatus::leaderSuspected)
                                 .isPresent());
     }
 
@@ -148,7 +148,8 @@
     }
 
     private static double lastConfirmation(Response response) {
-        double agoSeconds = response.status().confirmedMillisecondsAgo() / MILLISECONDS_PER_SECOND;
+        double agoSeconds =
+                response.status().millisecondsSinceConfirmation() / MILLISECONDS_PER_SECOND;
         double maxDriftSeconds = Math.abs(agoSeconds) * CLOCK_DRIFT_RATIO;
         return response.receivedAt() - agoSeconds + maxDriftSeconds;
     }
--- a/src/main/java/org/springmill/protocol/OperatorSettings.java
+++ b/src/main/java/org/springmill/protocol/OperatorSettings.java
@@ -7,11 +7,11 @@
  * The operators' own settings, which add to those of the platform; docs/operations.md describes
  * each. Settings for rentals are ratios, so that one file fits every deployment.
  *
- * @param idleBoots how long an idle machine is kept, as a multiple of the boot time
- * @param bootPatience how long a machine may take to boot before it is returned, as a multiple of
- *     the boot time
- * @param reserve factor on the headroom for classes whose objective is shorter than the boot time
- *     of a machine
+ * @param idleTimeoutFactor how long an idle machine is kept, as a multiple of the boot time
+ * @param bootTimeoutFactor how long a machine may take to boot before it is returned, as a multiple
+ *     of the boot time
+ * @param headroomFactor factor on the headroom for classes whose objective is shorter than the boot
+ *     time of a machine
  * @param unguaranteedPriceRatio highest price of a machine that is rented for a team without a
  *     guarantee, as a multiple of the lowest price per task
  * @param pendingSubmissions maximum number of submissions that wait for the key-value store;
@@ -25,9 +25,9 @@
  *     are reclaimed by preemption without a recall
  */
 public record OperatorSettings(
-        double idleBoots,
-        double bootPatience,
-        double reserve,
+        double idleTimeoutFactor,
+        double bootTimeoutFactor,
+        double headroomFactor,
         double unguaranteedPriceRatio,
         int pendingSubmissions,
         OptionalDouble historyRetentionSeconds,
--- a/src/main/java/org/springmill/protocol/OperatorSettingsFile.java
+++ b/src/main/java/org/springmill/protocol/OperatorSettingsFile.java
@@ -109,9 +109,10 @@
 
     private OperatorSettings values() throws SettingsException {
         OperatorSettings defaults = OperatorSettings.DEFAULTS;
-        double idleBoots = number(RENTALS, IDLE_BOOTS, defaults.idleBoots(), 0.1, 100);
-        double bootPatience = number(RENTALS, BOOT_PATIENCE, defaults.bootPatience(), 1.5, 100);
-        double reserve = number(RENTALS, RESERVE, defaults.reserve(), 0, 10);
+        double idleBoots = number(RENTALS, IDLE_BOOTS, defaults.idleTimeoutFactor(), 0.1, 100);
+        double bootPatience =
+                number(RENTALS, BOOT_PATIENCE, defaults.bootTimeoutFactor(), 1.5, 100);
+        double reserve = number(RENTALS, RESERVE, defaults.headroomFactor(), 0, 10);
         double unguaranteedPriceRatio =
                 number(
                         RENTALS,
--- a/src/main/java/org/springmill/protocol/PeerMessageWriter.java
+++ b/src/main/java/org/springmill/protocol/PeerMessageWriter.java
@@ -61,8 +61,8 @@
         out.writeBoolean(status.leading());
         out.writeBoolean(status.hasReadLeaderRecord());
         out.writeInt(status.redirectedWorkers());
-        out.writeBoolean(status.leaderSilent());
-        out.writeInt(status.confirmedMillisecondsAgo());
+        out.writeBoolean(status.leaderSuspected());
+        out.writeInt(status.millisecondsSinceConfirmation());
         out.writeLong(status.term());
         // The following fields were added later; earlier versions ignore them. The last two are
         // omitted at their default values, so that the bytes equal those of earlier versions.
--- a/src/main/java/org/springmill/protocol/PeerMessages.java
+++ b/src/main/java/org/springmill/protocol/PeerMessages.java
@@ -44,10 +44,11 @@
      *     is not valid before that
      * @param redirectedWorkers number of workers that recently sent heartbeats to it although it
      *     does not lead
-     * @param leaderSilent whether it has received no message of a leading controller for some time
-     * @param confirmedMillisecondsAgo milliseconds since it last confirmed an outage, or renewed a
-     *     worker's lease although it does not lead; if negative, it may continue to renew leases
-     *     for that many milliseconds
+     * @param leaderSuspected whether it has received no message of a leading controller for some
+     *     time
+     * @param millisecondsSinceConfirmation milliseconds since it last confirmed an outage, or
+     *     renewed a worker's lease although it does not lead; if negative, it may continue to renew
+     *     leases for that many milliseconds
      * @param term the highest leadership term that it knows
      * @param cancellationDelta cancelled jobs that it knows of; {@link CancellationDelta#NONE} from
      *     a version without this field
@@ -64,8 +65,8 @@
             boolean leading,
             boolean hasReadLeaderRecord,
             int redirectedWorkers,
-            boolean leaderSilent,
-            int confirmedMillisecondsAgo,
+            boolean leaderSuspected,
+            int millisecondsSinceConfirmation,
             long term,
             CancellationDelta cancellationDelta,
             boolean keepsHistory,
@@ -81,8 +82,8 @@
                 boolean leading,
                 boolean hasReadLeaderRecord,
                 int redirectedWorkers,
-                boolean leaderSilent,
-                int confirmedMillisecondsAgo,
+                boolean leaderSuspected,
+                int millisecondsSinceConfirmation,
                 long term,
                 CancellationDelta cancellationDelta) {
             this(
@@ -93,8 +94,8 @@
                     leading,
                     hasReadLeaderRecord,
                     redirectedWorkers,
-                    leaderSilent,
-                    confirmedMillisecondsAgo,
+                    leaderSuspected,
+                    millisecondsSinceConfirmation,
                     term,
                     cancellationDelta,
                     false,
--- a/src/test/java/org/springmill/control/membership/PeersTest.java
+++ b/src/test/java/org/springmill/control/membership/PeersTest.java
@@ -140,7 +140,7 @@
         assertEquals(renewsLeases, follower.renewsForNewLeader());
         sent.clear();
         receive(requestOfLeader(2));
-        int confirmedMillisecondsAgo = lastSent().confirmedMillisecondsAgo();
+        int confirmedMillisecondsAgo = lastSent().millisecondsSinceConfirmation();
         assertEquals(renewsLeases, confirmedMillisecondsAgo < 0);
 
         Peers leader = peers(true, 7);
--- a/src/test/java/org/springmill/control/simulation/BorrowingFixture.java
+++ b/src/test/java/org/springmill/control/simulation/BorrowingFixture.java
@@ -37,7 +37,7 @@
     }
 
     @AfterEach
-    final void loansWereKeptToTheirTerms() {
+    final void noLoanInvariantIsBroken() {
         assertEquals(List.of(), checker.violations());
         assertEquals(0, cluster.progress().lostCheckpointedSeconds());
     }
--- a/src/test/java/org/springmill/control/simulation/CompoundFailureFixture.java
+++ b/src/test/java/org/springmill/control/simulation/CompoundFailureFixture.java
@@ -23,7 +23,7 @@
     }
 
     @AfterEach
-    void workGoesOnAfterTheFailures() {
+    void everyUnfinishedJobRunsAfterTheFailures() {
         cluster.endFailures().run(RECOVERY_SECONDS);
         assertEquals(List.of(), cluster.unserved());
     }
--- a/src/test/java/org/springmill/control/simulation/HistoryArchivingTest.java
+++ b/src/test/java/org/springmill/control/simulation/HistoryArchivingTest.java
@@ -110,7 +110,7 @@
             names = {"LOSE_ANSWER", "DROP", "HOLD", "REFUSE"})
     void resubmissionsDuringAFailedMoveNeverRunTheJobAgain(Fate fate) {
         runToEnd(DONE);
-        moves(fate);
+        setFateOfMoves(fate);
         cluster.run(UNTIL_MOVED_SECONDS);
         assertResubmissionAnswered("done", job(DONE, 1));
         assertPhaseEverywhere("done", DONE);
@@ -159,7 +159,7 @@
     @EnumSource(MoveOrder.class)
     void aDeposedLeadersMoveChangesNothing(MoveOrder order) {
         runToEnd(DONE);
-        moves(Fate.HOLD);
+        setFateOfMoves(Fate.HOLD);
         int old = cluster.leader();
         cluster.run(UNTIL_MOVED_SECONDS);
         assertTrue(cluster.network().holdsAny());
--- a/src/test/java/org/springmill/control/simulation/HistoryFixture.java
+++ b/src/test/java/org/springmill/control/simulation/HistoryFixture.java
@@ -120,7 +120,7 @@
     }
 
     /** What happens to moves from now on; everything else is delivered. */
-    final void moves(Fate fate) {
+    final void setFateOfMoves(Fate fate) {
         cluster.network().judge((from, request) -> isMove(request) ? fate : Fate.DELIVER);
     }
 }
--- a/src/test/java/org/springmill/sim/SimOptions.java
+++ b/src/test/java/org/springmill/sim/SimOptions.java
@@ -49,7 +49,7 @@
     /** All controllers recall loans on these terms, or preempt without recalls. */
     public SimOptions withBorrowing(Optional<OperatorSettings.Borrowing> terms) {
         return with(
-                operator.idleBoots(),
+                operator.idleTimeoutFactor(),
                 operator.historyRetentionSeconds(),
                 operator.maxWaitSeconds(),
                 terms);
@@ -57,14 +57,18 @@
 
     /** All controllers keep the bounded history with that retention, or do not take part in it. */
     public SimOptions withHistoryRetention(OptionalDouble seconds) {
-        return with(operator.idleBoots(), seconds, operator.maxWaitSeconds(), operator.borrowing());
+        return with(
+                operator.idleTimeoutFactor(),
+                seconds,
+                operator.maxWaitSeconds(),
+                operator.borrowing());
     }
 
     /** Submissions are accepted only into queues whose expected wait is no longer than that. */
     public SimOptions withMaxWait(double seconds) {
         OptionalDouble maxWait = OptionalDouble.of(seconds);
         return with(
-                operator.idleBoots(),
+                operator.idleTimeoutFactor(),
                 operator.historyRetentionSeconds(),
                 maxWait,
                 operator.borrowing());
@@ -78,8 +82,8 @@
         return withOperator(
                 new OperatorSettings(
                         idleBoots,
-                        operator.bootPatience(),
-                        operator.reserve(),
+                        operator.bootTimeoutFactor(),
+                        operator.headroomFactor(),
                         operator.unguaranteedPriceRatio(),
                         operator.pendingSubmissions(),
                         historyRetention,
