--- a/src/main/java/org/springmill/control/controller/Controller.java
+++ b/src/main/java/org/springmill/control/controller/Controller.java
@@ -242,7 +242,7 @@
 
     /** Starts communication with the key-value store, the cloud and the other controllers. */
     public void start() {
-        LOG.info("starting controller {} in zone {}", settings.node(), settings.zone());
+        LOG.info("controller {} in zone {} starts", settings.node(), settings.zone());
         pauseDetector.start();
         peers.start();
         // Leadership starts first because workers wait for a leader; reading all jobs takes longer.
