--- a/src/main/java/org/springmill/control/borrowing/RecallCodec.java
+++ b/src/main/java/org/springmill/control/borrowing/RecallCodec.java
@@ -14,10 +14,14 @@
 import org.springmill.protocol.TaskId;
 
 /**
- * The stored form of recalls. A key is {@code recall/<round>}, padded with zeros so that keys sort
- * by round; a value is a JSON object with an array of recalls, each an array of key, round,
- * machine, beneficiary, CPUs, GPUs, memory, end of the grace period and the victims, as jobs with
- * their task numbers in the form of {@link CompletedTasks}.
+ * The stored form of recalls. A record's key is {@code recall/<round>}, padded with zeros so that
+ * keys sort by round. Its value is a JSON object with the format version and an array of recalls,
+ * some of which may be of earlier rounds.
+ *
+ * <p>A recall is an array of its own key, its round, machine, beneficiary, CPUs, GPUs, memory, end
+ * of the grace period and victims. The victims are a flat array in which the id of a job and a
+ * piece of its task numbers, in the form of {@link CompletedTasks}, alternate. The id is repeated
+ * for each piece.
  */
 final class RecallCodec {
     static final String PREFIX = "recall/";
--- a/src/main/java/org/springmill/control/cluster/DependentRanks.java
+++ b/src/main/java/org/springmill/control/cluster/DependentRanks.java
@@ -6,11 +6,12 @@
 import org.springmill.protocol.Priority;
 
 /**
- * The ranks that the active dependents of one job last passed to it, counted by value: the highest
- * priority and the earliest start are found without a scan, also after a removal.
+ * The ranks that the active dependents of one job last passed to it. Dependents are counted by
+ * priority and by latest start, so that the highest priority and the earliest of the latest starts
+ * are found without a scan of all dependents, also after a removal.
  */
 final class DependentRanks {
-    /** How many dependents have a priority. */
+    /** How many dependents have each priority. */
     private final Map<Priority, Integer> priorities = new EnumMap<>(Priority.class);
 
     /** How many dependents have each latest start; those without a deadline are left out. */
@@ -19,7 +20,7 @@
     private int size;
 
     /**
-     * A job's place in the queue.
+     * What a job passes to its dependencies; both values take part in the order of the queue.
      *
      * @param latestStart time of day in seconds; infinite for no deadline
      */
--- a/src/main/java/org/springmill/control/cluster/Machine.java
+++ b/src/main/java/org/springmill/control/cluster/Machine.java
@@ -17,8 +17,8 @@
 
 /**
  * A rented machine as one leader knows it: its life cycle, its description, its task attempts, and
- * what the messages exchanged with its worker prove. Times are seconds on the leader's steady
- * clock.
+ * what is known from the messages exchanged with its worker. Times are seconds on the leader's
+ * steady clock.
  */
 public final class Machine {
     private static final Logger LOG = LoggerFactory.getLogger(Machine.class);
@@ -102,7 +102,8 @@
             LOG.error("machine {} cannot go from {} to {}", name, state, next);
             return;
         }
-        // After a failover all machines come up at the same time, when the leader is busiest.
+        // UP is logged at debug level only: after a failover all machines come up at the same time,
+        // when the leader is busiest.
         LOG.atLevel(next == State.UP ? Level.DEBUG : Level.INFO)
                 .log("machine {} ({}): {} -> {}", name, description, state, next);
         state = next;
@@ -148,7 +149,10 @@
         return rentedAt;
     }
 
-    /** Whether neither the cloud's list, its worker nor an attempt shows that it has booted. */
+    /**
+     * Whether it is provisioning and nothing shows that it has booted: the cloud has not listed it
+     * as running, and it has no attempt.
+     */
     public boolean isBooting() {
         return state == State.PROVISIONING && !markListedAsRunning && attempts.isEmpty();
     }
@@ -158,7 +162,7 @@
         listedAt = now;
     }
 
-    /** Records the time of its rental as the cloud's list gives it. */
+    /** Records when the cloud's list says it was rented; the earliest known time is kept. */
     public void rentedAt(double time) {
         rentedAt = Math.min(rentedAt, time);
     }
@@ -193,7 +197,7 @@
         return workerEpoch.fencingToken();
     }
 
-    /** The latest epoch that its worker has shown. */
+    /** The latest epoch in its worker's heartbeats; a new one begins when a lease has expired. */
     public long epoch() {
         return workerEpoch.epoch();
     }
@@ -292,8 +296,8 @@
     }
 
     /**
-     * Whether the machine is taken to be faulty: tasks of several jobs failed on it, no task has
-     * succeeded since, and the jobs are not suspect themselves.
+     * Whether the machine is taken to be faulty: tasks of several jobs failed on it, and no task
+     * has succeeded since. Jobs that are taken to be at fault themselves do not count.
      */
     public boolean isQuarantined() {
         return faults.isQuarantined();
--- a/src/main/java/org/springmill/control/controller/ClusterStateRecovery.java
+++ b/src/main/java/org/springmill/control/controller/ClusterStateRecovery.java
@@ -81,8 +81,8 @@
         Job job = knownJob == null ? jobCompletion.recoverEndedJob(jobId) : knownJob;
         Machine machine = fleet.getOrAdd(claim.machine());
         TaskAttempt attempt = new TaskAttempt(claim, job, machine, loop.now());
-        // Start commands of earlier leaders carry lower fencing tokens than any of this term (claim
-        // 6.1).
+        // Start commands of earlier leaders carry lower fencing tokens than any of this term. Once
+        // the worker has seen a token of this term, it rejects them (docs/design.md, claim 6.1).
         attempt.recordStartSent(machine.fencingToken() - 1, START_EPOCH_UNKNOWN);
         clusterState.add(attempt);
         attempt.transition(TaskAttempt.State.UNKNOWN, loop.now());
--- a/src/main/java/org/springmill/control/controller/LeaderFactory.java
+++ b/src/main/java/org/springmill/control/controller/LeaderFactory.java
@@ -32,7 +32,10 @@
 
 /** Wires the components of each term that this controller leads. */
 final class LeaderFactory {
-    /** Minimum interval of rounds, in writes at the write rate limit of the key-value store. */
+    /**
+     * Minimum interval between rounds, as a number of writes: the interval is the time in which the
+     * key-value store's rate limit allows that many.
+     */
     private static final double MIN_ROUND_INTERVAL_WRITES = 4;
 
     private final ControllerServices services;
--- a/src/main/java/org/springmill/control/recall/PlannedRecalls.java
+++ b/src/main/java/org/springmill/control/recall/PlannedRecalls.java
@@ -12,7 +12,11 @@
 import org.springmill.protocol.Resources;
 import org.springmill.protocol.Submission;
 
-/** Victims and reservations of the plan that is being made, summed by machine and by team. */
+/**
+ * The victims that have been chosen and the resources that have been reserved so far while the
+ * recalls of one round are planned. Reservations are summed by machine and by team, the resources
+ * of victims by team.
+ */
 final class PlannedRecalls {
     private final Set<TaskAttempt> victims = new HashSet<>();
     private final Map<String, Resources> lossByTeam = new HashMap<>();
@@ -51,7 +55,8 @@
         List<RecallPlan> plans = new ArrayList<>();
         List<TaskAttempt> unassigned = new ArrayList<>(batch.victims());
         for (int tasksLeft = batch.tasks(); tasksLeft > 0; tasksLeft--) {
-            // Each task gets a share of the victims, so that fewer are stopped if demand falls.
+            // Each task gets a share of the victims. If demand falls before they are sent stop
+            // commands, the recalls of surplus tasks are cancelled and their victims keep running.
             int victimCount = (unassigned.size() + tasksLeft - 1) / tasksLeft;
             List<TaskAttempt> taskVictims = new ArrayList<>(unassigned.subList(0, victimCount));
             unassigned.subList(0, victimCount).clear();
