--- a/src/main/java/org/springmill/control/cluster/Machine.java
+++ b/src/main/java/org/springmill/control/cluster/Machine.java
@@ -59,7 +59,7 @@
     private MachineDescription description = MachineDescription.UNKNOWN;
     private State state = State.PROVISIONING;
     private double rentedAt;
-    private boolean markListedAsRunning;
+    private boolean isListedAsRunning;
     private double listedAt = Double.NEGATIVE_INFINITY;
     private double idleSince;
     private double preemptionAt = Double.POSITIVE_INFINITY;
@@ -154,7 +154,7 @@
      * as running, and it has no attempt.
      */
     public boolean isBooting() {
-        return state == State.PROVISIONING && !markListedAsRunning && attempts.isEmpty();
+        return state == State.PROVISIONING && !isListedAsRunning && attempts.isEmpty();
     }
 
     /** Records that the cloud's list names it. */
@@ -169,7 +169,7 @@
 
     /** Records that the cloud lists it as running: missing heartbeats do not mean a slow boot. */
     public void markListedAsRunning() {
-        markListedAsRunning = true;
+        isListedAsRunning = true;
     }
 
     /** When the cloud's list last named it; negative infinity for never. */
--- a/src/main/java/org/springmill/control/controller/LeaderFactory.java
+++ b/src/main/java/org/springmill/control/controller/LeaderFactory.java
@@ -176,7 +176,10 @@
     private Optional<RecallSetup> recallSetup(Fleet fleet) {
         return settings.operator()
                 .borrowing()
-                .map(terms -> new RecallSetup(fleet, loop, timeouts, terms, services.metrics()));
+                .map(
+                        borrowing ->
+                                new RecallSetup(
+                                        fleet, loop, timeouts, borrowing, services.metrics()));
     }
 
     private static CapacityFilter capacityFilter(Optional<RecallSetup> recallSetup) {
