--- a/src/main/java/org/springmill/control/controller/LeaderFactory.java
+++ b/src/main/java/org/springmill/control/controller/LeaderFactory.java
@@ -32,7 +32,10 @@
 
 /** Wires the components of each term that this controller leads. */
 final class LeaderFactory {
-    /** Minimum interval of rounds, in writes at the write rate limit of the key-value store. */
+    /**
+     * Minimum interval between rounds, as a number of writes: the interval is the time in which the
+     * key-value store's rate limit allows that many.
+     */
     private static final double MIN_ROUND_INTERVAL_WRITES = 4;
 
     private final ControllerServices services;
@@ -173,7 +176,10 @@
     private Optional<RecallSetup> recallSetup(Fleet fleet) {
         return settings.operator()
                 .borrowing()
-                .map(terms -> new RecallSetup(fleet, loop, timeouts, terms, services.metrics()));
+                .map(
+                        borrowing ->
+                                new RecallSetup(
+                                        fleet, loop, timeouts, borrowing, services.metrics()));
     }
 
     private static CapacityFilter capacityFilter(Optional<RecallSetup> recallSetup) {
