--- a/src/main/java/org/springmill/control/api/UserApi.java
+++ b/src/main/java/org/springmill/control/api/UserApi.java
@@ -21,8 +21,8 @@
     /**
      * Creates the API of a controller.
      *
-     * @param broadcast called with each cancellation committed here, before the response to its
-     *     user
+     * @param broadcast called with each cancellation that this controller commits, before the
+     *     response to the user who requested it
      * @param submissions accepts jobs
      */
     public UserApi(
@@ -51,6 +51,8 @@
     }
 
     /**
+     * Handles a request for one job.
+     *
      * @param subPath the part of the path after the submissions path
      */
     private void handleJob(Call call, String subPath) {
@@ -68,7 +70,7 @@
         }
     }
 
-    /** Checks the method of a call; responds with 405 if it is another one. */
+    /** Whether a call has this method; if not, responds with status 405. */
     private static boolean hasMethod(Call call, String method) {
         if (!call.method().equals(method)) {
             call.reply(405, EMPTY, 0);
--- a/src/main/java/org/springmill/control/autoscaling/MachineDeletion.java
+++ b/src/main/java/org/springmill/control/autoscaling/MachineDeletion.java
@@ -27,7 +27,7 @@
     private final List<Machine> queue = new ArrayList<>();
 
     /**
-     * @param changed run after each confirmed deletion
+     * @param changed run after the cloud has confirmed a batch of deletions
      */
     MachineDeletion(Fleet fleet, CloudClient cloud, EventLoop loop, Runnable changed) {
         this.fleet = fleet;
@@ -55,7 +55,7 @@
         enqueue(machine);
     }
 
-    /** Closes all attempts of a machine that is known to have stopped with all of its tasks. */
+    /** Records the end of all task attempts of a machine that is known to have stopped. */
     void closeAttempts(Machine machine) {
         for (TaskAttempt attempt : machine.attemptsSnapshot()) {
             fleet.end(attempt, ExitCause.NONE);
--- a/src/main/java/org/springmill/control/jobs/JobRecordWatch.java
+++ b/src/main/java/org/springmill/control/jobs/JobRecordWatch.java
@@ -28,7 +28,10 @@
     private final Listener listener;
     private final double barrierIntervalSeconds;
     private List<Consumer<Boolean>> waitingBarriers = new ArrayList<>();
+
+    /** Whether a read for barriers is in flight, or the interval after the last one is not over. */
     private boolean readInFlight;
+
     private boolean isLoaded;
     private int pauseCount;
     private long cursor;
@@ -43,8 +46,8 @@
         void loaded();
 
         /**
-         * All records were read again, since too many changes had been missed. Earlier records that
-         * are not among them have been archived.
+         * All records were read again, since too many changes had been missed. Records known up to
+         * that revision that are not among them have been archived.
          *
          * @param keys of the records that were read
          * @param revision at which the list is complete
@@ -139,8 +142,8 @@
     }
 
     /**
-     * Records that this process was paused. A read that began before the pause is too old for the
-     * barriers that wait for it, and is repeated.
+     * Called after this process was paused. A read that began before the pause may lack changes
+     * committed during it, so the barriers that wait for the read wait for another one.
      */
     void processResumed() {
         pauseCount++;
--- a/src/main/java/org/springmill/control/storage/CommitQueue.java
+++ b/src/main/java/org/springmill/control/storage/CommitQueue.java
@@ -19,9 +19,10 @@
     private static final double COMMIT_REQUEST_SHARE = 0.4;
 
     /**
-     * Share of the store's limits per second that a controller may send in one burst after a period
-     * of low use, whatever its own share. Submissions come in bursts, but seldom to all controllers
-     * at the same time. If they do, the store answers some with 429, and those are retried.
+     * Share of {@link #commitsPerSecond} and {@link #writesPerSecond} that a controller may send in
+     * one burst after a period of low use, even if its own share is smaller. Submissions come in
+     * bursts, but seldom to all controllers at the same time. If they do, the store answers some
+     * with 429, and those are retried.
      */
     private static final double BURST_SHARE = 0.4;
 
@@ -34,8 +35,13 @@
     private final EventLoop loop;
     private final BiConsumer<Request, Consumer<Reply>> sender;
     private final double timeoutSeconds;
+
+    /** Transactions that all controllers together may send per second. */
     private final double commitsPerSecond;
+
+    /** Writes that all controllers together may send per second. */
     private final double writesPerSecond;
+
     private final TokenBucket commitLimit;
     private final TokenBucket writeLimit;
 
@@ -116,6 +122,8 @@
     /**
      * Adds a transaction that accepts new jobs. If it is not sent by the given time, it is removed
      * and its reply is {@link Reply#NOT_SENT}.
+     *
+     * @param sendBy in seconds of the loop's clock
      */
     void addAcceptance(QueuedCommit commit, double sendBy) {
         enqueue(acceptanceQueue, commit);
@@ -174,9 +182,10 @@
     }
 
     /**
-     * Alternates between the queues. When {@code regularQueue} always came first, submissions at a
-     * leader that wrote many rounds waited for seconds. Alternating, a submission waits for one
-     * round, which has many more writes than the submission.
+     * Alternates between the queues. When {@code regularQueue} always came first, submissions to a
+     * leader that committed many placement rounds waited for seconds. Now at most one regular
+     * transaction is sent before the next submission; if it is a placement round, it has many more
+     * writes than the submission.
      */
     private ArrayDeque<QueuedCommit> nextQueue() {
         if (regularQueue.isEmpty()) {
--- a/src/test/java/org/springmill/control/simulation/JobChainFixture.java
+++ b/src/test/java/org/springmill/control/simulation/JobChainFixture.java
@@ -13,8 +13,9 @@
 import org.springmill.transport.HttpClient.Request;
 
 /**
- * A simulated cluster and helpers for jobs that depend on each other. Tests name jobs by number.
- * The cluster reports a violation if a task starts before the dependencies of its job are done.
+ * A simulated cluster and helpers for jobs that depend on each other. Tests refer to jobs by
+ * number. The cluster reports a violation if a task starts before the dependencies of its job are
+ * done.
  */
 abstract class JobChainFixture extends ClusterFixture {
     /**
@@ -90,6 +91,8 @@
     }
 
     /**
+     * The record of a job with two tasks.
+     *
      * @param stateFields the fields for the job's end and time of acceptance, each preceded by a
      *     comma
      */
--- a/src/test/java/org/springmill/control/simulation/ResourceLimitTest.java
+++ b/src/test/java/org/springmill/control/simulation/ResourceLimitTest.java
@@ -18,8 +18,8 @@
         cluster.submit(0, spread, FOREVER);
         cluster.run(8);
         assertEquals(6, cluster.running(JOB));
-        // Two machines stop reporting while their tasks run. Next to six tasks of 2 GPUs the team's
-        // limit of 16 GPUs allows two more.
+        // Two machines hang: they neither report nor stop tasks when the worker lease expires.
+        // With six tasks of 2 GPUs each running, the team's limit of 16 GPUs allows two more.
         List<SimWorker> hung = cluster.cloud().machines().values().stream().limit(2).toList();
         hung.forEach(w -> w.hang(true));
         submitService(1, OTHER, "red", 5, 2);
@@ -50,6 +50,7 @@
         assertEquals("done", cluster.phase(0, JOB));
     }
 
+    /** Small services have to share a machine, so that large tasks still fit on others. */
     @Test
     void smallReplicasLeaveRoomForLargeOnes() {
         cluster.cloud().exhaustCapacity();
