--- a/src/main/java/org/springmill/control/api/UserApi.java
+++ b/src/main/java/org/springmill/control/api/UserApi.java
@@ -42,7 +42,7 @@
     /** Handles a request whose path is the submissions path or below it. */
     public void handle(Call call) {
         if (call.path().equals(UserMessages.SUBMISSIONS_PATH)) {
-            if (hasMethod(call, "POST")) {
+            if (requireMethod(call, "POST")) {
                 submissions.submit(call);
             }
             return;
@@ -57,7 +57,7 @@
      */
     private void handleJob(Call call, String subPath) {
         if (subPath.endsWith(UserMessages.CANCELLATION_SUFFIX)) {
-            if (hasMethod(call, "POST")) {
+            if (requireMethod(call, "POST")) {
                 String id =
                         subPath.substring(
                                 0, subPath.length() - UserMessages.CANCELLATION_SUFFIX.length());
@@ -65,13 +65,13 @@
             }
         } else if (subPath.isEmpty() || subPath.contains("/")) {
             call.reply(404, EMPTY, 0);
-        } else if (hasMethod(call, "GET")) {
+        } else if (requireMethod(call, "GET")) {
             queries.query(call, subPath);
         }
     }
 
     /** Whether a call has this method; if not, responds with status 405. */
-    private static boolean hasMethod(Call call, String method) {
+    private static boolean requireMethod(Call call, String method) {
         if (!call.method().equals(method)) {
             call.reply(405, EMPTY, 0);
             return false;
--- a/src/main/java/org/springmill/control/autoscaling/MachineDeletion.java
+++ b/src/main/java/org/springmill/control/autoscaling/MachineDeletion.java
@@ -23,17 +23,17 @@
     private final Fleet fleet;
     private final CloudClient cloud;
     private final EventLoop loop;
-    private final Runnable changed;
+    private final Runnable onDeleted;
     private final List<Machine> queue = new ArrayList<>();
 
     /**
-     * @param changed run after the cloud has confirmed a batch of deletions
+     * @param onDeleted run after the cloud has confirmed a batch of deletions
      */
-    MachineDeletion(Fleet fleet, CloudClient cloud, EventLoop loop, Runnable changed) {
+    MachineDeletion(Fleet fleet, CloudClient cloud, EventLoop loop, Runnable onDeleted) {
         this.fleet = fleet;
         this.cloud = cloud;
         this.loop = loop;
-        this.changed = changed;
+        this.onDeleted = onDeleted;
     }
 
     /** Deletes a machine, unless its deletion was requested before. */
@@ -103,7 +103,7 @@
         }
         if (reply.ok()) {
             batch.forEach(this::confirmDeleted);
-            changed.run();
+            onDeleted.run();
         } else {
             loop.after(cloud.retryIntervalSeconds(), () -> batch.forEach(this::enqueue));
         }
--- a/src/main/java/org/springmill/control/storage/CommitQueue.java
+++ b/src/main/java/org/springmill/control/storage/CommitQueue.java
@@ -30,7 +30,7 @@
      * Longest wait before the queues are checked again, as a ratio of the request timeout; the
      * share may grow in the meantime.
      */
-    private static final double MAX_WAIT_TO_TIMEOUT = 0.25;
+    private static final double MAX_WAIT_TIMEOUT_RATIO = 0.25;
 
     private final EventLoop loop;
     private final BiConsumer<Request, Consumer<Reply>> sender;
@@ -201,7 +201,7 @@
         }
         isDrainScheduled = true;
         loop.after(
-                Math.min(waitSeconds, timeoutSeconds * MAX_WAIT_TO_TIMEOUT),
+                Math.min(waitSeconds, timeoutSeconds * MAX_WAIT_TIMEOUT_RATIO),
                 () -> {
                     isDrainScheduled = false;
                     drain();
--- a/src/test/java/org/springmill/control/simulation/JobChainFixture.java
+++ b/src/test/java/org/springmill/control/simulation/JobChainFixture.java
@@ -42,9 +42,9 @@
     /** An array of tasks with one CPU and one GPU each. */
     static ObjectNode job(int number, int tasks, int... dependencies) {
         ObjectNode job = SimulatedCluster.job(id(number), "red", "sweep", tasks, 1, 1);
-        ArrayNode names = job.putArray("waitsOn");
+        ArrayNode ids = job.putArray("waitsOn");
         for (int dependency : dependencies) {
-            names.add(id(dependency));
+            ids.add(id(dependency));
         }
         return job;
     }
@@ -97,12 +97,12 @@
      *     comma
      */
     static String jobRecord(int number, String stateFields, int... dependencies) {
-        String names =
+        String quotedIds =
                 Arrays.stream(dependencies)
                         .mapToObj(dependency -> '"' + id(dependency) + '"')
                         .collect(Collectors.joining(","));
-        String field = names.isEmpty() ? "" : ",\"waitsOn\":[" + names + "]";
-        return JOB_RECORD.formatted(stateFields, id(number), field);
+        String dependencyField = quotedIds.isEmpty() ? "" : ",\"waitsOn\":[" + quotedIds + "]";
+        return JOB_RECORD.formatted(stateFields, id(number), dependencyField);
     }
 
     /** Writes a record to the key-value store directly, without a controller. */
