--- a/src/main/java/org/springmill/control/api/UserApi.java
+++ b/src/main/java/org/springmill/control/api/UserApi.java
@@ -21,8 +21,8 @@
     /**
      * Creates the API of a controller.
      *
-     * @param broadcast called with each cancellation committed here, before the response to its
-     *     user
+     * @param broadcast called with each cancellation that this controller commits, before the
+     *     response to the user who requested it
      * @param submissions accepts jobs
      */
     public UserApi(
@@ -42,7 +42,7 @@
     /** Handles a request whose path is the submissions path or below it. */
     public void handle(Call call) {
         if (call.path().equals(UserMessages.SUBMISSIONS_PATH)) {
-            if (hasMethod(call, "POST")) {
+            if (requireMethod(call, "POST")) {
                 submissions.submit(call);
             }
             return;
@@ -51,11 +51,13 @@
     }
 
     /**
+     * Handles a request for one job.
+     *
      * @param subPath the part of the path after the submissions path
      */
     private void handleJob(Call call, String subPath) {
         if (subPath.endsWith(UserMessages.CANCELLATION_SUFFIX)) {
-            if (hasMethod(call, "POST")) {
+            if (requireMethod(call, "POST")) {
                 String id =
                         subPath.substring(
                                 0, subPath.length() - UserMessages.CANCELLATION_SUFFIX.length());
@@ -63,13 +65,13 @@
             }
         } else if (subPath.isEmpty() || subPath.contains("/")) {
             call.reply(404, EMPTY, 0);
-        } else if (hasMethod(call, "GET")) {
+        } else if (requireMethod(call, "GET")) {
             queries.query(call, subPath);
         }
     }
 
-    /** Checks the method of a call; responds with 405 if it is another one. */
-    private static boolean hasMethod(Call call, String method) {
+    /** Whether a call has this method; if not, responds with status 405. */
+    private static boolean requireMethod(Call call, String method) {
         if (!call.method().equals(method)) {
             call.reply(405, EMPTY, 0);
             return false;
--- a/src/main/java/org/springmill/control/autoscaling/MachineDeletion.java
+++ b/src/main/java/org/springmill/control/autoscaling/MachineDeletion.java
@@ -23,17 +23,17 @@
     private final Fleet fleet;
     private final CloudClient cloud;
     private final EventLoop loop;
-    private final Runnable changed;
+    private final Runnable onDeleted;
     private final List<Machine> queue = new ArrayList<>();
 
     /**
-     * @param changed run after each confirmed deletion
+     * @param onDeleted run after the cloud has confirmed a batch of deletions
      */
-    MachineDeletion(Fleet fleet, CloudClient cloud, EventLoop loop, Runnable changed) {
+    MachineDeletion(Fleet fleet, CloudClient cloud, EventLoop loop, Runnable onDeleted) {
         this.fleet = fleet;
         this.cloud = cloud;
         this.loop = loop;
-        this.changed = changed;
+        this.onDeleted = onDeleted;
     }
 
     /** Deletes a machine, unless its deletion was requested before. */
@@ -55,7 +55,7 @@
         enqueue(machine);
     }
 
-    /** Closes all attempts of a machine that is known to have stopped with all of its tasks. */
+    /** Records the end of all task attempts of a machine that is known to have stopped. */
     void closeAttempts(Machine machine) {
         for (TaskAttempt attempt : machine.attemptsSnapshot()) {
             fleet.end(attempt, ExitCause.NONE);
@@ -103,7 +103,7 @@
         }
         if (reply.ok()) {
             batch.forEach(this::confirmDeleted);
-            changed.run();
+            onDeleted.run();
         } else {
             loop.after(cloud.retryIntervalSeconds(), () -> batch.forEach(this::enqueue));
         }
--- a/src/test/java/org/springmill/control/simulation/JobChainFixture.java
+++ b/src/test/java/org/springmill/control/simulation/JobChainFixture.java
@@ -13,8 +13,9 @@
 import org.springmill.transport.HttpClient.Request;
 
 /**
- * A simulated cluster and helpers for jobs that depend on each other. Tests name jobs by number.
- * The cluster reports a violation if a task starts before the dependencies of its job are done.
+ * A simulated cluster and helpers for jobs that depend on each other. Tests refer to jobs by
+ * number. The cluster reports a violation if a task starts before the dependencies of its job are
+ * done.
  */
 abstract class JobChainFixture extends ClusterFixture {
     /**
@@ -41,9 +42,9 @@
     /** An array of tasks with one CPU and one GPU each. */
     static ObjectNode job(int number, int tasks, int... dependencies) {
         ObjectNode job = SimulatedCluster.job(id(number), "red", "sweep", tasks, 1, 1);
-        ArrayNode names = job.putArray("waitsOn");
+        ArrayNode ids = job.putArray("waitsOn");
         for (int dependency : dependencies) {
-            names.add(id(dependency));
+            ids.add(id(dependency));
         }
         return job;
     }
@@ -90,16 +91,18 @@
     }
 
     /**
+     * The record of a job with two tasks.
+     *
      * @param stateFields the fields for the job's end and time of acceptance, each preceded by a
      *     comma
      */
     static String jobRecord(int number, String stateFields, int... dependencies) {
-        String names =
+        String quotedIds =
                 Arrays.stream(dependencies)
                         .mapToObj(dependency -> '"' + id(dependency) + '"')
                         .collect(Collectors.joining(","));
-        String field = names.isEmpty() ? "" : ",\"waitsOn\":[" + names + "]";
-        return JOB_RECORD.formatted(stateFields, id(number), field);
+        String dependencyField = quotedIds.isEmpty() ? "" : ",\"waitsOn\":[" + quotedIds + "]";
+        return JOB_RECORD.formatted(stateFields, id(number), dependencyField);
     }
 
     /** Writes a record to the key-value store directly, without a controller. */
