--- a/src/test/java/org/springmill/sim/AnswerChecker.java
+++ b/src/test/java/org/springmill/sim/AnswerChecker.java
@@ -4,7 +4,7 @@
 import org.springmill.transport.HttpClient.Reply;
 import org.springmill.transport.HttpClient.Request;
 
-/** Checks each answer to a user against what users asked for and were answered before. */
+/** Checks each answer to a user against the earlier requests and answers. */
 final class AnswerChecker {
     private static final String SUBMISSIONS = "/submissions";
 
@@ -24,7 +24,7 @@
         this.violations = violations;
     }
 
-    /** A user is about to send a request. */
+    /** Records a request that a user is about to send. */
     void requested(Request request) {
         if (request.path().equals(SUBMISSIONS)) {
             JsonNode job = jobIn(request);
@@ -39,7 +39,7 @@
         }
     }
 
-    /** A user gets the answer to a request sent at that time. */
+    /** Checks the answer to a request that a user sent at {@code sentAt}. */
     void answered(Request request, double sentAt, Reply reply) {
         if (request.path().equals(SUBMISSIONS)) {
             submissionAnswered(request, sentAt, reply);
@@ -95,7 +95,10 @@
         }
     }
 
-    /** The first positive answer says that the job is accepted, whatever the question was. */
+    /**
+     * Records and checks an answer with status 200 or 201. The first such answer to any request
+     * shows that the job is accepted.
+     */
     private void positiveAnswer(JobHistory job, double sentAt, Reply reply) {
         job.answered(clock.now());
         if (!job.accepted()) {
@@ -112,9 +115,8 @@
         if (phase.equals("cancelled") && !jobs.cancelRequested(job)) {
             violations.add(Rule.WENT_BACK, job.id() + " cancelled by nobody");
         }
-        // Answers may overtake each other, but no question asked after a final phase was answered
-        // may
-        // be answered with less.
+        // Answers may arrive out of order, so a phase that is not final is a violation only if the
+        // request was sent after a final phase had been answered.
         boolean differs = job.over() && !phase.equals(job.finalPhase());
         if (differs && (over || job.overBy(sentAt))) {
             violations.add(Rule.WENT_BACK, job.id() + " from " + job.finalPhase() + " to " + phase);
@@ -139,7 +141,7 @@
         return reply.status() == 200 || reply.status() == 201;
     }
 
-    /** The job in a submission; null if there is none. */
+    /** The JSON object in a submission; null if there is none. */
     private static JsonNode jobIn(Request request) {
         try {
             JsonNode job = SimKeyValueStore.parse(request.body());
--- a/src/test/java/org/springmill/sim/BorrowingChecker.java
+++ b/src/test/java/org/springmill/sim/BorrowingChecker.java
@@ -12,10 +12,10 @@
 import org.springmill.protocol.Settings;
 
 /**
- * Watches loans from outside, every 50 ms, by what is on the machines and by the committed recalls:
- * nobody is stopped without a recall that names it, no team is pushed below its entitlement for
- * another, and each GPU is promised once. Team limits and tasks on two machines are watched by
- * {@link InvariantChecker}.
+ * Checks every 50 ms, by the tasks on the machines and the committed recalls, that no task is
+ * halted without a recall that names it, that halts for another team leave each team its guarantee,
+ * and that the GPUs of a machine are not reserved twice. {@link InvariantChecker} checks team
+ * limits and tasks that run on two machines.
  */
 public final class BorrowingChecker {
     private static final double INTERVAL_SECONDS = 0.05;
@@ -24,37 +24,47 @@
     private static final String PROMISED = " GPUs are promised or used on ";
     private static final String PREFIX = "recall/";
 
-    /** Until then a leader may count what was lost with a machine: some heartbeat intervals. */
+    /**
+     * How long a leader may still count tasks that were lost with their machine: three heartbeat
+     * intervals.
+     */
     private static final double LOSS_UNKNOWN_SECONDS = 3 * SimSettings.REPORT_SECONDS;
 
-    /** What was halted for a preemption notice so lately may have run when a recall was decided. */
+    /**
+     * A task that was halted for a preemption notice within this time may have been running when a
+     * recall was decided.
+     */
     private static final double DECIDED_BEFORE_SECONDS = 1;
 
-    /** A beneficiary that was claimed is on its machine by then. */
+    /**
+     * Time after a recall has left the key-value store within which the task that it made room for
+     * starts on the machine.
+     */
     private static final double UNTIL_STARTED_SECONDS = 2;
 
     private final SimulatedCluster cluster;
     private final Settings settings = SimSettings.of(0, SimSettings.STATE_LIMITS);
     private final Set<String> violations = new HashSet<>();
 
-    /** Recalls ever seen, by victim and machine. */
+    /** All recalls seen so far, by victim and machine. */
     private final Map<String, List<JsonNode>> recallsByVictim = new HashMap<>();
 
     private final Set<String> recallKeys = new HashSet<>();
     private final Set<SimWorker.Task> haltsSeen = new HashSet<>();
 
-    /** Tasks seen at the last look, and when those that vanished without a halt did so. */
+    /** Tasks on machines at the last check. */
     private Map<String, SimWorker.Task> lastSeen = new HashMap<>();
 
+    /** When tasks that were neither halted nor over vanished from their machines. */
     private final Map<SimWorker.Task, Double> vanishedAt = new HashMap<>();
 
-    /** When tasks were halted because the cloud takes their machine. */
+    /** When tasks were halted on machines with a preemption notice. */
     private final Map<SimWorker.Task, Double> vacatedAt = new HashMap<>();
 
-    /** When each recall was last seen to be recorded. */
+    /** When each recall was last found in the key-value store. */
     private final Map<String, Double> recordedAt = new HashMap<>();
 
-    /** Tasks that gave way to work of their own team, with the recall. */
+    /** Tasks that were halted for their own team's work, with the key of the recall. */
     private final Map<SimWorker.Task, String> ownHalts = new HashMap<>();
 
     private boolean draining;
@@ -63,53 +73,57 @@
 
     private record Halt(SimWorker machine, SimWorker.Task task) {}
 
-    /** Begins to watch a cluster. */
+    /** Starts the checks of a cluster. */
     public BorrowingChecker(SimulatedCluster cluster) {
         this.cluster = cluster;
         cluster.keyValueStore().onCommit(this::committed);
         watch();
     }
 
-    /** What was broken so far. */
+    /** The violations found so far. */
     public List<String> violations() {
         return List.copyOf(violations);
     }
 
-    /** How many looks were taken. */
+    /** The number of checks so far. */
     public long samples() {
         return samples;
     }
 
-    /** How many tasks were stopped by recalls for another team. */
+    /** The number of tasks that were halted by recalls for another team. */
     public int haltsForOthers() {
         return haltsForOthers;
     }
 
-    /** How many recalls were ever committed. */
+    /** The number of recalls committed so far. */
     public int recalls() {
         return recallKeys.size();
     }
 
-    /** How many recalls are recorded now. */
+    /** The number of recalls in the key-value store now. */
     public int recorded() {
         return records().size();
     }
 
     /**
-     * Controllers that know no recalls took part: they halt without them, and use room that a
-     * record which they don't read promises.
+     * Removes the violations that controllers of versions without recalls cause: they halt tasks
+     * without a recall, and use capacity that a recall has reserved, since they do not read its
+     * record.
      */
     public void olderVersionsTookPart() {
         violations.removeIf(violation -> violation.contains(WITHOUT_RECALL));
         violations.removeIf(violation -> violation.contains(PROMISED));
     }
 
-    /** From now on machines that are mostly free may be drained, which needs no recall. */
+    /**
+     * From now on halts without a recall are allowed, since machines that are mostly free may be
+     * drained.
+     */
     public void machinesMayBeDrained() {
         draining = true;
     }
 
-    /** Whether a recall on a machine is recorded now. */
+    /** Whether the key-value store has a recall on a machine now. */
     public boolean isRecalledOn(SimWorker machine) {
         return records().stream().anyMatch(recall -> machine(recall).equals(machine.name()));
     }
@@ -144,7 +158,7 @@
         }
     }
 
-    /** A recall may be settled before the next look. */
+    /** Records recalls on commit, since one may be settled before the next check. */
     private void committed(JsonNode transaction) {
         for (JsonNode write : transaction.path("writes")) {
             if (write.path("write").asText().startsWith(PREFIX)) {
@@ -157,7 +171,10 @@
         return recall.path(2).asText();
     }
 
-    /** The stored form names jobs with sets of task numbers. */
+    /**
+     * Decodes the victims of a recall, which are stored as pairs of a job and a set of task
+     * numbers.
+     */
     private static Set<String> victims(JsonNode recall) {
         Set<String> victims = new HashSet<>();
         JsonNode stored = recall.path(8);
@@ -242,9 +259,9 @@
     }
 
     /**
-     * Tasks of a team were stopped for another: what is left must be its guarantee at least, in
-     * each resource that it is guaranteed. What vanished with a machine counts until a leader may
-     * know of it.
+     * Checks a team whose tasks were halted for another team: its remaining tasks must use at least
+     * its guarantee, in each resource for which it has one. Tasks that vanished with a machine
+     * still count for {@link #LOSS_UNKNOWN_SECONDS}, since a leader may not know of the loss.
      */
     private void checkEntitlement(String name) {
         TeamUsage left = TeamUsage.NONE;
@@ -269,7 +286,10 @@
         }
     }
 
-    /** Whether a task was preempted by its own team's work, for which its capacity is reserved. */
+    /**
+     * Whether a task was preempted by its own team's work, for which its capacity is still
+     * reserved.
+     */
     private boolean isReplacedByOwnTeam(SimWorker.Task task) {
         Double lastRecorded = recordedAt.get(ownHalts.getOrDefault(task, ""));
         return lastRecorded != null && cluster.clock().now() - lastRecorded < UNTIL_STARTED_SECONDS;
--- a/src/test/java/org/springmill/sim/InvariantChecker.java
+++ b/src/test/java/org/springmill/sim/InvariantChecker.java
@@ -10,8 +10,8 @@
 import org.springmill.transport.HttpClient.Request;
 
 /**
- * The protocol's invariants, watched from outside: by what machines do and by what users are
- * answered. Machines are looked at whenever a task starts and at short intervals.
+ * Checks the protocol's invariants from outside, by the tasks on the machines and the answers to
+ * users. Machines are checked whenever a task starts and at short intervals.
  */
 final class InvariantChecker {
     private static final double INTERVAL_SECONDS = 0.25;
@@ -40,14 +40,17 @@
     }
 
     /**
-     * Tasks that started on a command sent after their user got the answer that the job is
-     * cancelled.
+     * Tasks that were started by a command that the machine executed after the user had been
+     * answered that the job is cancelled.
      */
     List<String> startsAfterCancel() {
         return startsAfterCancel;
     }
 
-    /** From now on there are no failures: work has to go on, and all questions to be answered. */
+    /**
+     * From now on there are no failures: jobs for which there is capacity must run, and polls must
+     * be answered.
+     */
     void failuresAreOver() {
         progress.failuresAreOver(clock.now());
     }
@@ -64,12 +67,17 @@
                 .toList();
     }
 
-    /** Jobs that users may still ask about: accepted and, as far as they know, not over. */
+    /**
+     * Jobs whose users were answered that they are accepted, but not that they are done or
+     * cancelled.
+     */
     List<String> unfinishedJobs() {
         return jobs.unfinished(clock.now()).stream().map(JobHistory::id).toList();
     }
 
-    /** A job that was accepted before this cluster began, with its tasks that are done. */
+    /**
+     * Adds a job that was accepted before this cluster was started, and its tasks that are done.
+     */
     void assume(JsonNode job, int... done) {
         jobs.assume(job, done);
     }
@@ -95,7 +103,7 @@
         jobs.taskDone(task);
     }
 
-    /** A task starts on a machine. */
+    /** Checks a task that starts on a machine. */
     void started(SimWorker machine, SimWorker.Task task) {
         checkRunsOnce(machine, task.id);
         JobHistory job = jobs.ofTask(task.id);
@@ -127,14 +135,14 @@
         }
     }
 
-    /** Looks at all machines and jobs again and again. */
+    /** Checks all machines and jobs now and at regular intervals. */
     void watch() {
         Map<String, TeamUsage> used = checkMachines();
         progress.check(clock.now(), used);
         clock.after(INTERVAL_SECONDS, this::watch);
     }
 
-    /** Checks what is on the machines now, and returns what each team uses. */
+    /** Checks the tasks that are on machines now, and returns the usage of each team. */
     private Map<String, TeamUsage> checkMachines() {
         Map<String, TeamUsage> used = new HashMap<>();
         for (SimWorker machine : cloud.machines().values()) {
--- a/src/test/java/org/springmill/sim/InvariantCheckerTest.java
+++ b/src/test/java/org/springmill/sim/InvariantCheckerTest.java
@@ -14,7 +14,7 @@
 import org.springmill.transport.HttpClient.Reply;
 import org.springmill.transport.HttpClient.Request;
 
-/** Each history that breaks a rule is reported, under that rule alone. No controller takes part. */
+/** Each violation is reported under exactly the rule that it breaks. No controller runs. */
 class InvariantCheckerTest {
     private static final String JOB = "run-000001";
     private static final String DEPENDENT = "run-000002";
--- a/src/test/java/org/springmill/sim/JobHistories.java
+++ b/src/test/java/org/springmill/sim/JobHistories.java
@@ -8,7 +8,7 @@
 import java.util.Map;
 import java.util.Set;
 
-/** The histories of all jobs, the tasks that are done, and what follows from dependencies. */
+/** The histories of all jobs, the tasks that are done, and queries on job dependencies. */
 final class JobHistories {
     private final Map<String, JobHistory> jobs = new LinkedHashMap<>();
     private final Set<String> doneTasks = new HashSet<>();
@@ -39,7 +39,9 @@
         }
     }
 
-    /** A job that was accepted before this cluster began, with its tasks that are done. */
+    /**
+     * Adds a job that was accepted before this cluster was started, and its tasks that are done.
+     */
     void assume(JsonNode job, int... done) {
         JobHistory history =
                 jobs.computeIfAbsent(job.path("nameId").asText(), id -> new JobHistory(job));
@@ -57,19 +59,23 @@
         return doneTasks.contains(task);
     }
 
-    /** Jobs that users may still ask about: accepted and, as far as they know, not over. */
+    /**
+     * Jobs whose users were answered that they are accepted, but not that they are done or
+     * cancelled.
+     */
     List<JobHistory> unfinished(double now) {
         return jobs.values().stream().filter(job -> job.acceptedBy(now) && !job.over()).toList();
     }
 
-    /** Whether a user asked for the cancellation of a job, or of one that it depends on. */
+    /** Whether a user requested the cancellation of a job or of a direct or indirect dependency. */
     boolean cancelRequested(JobHistory job) {
         return job.cancelRequested()
                 || job.dependencies().stream().anyMatch(id -> cancelRequested(jobs.get(id)));
     }
 
     /**
-     * Whether a user had the answer by then that a job, on which this one depends, is cancelled.
+     * Whether a user had been answered by {@code time} that a direct or indirect dependency of the
+     * job is cancelled.
      */
     boolean dependencyCancelledBy(double time, JobHistory job) {
         return job.dependencies().stream()
@@ -80,7 +86,7 @@
                                         || dependencyCancelledBy(time, dependency));
     }
 
-    /** A task that has to be done before any of a job's tasks starts; null if there is none. */
+    /** A task of a direct dependency that is not done yet; null if there is none. */
     String unfinishedDependency(JobHistory job) {
         for (String id : job.dependencies()) {
             JobHistory dependency = jobs.get(id);
--- a/src/test/java/org/springmill/sim/JobHistory.java
+++ b/src/test/java/org/springmill/sim/JobHistory.java
@@ -4,7 +4,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** What the user of one job has asked for and was answered, by any controller. */
+/** The requests of one job's user and the answers of all controllers. */
 final class JobHistory {
     private static final double NEVER = Double.POSITIVE_INFINITY;
 
@@ -40,14 +40,14 @@
         return id() + '/' + task;
     }
 
-    /** The jobs that have to be done first. */
+    /** The jobs that must be done before this one starts. */
     List<String> dependencies() {
         List<String> ids = new ArrayList<>();
         job.path("waitsOn").forEach(id -> ids.add(id.asText()));
         return ids;
     }
 
-    /** Whether the user got the answer at any time that the job is accepted. */
+    /** Whether the user has been answered that the job is accepted. */
     boolean accepted() {
         return acceptedAt != NEVER;
     }
@@ -68,7 +68,7 @@
         return cancelRequested;
     }
 
-    /** Whether its user got the answer that it is done or cancelled. */
+    /** Whether the user has been answered that the job is done or cancelled. */
     boolean over() {
         return finalPhase != null;
     }
@@ -77,7 +77,7 @@
         return finalPhase;
     }
 
-    /** Whether its user had the answer by then that it is done or cancelled. */
+    /** Whether the user had been answered by {@code time} that the job is done or cancelled. */
     boolean overBy(double time) {
         return over() && finalAt <= time;
     }
@@ -99,7 +99,7 @@
         lastAnswerAt = time;
     }
 
-    /** Since when it has waited although there was capacity for it. */
+    /** Since when the job has waited although there is capacity for it; infinite if it has not. */
     double waitingSince() {
         return waitingSince;
     }
--- a/src/test/java/org/springmill/sim/PlacementRules.java
+++ b/src/test/java/org/springmill/sim/PlacementRules.java
@@ -3,7 +3,7 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import org.springmill.protocol.Settings;
 
-/** Where tasks of a job may be, and whether there is capacity for one. */
+/** On which machines tasks of a job may run, and whether there is capacity for one. */
 final class PlacementRules {
     private static final double ROUNDING_ERROR = 1e-6;
 
@@ -29,7 +29,10 @@
                 && job.path("memGb").asDouble() <= type.memoryGb();
     }
 
-    /** Why a task of the job, which may be there already, must not be on a machine; or null. */
+    /**
+     * Why a task of the job must not be on a machine; null if it may. The task may be there
+     * already.
+     */
     String whyNotAllowed(SimWorker machine, JsonNode job) {
         if (!allowsType(job, SimCloud.TYPES.get(machine.type()))) {
             return "type";
@@ -72,7 +75,7 @@
                         .count();
     }
 
-    /** Whether a further task fits its team's limit and a machine on which it may be. */
+    /** Whether one more task fits within its team's limit and on a machine that its job allows. */
     boolean hasRoom(JobHistory job, TeamUsage used) {
         JsonNode spec = job.job();
         boolean withinLimit =
--- a/src/test/java/org/springmill/sim/ProgressChecker.java
+++ b/src/test/java/org/springmill/sim/ProgressChecker.java
@@ -5,22 +5,29 @@
 import java.util.Map;
 
 /**
- * Checks that users get answers, and that work goes on once all failures are over. Until then tasks
- * may wait for as long as they have to.
+ * Checks that users get answers and, once all failures have ended, that no job waits for long
+ * although there is capacity for it. Until then tasks may wait without limit.
  */
 final class ProgressChecker {
     /**
-     * A job waits no longer than this while there is capacity for it, once all failures are over.
+     * The longest time that a job may wait although there is capacity for it, once all failures
+     * have ended.
      */
     private static final double MAX_WAIT_SECONDS = 90;
 
-    /** No job goes without an answer for longer than this, once all failures are over. */
+    /** The longest time that a job may get no answer, once all failures have ended. */
     private static final double MAX_UNANSWERED_SECONDS = 75;
 
-    /** Nor, at any time, for longer than this while most jobs get answers. */
+    /**
+     * The longest time that a job may get no answer while most jobs get answers, also during
+     * failures.
+     */
     private static final double MAX_SINGLED_OUT_SECONDS = 90;
 
-    /** Twice the interval of polls: a job whose last answer is not older gets answers. */
+    /**
+     * A job counts as answered if its last answer is younger than this, which is twice the poll
+     * interval.
+     */
     private static final double ANSWERED_RECENTLY_SECONDS = 10;
 
     private final SimCloud cloud;
@@ -38,7 +45,7 @@
         this.violations = violations;
     }
 
-    /** From now on users poll all their jobs, so that one without an answer is forgotten. */
+    /** From now on users poll all their jobs, and a job without answers is a violation. */
     void jobsArePolled() {
         polled = true;
     }
--- a/src/test/java/org/springmill/sim/RecallStores.java
+++ b/src/test/java/org/springmill/sim/RecallStores.java
@@ -2,13 +2,13 @@
 
 import org.springmill.control.storage.KeyValueStoreClient;
 
-/** Stores for tests of records that are never sent. */
+/** Clients of the key-value store for tests that send no records. */
 public final class RecallStores {
     private static final double TIMEOUT_SECONDS = 1;
 
     private RecallStores() {}
 
-    /** A store whose requests are never answered. */
+    /** A client whose requests are never answered. */
     public static KeyValueStoreClient unconnected() {
         return new KeyValueStoreClient(
                 (request, done) -> {},
--- a/src/test/java/org/springmill/sim/RetryingUsers.java
+++ b/src/test/java/org/springmill/sim/RetryingUsers.java
@@ -8,8 +8,8 @@
 import org.springmill.transport.HttpClient.Reply;
 
 /**
- * Users who submit one job each, at random controllers, and submit it again as the protocol has it:
- * after a second, or after the time that the answer named, for a minute in all.
+ * Users who submit one job each, at random controllers, and retry as the protocol prescribes: after
+ * 1 s, or after a longer delay that the answer names, for 60 s in all.
  */
 public final class RetryingUsers {
     private static final double ANSWER_SECONDS = 5;
@@ -29,7 +29,7 @@
         random = new SplittableRandom(seed);
     }
 
-    /** A user submits a job now, and again until it is accepted. */
+    /** Submits a job as a new user, who retries until it is accepted or 60 s have passed. */
     public void submit(ObjectNode job, double taskRunSeconds) {
         cluster.setRunSeconds(job.path("nameId").asText(), taskRunSeconds);
         submit(job.toString(), cluster.clock().now());
@@ -63,32 +63,32 @@
         cluster.clock().after(pause, () -> submit(job, since));
     }
 
-    /** Jobs that were accepted. */
+    /** The number of jobs that were accepted. */
     public int accepted() {
         return acceptedAt.size();
     }
 
-    /** Jobs that were accepted at or after a moment. */
+    /** The number of jobs that were accepted at or after {@code moment}. */
     public int acceptedSince(double moment) {
         return (int) acceptedAt.stream().filter(at -> at >= moment).count();
     }
 
-    /** How long the user of the job that was accepted last had waited, from the first attempt. */
+    /** The time from first attempt to acceptance of the job that was accepted last. */
     public double lastAcceptanceSeconds() {
         return acceptanceSeconds.get(acceptanceSeconds.size() - 1);
     }
 
-    /** Users who were not served within their patience. */
+    /** The number of users who stopped retrying after 60 s. */
     public int gaveUp() {
         return gaveUp;
     }
 
-    /** Requests sent. */
+    /** The number of requests sent. */
     public int attempts() {
         return attempts;
     }
 
-    /** Answers with a status; 0 for none in time. */
+    /** The number of answers with a status; status 0 counts requests without an answer in time. */
     public int answers(int status) {
         return answersByStatus.getOrDefault(status, 0);
     }
--- a/src/test/java/org/springmill/sim/SimCloud.java
+++ b/src/test/java/org/springmill/sim/SimCloud.java
@@ -38,7 +38,7 @@
     private int named;
     private final Set<String> emptyZones = new HashSet<>();
 
-    /** What every list shows while lists are frozen; null while they are not. */
+    /** The list that all requests get while lists are frozen; null while they are not. */
     private ObjectNode lateList;
 
     SimCloud(SimulatedCluster cluster) {
@@ -60,27 +60,27 @@
         emptyZones.clear();
     }
 
-    /** Machines rented in a zone from now on boot in that time; infinite for never. */
+    /** Sets the boot time of machines that are rented in a zone from now on; infinite for never. */
     public void setBootSeconds(String zone, double seconds) {
         bootSecondsByZone.put(zone, seconds);
     }
 
-    /** How many machines there have been, terminated ones included. */
+    /** The number of machines added so far, including terminated ones. */
     public int everRented() {
         return named;
     }
 
-    /** From now on lists show what is true at this moment. */
+    /** From now on machine lists show the state at this moment. */
     public void freezeMachineList() {
         lateList = list();
     }
 
-    /** Lists show the present state again. */
+    /** Machine lists show the current state again. */
     public void resumeMachineList() {
         lateList = null;
     }
 
-    /** Terminates a machine, as the cloud does with a spot machine that it takes without notice. */
+    /** Terminates a machine, as the cloud does when it reclaims a spot machine. */
     public void reclaim(SimWorker machine) {
         remove(machine.name());
     }
--- a/src/test/java/org/springmill/sim/SimController.java
+++ b/src/test/java/org/springmill/sim/SimController.java
@@ -13,7 +13,7 @@
 
 /**
  * The process of one controller: the real {@link Controller} on the virtual clock and the simulated
- * networks. Once stopped it acts no more, whatever timers and responses are still to come.
+ * networks. Timers and responses that are due after {@link #stop} are ignored.
  */
 final class SimController implements EventLoop, HttpClient, PeerLink {
     private final int number;
@@ -47,7 +47,10 @@
         stopped = true;
     }
 
-    /** Does nothing for some time, while its clock runs on; then all that came in, in order. */
+    /**
+     * Suspends the process for {@code seconds} while its clock continues. Events that occur
+     * meanwhile are then processed in order.
+     */
     void pause(double seconds) {
         frozen = true;
         clock.after(seconds, this::resume);
@@ -60,7 +63,7 @@
         }
     }
 
-    /** Runs what the process does on an event, now or once it does anything again. */
+    /** Processes an event now, or when the process resumes if it is paused. */
     private void act(Runnable action) {
         if (frozen) {
             missed.add(action);
@@ -73,7 +76,7 @@
         return SimSettings.controllerName(number);
     }
 
-    /** Where peer messages go; null until the controller listens. */
+    /** The receiver of peer messages; null until the controller has set it. */
     Listener listener() {
         return listener;
     }
@@ -87,7 +90,7 @@
         return clock.now();
     }
 
-    /** Off by as much as the settings allow, to either side. */
+    /** Controllers 0 and 2 are 1 s slow and 1 s fast, the largest skew that the settings allow. */
     @Override
     public double timeOfDay() {
         return clock.timeOfDay() + number - 1;
--- a/src/test/java/org/springmill/sim/SimKeyValueStore.java
+++ b/src/test/java/org/springmill/sim/SimKeyValueStore.java
@@ -10,8 +10,7 @@
 import org.springmill.transport.HttpClient.Request;
 
 /**
- * The emulated key-value store under the virtual clock, with transactions that are carried out
- * late.
+ * The emulated key-value store under the virtual clock. Tests can have transactions applied late.
  */
 public final class SimKeyValueStore {
     private static final ObjectMapper JSON = new ObjectMapper();
@@ -33,39 +32,44 @@
         random = source;
     }
 
-    /** Begins to end leases that run out. */
+    /** Starts the expiry of leases. */
     void start() {
         store.start();
     }
 
-    /** Other limits from now on, without notice. What is stored stays. */
+    /** Changes the size limits without notice to the controllers. Stored records stay. */
     public void limit(int bytes, int writes) {
         store.setSizeLimits(bytes, writes);
     }
 
-    /** Transactions refused for their size so far. */
+    /** The number of transactions rejected for their size. */
     public int oversizedCommits() {
         return store.rejectedForSize();
     }
 
-    /** An outage; once it is over every lease has its full time again. */
+    /** Starts or ends an outage. At its end every lease gets its full duration again. */
     public void setDown(boolean nowDown) {
         store.setDown(nowDown);
     }
 
-    /** The changes so far are no longer kept: whoever asks for them has to read the keys anew. */
+    /**
+     * Drops the recorded changes, so that clients that ask for them have to read the keys again.
+     */
     public void dropWatchHistory() {
         store.compactChanges();
     }
 
-    /** Answers one node 503 while the others are served; its leases run out. */
+    /**
+     * Answers all requests of one controller with 503 while the others are served, so that its
+     * leases expire; or ends that.
+     */
     public void refuseController(int controller, boolean now) {
         store.setRefused(SimSettings.controllerName(controller), now);
     }
 
     /**
-     * That share of the transactions gets no response and is applied 2 to 12 s later, after newer
-     * ones.
+     * Delays a random share of the transactions: they get no response and are applied 2 to 12 s
+     * later, after newer ones.
      */
     public void delayCommits(double share) {
         delayedCommitShare = share;
@@ -113,7 +117,7 @@
                 });
     }
 
-    /** Sets who is called with each transaction when it is applied. */
+    /** Sets a listener that is called with each transaction when it is committed. */
     void onCommit(Consumer<JsonNode> listener) {
         onCommit = listener;
     }
--- a/src/test/java/org/springmill/sim/SimNetwork.java
+++ b/src/test/java/org/springmill/sim/SimNetwork.java
@@ -9,24 +9,27 @@
 import org.springmill.transport.HttpClient.Reply;
 import org.springmill.transport.HttpClient.Request;
 
-/** Carries requests with a delay and lets a test decide the fate of each. */
+/**
+ * Delivers HTTP requests and responses with a delay. A test can lose, refuse, delay, duplicate or
+ * hold them.
+ */
 public final class SimNetwork {
     private static final double DELAY_SECONDS = 0.002;
 
-    /** What becomes of a message. */
+    /** How the network treats a request. */
     public enum Fate {
         DELIVER,
-        /** Never arrives; the sender hears nothing. */
+        /** Is lost; the sender gets a timeout. */
         DROP,
-        /** The connection cannot be made; the sender knows that nothing was sent. */
+        /** The connection is refused; the sender learns that nothing was sent. */
         REFUSE,
         /** Arrives and is executed, but its response is lost. */
         LOSE_ANSWER,
-        /** Held, and delivered when the test releases it, long after the sender has given up. */
+        /** Is delivered only by {@link #releaseHeld}; the sender gets a timeout. */
         HOLD
     }
 
-    /** Decides by sender, address and content. */
+    /** Decides how a request is treated, by its sender, address and content. */
     public interface Judge {
         Fate judge(String from, Request request);
     }
@@ -44,7 +47,7 @@
 
     private record Held(String from, Request request) {}
 
-    /** How much longer a message is on its way, in seconds. */
+    /** Additional delay of a message, in seconds. */
     public interface Delays {
         double delaySeconds(String from, Request request);
     }
@@ -61,33 +64,36 @@
         judge = by;
     }
 
-    /** Delays requests, which are executed even if their sender has long given up. */
+    /** Delays requests. A request is executed even if its sender has timed out by then. */
     public void delayRequests(Delays by) {
         delays = by;
     }
 
-    /** Delays responses; the sender may have given up by then. */
+    /** Delays responses. A response is ignored if the sender has timed out by then. */
     public void delayAnswers(Delays by) {
         answerDelays = by;
     }
 
-    /** The heartbeats of a machine arrive; answers and direct commands to it are lost. */
+    /** Loses all responses and direct commands to a machine, while its heartbeats still arrive. */
     public void blockMessagesTo(SimWorker machine) {
         unreachable.add(machine.name());
         unreachable.add(machine.address());
     }
 
-    /** A machine cannot connect to any controller, while direct commands reach it. */
+    /** Refuses the heartbeats of a machine, while direct commands still reach it. */
     public void blockHeartbeatsFrom(SimWorker machine) {
         unableToSendHeartbeats.add(machine.name());
     }
 
-    /** Nothing gets through between a controller and the key-value store. */
+    /** Drops all requests from a controller to the key-value store. */
     public void partitionFromStore(String controller) {
         partitionFromStore.add(controller);
     }
 
-    /** Of that share of the heartbeats a copy arrives again, from 2 s to three leases later. */
+    /**
+     * Delivers a random share of the heartbeats a second time, from 2 s to three lease durations
+     * later.
+     */
     public void duplicateHeartbeats(double share) {
         duplicatedReportShare = share;
     }
@@ -106,7 +112,7 @@
         return !held.isEmpty();
     }
 
-    /** Delivers everything that was held; nobody waits for the responses. */
+    /** Delivers all held requests and ignores their responses. */
     public void releaseHeld() {
         for (Held message : List.copyOf(held)) {
             cluster.route(message.from(), message.request(), reply -> {});
@@ -114,7 +120,7 @@
         held.clear();
     }
 
-    /** Delivers a copy of a request once more. */
+    /** Delivers a request again and ignores its response. */
     public void repeat(Request request) {
         cluster.route("", request, reply -> {});
     }
--- a/src/test/java/org/springmill/sim/SimOptions.java
+++ b/src/test/java/org/springmill/sim/SimOptions.java
@@ -6,18 +6,18 @@
 import org.springmill.protocol.Settings;
 
 /**
- * What a simulated cluster starts with.
+ * The initial settings of a simulated cluster.
  *
- * @param seed of everything that is random
+ * @param seed of all random decisions
  * @param operator the operators' settings of all controllers
  * @param stateLimits limits of the key-value store in the settings of all controllers
- * @param heapBytes the largest heap of each controller
+ * @param heapBytes the maximum heap of each controller
  */
 public record SimOptions(
         long seed, OperatorSettings operator, Settings.StoreLimits stateLimits, double heapBytes) {
     private static final double HEAP_BYTES = 56 * 1024 * 1024;
 
-    /** What holds unless a test says otherwise. */
+    /** The settings of tests that set nothing. */
     public static final SimOptions DEFAULTS =
             new SimOptions(1, OperatorSettings.DEFAULTS, SimSettings.STATE_LIMITS, HEAP_BYTES);
 
@@ -37,7 +37,7 @@
         return new SimOptions(seed, operator, stateLimits, bytes);
     }
 
-    /** Idle machines are kept for so many boots. */
+    /** Sets how long idle machines are kept, as a multiple of their boot time. */
     public SimOptions withIdleBoots(double boots) {
         return with(
                 boots,
@@ -46,7 +46,9 @@
                 operator.borrowing());
     }
 
-    /** All controllers recall loans on these terms, or preempt without recalls. */
+    /**
+     * Sets the terms on which all controllers recall loans; empty for preemption without recalls.
+     */
     public SimOptions withBorrowing(Optional<OperatorSettings.Borrowing> terms) {
         return with(
                 operator.idleBoots(),
@@ -55,12 +57,12 @@
                 terms);
     }
 
-    /** All controllers keep the bounded history with that retention, or do not take part in it. */
+    /** Sets the history retention of all controllers; empty if records are never archived. */
     public SimOptions withHistoryRetention(OptionalDouble seconds) {
         return with(operator.idleBoots(), seconds, operator.maxWaitSeconds(), operator.borrowing());
     }
 
-    /** Submissions are accepted only into queues whose expected wait is no longer than that. */
+    /** Submissions are accepted only into queues whose expected wait is at most {@code seconds}. */
     public SimOptions withMaxWait(double seconds) {
         OptionalDouble maxWait = OptionalDouble.of(seconds);
         return with(
--- a/src/test/java/org/springmill/sim/SimPeerNetwork.java
+++ b/src/test/java/org/springmill/sim/SimPeerNetwork.java
@@ -6,7 +6,7 @@
 import java.util.Set;
 import java.util.function.Function;
 
-/** Carries messages between controllers; lets a test partition, filter or hold them. */
+/** Delivers messages between controllers; a test can partition, filter or hold them. */
 final class SimPeerNetwork {
     private static final double DELAY_SECONDS = 0.002;
 
@@ -25,7 +25,7 @@
         this.processes = processes;
     }
 
-    /** A controller's messages to and from its peers are lost, or no longer are. */
+    /** Drops a controller's messages to and from its peers, or delivers them again. */
     void isolate(String controller, boolean isolate) {
         if (isolate) {
             isolated.add(controller);
@@ -39,7 +39,7 @@
         filtered = true;
     }
 
-    /** From now on messages are delivered, those in flight excepted. */
+    /** Ends all partitions and the packet filter. Held messages stay held. */
     void heal() {
         isolated.clear();
         filtered = false;
@@ -49,7 +49,7 @@
         holding = true;
     }
 
-    /** Delivers what was held to the processes that have the names now. */
+    /** Delivers the held messages to the processes that have the receivers' names now. */
     void release() {
         holding = false;
         held.forEach(Runnable::run);
--- a/src/test/java/org/springmill/sim/SimProgress.java
+++ b/src/test/java/org/springmill/sim/SimProgress.java
@@ -5,8 +5,9 @@
 import java.util.Map;
 
 /**
- * How far tasks have come. Checkpoints are kept outside the machines: a task goes on from its last
- * one wherever it starts again, and what it did since then is lost when it is stopped or killed.
+ * The work that tasks have saved and lost. Checkpoints are kept outside the machines: a task
+ * resumes from its last one on any machine, and its work since then is lost when it is stopped or
+ * killed without a save.
  */
 public final class SimProgress {
     private final SimulatedCluster cluster;
@@ -20,27 +21,32 @@
         this.cluster = cluster;
     }
 
-    /** Tasks of a job take so long to save, whatever it says; infinite for never. */
+    /**
+     * Sets how long a save of a job's tasks takes instead of the time that the job declares;
+     * infinite for a save that never ends.
+     */
     public void setSaveSeconds(String job, double seconds) {
         saveSecondsByJob.put(job, seconds);
     }
 
-    /** Seconds of work that were done and lost. */
+    /** Seconds of work that were lost. */
     public double lostSeconds() {
         return lostSeconds;
     }
 
-    /** Of these, what a checkpoint had held before; none if checkpoints work. */
+    /**
+     * Seconds of work that were lost although a checkpoint contained them; 0 if checkpoints work.
+     */
     public double lostCheckpointedSeconds() {
         return lostCheckpointedSeconds;
     }
 
-    /** How often a task went on from a checkpoint. */
+    /** How often a task resumed from a checkpoint. */
     public int resumed() {
         return resumed;
     }
 
-    /** What a task's last checkpoint holds, in seconds of work. */
+    /** Seconds of work in a task's last checkpoint; 0 if it has none. */
     public double savedSeconds(String task) {
         return savedSeconds.getOrDefault(task, 0.0);
     }
@@ -58,13 +64,13 @@
         return checkpointSeconds(task) > 0;
     }
 
-    /** How long its job says that a save takes. */
+    /** How long a save takes according to the task's job. */
     double nominalSaveSeconds(String task) {
         JsonNode spec = spec(task);
         return spec == null ? 0 : spec.path("stashS").asDouble();
     }
 
-    /** How long a save takes. */
+    /** How long a save takes in the simulation. */
     double saveSeconds(String task) {
         return saveSecondsByJob.getOrDefault(JobHistories.jobOf(task), nominalSaveSeconds(task));
     }
@@ -78,12 +84,15 @@
         return Math.max(0, cluster.runSeconds(task) - saved);
     }
 
-    /** A task has saved all that it had done when it was halted. */
+    /** Records that a task has saved the work that it had done at {@code stoppedAt}. */
     void saved(SimWorker.Task task, double stoppedAt) {
         savedSeconds.merge(task.id, stoppedAt - task.runningSince, Double::sum);
     }
 
-    /** A task ended without a save: all since its last checkpoint is lost. */
+    /**
+     * Records that a task ended without a save: its work since its last checkpoint is lost.
+     * Services are not counted.
+     */
     void killed(SimWorker.Task task, double now) {
         JsonNode spec = spec(task.id);
         if (spec == null || spec.path("shape").asText().equals("service")) {
--- a/src/test/java/org/springmill/sim/SimSettings.java
+++ b/src/test/java/org/springmill/sim/SimSettings.java
@@ -54,7 +54,7 @@
         return address.charAt(CONTROLLER_HOST_PREFIX.length()) - '0';
     }
 
-    /** Settings of a controller whose operators have set nothing. */
+    /** Settings of a controller with default operator settings. */
     static Settings of(int controller, Settings.StoreLimits stateLimits) {
         return of(controller, stateLimits, OperatorSettings.DEFAULTS);
     }
--- a/src/test/java/org/springmill/sim/SimUsers.java
+++ b/src/test/java/org/springmill/sim/SimUsers.java
@@ -9,8 +9,8 @@
 import org.springmill.transport.HttpClient.Request;
 
 /**
- * Users who submit, cancel and poll jobs through a load balancer. The invariants take note of what
- * they ask and of each response when it arrives.
+ * Users who submit, cancel and poll jobs through a load balancer. The invariant checker gets each
+ * request when it is sent and each response when it arrives.
  */
 final class SimUsers {
     private static final double POLL_SECONDS = 5;
@@ -19,7 +19,7 @@
     private static final double PROBE_SECONDS = 1;
     private static final double STEP_SECONDS = 0.01;
 
-    /** Two probes fail before a controller is unhealthy; its connections are reset 5 s later. */
+    /** A controller is unhealthy after two failed probes; its connections are reset 5 s later. */
     private static final int FAILED_PROBES_UNTIL_RESET = 7;
 
     private final VirtualClock clock;
@@ -65,7 +65,7 @@
                 });
     }
 
-    /** Sends a request and lets time pass until its response arrives. */
+    /** Sends a request and advances the virtual time until its response arrives. */
     Reply ask(int controller, String method, String path, String body) {
         Reply[] answer = new Reply[1];
         send(controller, method, path, body, REQUEST_TIMEOUT_SECONDS, reply -> answer[0] = reply);
@@ -77,8 +77,8 @@
     }
 
     /**
-     * From now on users poll every unfinished job. Each keeps to one controller for as long as the
-     * load balancer finds that one healthy, as an open connection does.
+     * Starts to poll every unfinished job. A job's polls go to the same controller until the load
+     * balancer resets its connections, as on one open connection.
      */
     void startPolling() {
         invariants.jobsArePolled();
--- a/src/test/java/org/springmill/sim/SimWorker.java
+++ b/src/test/java/org/springmill/sim/SimWorker.java
@@ -10,7 +10,10 @@
 import org.springmill.transport.HttpClient.Reply;
 import org.springmill.transport.HttpClient.Request;
 
-/** A simulated worker, written from the published protocol. */
+/**
+ * A simulated worker machine, written from the published protocol and not with the controller's
+ * message classes.
+ */
 public final class SimWorker {
     private static final ObjectMapper JSON = new ObjectMapper();
 
@@ -22,10 +25,10 @@
         String phase = "pulling";
         String cause;
 
-        /** When it began to run here; its progress counts from the last checkpoint. */
+        /** When it started to run here, from its last checkpoint; NaN before. */
         double runningSince = Double.NaN;
 
-        /** When a halt arrived for it; infinite if none has. */
+        /** When the first halt command for it was executed; infinite if none was. */
         double haltedAt = Double.POSITIVE_INFINITY;
 
         Task(String id, long attempt, double commandedAt) {
@@ -111,13 +114,14 @@
     }
 
     /**
-     * Past its lease nothing counts as on the machine, even if it hangs and so has not noticed yet.
+     * After the lease has expired no task counts as on the machine, even if the machine hangs and
+     * has not detected the expiry yet.
      */
     private boolean isLeaseExpired() {
         return cluster.clock().now() - renewedAt > SimSettings.LEASE_SECONDS;
     }
 
-    /** How many tasks run here or save a checkpoint. */
+    /** The number of tasks that run here or save a checkpoint. */
     public int running() {
         return isLeaseExpired() ? 0 : (int) tasks.values().stream().filter(Task::onMachine).count();
     }
@@ -128,39 +132,45 @@
                 && tasks.values().stream().anyMatch(t -> t.id.equals(task) && t.onMachine());
     }
 
-    /** Whether a task is here, be it still fetching. */
+    /** Whether a task is on this machine and not over; it may still be fetching its image. */
     public boolean hasTask(String task) {
         return !isLeaseExpired()
                 && tasks.values().stream().anyMatch(t -> t.id.equals(task) && !t.over());
     }
 
-    /** Whether the cloud has not said that it will take this machine. */
+    /** Whether the cloud has given no preemption notice for this machine. */
     boolean noNotice() {
         return noticeSeconds == null;
     }
 
-    /** Whether nothing is wrong with this machine. */
+    /**
+     * Whether this machine is reachable with a valid lease, has no preemption notice and is not set
+     * to fail its tasks.
+     */
     boolean isHealthy() {
         return reachable() && !failing && noticeSeconds == null && !isLeaseExpired();
     }
 
-    /** The cloud gives a preemption notice: it will reclaim this machine. */
+    /**
+     * Gives a preemption notice of {@code seconds}. The worker reports it; {@link SimCloud#reclaim}
+     * reclaims the machine.
+     */
     public void givePreemptionNotice(double seconds) {
         noticeSeconds = seconds;
         sendHeartbeat();
     }
 
-    /** Every task that starts here fails at once from now on. */
+    /** From now on every task here ends with an error; new tasks do so 0.1 s after their start. */
     public void failEverything() {
         failing = true;
     }
 
-    /** This machine stops to act, or resumes. */
+    /** Suspends all activity of this machine, or resumes it. */
     public void hang(boolean now) {
         hung = now;
     }
 
-    /** Tasks here do not end when they are halted, until they are allowed to. */
+    /** Makes the worker ignore halt commands, or execute them again. */
     public void ignoreHalts(boolean now) {
         ignoringHalts = now;
     }
@@ -179,7 +189,7 @@
         up = false;
     }
 
-    /** All tasks end without a save; what they did since their last checkpoints is lost. */
+    /** Ends all tasks without a save; their work since their last checkpoints is lost. */
     private void killTasks() {
         tasks.values().stream()
                 .filter(Task::onMachine)
@@ -322,7 +332,11 @@
         }
     }
 
-    /** A running task that has checkpoints saves if the time allows; every other one exits. */
+    /**
+     * Starts a save if the task is running, its job has checkpoints and the grace period is long
+     * enough. A task that is saving already continues unless the grace period is 0. All other tasks
+     * end immediately.
+     */
     private void halt(String key, Task task, double graceSeconds) {
         double now = cluster.clock().now();
         task.haltedAt = Math.min(task.haltedAt, now);
@@ -391,8 +405,8 @@
     }
 
     /**
-     * A machine that hangs does nothing, and goes on when it wakes; past its lease it finds nothing
-     * to go on with.
+     * Runs an action after a delay, and after the end of a hang if the machine hangs by then. If
+     * the lease has expired by then, all tasks are killed before the action runs.
      */
     private void afterHang(double seconds, Runnable then) {
         cluster.clock()
--- a/src/test/java/org/springmill/sim/SimulatedCluster.java
+++ b/src/test/java/org/springmill/sim/SimulatedCluster.java
@@ -18,8 +18,8 @@
 import org.springmill.transport.HttpClient.Request;
 
 /**
- * Three controllers with everything around them under one virtual clock. Violations of the
- * invariants are noted as they happen.
+ * Three controllers with simulated networks, key-value store, cloud, workers and users under one
+ * virtual clock. Violations of the invariants are recorded as they happen.
  */
 public final class SimulatedCluster {
     private static final double IMAGE_FETCH_SECONDS = 1;
@@ -49,15 +49,16 @@
     }
 
     /**
-     * @param seed of everything that is random
+     * @param seed of all random decisions
      */
     public SimulatedCluster(long seed) {
         this(seed, OptionalDouble.empty());
     }
 
     /**
-     * @param seed of everything that is random
-     * @param historyRetentionSeconds with which all controllers keep the bounded history
+     * @param seed of all random decisions
+     * @param historyRetentionSeconds history retention of all controllers; empty if records are
+     *     never archived
      */
     public SimulatedCluster(long seed, OptionalDouble historyRetentionSeconds) {
         this(SimOptions.DEFAULTS.withSeed(seed).withHistoryRetention(historyRetentionSeconds));
@@ -83,19 +84,22 @@
     }
 
     /**
-     * Controllers that are started from now on keep the bounded history with that retention, or do
-     * not take part in it.
+     * Sets the history retention of controllers that are started from now on; empty if they never
+     * archive records.
      */
     public void setHistoryRetention(OptionalDouble seconds) {
         options = options.withHistoryRetention(seconds);
     }
 
-    /** The largest heap of controllers that are started from now on. */
+    /** Sets the maximum heap of controllers that are started from now on. */
     public void heapBytes(double bytes) {
         options = options.withHeapBytes(bytes);
     }
 
-    /** Limits in the settings of controllers that are started from now on. */
+    /**
+     * Sets the limits of the key-value store in the settings of controllers that are started from
+     * now on.
+     */
     public void settings(Settings.StoreLimits limits) {
         options = options.withStateLimits(limits);
     }
@@ -124,7 +128,7 @@
         return invariants;
     }
 
-    /** Adds machines that are up after a moment. */
+    /** Adds machines that boot in 0.5 s. */
     public SimulatedCluster machines(String type, String zone, int count) {
         for (int i = 0; i < count; i++) {
             cloud.add(type, zone, false, 0.5);
@@ -132,13 +136,13 @@
         return this;
     }
 
-    /** Lets so many seconds of virtual time pass. */
+    /** Advances the virtual time by {@code seconds}. */
     public SimulatedCluster run(double seconds) {
         clock.run(seconds);
         return this;
     }
 
-    /** The process of a controller ends without further ado. */
+    /** Ends a controller's process without a shutdown, as a crash does. */
     public void kill(int controller) {
         if (controllers[controller] != null) {
             controllers[controller].stop();
@@ -151,7 +155,7 @@
         return controllers[controller] != null;
     }
 
-    /** How many controllers' processes run. */
+    /** The number of controllers whose processes run. */
     public int controllersUp() {
         int up = 0;
         for (SimController controller : controllers) {
@@ -160,7 +164,7 @@
         return up;
     }
 
-    /** The machines that are there, in the order in which they came. */
+    /** The machines that exist now, in the order in which they were added. */
     public List<SimWorker> machines() {
         return List.copyOf(cloud.machines().values());
     }
@@ -171,26 +175,27 @@
         controllers[controller] = newController(controller);
     }
 
-    /** Pauses a controller's process while its clock runs on. */
+    /** Pauses a controller's process for {@code seconds}; its clock continues. */
     public void pauseProcess(int controller, double seconds) {
         controllers[controller].pause(seconds);
     }
 
-    /** The number of the controller whose leadership is on record, or -1. */
+    /** The number of the controller that the key-value store records as leader, or -1. */
     public int leader() {
         JsonNode record = store.value("leader");
         return record == null ? -1 : SimSettings.controllerNumber(record.path("node").asText());
     }
 
     /**
-     * A controller loses the key-value store and the other controllers, not its workers or users.
+     * Partitions a controller from the key-value store and the other controllers, but not from
+     * workers and users.
      */
     public void isolate(int controller) {
         partitionPeers(controller, true);
         network.partitionFromStore(SimSettings.controllerName(controller));
     }
 
-    /** Loses all messages between a controller and the others, or delivers them again. */
+    /** Drops all messages between a controller and the others, or delivers them again. */
     public void partitionPeers(int controller, boolean cut) {
         peerNetwork.isolate(SimSettings.controllerName(controller), cut);
     }
@@ -205,26 +210,29 @@
         peerNetwork.hold();
     }
 
-    /** Delivers the held messages to whichever processes run under the names now. */
+    /** Delivers the held messages to the processes that have the receivers' names now. */
     public void releasePeerMessages() {
         peerNetwork.release();
     }
 
-    /** Failures of network and key-value store end, others may follow. */
+    /** Ends all failures of the networks and the key-value store; a test may start others later. */
     public void heal() {
         network.endFailures();
         store.endFailures();
         peerNetwork.heal();
     }
 
-    /** All failures end: from now on work has to go on, and every question to be answered. */
+    /**
+     * Ends all failures for good. From now on the invariants require that jobs for which there is
+     * capacity run and that polls are answered.
+     */
     public SimulatedCluster endFailures() {
         heal();
         invariants.failuresAreOver();
         return this;
     }
 
-    /** From now on machines take so long to fetch an image. */
+    /** Sets how long machines take to fetch an image from now on. */
     public void setImageFetchSeconds(double seconds) {
         imageFetchSeconds = seconds;
     }
@@ -233,12 +241,12 @@
         return imageFetchSeconds;
     }
 
-    /** Has one task of a job run for another time than the rest. */
+    /** Sets how long a task runs, or all tasks of a job if {@code task} is the job's id. */
     public void setRunSeconds(String task, double seconds) {
         runSeconds.put(task, seconds);
     }
 
-    /** From now on every task of a job fails wherever it runs, or none does any more. */
+    /** Makes every task of a job fail on all machines from now on, or ends that. */
     public void setBroken(String job, boolean broken) {
         if (broken) {
             brokenJobs.add(job);
@@ -247,18 +255,21 @@
         }
     }
 
-    /** How far tasks have come, and what of it was lost. */
+    /** The work that tasks have saved and lost. */
     public SimProgress progress() {
         return progress;
     }
 
-    /** What the user said of a task's job; null if it is not known. */
+    /** The submission of a task's job; null if nobody submitted it. */
     JsonNode spec(String task) {
         JobHistory job = invariants.job(task);
         return job == null ? null : job.job();
     }
 
-    /** Controllers that are started from now on recall loans on these terms, or do not. */
+    /**
+     * Sets the terms on which controllers that are started from now on recall loans; empty turns
+     * recalls off for them.
+     */
     public void setBorrowing(Optional<OperatorSettings.Borrowing> terms) {
         options = options.withBorrowing(terms);
     }
@@ -273,7 +284,7 @@
         return runSeconds.getOrDefault(task, ofItsJob);
     }
 
-    /** Delivers a request to whoever has the address. */
+    /** Delivers a request to the process at its address. */
     void route(String from, Request request, Consumer<Reply> done) {
         if (request.address().equals(SimSettings.STATE_SERVICE)) {
             store.handle(from, request, done);
@@ -294,7 +305,7 @@
         }
     }
 
-    /** Asks a controller as a user would, without waiting for the answer. */
+    /** Sends a user's request to a controller without waiting for the answer. */
     public void user(
             int controller,
             String method,
@@ -305,7 +316,7 @@
         users.send(controller, method, path, body, timeoutSeconds, done);
     }
 
-    /** Asks a controller as a user would, and waits for the answer. */
+    /** Sends a user's request to a controller and waits for the answer. */
     public Reply ask(int controller, String method, String path, String body) {
         return users.ask(controller, method, path, body);
     }
@@ -327,7 +338,7 @@
     }
 
     /**
-     * Makes known a job that a test has put into the key-value store itself, and which tasks of it
+     * Registers a job that a test has written to the key-value store directly, and its tasks that
      * are done.
      */
     public void assume(ObjectNode job, int... done) {
@@ -335,12 +346,12 @@
         invariants.assume(job, done);
     }
 
-    /** The phase of a job, or the status if the answer has none. */
+    /** The phase of a job, or the HTTP status if the request fails. */
     public String phase(int controller, String id) {
         return phaseOf(ask(controller, "GET", "/submissions/" + id, ""));
     }
 
-    /** Cancels a job, and returns its phase or the status if the answer has none. */
+    /** Cancels a job, and returns its phase or the HTTP status if the request fails. */
     public String cancel(int controller, String id) {
         return phaseOf(ask(controller, "POST", "/submissions/" + id + "/withdraw", ""));
     }
@@ -351,7 +362,7 @@
                 : Integer.toString(reply.status());
     }
 
-    /** A valid submission; tests change what they are about. */
+    /** A valid submission; tests overwrite the fields that they test. */
     public static ObjectNode job(
             String id, String team, String shape, int tasks, double cpus, double gpus) {
         return JSON.createObjectNode()
@@ -394,8 +405,8 @@
     }
 
     /**
-     * Tasks that a machine was commanded to start, and started, after their user was answered that
-     * the job is cancelled.
+     * Tasks that were started by a command that the machine executed after the user had been
+     * answered that the job is cancelled.
      */
     public List<String> startsAfterCancel() {
         return invariants.startsAfterCancel();
@@ -414,7 +425,7 @@
                 .sum();
     }
 
-    /** How many tasks of a job are on machines. */
+    /** The number of a job's tasks that run or save a checkpoint. */
     public int running(String job) {
         return (int)
                 cloud.machines().values().stream()
--- a/src/test/java/org/springmill/sim/SubmissionRules.java
+++ b/src/test/java/org/springmill/sim/SubmissionRules.java
@@ -4,9 +4,9 @@
 import java.util.List;
 import org.springmill.protocol.Settings;
 
-/** Which submissions must not be accepted, since their jobs can never run. */
+/** Finds submissions that must not be accepted because their jobs can never run. */
 public final class SubmissionRules {
-    /** Fields that every submission must have, other than null. */
+    /** Fields that must be present and not null in every submission. */
     public static final List<String> REQUIRED_FIELDS =
             List.of(
                     "nameId",
--- a/src/test/java/org/springmill/sim/VirtualClock.java
+++ b/src/test/java/org/springmill/sim/VirtualClock.java
@@ -5,8 +5,8 @@
 import org.springmill.transport.EventLoop;
 
 /**
- * Time that passes only when a test lets it; tasks due at the same instant run in the order they
- * were set.
+ * An event loop whose time advances only in {@link #run}. Timers that are due at the same time run
+ * in the order in which they were set.
  */
 public final class VirtualClock implements EventLoop {
     private record Task(double at, long order, Runnable run, boolean[] cancelled) {}
@@ -34,7 +34,7 @@
         return () -> cancelled[0] = true;
     }
 
-    /** Runs all timers that are due within so many seconds, in order. */
+    /** Advances the time by {@code seconds} and runs the timers that become due, in order. */
     public void run(double seconds) {
         double until = now + seconds;
         while (!tasks.isEmpty() && tasks.peek().at() <= until) {
