--- a/src/test/java/org/springmill/sim/AnswerChecker.java
+++ b/src/test/java/org/springmill/sim/AnswerChecker.java
@@ -113,7 +113,7 @@
             checkAllTasksDone(job);
         }
         if (phase.equals("cancelled") && !jobs.cancelRequested(job)) {
-            violations.add(Rule.WENT_BACK, job.id() + " cancelled by nobody");
+            violations.add(Rule.WENT_BACK, job.id() + " is cancelled, but nobody requested it");
         }
         // Answers may arrive out of order, so a phase that is not final is a violation only if the
         // request was sent after a final phase had been answered.
@@ -122,7 +122,8 @@
             violations.add(Rule.WENT_BACK, job.id() + " from " + job.finalPhase() + " to " + phase);
         }
         if (!over && jobs.dependencyCancelledBy(sentAt - SimSettings.CANCEL_SECONDS, job)) {
-            violations.add(Rule.ORPHANED, job.id() + " is " + phase);
+            violations.add(
+                    Rule.ORPHANED, job.id() + " is " + phase + ", but a dependency is cancelled");
         }
         if (over && !job.over()) {
             job.end(phase, clock.now());
--- a/src/test/java/org/springmill/sim/BorrowingChecker.java
+++ b/src/test/java/org/springmill/sim/BorrowingChecker.java
@@ -21,7 +21,7 @@
     private static final double INTERVAL_SECONDS = 0.05;
     private static final double TOLERANCE = 1e-6;
     private static final String WITHOUT_RECALL = " without a recall";
-    private static final String PROMISED = " GPUs are promised or used on ";
+    private static final String PROMISED = " GPUs are reserved or used on ";
     private static final String PREFIX = "recall/";
 
     /**
@@ -282,7 +282,8 @@
         boolean cpusStay = team.cpus() == 0 || left.cpus() >= team.cpus() - TOLERANCE;
         boolean gpusStay = team.gpus() == 0 || left.gpus() >= team.gpus() - TOLERANCE;
         if (!cpusStay || !gpusStay) {
-            violations.add(name + " is pushed below its entitlement: " + left);
+            violations.add(
+                    name + " has less than its guarantee after halts for another team: " + left);
         }
     }
 
@@ -302,7 +303,7 @@
             promised.merge(machine(recall), recall.path(5).asDouble(), Double::sum);
             for (String victim : victims(recall)) {
                 if (!victims.add(victim + "@" + machine(recall))) {
-                    violations.add(victim + " is recalled twice at once");
+                    violations.add(victim + " is named by two recalls at the same time");
                 }
             }
         }
--- a/src/test/java/org/springmill/sim/InvariantChecker.java
+++ b/src/test/java/org/springmill/sim/InvariantChecker.java
@@ -108,13 +108,14 @@
         checkRunsOnce(machine, task.id);
         JobHistory job = jobs.ofTask(task.id);
         if (job == null) {
-            violations.add(Rule.INVENTED, task.id + " starts");
+            violations.add(Rule.INVENTED, task.id + " started, but nobody submitted its job");
             return;
         }
         job.notWaiting();
         String dependency = jobs.unfinishedDependency(job);
         if (dependency != null) {
-            violations.add(Rule.TOO_EARLY, task.id + " before " + dependency);
+            violations.add(
+                    Rule.TOO_EARLY, task.id + " started before its dependency " + dependency);
         }
         if (job.cancelledBy(task.commandedAt)) {
             startsAfterCancel.add(task.id);
@@ -170,7 +171,7 @@
     private void checkLimit(String teamName, TeamUsage used) {
         Settings.Team team = settings.team(teamName);
         if (team == null || !team.withinLimit(used.cpus(), used.gpus())) {
-            violations.add(Rule.QUOTA, teamName);
+            violations.add(Rule.QUOTA, teamName + " uses " + used + ", settings are " + team);
         }
     }
 }
--- a/src/test/java/org/springmill/sim/PlacementRules.java
+++ b/src/test/java/org/springmill/sim/PlacementRules.java
@@ -35,20 +35,20 @@
      */
     String whyNotAllowed(SimWorker machine, JsonNode job) {
         if (!allowsType(job, SimCloud.TYPES.get(machine.type()))) {
-            return "type";
+            return "type not allowed";
         }
         if (job.hasNonNull("yard") && !job.path("yard").asText().equals(machine.zone())) {
-            return "zone";
+            return "zone not allowed";
         }
         if (machine.spot() && !job.path("loaner").asBoolean()) {
-            return "spot";
+            return "spot not allowed";
         }
         if (job.path("samePlace").asBoolean() && tasksOutside(machine.zone(), job) > 0) {
-            return "apart from the others";
+            return "not in the zone of the job's other tasks";
         }
         int mostInOneZone = (job.path("sacks").asInt() + 1) / 2;
         if (job.path("apart").asBoolean() && tasksIn(machine.zone(), job) > mostInOneZone) {
-            return "too many in the zone";
+            return "too many tasks of the job in the zone";
         }
         return null;
     }
--- a/src/test/java/org/springmill/sim/ProgressChecker.java
+++ b/src/test/java/org/springmill/sim/ProgressChecker.java
@@ -74,7 +74,7 @@
             boolean singledOut = mostAnswered && now - job.lastAnswerAt() > MAX_SINGLED_OUT_SECONDS;
             double unansweredSince = Math.max(job.lastAnswerAt(), failuresOverAt);
             if (singledOut || now - unansweredSince > MAX_UNANSWERED_SECONDS) {
-                violations.add(Rule.FORGOTTEN, job.id() + " gets no answer");
+                violations.add(Rule.FORGOTTEN, job.id() + " got no answer in time");
             }
         }
     }
@@ -86,7 +86,7 @@
             job.notWaiting();
         }
         if (now - Math.max(job.waitingSince(), failuresOverAt) > MAX_WAIT_SECONDS) {
-            violations.add(Rule.WAITS, job.id());
+            violations.add(Rule.WAITS, job.id() + " for more than " + MAX_WAIT_SECONDS + " s");
         }
     }
 
--- a/src/test/java/org/springmill/sim/SimKeyValueStore.java
+++ b/src/test/java/org/springmill/sim/SimKeyValueStore.java
@@ -138,7 +138,8 @@
         try {
             return JSON.readTree(body);
         } catch (java.io.IOException e) {
-            throw new IllegalStateException(e);
+            throw new IllegalStateException(
+                    "invalid JSON in a body of " + body.length + " bytes", e);
         }
     }
 
--- a/src/test/java/org/springmill/sim/SubmissionRules.java
+++ b/src/test/java/org/springmill/sim/SubmissionRules.java
@@ -37,7 +37,7 @@
     String whyImpossible(JsonNode job) {
         for (String field : REQUIRED_FIELDS) {
             if (!job.hasNonNull(field)) {
-                return "lacks " + field;
+                return "no field " + field;
             }
         }
         Settings.Team team = settings.team(job.path("crew").asText());
@@ -49,7 +49,9 @@
                 job.path("vcpus").asDouble() * together, job.path("cards").asDouble() * together)) {
             return "above the team's limit";
         }
-        return isZoneKnown(job) && fitsSomeType(job) ? null : "fits no machine";
+        return isZoneKnown(job) && fitsSomeType(job)
+                ? null
+                : "unknown zone, or fits no machine type";
     }
 
     private boolean isZoneKnown(JsonNode job) {
