--- a/src/test/java/org/springmill/sim/AnswerChecker.java
+++ b/src/test/java/org/springmill/sim/AnswerChecker.java
@@ -89,7 +89,7 @@
     }
 
     private void checkAcceptable(JsonNode job) {
-        String reason = submissions.whyImpossible(job);
+        String reason = submissions.rejectionReason(job);
         if (reason != null) {
             violations.add(Rule.ACCEPTED, job.path("nameId").asText() + ": " + reason);
         }
--- a/src/test/java/org/springmill/sim/BorrowingChecker.java
+++ b/src/test/java/org/springmill/sim/BorrowingChecker.java
@@ -21,53 +21,53 @@
     private static final double INTERVAL_SECONDS = 0.05;
     private static final double TOLERANCE = 1e-6;
     private static final String WITHOUT_RECALL = " without a recall";
-    private static final String PROMISED = " GPUs are reserved or used on ";
-    private static final String PREFIX = "recall/";
+    private static final String OVERCOMMITTED = " GPUs are reserved or used on ";
+    private static final String RECALL_KEY_PREFIX = "recall/";
 
     /**
      * How long a leader may still count tasks that were lost with their machine: three heartbeat
      * intervals.
      */
-    private static final double LOSS_UNKNOWN_SECONDS = 3 * SimSettings.REPORT_SECONDS;
+    private static final double LOSS_DETECTION_SECONDS = 3 * SimSettings.HEARTBEAT_SECONDS;
 
     /**
      * A task that was halted for a preemption notice within this time may have been running when a
      * recall was decided.
      */
-    private static final double DECIDED_BEFORE_SECONDS = 1;
+    private static final double RECENT_HALT_SECONDS = 1;
 
     /**
      * Time after a recall has left the key-value store within which the task that it made room for
      * starts on the machine.
      */
-    private static final double UNTIL_STARTED_SECONDS = 2;
+    private static final double MAX_START_SECONDS = 2;
 
     private final SimulatedCluster cluster;
-    private final Settings settings = SimSettings.of(0, SimSettings.STATE_LIMITS);
+    private final Settings settings = SimSettings.of(0, SimSettings.STORE_LIMITS);
     private final Set<String> violations = new HashSet<>();
 
     /** All recalls seen so far, by victim and machine. */
     private final Map<String, List<JsonNode>> recallsByVictim = new HashMap<>();
 
     private final Set<String> recallKeys = new HashSet<>();
-    private final Set<SimWorker.Task> haltsSeen = new HashSet<>();
+    private final Set<SimWorker.Task> checkedHalts = new HashSet<>();
 
     /** Tasks on machines at the last check. */
-    private Map<String, SimWorker.Task> lastSeen = new HashMap<>();
+    private Map<String, SimWorker.Task> tasksAtLastCheck = new HashMap<>();
 
     /** When tasks that were neither halted nor over vanished from their machines. */
     private final Map<SimWorker.Task, Double> vanishedAt = new HashMap<>();
 
     /** When tasks were halted on machines with a preemption notice. */
-    private final Map<SimWorker.Task, Double> vacatedAt = new HashMap<>();
+    private final Map<SimWorker.Task, Double> haltedForNoticeAt = new HashMap<>();
 
     /** When each recall was last found in the key-value store. */
-    private final Map<String, Double> recordedAt = new HashMap<>();
+    private final Map<String, Double> lastStoredAt = new HashMap<>();
 
     /** Tasks that were halted for their own team's work, with the key of the recall. */
-    private final Map<SimWorker.Task, String> ownHalts = new HashMap<>();
+    private final Map<SimWorker.Task, String> recallsByOwnTeam = new HashMap<>();
 
-    private boolean draining;
+    private boolean drainingAllowed;
     private int haltsForOthers;
     private long samples;
 
@@ -76,8 +76,8 @@
     /** Starts the checks of a cluster. */
     public BorrowingChecker(SimulatedCluster cluster) {
         this.cluster = cluster;
-        cluster.keyValueStore().onCommit(this::committed);
-        watch();
+        cluster.keyValueStore().onCommit(this::recordCommittedRecalls);
+        checkPeriodically();
     }
 
     /** The violations found so far. */
@@ -102,7 +102,7 @@
 
     /** The number of recalls in the key-value store now. */
     public int recorded() {
-        return records().size();
+        return storedRecalls().size();
     }
 
     /**
@@ -112,7 +112,7 @@
      */
     public void olderVersionsTookPart() {
         violations.removeIf(violation -> violation.contains(WITHOUT_RECALL));
-        violations.removeIf(violation -> violation.contains(PROMISED));
+        violations.removeIf(violation -> violation.contains(OVERCOMMITTED));
     }
 
     /**
@@ -120,35 +120,35 @@
      * drained.
      */
     public void machinesMayBeDrained() {
-        draining = true;
+        drainingAllowed = true;
     }
 
     /** Whether the key-value store has a recall on a machine now. */
     public boolean isRecalledOn(SimWorker machine) {
-        return records().stream().anyMatch(recall -> machine(recall).equals(machine.name()));
+        return storedRecalls().stream().anyMatch(recall -> machine(recall).equals(machine.name()));
     }
 
-    private void watch() {
+    private void checkPeriodically() {
         samples++;
-        List<JsonNode> records = records();
-        records.forEach(this::remember);
+        List<JsonNode> records = storedRecalls();
+        records.forEach(this::recordRecall);
         double now = cluster.clock().now();
-        records.forEach(recall -> recordedAt.put(recall.path(0).asText(), now));
-        noteVanished();
+        records.forEach(recall -> lastStoredAt.put(recall.path(0).asText(), now));
+        recordVanishedTasks();
         checkHalts();
-        checkPromises(records);
-        cluster.clock().after(INTERVAL_SECONDS, this::watch);
+        checkReservations(records);
+        cluster.clock().after(INTERVAL_SECONDS, this::checkPeriodically);
     }
 
-    private List<JsonNode> records() {
+    private List<JsonNode> storedRecalls() {
         List<JsonNode> records = new ArrayList<>();
-        for (String key : cluster.keyValueStore().keysUnder(PREFIX)) {
+        for (String key : cluster.keyValueStore().keysUnder(RECALL_KEY_PREFIX)) {
             cluster.keyValueStore().value(key).path("recalls").forEach(records::add);
         }
         return records;
     }
 
-    private void remember(JsonNode recall) {
+    private void recordRecall(JsonNode recall) {
         if (recallKeys.add(recall.path(0).asText())) {
             for (String victim : victims(recall)) {
                 recallsByVictim
@@ -159,10 +159,10 @@
     }
 
     /** Records recalls on commit, since one may be settled before the next check. */
-    private void committed(JsonNode transaction) {
+    private void recordCommittedRecalls(JsonNode transaction) {
         for (JsonNode write : transaction.path("writes")) {
-            if (write.path("write").asText().startsWith(PREFIX)) {
-                write.path("value").path("recalls").forEach(this::remember);
+            if (write.path("write").asText().startsWith(RECALL_KEY_PREFIX)) {
+                write.path("value").path("recalls").forEach(this::recordRecall);
             }
         }
     }
@@ -187,7 +187,7 @@
         return victims;
     }
 
-    private void noteVanished() {
+    private void recordVanishedTasks() {
         double now = cluster.clock().now();
         Map<String, SimWorker.Task> seen = new HashMap<>();
         for (SimWorker machine : cluster.cloud().machines().values()) {
@@ -195,38 +195,38 @@
                 seen.put(task.id + "#" + task.attempt, task);
             }
         }
-        lastSeen.forEach(
+        tasksAtLastCheck.forEach(
                 (key, task) -> {
                     boolean halted = task.haltedAt < Double.POSITIVE_INFINITY;
                     if (!seen.containsKey(key) && !halted && !task.over()) {
                         vanishedAt.put(task, now);
                     }
                 });
-        vanishedAt.values().removeIf(at -> now - at > LOSS_UNKNOWN_SECONDS);
-        vacatedAt.values().removeIf(at -> now - at > DECIDED_BEFORE_SECONDS);
-        lastSeen = seen;
+        vanishedAt.values().removeIf(at -> now - at > LOSS_DETECTION_SECONDS);
+        haltedForNoticeAt.values().removeIf(at -> now - at > RECENT_HALT_SECONDS);
+        tasksAtLastCheck = seen;
     }
 
     private void checkHalts() {
-        List<Halt> fresh = new ArrayList<>();
+        List<Halt> newHalts = new ArrayList<>();
         for (SimWorker machine : cluster.cloud().machines().values()) {
             for (SimWorker.Task task : machine.tasks()) {
                 boolean halted = task.haltedAt < Double.POSITIVE_INFINITY;
-                if (!halted || cancelled(task) || !haltsSeen.add(task)) {
+                if (!halted || cancelled(task) || !checkedHalts.add(task)) {
                     continue;
                 }
-                if (machine.noNotice()) {
-                    fresh.add(new Halt(machine, task));
+                if (machine.hasNoPreemptionNotice()) {
+                    newHalts.add(new Halt(machine, task));
                 } else {
-                    vacatedAt.put(task, cluster.clock().now());
+                    haltedForNoticeAt.put(task, cluster.clock().now());
                 }
             }
         }
         Set<String> teams = new HashSet<>();
-        for (Halt halt : fresh) {
+        for (Halt halt : newHalts) {
             String victim = halt.task().id + "@" + halt.machine().name();
             List<JsonNode> recalls = recallsByVictim.getOrDefault(victim, List.of());
-            if (recalls.isEmpty() && draining) {
+            if (recalls.isEmpty() && drainingAllowed) {
                 continue;
             }
             if (recalls.isEmpty()) {
@@ -236,13 +236,13 @@
             JsonNode recall = recalls.get(recalls.size() - 1);
             String team = team(halt.task().id);
             if (team.equals(teamOfJob(recall.path(3).asText()))) {
-                ownHalts.put(halt.task(), recall.path(0).asText());
+                recallsByOwnTeam.put(halt.task(), recall.path(0).asText());
             } else {
                 haltsForOthers++;
                 teams.add(team);
             }
         }
-        teams.forEach(this::checkEntitlement);
+        teams.forEach(this::checkGuarantee);
     }
 
     private boolean cancelled(SimWorker.Task task) {
@@ -261,29 +261,31 @@
     /**
      * Checks a team whose tasks were halted for another team: its remaining tasks must use at least
      * its guarantee, in each resource for which it has one. Tasks that vanished with a machine
-     * still count for {@link #LOSS_UNKNOWN_SECONDS}, since a leader may not know of the loss.
+     * still count for {@link #LOSS_DETECTION_SECONDS}, since a leader may not know of the loss.
      */
-    private void checkEntitlement(String name) {
-        TeamUsage left = TeamUsage.NONE;
-        Set<SimWorker.Task> counted = new HashSet<>(lastSeen.values());
+    private void checkGuarantee(String name) {
+        TeamUsage remaining = TeamUsage.NONE;
+        Set<SimWorker.Task> counted = new HashSet<>(tasksAtLastCheck.values());
         counted.addAll(vanishedAt.keySet());
-        counted.addAll(ownHalts.keySet());
+        counted.addAll(recallsByOwnTeam.keySet());
         for (SimWorker.Task task : counted) {
-            boolean stays =
-                    vacatedAt.containsKey(task)
+            boolean counts =
+                    haltedForNoticeAt.containsKey(task)
                             || isReplacedByOwnTeam(task)
                             || (task.haltedAt == Double.POSITIVE_INFINITY && !task.over());
             JobHistory job = cluster.invariants().job(task.id);
-            if (stays && job != null && job.team().equals(name)) {
-                left = left.plus(job.job());
+            if (counts && job != null && job.team().equals(name)) {
+                remaining = remaining.plus(job.job());
             }
         }
         Settings.Team team = settings.team(name);
-        boolean cpusStay = team.cpus() == 0 || left.cpus() >= team.cpus() - TOLERANCE;
-        boolean gpusStay = team.gpus() == 0 || left.gpus() >= team.gpus() - TOLERANCE;
-        if (!cpusStay || !gpusStay) {
+        boolean cpusSuffice = team.cpus() == 0 || remaining.cpus() >= team.cpus() - TOLERANCE;
+        boolean gpusSuffice = team.gpus() == 0 || remaining.gpus() >= team.gpus() - TOLERANCE;
+        if (!cpusSuffice || !gpusSuffice) {
             violations.add(
-                    name + " has less than its guarantee after halts for another team: " + left);
+                    name
+                            + " has less than its guarantee after halts for another team: "
+                            + remaining);
         }
     }
 
@@ -292,41 +294,41 @@
      * reserved.
      */
     private boolean isReplacedByOwnTeam(SimWorker.Task task) {
-        Double lastRecorded = recordedAt.get(ownHalts.getOrDefault(task, ""));
-        return lastRecorded != null && cluster.clock().now() - lastRecorded < UNTIL_STARTED_SECONDS;
+        Double lastRecorded = lastStoredAt.get(recallsByOwnTeam.getOrDefault(task, ""));
+        return lastRecorded != null && cluster.clock().now() - lastRecorded < MAX_START_SECONDS;
     }
 
-    private void checkPromises(List<JsonNode> records) {
-        Map<String, Double> promised = new HashMap<>();
+    private void checkReservations(List<JsonNode> recalls) {
+        Map<String, Double> reserved = new HashMap<>();
         Set<String> victims = new HashSet<>();
-        for (JsonNode recall : records) {
-            promised.merge(machine(recall), recall.path(5).asDouble(), Double::sum);
+        for (JsonNode recall : recalls) {
+            reserved.merge(machine(recall), recall.path(5).asDouble(), Double::sum);
             for (String victim : victims(recall)) {
                 if (!victims.add(victim + "@" + machine(recall))) {
                     violations.add(victim + " is named by two recalls at the same time");
                 }
             }
         }
-        promised.forEach((name, gpus) -> checkPromises(name, gpus, victims));
+        reserved.forEach((name, gpus) -> checkReservations(name, gpus, victims));
     }
 
-    private void checkPromises(String name, double promised, Set<String> victims) {
+    private void checkReservations(String name, double reserved, Set<String> victims) {
         SimWorker machine = cluster.cloud().machines().get(name);
         if (machine == null) {
             return;
         }
-        double gpus = promised;
+        double gpus = reserved;
         for (SimWorker.Task task : machine.tasks()) {
-            boolean leaves =
+            boolean releasesGpus =
                     task.over()
                             || task.haltedAt < Double.POSITIVE_INFINITY
                             || victims.contains(task.id + "@" + name)
                             || cancelled(task);
             JobHistory job = cluster.invariants().job(task.id);
-            gpus += leaves || job == null ? 0 : job.job().path("cards").asDouble();
+            gpus += releasesGpus || job == null ? 0 : job.job().path("cards").asDouble();
         }
         if (gpus > SimCloud.TYPES.get(machine.type()).gpus() + TOLERANCE) {
-            violations.add(gpus + PROMISED + name);
+            violations.add(gpus + OVERCOMMITTED + name);
         }
     }
 }
--- a/src/test/java/org/springmill/sim/InvariantChecker.java
+++ b/src/test/java/org/springmill/sim/InvariantChecker.java
@@ -51,16 +51,16 @@
      * From now on there are no failures: jobs for which there is capacity must run, and polls must
      * be answered.
      */
-    void failuresAreOver() {
-        progress.failuresAreOver(clock.now());
+    void failuresEnded() {
+        progress.failuresEnded(clock.now());
     }
 
-    void jobsArePolled() {
-        progress.jobsArePolled();
+    void pollingStarted() {
+        progress.pollingStarted();
     }
 
     /** Accepted jobs that are not over and have tasks that are neither done nor on a machine. */
-    List<String> unservedJobs() {
+    List<String> jobsWithPendingTasks() {
         return jobs.unfinished(clock.now()).stream()
                 .filter(progress::hasPendingTask)
                 .map(JobHistory::id)
@@ -78,8 +78,8 @@
     /**
      * Adds a job that was accepted before this cluster was started, and its tasks that are done.
      */
-    void assume(JsonNode job, int... done) {
-        jobs.assume(job, done);
+    void addAcceptedJob(JsonNode job, int... done) {
+        jobs.addAcceptedJob(job, done);
     }
 
     void requested(Request request) {
@@ -120,7 +120,7 @@
         if (job.cancelledBy(task.commandedAt)) {
             startsAfterCancel.add(task.id);
         }
-        String reason = placement.whyNotAllowed(machine, job.job());
+        String reason = placement.placementViolation(machine, job.job());
         if (reason != null) {
             violations.add(Rule.WRONG_PLACE, task.id + " on " + machine.name() + ": " + reason);
         }
@@ -137,10 +137,10 @@
     }
 
     /** Checks all machines and jobs now and at regular intervals. */
-    void watch() {
+    void checkPeriodically() {
         Map<String, TeamUsage> used = checkMachines();
         progress.check(clock.now(), used);
-        clock.after(INTERVAL_SECONDS, this::watch);
+        clock.after(INTERVAL_SECONDS, this::checkPeriodically);
     }
 
     /** Checks the tasks that are on machines now, and returns the usage of each team. */
--- a/src/test/java/org/springmill/sim/InvariantCheckerTest.java
+++ b/src/test/java/org/springmill/sim/InvariantCheckerTest.java
@@ -72,7 +72,7 @@
         cluster.run(1.5);
     }
 
-    private void assertBroken(Rule... rules) {
+    private void assertViolations(Rule... rules) {
         Set<String> broken =
                 invariants.violationsFound().stream()
                         .map(violation -> violation.split(" ")[0])
@@ -82,7 +82,7 @@
     }
 
     @Test
-    void historyAsItShouldBeBreaksNoRule() {
+    void validHistoryBreaksNoRule() {
         accept(job(JOB, 1));
         accept(job(DEPENDENT, 1));
         start(JOB + "/0", machine(0));
@@ -98,7 +98,7 @@
                 job("run-000003", 1).put("crew", "green").toString(),
                 422,
                 "");
-        assertBroken();
+        assertViolations();
     }
 
     @Test
@@ -106,7 +106,7 @@
         accept(job(JOB, 1));
         start(JOB + "/0", machine(0));
         start(JOB + "/0", machine(1));
-        assertBroken(Rule.RAN_TWICE);
+        assertViolations(Rule.RAN_TWICE);
     }
 
     @Test
@@ -114,9 +114,9 @@
         accept(SimulatedCluster.job(JOB, "red", "sweep", 3, 1, 8));
         start(JOB + "/0", machine(0));
         start(JOB + "/1", machine(1));
-        assertBroken();
+        assertViolations();
         start(JOB + "/2", machine(2));
-        assertBroken(Rule.QUOTA);
+        assertViolations(Rule.QUOTA);
     }
 
     @ParameterizedTest
@@ -131,7 +131,7 @@
         accept(job);
         start(JOB + "/0", machine(0));
         start(JOB + "/1", machine(restriction.equals("samePlace") ? 2 : 0));
-        assertBroken(Rule.WRONG_PLACE);
+        assertViolations(Rule.WRONG_PLACE);
     }
 
     @Test
@@ -140,7 +140,7 @@
         SimWorker spot = cluster.cloud().add("large", "a", true, 0);
         cluster.run(1);
         start(JOB + "/0", spot);
-        assertBroken(Rule.WRONG_PLACE);
+        assertViolations(Rule.WRONG_PLACE);
     }
 
     @Test
@@ -148,11 +148,11 @@
         accept(job(JOB, 1));
         cancel(JOB);
         start(JOB + "/0", machine(0));
-        assertBroken();
+        assertViolations();
         assertEquals(List.of(JOB + "/0"), invariants.startsAfterCancel());
         cluster.run(AFTER_CANCEL_DEADLINE);
         start(JOB + "/0", machine(0));
-        assertBroken(Rule.RAN_CANCELLED);
+        assertViolations(Rule.RAN_CANCELLED);
     }
 
     @ParameterizedTest
@@ -165,7 +165,7 @@
         } else {
             answer("POST", "/submissions", job(JOB, 1).toString(), status, "");
         }
-        assertBroken(Rule.FORGOTTEN);
+        assertViolations(Rule.FORGOTTEN);
     }
 
     @Test
@@ -173,61 +173,61 @@
         accept(job(JOB, 1));
         accept(job(DEPENDENT, 1));
         accept(job("run-000003", 1));
-        invariants.jobsArePolled();
+        invariants.pollingStarted();
         for (int i = 0; i < 20; i++) {
             poll(DEPENDENT, 200, "queued");
             poll("run-000003", 200, "queued");
             cluster.run(5);
         }
-        assertBroken(Rule.FORGOTTEN);
+        assertViolations(Rule.FORGOTTEN);
     }
 
     @Test
     void jobWithoutAnswersAfterAllFailuresIsForgotten() {
         accept(job(JOB, 1));
-        invariants.jobsArePolled();
+        invariants.pollingStarted();
         cluster.run(60);
-        assertBroken();
-        invariants.failuresAreOver();
+        assertViolations();
+        invariants.failuresEnded();
         cluster.run(80);
-        assertBroken(Rule.FORGOTTEN);
+        assertViolations(Rule.FORGOTTEN);
     }
 
     @Test
     void jobThatNobodySubmittedIsInventedIfItIsReported() {
         poll("run-000009", 200, "queued");
-        assertBroken(Rule.INVENTED);
+        assertViolations(Rule.INVENTED);
     }
 
     @Test
     void jobThatNobodySubmittedIsInventedIfItRuns() {
         start("run-000009/0", machine(0));
-        assertBroken(Rule.INVENTED);
+        assertViolations(Rule.INVENTED);
     }
 
     @Test
-    void jobCalledDoneWithAnUnfinishedTaskIsNotDone() {
+    void jobReportedDoneWithAnUnfinishedTaskIsNotDone() {
         accept(job(JOB, 2));
         invariants.done(JOB + "/0");
         poll(JOB, 200, "done");
-        assertBroken(Rule.NOT_DONE);
+        assertViolations(Rule.NOT_DONE);
     }
 
     @ParameterizedTest
     @CsvSource({"queued", "running", "done"})
-    void cancelledJobCalledSomethingElseWentBack(String phase) {
+    void cancelledJobReportedInAnotherPhaseWentBack(String phase) {
         accept(job(JOB, 1));
         invariants.done(JOB + "/0");
         cancel(JOB);
         poll(JOB, 200, phase);
-        assertBroken(Rule.WENT_BACK);
+        assertViolations(Rule.WENT_BACK);
     }
 
     @Test
-    void jobCalledCancelledThoughNobodyCancelledItWentBack() {
+    void jobReportedCancelledWithoutRequestWentBack() {
         accept(job(JOB, 1));
         poll(JOB, 200, "cancelled");
-        assertBroken(Rule.WENT_BACK);
+        assertViolations(Rule.WENT_BACK);
     }
 
     @Test
@@ -235,7 +235,7 @@
         acceptJobAndDependent(2);
         invariants.done(JOB + "/0");
         start(DEPENDENT + "/0", machine(0));
-        assertBroken(Rule.TOO_EARLY);
+        assertViolations(Rule.TOO_EARLY);
     }
 
     @Test
@@ -244,7 +244,7 @@
         invariants.done(JOB + "/0");
         invariants.done(JOB + "/1");
         start(DEPENDENT + "/0", machine(0));
-        assertBroken();
+        assertViolations();
     }
 
     @ParameterizedTest
@@ -257,10 +257,10 @@
         cancel(JOB);
         cluster.run(SimSettings.CANCEL_SECONDS - 1);
         poll("run-000003", 200, phase);
-        assertBroken();
+        assertViolations();
         cluster.run(2);
         poll("run-000003", 200, phase);
-        assertBroken(Rule.ORPHANED);
+        assertViolations(Rule.ORPHANED);
     }
 
     private void acceptJobAndDependent(int tasks) {
@@ -273,16 +273,16 @@
     @Test
     void jobThatCanNeverRunMustNotBeAccepted() {
         accept(SimulatedCluster.job(JOB, "red", "service", 17, 1, 1));
-        assertBroken(Rule.ACCEPTED);
+        assertViolations(Rule.ACCEPTED);
     }
 
     @Test
-    void jobThatWaitsTooLongBesideFreeMachinesBreaksARule() {
+    void jobThatWaitsTooLongDespiteFreeMachinesBreaksARule() {
         accept(job(JOB, 1));
         cluster.run(100);
-        assertBroken();
-        invariants.failuresAreOver();
+        assertViolations();
+        invariants.failuresEnded();
         cluster.run(100);
-        assertBroken(Rule.WAITS);
+        assertViolations(Rule.WAITS);
     }
 }
--- a/src/test/java/org/springmill/sim/JobHistories.java
+++ b/src/test/java/org/springmill/sim/JobHistories.java
@@ -42,7 +42,7 @@
     /**
      * Adds a job that was accepted before this cluster was started, and its tasks that are done.
      */
-    void assume(JsonNode job, int... done) {
+    void addAcceptedJob(JsonNode job, int... done) {
         JobHistory history =
                 jobs.computeIfAbsent(job.path("nameId").asText(), id -> new JobHistory(job));
         history.accept(Double.NEGATIVE_INFINITY);
--- a/src/test/java/org/springmill/sim/PlacementRules.java
+++ b/src/test/java/org/springmill/sim/PlacementRules.java
@@ -19,11 +19,11 @@
 
     /** Whether the job allows a machine type, and a task fits an empty machine of it. */
     static boolean allowsType(JsonNode job, SimCloud.Type type) {
-        boolean named = !job.hasNonNull("frames");
+        boolean typeAllowed = !job.hasNonNull("frames");
         for (JsonNode name : job.path("frames")) {
-            named |= name.asText().equals(type.name());
+            typeAllowed |= name.asText().equals(type.name());
         }
-        return named
+        return typeAllowed
                 && job.path("vcpus").asDouble() <= type.cpus()
                 && job.path("cards").asDouble() <= type.gpus()
                 && job.path("memGb").asDouble() <= type.memoryGb();
@@ -33,7 +33,7 @@
      * Why a task of the job must not be on a machine; null if it may. The task may be there
      * already.
      */
-    String whyNotAllowed(SimWorker machine, JsonNode job) {
+    String placementViolation(SimWorker machine, JsonNode job) {
         if (!allowsType(job, SimCloud.TYPES.get(machine.type()))) {
             return "type not allowed";
         }
@@ -76,7 +76,7 @@
     }
 
     /** Whether one more task fits within its team's limit and on a machine that its job allows. */
-    boolean hasRoom(JobHistory job, TeamUsage used) {
+    boolean hasCapacity(JobHistory job, TeamUsage used) {
         JsonNode spec = job.job();
         boolean withinLimit =
                 settings.team(job.team())
@@ -88,11 +88,11 @@
                         .anyMatch(
                                 machine ->
                                         machine.isHealthy()
-                                                && whyNotAllowed(machine, spec) == null
-                                                && hasRoom(machine, spec));
+                                                && placementViolation(machine, spec) == null
+                                                && hasCapacity(machine, spec));
     }
 
-    private boolean hasRoom(SimWorker machine, JsonNode job) {
+    private boolean hasCapacity(SimWorker machine, JsonNode job) {
         SimCloud.Type type = SimCloud.TYPES.get(machine.type());
         double cpus = type.cpus() - job.path("vcpus").asDouble();
         double gpus = type.gpus() - job.path("cards").asDouble();
--- a/src/test/java/org/springmill/sim/ProgressChecker.java
+++ b/src/test/java/org/springmill/sim/ProgressChecker.java
@@ -22,7 +22,7 @@
      * The longest time that a job may get no answer while most jobs get answers, also during
      * failures.
      */
-    private static final double MAX_SINGLED_OUT_SECONDS = 90;
+    private static final double MAX_UNANSWERED_WHILE_OTHERS_ANSWERED_SECONDS = 90;
 
     /**
      * A job counts as answered if its last answer is younger than this, which is twice the poll
@@ -34,8 +34,8 @@
     private final JobHistories jobs;
     private final PlacementRules placement;
     private final Violations violations;
-    private double failuresOverAt = Double.POSITIVE_INFINITY;
-    private boolean polled;
+    private double failuresEndedAt = Double.POSITIVE_INFINITY;
+    private boolean pollsExpected;
 
     ProgressChecker(
             SimCloud cloud, JobHistories jobs, PlacementRules placement, Violations violations) {
@@ -46,54 +46,57 @@
     }
 
     /** From now on users poll all their jobs, and a job without answers is a violation. */
-    void jobsArePolled() {
-        polled = true;
+    void pollingStarted() {
+        pollsExpected = true;
     }
 
-    void failuresAreOver(double now) {
-        failuresOverAt = now;
+    void failuresEnded(double now) {
+        failuresEndedAt = now;
     }
 
     void check(double now, Map<String, TeamUsage> used) {
-        if (polled) {
+        if (pollsExpected) {
             checkAnswers(now);
         }
-        if (failuresOverAt < now) {
+        if (failuresEndedAt < now) {
             jobs.unfinished(now).forEach(job -> checkWaiting(job, now, used));
         }
     }
 
     private void checkAnswers(double now) {
-        List<JobHistory> asking = jobs.unfinished(now);
+        List<JobHistory> unfinished = jobs.unfinished(now);
         long answered =
-                asking.stream()
+                unfinished.stream()
                         .filter(job -> now - job.lastAnswerAt() < ANSWERED_RECENTLY_SECONDS)
                         .count();
-        boolean mostAnswered = 2 * answered > asking.size();
-        for (JobHistory job : asking) {
-            boolean singledOut = mostAnswered && now - job.lastAnswerAt() > MAX_SINGLED_OUT_SECONDS;
-            double unansweredSince = Math.max(job.lastAnswerAt(), failuresOverAt);
-            if (singledOut || now - unansweredSince > MAX_UNANSWERED_SECONDS) {
+        boolean mostAnswered = 2 * answered > unfinished.size();
+        for (JobHistory job : unfinished) {
+            boolean unansweredUnlikeMost =
+                    mostAnswered
+                            && now - job.lastAnswerAt()
+                                    > MAX_UNANSWERED_WHILE_OTHERS_ANSWERED_SECONDS;
+            double unansweredSince = Math.max(job.lastAnswerAt(), failuresEndedAt);
+            if (unansweredUnlikeMost || now - unansweredSince > MAX_UNANSWERED_SECONDS) {
                 violations.add(Rule.FORGOTTEN, job.id() + " got no answer in time");
             }
         }
     }
 
     private void checkWaiting(JobHistory job, double now, Map<String, TeamUsage> used) {
-        if (waitsThoughThereIsRoom(job, used.getOrDefault(job.team(), TeamUsage.NONE))) {
+        if (waitsDespiteCapacity(job, used.getOrDefault(job.team(), TeamUsage.NONE))) {
             job.waiting(now);
         } else {
             job.notWaiting();
         }
-        if (now - Math.max(job.waitingSince(), failuresOverAt) > MAX_WAIT_SECONDS) {
+        if (now - Math.max(job.waitingSince(), failuresEndedAt) > MAX_WAIT_SECONDS) {
             violations.add(Rule.WAITS, job.id() + " for more than " + MAX_WAIT_SECONDS + " s");
         }
     }
 
-    private boolean waitsThoughThereIsRoom(JobHistory job, TeamUsage used) {
+    private boolean waitsDespiteCapacity(JobHistory job, TeamUsage used) {
         return jobs.unfinishedDependency(job) == null
                 && hasPendingTask(job)
-                && placement.hasRoom(job, used);
+                && placement.hasCapacity(job, used);
     }
 
     /** Whether a job has a task that is neither done nor on a machine. */
--- a/src/test/java/org/springmill/sim/RecallStores.java
+++ b/src/test/java/org/springmill/sim/RecallStores.java
@@ -13,7 +13,7 @@
         return new KeyValueStoreClient(
                 (request, done) -> {},
                 new VirtualClock(),
-                SimSettings.of(0, SimSettings.STATE_LIMITS),
+                SimSettings.of(0, SimSettings.STORE_LIMITS),
                 TIMEOUT_SECONDS);
     }
 }
--- a/src/test/java/org/springmill/sim/RetryingUsers.java
+++ b/src/test/java/org/springmill/sim/RetryingUsers.java
@@ -59,8 +59,8 @@
             acceptanceSeconds.add(now - since);
             return;
         }
-        double pause = Math.max(RETRY_SECONDS, reply.retryAfterSeconds());
-        cluster.clock().after(pause, () -> submit(job, since));
+        double delay = Math.max(RETRY_SECONDS, reply.retryAfterSeconds());
+        cluster.clock().after(delay, () -> submit(job, since));
     }
 
     /** The number of jobs that were accepted. */
--- a/src/test/java/org/springmill/sim/SimCloud.java
+++ b/src/test/java/org/springmill/sim/SimCloud.java
@@ -35,11 +35,11 @@
     private final Map<String, ArrayNode> rentals = new HashMap<>();
     private final Map<String, Double> rentedAt = new HashMap<>();
     private final Map<String, Double> bootSecondsByZone = new HashMap<>();
-    private int named;
-    private final Set<String> emptyZones = new HashSet<>();
+    private int machinesAdded;
+    private final Set<String> exhaustedZones = new HashSet<>();
 
     /** The list that all requests get while lists are frozen; null while they are not. */
-    private ObjectNode lateList;
+    private ObjectNode frozenList;
 
     SimCloud(SimulatedCluster cluster) {
         this.cluster = cluster;
@@ -47,17 +47,17 @@
 
     /** From now on no machine can be rented. */
     public void exhaustCapacity() {
-        emptyZones.addAll(SimSettings.ZONES);
+        exhaustedZones.addAll(SimSettings.ZONES);
     }
 
     /** From now on no machine can be rented in one zone. */
     public void exhaustCapacity(String zone) {
-        emptyZones.add(zone);
+        exhaustedZones.add(zone);
     }
 
     /** Machines can be rented again. */
     public void restoreCapacity() {
-        emptyZones.clear();
+        exhaustedZones.clear();
     }
 
     /** Sets the boot time of machines that are rented in a zone from now on; infinite for never. */
@@ -67,17 +67,17 @@
 
     /** The number of machines added so far, including terminated ones. */
     public int everRented() {
-        return named;
+        return machinesAdded;
     }
 
     /** From now on machine lists show the state at this moment. */
     public void freezeMachineList() {
-        lateList = list();
+        frozenList = list();
     }
 
     /** Machine lists show the current state again. */
     public void resumeMachineList() {
-        lateList = null;
+        frozenList = null;
     }
 
     /** Terminates a machine, as the cloud does when it reclaims a spot machine. */
@@ -86,10 +86,10 @@
     }
 
     private void remove(String name) {
-        SimWorker gone = machines.remove(name);
-        if (gone != null) {
-            machinesByAddress.remove(gone.address());
-            gone.destroy();
+        SimWorker removed = machines.remove(name);
+        if (removed != null) {
+            machinesByAddress.remove(removed.address());
+            removed.destroy();
         }
     }
 
@@ -103,9 +103,9 @@
     }
 
     SimWorker add(String type, String zone, boolean spot, double bootSeconds) {
-        String name = String.format("host-%06d", ++named);
+        String name = String.format("host-%06d", ++machinesAdded);
         SimWorker worker =
-                new SimWorker(cluster, name, "10.1.0." + named + ":9000", type, zone, spot);
+                new SimWorker(cluster, name, "10.1.0." + machinesAdded + ":9000", type, zone, spot);
         machines.put(name, worker);
         rentedAt.put(name, cluster.clock().now());
         machinesByAddress.put(worker.address(), worker);
@@ -134,7 +134,7 @@
             return SimKeyValueStore.reply(200, out);
         }
         return SimKeyValueStore.reply(
-                200, page(lateList == null ? list() : lateList, request.path()));
+                200, page(frozenList == null ? list() : frozenList, request.path()));
     }
 
     /** The part of a list that a request asks for, by its {@code from} and {@code limit}. */
@@ -155,9 +155,9 @@
         return out.put("truncated", false);
     }
 
-    private static String parameter(String path, String name, String otherwise) {
+    private static String parameter(String path, String name, String defaultValue) {
         Matcher matcher = Pattern.compile("[?&]" + name + "=([^&]*)").matcher(path);
-        return matcher.find() ? matcher.group(1) : otherwise;
+        return matcher.find() ? matcher.group(1) : defaultValue;
     }
 
     private ObjectNode list() {
@@ -179,7 +179,7 @@
     private Reply rent(JsonNode body) {
         String name = body.path("hire").asText();
         if (!rentals.containsKey(name)) {
-            if (emptyZones.contains(body.path("yard").asText())) {
+            if (exhaustedZones.contains(body.path("yard").asText())) {
                 return SimKeyValueStore.reply(
                         503, JSON.createObjectNode().put("error", "no capacity"));
             }
--- a/src/test/java/org/springmill/sim/SimController.java
+++ b/src/test/java/org/springmill/sim/SimController.java
@@ -22,9 +22,9 @@
     private final SimPeerNetwork peerNetwork;
     private final Controller controller;
     private Listener listener;
-    private final Queue<Runnable> missed = new ArrayDeque<>();
+    private final Queue<Runnable> deferredEvents = new ArrayDeque<>();
     private boolean stopped;
-    private boolean frozen;
+    private boolean paused;
 
     SimController(
             int number,
@@ -52,21 +52,21 @@
      * meanwhile are then processed in order.
      */
     void pause(double seconds) {
-        frozen = true;
+        paused = true;
         clock.after(seconds, this::resume);
     }
 
     private void resume() {
-        frozen = false;
-        while (!missed.isEmpty() && !stopped) {
-            missed.poll().run();
+        paused = false;
+        while (!deferredEvents.isEmpty() && !stopped) {
+            deferredEvents.poll().run();
         }
     }
 
     /** Processes an event now, or when the process resumes if it is paused. */
-    private void act(Runnable action) {
-        if (frozen) {
-            missed.add(action);
+    private void runOrDefer(Runnable action) {
+        if (paused) {
+            deferredEvents.add(action);
         } else if (!stopped) {
             action.run();
         }
@@ -82,7 +82,7 @@
     }
 
     void handle(Request request, Consumer<Reply> done) {
-        act(() -> controller.handle(new SimCall(request, done)));
+        runOrDefer(() -> controller.handle(new SimCall(request, done)));
     }
 
     @Override
@@ -98,12 +98,12 @@
 
     @Override
     public Timer after(double seconds, Runnable task) {
-        return clock.after(seconds, () -> act(task));
+        return clock.after(seconds, () -> runOrDefer(task));
     }
 
     @Override
     public void send(Request request, Consumer<Reply> done) {
-        network.send(name(), request, reply -> act(() -> done.accept(reply)));
+        network.send(name(), request, reply -> runOrDefer(() -> done.accept(reply)));
     }
 
     @Override
@@ -112,17 +112,17 @@
     }
 
     @Override
-    public void setListener(Listener taker) {
+    public void setListener(Listener receiver) {
         listener =
                 new Listener() {
                     @Override
                     public void onRecord(byte[] record) {
-                        act(() -> taker.onRecord(record));
+                        runOrDefer(() -> receiver.onRecord(record));
                     }
 
                     @Override
                     public void onConnectionRefused(String node) {
-                        act(() -> taker.onConnectionRefused(node));
+                        runOrDefer(() -> receiver.onConnectionRefused(node));
                     }
                 };
     }
--- a/src/test/java/org/springmill/sim/SimKeyValueStore.java
+++ b/src/test/java/org/springmill/sim/SimKeyValueStore.java
@@ -14,8 +14,8 @@
  */
 public final class SimKeyValueStore {
     private static final ObjectMapper JSON = new ObjectMapper();
-    private static final double MIN_LATE_SECONDS = 2;
-    private static final double MORE_LATE_SECONDS = 10;
+    private static final double MIN_COMMIT_DELAY_SECONDS = 2;
+    private static final double COMMIT_DELAY_RANGE_SECONDS = 10;
 
     private final VirtualClock clock;
     private final EmulatedKeyValueStore store;
@@ -48,8 +48,8 @@
     }
 
     /** Starts or ends an outage. At its end every lease gets its full duration again. */
-    public void setDown(boolean nowDown) {
-        store.setDown(nowDown);
+    public void setDown(boolean down) {
+        store.setDown(down);
     }
 
     /**
@@ -63,8 +63,8 @@
      * Answers all requests of one controller with 503 while the others are served, so that its
      * leases expire; or ends that.
      */
-    public void refuseController(int controller, boolean now) {
-        store.setRefused(SimSettings.controllerName(controller), now);
+    public void refuseController(int controller, boolean refused) {
+        store.setRefused(SimSettings.controllerName(controller), refused);
     }
 
     /**
@@ -91,13 +91,15 @@
     }
 
     void handle(String from, Request request, Consumer<Reply> done) {
-        boolean late =
+        boolean delayed =
                 request.path().equals("/commit")
                         && delayedCommitShare > 0
                         && !store.down()
                         && random.nextDouble() < delayedCommitShare;
-        if (late) {
-            commitLater(request, MIN_LATE_SECONDS + random.nextDouble() * MORE_LATE_SECONDS);
+        if (delayed) {
+            commitLater(
+                    request,
+                    MIN_COMMIT_DELAY_SECONDS + random.nextDouble() * COMMIT_DELAY_RANGE_SECONDS);
         } else {
             apply(from, request, done);
         }
--- a/src/test/java/org/springmill/sim/SimNetwork.java
+++ b/src/test/java/org/springmill/sim/SimNetwork.java
@@ -35,17 +35,17 @@
     }
 
     private final SimulatedCluster cluster;
-    private final List<Held> held = new ArrayList<>();
-    private final Set<String> unreachable = new HashSet<>();
-    private final Set<String> unableToSendHeartbeats = new HashSet<>();
+    private final List<HeldRequest> held = new ArrayList<>();
+    private final Set<String> unreachableMachines = new HashSet<>();
+    private final Set<String> heartbeatsBlocked = new HashSet<>();
     private final Set<String> partitionFromStore = new HashSet<>();
     private Judge judge = (from, request) -> Fate.DELIVER;
-    private Delays delays = (from, request) -> 0;
-    private Delays answerDelays = (from, request) -> 0;
+    private Delays requestDelays = (from, request) -> 0;
+    private Delays responseDelays = (from, request) -> 0;
     private SplittableRandom random;
-    private double duplicatedReportShare;
+    private double duplicatedHeartbeatShare;
 
-    private record Held(String from, Request request) {}
+    private record HeldRequest(String from, Request request) {}
 
     /** Additional delay of a message, in seconds. */
     public interface Delays {
@@ -66,23 +66,23 @@
 
     /** Delays requests. A request is executed even if its sender has timed out by then. */
     public void delayRequests(Delays by) {
-        delays = by;
+        requestDelays = by;
     }
 
     /** Delays responses. A response is ignored if the sender has timed out by then. */
     public void delayAnswers(Delays by) {
-        answerDelays = by;
+        responseDelays = by;
     }
 
     /** Loses all responses and direct commands to a machine, while its heartbeats still arrive. */
     public void blockMessagesTo(SimWorker machine) {
-        unreachable.add(machine.name());
-        unreachable.add(machine.address());
+        unreachableMachines.add(machine.name());
+        unreachableMachines.add(machine.address());
     }
 
     /** Refuses the heartbeats of a machine, while direct commands still reach it. */
     public void blockHeartbeatsFrom(SimWorker machine) {
-        unableToSendHeartbeats.add(machine.name());
+        heartbeatsBlocked.add(machine.name());
     }
 
     /** Drops all requests from a controller to the key-value store. */
@@ -95,16 +95,16 @@
      * later.
      */
     public void duplicateHeartbeats(double share) {
-        duplicatedReportShare = share;
+        duplicatedHeartbeatShare = share;
     }
 
     void endFailures() {
         judge = (from, request) -> Fate.DELIVER;
-        delays = (from, request) -> 0;
-        answerDelays = (from, request) -> 0;
-        duplicatedReportShare = 0;
-        unreachable.clear();
-        unableToSendHeartbeats.clear();
+        requestDelays = (from, request) -> 0;
+        responseDelays = (from, request) -> 0;
+        duplicatedHeartbeatShare = 0;
+        unreachableMachines.clear();
+        heartbeatsBlocked.clear();
         partitionFromStore.clear();
     }
 
@@ -114,7 +114,7 @@
 
     /** Delivers all held requests and ignores their responses. */
     public void releaseHeld() {
-        for (Held message : List.copyOf(held)) {
+        for (HeldRequest message : List.copyOf(held)) {
             cluster.route(message.from(), message.request(), reply -> {});
         }
         held.clear();
@@ -127,21 +127,21 @@
 
     private Fate fate(String from, Request request) {
         boolean report = request.path().equals("/v1/report");
-        if (report && unableToSendHeartbeats.contains(from)) {
+        if (report && heartbeatsBlocked.contains(from)) {
             return Fate.REFUSE;
         }
-        if (unreachable.contains(request.address())
+        if (unreachableMachines.contains(request.address())
                 || (partitionFromStore.contains(from)
-                        && request.address().equals(SimSettings.STATE_SERVICE))) {
+                        && request.address().equals(SimSettings.STORE_ADDRESS))) {
             return Fate.DROP;
         }
         Fate fate = judge.judge(from, request);
-        return fate == Fate.DELIVER && unreachable.contains(from) ? Fate.LOSE_ANSWER : fate;
+        return fate == Fate.DELIVER && unreachableMachines.contains(from) ? Fate.LOSE_ANSWER : fate;
     }
 
     void send(String from, Request request, Consumer<Reply> done) {
         boolean[] answered = new boolean[1];
-        Consumer<Reply> once =
+        Consumer<Reply> completeOnce =
                 reply -> {
                     if (!answered[0]) {
                         answered[0] = true;
@@ -150,22 +150,22 @@
                 };
         Fate fate = fate(from, request);
         if (fate == Fate.REFUSE) {
-            cluster.clock().after(DELAY_SECONDS, () -> once.accept(Reply.NOT_SENT));
+            cluster.clock().after(DELAY_SECONDS, () -> completeOnce.accept(Reply.NOT_SENT));
             return;
         }
-        cluster.clock().after(request.timeoutSeconds(), () -> once.accept(Reply.LOST));
+        cluster.clock().after(request.timeoutSeconds(), () -> completeOnce.accept(Reply.LOST));
         if (request.path().equals("/v1/report")
-                && duplicatedReportShare > 0
-                && random.nextDouble() < duplicatedReportShare) {
+                && duplicatedHeartbeatShare > 0
+                && random.nextDouble() < duplicatedHeartbeatShare) {
             cluster.clock()
                     .after(
                             2 + random.nextDouble() * (3 * SimSettings.LEASE_SECONDS - 2),
                             () -> cluster.route(from, request, reply -> {}));
         }
-        double delaySeconds = DELAY_SECONDS + delays.delaySeconds(from, request);
+        double delaySeconds = DELAY_SECONDS + requestDelays.delaySeconds(from, request);
         switch (fate) {
             case DROP -> {}
-            case HOLD -> held.add(new Held(from, request));
+            case HOLD -> held.add(new HeldRequest(from, request));
             case LOSE_ANSWER ->
                     cluster.clock()
                             .after(delaySeconds, () -> cluster.route(from, request, reply -> {}));
@@ -181,13 +181,14 @@
                                                             cluster.clock()
                                                                     .after(
                                                                             DELAY_SECONDS
-                                                                                    + answerDelays
+                                                                                    + responseDelays
                                                                                             .delaySeconds(
                                                                                                     from,
                                                                                                     request),
                                                                             () ->
-                                                                                    once.accept(
-                                                                                            reply))));
+                                                                                    completeOnce
+                                                                                            .accept(
+                                                                                                    reply))));
         }
     }
 }
--- a/src/test/java/org/springmill/sim/SimOptions.java
+++ b/src/test/java/org/springmill/sim/SimOptions.java
@@ -19,7 +19,7 @@
 
     /** The settings of tests that set nothing. */
     public static final SimOptions DEFAULTS =
-            new SimOptions(1, OperatorSettings.DEFAULTS, SimSettings.STATE_LIMITS, HEAP_BYTES);
+            new SimOptions(1, OperatorSettings.DEFAULTS, SimSettings.STORE_LIMITS, HEAP_BYTES);
 
     public SimOptions withSeed(long newSeed) {
         return new SimOptions(newSeed, operator, stateLimits, heapBytes);
--- a/src/test/java/org/springmill/sim/SimPeerNetwork.java
+++ b/src/test/java/org/springmill/sim/SimPeerNetwork.java
@@ -39,7 +39,7 @@
         filtered = true;
     }
 
-    /** Ends all partitions and the packet filter. Held messages stay held. */
+    /** Ends all partitions and the packet filter. HeldRequest messages stay held. */
     void heal() {
         isolated.clear();
         filtered = false;
--- a/src/test/java/org/springmill/sim/SimProgress.java
+++ b/src/test/java/org/springmill/sim/SimProgress.java
@@ -60,7 +60,7 @@
         return spec == null ? 0 : spec.path("stashEveryS").asDouble();
     }
 
-    boolean mayBeSaved(String task) {
+    boolean hasCheckpoints(String task) {
         return checkpointSeconds(task) > 0;
     }
 
--- a/src/test/java/org/springmill/sim/SimSettings.java
+++ b/src/test/java/org/springmill/sim/SimSettings.java
@@ -9,15 +9,15 @@
 /** The settings of the simulated deployment, with the names and addresses of its hosts. */
 final class SimSettings {
     static final int CONTROLLERS = 3;
-    static final double REPORT_SECONDS = 2;
+    static final double HEARTBEAT_SECONDS = 2;
     static final double LEASE_SECONDS = 14;
     static final double CANCEL_SECONDS = 44;
     static final int VALUE_BYTES = 8192;
     static final int WRITES_PER_COMMIT = 12;
-    static final Settings.StoreLimits STATE_LIMITS =
+    static final Settings.StoreLimits STORE_LIMITS =
             new Settings.StoreLimits(120, 20, VALUE_BYTES, WRITES_PER_COMMIT);
-    static final String STATE_SERVICE = "state:1";
-    static final String CLOUD = "cloud:1";
+    static final String STORE_ADDRESS = "state:1";
+    static final String CLOUD_ADDRESS = "cloud:1";
     static final List<String> ZONES = List.of("a", "b");
     static final String TEAM_WITHOUT_GUARANTEE = "guest";
     static final String USER = "user";
@@ -55,12 +55,12 @@
     }
 
     /** Settings of a controller with default operator settings. */
-    static Settings of(int controller, Settings.StoreLimits stateLimits) {
-        return of(controller, stateLimits, OperatorSettings.DEFAULTS);
+    static Settings of(int controller, Settings.StoreLimits storeLimits) {
+        return of(controller, storeLimits, OperatorSettings.DEFAULTS);
     }
 
     static Settings of(
-            int controller, Settings.StoreLimits stateLimits, OperatorSettings operator) {
+            int controller, Settings.StoreLimits storeLimits, OperatorSettings operator) {
         Map<String, String> peers = new HashMap<>();
         for (int i = 0; i < CONTROLLERS; i++) {
             if (i != controller) {
@@ -73,8 +73,8 @@
                 apiAddress(controller),
                 peerAddress(controller),
                 peers,
-                CLOUD,
-                STATE_SERVICE,
+                CLOUD_ADDRESS,
+                STORE_ADDRESS,
                 ZONES,
                 1,
                 List.of(
@@ -83,8 +83,8 @@
                         new Settings.Team("amber", 8, 0, 8, 32),
                         new Settings.Team(TEAM_WITHOUT_GUARANTEE, 0, 0, 0, 0)),
                 List.of(),
-                new Settings.Workers(REPORT_SECONDS, LEASE_SECONDS, CANCEL_SECONDS),
-                stateLimits,
+                new Settings.Workers(HEARTBEAT_SECONDS, LEASE_SECONDS, CANCEL_SECONDS),
+                storeLimits,
                 new Settings.CloudLimits(4, 3),
                 new Settings.Limits(0.2, 176, 700),
                 operator);
--- a/src/test/java/org/springmill/sim/SimUsers.java
+++ b/src/test/java/org/springmill/sim/SimUsers.java
@@ -81,7 +81,7 @@
      * balancer resets its connections, as on one open connection.
      */
     void startPolling() {
-        invariants.jobsArePolled();
+        invariants.pollingStarted();
         probeControllers();
         poll();
     }
--- a/src/test/java/org/springmill/sim/SimWorker.java
+++ b/src/test/java/org/springmill/sim/SimWorker.java
@@ -59,11 +59,11 @@
     private double renewedAt;
     private Double noticeSeconds;
     private boolean up;
-    private boolean gone;
+    private boolean terminated;
     private boolean hung;
     private int controller;
-    private boolean reporting;
-    private boolean failing;
+    private boolean heartbeatInFlight;
+    private boolean failingAllTasks;
     private boolean ignoringHalts;
 
     SimWorker(
@@ -139,7 +139,7 @@
     }
 
     /** Whether the cloud has given no preemption notice for this machine. */
-    boolean noNotice() {
+    boolean hasNoPreemptionNotice() {
         return noticeSeconds == null;
     }
 
@@ -148,7 +148,7 @@
      * to fail its tasks.
      */
     boolean isHealthy() {
-        return reachable() && !failing && noticeSeconds == null && !isLeaseExpired();
+        return reachable() && !failingAllTasks && noticeSeconds == null && !isLeaseExpired();
     }
 
     /**
@@ -162,30 +162,30 @@
 
     /** From now on every task here ends with an error; new tasks do so 0.1 s after their start. */
     public void failEverything() {
-        failing = true;
+        failingAllTasks = true;
     }
 
     /** Suspends all activity of this machine, or resumes it. */
-    public void hang(boolean now) {
-        hung = now;
+    public void hang(boolean hangs) {
+        hung = hangs;
     }
 
     /** Makes the worker ignore halt commands, or execute them again. */
-    public void ignoreHalts(boolean now) {
-        ignoringHalts = now;
+    public void ignoreHalts(boolean ignoring) {
+        ignoringHalts = ignoring;
     }
 
     void boot() {
-        if (!gone) {
+        if (!terminated) {
             up = true;
             renewedAt = cluster.clock().now();
-            loop();
+            sendPeriodicHeartbeats();
         }
     }
 
     void destroy() {
         killTasks();
-        gone = true;
+        terminated = true;
         up = false;
     }
 
@@ -197,13 +197,13 @@
         tasks.clear();
     }
 
-    private void loop() {
-        if (gone) {
+    private void sendPeriodicHeartbeats() {
+        if (terminated) {
             return;
         }
         checkLease();
         sendHeartbeat();
-        cluster.clock().after(SimSettings.REPORT_SECONDS, this::loop);
+        cluster.clock().after(SimSettings.HEARTBEAT_SECONDS, this::sendPeriodicHeartbeats);
     }
 
     private void checkLease() {
@@ -243,12 +243,12 @@
     }
 
     private void sendHeartbeat() {
-        if (reporting || gone || hung || !up) {
+        if (heartbeatInFlight || terminated || hung || !up) {
             return;
         }
-        reporting = true;
-        double sent = cluster.clock().now();
-        long sentSession = epoch;
+        heartbeatInFlight = true;
+        double sentAt = cluster.clock().now();
+        long sentEpoch = epoch;
         byte[] body = heartbeatBody().toString().getBytes(java.nio.charset.StandardCharsets.UTF_8);
         int to = controller;
         cluster.network()
@@ -256,8 +256,8 @@
                         name,
                         new Request(SimSettings.apiAddress(to), "POST", "/v1/report", body, 4),
                         reply -> {
-                            reporting = false;
-                            if (gone || hung) {
+                            heartbeatInFlight = false;
+                            if (terminated || hung) {
                                 return;
                             }
                             checkLease();
@@ -266,10 +266,10 @@
                                 boolean valid =
                                         answer.has("baton")
                                                 && answer.path("baton").asLong() >= token
-                                                && epoch == sentSession;
+                                                && epoch == sentEpoch;
                                 if (valid) {
                                     token = answer.path("baton").asLong();
-                                    renewedAt = sent;
+                                    renewedAt = sentAt;
                                     execute(answer.path("orders"));
                                 }
                             } else if (reply.status() == 421
@@ -303,7 +303,7 @@
     }
 
     boolean reachable() {
-        return up && !gone && !hung;
+        return up && !terminated && !hung;
     }
 
     private void execute(JsonNode orders) {
@@ -348,22 +348,22 @@
         }
         boolean saves =
                 task.phase.equals("running")
-                        && cluster.progress().mayBeSaved(task.id)
+                        && cluster.progress().hasCheckpoints(task.id)
                         && graceSeconds >= cluster.progress().nominalSaveSeconds(task.id);
         if (!saves) {
             stop(task, now);
             return;
         }
         task.phase = "saving";
-        double begun = now;
+        double saveStartedAt = now;
         sendHeartbeat();
         double saveSeconds = cluster.progress().saveSeconds(task.id);
         if (saveSeconds < Double.POSITIVE_INFINITY) {
-            afterHang(
+            runAfterDelayAndHang(
                     saveSeconds,
                     () -> {
                         if (tasks.get(key) == task && task.phase.equals("saving")) {
-                            cluster.progress().saved(task, begun);
+                            cluster.progress().saved(task, saveStartedAt);
                             end(task, "stopped");
                             sendHeartbeat();
                         }
@@ -387,7 +387,7 @@
             end(task, "busy");
             return;
         }
-        afterHang(
+        runAfterDelayAndHang(
                 cluster.imageFetchSeconds(),
                 () -> {
                     if (tasks.get(key) != task || !task.phase.equals("pulling")) {
@@ -399,7 +399,7 @@
                     sendHeartbeat();
                     double runSeconds = fails(task) ? 0.1 : cluster.progress().secondsLeft(task.id);
                     if (runSeconds < Double.POSITIVE_INFINITY) {
-                        afterHang(runSeconds, () -> finish(key, task));
+                        runAfterDelayAndHang(runSeconds, () -> finish(key, task));
                     }
                 });
     }
@@ -408,15 +408,15 @@
      * Runs an action after a delay, and after the end of a hang if the machine hangs by then. If
      * the lease has expired by then, all tasks are killed before the action runs.
      */
-    private void afterHang(double seconds, Runnable then) {
+    private void runAfterDelayAndHang(double seconds, Runnable then) {
         cluster.clock()
                 .after(
                         seconds,
                         () -> {
                             checkLease();
                             if (hung) {
-                                afterHang(SimSettings.REPORT_SECONDS / 20, then);
-                            } else if (!gone) {
+                                runAfterDelayAndHang(SimSettings.HEARTBEAT_SECONDS / 20, then);
+                            } else if (!terminated) {
                                 then.run();
                             }
                         });
@@ -434,7 +434,7 @@
     }
 
     private boolean fails(Task task) {
-        return failing || cluster.isBroken(task.id);
+        return failingAllTasks || cluster.isBroken(task.id);
     }
 
     private static void end(Task task, String cause) {
--- a/src/test/java/org/springmill/sim/SimulatedCluster.java
+++ b/src/test/java/org/springmill/sim/SimulatedCluster.java
@@ -34,7 +34,7 @@
     private final SimPeerNetwork peerNetwork =
             new SimPeerNetwork(clock, name -> controllers[SimSettings.controllerNumber(name)]);
     private final InvariantChecker invariants =
-            new InvariantChecker(clock, cloud, SimSettings.of(0, SimSettings.STATE_LIMITS));
+            new InvariantChecker(clock, cloud, SimSettings.of(0, SimSettings.STORE_LIMITS));
     private final SimUsers users;
     private final Map<String, Double> runSeconds = new HashMap<>();
     private final Map<String, Integer> starts = new HashMap<>();
@@ -74,7 +74,7 @@
         for (int i = 0; i < SimSettings.CONTROLLERS; i++) {
             controllers[i] = newController(i);
         }
-        invariants.watch();
+        invariants.checkPeriodically();
     }
 
     private SimController newController(int number) {
@@ -228,7 +228,7 @@
      */
     public SimulatedCluster endFailures() {
         heal();
-        invariants.failuresAreOver();
+        invariants.failuresEnded();
         return this;
     }
 
@@ -286,9 +286,9 @@
 
     /** Delivers a request to the process at its address. */
     void route(String from, Request request, Consumer<Reply> done) {
-        if (request.address().equals(SimSettings.STATE_SERVICE)) {
+        if (request.address().equals(SimSettings.STORE_ADDRESS)) {
             store.handle(from, request, done);
-        } else if (request.address().equals(SimSettings.CLOUD)) {
+        } else if (request.address().equals(SimSettings.CLOUD_ADDRESS)) {
             done.accept(cloud.handle(request));
         } else if (SimSettings.isController(request.address())) {
             SimController controller = controllers[SimSettings.controllerAt(request.address())];
@@ -343,7 +343,7 @@
      */
     public void assume(ObjectNode job, int... done) {
         runSeconds.put(job.path("nameId").asText(), 1.0);
-        invariants.assume(job, done);
+        invariants.addAcceptedJob(job, done);
     }
 
     /** The phase of a job, or the HTTP status if the request fails. */
@@ -401,7 +401,7 @@
 
     /** Accepted jobs that are not over and have tasks that are neither done nor on a machine. */
     public List<String> unserved() {
-        return invariants.unservedJobs();
+        return invariants.jobsWithPendingTasks();
     }
 
     /**
--- a/src/test/java/org/springmill/sim/SubmissionRules.java
+++ b/src/test/java/org/springmill/sim/SubmissionRules.java
@@ -34,7 +34,7 @@
     }
 
     /** Why a job must not be accepted; null if it may. */
-    String whyImpossible(JsonNode job) {
+    String rejectionReason(JsonNode job) {
         for (String field : REQUIRED_FIELDS) {
             if (!job.hasNonNull(field)) {
                 return "no field " + field;
@@ -44,9 +44,11 @@
         if (team == null) {
             return "unknown team";
         }
-        int together = job.path("shape").asText().equals("sweep") ? 1 : job.path("sacks").asInt();
+        int concurrentTasks =
+                job.path("shape").asText().equals("sweep") ? 1 : job.path("sacks").asInt();
         if (!team.withinLimit(
-                job.path("vcpus").asDouble() * together, job.path("cards").asDouble() * together)) {
+                job.path("vcpus").asDouble() * concurrentTasks,
+                job.path("cards").asDouble() * concurrentTasks)) {
             return "above the team's limit";
         }
         return isZoneKnown(job) && fitsSomeType(job)
