--- a/src/test/java/org/springmill/sim/SimNetwork.java
+++ b/src/test/java/org/springmill/sim/SimNetwork.java
@@ -39,7 +39,7 @@
     private final Set<String> unreachableMachines = new HashSet<>();
     private final Set<String> heartbeatsBlocked = new HashSet<>();
     private final Set<String> partitionFromStore = new HashSet<>();
-    private Judge judge = (from, request) -> Fate.DELIVER;
+    private Judge deliveryRule = (from, request) -> Fate.DELIVER;
     private Delays requestDelays = (from, request) -> 0;
     private Delays responseDelays = (from, request) -> 0;
     private SplittableRandom random;
@@ -60,18 +60,18 @@
         random = source;
     }
 
-    public void judge(Judge by) {
-        judge = by;
+    public void judge(Judge rule) {
+        deliveryRule = rule;
     }
 
     /** Delays requests. A request is executed even if its sender has timed out by then. */
-    public void delayRequests(Delays by) {
-        requestDelays = by;
+    public void delayRequests(Delays delays) {
+        requestDelays = delays;
     }
 
     /** Delays responses. A response is ignored if the sender has timed out by then. */
-    public void delayAnswers(Delays by) {
-        responseDelays = by;
+    public void delayAnswers(Delays delays) {
+        responseDelays = delays;
     }
 
     /** Loses all responses and direct commands to a machine, while its heartbeats still arrive. */
@@ -94,12 +94,12 @@
      * Delivers a random share of the heartbeats a second time, from 2 s to three lease durations
      * later.
      */
-    public void duplicateHeartbeats(double share) {
-        duplicatedHeartbeatShare = share;
+    public void duplicateHeartbeats(double heartbeatShare) {
+        duplicatedHeartbeatShare = heartbeatShare;
     }
 
     void endFailures() {
-        judge = (from, request) -> Fate.DELIVER;
+        deliveryRule = (from, request) -> Fate.DELIVER;
         requestDelays = (from, request) -> 0;
         responseDelays = (from, request) -> 0;
         duplicatedHeartbeatShare = 0;
@@ -135,8 +135,10 @@
                         && request.address().equals(SimSettings.STORE_ADDRESS))) {
             return Fate.DROP;
         }
-        Fate fate = judge.judge(from, request);
-        return fate == Fate.DELIVER && unreachableMachines.contains(from) ? Fate.LOSE_ANSWER : fate;
+        Fate delivery = deliveryRule.judge(from, request);
+        return delivery == Fate.DELIVER && unreachableMachines.contains(from)
+                ? Fate.LOSE_ANSWER
+                : delivery;
     }
 
     void send(String from, Request request, Consumer<Reply> done) {
@@ -148,8 +150,8 @@
                         done.accept(reply);
                     }
                 };
-        Fate fate = fate(from, request);
-        if (fate == Fate.REFUSE) {
+        Fate delivery = fate(from, request);
+        if (delivery == Fate.REFUSE) {
             cluster.clock().after(DELAY_SECONDS, () -> completeOnce.accept(Reply.NOT_SENT));
             return;
         }
@@ -163,7 +165,7 @@
                             () -> cluster.route(from, request, reply -> {}));
         }
         double delaySeconds = DELAY_SECONDS + requestDelays.delaySeconds(from, request);
-        switch (fate) {
+        switch (delivery) {
             case DROP -> {}
             case HOLD -> held.add(new HeldRequest(from, request));
             case LOSE_ANSWER ->
--- a/src/test/java/org/springmill/sim/SimOptions.java
+++ b/src/test/java/org/springmill/sim/SimOptions.java
@@ -76,7 +76,7 @@
             double idleBoots,
             OptionalDouble historyRetention,
             OptionalDouble maxWait,
-            Optional<OperatorSettings.Borrowing> terms) {
+            Optional<OperatorSettings.Borrowing> borrowing) {
         return withOperator(
                 new OperatorSettings(
                         idleBoots,
@@ -87,6 +87,6 @@
                         historyRetention,
                         maxWait,
                         operator.leaderShare(),
-                        terms));
+                        borrowing));
     }
 }
--- a/src/test/java/org/springmill/sim/SimulatedCluster.java
+++ b/src/test/java/org/springmill/sim/SimulatedCluster.java
@@ -129,8 +129,8 @@
     }
 
     /** Adds machines that boot in 0.5 s. */
-    public SimulatedCluster machines(String type, String zone, int count) {
-        for (int i = 0; i < count; i++) {
+    public SimulatedCluster machines(String type, String zone, int machineCount) {
+        for (int i = 0; i < machineCount; i++) {
             cloud.add(type, zone, false, 0.5);
         }
         return this;
