--- a/src/test/java/org/springmill/sim/AnswerChecker.java
+++ b/src/test/java/org/springmill/sim/AnswerChecker.java
@@ -4,7 +4,7 @@
 import org.springmill.transport.HttpClient.Reply;
 import org.springmill.transport.HttpClient.Request;
 
-/** Checks each answer to a user against what users asked for and were answered before. */
+/** Checks each answer to a user against the earlier requests and answers. */
 final class AnswerChecker {
     private static final String SUBMISSIONS = "/submissions";
 
@@ -24,7 +24,7 @@
         this.violations = violations;
     }
 
-    /** A user is about to send a request. */
+    /** Records a request that a user is about to send. */
     void requested(Request request) {
         if (request.path().equals(SUBMISSIONS)) {
             JsonNode job = jobIn(request);
@@ -39,7 +39,7 @@
         }
     }
 
-    /** A user gets the answer to a request sent at that time. */
+    /** Checks the answer to a request that a user sent at {@code sentAt}. */
     void answered(Request request, double sentAt, Reply reply) {
         if (request.path().equals(SUBMISSIONS)) {
             submissionAnswered(request, sentAt, reply);
@@ -89,13 +89,16 @@
     }
 
     private void checkAcceptable(JsonNode job) {
-        String reason = submissions.whyImpossible(job);
+        String reason = submissions.rejectionReason(job);
         if (reason != null) {
             violations.add(Rule.ACCEPTED, job.path("nameId").asText() + ": " + reason);
         }
     }
 
-    /** The first positive answer says that the job is accepted, whatever the question was. */
+    /**
+     * Records and checks an answer with status 200 or 201. The first such answer to any request
+     * shows that the job is accepted.
+     */
     private void positiveAnswer(JobHistory job, double sentAt, Reply reply) {
         job.answered(clock.now());
         if (!job.accepted()) {
@@ -110,17 +113,17 @@
             checkAllTasksDone(job);
         }
         if (phase.equals("cancelled") && !jobs.cancelRequested(job)) {
-            violations.add(Rule.WENT_BACK, job.id() + " cancelled by nobody");
+            violations.add(Rule.WENT_BACK, job.id() + " is cancelled, but nobody requested it");
         }
-        // Answers may overtake each other, but no question asked after a final phase was answered
-        // may
-        // be answered with less.
+        // Answers may arrive out of order, so a phase that is not final is a violation only if the
+        // request was sent after a final phase had been answered.
         boolean differs = job.over() && !phase.equals(job.finalPhase());
         if (differs && (over || job.overBy(sentAt))) {
             violations.add(Rule.WENT_BACK, job.id() + " from " + job.finalPhase() + " to " + phase);
         }
         if (!over && jobs.dependencyCancelledBy(sentAt - SimSettings.CANCEL_SECONDS, job)) {
-            violations.add(Rule.ORPHANED, job.id() + " is " + phase);
+            violations.add(
+                    Rule.ORPHANED, job.id() + " is " + phase + ", but a dependency is cancelled");
         }
         if (over && !job.over()) {
             job.end(phase, clock.now());
@@ -139,7 +142,7 @@
         return reply.status() == 200 || reply.status() == 201;
     }
 
-    /** The job in a submission; null if there is none. */
+    /** The JSON object in a submission; null if there is none. */
     private static JsonNode jobIn(Request request) {
         try {
             JsonNode job = SimKeyValueStore.parse(request.body());
--- a/src/test/java/org/springmill/sim/InvariantChecker.java
+++ b/src/test/java/org/springmill/sim/InvariantChecker.java
@@ -10,8 +10,8 @@
 import org.springmill.transport.HttpClient.Request;
 
 /**
- * The protocol's invariants, watched from outside: by what machines do and by what users are
- * answered. Machines are looked at whenever a task starts and at short intervals.
+ * Checks the protocol's invariants from outside, by the tasks on the machines and the answers to
+ * users. Machines are checked whenever a task starts and at short intervals.
  */
 final class InvariantChecker {
     private static final double INTERVAL_SECONDS = 0.25;
@@ -40,38 +40,46 @@
     }
 
     /**
-     * Tasks that started on a command sent after their user got the answer that the job is
-     * cancelled.
+     * Tasks that were started by a command that the machine executed after the user had been
+     * answered that the job is cancelled.
      */
     List<String> startsAfterCancel() {
         return startsAfterCancel;
     }
 
-    /** From now on there are no failures: work has to go on, and all questions to be answered. */
-    void failuresAreOver() {
-        progress.failuresAreOver(clock.now());
+    /**
+     * From now on there are no failures: jobs for which there is capacity must run, and polls must
+     * be answered.
+     */
+    void failuresEnded() {
+        progress.failuresEnded(clock.now());
     }
 
-    void jobsArePolled() {
-        progress.jobsArePolled();
+    void pollingStarted() {
+        progress.pollingStarted();
     }
 
     /** Accepted jobs that are not over and have tasks that are neither done nor on a machine. */
-    List<String> unservedJobs() {
+    List<String> jobsWithPendingTasks() {
         return jobs.unfinished(clock.now()).stream()
                 .filter(progress::hasPendingTask)
                 .map(JobHistory::id)
                 .toList();
     }
 
-    /** Jobs that users may still ask about: accepted and, as far as they know, not over. */
+    /**
+     * Jobs whose users were answered that they are accepted, but not that they are done or
+     * cancelled.
+     */
     List<String> unfinishedJobs() {
         return jobs.unfinished(clock.now()).stream().map(JobHistory::id).toList();
     }
 
-    /** A job that was accepted before this cluster began, with its tasks that are done. */
-    void assume(JsonNode job, int... done) {
-        jobs.assume(job, done);
+    /**
+     * Adds a job that was accepted before this cluster was started, and its tasks that are done.
+     */
+    void addAcceptedJob(JsonNode job, int... done) {
+        jobs.addAcceptedJob(job, done);
     }
 
     void requested(Request request) {
@@ -95,23 +103,24 @@
         jobs.taskDone(task);
     }
 
-    /** A task starts on a machine. */
+    /** Checks a task that starts on a machine. */
     void started(SimWorker machine, SimWorker.Task task) {
         checkRunsOnce(machine, task.id);
         JobHistory job = jobs.ofTask(task.id);
         if (job == null) {
-            violations.add(Rule.INVENTED, task.id + " starts");
+            violations.add(Rule.INVENTED, task.id + " started, but nobody submitted its job");
             return;
         }
         job.notWaiting();
         String dependency = jobs.unfinishedDependency(job);
         if (dependency != null) {
-            violations.add(Rule.TOO_EARLY, task.id + " before " + dependency);
+            violations.add(
+                    Rule.TOO_EARLY, task.id + " started before its dependency " + dependency);
         }
         if (job.cancelledBy(task.commandedAt)) {
             startsAfterCancel.add(task.id);
         }
-        String reason = placement.whyNotAllowed(machine, job.job());
+        String reason = placement.placementViolation(machine, job.job());
         if (reason != null) {
             violations.add(Rule.WRONG_PLACE, task.id + " on " + machine.name() + ": " + reason);
         }
@@ -127,14 +136,14 @@
         }
     }
 
-    /** Looks at all machines and jobs again and again. */
-    void watch() {
+    /** Checks all machines and jobs now and at regular intervals. */
+    void checkPeriodically() {
         Map<String, TeamUsage> used = checkMachines();
         progress.check(clock.now(), used);
-        clock.after(INTERVAL_SECONDS, this::watch);
+        clock.after(INTERVAL_SECONDS, this::checkPeriodically);
     }
 
-    /** Checks what is on the machines now, and returns what each team uses. */
+    /** Checks the tasks that are on machines now, and returns the usage of each team. */
     private Map<String, TeamUsage> checkMachines() {
         Map<String, TeamUsage> used = new HashMap<>();
         for (SimWorker machine : cloud.machines().values()) {
@@ -162,7 +171,7 @@
     private void checkLimit(String teamName, TeamUsage used) {
         Settings.Team team = settings.team(teamName);
         if (team == null || !team.withinLimit(used.cpus(), used.gpus())) {
-            violations.add(Rule.QUOTA, teamName);
+            violations.add(Rule.QUOTA, teamName + " uses " + used + ", settings are " + team);
         }
     }
 }
--- a/src/test/java/org/springmill/sim/PlacementRules.java
+++ b/src/test/java/org/springmill/sim/PlacementRules.java
@@ -3,7 +3,7 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import org.springmill.protocol.Settings;
 
-/** Where tasks of a job may be, and whether there is capacity for one. */
+/** On which machines tasks of a job may run, and whether there is capacity for one. */
 final class PlacementRules {
     private static final double ROUNDING_ERROR = 1e-6;
 
@@ -19,33 +19,36 @@
 
     /** Whether the job allows a machine type, and a task fits an empty machine of it. */
     static boolean allowsType(JsonNode job, SimCloud.Type type) {
-        boolean named = !job.hasNonNull("frames");
+        boolean typeAllowed = !job.hasNonNull("frames");
         for (JsonNode name : job.path("frames")) {
-            named |= name.asText().equals(type.name());
+            typeAllowed |= name.asText().equals(type.name());
         }
-        return named
+        return typeAllowed
                 && job.path("vcpus").asDouble() <= type.cpus()
                 && job.path("cards").asDouble() <= type.gpus()
                 && job.path("memGb").asDouble() <= type.memoryGb();
     }
 
-    /** Why a task of the job, which may be there already, must not be on a machine; or null. */
-    String whyNotAllowed(SimWorker machine, JsonNode job) {
+    /**
+     * Why a task of the job must not be on a machine; null if it may. The task may be there
+     * already.
+     */
+    String placementViolation(SimWorker machine, JsonNode job) {
         if (!allowsType(job, SimCloud.TYPES.get(machine.type()))) {
-            return "type";
+            return "type not allowed";
         }
         if (job.hasNonNull("yard") && !job.path("yard").asText().equals(machine.zone())) {
-            return "zone";
+            return "zone not allowed";
         }
         if (machine.spot() && !job.path("loaner").asBoolean()) {
-            return "spot";
+            return "spot not allowed";
         }
         if (job.path("samePlace").asBoolean() && tasksOutside(machine.zone(), job) > 0) {
-            return "apart from the others";
+            return "not in the zone of the job's other tasks";
         }
         int mostInOneZone = (job.path("sacks").asInt() + 1) / 2;
         if (job.path("apart").asBoolean() && tasksIn(machine.zone(), job) > mostInOneZone) {
-            return "too many in the zone";
+            return "too many tasks of the job in the zone";
         }
         return null;
     }
@@ -72,8 +75,8 @@
                         .count();
     }
 
-    /** Whether a further task fits its team's limit and a machine on which it may be. */
-    boolean hasRoom(JobHistory job, TeamUsage used) {
+    /** Whether one more task fits within its team's limit and on a machine that its job allows. */
+    boolean hasCapacity(JobHistory job, TeamUsage used) {
         JsonNode spec = job.job();
         boolean withinLimit =
                 settings.team(job.team())
@@ -85,11 +88,11 @@
                         .anyMatch(
                                 machine ->
                                         machine.isHealthy()
-                                                && whyNotAllowed(machine, spec) == null
-                                                && hasRoom(machine, spec));
+                                                && placementViolation(machine, spec) == null
+                                                && hasCapacity(machine, spec));
     }
 
-    private boolean hasRoom(SimWorker machine, JsonNode job) {
+    private boolean hasCapacity(SimWorker machine, JsonNode job) {
         SimCloud.Type type = SimCloud.TYPES.get(machine.type());
         double cpus = type.cpus() - job.path("vcpus").asDouble();
         double gpus = type.gpus() - job.path("cards").asDouble();
--- a/src/test/java/org/springmill/sim/ProgressChecker.java
+++ b/src/test/java/org/springmill/sim/ProgressChecker.java
@@ -5,30 +5,37 @@
 import java.util.Map;
 
 /**
- * Checks that users get answers, and that work goes on once all failures are over. Until then tasks
- * may wait for as long as they have to.
+ * Checks that users get answers and, once all failures have ended, that no job waits for long
+ * although there is capacity for it. Until then tasks may wait without limit.
  */
 final class ProgressChecker {
     /**
-     * A job waits no longer than this while there is capacity for it, once all failures are over.
+     * The longest time that a job may wait although there is capacity for it, once all failures
+     * have ended.
      */
     private static final double MAX_WAIT_SECONDS = 90;
 
-    /** No job goes without an answer for longer than this, once all failures are over. */
+    /** The longest time that a job may get no answer, once all failures have ended. */
     private static final double MAX_UNANSWERED_SECONDS = 75;
 
-    /** Nor, at any time, for longer than this while most jobs get answers. */
-    private static final double MAX_SINGLED_OUT_SECONDS = 90;
+    /**
+     * The longest time that a job may get no answer while most jobs get answers, also during
+     * failures.
+     */
+    private static final double MAX_UNANSWERED_WHILE_OTHERS_ANSWERED_SECONDS = 90;
 
-    /** Twice the interval of polls: a job whose last answer is not older gets answers. */
+    /**
+     * A job counts as answered if its last answer is younger than this, which is twice the poll
+     * interval.
+     */
     private static final double ANSWERED_RECENTLY_SECONDS = 10;
 
     private final SimCloud cloud;
     private final JobHistories jobs;
     private final PlacementRules placement;
     private final Violations violations;
-    private double failuresOverAt = Double.POSITIVE_INFINITY;
-    private boolean polled;
+    private double failuresEndedAt = Double.POSITIVE_INFINITY;
+    private boolean pollsExpected;
 
     ProgressChecker(
             SimCloud cloud, JobHistories jobs, PlacementRules placement, Violations violations) {
@@ -38,55 +45,58 @@
         this.violations = violations;
     }
 
-    /** From now on users poll all their jobs, so that one without an answer is forgotten. */
-    void jobsArePolled() {
-        polled = true;
+    /** From now on users poll all their jobs, and a job without answers is a violation. */
+    void pollingStarted() {
+        pollsExpected = true;
     }
 
-    void failuresAreOver(double now) {
-        failuresOverAt = now;
+    void failuresEnded(double now) {
+        failuresEndedAt = now;
     }
 
     void check(double now, Map<String, TeamUsage> used) {
-        if (polled) {
+        if (pollsExpected) {
             checkAnswers(now);
         }
-        if (failuresOverAt < now) {
+        if (failuresEndedAt < now) {
             jobs.unfinished(now).forEach(job -> checkWaiting(job, now, used));
         }
     }
 
     private void checkAnswers(double now) {
-        List<JobHistory> asking = jobs.unfinished(now);
+        List<JobHistory> unfinished = jobs.unfinished(now);
         long answered =
-                asking.stream()
+                unfinished.stream()
                         .filter(job -> now - job.lastAnswerAt() < ANSWERED_RECENTLY_SECONDS)
                         .count();
-        boolean mostAnswered = 2 * answered > asking.size();
-        for (JobHistory job : asking) {
-            boolean singledOut = mostAnswered && now - job.lastAnswerAt() > MAX_SINGLED_OUT_SECONDS;
-            double unansweredSince = Math.max(job.lastAnswerAt(), failuresOverAt);
-            if (singledOut || now - unansweredSince > MAX_UNANSWERED_SECONDS) {
-                violations.add(Rule.FORGOTTEN, job.id() + " gets no answer");
+        boolean mostAnswered = 2 * answered > unfinished.size();
+        for (JobHistory job : unfinished) {
+            boolean unansweredUnlikeMost =
+                    mostAnswered
+                            && now - job.lastAnswerAt()
+                                    > MAX_UNANSWERED_WHILE_OTHERS_ANSWERED_SECONDS;
+            double unansweredSince = Math.max(job.lastAnswerAt(), failuresEndedAt);
+            if (unansweredUnlikeMost || now - unansweredSince > MAX_UNANSWERED_SECONDS) {
+                violations.add(Rule.FORGOTTEN, job.id() + " got no answer in time");
             }
         }
     }
 
     private void checkWaiting(JobHistory job, double now, Map<String, TeamUsage> used) {
-        if (waitsThoughThereIsRoom(job, used.getOrDefault(job.team(), TeamUsage.NONE))) {
+        if (waitsDespiteCapacity(job, used.getOrDefault(job.team(), TeamUsage.NONE))) {
             job.waiting(now);
         } else {
             job.notWaiting();
         }
-        if (now - Math.max(job.waitingSince(), failuresOverAt) > MAX_WAIT_SECONDS) {
-            violations.add(Rule.WAITS, job.id());
+        if (now - Math.max(job.waitingSince(), failuresEndedAt) > MAX_WAIT_SECONDS) {
+            violations.add(Rule.WAITS, job.id() + " for more than " + MAX_WAIT_SECONDS + " s");
         }
     }
 
-    private boolean waitsThoughThereIsRoom(JobHistory job, TeamUsage used) {
+    private boolean waitsDespiteCapacity(JobHistory job, TeamUsage used) {
         return jobs.unfinishedDependency(job) == null
                 && hasPendingTask(job)
-                && placement.hasRoom(job, used);
+                && placement.hasCapacity(job, used);
     }
 
     /** Whether a job has a task that is neither done nor on a machine. */
--- a/src/test/java/org/springmill/sim/SimController.java
+++ b/src/test/java/org/springmill/sim/SimController.java
@@ -13,7 +13,7 @@
 
 /**
  * The process of one controller: the real {@link Controller} on the virtual clock and the simulated
- * networks. Once stopped it acts no more, whatever timers and responses are still to come.
+ * networks. Timers and responses that are due after {@link #stop} are ignored.
  */
 final class SimController implements EventLoop, HttpClient, PeerLink {
     private final int number;
@@ -22,9 +22,9 @@
     private final SimPeerNetwork peerNetwork;
     private final Controller controller;
     private Listener listener;
-    private final Queue<Runnable> missed = new ArrayDeque<>();
+    private final Queue<Runnable> deferredEvents = new ArrayDeque<>();
     private boolean stopped;
-    private boolean frozen;
+    private boolean paused;
 
     SimController(
             int number,
@@ -47,23 +47,26 @@
         stopped = true;
     }
 
-    /** Does nothing for some time, while its clock runs on; then all that came in, in order. */
+    /**
+     * Suspends the process for {@code seconds} while its clock continues. Events that occur
+     * meanwhile are then processed in order.
+     */
     void pause(double seconds) {
-        frozen = true;
+        paused = true;
         clock.after(seconds, this::resume);
     }
 
     private void resume() {
-        frozen = false;
-        while (!missed.isEmpty() && !stopped) {
-            missed.poll().run();
+        paused = false;
+        while (!deferredEvents.isEmpty() && !stopped) {
+            deferredEvents.poll().run();
         }
     }
 
-    /** Runs what the process does on an event, now or once it does anything again. */
-    private void act(Runnable action) {
-        if (frozen) {
-            missed.add(action);
+    /** Processes an event now, or when the process resumes if it is paused. */
+    private void runOrDefer(Runnable action) {
+        if (paused) {
+            deferredEvents.add(action);
         } else if (!stopped) {
             action.run();
         }
@@ -73,13 +76,13 @@
         return SimSettings.controllerName(number);
     }
 
-    /** Where peer messages go; null until the controller listens. */
+    /** The receiver of peer messages; null until the controller has set it. */
     Listener listener() {
         return listener;
     }
 
     void handle(Request request, Consumer<Reply> done) {
-        act(() -> controller.handle(new SimCall(request, done)));
+        runOrDefer(() -> controller.handle(new SimCall(request, done)));
     }
 
     @Override
@@ -87,7 +90,7 @@
         return clock.now();
     }
 
-    /** Off by as much as the settings allow, to either side. */
+    /** Controllers 0 and 2 are 1 s slow and 1 s fast, the largest skew that the settings allow. */
     @Override
     public double timeOfDay() {
         return clock.timeOfDay() + number - 1;
@@ -95,12 +98,12 @@
 
     @Override
     public Timer after(double seconds, Runnable task) {
-        return clock.after(seconds, () -> act(task));
+        return clock.after(seconds, () -> runOrDefer(task));
     }
 
     @Override
     public void send(Request request, Consumer<Reply> done) {
-        network.send(name(), request, reply -> act(() -> done.accept(reply)));
+        network.send(name(), request, reply -> runOrDefer(() -> done.accept(reply)));
     }
 
     @Override
@@ -109,17 +112,17 @@
     }
 
     @Override
-    public void setListener(Listener taker) {
+    public void setListener(Listener receiver) {
         listener =
                 new Listener() {
                     @Override
                     public void onRecord(byte[] record) {
-                        act(() -> taker.onRecord(record));
+                        runOrDefer(() -> receiver.onRecord(record));
                     }
 
                     @Override
                     public void onConnectionRefused(String node) {
-                        act(() -> taker.onConnectionRefused(node));
+                        runOrDefer(() -> receiver.onConnectionRefused(node));
                     }
                 };
     }
--- a/src/test/java/org/springmill/sim/SimNetwork.java
+++ b/src/test/java/org/springmill/sim/SimNetwork.java
@@ -9,42 +9,45 @@
 import org.springmill.transport.HttpClient.Reply;
 import org.springmill.transport.HttpClient.Request;
 
-/** Carries requests with a delay and lets a test decide the fate of each. */
+/**
+ * Delivers HTTP requests and responses with a delay. A test can lose, refuse, delay, duplicate or
+ * hold them.
+ */
 public final class SimNetwork {
     private static final double DELAY_SECONDS = 0.002;
 
-    /** What becomes of a message. */
+    /** How the network treats a request. */
     public enum Fate {
         DELIVER,
-        /** Never arrives; the sender hears nothing. */
+        /** Is lost; the sender gets a timeout. */
         DROP,
-        /** The connection cannot be made; the sender knows that nothing was sent. */
+        /** The connection is refused; the sender learns that nothing was sent. */
         REFUSE,
         /** Arrives and is executed, but its response is lost. */
         LOSE_ANSWER,
-        /** Held, and delivered when the test releases it, long after the sender has given up. */
+        /** Is delivered only by {@link #releaseHeld}; the sender gets a timeout. */
         HOLD
     }
 
-    /** Decides by sender, address and content. */
+    /** Decides how a request is treated, by its sender, address and content. */
     public interface Judge {
         Fate judge(String from, Request request);
     }
 
     private final SimulatedCluster cluster;
-    private final List<Held> held = new ArrayList<>();
-    private final Set<String> unreachable = new HashSet<>();
-    private final Set<String> unableToSendHeartbeats = new HashSet<>();
+    private final List<HeldRequest> held = new ArrayList<>();
+    private final Set<String> unreachableMachines = new HashSet<>();
+    private final Set<String> heartbeatsBlocked = new HashSet<>();
     private final Set<String> partitionFromStore = new HashSet<>();
-    private Judge judge = (from, request) -> Fate.DELIVER;
-    private Delays delays = (from, request) -> 0;
-    private Delays answerDelays = (from, request) -> 0;
+    private Judge deliveryRule = (from, request) -> Fate.DELIVER;
+    private Delays requestDelays = (from, request) -> 0;
+    private Delays responseDelays = (from, request) -> 0;
     private SplittableRandom random;
-    private double duplicatedReportShare;
+    private double duplicatedHeartbeatShare;
 
-    private record Held(String from, Request request) {}
+    private record HeldRequest(String from, Request request) {}
 
-    /** How much longer a message is on its way, in seconds. */
+    /** Additional delay of a message, in seconds. */
     public interface Delays {
         double delaySeconds(String from, Request request);
     }
@@ -57,48 +60,51 @@
         random = source;
     }
 
-    public void judge(Judge by) {
-        judge = by;
+    public void judge(Judge rule) {
+        deliveryRule = rule;
     }
 
-    /** Delays requests, which are executed even if their sender has long given up. */
-    public void delayRequests(Delays by) {
-        delays = by;
+    /** Delays requests. A request is executed even if its sender has timed out by then. */
+    public void delayRequests(Delays delays) {
+        requestDelays = delays;
     }
 
-    /** Delays responses; the sender may have given up by then. */
-    public void delayAnswers(Delays by) {
-        answerDelays = by;
+    /** Delays responses. A response is ignored if the sender has timed out by then. */
+    public void delayAnswers(Delays delays) {
+        responseDelays = delays;
     }
 
-    /** The heartbeats of a machine arrive; answers and direct commands to it are lost. */
+    /** Loses all responses and direct commands to a machine, while its heartbeats still arrive. */
     public void blockMessagesTo(SimWorker machine) {
-        unreachable.add(machine.name());
-        unreachable.add(machine.address());
+        unreachableMachines.add(machine.name());
+        unreachableMachines.add(machine.address());
     }
 
-    /** A machine cannot connect to any controller, while direct commands reach it. */
+    /** Refuses the heartbeats of a machine, while direct commands still reach it. */
     public void blockHeartbeatsFrom(SimWorker machine) {
-        unableToSendHeartbeats.add(machine.name());
+        heartbeatsBlocked.add(machine.name());
     }
 
-    /** Nothing gets through between a controller and the key-value store. */
+    /** Drops all requests from a controller to the key-value store. */
     public void partitionFromStore(String controller) {
         partitionFromStore.add(controller);
     }
 
-    /** Of that share of the heartbeats a copy arrives again, from 2 s to three leases later. */
-    public void duplicateHeartbeats(double share) {
-        duplicatedReportShare = share;
+    /**
+     * Delivers a random share of the heartbeats a second time, from 2 s to three lease durations
+     * later.
+     */
+    public void duplicateHeartbeats(double heartbeatShare) {
+        duplicatedHeartbeatShare = heartbeatShare;
     }
 
     void endFailures() {
-        judge = (from, request) -> Fate.DELIVER;
-        delays = (from, request) -> 0;
-        answerDelays = (from, request) -> 0;
-        duplicatedReportShare = 0;
-        unreachable.clear();
-        unableToSendHeartbeats.clear();
+        deliveryRule = (from, request) -> Fate.DELIVER;
+        requestDelays = (from, request) -> 0;
+        responseDelays = (from, request) -> 0;
+        duplicatedHeartbeatShare = 0;
+        unreachableMachines.clear();
+        heartbeatsBlocked.clear();
         partitionFromStore.clear();
     }
 
@@ -106,60 +112,62 @@
         return !held.isEmpty();
     }
 
-    /** Delivers everything that was held; nobody waits for the responses. */
+    /** Delivers all held requests and ignores their responses. */
     public void releaseHeld() {
-        for (Held message : List.copyOf(held)) {
+        for (HeldRequest message : List.copyOf(held)) {
             cluster.route(message.from(), message.request(), reply -> {});
         }
         held.clear();
     }
 
-    /** Delivers a copy of a request once more. */
+    /** Delivers a request again and ignores its response. */
     public void repeat(Request request) {
         cluster.route("", request, reply -> {});
     }
 
     private Fate fate(String from, Request request) {
         boolean report = request.path().equals("/v1/report");
-        if (report && unableToSendHeartbeats.contains(from)) {
+        if (report && heartbeatsBlocked.contains(from)) {
             return Fate.REFUSE;
         }
-        if (unreachable.contains(request.address())
+        if (unreachableMachines.contains(request.address())
                 || (partitionFromStore.contains(from)
-                        && request.address().equals(SimSettings.STATE_SERVICE))) {
+                        && request.address().equals(SimSettings.STORE_ADDRESS))) {
             return Fate.DROP;
         }
-        Fate fate = judge.judge(from, request);
-        return fate == Fate.DELIVER && unreachable.contains(from) ? Fate.LOSE_ANSWER : fate;
+        Fate delivery = deliveryRule.judge(from, request);
+        return delivery == Fate.DELIVER && unreachableMachines.contains(from)
+                ? Fate.LOSE_ANSWER
+                : delivery;
     }
 
     void send(String from, Request request, Consumer<Reply> done) {
         boolean[] answered = new boolean[1];
-        Consumer<Reply> once =
+        Consumer<Reply> completeOnce =
                 reply -> {
                     if (!answered[0]) {
                         answered[0] = true;
                         done.accept(reply);
                     }
                 };
-        Fate fate = fate(from, request);
-        if (fate == Fate.REFUSE) {
-            cluster.clock().after(DELAY_SECONDS, () -> once.accept(Reply.NOT_SENT));
+        Fate delivery = fate(from, request);
+        if (delivery == Fate.REFUSE) {
+            cluster.clock().after(DELAY_SECONDS, () -> completeOnce.accept(Reply.NOT_SENT));
             return;
         }
-        cluster.clock().after(request.timeoutSeconds(), () -> once.accept(Reply.LOST));
+        cluster.clock().after(request.timeoutSeconds(), () -> completeOnce.accept(Reply.LOST));
         if (request.path().equals("/v1/report")
-                && duplicatedReportShare > 0
-                && random.nextDouble() < duplicatedReportShare) {
+                && duplicatedHeartbeatShare > 0
+                && random.nextDouble() < duplicatedHeartbeatShare) {
             cluster.clock()
                     .after(
                             2 + random.nextDouble() * (3 * SimSettings.LEASE_SECONDS - 2),
                             () -> cluster.route(from, request, reply -> {}));
         }
-        double delaySeconds = DELAY_SECONDS + delays.delaySeconds(from, request);
-        switch (fate) {
+        double delaySeconds = DELAY_SECONDS + requestDelays.delaySeconds(from, request);
+        switch (delivery) {
             case DROP -> {}
-            case HOLD -> held.add(new Held(from, request));
+            case HOLD -> held.add(new HeldRequest(from, request));
             case LOSE_ANSWER ->
                     cluster.clock()
                             .after(delaySeconds, () -> cluster.route(from, request, reply -> {}));
@@ -175,13 +183,14 @@
                                                             cluster.clock()
                                                                     .after(
                                                                             DELAY_SECONDS
-                                                                                    + answerDelays
+                                                                                    + responseDelays
                                                                                             .delaySeconds(
                                                                                                     from,
                                                                                                     request),
                                                                             () ->
-                                                                                    once.accept(
-                                                                                            reply))));
+                                                                                    completeOnce
+                                                                                            .accept(
+                                                                                                    reply))));
         }
     }
 }
--- a/src/test/java/org/springmill/sim/SimWorker.java
+++ b/src/test/java/org/springmill/sim/SimWorker.java
@@ -10,7 +10,10 @@
 import org.springmill.transport.HttpClient.Reply;
 import org.springmill.transport.HttpClient.Request;
 
-/** A simulated worker, written from the published protocol. */
+/**
+ * A simulated worker machine, written from the published protocol and not with the controller's
+ * message classes.
+ */
 public final class SimWorker {
     private static final ObjectMapper JSON = new ObjectMapper();
 
@@ -22,10 +25,10 @@
         String phase = "pulling";
         String cause;
 
-        /** When it began to run here; its progress counts from the last checkpoint. */
+        /** When it started to run here, from its last checkpoint; NaN before. */
         double runningSince = Double.NaN;
 
-        /** When a halt arrived for it; infinite if none has. */
+        /** When the first halt command for it was executed; infinite if none was. */
         double haltedAt = Double.POSITIVE_INFINITY;
 
         Task(String id, long attempt, double commandedAt) {
@@ -56,11 +59,11 @@
     private double renewedAt;
     private Double noticeSeconds;
     private boolean up;
-    private boolean gone;
+    private boolean terminated;
     private boolean hung;
     private int controller;
-    private boolean reporting;
-    private boolean failing;
+    private boolean heartbeatInFlight;
+    private boolean failingAllTasks;
     private boolean ignoringHalts;
 
     SimWorker(
@@ -111,13 +114,14 @@
     }
 
     /**
-     * Past its lease nothing counts as on the machine, even if it hangs and so has not noticed yet.
+     * After the lease has expired no task counts as on the machine, even if the machine hangs and
+     * has not detected the expiry yet.
      */
     private boolean isLeaseExpired() {
         return cluster.clock().now() - renewedAt > SimSettings.LEASE_SECONDS;
     }
 
-    /** How many tasks run here or save a checkpoint. */
+    /** The number of tasks that run here or save a checkpoint. */
     public int running() {
         return isLeaseExpired() ? 0 : (int) tasks.values().stream().filter(Task::onMachine).count();
     }
@@ -128,58 +132,64 @@
                 && tasks.values().stream().anyMatch(t -> t.id.equals(task) && t.onMachine());
     }
 
-    /** Whether a task is here, be it still fetching. */
+    /** Whether a task is on this machine and not over; it may still be fetching its image. */
     public boolean hasTask(String task) {
         return !isLeaseExpired()
                 && tasks.values().stream().anyMatch(t -> t.id.equals(task) && !t.over());
     }
 
-    /** Whether the cloud has not said that it will take this machine. */
-    boolean noNotice() {
+    /** Whether the cloud has given no preemption notice for this machine. */
+    boolean hasNoPreemptionNotice() {
         return noticeSeconds == null;
     }
 
-    /** Whether nothing is wrong with this machine. */
+    /**
+     * Whether this machine is reachable with a valid lease, has no preemption notice and is not set
+     * to fail its tasks.
+     */
     boolean isHealthy() {
-        return reachable() && !failing && noticeSeconds == null && !isLeaseExpired();
+        return reachable() && !failingAllTasks && noticeSeconds == null && !isLeaseExpired();
     }
 
-    /** The cloud gives a preemption notice: it will reclaim this machine. */
+    /**
+     * Gives a preemption notice of {@code seconds}. The worker reports it; {@link SimCloud#reclaim}
+     * reclaims the machine.
+     */
     public void givePreemptionNotice(double seconds) {
         noticeSeconds = seconds;
         sendHeartbeat();
     }
 
-    /** Every task that starts here fails at once from now on. */
+    /** From now on every task here ends with an error; new tasks do so 0.1 s after their start. */
     public void failEverything() {
-        failing = true;
+        failingAllTasks = true;
     }
 
-    /** This machine stops to act, or resumes. */
-    public void hang(boolean now) {
-        hung = now;
+    /** Suspends all activity of this machine, or resumes it. */
+    public void hang(boolean hangs) {
+        hung = hangs;
     }
 
-    /** Tasks here do not end when they are halted, until they are allowed to. */
-    public void ignoreHalts(boolean now) {
-        ignoringHalts = now;
+    /** Makes the worker ignore halt commands, or execute them again. */
+    public void ignoreHalts(boolean ignoring) {
+        ignoringHalts = ignoring;
     }
 
     void boot() {
-        if (!gone) {
+        if (!terminated) {
             up = true;
             renewedAt = cluster.clock().now();
-            loop();
+            sendPeriodicHeartbeats();
         }
     }
 
     void destroy() {
         killTasks();
-        gone = true;
+        terminated = true;
         up = false;
     }
 
-    /** All tasks end without a save; what they did since their last checkpoints is lost. */
+    /** Ends all tasks without a save; their work since their last checkpoints is lost. */
     private void killTasks() {
         tasks.values().stream()
                 .filter(Task::onMachine)
@@ -187,13 +197,13 @@
         tasks.clear();
     }
 
-    private void loop() {
-        if (gone) {
+    private void sendPeriodicHeartbeats() {
+        if (terminated) {
             return;
         }
         checkLease();
         sendHeartbeat();
-        cluster.clock().after(SimSettings.REPORT_SECONDS, this::loop);
+        cluster.clock().after(SimSettings.HEARTBEAT_SECONDS, this::sendPeriodicHeartbeats);
     }
 
     private void checkLease() {
@@ -233,12 +243,12 @@
     }
 
     private void sendHeartbeat() {
-        if (reporting || gone || hung || !up) {
+        if (heartbeatInFlight || terminated || hung || !up) {
             return;
         }
-        reporting = true;
-        double sent = cluster.clock().now();
-        long sentSession = epoch;
+        heartbeatInFlight = true;
+        double sentAt = cluster.clock().now();
+        long sentEpoch = epoch;
         byte[] body = heartbeatBody().toString().getBytes(java.nio.charset.StandardCharsets.UTF_8);
         int to = controller;
         cluster.network()
@@ -246,8 +256,8 @@
                         name,
                         new Request(SimSettings.apiAddress(to), "POST", "/v1/report", body, 4),
                         reply -> {
-                            reporting = false;
-                            if (gone || hung) {
+                            heartbeatInFlight = false;
+                            if (terminated || hung) {
                                 return;
                             }
                             checkLease();
@@ -256,10 +266,10 @@
                                 boolean valid =
                                         answer.has("baton")
                                                 && answer.path("baton").asLong() >= token
-                                                && epoch == sentSession;
+                                                && epoch == sentEpoch;
                                 if (valid) {
                                     token = answer.path("baton").asLong();
-                                    renewedAt = sent;
+                                    renewedAt = sentAt;
                                     execute(answer.path("orders"));
                                 }
                             } else if (reply.status() == 421
@@ -293,7 +303,7 @@
     }
 
     boolean reachable() {
-        return up && !gone && !hung;
+        return up && !terminated && !hung;
     }
 
     private void execute(JsonNode orders) {
@@ -322,7 +332,11 @@
         }
     }
 
-    /** A running task that has checkpoints saves if the time allows; every other one exits. */
+    /**
+     * Starts a save if the task is running, its job has checkpoints and the grace period is long
+     * enough. A task that is saving already continues unless the grace period is 0. All other tasks
+     * end immediately.
+     */
     private void halt(String key, Task task, double graceSeconds) {
         double now = cluster.clock().now();
         task.haltedAt = Math.min(task.haltedAt, now);
@@ -334,22 +348,22 @@
         }
         boolean saves =
                 task.phase.equals("running")
-                        && cluster.progress().mayBeSaved(task.id)
+                        && cluster.progress().hasCheckpoints(task.id)
                         && graceSeconds >= cluster.progress().nominalSaveSeconds(task.id);
         if (!saves) {
             stop(task, now);
             return;
         }
         task.phase = "saving";
-        double begun = now;
+        double saveStartedAt = now;
         sendHeartbeat();
         double saveSeconds = cluster.progress().saveSeconds(task.id);
         if (saveSeconds < Double.POSITIVE_INFINITY) {
-            afterHang(
+            runAfterDelayAndHang(
                     saveSeconds,
                     () -> {
                         if (tasks.get(key) == task && task.phase.equals("saving")) {
-                            cluster.progress().saved(task, begun);
+                            cluster.progress().saved(task, saveStartedAt);
                             end(task, "stopped");
                             sendHeartbeat();
                         }
@@ -373,7 +387,7 @@
             end(task, "busy");
             return;
         }
-        afterHang(
+        runAfterDelayAndHang(
                 cluster.imageFetchSeconds(),
                 () -> {
                     if (tasks.get(key) != task || !task.phase.equals("pulling")) {
@@ -385,24 +399,24 @@
                     sendHeartbeat();
                     double runSeconds = fails(task) ? 0.1 : cluster.progress().secondsLeft(task.id);
                     if (runSeconds < Double.POSITIVE_INFINITY) {
-                        afterHang(runSeconds, () -> finish(key, task));
+                        runAfterDelayAndHang(runSeconds, () -> finish(key, task));
                     }
                 });
     }
 
     /**
-     * A machine that hangs does nothing, and goes on when it wakes; past its lease it finds nothing
-     * to go on with.
+     * Runs an action after a delay, and after the end of a hang if the machine hangs by then. If
+     * the lease has expired by then, all tasks are killed before the action runs.
      */
-    private void afterHang(double seconds, Runnable then) {
+    private void runAfterDelayAndHang(double seconds, Runnable then) {
         cluster.clock()
                 .after(
                         seconds,
                         () -> {
                             checkLease();
                             if (hung) {
-                                afterHang(SimSettings.REPORT_SECONDS / 20, then);
-                            } else if (!gone) {
+                                runAfterDelayAndHang(SimSettings.HEARTBEAT_SECONDS / 20, then);
+                            } else if (!terminated) {
                                 then.run();
                             }
                         });
@@ -420,7 +434,7 @@
     }
 
     private boolean fails(Task task) {
-        return failing || cluster.isBroken(task.id);
+        return failingAllTasks || cluster.isBroken(task.id);
     }
 
     private static void end(Task task, String cause) {
--- a/src/test/java/org/springmill/sim/SubmissionRules.java
+++ b/src/test/java/org/springmill/sim/SubmissionRules.java
@@ -4,9 +4,9 @@
 import java.util.List;
 import org.springmill.protocol.Settings;
 
-/** Which submissions must not be accepted, since their jobs can never run. */
+/** Finds submissions that must not be accepted because their jobs can never run. */
 public final class SubmissionRules {
-    /** Fields that every submission must have, other than null. */
+    /** Fields that must be present and not null in every submission. */
     public static final List<String> REQUIRED_FIELDS =
             List.of(
                     "nameId",
@@ -34,22 +34,26 @@
     }
 
     /** Why a job must not be accepted; null if it may. */
-    String whyImpossible(JsonNode job) {
+    String rejectionReason(JsonNode job) {
         for (String field : REQUIRED_FIELDS) {
             if (!job.hasNonNull(field)) {
-                return "lacks " + field;
+                return "no field " + field;
             }
         }
         Settings.Team team = settings.team(job.path("crew").asText());
         if (team == null) {
             return "unknown team";
         }
-        int together = job.path("shape").asText().equals("sweep") ? 1 : job.path("sacks").asInt();
+        int concurrentTasks =
+                job.path("shape").asText().equals("sweep") ? 1 : job.path("sacks").asInt();
         if (!team.withinLimit(
-                job.path("vcpus").asDouble() * together, job.path("cards").asDouble() * together)) {
+                job.path("vcpus").asDouble() * concurrentTasks,
+                job.path("cards").asDouble() * concurrentTasks)) {
             return "above the team's limit";
         }
-        return isZoneKnown(job) && fitsSomeType(job) ? null : "fits no machine";
+        return isZoneKnown(job) && fitsSomeType(job)
+                ? null
+                : "unknown zone, or fits no machine type";
     }
 
     private boolean isZoneKnown(JsonNode job) {
