--- a/src/main/java/org/springmill/control/autoscaling/MachineListing.java
+++ b/src/main/java/org/springmill/control/autoscaling/MachineListing.java
@@ -135,7 +135,7 @@
         machine.recordListed(listedAt);
         machine.rentedAt(listedAt - listed.ageSeconds());
         if (listed.phase() != MachinePhase.BOOTING) {
-            machine.markListedAsRunning();
+            machine.markListedAsBooted();
         }
         if (machine.type() == null || machine.address().isEmpty()) {
             describe(machine, listed);
--- a/src/main/java/org/springmill/control/cluster/Machine.java
+++ b/src/main/java/org/springmill/control/cluster/Machine.java
@@ -59,7 +59,7 @@
     private MachineDescription description = MachineDescription.UNKNOWN;
     private State state = State.PROVISIONING;
     private double rentedAt;
-    private boolean isListedAsRunning;
+    private boolean isListedAsBooted;
     private double listedAt = Double.NEGATIVE_INFINITY;
     private double idleSince;
     private double preemptionAt = Double.POSITIVE_INFINITY;
@@ -151,10 +151,10 @@
 
     /**
      * Whether it is provisioning and nothing shows that it has booted: the cloud has not listed it
-     * as running, and it has no attempt.
+     * as running or failed, and it has no attempt.
      */
     public boolean isBooting() {
-        return state == State.PROVISIONING && !isListedAsRunning && attempts.isEmpty();
+        return state == State.PROVISIONING && !isListedAsBooted && attempts.isEmpty();
     }
 
     /** Records that the cloud's list names it. */
@@ -167,9 +167,9 @@
         rentedAt = Math.min(rentedAt, time);
     }
 
-    /** Records that the cloud lists it as running: missing heartbeats do not mean a slow boot. */
-    public void markListedAsRunning() {
-        isListedAsRunning = true;
+    /** Records that the cloud lists it as running or failed, so its boot is over. */
+    public void markListedAsBooted() {
+        isListedAsBooted = true;
     }
 
     /** When the cloud's list last named it; negative infinity for never. */
--- a/src/test/java/org/springmill/control/borrowing/RecallLogTest.java
+++ b/src/test/java/org/springmill/control/borrowing/RecallLogTest.java
@@ -12,11 +12,11 @@
 import org.junit.jupiter.api.Test;
 import org.springmill.protocol.Resources;
 import org.springmill.protocol.TaskId;
-import org.springmill.sim.RecallStores;
+import org.springmill.sim.UnconnectedStores;
 
 /** Checks the stored form of recalls and the number of records that they take. */
 class RecallLogTest {
-    private final RecallLog log = new RecallLog(RecallStores.unconnected());
+    private final RecallLog log = new RecallLog(UnconnectedStores.unconnected());
 
     private static Recall recall(long round, int ordinal, int victims) {
         List<TaskId> tasks =
@@ -105,6 +105,6 @@
         IntStream.range(0, 2000).forEach(i -> many.add(new TaskId("run-" + (100000 + i), 0)));
         Recall tooLarge =
                 Recall.decide(round, 0, "host-000007", "run-000398", large.amount(), many, 1000.5);
-        assertFalse(new RecallLog(RecallStores.unconnected()).fits(List.of(), tooLarge));
+        assertFalse(new RecallLog(UnconnectedStores.unconnected()).fits(List.of(), tooLarge));
     }
 }
--- a/src/test/java/org/springmill/control/controller/CancellationPersisterTest.java
+++ b/src/test/java/org/springmill/control/controller/CancellationPersisterTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import org.springmill.protocol.Json;
-import org.springmill.sim.SimNetwork.Fate;
+import org.springmill.sim.SimNetwork.Delivery;
 import org.springmill.sim.SimulatedCluster;
 import org.springmill.transport.HttpClient.Request;
 
@@ -80,18 +80,18 @@
         commit.putArray("when");
         commit.putArray("writes").add(write);
         byte[] body = commit.toString().getBytes(StandardCharsets.UTF_8);
-        cluster.network().repeat(new Request("state:1", "POST", "/commit", body, 1));
+        cluster.network().deliverAgain(new Request("state:1", "POST", "/commit", body, 1));
     }
 
     private void blockJobWatchOfLeader() {
         String leader = "n-" + cluster.leader();
         cluster.network()
-                .judge(
+                .setDeliveryRule(
                         (from, request) ->
                                 from.equals(leader)
                                                 && request.path().startsWith("/changes?under=job")
-                                        ? Fate.DROP
-                                        : Fate.DELIVER);
+                                        ? Delivery.DROP
+                                        : Delivery.DELIVER);
         // Longer than a watch request stays open.
         cluster.run(20);
     }
@@ -113,7 +113,7 @@
         writeUnseenVersion(4);
         assertEquals("cancelled", cluster.cancel(cluster.leader(), id(FIRST)));
         cluster.run(10);
-        cluster.network().judge((from, request) -> Fate.DELIVER);
+        cluster.network().setDeliveryRule((from, request) -> Delivery.DELIVER);
         cluster.run(20);
         assertEquals(List.of(), unwritten());
     }
@@ -136,7 +136,7 @@
             submit(job(number, FIRST));
         }
         cluster.run(3);
-        cluster.keyValueStore().limit(1024, 12);
+        cluster.keyValueStore().setSizeLimits(1024, 12);
         assertEquals("cancelled", cluster.cancel(cluster.leader(), id(FIRST)));
         cluster.run(60);
         assertEquals(List.of(2), unwritten());
--- a/src/test/java/org/springmill/control/simulation/AdmissionTest.java
+++ b/src/test/java/org/springmill/control/simulation/AdmissionTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 import org.springmill.sim.RetryingUsers;
-import org.springmill.sim.SimNetwork.Fate;
+import org.springmill.sim.SimNetwork.Delivery;
 import org.springmill.sim.SimOptions;
 import org.springmill.sim.SimulatedCluster;
 import org.springmill.transport.HttpClient.Reply;
@@ -126,7 +126,7 @@
                     .after(
                             i / 20.0,
                             () ->
-                                    cluster.user(
+                                    cluster.sendAsUser(
                                             idOf(job).charAt(idOf(job).length() - 1) % CONTROLLERS,
                                             "POST",
                                             "/submissions",
@@ -149,11 +149,11 @@
         int stale = follower();
         String staleName = "n-" + stale;
         cluster.network()
-                .judge(
+                .setDeliveryRule(
                         (from, request) ->
                                 from.equals(staleName) && request.path().startsWith("/changes")
-                                        ? Fate.DROP
-                                        : Fate.DELIVER);
+                                        ? Delivery.DROP
+                                        : Delivery.DELIVER);
         int acceptedByOthers = 0;
         int acceptedByStale = 0;
         for (int i = 0; i < 2 * LOW_JOBS; i++) {
@@ -192,12 +192,13 @@
         startSmall(SimOptions.DEFAULTS);
         List<ObjectNode> accepted = fillLowPriority();
         ObjectNode last = job("red", "best_effort", 1);
-        cluster.network().judge((from, request) -> fateOfRequest(from, request, idOf(last)));
+        cluster.network()
+                .setDeliveryRule((from, request) -> fateOfRequest(from, request, idOf(last)));
         // The watches of controller 1 are lost from now on, so by its own count it is at the limit.
         cluster.run(15);
         cluster.cancel(0, idOf(accepted.get(0)));
         cluster.run(1);
-        cluster.user(0, "POST", "/submissions", last.toString(), 5, reply -> {});
+        cluster.sendAsUser(0, "POST", "/submissions", last.toString(), 5, reply -> {});
         cluster.run(0.1);
         assertEquals(200, submit(1, last).status());
         deliverAllMessages();
@@ -206,14 +207,14 @@
         assertEquals(accepted.size(), metric(0, "live_jobs"));
     }
 
-    private static Fate fateOfRequest(String from, Request request, String id) {
+    private static Delivery fateOfRequest(String from, Request request, String id) {
         String body = new String(request.body(), StandardCharsets.UTF_8);
         if (request.path().equals("/commit") && body.contains(id)) {
-            return Fate.LOSE_ANSWER;
+            return Delivery.LOSE_RESPONSE;
         }
         boolean watch =
                 request.path().startsWith("/changes") && !request.path().endsWith("waitMs=0");
-        return watch && from.equals("n-1") ? Fate.DROP : Fate.DELIVER;
+        return watch && from.equals("n-1") ? Delivery.DROP : Delivery.DELIVER;
     }
 
     /** Jobs of low priority cannot use the room for urgent and production jobs. */
@@ -248,7 +249,7 @@
     void noJobIsDroppedWhenALeaderStartsAboveTheLimit() {
         startSmall(SimOptions.DEFAULTS);
         List<ObjectNode> accepted = fillLowPriority();
-        cluster.heapBytes(SMALL_HEAP / 4);
+        cluster.setHeapBytes(SMALL_HEAP / 4);
         for (int i = 0; i < CONTROLLERS; i++) {
             cluster.restart(i);
             cluster.run(10);
@@ -328,7 +329,7 @@
         List<Reply> refused = new ArrayList<>();
         for (int i = 0; i < 600; i++) {
             String body = job(i % 2 == 0 ? "red" : "blue", "normal", 0).toString();
-            cluster.user(
+            cluster.sendAsUser(
                     i % CONTROLLERS,
                     "POST",
                     "/submissions",
--- a/src/test/java/org/springmill/control/simulation/BorrowingFailureTest.java
+++ b/src/test/java/org/springmill/control/simulation/BorrowingFailureTest.java
@@ -18,7 +18,7 @@
 import org.junit.jupiter.params.provider.EnumSource;
 import org.junit.jupiter.params.provider.ValueSource;
 import org.springmill.protocol.OperatorSettings;
-import org.springmill.sim.SimNetwork.Fate;
+import org.springmill.sim.SimNetwork.Delivery;
 import org.springmill.sim.SimWorker;
 import org.springmill.transport.HttpClient.Request;
 
@@ -76,13 +76,13 @@
     /**
      * Runs an action and applies a fate to the message when the first message of a step is sent.
      */
-    private void onFirstMessage(Step step, Runnable then, Fate fate) {
+    private void onFirstMessage(Step step, Runnable then, Delivery fate) {
         boolean[] happened = new boolean[1];
         cluster.network()
-                .judge(
+                .setDeliveryRule(
                         (from, request) -> {
                             if (happened[0] || !step.isStartedBy(request)) {
-                                return Fate.DELIVER;
+                                return Delivery.DELIVER;
                             }
                             happened[0] = true;
                             cluster.clock().after(0, then);
@@ -93,8 +93,8 @@
     private void assertServingRunsAndBatchCompletes() {
         cluster.endFailures().run(45);
         assertEquals(REPLICAS, cluster.running(SERVING));
-        assertEquals(0, checker.recorded(), "every recall is settled");
-        checker.machinesMayBeDrained();
+        assertEquals(0, checker.storedRecallCount(), "every recall is settled");
+        checker.allowDraining();
         cluster.cancel(follower(), SERVING);
         cluster.run(230);
         assertEquals("done", cluster.phase(follower(), BATCH));
@@ -125,7 +125,7 @@
         "START, PAUSED, DROP",
         "START, PAUSED, DELIVER"
     })
-    void leaderFailsInTheMiddleOfARecall(Step step, Failure failure, Fate fate) {
+    void leaderFailsInTheMiddleOfARecall(Step step, Failure failure, Delivery fate) {
         startWithFullFleet(20);
         int leader = cluster.leader();
         onFirstMessage(
@@ -184,14 +184,14 @@
         int leader = cluster.leader();
         boolean[] begun = new boolean[1];
         cluster.network()
-                .judge(
+                .setDeliveryRule(
                         (from, request) -> {
                             begun[0] |= step.isStartedBy(request);
                             boolean held =
                                     begun[0]
                                             && fromController(from, leader)
                                             && (isCommit(request) || isCommand(request));
-                            return held ? Fate.HOLD : Fate.DELIVER;
+                            return held ? Delivery.HOLD : Delivery.DELIVER;
                         });
         submitServing();
         cluster.run(4);
@@ -237,7 +237,7 @@
                         default -> rejectCommitsForTheirRate();
                     }
                 },
-                Fate.DELIVER);
+                Delivery.DELIVER);
         submitServing();
         cluster.run(20);
         if (failure.equals("down")) {
@@ -250,13 +250,13 @@
     private void rejectCommitsForTheirRate() {
         double until = cluster.clock().now() + 6;
         cluster.network()
-                .judge(
+                .setDeliveryRule(
                         (from, request) ->
                                 toStateService(request)
                                                 && isCommit(request)
                                                 && cluster.clock().now() < until
-                                        ? Fate.REFUSE
-                                        : Fate.DELIVER);
+                                        ? Delivery.REFUSE
+                                        : Delivery.DELIVER);
     }
 
     /**
@@ -281,10 +281,10 @@
     void machineOfVictimsFailsInTheMiddleOfARecall(Step step, String failure) {
         startWithFullFleet(80);
         SimWorker machine = machines().get(1);
-        onFirstMessage(step, () -> fail(machine, failure), Fate.DELIVER);
+        onFirstMessage(step, () -> fail(machine, failure), Delivery.DELIVER);
         submitServing();
         cluster.run(10);
-        machine.hang(false);
+        machine.setHung(false);
         cluster.run(LEASE_SECONDS);
         if (failure.equals("notice")) {
             cluster.cloud().reclaim(machine);
@@ -298,7 +298,7 @@
 
     private void fail(SimWorker machine, String failure) {
         switch (failure) {
-            case "hung" -> machine.hang(true);
+            case "hung" -> machine.setHung(true);
             case "unreachable" -> cluster.network().blockMessagesTo(machine);
             case "reports_lost" -> cluster.network().blockHeartbeatsFrom(machine);
             case "notice" -> machine.givePreemptionNotice(20);
@@ -311,7 +311,7 @@
     void recallIsTakenBackIfTheDemandFallsBeforeTheHalts() {
         startWithFullFleet(100);
         cluster.network()
-                .delayAnswers(
+                .delayResponses(
                         (from, request) ->
                                 toStateService(request) && text(request).contains("recall/")
                                         ? 0.8
@@ -322,8 +322,8 @@
         cluster.run(6);
         assertEquals(0, checker.haltsForOthers());
         assertEquals(GPUS, runningBatchTasks());
-        assertEquals(0, checker.recorded());
-        assertTrue(checker.recalls() > 0, "a recall was committed");
+        assertEquals(0, checker.storedRecallCount());
+        assertTrue(checker.committedRecallCount() > 0, "a recall was committed");
     }
 
     /**
@@ -341,15 +341,17 @@
         assertEquals(10, cluster.running(FINE_TUNING));
         boolean[] lost = new boolean[1];
         cluster.network()
-                .judge(
+                .setDeliveryRule(
                         (from, request) -> {
                             boolean first = !lost[0] && Step.COMMIT.isStartedBy(request);
                             lost[0] |= first;
-                            return first ? Fate.LOSE_ANSWER : Fate.DELIVER;
+                            return first ? Delivery.LOSE_RESPONSE : Delivery.DELIVER;
                         });
         submitServing();
         cluster.run(0.3);
-        assertTrue(checker.recorded() > 0, "the recall is committed, but its response is lost");
+        assertTrue(
+                checker.storedRecallCount() > 0,
+                "the recall is committed, but its response is lost");
         cluster.cancel(cluster.leader(), OTHER);
         cluster.run(8);
         assertEquals(REPLICAS, cluster.running(SERVING));
@@ -372,10 +374,10 @@
                     cluster.kill(leader);
                     cluster.clock().after(0.05, () -> cluster.keyValueStore().setDown(true));
                 },
-                Fate.LOSE_ANSWER);
+                Delivery.LOSE_RESPONSE);
         submitServing();
         cluster.run(0.5);
-        assertTrue(checker.recorded() > 0);
+        assertTrue(checker.storedRecallCount() > 0);
         for (SimWorker machine : machines()) {
             boolean otherMachineOfTheTeam =
                     !checker.isRecalledOn(machine) && runsJobWithRecalledTasks(machine);
@@ -415,7 +417,7 @@
     void newLeaderRecallsNoFurtherTasksForADemandWithARecall() {
         startWithFullFleet(190);
         int leader = cluster.leader();
-        onFirstMessage(Step.HALT, () -> cluster.kill(leader), Fate.DELIVER);
+        onFirstMessage(Step.HALT, () -> cluster.kill(leader), Delivery.DELIVER);
         submitServing();
         cluster.run(0.5);
         SimWorker recalledOn =
@@ -444,7 +446,7 @@
         assertEquals("cancelled", cluster.cancel(follower(), SERVING));
         cluster.run(40);
         assertEquals(GPUS, runningBatchTasks());
-        assertEquals(0, checker.recorded());
+        assertEquals(0, checker.storedRecallCount());
     }
 
     /** The job of the victims is cancelled while they save: they end within {@code cancel_s}. */
@@ -461,7 +463,7 @@
         assertEquals(0, cluster.running(BATCH));
         cluster.run(20);
         assertEquals(REPLICAS, cluster.running(SERVING));
-        assertEquals(0, checker.recorded());
+        assertEquals(0, checker.storedRecallCount());
     }
 
     /**
@@ -477,12 +479,12 @@
         assertEquals(GPUS, cluster.running(BATCH));
         int leader = cluster.leader();
         if (leaderIsKilled) {
-            onFirstMessage(Step.HALT, () -> cluster.kill(leader), Fate.DROP);
+            onFirstMessage(Step.HALT, () -> cluster.kill(leader), Delivery.DROP);
         }
         String red = serving(SERVING, "red", 16).toString();
         String blue = serving(OTHER, "blue", 16).toString();
-        cluster.user(follower(), "POST", "/submissions", red, 5, reply -> {});
-        cluster.user(follower(), "POST", "/submissions", blue, 5, reply -> {});
+        cluster.sendAsUser(follower(), "POST", "/submissions", red, 5, reply -> {});
+        cluster.sendAsUser(follower(), "POST", "/submissions", blue, 5, reply -> {});
         cluster.run(leaderIsKilled ? 25 : 10);
         assertEquals(24, cluster.running(SERVING) + cluster.running(OTHER));
         assertEquals(8, cluster.running(BATCH), "amber's guarantee");
@@ -516,7 +518,7 @@
         cluster.run(20);
         assertEquals(REPLICAS, cluster.running(SERVING));
         assertEquals(GPUS - REPLICAS, runningBatchTasks());
-        checker.olderVersionsTookPart();
+        checker.allowControllersWithoutRecalls();
     }
 
     private void setRecalls(boolean on) {
@@ -529,24 +531,24 @@
     void recallsLeftBehindAreSettledLater() {
         startWithFullFleet(150);
         int leader = cluster.leader();
-        onFirstMessage(Step.HALT, () -> cluster.kill(leader), Fate.DROP);
+        onFirstMessage(Step.HALT, () -> cluster.kill(leader), Delivery.DROP);
         submitServing();
         cluster.run(0.8);
-        assertTrue(checker.recorded() > 0);
+        assertTrue(checker.storedRecallCount() > 0);
         setRecalls(false);
         for (int i = 0; i < CONTROLLERS; i++) {
             cluster.restart(i);
         }
         cluster.run(15);
         assertEquals(REPLICAS, cluster.running(SERVING));
-        assertTrue(checker.recorded() > 0, "a version without recalls leaves the record");
+        assertTrue(checker.storedRecallCount() > 0, "a version without recalls leaves the record");
         setRecalls(true);
         for (int i = 0; i < CONTROLLERS; i++) {
             cluster.restart(i);
             cluster.run(8);
         }
-        assertEquals(0, checker.recorded());
+        assertEquals(0, checker.storedRecallCount());
         assertEquals(REPLICAS, cluster.running(SERVING));
-        checker.olderVersionsTookPart();
+        checker.allowControllersWithoutRecalls();
     }
 }
--- a/src/test/java/org/springmill/control/simulation/BorrowingPropertyTest.java
+++ b/src/test/java/org/springmill/control/simulation/BorrowingPropertyTest.java
@@ -146,12 +146,12 @@
                 cluster.run(step.seconds());
             }
             restart();
-            cluster.machines().forEach(machine -> machine.hang(false));
+            cluster.machines().forEach(machine -> machine.setHung(false));
             cluster.endFailures().run(RECOVERY_SECONDS);
             assertEquals(List.of(), checker.violations());
             assertEquals(List.of(), cluster.violations());
             assertEquals(List.of(), cluster.startsAfterCancel());
-            assertEquals(0, checker.recorded());
+            assertEquals(0, checker.storedRecallCount());
             assertEquals(0, cluster.progress().lostCheckpointedSeconds());
         }
 
@@ -180,8 +180,9 @@
                 }
                 case DELAY_COMMITS -> cluster.keyValueStore().delayCommits(0.3);
                 case DELAY_RESPONSES ->
-                        cluster.network().delayAnswers((from, request) -> 0.1 * (step.pick() % 6));
-                case HANG -> machine(step).ifPresent(m -> m.hang(step.amount() % 2 == 0));
+                        cluster.network()
+                                .delayResponses((from, request) -> 0.1 * (step.pick() % 6));
+                case HANG -> machine(step).ifPresent(m -> m.setHung(step.amount() % 2 == 0));
                 case BLOCK_MESSAGES -> machine(step).ifPresent(cluster.network()::blockMessagesTo);
                 case BLOCK_REPORTS ->
                         machine(step).ifPresent(cluster.network()::blockHeartbeatsFrom);
@@ -210,7 +211,7 @@
                     SimulatedCluster.job(id, team, "service", replicas, 1, gpus)
                             .put("urgency", step.pick() % 4 == 0 ? "normal" : "prod");
             services.add(id);
-            cluster.user(
+            cluster.sendAsUser(
                     step.pick() % CONTROLLERS,
                     "POST",
                     "/submissions",
@@ -223,7 +224,7 @@
             if (!services.isEmpty()) {
                 String id = services.get(step.pick() % services.size());
                 String path = "/submissions/" + id + "/withdraw";
-                cluster.user(step.pick() % CONTROLLERS, "POST", path, "", 5, reply -> {});
+                cluster.sendAsUser(step.pick() % CONTROLLERS, "POST", path, "", 5, reply -> {});
             }
         }
 
--- a/src/test/java/org/springmill/control/simulation/BorrowingTest.java
+++ b/src/test/java/org/springmill/control/simulation/BorrowingTest.java
@@ -24,7 +24,7 @@
         cluster.run(20);
         assertEquals(8, cluster.running(BATCH));
         assertEquals(0, cluster.running(OTHER));
-        assertEquals(0, checker.recalls());
+        assertEquals(0, checker.committedRecallCount());
     }
 
     /**
@@ -43,7 +43,7 @@
         assertEquals(8, cluster.running(SERVING));
         assertEquals(8, checker.haltsForOthers());
         assertEquals(24, cluster.running(BATCH) + cluster.running(FINE_TUNING));
-        assertEquals(0, checker.recorded(), "every recall is settled");
+        assertEquals(0, checker.storedRecallCount(), "every recall is settled");
         cluster.cancel(0, SERVING);
         cluster.run(60);
         assertEquals(32, cluster.running(BATCH) + cluster.running(FINE_TUNING));
@@ -149,7 +149,7 @@
         cluster.cancel(0, SERVING);
         cluster.run(4);
         assertEquals(32, cluster.running(FINE_TUNING));
-        assertEquals(0, checker.recalls());
+        assertEquals(0, checker.committedRecallCount());
     }
 
     /**
@@ -181,10 +181,10 @@
         accept(serving(SERVING, "amber", 1), FOREVER);
         cluster.run(0.6);
         SimWorker hung = machineOfARecall();
-        hung.hang(true);
+        hung.setHung(true);
         cluster.run(9);
         assertEquals(1, cluster.running(SERVING));
-        hung.hang(false);
+        hung.setHung(false);
         cluster.run(20);
     }
 
@@ -197,13 +197,13 @@
         cluster.run(12);
         SimWorker first = cluster.workerRunning(BATCH + "/0");
         SimWorker other = cluster.workerRunning(FINE_TUNING + "/0");
-        first.ignoreHalts(true);
-        other.ignoreHalts(true);
+        first.setIgnoringHalts(true);
+        other.setIgnoringHalts(true);
         accept(serving(SERVING, "amber", 2), FOREVER);
         cluster.run(40);
         assertEquals(2, cluster.running(SERVING));
-        first.ignoreHalts(false);
-        other.ignoreHalts(false);
+        first.setIgnoringHalts(false);
+        other.setIgnoringHalts(false);
         cluster.run(10);
     }
 
--- a/src/test/java/org/springmill/control/simulation/CancellationTest.java
+++ b/src/test/java/org/springmill/control/simulation/CancellationTest.java
@@ -7,7 +7,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import org.springmill.sim.SimNetwork.Fate;
+import org.springmill.sim.SimNetwork.Delivery;
 import org.springmill.sim.SimulatedCluster;
 
 /** Cancellations take effect in time and are final. */
@@ -18,7 +18,9 @@
         submitService(0, JOB, "red", 3, 1);
         cluster.run(delaySeconds);
 
-        cluster.network().judge((from, request) -> isCommand(request) ? Fate.HOLD : Fate.DELIVER);
+        cluster.network()
+                .setDeliveryRule(
+                        (from, request) -> isCommand(request) ? Delivery.HOLD : Delivery.DELIVER);
         assertEquals("cancelled", cluster.cancel(1, JOB));
         assertEquals("cancelled", cluster.cancel(2, JOB));
         cluster.run(50);
--- a/src/test/java/org/springmill/control/simulation/ClusterFixture.java
+++ b/src/test/java/org/springmill/control/simulation/ClusterFixture.java
@@ -6,7 +6,7 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.List;
 import org.junit.jupiter.api.AfterEach;
-import org.springmill.sim.SimNetwork.Fate;
+import org.springmill.sim.SimNetwork.Delivery;
 import org.springmill.sim.SimWorker;
 import org.springmill.sim.SimulatedCluster;
 
@@ -73,7 +73,7 @@
 
     /** From now on the network delivers every message. */
     final void deliverAllMessages() {
-        cluster.network().judge((from, request) -> Fate.DELIVER);
+        cluster.network().setDeliveryRule((from, request) -> Delivery.DELIVER);
     }
 
     final void assertEachTaskStartedOnce(String job, int tasks) {
--- a/src/test/java/org/springmill/control/simulation/CompoundCancellationTest.java
+++ b/src/test/java/org/springmill/control/simulation/CompoundCancellationTest.java
@@ -36,14 +36,14 @@
         cluster.isolate(isolated);
         cluster.run(1);
         SimWorker hung = cluster.workerRunning(FIRST_TASK);
-        hung.hang(hangSeconds > 0);
+        hung.setHung(hangSeconds > 0);
         for (int i = 0;
                 i < 20 && !"cancelled".equals(cluster.cancel((isolated + 1) % 3, JOB));
                 i++) {
             cluster.run(0.5);
         }
         cluster.run(hangSeconds);
-        hung.hang(false);
+        hung.setHung(false);
         for (int i = 0; i < durationSeconds / 5; i++) {
             cluster.submit(
                     (isolated + i) % 3,
@@ -66,7 +66,7 @@
         SplittableRandom random = new SplittableRandom(1);
         if (state.equals("slow")) {
             cluster.network()
-                    .delayAnswers(
+                    .delayResponses(
                             (from, request) ->
                                     toStateService(request) ? random.nextDouble() * 0.6 : 0);
         }
@@ -79,8 +79,8 @@
             for (int node = 0; node < 3; node++) {
                 String path =
                         node == i % 3 ? "/submissions/" + id + "/withdraw" : "/submissions/" + id;
-                cluster.user(node, node == i % 3 ? "POST" : "GET", path, "", 5, reply -> {});
-                cluster.user(node, "POST", "/submissions", job.toString(), 5, reply -> {});
+                cluster.sendAsUser(node, node == i % 3 ? "POST" : "GET", path, "", 5, reply -> {});
+                cluster.sendAsUser(node, "POST", "/submissions", job.toString(), 5, reply -> {});
             }
             cluster.run(12);
             for (int node = 0; node < 3; node++) {
@@ -144,12 +144,12 @@
         List<SimWorker> hung = machines().subList(0, machines);
         cluster.run(0.3);
         assertEquals("cancelled", cluster.cancel(follower(), JOB));
-        hung.forEach(machine -> machine.hang(true));
+        hung.forEach(machine -> machine.setHung(true));
         if (leaderEnds) {
             cluster.restart(cluster.leader());
         }
         cluster.run(hangSeconds);
-        hung.forEach(machine -> machine.hang(false));
+        hung.forEach(machine -> machine.setHung(false));
         cluster.run(20);
         assertEquals(0, cluster.running(JOB));
     }
@@ -163,7 +163,7 @@
         acceptService(JOB, "red", 4, 1);
         cluster.run(5);
         cluster.network()
-                .delayAnswers(
+                .delayResponses(
                         (from, request) ->
                                 toStateService(request) && !request.path().startsWith("/changes")
                                         ? random.nextDouble() * maxDelaySeconds
--- a/src/test/java/org/springmill/control/simulation/CompoundDelayTest.java
+++ b/src/test/java/org/springmill/control/simulation/CompoundDelayTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
-import org.springmill.sim.SimNetwork.Fate;
+import org.springmill.sim.SimNetwork.Delivery;
 import org.springmill.sim.SimWorker;
 import org.springmill.sim.SimulatedCluster;
 
@@ -29,16 +29,16 @@
         boolean[] once = new boolean[1];
         String[] key = new String[1];
         cluster.network()
-                .judge(
+                .setDeliveryRule(
                         (from, request) -> {
                             if (isCommit(request)
                                     && text(request).contains(JOB + "\",0")
                                     && !once[0]) {
                                 once[0] = true;
                                 key[0] = text(request).replaceAll("(?s).*?(round/[0-9.]+).*", "$1");
-                                return Fate.HOLD;
+                                return Delivery.HOLD;
                             }
-                            return Fate.DELIVER;
+                            return Delivery.DELIVER;
                         });
         acceptService(JOB, "blue", 1, 1);
         cluster.run(5);
@@ -85,16 +85,16 @@
         cluster.run(5);
         boolean[] hold = {true};
         cluster.network()
-                .judge(
+                .setDeliveryRule(
                         (from, request) ->
                                 hold[0]
                                                 && isCommit(request)
                                                 && text(request).contains("incarnation")
-                                        ? Fate.HOLD
-                                        : Fate.DELIVER);
+                                        ? Delivery.HOLD
+                                        : Delivery.DELIVER);
         int old = cluster.leader();
         cluster.kill(old);
-        for (int i = 0; i < 200 && !cluster.network().holdsAny(); i++) {
+        for (int i = 0; i < 200 && !cluster.network().hasHeldRequests(); i++) {
             cluster.run(0.05);
         }
         cluster.run(delaySeconds - 0.3);
@@ -124,10 +124,10 @@
         for (int i = 0; i < 3; i++) {
             submitAndCancelJobs(15, random);
             SimWorker hung = machines().get(random.nextInt(machines().size()));
-            hung.hang(true);
+            hung.setHung(true);
             cluster.run(3 + random.nextInt(20));
             cluster.restart(Math.max(0, cluster.leader()));
-            hung.hang(false);
+            hung.setHung(false);
             submitAndCancelJobs(10, random);
         }
     }
@@ -144,14 +144,14 @@
         int next = (old + 1) % 3;
         cluster.kill((old + 2) % 3);
         cluster.network()
-                .judge(
+                .setDeliveryRule(
                         (from, request) ->
                                 from.equals(victim.name())
                                                 || request.address().equals(victim.address())
                                         ? request.address().startsWith("10.0.0." + next)
-                                                ? Fate.HOLD
-                                                : Fate.DROP
-                                        : Fate.DELIVER);
+                                                ? Delivery.HOLD
+                                                : Delivery.DROP
+                                        : Delivery.DELIVER);
         cluster.run(1);
         cluster.kill(old);
         cluster.run(12);
@@ -183,7 +183,7 @@
                                             : 0);
         } else {
             cluster.network()
-                    .delayAnswers(
+                    .delayResponses(
                             (from, request) ->
                                     (isCommand(request) && random.nextInt(3) == 0)
                                                     || (fromWorker(from) && random.nextInt(5) == 0)
--- a/src/test/java/org/springmill/control/simulation/CompoundFailureFixture.java
+++ b/src/test/java/org/springmill/control/simulation/CompoundFailureFixture.java
@@ -19,13 +19,13 @@
     @Override
     void startCluster(long seed) {
         super.startCluster(seed);
-        cluster.polled();
+        cluster.startPolling();
     }
 
     @AfterEach
     void everyUnfinishedJobRunsAfterTheFailures() {
         cluster.endFailures().run(RECOVERY_SECONDS);
-        assertEquals(List.of(), cluster.unserved());
+        assertEquals(List.of(), cluster.jobsWithPendingTasks());
     }
 
     /** Submits arrays, a quarter of which are cancelled soon after, through random controllers. */
--- a/src/test/java/org/springmill/control/simulation/CompoundLeaderFailoverTest.java
+++ b/src/test/java/org/springmill/control/simulation/CompoundLeaderFailoverTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
-import org.springmill.sim.SimNetwork.Fate;
+import org.springmill.sim.SimNetwork.Delivery;
 import org.springmill.sim.SimWorker;
 import org.springmill.sim.SimulatedCluster;
 
@@ -191,13 +191,13 @@
                     }
                 });
         cluster.network()
-                .judge(
+                .setDeliveryRule(
                         (from, request) ->
                                 failure.equals("unreachable")
                                                 && (names.contains(from)
                                                         || names.contains(request.address()))
-                                        ? Fate.DROP
-                                        : Fate.DELIVER);
+                                        ? Delivery.DROP
+                                        : Delivery.DELIVER);
         int leader = cluster.leader();
         if (!leaders.equals("stays")) {
             cluster.kill(leader);
--- a/src/test/java/org/springmill/control/simulation/CompoundPlacementTest.java
+++ b/src/test/java/org/springmill/control/simulation/CompoundPlacementTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
-import org.springmill.sim.SimNetwork.Fate;
+import org.springmill.sim.SimNetwork.Delivery;
 import org.springmill.sim.SimWorker;
 import org.springmill.sim.SimulatedCluster;
 
@@ -69,7 +69,7 @@
         }
         accept(job, shape.equals("sweep") ? 60 : FOREVER);
         cluster.run(70);
-        assertEquals(List.of(), cluster.unserved());
+        assertEquals(List.of(), cluster.jobsWithPendingTasks());
         String zone =
                 cluster.workerRunning(FIRST_TASK) == null
                         ? "b"
@@ -80,12 +80,12 @@
                 if (how.equals("reclaimed")) {
                     cluster.cloud().reclaim(machine);
                 } else {
-                    machine.hang(true);
+                    machine.setHung(true);
                 }
             }
         }
         cluster.run(90);
-        assertEquals(List.of(), cluster.unserved());
+        assertEquals(List.of(), cluster.jobsWithPendingTasks());
     }
 
     /**
@@ -100,7 +100,7 @@
         SimWorker healthy = cluster.workerRunning(OTHER + "/0");
         machines().stream()
                 .filter(m -> m != healthy && m.zone().equals("b"))
-                .forEach(SimWorker::failEverything);
+                .forEach(SimWorker::failAllTasks);
         accept(SimulatedCluster.job(JOB, "blue", "sweep", 1, 1, 8).put("yard", "b"), 30);
         cluster.run(90);
         assertEquals("done", cluster.phase(0, JOB));
@@ -124,14 +124,14 @@
                 machine -> {
                     names.add(machine.name());
                     names.add(machine.address());
-                    machine.hang(hang);
+                    machine.setHung(hang);
                 });
         cluster.network()
-                .judge(
+                .setDeliveryRule(
                         (from, request) ->
                                 names.contains(from) || names.contains(request.address())
-                                        ? Fate.DROP
-                                        : Fate.DELIVER);
+                                        ? Delivery.DROP
+                                        : Delivery.DELIVER);
         int leader = cluster.leader();
         cluster.kill(leader);
         cluster.run(3);
@@ -139,7 +139,7 @@
         assertEquals("cancelled", cluster.cancel((leader + 1) % 3, OTHER));
         cluster.run(10);
         cluster.restart(leader);
-        machines.forEach(machine -> machine.hang(false));
+        machines.forEach(machine -> machine.setHung(false));
         cluster.run(60);
         assertEquals(8, cluster.running(JOB));
         assertEquals(8, cluster.running("run-000003"));
--- a/src/test/java/org/springmill/control/simulation/CompoundUserRequestTest.java
+++ b/src/test/java/org/springmill/control/simulation/CompoundUserRequestTest.java
@@ -6,7 +6,7 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.List;
 import org.junit.jupiter.api.Test;
-import org.springmill.sim.SimNetwork.Fate;
+import org.springmill.sim.SimNetwork.Delivery;
 import org.springmill.sim.SimulatedCluster;
 import org.springmill.sim.SubmissionRules;
 
@@ -80,9 +80,11 @@
         accept(SimulatedCluster.job(OTHER, "red", "sweep", 1, 1, 1), 300);
         cluster.run(2);
         cluster.network()
-                .judge(
+                .setDeliveryRule(
                         (from, request) ->
-                                request.address().equals("cloud:1") ? Fate.REFUSE : Fate.DELIVER);
+                                request.address().equals("cloud:1")
+                                        ? Delivery.REFUSE
+                                        : Delivery.DELIVER);
         for (int i = 0; i < 3; i++) {
             cluster.restart(i);
         }
--- a/src/test/java/org/springmill/control/simulation/ControllerPauseTest.java
+++ b/src/test/java/org/springmill/control/simulation/ControllerPauseTest.java
@@ -26,7 +26,7 @@
     @BeforeEach
     void start() {
         startCluster(31);
-        cluster.polled();
+        cluster.startPolling();
         acceptService(JOB, "blue", TASKS, 1);
         cluster.run(10);
         assertEquals(TASKS, cluster.running(JOB));
@@ -82,7 +82,7 @@
     void queryQueuedDuringAPauseIsNotAnsweredFromAnEarlierRead(double seconds) {
         int follower = follower();
         List<String> answers = new ArrayList<>();
-        cluster.user(
+        cluster.sendAsUser(
                 follower,
                 "GET",
                 "/submissions/" + JOB,
@@ -113,7 +113,7 @@
                 "{\"stone\":\"host-000099\",\"addr\":\"10.1.0.99:9000\","
                         + "\"frame\":\"large\",\"yard\":\"a\",\"loaner\":false,\"shift\":1,"
                         + "\"tally\":1,\"baton\":1,\"warningS\":null,\"sacks\":[]}";
-        cluster.user(
+        cluster.sendAsUser(
                 leader,
                 "POST",
                 "/v1/report",
--- a/src/test/java/org/springmill/control/simulation/DelayedMessageTest.java
+++ b/src/test/java/org/springmill/control/simulation/DelayedMessageTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
-import org.springmill.sim.SimNetwork.Fate;
+import org.springmill.sim.SimNetwork.Delivery;
 import org.springmill.sim.SimWorker;
 import org.springmill.sim.SimulatedCluster;
 import org.springmill.transport.HttpClient.Request;
@@ -24,30 +24,30 @@
     private List<Request> recordDelivered(Predicate<Request> kind) {
         List<Request> delivered = new ArrayList<>();
         cluster.network()
-                .judge(
+                .setDeliveryRule(
                         (from, request) -> {
                             if (kind.test(request)) {
                                 delivered.add(request);
                             }
-                            return Fate.DELIVER;
+                            return Delivery.DELIVER;
                         });
         return delivered;
     }
 
     @ParameterizedTest
     @EnumSource(
-            value = Fate.class,
+            value = Delivery.class,
             names = {"LOSE_ANSWER", "HOLD", "DROP", "REFUSE"})
-    void startCommandWithUnknownOutcomeLeavesOneTaskRunning(Fate fate) {
+    void startCommandWithUnknownOutcomeLeavesOneTaskRunning(Delivery fate) {
         boolean[] once = new boolean[1];
         cluster.network()
-                .judge(
+                .setDeliveryRule(
                         (from, request) -> {
                             if (isStartCommand(request) && !once[0]) {
                                 once[0] = true;
                                 return fate;
                             }
-                            return Fate.DELIVER;
+                            return Delivery.DELIVER;
                         });
         submitService(0, JOB, "red", 1, 1);
         cluster.run(40);
@@ -63,7 +63,7 @@
         cluster.submit(0, SimulatedCluster.job(JOB, "red", "sweep", 1, 1, 1), 3);
         cluster.run(10);
         assertEquals("done", cluster.phase(0, JOB));
-        seen.forEach(cluster.network()::repeat);
+        seen.forEach(cluster.network()::deliverAgain);
         // The start must be refused, not begun and halted while its image is fetched.
         assertTrue(
                 cluster.cloud().machines().values().stream()
@@ -78,14 +78,14 @@
         List<Request> copies = recordDelivered(MessageMatchers::isReport);
         cluster.run(10);
         SimWorker victim = cluster.workerRunning(FIRST_TASK);
-        victim.hang(true);
+        victim.setHung(true);
         // Copies of its earlier reports keep arriving; its task still has to be declared lost after
         // one lease.
         for (int i = 0; i < 40; i++) {
             copies.stream()
                     .filter(r -> text(r).contains(victim.name()))
                     .limit(3)
-                    .forEach(cluster.network()::repeat);
+                    .forEach(cluster.network()::deliverAgain);
             cluster.run(1);
         }
         assertEquals(
@@ -110,7 +110,7 @@
             cluster.run(5);
         }
         assertEquals(0, cluster.cloud().machines().size(), "idle machines are returned");
-        old.forEach(cluster.network()::repeat);
+        old.forEach(cluster.network()::deliverAgain);
         assertEquals(
                 201,
                 cluster.submit(0, SimulatedCluster.job(JOB, "red", "service", 1, 1, 1), FOREVER));
@@ -126,14 +126,14 @@
         int old = cluster.leader();
         boolean[] hold = {true};
         cluster.network()
-                .judge(
+                .setDeliveryRule(
                         (from, request) ->
                                 hold[0]
                                                 && fromController(from, old)
                                                 && isCommit(request)
                                                 && text(request).contains("round/")
-                                        ? Fate.HOLD
-                                        : Fate.DELIVER);
+                                        ? Delivery.HOLD
+                                        : Delivery.DELIVER);
         submitService(follower(), JOB, "red", 2, 1);
         cluster.run(1);
         assertEquals(0, cluster.running(JOB));
@@ -155,11 +155,11 @@
     void commitsWithLostResponsesAreNeitherLostNorDuplicated() {
         int[] lost = new int[1];
         cluster.network()
-                .judge(
+                .setDeliveryRule(
                         (from, request) ->
                                 isCommit(request) && ++lost[0] % 2 == 1
-                                        ? Fate.LOSE_ANSWER
-                                        : Fate.DELIVER);
+                                        ? Delivery.LOSE_RESPONSE
+                                        : Delivery.DELIVER);
         for (int i = 0; i < 6; i++) {
             int status = 503;
             for (int tries = 0; tries < 5 && status == 503; tries++) {
--- a/src/test/java/org/springmill/control/simulation/DependencyValidationTest.java
+++ b/src/test/java/org/springmill/control/simulation/DependencyValidationTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
-import org.springmill.sim.SimNetwork.Fate;
+import org.springmill.sim.SimNetwork.Delivery;
 import org.springmill.sim.SimulatedCluster;
 import org.springmill.transport.HttpClient.Reply;
 
@@ -48,11 +48,11 @@
 
     private void refuseReadsOf(String node) {
         cluster.network()
-                .judge(
+                .setDeliveryRule(
                         (from, request) ->
                                 from.equals(node) && request.path().startsWith("/changes")
-                                        ? Fate.REFUSE
-                                        : Fate.DELIVER);
+                                        ? Delivery.REFUSE
+                                        : Delivery.DELIVER);
     }
 
     @Test
@@ -61,7 +61,7 @@
         job.putArray("waitsOn").add(NEVER_ACCEPTED);
         refuseReadsOf("n-1");
         assertEquals(503, post(1, job).status());
-        cluster.network().judge((from, request) -> Fate.DELIVER);
+        cluster.network().setDeliveryRule((from, request) -> Delivery.DELIVER);
         cluster.run(1);
         Reply reply = post(1, job);
         assertEquals(422, reply.status());
--- a/src/test/java/org/springmill/control/simulation/FailingJobTest.java
+++ b/src/test/java/org/springmill/control/simulation/FailingJobTest.java
@@ -71,7 +71,7 @@
     @Test
     void machineThatFailsEverythingIsFoundAlthoughBrokenJobsRanThere() {
         SimWorker faulty = machines().get(0);
-        faulty.failEverything();
+        faulty.failAllTasks();
         acceptBroken(JOB);
         cluster.run(15);
         for (int i = 0; i < 3; i++) {
--- a/src/test/java/org/springmill/control/simulation/FourThousandMachinesTest.java
+++ b/src/test/java/org/springmill/control/simulation/FourThousandMachinesTest.java
@@ -38,7 +38,7 @@
 
     @Test
     void aFleetIsRentedFilledTakenOverAndRebuiltAfterTheLossOfAZone() {
-        cluster = new SimulatedCluster(SimOptions.DEFAULTS.withStateLimits(STATE_LIMITS)).run(6);
+        cluster = new SimulatedCluster(SimOptions.DEFAULTS.withStoreLimits(STATE_LIMITS)).run(6);
         rentAllMachines();
         runArrayOverAllMachines(ARRAY, 20);
         killLeaderAndCheckThatNothingIsLost();
@@ -88,7 +88,7 @@
                 machines().stream().filter(machine -> machine.zone().equals("b")).toList();
         assertTrue(lost.size() > MACHINES / 4, lost.size() + " machines in the zone");
         cluster.cloud().exhaustCapacity("b");
-        lost.forEach(machine -> machine.hang(true));
+        lost.forEach(machine -> machine.setHung(true));
         double untilGone = 2 * LEASE_SECONDS;
         runUntilAllRunOutside(
                 lost, untilGone + 2 * RENTAL_SECONDS + 2 * BOOT_SECONDS, "after the zone's loss");
--- a/src/test/java/org/springmill/control/simulation/HistoryArchivingTest.java
+++ b/src/test/java/org/springmill/control/simulation/HistoryArchivingTest.java
@@ -7,7 +7,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
-import org.springmill.sim.SimNetwork.Fate;
+import org.springmill.sim.SimNetwork.Delivery;
 import org.springmill.sim.SimulatedCluster;
 
 /**
@@ -58,13 +58,13 @@
         submit(follower(), FOREVER, job(CANCELLED, 1));
         cluster.run(5);
         var machine = cluster.workerRunning(id(CANCELLED) + "/0");
-        machine.hang(true);
+        machine.setHung(true);
         cluster.network()
-                .judge(
+                .setDeliveryRule(
                         (from, request) ->
                                 request.path().startsWith("/rentals/delete")
-                                        ? Fate.DROP
-                                        : Fate.DELIVER);
+                                        ? Delivery.DROP
+                                        : Delivery.DELIVER);
         // While a controller is down and the cloud deletes no machine, there is no proof that
         // the task has ended.
         cluster.kill(follower());
@@ -106,9 +106,9 @@
 
     @ParameterizedTest
     @EnumSource(
-            value = Fate.class,
+            value = Delivery.class,
             names = {"LOSE_ANSWER", "DROP", "HOLD", "REFUSE"})
-    void resubmissionsDuringAFailedMoveNeverRunTheJobAgain(Fate fate) {
+    void resubmissionsDuringAFailedMoveNeverRunTheJobAgain(Delivery fate) {
         runToEnd(DONE);
         setFateOfMoves(fate);
         cluster.run(UNTIL_MOVED_SECONDS);
@@ -134,15 +134,15 @@
         String created = "\"write\":\"job/" + id(DONE) + '"';
         int slow = follower();
         cluster.network()
-                .judge(
+                .setDeliveryRule(
                         (from, request) ->
                                 MessageMatchers.fromController(from, slow)
                                                 && MessageMatchers.isCommit(request)
                                                 && MessageMatchers.text(request).contains(created)
-                                        ? Fate.HOLD
-                                        : Fate.DELIVER);
+                                        ? Delivery.HOLD
+                                        : Delivery.DELIVER);
         assertEquals(503, cluster.submit(slow, job(DONE, 1), 2));
-        assertTrue(cluster.network().holdsAny());
+        assertTrue(cluster.network().hasHeldRequests());
         assertEquals(201, cluster.submit(cluster.leader(), job(DONE, 1), 2));
         deliverAllMessages();
         cluster.run(10);
@@ -159,10 +159,10 @@
     @EnumSource(MoveOrder.class)
     void aDeposedLeadersMoveChangesNothing(MoveOrder order) {
         runToEnd(DONE);
-        setFateOfMoves(Fate.HOLD);
+        setFateOfMoves(Delivery.HOLD);
         int old = cluster.leader();
         cluster.run(UNTIL_MOVED_SECONDS);
-        assertTrue(cluster.network().holdsAny());
+        assertTrue(cluster.network().hasHeldRequests());
         cluster.kill(old);
         deliverAllMessages();
         // There is a new leader by now, which has not moved records yet.
@@ -196,13 +196,13 @@
     void requestsAtALaggingControllerGetNoFinalAnswer() {
         int lagging = follower();
         cluster.network()
-                .judge(
+                .setDeliveryRule(
                         (from, request) ->
                                 MessageMatchers.fromController(from, lagging)
                                                 && (request.path().startsWith("/changes?under=job/")
                                                         || isLookup(request))
-                                        ? Fate.DROP
-                                        : Fate.DELIVER);
+                                        ? Delivery.DROP
+                                        : Delivery.DELIVER);
         submit(cluster.leader(), 2, job(DONE, 1));
         cluster.run(10);
         waitUntilMoved(DONE);
@@ -222,12 +222,12 @@
         runToEnd(DONE);
         int lagging = follower();
         cluster.network()
-                .judge(
+                .setDeliveryRule(
                         (from, request) ->
                                 MessageMatchers.fromController(from, lagging)
                                                 && request.path().startsWith("/changes?under=job/")
-                                        ? Fate.DROP
-                                        : Fate.DELIVER);
+                                        ? Delivery.DROP
+                                        : Delivery.DELIVER);
         waitUntilMoved(DONE);
         assertEquals(1, gauge(lagging, "jobs"));
         cluster.keyValueStore().dropWatchHistory();
--- a/src/test/java/org/springmill/control/simulation/HistoryChainTest.java
+++ b/src/test/java/org/springmill/control/simulation/HistoryChainTest.java
@@ -6,7 +6,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import org.springmill.sim.SimNetwork.Fate;
+import org.springmill.sim.SimNetwork.Delivery;
 
 /** Chains of dependent jobs, some of which have been moved to the history. */
 class HistoryChainTest extends HistoryFixture {
@@ -73,8 +73,8 @@
         forgetAnswersInMemory();
         store("job/" + id(DEPENDENT), jobRecord(DEPENDENT, ",\"accepted\":1.0E9", FIRST));
         store("job/" + id(LAST), jobRecord(LAST, ",\"accepted\":1.0E9", DEPENDENT));
-        cluster.assume(job(DEPENDENT, 2, FIRST));
-        cluster.assume(job(LAST, 2, DEPENDENT));
+        cluster.registerStoredJob(job(DEPENDENT, 2, FIRST));
+        cluster.registerStoredJob(job(LAST, 2, DEPENDENT));
         cluster.run(UNTIL_MOVED_SECONDS);
         assertPhaseEverywhere(cancelled ? "cancelled" : "done", DEPENDENT, LAST);
         assertEquals(cancelled ? 0 : 1, cluster.starts(id(DEPENDENT) + "/0"));
@@ -88,11 +88,13 @@
     void aDependentWhoseDependencyCannotBeReadIsNeitherRunNorAnswered() {
         cancelAndMove(job(FIRST, 1), FIRST);
         forgetAnswersInMemory();
-        cluster.network().judge((from, request) -> isLookup(request) ? Fate.DROP : Fate.DELIVER);
+        cluster.network()
+                .setDeliveryRule(
+                        (from, request) -> isLookup(request) ? Delivery.DROP : Delivery.DELIVER);
         store("job/" + id(DEPENDENT), jobRecord(DEPENDENT, ",\"accepted\":1.0E9", FIRST));
         store("job/" + id(LAST), jobRecord(LAST, ",\"accepted\":1.0E9", DEPENDENT));
-        cluster.assume(job(DEPENDENT, 2, FIRST));
-        cluster.assume(job(LAST, 2, DEPENDENT));
+        cluster.registerStoredJob(job(DEPENDENT, 2, FIRST));
+        cluster.registerStoredJob(job(LAST, 2, DEPENDENT));
         cluster.run(10);
         for (int controller = 0; controller < CONTROLLERS; controller++) {
             assertEquals("503", cluster.phase(controller, id(DEPENDENT)));
--- a/src/test/java/org/springmill/control/simulation/HistoryFixture.java
+++ b/src/test/java/org/springmill/control/simulation/HistoryFixture.java
@@ -7,7 +7,7 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.OptionalDouble;
 import org.junit.jupiter.api.BeforeEach;
-import org.springmill.sim.SimNetwork.Fate;
+import org.springmill.sim.SimNetwork.Delivery;
 import org.springmill.sim.SimulatedCluster;
 import org.springmill.transport.HttpClient.Request;
 
@@ -120,7 +120,8 @@
     }
 
     /** What happens to moves from now on; everything else is delivered. */
-    final void setFateOfMoves(Fate fate) {
-        cluster.network().judge((from, request) -> isMove(request) ? fate : Fate.DELIVER);
+    final void setFateOfMoves(Delivery fate) {
+        cluster.network()
+                .setDeliveryRule((from, request) -> isMove(request) ? fate : Delivery.DELIVER);
     }
 }
--- a/src/test/java/org/springmill/control/simulation/HistoryOutageTest.java
+++ b/src/test/java/org/springmill/control/simulation/HistoryOutageTest.java
@@ -70,7 +70,8 @@
     void aSlowStateServiceDelaysNeitherLeadershipNorAcceptance() {
         endJobs();
         cluster.network()
-                .delayAnswers((from, request) -> MessageMatchers.toStateService(request) ? 0.3 : 0);
+                .delayResponses(
+                        (from, request) -> MessageMatchers.toStateService(request) ? 0.3 : 0);
         int leader = cluster.leader();
         for (int number = 101; number <= 110; number++) {
             submit(number % CONTROLLERS, 1, job(number, 1));
@@ -85,7 +86,7 @@
     @Test
     void movesKeepToLowerLimits() {
         endJobs();
-        cluster.keyValueStore().limit(2048, 2);
+        cluster.keyValueStore().setSizeLimits(2048, 2);
         cluster.run(4 * UNTIL_MOVED_SECONDS);
         assertAllMovedAndAnswered();
     }
--- a/src/test/java/org/springmill/control/simulation/HistoryPropertyTest.java
+++ b/src/test/java/org/springmill/control/simulation/HistoryPropertyTest.java
@@ -21,7 +21,7 @@
 import net.jqwik.api.Property;
 import net.jqwik.api.Provide;
 import net.jqwik.api.ShrinkingMode;
-import org.springmill.sim.SimNetwork.Fate;
+import org.springmill.sim.SimNetwork.Delivery;
 import org.springmill.sim.SimulatedCluster;
 
 /**
@@ -123,8 +123,8 @@
                 case QUERY -> withJob(step, job -> query(controller, idOf(job)));
                 case RESTART -> cluster.restart(controller);
                 case KILL -> cluster.kill(controller);
-                case DROP_WATCHES -> setFate(controller, "/changes?under=job/", Fate.DROP);
-                case HOLD_COMMITS -> setFate(controller, "/commit", Fate.HOLD);
+                case DROP_WATCHES -> setFate(controller, "/changes?under=job/", Delivery.DROP);
+                case HOLD_COMMITS -> setFate(controller, "/commit", Delivery.HOLD);
                 case DELAY_COMMITS -> cluster.keyValueStore().delayCommits(0.4);
                 case OUTAGE -> cluster.keyValueStore().setDown(true);
                 case REFUSE -> cluster.keyValueStore().refuseController(controller, true);
@@ -134,18 +134,18 @@
             }
         }
 
-        private void setFate(int controller, String path, Fate fate) {
+        private void setFate(int controller, String path, Delivery fate) {
             cluster.network()
-                    .judge(
+                    .setDeliveryRule(
                             (from, request) ->
                                     MessageMatchers.fromController(from, controller)
                                                     && request.path().startsWith(path)
                                             ? fate
-                                            : Fate.DELIVER);
+                                            : Delivery.DELIVER);
         }
 
         private void heal() {
-            cluster.network().judge((from, request) -> Fate.DELIVER);
+            cluster.network().setDeliveryRule((from, request) -> Delivery.DELIVER);
             cluster.keyValueStore().delayCommits(0);
             cluster.keyValueStore().setDown(false);
             for (int controller = 0; controller < CONTROLLERS; controller++) {
--- a/src/test/java/org/springmill/control/simulation/IsolatedLeaderCancellationTest.java
+++ b/src/test/java/org/springmill/control/simulation/IsolatedLeaderCancellationTest.java
@@ -7,7 +7,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
-import org.springmill.sim.SimNetwork.Fate;
+import org.springmill.sim.SimNetwork.Delivery;
 import org.springmill.sim.SimWorker;
 import org.springmill.sim.SimulatedCluster;
 
@@ -123,11 +123,11 @@
         assertEquals("cancelled", cluster.cancel((leader + 1) % 3, JOB));
         cluster.keyValueStore().setDown(true);
         cluster.network()
-                .judge(
+                .setDeliveryRule(
                         (from, request) ->
                                 request.address().equals(victim.address())
-                                        ? Fate.DROP
-                                        : Fate.DELIVER);
+                                        ? Delivery.DROP
+                                        : Delivery.DELIVER);
         cluster.run(43);
         assertEquals(0, cluster.running(JOB));
     }
--- a/src/test/java/org/springmill/control/simulation/JobChainCancellationTest.java
+++ b/src/test/java/org/springmill/control/simulation/JobChainCancellationTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
-import org.springmill.sim.SimNetwork.Fate;
+import org.springmill.sim.SimNetwork.Delivery;
 
 /**
  * Cancelling a job also cancels all jobs that depend on it, whichever component fails meanwhile.
@@ -100,7 +100,7 @@
         cluster.run(dependencyRunning ? 1 : 25);
         int other = (isolated + 1) % 3;
         assertEquals("cancelled", cluster.cancel(other, id(dependencyRunning ? 1 : 2)));
-        cluster.polled().run(60);
+        cluster.startPolling().run(60);
         assertEquals("cancelled", cluster.phase(other, id(3)));
         // The isolated leader must report the cancellation or answer 503, never an outdated phase.
         String phase = cluster.phase(isolated, id(3));
@@ -165,7 +165,7 @@
         "LOSE_ANSWER, 3"
     })
     void dependentsStayCancelledWhenAllControllersCrashDuringTheCommits(
-            Fate fate, int commitIndex) {
+            Delivery fate, int commitIndex) {
         submit(0, 2, job(1, 1));
         submit(1, 1e9, job(2, 2, 1));
         for (int i = 3; i <= 8; i++) {
@@ -178,7 +178,7 @@
         assertPhaseEverywhere("running", 2);
         int[] commitsSeen = new int[1];
         cluster.network()
-                .judge(
+                .setDeliveryRule(
                         (from, request) -> {
                             boolean hit =
                                     isCommit(request)
@@ -187,7 +187,7 @@
                             if (hit) {
                                 cluster.clock().after(0.003, this::killControllers);
                             }
-                            return hit ? fate : Fate.DELIVER;
+                            return hit ? fate : Delivery.DELIVER;
                         });
         String answer = cluster.cancel(follower(), id(2));
         cluster.run(20);
@@ -223,15 +223,15 @@
         "LOSE_ANSWER, 0.05"
     })
     void aDependentFollowsWhicheverOfDoneAndCancelledIsCommittedFirst(
-            Fate fate, double delaySeconds) {
+            Delivery fate, double delaySeconds) {
         submit(0, 4, job(1, 2));
         submit(1, 1, job(2, 1, 1));
         cluster.network()
-                .judge(
+                .setDeliveryRule(
                         (from, request) ->
                                 isCommit(request) && text(request).contains("\"end\":\"done\"")
                                         ? fate
-                                        : Fate.DELIVER);
+                                        : Delivery.DELIVER);
         cluster.run(4);
         assertEquals(2, cluster.running(id(1)));
         while (cluster.running(id(1)) > 0) {
--- a/src/test/java/org/springmill/control/simulation/JobChainEligibilityTest.java
+++ b/src/test/java/org/springmill/control/simulation/JobChainEligibilityTest.java
@@ -6,7 +6,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
-import org.springmill.sim.SimNetwork.Fate;
+import org.springmill.sim.SimNetwork.Delivery;
 import org.springmill.sim.SimWorker;
 
 /** A job becomes eligible once all its dependencies are recorded as done. */
@@ -59,9 +59,9 @@
     void aDependentWhoseRecordArrivesFirstWaitsForItsDependency(
             String how, String state, String end) {
         int[] doneTasks = state.equals("done") ? new int[] {0, 1} : new int[0];
-        cluster.assume(job(9, 2), doneTasks);
-        cluster.assume(job(1, 2, 9));
-        cluster.assume(job(2, 2, 1));
+        cluster.registerStoredJob(job(9, 2), doneTasks);
+        cluster.registerStoredJob(job(1, 2, 9));
+        cluster.registerStoredJob(job(2, 2, 1));
         if (how.equals("rebuild")) {
             killControllers();
             cluster.run(6);
@@ -100,13 +100,13 @@
         if (how.equals("taken")) {
             cluster.cloud().reclaim(lost);
         } else {
-            lost.hang(true);
+            lost.setHung(true);
         }
         if (leaderRestarts) {
             cluster.restart(cluster.leader());
         }
         cluster.run(6);
-        lost.hang(false);
+        lost.setHung(false);
         assertEquals(0, cluster.starts(id(2) + "/0"));
         cluster.run(60);
         assertPhaseEverywhere("done", 1, 2);
@@ -122,11 +122,11 @@
         submit(0, 5, job(1, 2));
         submit(1, 1, job(2, 2, 1));
         cluster.network()
-                .judge(
+                .setDeliveryRule(
                         (from, request) ->
                                 text(request).contains("\"end\":\"done\"")
-                                        ? Fate.DROP
-                                        : Fate.DELIVER);
+                                        ? Delivery.DROP
+                                        : Delivery.DELIVER);
         cluster.run(4);
         cluster.restart(cluster.leader());
         cluster.run(15);
--- a/src/test/java/org/springmill/control/simulation/JobChainFailoverTest.java
+++ b/src/test/java/org/springmill/control/simulation/JobChainFailoverTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
-import org.springmill.sim.SimNetwork.Fate;
+import org.springmill.sim.SimNetwork.Delivery;
 
 /** Job chains continue under new leaders, and no task is started twice. */
 class JobChainFailoverTest extends JobChainFixture {
@@ -30,12 +30,12 @@
         "LOSE_ANSWER, claim",
         "HOLD, claim"
     })
-    void dependentsStartOnceWhenTheLeaderCrashesBetweenTwoJobs(Fate fate, String what) {
+    void dependentsStartOnceWhenTheLeaderCrashesBetweenTwoJobs(Delivery fate, String what) {
         submit(follower(), 3, job(1, 2));
         submit(follower(), 3, job(2, 2, 1));
         int leader = cluster.leader();
         cluster.network()
-                .judge(
+                .setDeliveryRule(
                         (from, request) -> {
                             String body = text(request);
                             boolean hit =
@@ -47,7 +47,7 @@
                             if (hit) {
                                 cluster.clock().after(0.003, () -> cluster.kill(leader));
                             }
-                            return hit ? fate : Fate.DELIVER;
+                            return hit ? fate : Delivery.DELIVER;
                         });
         cluster.run(12);
         cluster.network().releaseHeld();
@@ -70,13 +70,13 @@
         startCluster(seed);
         SplittableRandom random = new SplittableRandom(seed);
         cluster.network()
-                .judge(
+                .setDeliveryRule(
                         (from, request) ->
                                 !from.startsWith("n-") || random.nextInt(100) > 5
-                                        ? Fate.DELIVER
-                                        : List.of(Fate.values())
-                                                .get(random.nextInt(Fate.values().length)));
-        cluster.polled();
+                                        ? Delivery.DELIVER
+                                        : List.of(Delivery.values())
+                                                .get(random.nextInt(Delivery.values().length)));
+        cluster.startPolling();
         for (int i = 0; i < 8; i++) {
             int first = 10 * i + 1;
             submitUntilAccepted(job(first, 3), random);
--- a/src/test/java/org/springmill/control/simulation/JobChainFixture.java
+++ b/src/test/java/org/springmill/control/simulation/JobChainFixture.java
@@ -110,7 +110,7 @@
         String commit =
                 "{\"when\":[],\"writes\":[{\"write\":\"" + key + "\",\"value\":" + value + "}]}";
         cluster.network()
-                .repeat(
+                .deliverAgain(
                         new Request(
                                 "state:1",
                                 "POST",
--- a/src/test/java/org/springmill/control/simulation/JobChainRecordGenerationsTest.java
+++ b/src/test/java/org/springmill/control/simulation/JobChainRecordGenerationsTest.java
@@ -39,12 +39,12 @@
         store(
                 "round/000000000000008.00",
                 "{\"v\":1,\"ended\":[\"k1\",\"k2\"],\"done\":[[\"run-000002\",\"1\"]]}");
-        cluster.assume(job(1, 2), 0, 1);
-        cluster.assume(job(2, 2), 1);
-        cluster.assume(job(3, 2, 1));
-        cluster.assume(job(4, 2, 1, 2));
-        cluster.assume(job(5, 2));
-        cluster.assume(job(6, 2, 5));
+        cluster.registerStoredJob(job(1, 2), 0, 1);
+        cluster.registerStoredJob(job(2, 2), 1);
+        cluster.registerStoredJob(job(3, 2, 1));
+        cluster.registerStoredJob(job(4, 2, 1, 2));
+        cluster.registerStoredJob(job(5, 2));
+        cluster.registerStoredJob(job(6, 2, 5));
         restartControllers();
         cluster.run(30);
         assertPhaseEverywhere("done", 1, 2, 3, 4);
--- a/src/test/java/org/springmill/control/simulation/JobChainSubmissionTest.java
+++ b/src/test/java/org/springmill/control/simulation/JobChainSubmissionTest.java
@@ -8,7 +8,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
-import org.springmill.sim.SimNetwork.Fate;
+import org.springmill.sim.SimNetwork.Delivery;
 import org.springmill.sim.SimulatedCluster;
 import org.springmill.transport.HttpClient.Reply;
 
@@ -68,23 +68,23 @@
     @Test
     void anUnknownDependencyGetsNoFinalAnswerWithoutAReadOfTheStateService() {
         cluster.network()
-                .judge(
+                .setDeliveryRule(
                         (from, request) ->
                                 fromController(from, 1)
                                                 && request.path().startsWith("/changes?under=job")
                                                 && !request.path().endsWith("waitMs=0")
-                                        ? Fate.DROP
-                                        : Fate.DELIVER);
+                                        ? Delivery.DROP
+                                        : Delivery.DELIVER);
         cluster.run(20);
         submit(0, 30, job(1, 1));
         submit(1, 1, job(2, 1, 1));
         submit(0, 30, job(3, 1));
         cluster.network()
-                .judge(
+                .setDeliveryRule(
                         (from, request) ->
                                 fromController(from, 1) && request.path().startsWith("/changes")
-                                        ? Fate.REFUSE
-                                        : Fate.DELIVER);
+                                        ? Delivery.REFUSE
+                                        : Delivery.DELIVER);
         assertEquals(503, cluster.submit(1, job(4, 1, 3), 1));
         // Controller 0 accepted this job, but controller 1 cannot find that out either.
         assertEquals(503, cluster.submit(1, job(3, 1), 1));
--- a/src/test/java/org/springmill/control/simulation/KeyValueStoreLimitsTest.java
+++ b/src/test/java/org/springmill/control/simulation/KeyValueStoreLimitsTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import org.springmill.protocol.Settings;
-import org.springmill.sim.SimNetwork.Fate;
+import org.springmill.sim.SimNetwork.Delivery;
 import org.springmill.sim.SimulatedCluster;
 
 /** The limits of the key-value store shrink, with and without a change of the settings. */
@@ -59,12 +59,12 @@
         assertTrue(
                 largestRoundBytes() > 2048,
                 "largest round record: " + largestRoundBytes() + " bytes");
-        cluster.settings(SMALLER_LIMITS);
+        cluster.setStoreLimits(SMALLER_LIMITS);
         for (int node = 0; node < 3; node++) {
             cluster.restart(node);
             cluster.run(12);
         }
-        cluster.keyValueStore().limit(2048, 4);
+        cluster.keyValueStore().setSizeLimits(2048, 4);
         for (int i = 20; i < 60; i++) {
             assertEquals(201, cluster.submit(i % 3, job(i, "sweep", 20), 1));
             cluster.run(2);
@@ -106,13 +106,13 @@
         "LOSE_ANSWER, 1",
         "HOLD, 1"
     })
-    void aRefusalForSizeEndsNoTermAndIsNotRepeated(Fate fate, int later) {
+    void aRefusalForSizeEndsNoTermAndIsNotRepeated(Delivery fate, int later) {
         cluster.machines("large", "a", 4).machines("large", "b", 4).run(6);
         int leader = cluster.leader();
         String term = cluster.keyValueStore().value("leader").toString();
         int[] matches = new int[1];
         cluster.network()
-                .judge(
+                .setDeliveryRule(
                         (from, request) -> {
                             boolean round =
                                     request.path().equals("/commit")
@@ -120,13 +120,17 @@
                                                     .contains("\"claims\":[[\"" + id(1));
                             if (round && matches[0]++ == later) {
                                 cluster.clock()
-                                        .after(0.001, () -> cluster.keyValueStore().limit(2048, 3));
+                                        .after(
+                                                0.001,
+                                                () ->
+                                                        cluster.keyValueStore()
+                                                                .setSizeLimits(2048, 3));
                                 return fate;
                             }
                             if (round && later == 1 && matches[0] == 1) {
-                                cluster.keyValueStore().limit(2048, 3);
+                                cluster.keyValueStore().setSizeLimits(2048, 3);
                             }
-                            return Fate.DELIVER;
+                            return Delivery.DELIVER;
                         });
         assertEquals(201, cluster.submit(leader, job(1, "service", 90), 1e9));
         cluster.run(10);
@@ -159,11 +163,11 @@
         "firstRound, DELIVER",
         "firstRound, LOSE_ANSWER"
     })
-    void jobsRunOnceWhenLimitsShrink(String moment, Fate fate) {
+    void jobsRunOnceWhenLimitsShrink(String moment, Delivery fate) {
         startMachinesAndServices();
         int[] matches = new int[1];
         cluster.network()
-                .judge(
+                .setDeliveryRule(
                         (from, request) -> {
                             String body = new String(request.body(), StandardCharsets.UTF_8);
                             boolean hit =
@@ -175,10 +179,14 @@
                                     };
                             if (hit && matches[0]++ == 0) {
                                 cluster.clock()
-                                        .after(0.001, () -> cluster.keyValueStore().limit(2048, 4));
+                                        .after(
+                                                0.001,
+                                                () ->
+                                                        cluster.keyValueStore()
+                                                                .setSizeLimits(2048, 4));
                                 return fate;
                             }
-                            return Fate.DELIVER;
+                            return Delivery.DELIVER;
                         });
         if (!moment.equals("compaction")) {
             cluster.restart(cluster.leader());
@@ -224,7 +232,7 @@
         }
         assertEquals("cancelled", cluster.cancel(1, id(1)));
         cluster.run(4);
-        cluster.keyValueStore().limit(2048, 4);
+        cluster.keyValueStore().setSizeLimits(2048, 4);
         if (leaderChanges) {
             cluster.restart(cluster.leader());
         }
@@ -252,7 +260,7 @@
     @Test
     void aRecordThatIsFoundTooLargeIsRefused() {
         cluster.machines("large", "a", 2).run(6);
-        cluster.keyValueStore().limit(1024, 4);
+        cluster.keyValueStore().setSizeLimits(1024, 4);
         ObjectNode job = job(1, "sweep", 1);
         for (int i = 0; i < 150; i++) {
             job.withArray("frames").add("type-" + i);
--- a/src/test/java/org/springmill/control/simulation/KeyValueStoreOutageTest.java
+++ b/src/test/java/org/springmill/control/simulation/KeyValueStoreOutageTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
-import org.springmill.sim.SimNetwork.Fate;
+import org.springmill.sim.SimNetwork.Delivery;
 import org.springmill.sim.SimWorker;
 import org.springmill.sim.SimulatedCluster;
 
@@ -25,11 +25,11 @@
         cluster.run(3);
         cluster.partitionPeers(isolated, true);
         cluster.network()
-                .judge(
+                .setDeliveryRule(
                         (from, request) ->
                                 fromController(from, isolated) || toController(request, isolated)
-                                        ? Fate.DROP
-                                        : Fate.DELIVER);
+                                        ? Delivery.DROP
+                                        : Delivery.DELIVER);
         cluster.run(partitionSeconds);
         cluster.keyValueStore().setDown(false);
         cluster.run(5);
@@ -46,15 +46,15 @@
         cluster.run(8);
         int refused = follower();
         cluster.network()
-                .judge(
+                .setDeliveryRule(
                         (from, request) ->
                                 (fromController(from, refused) && toStateService(request))
                                                 || request.path().equals("/rentals/delete")
-                                        ? Fate.REFUSE
-                                        : Fate.DELIVER);
+                                        ? Delivery.REFUSE
+                                        : Delivery.DELIVER);
         cluster.run(5);
         SimWorker hung = cluster.workerRunning(FIRST_TASK);
-        hung.hang(true);
+        hung.setHung(true);
         cluster.run(25);
         // The cloud refuses all deletions, so only missing reports proved that the task was gone.
         assertEquals(2, cluster.starts(FIRST_TASK));
@@ -120,11 +120,11 @@
         if (cancelled) {
             cluster.filterPeers();
             cluster.network()
-                    .judge(
+                    .setDeliveryRule(
                             (from, request) ->
                                     fromController(from, isolated) && toStateService(request)
-                                            ? Fate.REFUSE
-                                            : Fate.DELIVER);
+                                            ? Delivery.REFUSE
+                                            : Delivery.DELIVER);
             assertEquals("cancelled", cluster.cancel((isolated + 1) % 3, JOB));
         }
         for (int i = 0; i < 3; i++) {
--- a/src/test/java/org/springmill/control/simulation/LargeFleetTest.java
+++ b/src/test/java/org/springmill/control/simulation/LargeFleetTest.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import java.util.Map;
 import org.junit.jupiter.api.Test;
-import org.springmill.sim.SimNetwork.Fate;
+import org.springmill.sim.SimNetwork.Delivery;
 import org.springmill.sim.SimOptions;
 import org.springmill.sim.SimWorker;
 import org.springmill.sim.SimulatedCluster;
@@ -103,7 +103,7 @@
         requests.clear();
         int lost = running(rack);
         assertTrue(lost > 0, "the lost rack runs no task");
-        rack.forEach(worker -> worker.hang(true));
+        rack.forEach(worker -> worker.setHung(true));
         cluster.run(9);
         assertEquals(
                 jobs * REPLICAS,
@@ -123,12 +123,12 @@
                         .run(6);
         cluster.cloud().exhaustCapacity();
         cluster.network()
-                .judge(
+                .setDeliveryRule(
                         (from, request) -> {
                             requests.merge(request.path(), 1, Integer::sum);
                             largestRequestBytes =
                                     Math.max(largestRequestBytes, request.body().length);
-                            return Fate.DELIVER;
+                            return Delivery.DELIVER;
                         });
     }
 
--- a/src/test/java/org/springmill/control/simulation/LeaderFailoverTest.java
+++ b/src/test/java/org/springmill/control/simulation/LeaderFailoverTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
-import org.springmill.sim.SimNetwork.Fate;
+import org.springmill.sim.SimNetwork.Delivery;
 import org.springmill.sim.SimulatedCluster;
 
 /** Leader crashes and controller restarts: a new leader takes over and starts nothing twice. */
@@ -18,15 +18,15 @@
     /** The moments around a start command at which the leader may crash. */
     enum CrashPoint {
         /** Between the commit of the allocation and the sending of the command. */
-        BEFORE_SEND(Fate.DROP),
+        BEFORE_SEND(Delivery.DROP),
         /** Between the sending of the command and its response. */
-        BEFORE_ANSWER(Fate.LOSE_ANSWER),
+        BEFORE_ANSWER(Delivery.LOSE_RESPONSE),
         /** While the network delays the command; it arrives long after the crash. */
-        COMMAND_DELAYED(Fate.HOLD);
+        COMMAND_DELAYED(Delivery.HOLD);
 
-        private final Fate fate;
+        private final Delivery fate;
 
-        CrashPoint(Fate fate) {
+        CrashPoint(Delivery fate) {
             this.fate = fate;
         }
     }
@@ -36,13 +36,13 @@
     void leaderCrashDuringATaskStartStartsTheTaskExactlyOnce(CrashPoint crashPoint) {
         int leader = cluster.leader();
         cluster.network()
-                .judge(
+                .setDeliveryRule(
                         (from, request) -> {
                             if (fromController(from, leader) && isStartCommand(request)) {
                                 cluster.clock().after(0.0001, () -> cluster.kill(leader));
                                 return crashPoint.fate;
                             }
-                            return Fate.DELIVER;
+                            return Delivery.DELIVER;
                         });
         submitService(follower(), JOB, "red", 1, 1);
         cluster.run(30);
@@ -73,11 +73,11 @@
         cluster.run(9);
         boolean[] electionBlocked = {true};
         cluster.network()
-                .judge(
+                .setDeliveryRule(
                         (from, request) ->
                                 electionBlocked[0] && isCommit(request)
-                                        ? Fate.REFUSE
-                                        : Fate.DELIVER);
+                                        ? Delivery.REFUSE
+                                        : Delivery.DELIVER);
         for (int i = 0; i < 3; i++) {
             cluster.restart(i);
         }
--- a/src/test/java/org/springmill/control/simulation/NetworkPartitionTest.java
+++ b/src/test/java/org/springmill/control/simulation/NetworkPartitionTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
-import org.springmill.sim.SimNetwork.Fate;
+import org.springmill.sim.SimNetwork.Delivery;
 import org.springmill.sim.SimWorker;
 import org.springmill.transport.HttpClient.Request;
 
@@ -34,11 +34,11 @@
         int isolated = cluster.leader();
         cluster.partitionPeers(isolated, lostConnections.contains("peers"));
         cluster.network()
-                .judge(
+                .setDeliveryRule(
                         (from, request) ->
                                 isLost(lostConnections, isolated, from, request)
-                                        ? Fate.DROP
-                                        : Fate.DELIVER);
+                                        ? Delivery.DROP
+                                        : Delivery.DELIVER);
         cluster.run(durationSeconds);
         deliverAllMessages();
         cluster.partitionPeers(isolated, false);
@@ -86,12 +86,14 @@
         // The other controllers see an outage and, without a leader, renew the leases of the
         // workers; the leader receives no report from any worker.
         cluster.network()
-                .judge(
+                .setDeliveryRule(
                         (from, request) -> {
                             boolean othersState =
                                     !fromController(from, isolated) && toStateService(request);
                             boolean workers = isBetweenWorkersAnd(isolated, from, request);
-                            return othersState ? Fate.REFUSE : workers ? Fate.DROP : Fate.DELIVER;
+                            return othersState
+                                    ? Delivery.REFUSE
+                                    : workers ? Delivery.DROP : Delivery.DELIVER;
                         });
         cluster.run(60);
         cluster.partitionPeers(isolated, false);
@@ -106,11 +108,11 @@
         cluster.run(8);
         int isolated = cluster.leader();
         cluster.network()
-                .judge(
+                .setDeliveryRule(
                         (from, request) ->
                                 isBetweenWorkersAnd(isolated, from, request)
-                                        ? Fate.DROP
-                                        : Fate.DELIVER);
+                                        ? Delivery.DROP
+                                        : Delivery.DELIVER);
         cluster.run(40);
         assertNotEquals(isolated, cluster.leader());
         assertEachTaskStartedOnce(JOB, 4);
@@ -125,7 +127,7 @@
         cluster.partitionPeers(isolated, true);
         // One machine exchanges messages with the old leader only.
         cluster.network()
-                .judge(
+                .setDeliveryRule(
                         (from, request) -> {
                             boolean oldLeader =
                                     fromController(from, isolated) && toStateService(request);
@@ -134,7 +136,9 @@
                             boolean inwards =
                                     !fromController(from, isolated)
                                             && request.address().equals(machine.address());
-                            return oldLeader || outwards || inwards ? Fate.DROP : Fate.DELIVER;
+                            return oldLeader || outwards || inwards
+                                    ? Delivery.DROP
+                                    : Delivery.DELIVER;
                         });
         cluster.run(15);
         assertNotEquals(isolated, cluster.leader());
@@ -151,11 +155,11 @@
         int isolated = cluster.leader();
         cluster.partitionPeers(isolated, true);
         cluster.network()
-                .judge(
+                .setDeliveryRule(
                         (from, request) ->
                                 fromController(from, isolated) && !toWorker(request)
-                                        ? Fate.DROP
-                                        : Fate.DELIVER);
+                                        ? Delivery.DROP
+                                        : Delivery.DELIVER);
         cluster.run(30);
         assertNotEquals(isolated, cluster.leader());
         assertEquals("cancelled", cluster.cancel(cluster.leader(), JOB));
--- a/src/test/java/org/springmill/control/simulation/ResourceLimitTest.java
+++ b/src/test/java/org/springmill/control/simulation/ResourceLimitTest.java
@@ -21,10 +21,10 @@
         // Two machines hang: they neither report nor stop tasks when the worker lease expires.
         // With six tasks of 2 GPUs each running, the team's limit of 16 GPUs allows two more.
         List<SimWorker> hung = cluster.cloud().machines().values().stream().limit(2).toList();
-        hung.forEach(w -> w.hang(true));
+        hung.forEach(w -> w.setHung(true));
         submitService(1, OTHER, "red", 5, 2);
         cluster.run(60);
-        hung.forEach(w -> w.hang(false));
+        hung.forEach(w -> w.setHung(false));
         cluster.run(40);
         assertEquals(6, cluster.running(JOB));
         assertEquals(2, cluster.running(OTHER));
--- a/src/test/java/org/springmill/control/simulation/WorkerLeaseTest.java
+++ b/src/test/java/org/springmill/control/simulation/WorkerLeaseTest.java
@@ -7,7 +7,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import org.springmill.sim.SimNetwork.Fate;
+import org.springmill.sim.SimNetwork.Delivery;
 import org.springmill.sim.SimWorker;
 import org.springmill.sim.SimulatedCluster;
 
@@ -20,9 +20,11 @@
         cluster.run(8);
         int before = cluster.cloud().machines().size();
         cluster.network()
-                .judge(
+                .setDeliveryRule(
                         (from, request) ->
-                                fromWorker(from) || isCommand(request) ? Fate.DROP : Fate.DELIVER);
+                                fromWorker(from) || isCommand(request)
+                                        ? Delivery.DROP
+                                        : Delivery.DELIVER);
         cluster.run(durationSeconds);
         deliverAllMessages();
         cluster.run(30);
@@ -34,7 +36,7 @@
     void replicasOfAHungMachineAreReplacedBeforeItsLeaseEnds() {
         submitService(0, JOB, "red", 1, 1);
         cluster.run(8);
-        cluster.workerRunning(FIRST_TASK).hang(true);
+        cluster.workerRunning(FIRST_TASK).setHung(true);
         cluster.run(11);
         assertEquals(2, cluster.starts(FIRST_TASK));
     }
@@ -43,11 +45,11 @@
     void jobsRunElsewhereWhenCommandsDoNotReachAReportingMachine() {
         SimWorker unreachable = cluster.cloud().machines().values().iterator().next();
         cluster.network()
-                .judge(
+                .setDeliveryRule(
                         (from, request) ->
                                 request.address().equals(unreachable.address())
-                                        ? Fate.DROP
-                                        : Fate.DELIVER);
+                                        ? Delivery.DROP
+                                        : Delivery.DELIVER);
         for (int i = 0; i < 8; i++) {
             submitService(0, "run-00030" + i, "blue", 1, 2);
         }
@@ -60,7 +62,7 @@
     @Test
     void allJobsCompleteDespiteAMachineThatFailsEveryTask() {
         SimWorker faulty = cluster.cloud().machines().values().iterator().next();
-        faulty.failEverything();
+        faulty.failAllTasks();
         for (int i = 0; i < 8; i++) {
             cluster.submit(0, SimulatedCluster.job("run-00040" + i, "blue", "sweep", 4, 1, 1), 5);
         }
--- a/src/test/java/org/springmill/control/simulation/ZonePartitionTest.java
+++ b/src/test/java/org/springmill/control/simulation/ZonePartitionTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
-import org.springmill.sim.SimNetwork.Fate;
+import org.springmill.sim.SimNetwork.Delivery;
 import org.springmill.sim.SimWorker;
 import org.springmill.sim.SimulatedCluster;
 
@@ -30,11 +30,11 @@
         hosts.add("10.0.0." + controllerInside + ":8080");
         cluster.partitionPeers(controllerInside, true);
         cluster.network()
-                .judge(
+                .setDeliveryRule(
                         (from, request) ->
                                 hosts.contains(from) == hosts.contains(request.address())
-                                        ? Fate.DELIVER
-                                        : Fate.DROP);
+                                        ? Delivery.DELIVER
+                                        : Delivery.DROP);
     }
 
     /**
@@ -100,12 +100,12 @@
         Set<String> addresses = new HashSet<>();
         zoneMachines.forEach(worker -> addresses.add(worker.address()));
         cluster.network()
-                .judge(
+                .setDeliveryRule(
                         (from, request) ->
                                 from.equals(zoneMachines.get(0).name())
                                                 || addresses.contains(request.address())
-                                        ? Fate.DROP
-                                        : Fate.DELIVER);
+                                        ? Delivery.DROP
+                                        : Delivery.DELIVER);
         cluster.partitionPeers(controllerInside, false);
         cluster.run(4);
         deliverAllMessages();
@@ -128,11 +128,11 @@
             // detects its isolation before the workers of the zone connect to it.
             cluster.partitionPeers(controllerInside, true);
             cluster.network()
-                    .judge(
+                    .setDeliveryRule(
                             (from, request) ->
                                     fromWorker(from) || fromController(from, controllerInside)
-                                            ? Fate.DROP
-                                            : Fate.DELIVER);
+                                            ? Delivery.DROP
+                                            : Delivery.DELIVER);
             cluster.run(4);
             partitionZone("b", controllerInside);
             cluster.run(26);
--- a/src/test/java/org/springmill/sim/BorrowingChecker.java
+++ b/src/test/java/org/springmill/sim/BorrowingChecker.java
@@ -96,12 +96,12 @@
     }
 
     /** The number of recalls committed so far. */
-    public int recalls() {
+    public int committedRecallCount() {
         return recallKeys.size();
     }
 
     /** The number of recalls in the key-value store now. */
-    public int recorded() {
+    public int storedRecallCount() {
         return storedRecalls().size();
     }
 
@@ -110,7 +110,7 @@
      * without a recall, and use capacity that a recall has reserved, since they do not read its
      * record.
      */
-    public void olderVersionsTookPart() {
+    public void allowControllersWithoutRecalls() {
         violations.removeIf(violation -> violation.contains(WITHOUT_RECALL));
         violations.removeIf(violation -> violation.contains(OVERCOMMITTED));
     }
@@ -119,7 +119,7 @@
      * From now on halts without a recall are allowed, since machines that are mostly free may be
      * drained.
      */
-    public void machinesMayBeDrained() {
+    public void allowDraining() {
         drainingAllowed = true;
     }
 
--- a/src/test/java/org/springmill/sim/RetryingUsers.java
+++ b/src/test/java/org/springmill/sim/RetryingUsers.java
@@ -42,7 +42,7 @@
         }
         attempts++;
         int controller = random.nextInt(SimSettings.CONTROLLERS);
-        cluster.user(
+        cluster.sendAsUser(
                 controller,
                 "POST",
                 "/submissions",
--- a/src/test/java/org/springmill/sim/SimKeyValueStore.java
+++ b/src/test/java/org/springmill/sim/SimKeyValueStore.java
@@ -38,7 +38,7 @@
     }
 
     /** Changes the size limits without notice to the controllers. Stored records stay. */
-    public void limit(int bytes, int writes) {
+    public void setSizeLimits(int bytes, int writes) {
         store.setSizeLimits(bytes, writes);
     }
 
--- a/src/test/java/org/springmill/sim/SimNetwork.java
+++ b/src/test/java/org/springmill/sim/SimNetwork.java
@@ -17,21 +17,21 @@
     private static final double DELAY_SECONDS = 0.002;
 
     /** How the network treats a request. */
-    public enum Fate {
+    public enum Delivery {
         DELIVER,
         /** Is lost; the sender gets a timeout. */
         DROP,
         /** The connection is refused; the sender learns that nothing was sent. */
         REFUSE,
         /** Arrives and is executed, but its response is lost. */
-        LOSE_ANSWER,
+        LOSE_RESPONSE,
         /** Is delivered only by {@link #releaseHeld}; the sender gets a timeout. */
         HOLD
     }
 
     /** Decides how a request is treated, by its sender, address and content. */
-    public interface Judge {
-        Fate judge(String from, Request request);
+    public interface DeliveryRule {
+        Delivery deliveryOf(String from, Request request);
     }
 
     private final SimulatedCluster cluster;
@@ -39,7 +39,7 @@
     private final Set<String> unreachableMachines = new HashSet<>();
     private final Set<String> heartbeatsBlocked = new HashSet<>();
     private final Set<String> partitionFromStore = new HashSet<>();
-    private Judge deliveryRule = (from, request) -> Fate.DELIVER;
+    private DeliveryRule deliveryRule = (from, request) -> Delivery.DELIVER;
     private Delays requestDelays = (from, request) -> 0;
     private Delays responseDelays = (from, request) -> 0;
     private SplittableRandom random;
@@ -60,7 +60,7 @@
         random = source;
     }
 
-    public void judge(Judge rule) {
+    public void setDeliveryRule(DeliveryRule rule) {
         deliveryRule = rule;
     }
 
@@ -70,7 +70,7 @@
     }
 
     /** Delays responses. A response is ignored if the sender has timed out by then. */
-    public void delayAnswers(Delays delays) {
+    public void delayResponses(Delays delays) {
         responseDelays = delays;
     }
 
@@ -99,7 +99,7 @@
     }
 
     void endFailures() {
-        deliveryRule = (from, request) -> Fate.DELIVER;
+        deliveryRule = (from, request) -> Delivery.DELIVER;
         requestDelays = (from, request) -> 0;
         responseDelays = (from, request) -> 0;
         duplicatedHeartbeatShare = 0;
@@ -108,7 +108,7 @@
         partitionFromStore.clear();
     }
 
-    public boolean holdsAny() {
+    public boolean hasHeldRequests() {
         return !held.isEmpty();
     }
 
@@ -121,23 +121,23 @@
     }
 
     /** Delivers a request again and ignores its response. */
-    public void repeat(Request request) {
+    public void deliverAgain(Request request) {
         cluster.route("", request, reply -> {});
     }
 
-    private Fate fate(String from, Request request) {
+    private Delivery deliveryOf(String from, Request request) {
         boolean report = request.path().equals("/v1/report");
         if (report && heartbeatsBlocked.contains(from)) {
-            return Fate.REFUSE;
+            return Delivery.REFUSE;
         }
         if (unreachableMachines.contains(request.address())
                 || (partitionFromStore.contains(from)
                         && request.address().equals(SimSettings.STORE_ADDRESS))) {
-            return Fate.DROP;
+            return Delivery.DROP;
         }
-        Fate delivery = deliveryRule.judge(from, request);
-        return delivery == Fate.DELIVER && unreachableMachines.contains(from)
-                ? Fate.LOSE_ANSWER
+        Delivery delivery = deliveryRule.deliveryOf(from, request);
+        return delivery == Delivery.DELIVER && unreachableMachines.contains(from)
+                ? Delivery.LOSE_RESPONSE
                 : delivery;
     }
 
@@ -150,8 +150,8 @@
                         done.accept(reply);
                     }
                 };
-        Fate delivery = fate(from, request);
-        if (delivery == Fate.REFUSE) {
+        Delivery delivery = deliveryOf(from, request);
+        if (delivery == Delivery.REFUSE) {
             cluster.clock().after(DELAY_SECONDS, () -> completeOnce.accept(Reply.NOT_SENT));
             return;
         }
@@ -168,7 +168,7 @@
         switch (delivery) {
             case DROP -> {}
             case HOLD -> held.add(new HeldRequest(from, request));
-            case LOSE_ANSWER ->
+            case LOSE_RESPONSE ->
                     cluster.clock()
                             .after(delaySeconds, () -> cluster.route(from, request, reply -> {}));
             default ->
--- a/src/test/java/org/springmill/sim/SimOptions.java
+++ b/src/test/java/org/springmill/sim/SimOptions.java
@@ -10,11 +10,11 @@
  *
  * @param seed of all random decisions
  * @param operator the operators' settings of all controllers
- * @param stateLimits limits of the key-value store in the settings of all controllers
+ * @param storeLimits limits of the key-value store in the settings of all controllers
  * @param heapBytes the maximum heap of each controller
  */
 public record SimOptions(
-        long seed, OperatorSettings operator, Settings.StoreLimits stateLimits, double heapBytes) {
+        long seed, OperatorSettings operator, Settings.StoreLimits storeLimits, double heapBytes) {
     private static final double HEAP_BYTES = 56 * 1024 * 1024;
 
     /** The settings of tests that set nothing. */
@@ -22,19 +22,19 @@
             new SimOptions(1, OperatorSettings.DEFAULTS, SimSettings.STORE_LIMITS, HEAP_BYTES);
 
     public SimOptions withSeed(long newSeed) {
-        return new SimOptions(newSeed, operator, stateLimits, heapBytes);
+        return new SimOptions(newSeed, operator, storeLimits, heapBytes);
     }
 
     public SimOptions withOperator(OperatorSettings settings) {
-        return new SimOptions(seed, settings, stateLimits, heapBytes);
+        return new SimOptions(seed, settings, storeLimits, heapBytes);
     }
 
-    public SimOptions withStateLimits(Settings.StoreLimits limits) {
+    public SimOptions withStoreLimits(Settings.StoreLimits limits) {
         return new SimOptions(seed, operator, limits, heapBytes);
     }
 
     public SimOptions withHeapBytes(double bytes) {
-        return new SimOptions(seed, operator, stateLimits, bytes);
+        return new SimOptions(seed, operator, storeLimits, bytes);
     }
 
     /** Sets how long idle machines are kept, as a multiple of their boot time. */
--- a/src/test/java/org/springmill/sim/SimWorker.java
+++ b/src/test/java/org/springmill/sim/SimWorker.java
@@ -161,17 +161,17 @@
     }
 
     /** From now on every task here ends with an error; new tasks do so 0.1 s after their start. */
-    public void failEverything() {
+    public void failAllTasks() {
         failingAllTasks = true;
     }
 
     /** Suspends all activity of this machine, or resumes it. */
-    public void hang(boolean hangs) {
+    public void setHung(boolean hangs) {
         hung = hangs;
     }
 
     /** Makes the worker ignore halt commands, or execute them again. */
-    public void ignoreHalts(boolean ignoring) {
+    public void setIgnoringHalts(boolean ignoring) {
         ignoringHalts = ignoring;
     }
 
--- a/src/test/java/org/springmill/sim/SimulatedCluster.java
+++ b/src/test/java/org/springmill/sim/SimulatedCluster.java
@@ -78,7 +78,7 @@
     }
 
     private SimController newController(int number) {
-        Settings settings = SimSettings.of(number, options.stateLimits(), options.operator());
+        Settings settings = SimSettings.of(number, options.storeLimits(), options.operator());
         return new SimController(
                 number, settings, ++incarnations, options.heapBytes(), clock, network, peerNetwork);
     }
@@ -92,7 +92,7 @@
     }
 
     /** Sets the maximum heap of controllers that are started from now on. */
-    public void heapBytes(double bytes) {
+    public void setHeapBytes(double bytes) {
         options = options.withHeapBytes(bytes);
     }
 
@@ -100,8 +100,8 @@
      * Sets the limits of the key-value store in the settings of controllers that are started from
      * now on.
      */
-    public void settings(Settings.StoreLimits limits) {
-        options = options.withStateLimits(limits);
+    public void setStoreLimits(Settings.StoreLimits limits) {
+        options = options.withStoreLimits(limits);
     }
 
     /** The clock of the whole cluster. */
@@ -306,7 +306,7 @@
     }
 
     /** Sends a user's request to a controller without waiting for the answer. */
-    public void user(
+    public void sendAsUser(
             int controller,
             String method,
             String path,
@@ -322,7 +322,7 @@
     }
 
     /** From now on users poll every unfinished job, every five seconds. */
-    public SimulatedCluster polled() {
+    public SimulatedCluster startPolling() {
         users.startPolling();
         return this;
     }
@@ -341,7 +341,7 @@
      * Registers a job that a test has written to the key-value store directly, and its tasks that
      * are done.
      */
-    public void assume(ObjectNode job, int... done) {
+    public void registerStoredJob(ObjectNode job, int... done) {
         runSeconds.put(job.path("nameId").asText(), 1.0);
         invariants.addAcceptedJob(job, done);
     }
@@ -400,7 +400,7 @@
     }
 
     /** Accepted jobs that are not over and have tasks that are neither done nor on a machine. */
-    public List<String> unserved() {
+    public List<String> jobsWithPendingTasks() {
         return invariants.jobsWithPendingTasks();
     }
 
--- a/src/test/java/org/springmill/sim/RecallStores.java
+++ b/src/test/java/org/springmill/sim/UnconnectedStores.java
@@ -3,10 +3,10 @@
 import org.springmill.control.storage.KeyValueStoreClient;
 
 /** Clients of the key-value store for tests that send no records. */
-public final class RecallStores {
+public final class UnconnectedStores {
     private static final double TIMEOUT_SECONDS = 1;
 
-    private RecallStores() {}
+    private UnconnectedStores() {}
 
     /** A client whose requests are never answered. */
     public static KeyValueStoreClient unconnected() {
