--- a/src/main/java/org/springmill/control/admission/StoreRateShares.java
+++ b/src/main/java/org/springmill/control/admission/StoreRateShares.java
@@ -24,7 +24,7 @@
     /**
      * Time over which the writes of this controller are averaged, as a ratio to a loan's validity.
      */
-    private static final double AVERAGING_TO_VALIDITY = 1.5;
+    private static final double AVERAGING_TIME_RATIO = 1.5;
 
     private final EventLoop loop;
     private final LongSupplier validTerm;
@@ -35,18 +35,18 @@
     private final double lenderValiditySeconds;
     private final double writesPerSecond;
     private final RateMeter writeRate;
-    private final Map<String, Deque<Loan>> loans = new HashMap<>();
-    private long ledTerm;
+    private final Map<String, Deque<Loan>> loansByBorrower = new HashMap<>();
+    private long lastLedTerm;
     private double leaderSince = Double.NEGATIVE_INFINITY;
     private Loan borrowed = Loan.NONE;
-    private long latestLoanQuestion;
+    private long latestLoanRequest;
     private int queuedWrites;
 
     /** A lent share that is valid until a time of the event loop's clock. */
     private record Loan(double share, double until) {
         static final Loan NONE = new Loan(0, Double.NEGATIVE_INFINITY);
 
-        double at(double now) {
+        double shareAt(double now) {
             return now < until ? share : 0;
         }
     }
@@ -78,7 +78,7 @@
         this.validitySeconds = validitySeconds;
         this.lenderValiditySeconds = validitySeconds * clockDrift;
         this.writesPerSecond = writesPerSecond;
-        writeRate = new RateMeter(validitySeconds * AVERAGING_TO_VALIDITY, loop.now());
+        writeRate = new RateMeter(validitySeconds * AVERAGING_TIME_RATIO, loop.now());
     }
 
     /**
@@ -96,7 +96,7 @@
         if (isLeading(now)) {
             return leaderShare - lent(now);
         }
-        return otherShare + borrowed.at(now);
+        return otherShare + borrowed.shareAt(now);
     }
 
     @Override
@@ -134,7 +134,8 @@
         double spare = leaderShare - Math.max(need(now) * NEED_MARGIN, leaderShare - maxLent);
         double share = Math.max(0, Math.min(wanted, spare - lentToOthers));
         if (share > 0) {
-            loans.computeIfAbsent(borrower, name -> new ArrayDeque<>())
+            loansByBorrower
+                    .computeIfAbsent(borrower, name -> new ArrayDeque<>())
                     .add(new Loan(share, now + lenderValiditySeconds));
         }
         return share;
@@ -142,7 +143,7 @@
 
     /** The share that a borrower may be using: the largest of its loans that have not expired. */
     private double outstanding(String borrower, double now) {
-        Deque<Loan> borrowerLoans = loans.getOrDefault(borrower, new ArrayDeque<>());
+        Deque<Loan> borrowerLoans = loansByBorrower.getOrDefault(borrower, new ArrayDeque<>());
         while (!borrowerLoans.isEmpty() && borrowerLoans.peek().until() <= now) {
             borrowerLoans.poll();
         }
@@ -152,14 +153,14 @@
     /**
      * Accepts a loan from the leader.
      *
-     * @param question number of the question that the loan answers; loans for earlier questions are
-     *     ignored
-     * @param askedAt when that question was sent, in seconds of the loop's clock
+     * @param requestNumber number of the request that the loan answers; loans for earlier requests
+     *     are ignored
+     * @param requestedAt when that request was sent, in seconds of the loop's clock
      */
-    public void borrow(long question, double askedAt, double share) {
-        if (question > latestLoanQuestion) {
-            latestLoanQuestion = question;
-            borrowed = new Loan(share, askedAt + validitySeconds);
+    public void borrow(long requestNumber, double requestedAt, double share) {
+        if (requestNumber > latestLoanRequest) {
+            latestLoanRequest = requestNumber;
+            borrowed = new Loan(share, requestedAt + validitySeconds);
         }
     }
 
@@ -173,7 +174,7 @@
             return maxLent;
         }
         double sum = 0;
-        for (String borrower : loans.keySet()) {
+        for (String borrower : loansByBorrower.keySet()) {
             sum += outstanding(borrower, now);
         }
         return sum;
@@ -181,10 +182,10 @@
 
     private boolean isLeading(double now) {
         long term = validTerm.getAsLong();
-        if (term != 0 && term != ledTerm) {
-            ledTerm = term;
+        if (term != 0 && term != lastLedTerm) {
+            lastLedTerm = term;
             leaderSince = now;
-            loans.clear();
+            loansByBorrower.clear();
             borrowed = Loan.NONE;
         }
         return term != 0;
--- a/src/main/java/org/springmill/control/workers/WorkerLeases.java
+++ b/src/main/java/org/springmill/control/workers/WorkerLeases.java
@@ -39,10 +39,11 @@
      * @param peersMayRenewUntil time until which other controllers may renew leases
      */
     double expiresAt(Machine machine, double peersMayRenewUntil) {
-        double lastRenewal = Math.max(machine.lastHeartbeatAnsweredAt(), peersMayRenewUntil);
+        double lastRenewalInTerm = Math.max(machine.lastHeartbeatAnsweredAt(), peersMayRenewUntil);
         double lastRenewalByEarlierLeader =
                 Math.min(machine.workerEpoch().currentTermSeenAt(), earlierLeaderMayRenewUntil());
-        return Math.max(lastRenewal, lastRenewalByEarlierLeader) + timeouts.workerLeaseSeconds();
+        return Math.max(lastRenewalInTerm, lastRenewalByEarlierLeader)
+                + timeouts.workerLeaseSeconds();
     }
 
     /**
--- a/src/test/java/org/springmill/control/simulation/CompoundCancellationTest.java
+++ b/src/test/java/org/springmill/control/simulation/CompoundCancellationTest.java
@@ -60,11 +60,11 @@
      */
     @ParameterizedTest
     @CsvSource({"normal", "late_commits", "slow"})
-    void cancellationAtTheEndOfTheLastTaskYieldsOneFinalPhase(String state) {
+    void cancellationAtTheEndOfTheLastTaskYieldsOneFinalPhase(String storeBehavior) {
         startCluster(1);
-        cluster.keyValueStore().delayCommits(state.equals("late_commits") ? 0.2 : 0);
+        cluster.keyValueStore().delayCommits(storeBehavior.equals("late_commits") ? 0.2 : 0);
         SplittableRandom random = new SplittableRandom(1);
-        if (state.equals("slow")) {
+        if (storeBehavior.equals("slow")) {
             cluster.network()
                     .delayAnswers(
                             (from, request) ->
@@ -104,11 +104,11 @@
         List<SimWorker> unableToReport = machines().subList(0, count);
         unableToReport.forEach(cluster.network()::blockHeartbeatsFrom);
         cluster.run(1);
-        int before = machines().size();
+        int machinesBefore = machines().size();
         assertEquals("cancelled", cluster.cancel(follower(), OTHER));
         cluster.run(4);
         assertEquals(0, cluster.running(OTHER));
-        assertTrue(machines().size() >= before, "halted directly, not deleted");
+        assertTrue(machines().size() >= machinesBefore, "halted directly, not deleted");
         cluster.run(70);
         assertEquals(8, cluster.running(JOB));
         int starts = 0;
@@ -116,11 +116,12 @@
             starts += cluster.starts(JOB + "/" + i);
         }
         cluster.run(60);
-        int later = 0;
+        int startsLater = 0;
         for (int i = 0; i < 8; i++) {
-            later += cluster.starts(JOB + "/" + i);
+            startsLater += cluster.starts(JOB + "/" + i);
         }
-        assertEquals(starts, later, "nothing is started on machines whose leases will expire");
+        assertEquals(
+                starts, startsLater, "nothing is started on machines whose leases will expire");
     }
 
     /** Neither with few nor with all machines hung, nor if the leader restarts meanwhile. */
--- a/src/test/java/org/springmill/control/simulation/HistoryChainTest.java
+++ b/src/test/java/org/springmill/control/simulation/HistoryChainTest.java
@@ -70,7 +70,7 @@
         } else {
             runAndMove(FIRST);
         }
-        forgetAnswersInMemory();
+        dropFinalStatesFromMemory();
         store("job/" + id(DEPENDENT), jobRecord(DEPENDENT, ",\"accepted\":1.0E9", FIRST));
         store("job/" + id(LAST), jobRecord(LAST, ",\"accepted\":1.0E9", DEPENDENT));
         cluster.assume(job(DEPENDENT, 2, FIRST));
@@ -87,7 +87,7 @@
     @Test
     void aDependentWhoseDependencyCannotBeReadIsNeitherRunNorAnswered() {
         cancelAndMove(job(FIRST, 1), FIRST);
-        forgetAnswersInMemory();
+        dropFinalStatesFromMemory();
         cluster.network().judge((from, request) -> isLookup(request) ? Fate.DROP : Fate.DELIVER);
         store("job/" + id(DEPENDENT), jobRecord(DEPENDENT, ",\"accepted\":1.0E9", FIRST));
         store("job/" + id(LAST), jobRecord(LAST, ",\"accepted\":1.0E9", DEPENDENT));
@@ -108,7 +108,7 @@
     }
 
     /** Restarts all controllers, so that none has the final state of a moved job in memory. */
-    private void forgetAnswersInMemory() {
+    private void dropFinalStatesFromMemory() {
         killControllers();
         restartControllers();
         cluster.run(20);
