--- a/src/main/java/org/springmill/cli/EmulateCommand.java
+++ b/src/main/java/org/springmill/cli/EmulateCommand.java
@@ -67,7 +67,8 @@
     private int emulate(Scenario scenario) throws Exception {
         Files.createDirectories(logs);
         try (Emulation emulation = new Emulation(scenario, network, logs, EmulateCommand::print)) {
-            // Also on an interrupt, so that no controller process outlives the emulation.
+            // Closes the emulation also if this process is terminated by a signal, so that no
+            // controller process outlives it.
             Runtime.getRuntime().addShutdownHook(new Thread(emulation::close));
             EmulationResult result = emulation.run();
             write(result);
--- a/src/main/java/org/springmill/control/admission/StoreRateShares.java
+++ b/src/main/java/org/springmill/control/admission/StoreRateShares.java
@@ -58,8 +58,8 @@
      *     clock; 0 if there is none
      * @param leaderShare share of the leader
      * @param controllers number of controllers; followers share the rest evenly
-     * @param validitySeconds how long a loan is valid, counted from the borrower's question
-     * @param clockDrift factor by which the clocks of two controllers may differ
+     * @param validitySeconds how long a loan is valid, counted from the borrower's request
+     * @param clockDrift factor by which the rates of two controllers' clocks may differ
      * @param writesPerSecond the rate limit of the key-value store for all controllers together
      */
     public StoreRateShares(
@@ -82,8 +82,9 @@
     }
 
     /**
-     * The share of each follower. Without a leader all controllers use this share, while loans of
-     * the last leader may still be in use. So it is at most the part that a leader never lends.
+     * The share of each follower. Without a leader, all controllers use this share, also the former
+     * leader, while loans that it granted may still be in use. The sum then stays at most one,
+     * since this share is limited to the part of the leader's share that is never lent.
      */
     private static double otherShare(double leaderShare, int controllers) {
         double rest = (1 - leaderShare) / Math.max(1, controllers - 1);
@@ -119,11 +120,11 @@
     }
 
     /**
-     * Lends a part of the leader's share with the response to a controller's question.
+     * Lends a part of the leader's share with the response to another controller's request.
      *
      * @param wanted the share that the borrower requests
-     * @return the share that the borrower may use in addition, counted from its question; 0 if this
-     *     controller is not the leader
+     * @return the share that the borrower may use in addition while the loan is valid; 0 if nothing
+     *     can be lent or this controller is not the leader
      */
     public double lend(String borrower, double wanted) {
         double now = loop.now();
@@ -180,6 +181,7 @@
         return sum;
     }
 
+    /** Whether this controller leads; drops the loans of earlier terms when a new one has begun. */
     private boolean isLeading(double now) {
         long term = validTerm.getAsLong();
         if (term != 0 && term != lastLedTerm) {
--- a/src/main/java/org/springmill/control/leadership/Leadership.java
+++ b/src/main/java/org/springmill/control/leadership/Leadership.java
@@ -66,7 +66,7 @@
     private double mayCampaignFrom;
 
     /**
-     * Creates the leadership of a controller, which is a follower until {@link #start}.
+     * Creates the leadership of a controller, which does not campaign before {@link #start}.
      *
      * @param incarnation random name of this process, which distinguishes its leader record from
      *     those of earlier processes of the node
@@ -119,16 +119,19 @@
         return holdsTerm() ? settings.node() : knownLeader.node().orElse(null);
     }
 
-    /** Whether the leader record was read since this process started. */
+    /**
+     * Whether the key-value store has answered a read of the leader record since this process
+     * started, also if there was no record.
+     */
     public boolean hasReadLeaderRecord() {
         return knownLeader.hasReadRecord();
     }
 
     /**
-     * Whether the leader record is known to be missing. Until the next leader has polled this
-     * controller, which announces the new term, every controller may renew workers' leases.
-     * Otherwise, after a crash of all controllers, leases would expire while the new leader is
-     * elected and recovers the state.
+     * Whether the leader record is known to be missing and no later term is known. Every controller
+     * may then renew workers' leases until it learns of a new term, at the latest when the next
+     * leader polls it. If only leaders renewed them, leases would expire after a crash of all
+     * controllers, while a new leader is elected and recovers the state.
      */
     boolean isVacant() {
         return !holdsTerm() && knownLeader.isVacant(peers.highestTerm());
@@ -149,9 +152,9 @@
     }
 
     /**
-     * Whether heartbeats may be answered: while the lease is valid, during the grace period after
-     * its expiry, and after that only while a quorum of controllers, or all of them, confirms an
-     * outage of the key-value store.
+     * Whether this controller may answer heartbeats as the leader: until the grace period after the
+     * expiry of its lease is over, provided that the lease was confirmed since the last process
+     * pause; otherwise only while an outage of the key-value store is confirmed.
      */
     public boolean mayRespondToWorkers() {
         refreshState();
@@ -175,6 +178,11 @@
         }
     }
 
+    /**
+     * Whether a quorum or all peers confirm an outage of the key-value store. Peers that have not
+     * read the leader record since their restart do not count for the quorum, but suffice if all
+     * peers confirm.
+     */
     private boolean isOutageConfirmed() {
         return peers.quorumConfirmsOutage(term) || peers.allConfirmOutage(term);
     }
@@ -375,6 +383,7 @@
         knownLeader.recorded(settings.node(), revision);
         transition(LeadershipState.LEADING);
         if (!lease.isConfirmedSincePause()) {
+            // The process was paused after it had requested the lease.
             transition(LeadershipState.LEASE_UNCERTAIN);
             renew();
         }
--- a/src/main/java/org/springmill/control/scheduling/Placement.java
+++ b/src/main/java/org/springmill/control/scheduling/Placement.java
@@ -66,6 +66,7 @@
      */
     List<TaskAttempt> place(long round, int limit) {
         double now = fleet.now();
+        // The pass reserves parts of the teams' limits anew, for replicas that it cannot place.
         fleet.clusterState().releaseLimitReservations();
         skippedByFullRound = Set.of();
         List<Job> waiting = waitingJobs();
@@ -104,9 +105,9 @@
 
     /**
      * Whether the last round was full before it reached a job. It is then unknown whether a machine
-     * fits the job, so no task is preempted for it. Ranking all machines for each job of a long
-     * queue, of which a round places only the first few, blocked the leader for seconds after an
-     * outage with two thousand machines.
+     * fits the job, so no task is preempted for it. A full round does not rank the machines for the
+     * rest of the queue: after an outage with two thousand machines, ranking them for every job of
+     * a long queue, of which a round places only the first few, blocked the leader for seconds.
      */
     public boolean skippedByFullRound(Job job) {
         return skippedByFullRound.contains(job);
--- a/src/main/java/org/springmill/control/workers/WorkerLeases.java
+++ b/src/main/java/org/springmill/control/workers/WorkerLeases.java
@@ -40,6 +40,9 @@
      */
     double expiresAt(Machine machine, double peersMayRenewUntil) {
         double lastRenewalInTerm = Math.max(machine.lastHeartbeatAnsweredAt(), peersMayRenewUntil);
+        // A worker accepts responses of an earlier leader until it has seen this term's fencing
+        // token. When it got the last of them is not known here, so the lease is taken to have been
+        // renewed as late as the heartbeat that first showed the token.
         double lastRenewalByEarlierLeader =
                 Math.min(machine.workerEpoch().currentTermSeenAt(), earlierLeaderMayRenewUntil());
         return Math.max(lastRenewalInTerm, lastRenewalByEarlierLeader)
@@ -47,11 +50,11 @@
     }
 
     /**
-     * The time until which an earlier leader may have renewed leases. A worker accepts its
-     * responses until it has seen this term's fencing token. The last such response is not known
-     * here, so a full lease is assumed from the heartbeat that first showed the token. While a
-     * quorum confirms to an earlier leader that the key-value store is out of reach, that leader
-     * may continue until a quorum knows this term.
+     * The latest time at which an earlier leader may have renewed leases. Its own lease and grace
+     * period are over at {@code afterTakeover}. While a quorum confirms to it that the key-value
+     * store is unreachable, it may continue until a quorum knows this term and the last
+     * confirmations have expired. That is {@code afterQuorumKnew}, which is infinite until a quorum
+     * knows this term.
      */
     private double earlierLeaderMayRenewUntil() {
         double afterTakeover = tookOverAt + timeouts.followerRenewalLimitSeconds();
--- a/src/main/java/org/springmill/protocol/ArchiveTrainingMessages.java
+++ b/src/main/java/org/springmill/protocol/ArchiveTrainingMessages.java
@@ -10,8 +10,9 @@
 
 /**
  * Minimal emulated responses of the key-value store, the cloud and a worker for the training run of
- * the class-data archive (see {@code cli}): enough for a controller to become leader, place a task
- * and stop it.
+ * the class-data archive by the command {@code train-archive}: enough for a controller to become
+ * leader, place a task and stop it. The fixed responses spell out field names of {@link
+ * WireFields}.
  */
 public final class ArchiveTrainingMessages {
     private static final String MACHINE = "host-000001";
@@ -98,6 +99,7 @@
                                 (id, status) ->
                                         status.put(WireFields.PHASE, "ended")
                                                 .put(WireFields.EXIT_CAUSE, "stopped"));
+                // The controller has recorded the end of the attempt.
                 default -> tasks.remove(task);
             }
         }
--- a/src/main/java/org/springmill/transport/ConnectionPool.java
+++ b/src/main/java/org/springmill/transport/ConnectionPool.java
@@ -47,7 +47,8 @@
      * @param address host and port of the server
      * @param maxOpen the most connections of this pool
      * @param countsAgainstBudget whether its connections count against the budget of all pools
-     * @param onUnused called when the pool has neither connections nor requests left
+     * @param onUnused called when a connection closes after which the pool has neither connections
+     *     nor waiting requests
      */
     ConnectionPool(
             String address,
@@ -79,7 +80,11 @@
         }
     }
 
-    /** Sends waiting requests on idle connections; opens a connection for the others. */
+    /**
+     * Sends waiting requests on idle connections. If more requests are left than connection
+     * attempts are pending, opens one more connection within the limits of this pool, or waits for
+     * one if the budget of all pools is used up.
+     */
     void dispatch() {
         sendOnIdleConnections();
         if (!needsConnection()) {
@@ -142,7 +147,8 @@
         connecting--;
         releaseSocket();
         LOG.debug("connecting to {} failed: {}", address, e.getMessage());
-        // All requests that waited for this attempt fail; each caller decides whether to retry.
+        // Keeps the latest requests, one for each attempt that is still pending. The others fail,
+        // and their callers decide whether to retry.
         while (waiting.size() > connecting) {
             waiting.poll().finish(HttpClient.Reply.NOT_SENT);
         }
@@ -167,7 +173,7 @@
         budget.serveWaiting();
     }
 
-    /** Takes back a connection whose request is complete. */
+    /** Makes a connection available that is new or whose request is complete. */
     void addIdle(ClientConnection connection) {
         idle.push(connection);
         if (countsAgainstBudget) {
--- a/src/test/java/org/springmill/control/simulation/CompoundCancellationTest.java
+++ b/src/test/java/org/springmill/control/simulation/CompoundCancellationTest.java
@@ -18,8 +18,8 @@
 /** Jobs are cancelled while controllers are isolated or machines hang or are partitioned. */
 class CompoundCancellationTest extends CompoundFailureFixture {
     /**
-     * The leader is still reached by workers and users, while jobs are cancelled through another
-     * controller.
+     * Workers and users still reach the isolated leader, while a job is cancelled through another
+     * controller. In one case a machine that runs a task of this job hangs meanwhile.
      */
     @ParameterizedTest
     @CsvSource({"30, 0", "60, 0", "110, 0", "60, 12"})
@@ -91,7 +91,7 @@
     }
 
     /**
-     * The workers cannot connect to any controller, while direct commands reach them: those halt
+     * Some workers cannot connect to any controller, while direct commands reach them: those halt
      * cancelled tasks, and no new work is placed there.
      */
     @ParameterizedTest
@@ -124,7 +124,7 @@
                 starts, startsLater, "nothing is started on machines whose leases will expire");
     }
 
-    /** Neither with few nor with all machines hung, nor if the leader restarts meanwhile. */
+    /** One to four machines hang; in some cases the leader restarts meanwhile. */
     @ParameterizedTest
     @CsvSource({
         "5, 1, false",
@@ -155,7 +155,11 @@
         assertEquals(0, cluster.running(JOB));
     }
 
-    /** Every response of the key-value store is delayed, some past the timeout of the request. */
+    /**
+     * Every response of the key-value store but those to watches is delayed, in the last case some
+     * past the timeout of the request. Later the store refuses the leader, and then is down for a
+     * while.
+     */
     @ParameterizedTest
     @ValueSource(doubles = {0.3, 0.8, 1.5})
     void cancellationsWithASlowStateServiceAndAnOutageBreakNoInvariant(double maxDelaySeconds) {
--- a/src/test/java/org/springmill/control/simulation/HistoryChainTest.java
+++ b/src/test/java/org/springmill/control/simulation/HistoryChainTest.java
@@ -61,7 +61,10 @@
         assertPhaseEverywhere("cancelled", DEPENDENT, LAST);
     }
 
-    /** A lagging controller accepts a job while the leader moves the record of its dependency. */
+    /**
+     * A lagging controller may accept a job while the leader moves the record of its dependency.
+     * The test writes the records of such jobs to the key-value store itself.
+     */
     @ParameterizedTest
     @ValueSource(booleans = {false, true})
     void aDependentReadAfterItsDependencyWasMovedIsRunOrCancelled(boolean cancelled) {
@@ -81,8 +84,8 @@
     }
 
     /**
-     * A job is not run, and queries for it get 503, until the final state of its dependency was
-     * read.
+     * A job is not run, and queries for it get 503, until the final state of its dependency has
+     * been read.
      */
     @Test
     void aDependentWhoseDependencyCannotBeReadIsNeitherRunNorAnswered() {
