--- a/src/main/java/org/springmill/control/admission/ActiveJobs.java
+++ b/src/main/java/org/springmill/control/admission/ActiveJobs.java
@@ -26,12 +26,12 @@
     private static final double ENDS_AVERAGING_SECONDS = 30;
 
     private final Map<String, Submission> jobs = new HashMap<>();
-    private final Map<String, TeamUsage> teams = new HashMap<>();
+    private final Map<String, TeamJobs> teams = new HashMap<>();
     private final RateMeter endedBytes;
     private long bytes;
 
     /** Memory and requested resources of the counted jobs of one team. */
-    private static final class TeamUsage {
+    private static final class TeamJobs {
         private long bytes;
         private double cpus;
         private double gpus;
@@ -78,7 +78,7 @@
 
     private void count(Submission job, int sign) {
         bytes += (long) sign * bytesOf(job);
-        TeamUsage team = teams.computeIfAbsent(job.team(), name -> new TeamUsage());
+        TeamJobs team = teams.computeIfAbsent(job.team(), name -> new TeamJobs());
         team.add(job, sign);
         if (team.bytes == 0) {
             teams.remove(job.team());
@@ -97,7 +97,7 @@
 
     /** Bytes of memory that the counted jobs of one team need. */
     long bytes(String team) {
-        TeamUsage usage = teams.get(team);
+        TeamJobs usage = teams.get(team);
         return usage == null ? 0 : usage.bytes;
     }
 
@@ -117,7 +117,7 @@
         if (!guaranteed) {
             return false;
         }
-        TeamUsage usage = teams.getOrDefault(team.name(), new TeamUsage());
+        TeamJobs usage = teams.getOrDefault(team.name(), new TeamJobs());
         return team.withinGuarantee(
                 usage.cpus + job.cpus() * job.tasks(), usage.gpus + job.gpus() * job.tasks());
     }
--- a/src/main/java/org/springmill/control/admission/StoreRateShares.java
+++ b/src/main/java/org/springmill/control/admission/StoreRateShares.java
@@ -24,7 +24,7 @@
     /**
      * Time over which the writes of this controller are averaged, as a ratio to a loan's validity.
      */
-    private static final double AVERAGING_TO_VALIDITY = 1.5;
+    private static final double AVERAGING_TIME_RATIO = 1.5;
 
     private final EventLoop loop;
     private final LongSupplier validTerm;
@@ -35,18 +35,18 @@
     private final double lenderValiditySeconds;
     private final double writesPerSecond;
     private final RateMeter writeRate;
-    private final Map<String, Deque<Loan>> loans = new HashMap<>();
-    private long ledTerm;
+    private final Map<String, Deque<Loan>> loansByBorrower = new HashMap<>();
+    private long lastLedTerm;
     private double leaderSince = Double.NEGATIVE_INFINITY;
     private Loan borrowed = Loan.NONE;
-    private long latestLoanQuestion;
+    private long latestLoanRequest;
     private int queuedWrites;
 
     /** A lent share that is valid until a time of the event loop's clock. */
     private record Loan(double share, double until) {
         static final Loan NONE = new Loan(0, Double.NEGATIVE_INFINITY);
 
-        double at(double now) {
+        double shareAt(double now) {
             return now < until ? share : 0;
         }
     }
@@ -58,8 +58,8 @@
      *     clock; 0 if there is none
      * @param leaderShare share of the leader
      * @param controllers number of controllers; followers share the rest evenly
-     * @param validitySeconds how long a loan is valid, counted from the borrower's question
-     * @param clockDrift factor by which the clocks of two controllers may differ
+     * @param validitySeconds how long a loan is valid, counted from the borrower's request
+     * @param clockDrift factor by which the rates of two controllers' clocks may differ
      * @param writesPerSecond the rate limit of the key-value store for all controllers together
      */
     public StoreRateShares(
@@ -78,12 +78,13 @@
         this.validitySeconds = validitySeconds;
         this.lenderValiditySeconds = validitySeconds * clockDrift;
         this.writesPerSecond = writesPerSecond;
-        writeRate = new RateMeter(validitySeconds * AVERAGING_TO_VALIDITY, loop.now());
+        writeRate = new RateMeter(validitySeconds * AVERAGING_TIME_RATIO, loop.now());
     }
 
     /**
-     * The share of each follower. Without a leader all controllers use this share, while loans of
-     * the last leader may still be in use. So it is at most the part that a leader never lends.
+     * The share of each follower. Without a leader, all controllers use this share, also the former
+     * leader, while loans that it granted may still be in use. The sum then stays at most one,
+     * since this share is limited to the part of the leader's share that is never lent.
      */
     private static double otherShare(double leaderShare, int controllers) {
         double rest = (1 - leaderShare) / Math.max(1, controllers - 1);
@@ -96,7 +97,7 @@
         if (isLeading(now)) {
             return leaderShare - lent(now);
         }
-        return otherShare + borrowed.at(now);
+        return otherShare + borrowed.shareAt(now);
     }
 
     @Override
@@ -119,11 +120,11 @@
     }
 
     /**
-     * Lends a part of the leader's share with the response to a controller's question.
+     * Lends a part of the leader's share with the response to another controller's request.
      *
      * @param wanted the share that the borrower requests
-     * @return the share that the borrower may use in addition, counted from its question; 0 if this
-     *     controller is not the leader
+     * @return the share that the borrower may use in addition while the loan is valid; 0 if nothing
+     *     can be lent or this controller is not the leader
      */
     public double lend(String borrower, double wanted) {
         double now = loop.now();
@@ -134,7 +135,8 @@
         double spare = leaderShare - Math.max(need(now) * NEED_MARGIN, leaderShare - maxLent);
         double share = Math.max(0, Math.min(wanted, spare - lentToOthers));
         if (share > 0) {
-            loans.computeIfAbsent(borrower, name -> new ArrayDeque<>())
+            loansByBorrower
+                    .computeIfAbsent(borrower, name -> new ArrayDeque<>())
                     .add(new Loan(share, now + lenderValiditySeconds));
         }
         return share;
@@ -142,7 +144,7 @@
 
     /** The share that a borrower may be using: the largest of its loans that have not expired. */
     private double outstanding(String borrower, double now) {
-        Deque<Loan> borrowerLoans = loans.getOrDefault(borrower, new ArrayDeque<>());
+        Deque<Loan> borrowerLoans = loansByBorrower.getOrDefault(borrower, new ArrayDeque<>());
         while (!borrowerLoans.isEmpty() && borrowerLoans.peek().until() <= now) {
             borrowerLoans.poll();
         }
@@ -152,14 +154,14 @@
     /**
      * Accepts a loan from the leader.
      *
-     * @param question number of the question that the loan answers; loans for earlier questions are
-     *     ignored
-     * @param askedAt when that question was sent, in seconds of the loop's clock
+     * @param requestNumber number of the request that the loan answers; loans for earlier requests
+     *     are ignored
+     * @param requestedAt when that request was sent, in seconds of the loop's clock
      */
-    public void borrow(long question, double askedAt, double share) {
-        if (question > latestLoanQuestion) {
-            latestLoanQuestion = question;
-            borrowed = new Loan(share, askedAt + validitySeconds);
+    public void borrow(long requestNumber, double requestedAt, double share) {
+        if (requestNumber > latestLoanRequest) {
+            latestLoanRequest = requestNumber;
+            borrowed = new Loan(share, requestedAt + validitySeconds);
         }
     }
 
@@ -173,18 +175,19 @@
             return maxLent;
         }
         double sum = 0;
-        for (String borrower : loans.keySet()) {
+        for (String borrower : loansByBorrower.keySet()) {
             sum += outstanding(borrower, now);
         }
         return sum;
     }
 
+    /** Whether this controller leads; drops the loans of earlier terms when a new one has begun. */
     private boolean isLeading(double now) {
         long term = validTerm.getAsLong();
-        if (term != 0 && term != ledTerm) {
-            ledTerm = term;
+        if (term != 0 && term != lastLedTerm) {
+            lastLedTerm = term;
             leaderSince = now;
-            loans.clear();
+            loansByBorrower.clear();
             borrowed = Loan.NONE;
         }
         return term != 0;
--- a/src/main/java/org/springmill/control/autoscaling/MachineHealth.java
+++ b/src/main/java/org/springmill/control/autoscaling/MachineHealth.java
@@ -196,7 +196,7 @@
     /** Whether workers of an earlier leader have had enough time to find this one. */
     private boolean isEstablished(double now) {
         double neededSeconds =
-                timeouts.followerRenewalLimitSeconds()
+                timeouts.renewalLimitAfterTakeoverSeconds()
                         + LEASES_TO_FIND_LEADER * timeouts.workerLeaseSeconds();
         return now - startedAt > neededSeconds;
     }
--- a/src/main/java/org/springmill/control/recall/RecallPlanner.java
+++ b/src/main/java/org/springmill/control/recall/RecallPlanner.java
@@ -149,7 +149,7 @@
 
     private boolean mayPlanFor(Job job) {
         return evaluationsLeft > 0
-                && !placement.skippedByFullRound(job)
+                && !placement.wasSkippedByFullRound(job)
                 && fleet.clusterState().mayPreemptFor(job)
                 && !backoffUntil.containsKey(job);
     }
--- a/src/main/java/org/springmill/control/scheduling/ImmediatePreemption.java
+++ b/src/main/java/org/springmill/control/scheduling/ImmediatePreemption.java
@@ -92,7 +92,7 @@
                 usage(job).reserveLimit(job.spec(), job.waitingTaskCount());
             }
             if (wantedTasks <= 0
-                    || placement.skippedByFullRound(job)
+                    || placement.wasSkippedByFullRound(job)
                     || !fleet.clusterState().mayPreemptFor(job)
                     || exhausted.covers(job)) {
                 continue;
--- a/src/main/java/org/springmill/control/scheduling/Placement.java
+++ b/src/main/java/org/springmill/control/scheduling/Placement.java
@@ -19,7 +19,7 @@
     private final CapacityFilter capacityFilter;
 
     /** Jobs that the last round did not consider, since it was full before their turn. */
-    private Set<Job> skippedByFullRound = Set.of();
+    private Set<Job> wasSkippedByFullRound = Set.of();
 
     private MachineScore score;
 
@@ -66,8 +66,9 @@
      */
     List<TaskAttempt> place(long round, int limit) {
         double now = fleet.now();
+        // The pass reserves parts of the teams' limits anew, for replicas that it cannot place.
         fleet.clusterState().releaseLimitReservations();
-        skippedByFullRound = Set.of();
+        wasSkippedByFullRound = Set.of();
         List<Job> waiting = waitingJobs();
         reservations.update(waiting, now);
         if (waiting.isEmpty()) {
@@ -79,7 +80,7 @@
                         MachineScore.largestReplica(fleet.clusterState().jobs().values()));
         PlacementPass pass = newPass(round, limit, now);
         waiting.forEach(pass::place);
-        skippedByFullRound = pass.skipped();
+        wasSkippedByFullRound = pass.skipped();
         return pass.placed();
     }
 
@@ -104,12 +105,12 @@
 
     /**
      * Whether the last round was full before it reached a job. It is then unknown whether a machine
-     * fits the job, so no task is preempted for it. Ranking all machines for each job of a long
-     * queue, of which a round places only the first few, blocked the leader for seconds after an
-     * outage with two thousand machines.
+     * fits the job, so no task is preempted for it. A full round does not rank the machines for the
+     * rest of the queue: after an outage with two thousand machines, ranking them for every job of
+     * a long queue, of which a round places only the first few, blocked the leader for seconds.
      */
-    public boolean skippedByFullRound(Job job) {
-        return skippedByFullRound.contains(job);
+    public boolean wasSkippedByFullRound(Job job) {
+        return wasSkippedByFullRound.contains(job);
     }
 
     /** Machines that take new tasks, in the order of the fleet. */
--- a/src/main/java/org/springmill/control/timing/Timeouts.java
+++ b/src/main/java/org/springmill/control/timing/Timeouts.java
@@ -133,7 +133,7 @@
     }
 
     /** Validity after a failover: for this time other controllers may still renew leases. */
-    public double followerRenewalLimitSeconds() {
+    public double renewalLimitAfterTakeoverSeconds() {
         return Math.max(leaderLeaseSeconds + leaderGraceSeconds, peerConfirmationValiditySeconds)
                 * DRIFT;
     }
--- a/src/test/java/org/springmill/control/admission/StoreRateSharesPropertyTest.java
+++ b/src/test/java/org/springmill/control/admission/StoreRateSharesPropertyTest.java
@@ -27,7 +27,7 @@
     private enum Kind {
         ASK,
         ASK_AND_HOLD_ANSWER,
-        LOSE_ANSWER,
+        LOSE_RESPONSE,
         RELEASE_ANSWERS,
         LOAD,
         CHANGE_LEADER,
@@ -94,7 +94,7 @@
             switch (step.kind()) {
                 case ASK -> ask(controller).run();
                 case ASK_AND_HOLD_ANSWER -> heldAnswers.add(ask(controller));
-                case LOSE_ANSWER -> ask(controller);
+                case LOSE_RESPONSE -> ask(controller);
                 case RELEASE_ANSWERS -> {
                     heldAnswers.forEach(Runnable::run);
                     heldAnswers.clear();
--- a/src/test/java/org/springmill/control/scheduling/FullRoundTest.java
+++ b/src/test/java/org/springmill/control/scheduling/FullRoundTest.java
@@ -98,12 +98,12 @@
         submitJobs();
 
         assertEquals(1, placement.place(1, 1).size());
-        assertFalse(placement.skippedByFullRound(jobs.get(0)));
-        assertTrue(placement.skippedByFullRound(jobs.get(1)));
-        assertTrue(placement.skippedByFullRound(jobs.get(2)));
+        assertFalse(placement.wasSkippedByFullRound(jobs.get(0)));
+        assertTrue(placement.wasSkippedByFullRound(jobs.get(1)));
+        assertTrue(placement.wasSkippedByFullRound(jobs.get(2)));
 
         assertEquals(2, placement.place(2, 96).size());
-        jobs.forEach(job -> assertFalse(placement.skippedByFullRound(job)));
+        jobs.forEach(job -> assertFalse(placement.wasSkippedByFullRound(job)));
     }
 
     /** A job that fits on no machine was considered, so tasks may be preempted for it. */
@@ -112,6 +112,6 @@
         submitJobs();
 
         assertEquals(0, placement.place(1, 1).size());
-        jobs.forEach(job -> assertFalse(placement.skippedByFullRound(job)));
+        jobs.forEach(job -> assertFalse(placement.wasSkippedByFullRound(job)));
     }
 }
--- a/src/test/java/org/springmill/control/simulation/BorrowingFailureTest.java
+++ b/src/test/java/org/springmill/control/simulation/BorrowingFailureTest.java
@@ -8,7 +8,7 @@
 import static org.springmill.control.simulation.MessageMatchers.isCommit;
 import static org.springmill.control.simulation.MessageMatchers.isStartCommand;
 import static org.springmill.control.simulation.MessageMatchers.text;
-import static org.springmill.control.simulation.MessageMatchers.toStateService;
+import static org.springmill.control.simulation.MessageMatchers.toKeyValueStore;
 
 import java.util.Optional;
 import java.util.stream.IntStream;
@@ -109,17 +109,17 @@
     @ParameterizedTest
     @CsvSource({
         "COMMIT, KILLED, DROP",
-        "COMMIT, KILLED, LOSE_ANSWER",
+        "COMMIT, KILLED, LOSE_RESPONSE",
         "COMMIT, PAUSED, DROP",
-        "COMMIT, PAUSED, LOSE_ANSWER",
+        "COMMIT, PAUSED, LOSE_RESPONSE",
         "HALT, KILLED, DROP",
         "HALT, KILLED, DELIVER",
         "HALT, PAUSED, DROP",
         "HALT, PAUSED, DELIVER",
         "CLAIM, KILLED, DROP",
-        "CLAIM, KILLED, LOSE_ANSWER",
+        "CLAIM, KILLED, LOSE_RESPONSE",
         "CLAIM, PAUSED, DROP",
-        "CLAIM, PAUSED, LOSE_ANSWER",
+        "CLAIM, PAUSED, LOSE_RESPONSE",
         "START, KILLED, DROP",
         "START, KILLED, DELIVER",
         "START, PAUSED, DROP",
@@ -252,7 +252,7 @@
         cluster.network()
                 .setDeliveryRule(
                         (from, request) ->
-                                toStateService(request)
+                                toKeyValueStore(request)
                                                 && isCommit(request)
                                                 && cluster.clock().now() < until
                                         ? Delivery.REFUSE
@@ -313,7 +313,7 @@
         cluster.network()
                 .delayResponses(
                         (from, request) ->
-                                toStateService(request) && text(request).contains("recall/")
+                                toKeyValueStore(request) && text(request).contains("recall/")
                                         ? 0.8
                                         : 0);
         submitServing();
--- a/src/test/java/org/springmill/control/simulation/CompoundCancellationTest.java
+++ b/src/test/java/org/springmill/control/simulation/CompoundCancellationTest.java
@@ -2,7 +2,7 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static org.springmill.control.simulation.MessageMatchers.toStateService;
+import static org.springmill.control.simulation.MessageMatchers.toKeyValueStore;
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.ArrayList;
@@ -18,8 +18,8 @@
 /** Jobs are cancelled while controllers are isolated or machines hang or are partitioned. */
 class CompoundCancellationTest extends CompoundFailureFixture {
     /**
-     * The leader is still reached by workers and users, while jobs are cancelled through another
-     * controller.
+     * Workers and users still reach the isolated leader, while a job is cancelled through another
+     * controller. In one case a machine that runs a task of this job hangs meanwhile.
      */
     @ParameterizedTest
     @CsvSource({"30, 0", "60, 0", "110, 0", "60, 12"})
@@ -60,15 +60,15 @@
      */
     @ParameterizedTest
     @CsvSource({"normal", "late_commits", "slow"})
-    void cancellationAtTheEndOfTheLastTaskYieldsOneFinalPhase(String state) {
+    void cancellationAtTheEndOfTheLastTaskYieldsOneFinalPhase(String storeBehavior) {
         startCluster(1);
-        cluster.keyValueStore().delayCommits(state.equals("late_commits") ? 0.2 : 0);
+        cluster.keyValueStore().delayCommits(storeBehavior.equals("late_commits") ? 0.2 : 0);
         SplittableRandom random = new SplittableRandom(1);
-        if (state.equals("slow")) {
+        if (storeBehavior.equals("slow")) {
             cluster.network()
                     .delayResponses(
                             (from, request) ->
-                                    toStateService(request) ? random.nextDouble() * 0.6 : 0);
+                                    toKeyValueStore(request) ? random.nextDouble() * 0.6 : 0);
         }
         for (int i = 0; i < 24; i++) {
             String id = "run-0003" + (10 + i);
@@ -91,7 +91,7 @@
     }
 
     /**
-     * The workers cannot connect to any controller, while direct commands reach them: those halt
+     * Some workers cannot connect to any controller, while direct commands reach them: those halt
      * cancelled tasks, and no new work is placed there.
      */
     @ParameterizedTest
@@ -104,11 +104,11 @@
         List<SimWorker> unableToReport = machines().subList(0, count);
         unableToReport.forEach(cluster.network()::blockHeartbeatsFrom);
         cluster.run(1);
-        int before = machines().size();
+        int machinesBefore = machines().size();
         assertEquals("cancelled", cluster.cancel(follower(), OTHER));
         cluster.run(4);
         assertEquals(0, cluster.running(OTHER));
-        assertTrue(machines().size() >= before, "halted directly, not deleted");
+        assertTrue(machines().size() >= machinesBefore, "halted directly, not deleted");
         cluster.run(70);
         assertEquals(8, cluster.running(JOB));
         int starts = 0;
@@ -116,14 +116,15 @@
             starts += cluster.starts(JOB + "/" + i);
         }
         cluster.run(60);
-        int later = 0;
+        int startsLater = 0;
         for (int i = 0; i < 8; i++) {
-            later += cluster.starts(JOB + "/" + i);
+            startsLater += cluster.starts(JOB + "/" + i);
         }
-        assertEquals(starts, later, "nothing is started on machines whose leases will expire");
+        assertEquals(
+                starts, startsLater, "nothing is started on machines whose leases will expire");
     }
 
-    /** Neither with few nor with all machines hung, nor if the leader restarts meanwhile. */
+    /** One to four machines hang; in some cases the leader restarts meanwhile. */
     @ParameterizedTest
     @CsvSource({
         "5, 1, false",
@@ -154,7 +155,11 @@
         assertEquals(0, cluster.running(JOB));
     }
 
-    /** Every response of the key-value store is delayed, some past the timeout of the request. */
+    /**
+     * Every response of the key-value store but those to watches is delayed, in the last case some
+     * past the timeout of the request. Later the store refuses the leader, and then is down for a
+     * while.
+     */
     @ParameterizedTest
     @ValueSource(doubles = {0.3, 0.8, 1.5})
     void cancellationsWithASlowStateServiceAndAnOutageBreakNoInvariant(double maxDelaySeconds) {
@@ -165,7 +170,7 @@
         cluster.network()
                 .delayResponses(
                         (from, request) ->
-                                toStateService(request) && !request.path().startsWith("/changes")
+                                toKeyValueStore(request) && !request.path().startsWith("/changes")
                                         ? random.nextDouble() * maxDelaySeconds
                                         : 0);
         submitAndCancelJobs(60, random);
--- a/src/test/java/org/springmill/control/simulation/DelayedMessageTest.java
+++ b/src/test/java/org/springmill/control/simulation/DelayedMessageTest.java
@@ -37,7 +37,7 @@
     @ParameterizedTest
     @EnumSource(
             value = Delivery.class,
-            names = {"LOSE_ANSWER", "HOLD", "DROP", "REFUSE"})
+            names = {"LOSE_RESPONSE", "HOLD", "DROP", "REFUSE"})
     void startCommandWithUnknownOutcomeLeavesOneTaskRunning(Delivery fate) {
         boolean[] once = new boolean[1];
         cluster.network()
--- a/src/test/java/org/springmill/control/simulation/HistoryArchivingTest.java
+++ b/src/test/java/org/springmill/control/simulation/HistoryArchivingTest.java
@@ -107,7 +107,7 @@
     @ParameterizedTest
     @EnumSource(
             value = Delivery.class,
-            names = {"LOSE_ANSWER", "DROP", "HOLD", "REFUSE"})
+            names = {"LOSE_RESPONSE", "DROP", "HOLD", "REFUSE"})
     void resubmissionsDuringAFailedMoveNeverRunTheJobAgain(Delivery fate) {
         runToEnd(DONE);
         setFateOfMoves(fate);
--- a/src/test/java/org/springmill/control/simulation/HistoryChainTest.java
+++ b/src/test/java/org/springmill/control/simulation/HistoryChainTest.java
@@ -61,7 +61,10 @@
         assertPhaseEverywhere("cancelled", DEPENDENT, LAST);
     }
 
-    /** A lagging controller accepts a job while the leader moves the record of its dependency. */
+    /**
+     * A lagging controller may accept a job while the leader moves the record of its dependency.
+     * The test writes the records of such jobs to the key-value store itself.
+     */
     @ParameterizedTest
     @ValueSource(booleans = {false, true})
     void aDependentReadAfterItsDependencyWasMovedIsRunOrCancelled(boolean cancelled) {
@@ -70,7 +73,7 @@
         } else {
             runAndMove(FIRST);
         }
-        forgetAnswersInMemory();
+        dropFinalStatesFromMemory();
         store("job/" + id(DEPENDENT), jobRecord(DEPENDENT, ",\"accepted\":1.0E9", FIRST));
         store("job/" + id(LAST), jobRecord(LAST, ",\"accepted\":1.0E9", DEPENDENT));
         cluster.registerStoredJob(job(DEPENDENT, 2, FIRST));
@@ -81,13 +84,13 @@
     }
 
     /**
-     * A job is not run, and queries for it get 503, until the final state of its dependency was
-     * read.
+     * A job is not run, and queries for it get 503, until the final state of its dependency has
+     * been read.
      */
     @Test
     void aDependentWhoseDependencyCannotBeReadIsNeitherRunNorAnswered() {
         cancelAndMove(job(FIRST, 1), FIRST);
-        forgetAnswersInMemory();
+        dropFinalStatesFromMemory();
         cluster.network()
                 .setDeliveryRule(
                         (from, request) -> isLookup(request) ? Delivery.DROP : Delivery.DELIVER);
@@ -110,7 +113,7 @@
     }
 
     /** Restarts all controllers, so that none has the final state of a moved job in memory. */
-    private void forgetAnswersInMemory() {
+    private void dropFinalStatesFromMemory() {
         killControllers();
         restartControllers();
         cluster.run(20);
--- a/src/test/java/org/springmill/control/simulation/HistoryOutageTest.java
+++ b/src/test/java/org/springmill/control/simulation/HistoryOutageTest.java
@@ -71,7 +71,7 @@
         endJobs();
         cluster.network()
                 .delayResponses(
-                        (from, request) -> MessageMatchers.toStateService(request) ? 0.3 : 0);
+                        (from, request) -> MessageMatchers.toKeyValueStore(request) ? 0.3 : 0);
         int leader = cluster.leader();
         for (int number = 101; number <= 110; number++) {
             submit(number % CONTROLLERS, 1, job(number, 1));
--- a/src/test/java/org/springmill/control/simulation/JobChainCancellationTest.java
+++ b/src/test/java/org/springmill/control/simulation/JobChainCancellationTest.java
@@ -153,16 +153,16 @@
     @CsvSource({
         "DELIVER, 0",
         "DROP, 0",
-        "LOSE_ANSWER, 0",
+        "LOSE_RESPONSE, 0",
         "HOLD, 0",
         "DELIVER, 1",
         "DROP, 1",
-        "LOSE_ANSWER, 1",
+        "LOSE_RESPONSE, 1",
         "HOLD, 1",
         "DELIVER, 2",
         "HOLD, 2",
         "DELIVER, 3",
-        "LOSE_ANSWER, 3"
+        "LOSE_RESPONSE, 3"
     })
     void dependentsStayCancelledWhenAllControllersCrashDuringTheCommits(
             Delivery fate, int commitIndex) {
@@ -219,8 +219,8 @@
         "HOLD, 0",
         "HOLD, 0.5",
         "DROP, 0.05",
-        "LOSE_ANSWER, 0.004",
-        "LOSE_ANSWER, 0.05"
+        "LOSE_RESPONSE, 0.004",
+        "LOSE_RESPONSE, 0.05"
     })
     void aDependentFollowsWhicheverOfDoneAndCancelledIsCommittedFirst(
             Delivery fate, double delaySeconds) {
--- a/src/test/java/org/springmill/control/simulation/JobChainFailoverTest.java
+++ b/src/test/java/org/springmill/control/simulation/JobChainFailoverTest.java
@@ -24,10 +24,10 @@
     @ParameterizedTest
     @CsvSource({
         "DROP, end",
-        "LOSE_ANSWER, end",
+        "LOSE_RESPONSE, end",
         "HOLD, end",
         "DROP, claim",
-        "LOSE_ANSWER, claim",
+        "LOSE_RESPONSE, claim",
         "HOLD, claim"
     })
     void dependentsStartOnceWhenTheLeaderCrashesBetweenTwoJobs(Delivery fate, String what) {
--- a/src/test/java/org/springmill/control/simulation/KeyValueStoreLimitsTest.java
+++ b/src/test/java/org/springmill/control/simulation/KeyValueStoreLimitsTest.java
@@ -99,11 +99,11 @@
     @ParameterizedTest
     @CsvSource({
         "DELIVER, 0",
-        "LOSE_ANSWER, 0",
+        "LOSE_RESPONSE, 0",
         "DROP, 0",
         "HOLD, 0",
         "DELIVER, 1",
-        "LOSE_ANSWER, 1",
+        "LOSE_RESPONSE, 1",
         "HOLD, 1"
     })
     void aRefusalForSizeEndsNoTermAndIsNotRepeated(Delivery fate, int later) {
@@ -156,12 +156,12 @@
     @ParameterizedTest
     @CsvSource({
         "compaction, DELIVER",
-        "compaction, LOSE_ANSWER",
+        "compaction, LOSE_RESPONSE",
         "compaction, DROP",
         "compaction, HOLD",
         "takeover, DELIVER",
         "firstRound, DELIVER",
-        "firstRound, LOSE_ANSWER"
+        "firstRound, LOSE_RESPONSE"
     })
     void jobsRunOnceWhenLimitsShrink(String moment, Delivery fate) {
         startMachinesAndServices();
--- a/src/test/java/org/springmill/control/simulation/KeyValueStoreOutageTest.java
+++ b/src/test/java/org/springmill/control/simulation/KeyValueStoreOutageTest.java
@@ -3,7 +3,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.springmill.control.simulation.MessageMatchers.fromController;
 import static org.springmill.control.simulation.MessageMatchers.toController;
-import static org.springmill.control.simulation.MessageMatchers.toStateService;
+import static org.springmill.control.simulation.MessageMatchers.toKeyValueStore;
 
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -48,7 +48,7 @@
         cluster.network()
                 .setDeliveryRule(
                         (from, request) ->
-                                (fromController(from, refused) && toStateService(request))
+                                (fromController(from, refused) && toKeyValueStore(request))
                                                 || request.path().equals("/rentals/delete")
                                         ? Delivery.REFUSE
                                         : Delivery.DELIVER);
@@ -122,7 +122,7 @@
             cluster.network()
                     .setDeliveryRule(
                             (from, request) ->
-                                    fromController(from, isolated) && toStateService(request)
+                                    fromController(from, isolated) && toKeyValueStore(request)
                                             ? Delivery.REFUSE
                                             : Delivery.DELIVER);
             assertEquals("cancelled", cluster.cancel((isolated + 1) % 3, JOB));
--- a/src/test/java/org/springmill/control/simulation/MessageMatchers.java
+++ b/src/test/java/org/springmill/control/simulation/MessageMatchers.java
@@ -23,7 +23,7 @@
         return request.address().startsWith("10.1.");
     }
 
-    static boolean toStateService(Request request) {
+    static boolean toKeyValueStore(Request request) {
         return request.address().equals("state:1");
     }
 
--- a/src/test/java/org/springmill/control/simulation/NetworkPartitionTest.java
+++ b/src/test/java/org/springmill/control/simulation/NetworkPartitionTest.java
@@ -6,7 +6,7 @@
 import static org.springmill.control.simulation.MessageMatchers.fromController;
 import static org.springmill.control.simulation.MessageMatchers.fromWorker;
 import static org.springmill.control.simulation.MessageMatchers.toController;
-import static org.springmill.control.simulation.MessageMatchers.toStateService;
+import static org.springmill.control.simulation.MessageMatchers.toKeyValueStore;
 import static org.springmill.control.simulation.MessageMatchers.toWorker;
 
 import org.junit.jupiter.api.Test;
@@ -50,7 +50,7 @@
     private static boolean isLost(
             String lostConnections, int isolated, String from, Request request) {
         boolean fromIsolated = fromController(from, isolated);
-        boolean state = fromIsolated && toStateService(request);
+        boolean state = fromIsolated && toKeyValueStore(request);
         boolean workers =
                 (fromIsolated && toWorker(request))
                         || (fromWorker(from) && toController(request, isolated));
@@ -89,7 +89,7 @@
                 .setDeliveryRule(
                         (from, request) -> {
                             boolean othersState =
-                                    !fromController(from, isolated) && toStateService(request);
+                                    !fromController(from, isolated) && toKeyValueStore(request);
                             boolean workers = isBetweenWorkersAnd(isolated, from, request);
                             return othersState
                                     ? Delivery.REFUSE
@@ -130,7 +130,7 @@
                 .setDeliveryRule(
                         (from, request) -> {
                             boolean oldLeader =
-                                    fromController(from, isolated) && toStateService(request);
+                                    fromController(from, isolated) && toKeyValueStore(request);
                             boolean outwards =
                                     from.equals(machine.name()) && !toController(request, isolated);
                             boolean inwards =
