--- a/src/main/java/org/springmill/emulator/ControllerGroup.java
+++ b/src/main/java/org/springmill/emulator/ControllerGroup.java
@@ -15,7 +15,7 @@
 import org.springmill.transport.HttpClient;
 import org.springmill.transport.HttpClient.Request;
 
-/** The controllers' processes: started, probed, killed and started again. */
+/** Starts, probes, kills and restarts the controller processes of an emulation. */
 final class ControllerGroup {
     private static final Logger LOG = LoggerFactory.getLogger(ControllerGroup.class);
     private static final String METRICS_PATH = "/metrics";
@@ -129,7 +129,7 @@
         }
     }
 
-    /** Kills whichever says that it leads. */
+    /** Kills each controller whose metrics say that it is the leader. */
     void killLeader() {
         for (int i = 0; i < nodes.size(); i++) {
             int controller = i;
@@ -147,7 +147,7 @@
         }
     }
 
-    /** Processor time counts from here on. */
+    /** Begins to measure the processor time that {@link #use} reports. */
     void startMeasuring() {
         for (int i = 0; i < processes.size(); i++) {
             processorSecondsBefore[i] = processes.get(i).processorSeconds();
@@ -171,7 +171,7 @@
         return use;
     }
 
-    /** Ends all processes for good. */
+    /** Kills all processes and starts none again. */
     void close() {
         closed = true;
         processes.forEach(ControllerProcess::kill);
--- a/src/main/java/org/springmill/emulator/ControllerProcess.java
+++ b/src/main/java/org/springmill/emulator/ControllerProcess.java
@@ -8,7 +8,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** One controller as a real process, started again after it has ended. */
+/** One controller as a real process, which can be restarted after it has ended. */
 final class ControllerProcess {
     private static final double CLOCK_TICKS_PER_SECOND = 100;
     private static final int USER_TICKS_FIELD = 11;
@@ -25,8 +25,9 @@
     private boolean killed;
 
     /**
-     * @param run program and arguments
-     * @param settings path added to them
+     * @param run program and arguments, separated by white space
+     * @param settings settings file, passed as the last argument
+     * @param log file that output and errors are appended to
      */
     ControllerProcess(String run, Path settings, File log) {
         command = new ArrayList<>(List.of(run.trim().split("\\s+")));
@@ -47,7 +48,7 @@
         return process != null && process.isAlive();
     }
 
-    /** Ends the process at once. */
+    /** Kills the process without a shutdown of its own. */
     void kill() {
         if (alive()) {
             sample();
@@ -57,7 +58,10 @@
         }
     }
 
-    /** Takes note of a process that has ended by itself; whether it has to be started again. */
+    /**
+     * Counts a process that has ended without {@link #kill}. Returns true once for each such
+     * process; it has to be restarted.
+     */
     boolean endedByItself() {
         if (process == null || process.isAlive() || killed) {
             return false;
@@ -67,7 +71,7 @@
         return true;
     }
 
-    /** Notes what the process holds now. */
+    /** Updates the peaks of memory and sockets with the current values. */
     void sample() {
         if (!alive()) {
             return;
@@ -76,7 +80,7 @@
         peakSockets = Math.max(peakSockets, sockets());
     }
 
-    /** Processor time of this process and those before it. */
+    /** Processor time of the current process and of those that {@link #kill} ended. */
     double processorSeconds() {
         return (ticksOfEarlierProcesses + (alive() ? ticks() : 0)) / CLOCK_TICKS_PER_SECOND;
     }
@@ -128,7 +132,7 @@
                 count += Files.readSymbolicLink(file).toString().startsWith("socket:") ? 1 : 0;
             }
         } catch (IOException | java.nio.file.DirectoryIteratorException e) {
-            // The process has just ended, or closed one of them.
+            // The process has just ended or closed a file.
         }
         return count;
     }
--- a/src/main/java/org/springmill/emulator/ControllerSettings.java
+++ b/src/main/java/org/springmill/emulator/ControllerSettings.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 
-/** Writes the platform's settings of one controller, as in docs/operations.md. */
+/** Formats the settings file of one controller, as docs/operations.md describes it. */
 final class ControllerSettings {
     private static final String HEAD =
             """
--- a/src/main/java/org/springmill/emulator/EmulatedCloud.java
+++ b/src/main/java/org/springmill/emulator/EmulatedCloud.java
@@ -18,8 +18,9 @@
 import org.springmill.transport.HttpHandler.Call;
 
 /**
- * A cloud by the published protocol: rents, lists and deletes emulated machines, as many of each
- * type as the scenario has. Its list lags.
+ * Implements the published cloud protocol: rents, lists and deletes emulated machines, at most as
+ * many of each type as the scenario has. The list shows an earlier state, as the scenario's list
+ * lag says.
  */
 final class EmulatedCloud {
     private static final int LIST_LIMIT = CloudMessages.MAX_LISTED;
@@ -33,9 +34,9 @@
     private final TreeMap<String, Rented> rented = new TreeMap<>();
     private int numbers;
 
-    /** Makes and ends the machines that are rented. */
+    /** Creates and destroys the machines that are rented. */
     interface Machines {
-        /** Makes a machine that is up after some time, and returns its address. */
+        /** Creates a machine that is up after {@code bootSeconds} and returns its address. */
         String create(String name, MachineGroup type, String zone, double bootSeconds);
 
         void destroy(String name);
@@ -65,7 +66,7 @@
         scenario.machines().forEach(group -> types.put(group.type(), group));
     }
 
-    /** Rents the machines that are up from the beginning, evenly over the zones. */
+    /** Rents all machines of the scenario, already booted and spread evenly over the zones. */
     void rentAll() {
         List<String> zones = scenario.zoneNames();
         for (MachineGroup group : scenario.machines()) {
@@ -152,7 +153,10 @@
         }
     }
 
-    /** As things stood a lag ago; what was there at the beginning is always listed. */
+    /**
+     * Lists the machines as they were one list lag earlier. Machines of {@link #rentAll} are listed
+     * from the beginning.
+     */
     private void list(Call call) {
         double then = loop.now() - scenario.cloudLimits().listLagSeconds();
         List<ListedMachine> page = new ArrayList<>();
--- a/src/main/java/org/springmill/emulator/EmulatedFleet.java
+++ b/src/main/java/org/springmill/emulator/EmulatedFleet.java
@@ -13,15 +13,15 @@
 import org.springmill.transport.Transport;
 
 /**
- * All emulated workers, spread over a few event loops, each with an address of its own on loopback.
- * Called from one thread; each worker then lives on its loop.
+ * All emulated workers, each with its own loopback address, spread over a few event loops. The
+ * methods are called from one thread; the code of a worker runs on the worker's event loop.
  */
 final class EmulatedFleet implements EmulatedCloud.Machines {
     private static final int LOOPS = 3;
     private static final int PORT = 9000;
     private static final int ANY_PORT = 0;
 
-    /** Messages still on their way are over by then. */
+    /** Delay before the event loops close, so that messages in flight are delivered. */
     private static final double CLOSE_SECONDS = 0.1;
 
     private static final int ADDRESSES_PER_NET = 250;
@@ -38,7 +38,7 @@
     private record Placed(EmulatedWorker worker, Transport transport) {}
 
     /**
-     * @param network second number of the addresses on loopback
+     * @param network second octet of the loopback addresses
      * @param onFailure called on a worker's loop with the error of a worker that cannot listen
      */
     EmulatedFleet(
@@ -102,7 +102,7 @@
         }
     }
 
-    /** Machines in the zones given, in the order of their names. */
+    /** Names of the machines in the given zones, sorted. */
     List<String> machinesIn(Set<String> zones) {
         return workers.entrySet().stream()
                 .filter(entry -> zones.contains(entry.getValue().worker().zone()))
@@ -111,7 +111,7 @@
                 .toList();
     }
 
-    /** Machines fail with all of their tasks, or restart without any. */
+    /** Makes machines fail with all of their tasks, or restarts them without tasks. */
     void setSilent(List<String> names, boolean silent) {
         for (String name : names) {
             Placed placed = workers.get(name);
@@ -121,7 +121,7 @@
         }
     }
 
-    /** Ends all machines, and then their loops. */
+    /** Destroys all machines, then closes their event loops. */
     void close() {
         List.copyOf(workers.keySet()).forEach(this::destroy);
         for (Transport transport : transports) {
--- a/src/main/java/org/springmill/emulator/EmulatedKeyValueStore.java
+++ b/src/main/java/org/springmill/emulator/EmulatedKeyValueStore.java
@@ -30,9 +30,9 @@
 import org.springmill.transport.HttpClient.Reply;
 
 /**
- * A key-value store by the published protocol: versioned keys, compare-and-swap transactions,
- * leases and watches, with size limits and outages. The rate limits are those of the server in
- * front of it.
+ * Implements the published key-value store protocol: versioned keys, compare-and-swap transactions,
+ * leases and watches, with size limits and outages. It has no rate limits; the server in front of
+ * it may apply some.
  */
 public final class EmulatedKeyValueStore {
     private static final int MAX_CHANGES_KEPT = 10_000;
@@ -69,7 +69,10 @@
         }
     }
 
-    /** An open watch of a node; overdue once it has timed out while the node was not served. */
+    /**
+     * An open watch of a node. It is overdue if its wait has ended while the node was not served,
+     * and is then answered as soon as the node is served again.
+     */
     private static final class OpenWatch {
         private final String node;
         private final Watch watch;
@@ -85,10 +88,10 @@
     }
 
     /**
-     * An empty store.
+     * Creates an empty store.
      *
-     * @param valueBytes the largest value in bytes
-     * @param writesPerCommit the most writes of one transaction
+     * @param valueBytes maximum size of a value in bytes
+     * @param writesPerCommit maximum number of writes in one transaction
      */
     public EmulatedKeyValueStore(EventLoop loop, int valueBytes, int writesPerCommit) {
         this.loop = loop;
@@ -96,29 +99,29 @@
         this.writesPerCommit = writesPerCommit;
     }
 
-    /** Begins to end expired leases, at regular intervals. */
+    /** Starts to end expired leases at regular intervals. */
     public void start() {
         expireLeases();
         loop.after(EXPIRY_INTERVAL_SECONDS, this::start);
     }
 
-    /** Changes the size limits from now on. Stored values stay. */
+    /** Sets the size limits of later transactions. Stored values are kept. */
     public void setSizeLimits(int bytes, int writes) {
         valueBytes = bytes;
         writesPerCommit = writes;
     }
 
-    /** Transactions rejected for their size so far. */
+    /** Number of transactions that were rejected for their size. */
     public int rejectedForSize() {
         return rejectedForSize;
     }
 
-    /** How many keys are stored. */
+    /** Number of stored keys. */
     public int keyCount() {
         return keys.size();
     }
 
-    /** Begins or ends an outage; at its end every lease is renewed. */
+    /** Starts or ends an outage. All leases are renewed when an outage ends. */
     public void setDown(boolean nowDown) {
         expireLeases();
         if (down && !nowDown) {
@@ -128,14 +131,14 @@
         serveWatches();
     }
 
-    /** Whether there is an outage. */
+    /** True during an outage. */
     public boolean down() {
         return down;
     }
 
     /**
-     * Answers one node with 503 while the others are served; its leases expire, and its open
-     * watches wait.
+     * Starts or ends to answer one node with 503 while the others are served. Its leases can expire
+     * meanwhile, and its open watches are not answered.
      */
     public void setRefused(String node, boolean now) {
         if (now) {
@@ -146,26 +149,26 @@
         }
     }
 
-    /** Serves all nodes again. */
+    /** Ends an outage and serves every node again. */
     public void serveAll() {
         refused.clear();
         setDown(false);
     }
 
-    /** Compacts the history: watches from earlier revisions get 410 and have to list the keys. */
+    /** Deletes the history: watches from earlier revisions get 410 and have to list the keys. */
     public void compactChanges() {
         changes.clear();
         compactedRevision = revision;
     }
 
-    /** The value of a key; null if there is none. */
+    /** The value of a key, or null if the key does not exist. */
     public JsonNode value(String key) {
         expireLeases();
         Entry entry = keys.get(key);
         return entry == null ? null : entry.value();
     }
 
-    /** All keys with a prefix. */
+    /** All keys with the given prefix, sorted. */
     public List<String> keysUnder(String prefix) {
         expireLeases();
         return keys.tailMap(prefix).keySet().stream()
@@ -178,7 +181,7 @@
     }
 
     /**
-     * Answers a request, a watch perhaps later.
+     * Answers a request. A watch without changes is answered later.
      *
      * @param target path and query
      */
@@ -191,7 +194,7 @@
         }
     }
 
-    /** Answers a request, a watch perhaps later. */
+    /** Answers a request. A watch without changes is answered later. */
     public void handle(String node, StoreRequest request, Consumer<Reply> done) {
         expireLeases();
         if (!serves(node)) {
@@ -394,7 +397,10 @@
         return true;
     }
 
-    /** Searched from the latest backwards: a watch mostly asks for few of all that are kept. */
+    /**
+     * The changes of a prefix after a revision, oldest first. Searches backwards from the latest
+     * change, because most watches need only a few of the stored changes.
+     */
     private List<Change> changesAfter(long from, String prefix) {
         ArrayDeque<Change> found = new ArrayDeque<>();
         var latestFirst = changes.descendingIterator();
--- a/src/main/java/org/springmill/emulator/EmulatedKeyValueStoreServer.java
+++ b/src/main/java/org/springmill/emulator/EmulatedKeyValueStoreServer.java
@@ -15,7 +15,10 @@
 import org.springmill.transport.HttpClient.Reply;
 import org.springmill.transport.HttpHandler;
 
-/** Serves the emulated key-value store over HTTP, with its latency and its rate limits. */
+/**
+ * Serves the emulated key-value store over HTTP with the latency and the rate limits of the
+ * scenario.
+ */
 final class EmulatedKeyValueStoreServer implements HttpHandler {
     private static final String ANYBODY = "";
 
@@ -29,7 +32,7 @@
     private long written;
     private long refusedForRate;
 
-    /** A token bucket that holds the tokens of one second, as the protocol specifies. */
+    /** A token bucket whose capacity is the rate of one second, as the protocol specifies. */
     private static final class TokenBucket {
         private final double perSecond;
         private double left;
@@ -114,12 +117,12 @@
         return Message.STATE_LEASE;
     }
 
-    /** Requests so far. */
+    /** Number of well-formed requests so far, including refused ones. */
     long served() {
         return served;
     }
 
-    /** Puts and deletes asked for so far. */
+    /** Number of puts and deletes requested so far, including refused ones. */
     long written() {
         return written;
     }
--- a/src/main/java/org/springmill/emulator/EmulatedTasks.java
+++ b/src/main/java/org/springmill/emulator/EmulatedTasks.java
@@ -26,8 +26,8 @@
 import org.springmill.transport.EventLoop;
 
 /**
- * The tasks of one emulated worker, which take time and nothing else: fetches their images, runs,
- * stops and kills them, within the resources of the machine.
+ * The tasks of one emulated worker. Fetches their images, runs, stops and kills them within the
+ * resources of the machine. A task only takes time; no program is run.
  */
 final class EmulatedTasks {
     private static final Logger LOG = LoggerFactory.getLogger(EmulatedTasks.class);
@@ -54,7 +54,7 @@
         private ExitCause cause = ExitCause.NONE;
         private double runningSince;
 
-        /** Answers requests if the task is a replica of a model; null otherwise. */
+        /** The model server of a running replica of a model; null for other tasks. */
         private ModelServer server;
 
         Task(Key key, Submission spec, double commandedAt) {
@@ -74,8 +74,8 @@
 
     /**
      * @param machine name of the worker's machine
-     * @param address of the worker, at which tasks are reached that serve no model
-     * @param statusChanged run when the status of a task has changed
+     * @param address address of the worker, which tasks without a model server report as theirs
+     * @param statusChanged called when the status of a task has changed
      */
     EmulatedTasks(
             String machine,
@@ -94,7 +94,7 @@
         this.statusChanged = statusChanged;
     }
 
-    /** The status of all tasks, as heartbeats list it. */
+    /** The status of all tasks, in the form that heartbeats list. */
     List<TaskStatus> statuses() {
         List<TaskStatus> statuses = new ArrayList<>(tasks.size());
         for (Task task : tasks.values()) {
@@ -104,19 +104,22 @@
         return statuses;
     }
 
-    /** Forgets the images, as a machine that was replaced. */
+    /** Deletes the cached images, as if the machine was replaced. */
     void clearImageCache() {
         images.clear();
     }
 
-    /** Kills all tasks without a checkpoint, as at a lease expiry or the end of the machine. */
+    /**
+     * Kills all tasks without a checkpoint, as when the lease expires or the machine fails or is
+     * deleted.
+     */
     void killAll() {
         tasks.values().stream().filter(Task::isOnMachine).forEach(this::recordKilled);
         tasks.clear();
         environment.observer().cleared(machine);
     }
 
-    /** Obeys a command; one that was obeyed before changes nothing. */
+    /** Executes a command. Commands are idempotent: a repeated one has no effect. */
     void execute(Command command) {
         Key key = new Key(command.task(), command.attempt());
         Task task = tasks.get(key);
@@ -234,7 +237,7 @@
         }
     }
 
-    /** A task ends without a save. */
+    /** Records that a task ends without saving a checkpoint, and stops its model server. */
     private void recordKilled(Task task) {
         if (task.server != null) {
             task.server.stop();
@@ -257,7 +260,10 @@
         statusChanged.run();
     }
 
-    /** Starts the model server of a replica and returns its address. */
+    /**
+     * Starts the model server of a replica and returns its address, or the worker's address if no
+     * port can be opened.
+     */
     private String serveModel(Task task, Scenario.Serving serving) {
         task.server = new ModelServer(loop, serving);
         try {
--- a/src/main/java/org/springmill/emulator/EmulatedUsers.java
+++ b/src/main/java/org/springmill/emulator/EmulatedUsers.java
@@ -22,8 +22,9 @@
 import org.springmill.transport.HttpClient.Request;
 
 /**
- * Users by the published protocol: submit jobs, poll the status of each until its final phase,
- * cancel services. They reach the controllers that answer the balancer's probes.
+ * Users of the published protocol: submit jobs, poll the status of each job until its final phase
+ * and cancel services. Requests go to a random controller among those that answered the last
+ * readiness probe, as a load balancer does; if none did, to any.
  */
 final class EmulatedUsers {
     private static final double SUBMIT_TIMEOUT_SECONDS = 5;
@@ -50,7 +51,7 @@
     private long acceptedCount;
     private boolean stopped;
 
-    /** A job from its submission to its end, as its user sees it. */
+    /** A job from its submission to its final phase, as its user sees it. */
     private final class UserJob {
         private final Submission spec;
         private final double lifeSeconds;
@@ -198,7 +199,7 @@
         healthy = new boolean[controllers.size()];
     }
 
-    /** Begins to probe the controllers, as the balancer does. */
+    /** Starts to probe the readiness of the controllers, as a load balancer does. */
     void probe() {
         if (stopped) {
             return;
@@ -217,7 +218,7 @@
         loop.after(PROBE_SECONDS, this::probe);
     }
 
-    /** Controllers that take requests. */
+    /** Number of controllers that answered their last readiness probe. */
     int healthyControllers() {
         int count = 0;
         for (boolean one : healthy) {
@@ -226,7 +227,7 @@
         return count;
     }
 
-    /** Begins to submit jobs. */
+    /** Starts to submit the jobs of the scenario. */
     void start() {
         for (JobClass jobClass : scenario.jobs()) {
             for (int i = 0; i < jobClass.initial(); i++) {
@@ -238,7 +239,7 @@
         }
     }
 
-    /** Sends nothing more. */
+    /** Stops submissions, polls, probes and cancellations. */
     void stop() {
         stopped = true;
     }
@@ -248,7 +249,8 @@
     }
 
     /**
-     * Keeps the rate when timers are delayed too: jobs that are due by then are submitted together.
+     * Submits jobs at the rate of their class. The rate is kept when timers are delayed: all jobs
+     * that are due are submitted together.
      */
     private void submitAtRate(JobClass jobClass, double firstAt) {
         double nextAt = firstAt;
@@ -274,7 +276,7 @@
         new UserJob(spec, jobClass.lifeSeconds()).submit();
     }
 
-    /** The id of a further job. */
+    /** Returns a new job id. */
     String nextId() {
         return String.format("run-%06d", ++lastNumber);
     }
@@ -287,13 +289,13 @@
         order.submit();
     }
 
-    /** Cancels a service of {@link #submitService}. */
+    /** Cancels a service that {@link #submitService} submitted. */
     void cancelService(String id) {
         onCancellation.accept(id);
         services.remove(id).cancel();
     }
 
-    /** Called with each service that is to be cancelled, before it is. */
+    /** Sets a listener that {@link #cancelService} calls before it cancels a service. */
     void onCancellation(Consumer<String> listener) {
         onCancellation = listener;
     }
@@ -330,22 +332,22 @@
         return String.format("team-%03d", number);
     }
 
-    /** When a job that is not over was accepted; null otherwise. */
+    /** When a job was accepted; null if it is unknown or its user has seen its final phase. */
     Double acceptedAt(String job) {
         return acceptedAt.get(job);
     }
 
-    /** Accepted jobs whose users have not seen a final phase. */
+    /** Number of accepted jobs whose users have not seen a final phase. */
     int unfinished() {
         return acceptedAt.size();
     }
 
-    /** Jobs that were accepted so far. */
+    /** Number of jobs that were accepted so far. */
     long accepted() {
         return acceptedCount;
     }
 
-    /** Submissions that users abandoned, since no controller accepted them in time. */
+    /** Number of submissions abandoned because no controller accepted them in time. */
     long abandoned() {
         return abandoned;
     }
--- a/src/main/java/org/springmill/emulator/EmulatedWorker.java
+++ b/src/main/java/org/springmill/emulator/EmulatedWorker.java
@@ -20,8 +20,9 @@
 import org.springmill.transport.HttpHandler;
 
 /**
- * A worker by the published protocol: sends heartbeats, obeys the highest fencing token, keeps its
- * lease and passes commands on to its tasks.
+ * Implements the published worker protocol: sends heartbeats, rejects commands below the highest
+ * fencing token it has received, kills its tasks when its lease expires and passes commands on to
+ * them.
  */
 final class EmulatedWorker implements HttpHandler {
     private static final double HEARTBEAT_TIMEOUT_SECONDS = 4;
@@ -52,7 +53,7 @@
     private boolean silent;
     private boolean destroyed;
 
-    /** What all workers of an emulation share. */
+    /** Objects that all workers of an emulation share. */
     record Environment(
             Scenario scenario,
             List<String> controllerAddresses,
@@ -61,31 +62,31 @@
             Measurements measurements,
             Observer observer) {}
 
-    /** Called with what happens on workers, on the worker's loop. */
+    /** Receives the events of workers. Its methods are called on the event loop of the worker. */
     interface Observer {
         /** A start command for a task has arrived. */
         void startCommanded(TaskId task);
 
         /**
-         * A task is on its machine.
+         * A task has begun to run.
          *
-         * @param address at which a replica answers its requests
+         * @param address address at which a replica of a model answers requests
          */
         void started(TaskId task, String machine, String address);
 
-        /** A task has left its machine. */
+        /** A task that was running or saving a checkpoint has ended. */
         void ended(TaskId task, String machine, boolean done);
 
-        /** A stop command for a task that is on its machine has arrived. */
+        /** A stop command for a task that is running or saving a checkpoint has arrived. */
         void stopCommanded(TaskId task);
 
-        /** No task is on a machine any more. */
+        /** All tasks of a machine were killed. */
         void cleared(String machine);
     }
 
     /** Opens further ports of a machine. */
     interface Ports {
-        /** Serves HTTP on a port of its own and returns its address. */
+        /** Serves HTTP on a free port and returns its address. */
         String listen(HttpHandler handler) throws IOException;
     }
 
@@ -121,14 +122,14 @@
         return zone;
     }
 
-    /** The machine has booted: its first heartbeat follows within an interval. */
+    /** The machine has booted. Its first heartbeat follows within one heartbeat interval. */
     void start() {
         leaseRenewedAt = loop.now();
         loop.after(
                 random.nextDouble() * environment.scenario().workers().reportSeconds(), this::tick);
     }
 
-    /** The machine fails with all of its tasks, or restarts without any. */
+    /** The machine fails with all of its tasks, or restarts without tasks. */
     void setSilent(boolean nowSilent) {
         if (nowSilent) {
             tasks.killAll();
@@ -180,7 +181,7 @@
                 tasks.statuses());
     }
 
-    /** Sends a heartbeat for a changed status, no sooner than the protocol allows. */
+    /** Sends a heartbeat for a changed status after the minimum interval of the protocol. */
     private void requestHeartbeat() {
         statusChanged = true;
         if (heartbeatInFlight || heartbeatScheduled) {
@@ -272,7 +273,7 @@
             String node = WorkerSideMessages.decodeRedirect(body);
             leader = node == null ? null : environment.controllerNumbers().get(node);
         } catch (MalformedMessageException e) {
-            // Taken as a response that names no leader.
+            // Treated as a response that names no leader.
         }
         if (leader == null || leader == controller) {
             tryNextController();
@@ -287,7 +288,7 @@
         loop.after(NEXT_CONTROLLER_SECONDS, this::sendHeartbeat);
     }
 
-    /** Answers commands that are sent to this worker directly, and requests for its status. */
+    /** Answers commands that a controller sends to this worker, and requests for its status. */
     @Override
     public void handle(Call call) {
         if (silent || destroyed) {
--- a/src/main/java/org/springmill/emulator/FreePorts.java
+++ b/src/main/java/org/springmill/emulator/FreePorts.java
@@ -4,7 +4,7 @@
 import java.net.InetAddress;
 import java.net.ServerSocket;
 
-/** Ports on loopback that nobody listens on. */
+/** Finds loopback ports that no socket listens on. */
 final class FreePorts {
     private FreePorts() {}
 
--- a/src/main/java/org/springmill/emulator/package-info.java
+++ b/src/main/java/org/springmill/emulator/package-info.java
@@ -1,8 +1,9 @@
 /**
- * An emulated deployment on one machine: emulated workers, cloud, key-value store and users, by the
- * published protocol, around real controller processes. It measures what controllers need at a
- * given size and in failures, and checks from outside that the protocol's rules hold.
+ * An emulated deployment on one machine: real controller processes with emulated workers, cloud,
+ * key-value store and users, which speak the published protocol. It measures the resources that
+ * controllers need at a given size and during failures, and checks that the rules of the protocol
+ * hold as seen from outside the controllers.
  *
- * <p>Everything here runs on event loops of its own and reaches controllers over loopback only.
+ * <p>The emulation runs on its own event loops and reaches the controllers only over loopback.
  */
 package org.springmill.emulator;
--- a/src/test/java/org/springmill/emulator/EmulationFailureTest.java
+++ b/src/test/java/org/springmill/emulator/EmulationFailureTest.java
@@ -18,7 +18,7 @@
 import org.springmill.protocol.TaskId;
 import org.springmill.sim.VirtualClock;
 
-/** An emulation that could not be what its scenario says must not pass. */
+/** An emulation that could not run as its scenario says must fail. */
 class EmulationFailureTest {
     private static final int NETWORK = 239;
 
@@ -41,7 +41,10 @@
         public void cleared(String machine) {}
     }
 
-    /** Guards against a run with workers that nobody reaches, which ended with exit code 0. */
+    /**
+     * Guards against a run that ends with exit code 0 although its workers could not listen and no
+     * controller could reach them.
+     */
     @Test
     void workerThatCannotListenFailsTheEmulation() throws Exception {
         Scenario scenario = ScenarioFile.read(Path.of("scenarios/smoke.hcl"));
