--- a/src/main/java/org/springmill/emulator/ControllerGroup.java
+++ b/src/main/java/org/springmill/emulator/ControllerGroup.java
@@ -76,7 +76,12 @@
             startedAt[controller] = loop.now();
             untilReady[controller] = 0;
         } catch (IOException e) {
-            throw new IllegalStateException("cannot start " + nodes.get(controller).name(), e);
+            throw new IllegalStateException(
+                    "cannot start controller "
+                            + nodes.get(controller).name()
+                            + " with command "
+                            + scenario.controllers().run(),
+                    e);
         }
     }
 
@@ -87,7 +92,10 @@
         for (int i = 0; i < processes.size(); i++) {
             processes.get(i).sample();
             if (processes.get(i).endedByItself()) {
-                LOG.warn("controller {} has ended by itself", nodes.get(i).name());
+                LOG.warn(
+                        "controller {} ended unexpectedly; restarting it in {} s",
+                        nodes.get(i).name(),
+                        scenario.controllers().restartSeconds());
                 startAgain(i);
             }
             if (untilReady[i] == 0) {
@@ -140,7 +148,9 @@
                     reply -> {
                         String text = new String(reply.body(), StandardCharsets.UTF_8);
                         if (text.contains(LEADS)) {
-                            LOG.info("{} leads and is killed", nodes.get(controller).name());
+                            LOG.info(
+                                    "killing controller {}: it is the leader",
+                                    nodes.get(controller).name());
                             kill(controller);
                         }
                     });
--- a/src/main/java/org/springmill/emulator/EmulatedTasks.java
+++ b/src/main/java/org/springmill/emulator/EmulatedTasks.java
@@ -269,7 +269,12 @@
         try {
             return ports.listen(task.server);
         } catch (IOException e) {
-            LOG.warn("no port for the model server of {}", task.key.task(), e);
+            LOG.warn(
+                    "cannot open a port for the model server of task {};"
+                            + " reporting the worker's address {} as its address",
+                    task.key.task(),
+                    address,
+                    e);
             return address;
         }
     }
