--- a/src/main/java/org/springmill/emulator/ControllerGroup.java
+++ b/src/main/java/org/springmill/emulator/ControllerGroup.java
@@ -19,7 +19,7 @@
 final class ControllerGroup {
     private static final Logger LOG = LoggerFactory.getLogger(ControllerGroup.class);
     private static final String METRICS_PATH = "/metrics";
-    private static final String LEADS = "springmill_leading 1";
+    private static final String LEADER_METRIC = "springmill_leading 1";
     private static final double PROBE_SECONDS = 1;
     private static final byte[] EMPTY = new byte[0];
 
@@ -29,7 +29,7 @@
     private final List<Node> nodes;
     private final List<ControllerProcess> processes = new ArrayList<>();
     private final double[] startedAt;
-    private final double[] untilReady;
+    private final double[] secondsUntilReady;
     private final double[] processorSecondsBefore;
     private boolean closed;
 
@@ -47,7 +47,7 @@
         this.scenario = scenario;
         this.nodes = nodes;
         startedAt = new double[nodes.size()];
-        untilReady = new double[nodes.size()];
+        secondsUntilReady = new double[nodes.size()];
         processorSecondsBefore = new double[nodes.size()];
         for (Node node : nodes) {
             Path settings = folder.resolve(node.name() + ".toml");
@@ -64,7 +64,7 @@
         for (int i = 0; i < processes.size(); i++) {
             start(i);
         }
-        watch();
+        checkProcesses();
     }
 
     private void start(int controller) {
@@ -74,7 +74,7 @@
         try {
             processes.get(controller).start();
             startedAt[controller] = loop.now();
-            untilReady[controller] = 0;
+            secondsUntilReady[controller] = 0;
         } catch (IOException e) {
             throw new IllegalStateException(
                     "cannot start controller "
@@ -85,24 +85,24 @@
         }
     }
 
-    private void watch() {
+    private void checkProcesses() {
         if (closed) {
             return;
         }
         for (int i = 0; i < processes.size(); i++) {
             processes.get(i).sample();
-            if (processes.get(i).endedByItself()) {
+            if (processes.get(i).recordUnexpectedEnd()) {
                 LOG.warn(
                         "controller {} ended unexpectedly; restarting it in {} s",
                         nodes.get(i).name(),
                         scenario.controllers().restartSeconds());
-                startAgain(i);
+                scheduleRestart(i);
             }
-            if (untilReady[i] == 0) {
+            if (secondsUntilReady[i] == 0) {
                 probe(i);
             }
         }
-        loop.after(PROBE_SECONDS / 4, this::watch);
+        loop.after(PROBE_SECONDS / 4, this::checkProcesses);
     }
 
     private void probe(int controller) {
@@ -116,19 +116,19 @@
         client.send(
                 request,
                 reply -> {
-                    if (reply.ok() && untilReady[controller] == 0) {
-                        untilReady[controller] = loop.now() - startedAt[controller];
+                    if (reply.ok() && secondsUntilReady[controller] == 0) {
+                        secondsUntilReady[controller] = loop.now() - startedAt[controller];
                     }
                 });
     }
 
-    private void startAgain(int controller) {
+    private void scheduleRestart(int controller) {
         loop.after(scenario.controllers().restartSeconds(), () -> start(controller));
     }
 
     private void kill(int controller) {
         processes.get(controller).kill();
-        startAgain(controller);
+        scheduleRestart(controller);
     }
 
     void killAll() {
@@ -147,7 +147,7 @@
                     request,
                     reply -> {
                         String text = new String(reply.body(), StandardCharsets.UTF_8);
-                        if (text.contains(LEADS)) {
+                        if (text.contains(LEADER_METRIC)) {
                             LOG.info(
                                     "killing controller {}: it is the leader",
                                     nodes.get(controller).name());
@@ -157,14 +157,14 @@
         }
     }
 
-    /** Begins to measure the processor time that {@link #use} reports. */
+    /** Begins to measure the processor time that {@link #resourceUse} reports. */
     void startMeasuring() {
         for (int i = 0; i < processes.size(); i++) {
             processorSecondsBefore[i] = processes.get(i).processorSeconds();
         }
     }
 
-    List<ControllerUse> use(double seconds) {
+    List<ControllerUse> resourceUse(double seconds) {
         List<ControllerUse> use = new ArrayList<>();
         for (int i = 0; i < processes.size(); i++) {
             ControllerProcess process = processes.get(i);
@@ -176,7 +176,7 @@
                             process.peakMb(),
                             process.peakSockets(),
                             process.unexpectedEnds(),
-                            untilReady[i]));
+                            secondsUntilReady[i]));
         }
         return use;
     }
--- a/src/main/java/org/springmill/emulator/ControllerProcess.java
+++ b/src/main/java/org/springmill/emulator/ControllerProcess.java
@@ -22,7 +22,7 @@
     private double peakMb;
     private int peakSockets;
     private int unexpectedEnds;
-    private boolean killed;
+    private boolean endRecorded;
 
     /**
      * @param run program and arguments, separated by white space
@@ -36,7 +36,7 @@
     }
 
     void start() throws IOException {
-        killed = false;
+        endRecorded = false;
         process =
                 new ProcessBuilder(command)
                         .redirectOutput(ProcessBuilder.Redirect.appendTo(log))
@@ -53,7 +53,7 @@
         if (alive()) {
             sample();
             ticksOfEarlierProcesses += ticks();
-            killed = true;
+            endRecorded = true;
             process.destroyForcibly();
         }
     }
@@ -62,12 +62,12 @@
      * Counts a process that has ended without {@link #kill}. Returns true once for each such
      * process; it has to be restarted.
      */
-    boolean endedByItself() {
-        if (process == null || process.isAlive() || killed) {
+    boolean recordUnexpectedEnd() {
+        if (process == null || process.isAlive() || endRecorded) {
             return false;
         }
         unexpectedEnds++;
-        killed = true;
+        endRecorded = true;
         return true;
     }
 
--- a/src/main/java/org/springmill/emulator/EmulatedCloud.java
+++ b/src/main/java/org/springmill/emulator/EmulatedCloud.java
@@ -30,9 +30,9 @@
     private final Machines machines;
     private final Map<String, MachineGroup> types = new HashMap<>();
     private final Map<String, Integer> free = new HashMap<>();
-    private final Map<String, List<String>> answeredRentals = new HashMap<>();
+    private final Map<String, List<String>> namesByRequest = new HashMap<>();
     private final TreeMap<String, Rented> rented = new TreeMap<>();
-    private int numbers;
+    private int lastNumber;
 
     /** Creates and destroys the machines that are rented. */
     interface Machines {
@@ -46,15 +46,15 @@
         private final MachineGroup type;
         private final String zone;
         private final String address;
-        private final double since;
+        private final double rentedAt;
         private final double upAt;
         private double deletedAt = Double.POSITIVE_INFINITY;
 
-        Rented(MachineGroup type, String zone, String address, double since, double upAt) {
+        Rented(MachineGroup type, String zone, String address, double rentedAt, double upAt) {
             this.type = type;
             this.zone = zone;
             this.address = address;
-            this.since = since;
+            this.rentedAt = rentedAt;
             this.upAt = upAt;
         }
     }
@@ -78,7 +78,7 @@
     }
 
     private String rent(MachineGroup group, String zone, double bootSeconds) {
-        String name = String.format("host-%06d", ++numbers);
+        String name = String.format("host-%06d", ++lastNumber);
         String address = machines.create(name, group, zone, bootSeconds);
         free.merge(group.type(), -1, Integer::sum);
         double now = loop.now();
@@ -122,9 +122,9 @@
     }
 
     private void rent(Call call, Rental rental) {
-        List<String> before = answeredRentals.get(rental.request());
-        if (before != null) {
-            call.reply(200, CloudSideMessages.encodeRentalResponse(before), 0);
+        List<String> earlierNames = namesByRequest.get(rental.request());
+        if (earlierNames != null) {
+            call.reply(200, CloudSideMessages.encodeRentalResponse(earlierNames), 0);
             return;
         }
         MachineGroup group = types.get(rental.type());
@@ -140,7 +140,7 @@
         for (int i = 0; i < count; i++) {
             names.add(rent(group, rental.zone(), group.bootSeconds()));
         }
-        answeredRentals.put(rental.request(), names);
+        namesByRequest.put(rental.request(), names);
         call.reply(200, CloudSideMessages.encodeRentalResponse(names), 0);
     }
 
@@ -158,26 +158,26 @@
      * from the beginning.
      */
     private void list(Call call) {
-        double then = loop.now() - scenario.cloudLimits().listLagSeconds();
+        double asOf = loop.now() - scenario.cloudLimits().listLagSeconds();
         List<ListedMachine> page = new ArrayList<>();
         boolean more = false;
         String after = CloudSideMessages.decodePageStart(call.query());
         for (Map.Entry<String, Rented> entry : rented.tailMap(after, false).entrySet()) {
             Rented machine = entry.getValue();
-            boolean initial = machine.upAt == machine.since;
-            if ((machine.since <= then || initial) && machine.deletedAt > then) {
+            boolean initial = machine.upAt == machine.rentedAt;
+            if ((machine.rentedAt <= asOf || initial) && machine.deletedAt > asOf) {
                 if (page.size() == LIST_LIMIT) {
                     more = true;
                     break;
                 }
-                page.add(listed(entry.getKey(), machine, then));
+                page.add(listed(entry.getKey(), machine, asOf));
             }
         }
         call.reply(200, CloudSideMessages.encodeMachinePage(page, more), 0);
     }
 
-    private static ListedMachine listed(String name, Rented machine, double then) {
-        boolean up = machine.upAt <= then || machine.upAt == machine.since;
+    private static ListedMachine listed(String name, Rented machine, double asOf) {
+        boolean up = machine.upAt <= asOf || machine.upAt == machine.rentedAt;
         return new ListedMachine(
                 name,
                 machine.address,
@@ -185,6 +185,6 @@
                 machine.zone,
                 false,
                 up ? MachinePhase.RUNNING : MachinePhase.BOOTING,
-                Math.max(0, then - machine.since));
+                Math.max(0, asOf - machine.rentedAt));
     }
 }
--- a/src/main/java/org/springmill/emulator/EmulatedFleet.java
+++ b/src/main/java/org/springmill/emulator/EmulatedFleet.java
@@ -33,7 +33,7 @@
     private final SplittableRandom random;
     private final int network;
     private final Consumer<IOException> onFailure;
-    private int numbers;
+    private int createdCount;
 
     private record Placed(EmulatedWorker worker, Transport transport) {}
 
@@ -58,17 +58,17 @@
 
     @Override
     public String create(String name, MachineGroup type, String zone, double bootSeconds) {
-        Transport transport = transports.get(numbers % LOOPS);
+        Transport transport = transports.get(createdCount % LOOPS);
         String host =
                 "127."
                         + network
                         + "."
-                        + numbers / ADDRESSES_PER_NET
+                        + createdCount / ADDRESSES_PER_NET
                         + "."
-                        + (numbers % ADDRESSES_PER_NET + 1)
+                        + (createdCount % ADDRESSES_PER_NET + 1)
                         + ":";
         String address = host + PORT;
-        numbers++;
+        createdCount++;
         EmulatedWorker worker =
                 new EmulatedWorker(
                         name,
@@ -112,11 +112,11 @@
     }
 
     /** Makes machines fail with all of their tasks, or restarts them without tasks. */
-    void setSilent(List<String> names, boolean silent) {
+    void setFailed(List<String> names, boolean failed) {
         for (String name : names) {
             Placed placed = workers.get(name);
             if (placed != null) {
-                placed.transport().loop().after(0, () -> placed.worker().setSilent(silent));
+                placed.transport().loop().after(0, () -> placed.worker().setFailed(failed));
             }
         }
     }
--- a/src/main/java/org/springmill/emulator/EmulatedKeyValueStore.java
+++ b/src/main/java/org/springmill/emulator/EmulatedKeyValueStore.java
@@ -48,7 +48,7 @@
     private final Map<Long, Lease> leases = new HashMap<>();
     private final ArrayDeque<Change> changes = new ArrayDeque<>();
     private final List<OpenWatch> watches = new ArrayList<>();
-    private final Set<String> refused = new HashSet<>();
+    private final Set<String> refusedNodes = new HashSet<>();
     private long revision;
     private long compactedRevision;
     private long nextLease = 1;
@@ -140,18 +140,18 @@
      * Starts or ends to answer one node with 503 while the others are served. Its leases can expire
      * meanwhile, and its open watches are not answered.
      */
-    public void setRefused(String node, boolean now) {
-        if (now) {
-            refused.add(node);
+    public void setRefused(String node, boolean refuse) {
+        if (refuse) {
+            refusedNodes.add(node);
         } else {
-            refused.remove(node);
+            refusedNodes.remove(node);
             serveWatches();
         }
     }
 
     /** Ends an outage and serves every node again. */
     public void serveAll() {
-        refused.clear();
+        refusedNodes.clear();
         setDown(false);
     }
 
@@ -177,7 +177,7 @@
     }
 
     private boolean serves(String node) {
-        return !down && !refused.contains(node);
+        return !down && !refusedNodes.contains(node);
     }
 
     /**
--- a/src/main/java/org/springmill/emulator/EmulatedKeyValueStoreServer.java
+++ b/src/main/java/org/springmill/emulator/EmulatedKeyValueStoreServer.java
@@ -20,7 +20,7 @@
  * scenario.
  */
 final class EmulatedKeyValueStoreServer implements HttpHandler {
-    private static final String ANYBODY = "";
+    private static final String UNNAMED_NODE = "";
 
     private final EventLoop loop;
     private final EmulatedKeyValueStore store;
@@ -35,22 +35,22 @@
     /** A token bucket whose capacity is the rate of one second, as the protocol specifies. */
     private static final class TokenBucket {
         private final double perSecond;
-        private double left;
-        private double filledAt;
+        private double tokens;
+        private double refilledAt;
 
         TokenBucket(double perSecond, double now) {
             this.perSecond = perSecond;
-            left = perSecond;
-            filledAt = now;
+            tokens = perSecond;
+            refilledAt = now;
         }
 
         boolean take(int amount, double now) {
-            left = Math.min(perSecond, left + (now - filledAt) * perSecond);
-            filledAt = now;
-            if (left < amount) {
+            tokens = Math.min(perSecond, tokens + (now - refilledAt) * perSecond);
+            refilledAt = now;
+            if (tokens < amount) {
                 return false;
             }
-            left -= amount;
+            tokens -= amount;
             return true;
         }
     }
@@ -81,14 +81,14 @@
     }
 
     private void handle(Call call, StoreRequest request) {
-        double since = loop.now();
-        int writesHere = request instanceof Commit commit ? commit.writes().size() : 0;
+        double receivedAt = loop.now();
+        int writeCount = request instanceof Commit commit ? commit.writes().size() : 0;
         served++;
-        written += writesHere;
-        Consumer<Reply> done = reply -> answer(call, request, reply, since);
-        boolean allowed = requests.take(1, since) && writes.take(writesHere, since);
+        written += writeCount;
+        Consumer<Reply> done = reply -> answer(call, request, reply, receivedAt);
+        boolean allowed = requests.take(1, receivedAt) && writes.take(writeCount, receivedAt);
         if (allowed || store.down()) {
-            loop.after(latencySeconds, () -> store.handle(ANYBODY, request, done));
+            loop.after(latencySeconds, () -> store.handle(UNNAMED_NODE, request, done));
         } else {
             refusedForRate++;
             done.accept(
@@ -96,12 +96,12 @@
         }
     }
 
-    private void answer(Call call, StoreRequest request, Reply reply, double since) {
+    private void answer(Call call, StoreRequest request, Reply reply, double receivedAt) {
         Message kind = kind(request);
         measurements.message(kind, call.body().length, reply.body().length);
         measurements.outcome(kind, reply.status());
         if (kind == Message.STATE_COMMIT) {
-            measurements.latency(Latency.COMMIT, loop.now() - since);
+            measurements.latency(Latency.COMMIT, loop.now() - receivedAt);
         }
         call.reply(reply.status(), reply.body(), 0);
     }
--- a/src/main/java/org/springmill/emulator/EmulatedTasks.java
+++ b/src/main/java/org/springmill/emulator/EmulatedTasks.java
@@ -67,7 +67,7 @@
             return state != TaskState.EXITED;
         }
 
-        boolean isOnMachine() {
+        boolean isRunningOrSaving() {
             return state == TaskState.RUNNING || state == TaskState.SAVING;
         }
     }
@@ -114,7 +114,7 @@
      * deleted.
      */
     void killAll() {
-        tasks.values().stream().filter(Task::isOnMachine).forEach(this::recordKilled);
+        tasks.values().stream().filter(Task::isRunningOrSaving).forEach(this::recordKilled);
         tasks.clear();
         environment.observer().cleared(machine);
     }
@@ -195,8 +195,8 @@
         environment.measurements().latency(Latency.START, loop.now() - task.commandedAt);
         environment.observer().started(task.key.task(), machine, modelAddress);
         if (!job.spec().isService()) {
-            double left = environment.jobs().secondsLeft(task.key.task(), job);
-            loop.after(left, () -> finish(task));
+            double secondsLeft = environment.jobs().secondsLeft(task.key.task(), job);
+            loop.after(secondsLeft, () -> finish(task));
         }
         statusChanged.run();
     }
@@ -211,7 +211,7 @@
         if (!task.holdsResources()) {
             return;
         }
-        if (task.isOnMachine()) {
+        if (task.isRunningOrSaving()) {
             environment.observer().stopCommanded(task.key.task());
         }
         boolean saves =
@@ -223,7 +223,7 @@
             double stoppedAt = loop.now();
             loop.after(task.spec.checkpointSaveSeconds(), () -> checkpointSaved(task, stoppedAt));
         } else if (isCurrent(task) && !(task.state == TaskState.SAVING && graceSeconds > 0)) {
-            if (task.isOnMachine()) {
+            if (task.isRunningOrSaving()) {
                 recordKilled(task);
             }
             end(task, ExitCause.STOPPED);
@@ -251,10 +251,10 @@
     }
 
     private void end(Task task, ExitCause cause) {
-        boolean wasOnMachine = task.isOnMachine();
+        boolean wasRunningOrSaving = task.isRunningOrSaving();
         task.state = TaskState.EXITED;
         task.cause = cause;
-        if (wasOnMachine) {
+        if (wasRunningOrSaving) {
             environment.observer().ended(task.key.task(), machine, cause == ExitCause.DONE);
         }
         statusChanged.run();
--- a/src/main/java/org/springmill/emulator/EmulatedUsers.java
+++ b/src/main/java/org/springmill/emulator/EmulatedUsers.java
@@ -221,8 +221,8 @@
     /** Number of controllers that answered their last readiness probe. */
     int healthyControllers() {
         int count = 0;
-        for (boolean one : healthy) {
-            count += one ? 1 : 0;
+        for (boolean isHealthy : healthy) {
+            count += isHealthy ? 1 : 0;
         }
         return count;
     }
@@ -269,7 +269,7 @@
     }
 
     private void submit(JobClass jobClass) {
-        Submission spec = describe(jobClass);
+        Submission spec = newSubmission(jobClass);
         double runSeconds =
                 spec.isService() ? Double.POSITIVE_INFINITY : randomised(jobClass.runSeconds());
         jobs.upload(new EmulatedJob(spec, runSeconds));
@@ -284,9 +284,9 @@
     /** Submits a service that runs until it is cancelled. */
     void submitService(Submission spec) {
         jobs.upload(new EmulatedJob(spec, Double.POSITIVE_INFINITY));
-        UserJob order = new UserJob(spec, Double.POSITIVE_INFINITY);
-        services.put(spec.id(), order);
-        order.submit();
+        UserJob service = new UserJob(spec, Double.POSITIVE_INFINITY);
+        services.put(spec.id(), service);
+        service.submit();
     }
 
     /** Cancels a service that {@link #submitService} submitted. */
@@ -300,7 +300,7 @@
         onCancellation = listener;
     }
 
-    private Submission describe(JobClass jobClass) {
+    private Submission newSubmission(JobClass jobClass) {
         int team =
                 jobClass.team() < 0 ? random.nextInt(scenario.teams().number()) : jobClass.team();
         int tasks = random.nextInt(jobClass.minTasks(), jobClass.maxTasks() + 1);
--- a/src/main/java/org/springmill/emulator/EmulatedWorker.java
+++ b/src/main/java/org/springmill/emulator/EmulatedWorker.java
@@ -50,7 +50,7 @@
     private boolean heartbeatInFlight;
     private boolean statusChanged;
     private boolean heartbeatScheduled;
-    private boolean silent;
+    private boolean failed;
     private boolean destroyed;
 
     /** Objects that all workers of an emulation share. */
@@ -130,15 +130,15 @@
     }
 
     /** The machine fails with all of its tasks, or restarts without tasks. */
-    void setSilent(boolean nowSilent) {
-        if (nowSilent) {
+    void setFailed(boolean nowFailed) {
+        if (nowFailed) {
             tasks.killAll();
-        } else if (silent) {
+        } else if (failed) {
             epoch++;
             leaseRenewedAt = loop.now();
             tasks.clearImageCache();
         }
-        silent = nowSilent;
+        failed = nowFailed;
     }
 
     /** The machine is deleted. */
@@ -151,7 +151,7 @@
         if (destroyed) {
             return;
         }
-        if (!silent) {
+        if (!failed) {
             checkLease();
             sendHeartbeat();
         }
@@ -198,34 +198,34 @@
     }
 
     private void sendHeartbeat() {
-        if (heartbeatInFlight || silent || destroyed) {
+        if (heartbeatInFlight || failed || destroyed) {
             return;
         }
         heartbeatInFlight = true;
         statusChanged = false;
         heartbeatSentAt = loop.now();
         double sentAt = heartbeatSentAt;
-        long sentSession = epoch;
+        long sentEpoch = epoch;
         byte[] body = WorkerSideMessages.encodeHeartbeat(heartbeat());
         String to = environment.controllerAddresses().get(controller);
         Request request =
                 new Request(
                         to, "POST", WorkerMessages.HEARTBEAT_PATH, body, HEARTBEAT_TIMEOUT_SECONDS);
-        client.send(request, reply -> responseReceived(reply, sentAt, sentSession, body.length));
+        client.send(request, reply -> responseReceived(reply, sentAt, sentEpoch, body.length));
     }
 
-    private void responseReceived(Reply reply, double sentAt, long sentSession, int bytes) {
+    private void responseReceived(Reply reply, double sentAt, long sentEpoch, int bytes) {
         heartbeatInFlight = false;
         Measurements measurements = environment.measurements();
         measurements.message(Message.REPORT, bytes, reply.body().length);
         measurements.outcome(Message.REPORT, reply.status());
-        if (silent || destroyed) {
+        if (failed || destroyed) {
             return;
         }
         checkLease();
         if (reply.status() == 200) {
             measurements.latency(Latency.REPORT, loop.now() - sentAt);
-            accept(reply.body(), sentAt, sentSession);
+            accept(reply.body(), sentAt, sentEpoch);
         } else if (reply.status() == 421) {
             followRedirect(reply.body());
         } else {
@@ -236,15 +236,15 @@
         }
     }
 
-    private void accept(byte[] body, double sentAt, long sentSession) {
-        CommandBatch orders = parse(body);
-        if (orders != null
-                && orders.hasFencingToken()
-                && orders.fencingToken() >= fencingToken
-                && epoch == sentSession) {
-            raiseFencingToken(orders.fencingToken());
+    private void accept(byte[] body, double sentAt, long sentEpoch) {
+        CommandBatch batch = parse(body);
+        if (batch != null
+                && batch.hasFencingToken()
+                && batch.fencingToken() >= fencingToken
+                && epoch == sentEpoch) {
+            raiseFencingToken(batch.fencingToken());
             leaseRenewedAt = Math.max(leaseRenewedAt, sentAt);
-            orders.commands().forEach(tasks::execute);
+            batch.commands().forEach(tasks::execute);
         }
     }
 
@@ -256,10 +256,10 @@
         }
     }
 
-    private void raiseFencingToken(long shown) {
+    private void raiseFencingToken(long received) {
         double half = environment.scenario().workers().leaseSeconds() / 2;
-        if (shown > fencingToken) {
-            fencingToken = shown;
+        if (received > fencingToken) {
+            fencingToken = received;
             if (loop.now() - tokenHeartbeatAt > half) {
                 tokenHeartbeatAt = loop.now();
                 requestHeartbeat();
@@ -291,7 +291,7 @@
     /** Answers commands that a controller sends to this worker, and requests for its status. */
     @Override
     public void handle(Call call) {
-        if (silent || destroyed) {
+        if (failed || destroyed) {
             // No response: the request times out.
             return;
         }
@@ -300,15 +300,15 @@
             call.reply(200, WorkerSideMessages.encodeHeartbeat(heartbeat()), 0);
             return;
         }
-        CommandBatch orders = parse(call.body());
-        if (orders == null || !orders.hasFencingToken() || !orders.hasEpoch()) {
+        CommandBatch batch = parse(call.body());
+        if (batch == null || !batch.hasFencingToken() || !batch.hasEpoch()) {
             call.reply(400, new byte[0], 0);
             return;
         }
-        boolean refused = orders.fencingToken() < fencingToken || orders.epoch() != epoch;
+        boolean refused = batch.fencingToken() < fencingToken || batch.epoch() != epoch;
         if (!refused) {
-            raiseFencingToken(orders.fencingToken());
-            orders.commands().forEach(tasks::execute);
+            raiseFencingToken(batch.fencingToken());
+            batch.commands().forEach(tasks::execute);
         }
         byte[] answer = WorkerSideMessages.encodeHeartbeat(heartbeat());
         environment.measurements().message(Message.COMMANDS, call.body().length, answer.length);
--- a/src/main/java/org/springmill/emulator/Emulation.java
+++ b/src/main/java/org/springmill/emulator/Emulation.java
@@ -343,7 +343,7 @@
                         rates,
                         measurements.outcomes(),
                         measurements.refusals(),
-                        controllers.use(seconds),
+                        controllers.resourceUse(seconds),
                         (emulatorSeconds() - emulatorSecondsBefore) / seconds,
                         workerBytesPerSecond(rates),
                         new StoreUse(
--- a/src/main/java/org/springmill/emulator/FaultInjector.java
+++ b/src/main/java/org/springmill/emulator/FaultInjector.java
@@ -92,8 +92,8 @@
     }
 
     private void silence(Fault fault, List<String> machines) {
-        fleet.setSilent(machines, true);
-        endAfter(fault, () -> fleet.setSilent(machines, false));
+        fleet.setFailed(machines, true);
+        endAfter(fault, () -> fleet.setFailed(machines, false));
     }
 
     private void endAfter(Fault fault, Runnable end) {
--- a/src/test/java/org/springmill/emulator/EmulationFailureTest.java
+++ b/src/test/java/org/springmill/emulator/EmulationFailureTest.java
@@ -82,7 +82,7 @@
     }
 
     @Test
-    void runWithoutAnyStartBreaksARule() throws Exception {
+    void runThatStartsNoTaskIsAViolation() throws Exception {
         Scenario scenario = ScenarioFile.read(Path.of("scenarios/smoke.hcl"));
         RuleChecker rules = new RuleChecker(new VirtualClock(), scenario, jobs);
         rules.finished();
