--- a/src/main/java/org/springmill/emulator/ControllerGroup.java
+++ b/src/main/java/org/springmill/emulator/ControllerGroup.java
@@ -15,11 +15,11 @@
 import org.springmill.transport.HttpClient;
 import org.springmill.transport.HttpClient.Request;
 
-/** The controllers' processes: started, probed, killed and started again. */
+/** Starts, probes, kills and restarts the controller processes of an emulation. */
 final class ControllerGroup {
     private static final Logger LOG = LoggerFactory.getLogger(ControllerGroup.class);
     private static final String METRICS_PATH = "/metrics";
-    private static final String LEADS = "springmill_leading 1";
+    private static final String LEADER_METRIC = "springmill_leading 1";
     private static final double PROBE_SECONDS = 1;
     private static final byte[] EMPTY = new byte[0];
 
@@ -29,7 +29,7 @@
     private final List<Node> nodes;
     private final List<ControllerProcess> processes = new ArrayList<>();
     private final double[] startedAt;
-    private final double[] untilReady;
+    private final double[] secondsUntilReady;
     private final double[] processorSecondsBefore;
     private boolean closed;
 
@@ -47,7 +47,7 @@
         this.scenario = scenario;
         this.nodes = nodes;
         startedAt = new double[nodes.size()];
-        untilReady = new double[nodes.size()];
+        secondsUntilReady = new double[nodes.size()];
         processorSecondsBefore = new double[nodes.size()];
         for (Node node : nodes) {
             Path settings = folder.resolve(node.name() + ".toml");
@@ -64,7 +64,7 @@
         for (int i = 0; i < processes.size(); i++) {
             start(i);
         }
-        watch();
+        checkProcesses();
     }
 
     private void start(int controller) {
@@ -74,27 +74,35 @@
         try {
             processes.get(controller).start();
             startedAt[controller] = loop.now();
-            untilReady[controller] = 0;
+            secondsUntilReady[controller] = 0;
         } catch (IOException e) {
-            throw new IllegalStateException("cannot start " + nodes.get(controller).name(), e);
+            throw new IllegalStateException(
+                    "cannot start controller "
+                            + nodes.get(controller).name()
+                            + " with command "
+                            + scenario.controllers().run(),
+                    e);
         }
     }
 
-    private void watch() {
+    private void checkProcesses() {
         if (closed) {
             return;
         }
         for (int i = 0; i < processes.size(); i++) {
             processes.get(i).sample();
-            if (processes.get(i).endedByItself()) {
-                LOG.warn("controller {} has ended by itself", nodes.get(i).name());
-                startAgain(i);
+            if (processes.get(i).recordUnexpectedEnd()) {
+                LOG.warn(
+                        "controller {} ended unexpectedly; restarting it in {} s",
+                        nodes.get(i).name(),
+                        scenario.controllers().restartSeconds());
+                scheduleRestart(i);
             }
-            if (untilReady[i] == 0) {
+            if (secondsUntilReady[i] == 0) {
                 probe(i);
             }
         }
-        loop.after(PROBE_SECONDS / 4, this::watch);
+        loop.after(PROBE_SECONDS / 4, this::checkProcesses);
     }
 
     private void probe(int controller) {
@@ -108,19 +116,19 @@
         client.send(
                 request,
                 reply -> {
-                    if (reply.ok() && untilReady[controller] == 0) {
-                        untilReady[controller] = loop.now() - startedAt[controller];
+                    if (reply.ok() && secondsUntilReady[controller] == 0) {
+                        secondsUntilReady[controller] = loop.now() - startedAt[controller];
                     }
                 });
     }
 
-    private void startAgain(int controller) {
+    private void scheduleRestart(int controller) {
         loop.after(scenario.controllers().restartSeconds(), () -> start(controller));
     }
 
     private void kill(int controller) {
         processes.get(controller).kill();
-        startAgain(controller);
+        scheduleRestart(controller);
     }
 
     void killAll() {
@@ -129,7 +137,7 @@
         }
     }
 
-    /** Kills whichever says that it leads. */
+    /** Kills each controller whose metrics say that it is the leader. */
     void killLeader() {
         for (int i = 0; i < nodes.size(); i++) {
             int controller = i;
@@ -139,22 +147,24 @@
                     request,
                     reply -> {
                         String text = new String(reply.body(), StandardCharsets.UTF_8);
-                        if (text.contains(LEADS)) {
-                            LOG.info("{} leads and is killed", nodes.get(controller).name());
+                        if (text.contains(LEADER_METRIC)) {
+                            LOG.info(
+                                    "killing controller {}: it is the leader",
+                                    nodes.get(controller).name());
                             kill(controller);
                         }
                     });
         }
     }
 
-    /** Processor time counts from here on. */
+    /** Begins to measure the processor time that {@link #resourceUse} reports. */
     void startMeasuring() {
         for (int i = 0; i < processes.size(); i++) {
             processorSecondsBefore[i] = processes.get(i).processorSeconds();
         }
     }
 
-    List<ControllerUse> use(double seconds) {
+    List<ControllerUse> resourceUse(double seconds) {
         List<ControllerUse> use = new ArrayList<>();
         for (int i = 0; i < processes.size(); i++) {
             ControllerProcess process = processes.get(i);
@@ -166,12 +176,12 @@
                             process.peakMb(),
                             process.peakSockets(),
                             process.unexpectedEnds(),
-                            untilReady[i]));
+                            secondsUntilReady[i]));
         }
         return use;
     }
 
-    /** Ends all processes for good. */
+    /** Kills all processes and starts none again. */
     void close() {
         closed = true;
         processes.forEach(ControllerProcess::kill);
--- a/src/main/java/org/springmill/emulator/EmulatedKeyValueStoreServer.java
+++ b/src/main/java/org/springmill/emulator/EmulatedKeyValueStoreServer.java
@@ -15,9 +15,12 @@
 import org.springmill.transport.HttpClient.Reply;
 import org.springmill.transport.HttpHandler;
 
-/** Serves the emulated key-value store over HTTP, with its latency and its rate limits. */
+/**
+ * Serves the emulated key-value store over HTTP with the latency and the rate limits of the
+ * scenario.
+ */
 final class EmulatedKeyValueStoreServer implements HttpHandler {
-    private static final String ANYBODY = "";
+    private static final String UNNAMED_NODE = "";
 
     private final EventLoop loop;
     private final EmulatedKeyValueStore store;
@@ -29,25 +32,25 @@
     private long written;
     private long refusedForRate;
 
-    /** A token bucket that holds the tokens of one second, as the protocol specifies. */
+    /** A token bucket whose capacity is the rate of one second, as the protocol specifies. */
     private static final class TokenBucket {
         private final double perSecond;
-        private double left;
-        private double filledAt;
+        private double tokens;
+        private double refilledAt;
 
         TokenBucket(double perSecond, double now) {
             this.perSecond = perSecond;
-            left = perSecond;
-            filledAt = now;
+            tokens = perSecond;
+            refilledAt = now;
         }
 
         boolean take(int amount, double now) {
-            left = Math.min(perSecond, left + (now - filledAt) * perSecond);
-            filledAt = now;
-            if (left < amount) {
+            tokens = Math.min(perSecond, tokens + (now - refilledAt) * perSecond);
+            refilledAt = now;
+            if (tokens < amount) {
                 return false;
             }
-            left -= amount;
+            tokens -= amount;
             return true;
         }
     }
@@ -78,14 +81,14 @@
     }
 
     private void handle(Call call, StoreRequest request) {
-        double since = loop.now();
-        int writesHere = request instanceof Commit commit ? commit.writes().size() : 0;
+        double receivedAt = loop.now();
+        int writeCount = request instanceof Commit commit ? commit.writes().size() : 0;
         served++;
-        written += writesHere;
-        Consumer<Reply> done = reply -> answer(call, request, reply, since);
-        boolean allowed = requests.take(1, since) && writes.take(writesHere, since);
+        written += writeCount;
+        Consumer<Reply> done = reply -> answer(call, request, reply, receivedAt);
+        boolean allowed = requests.take(1, receivedAt) && writes.take(writeCount, receivedAt);
         if (allowed || store.down()) {
-            loop.after(latencySeconds, () -> store.handle(ANYBODY, request, done));
+            loop.after(latencySeconds, () -> store.handle(UNNAMED_NODE, request, done));
         } else {
             refusedForRate++;
             done.accept(
@@ -93,12 +96,12 @@
         }
     }
 
-    private void answer(Call call, StoreRequest request, Reply reply, double since) {
+    private void answer(Call call, StoreRequest request, Reply reply, double receivedAt) {
         Message kind = kind(request);
         measurements.message(kind, call.body().length, reply.body().length);
         measurements.outcome(kind, reply.status());
         if (kind == Message.STATE_COMMIT) {
-            measurements.latency(Latency.COMMIT, loop.now() - since);
+            measurements.latency(Latency.COMMIT, loop.now() - receivedAt);
         }
         call.reply(reply.status(), reply.body(), 0);
     }
@@ -114,12 +117,12 @@
         return Message.STATE_LEASE;
     }
 
-    /** Requests so far. */
+    /** Number of well-formed requests so far, including refused ones. */
     long served() {
         return served;
     }
 
-    /** Puts and deletes asked for so far. */
+    /** Number of puts and deletes requested so far, including refused ones. */
     long written() {
         return written;
     }
--- a/src/main/java/org/springmill/emulator/EmulatedTasks.java
+++ b/src/main/java/org/springmill/emulator/EmulatedTasks.java
@@ -26,8 +26,8 @@
 import org.springmill.transport.EventLoop;
 
 /**
- * The tasks of one emulated worker, which take time and nothing else: fetches their images, runs,
- * stops and kills them, within the resources of the machine.
+ * The tasks of one emulated worker. Fetches their images, runs, stops and kills them within the
+ * resources of the machine. A task only takes time; no program is run.
  */
 final class EmulatedTasks {
     private static final Logger LOG = LoggerFactory.getLogger(EmulatedTasks.class);
@@ -54,7 +54,7 @@
         private ExitCause cause = ExitCause.NONE;
         private double runningSince;
 
-        /** Answers requests if the task is a replica of a model; null otherwise. */
+        /** The model server of a running replica of a model; null for other tasks. */
         private ModelServer server;
 
         Task(Key key, Submission spec, double commandedAt) {
@@ -67,15 +67,15 @@
             return state != TaskState.EXITED;
         }
 
-        boolean isOnMachine() {
+        boolean isRunningOrSaving() {
             return state == TaskState.RUNNING || state == TaskState.SAVING;
         }
     }
 
     /**
      * @param machine name of the worker's machine
-     * @param address of the worker, at which tasks are reached that serve no model
-     * @param statusChanged run when the status of a task has changed
+     * @param address address of the worker, which tasks without a model server report as theirs
+     * @param statusChanged called when the status of a task has changed
      */
     EmulatedTasks(
             String machine,
@@ -94,7 +94,7 @@
         this.statusChanged = statusChanged;
     }
 
-    /** The status of all tasks, as heartbeats list it. */
+    /** The status of all tasks, in the form that heartbeats list. */
     List<TaskStatus> statuses() {
         List<TaskStatus> statuses = new ArrayList<>(tasks.size());
         for (Task task : tasks.values()) {
@@ -104,19 +104,22 @@
         return statuses;
     }
 
-    /** Forgets the images, as a machine that was replaced. */
+    /** Deletes the cached images, as if the machine was replaced. */
     void clearImageCache() {
         images.clear();
     }
 
-    /** Kills all tasks without a checkpoint, as at a lease expiry or the end of the machine. */
+    /**
+     * Kills all tasks without a checkpoint, as when the lease expires or the machine fails or is
+     * deleted.
+     */
     void killAll() {
-        tasks.values().stream().filter(Task::isOnMachine).forEach(this::recordKilled);
+        tasks.values().stream().filter(Task::isRunningOrSaving).forEach(this::recordKilled);
         tasks.clear();
         environment.observer().cleared(machine);
     }
 
-    /** Obeys a command; one that was obeyed before changes nothing. */
+    /** Executes a command. Commands are idempotent: a repeated one has no effect. */
     void execute(Command command) {
         Key key = new Key(command.task(), command.attempt());
         Task task = tasks.get(key);
@@ -192,8 +195,8 @@
         environment.measurements().latency(Latency.START, loop.now() - task.commandedAt);
         environment.observer().started(task.key.task(), machine, modelAddress);
         if (!job.spec().isService()) {
-            double left = environment.jobs().secondsLeft(task.key.task(), job);
-            loop.after(left, () -> finish(task));
+            double secondsLeft = environment.jobs().secondsLeft(task.key.task(), job);
+            loop.after(secondsLeft, () -> finish(task));
         }
         statusChanged.run();
     }
@@ -208,7 +211,7 @@
         if (!task.holdsResources()) {
             return;
         }
-        if (task.isOnMachine()) {
+        if (task.isRunningOrSaving()) {
             environment.observer().stopCommanded(task.key.task());
         }
         boolean saves =
@@ -220,7 +223,7 @@
             double stoppedAt = loop.now();
             loop.after(task.spec.checkpointSaveSeconds(), () -> checkpointSaved(task, stoppedAt));
         } else if (isCurrent(task) && !(task.state == TaskState.SAVING && graceSeconds > 0)) {
-            if (task.isOnMachine()) {
+            if (task.isRunningOrSaving()) {
                 recordKilled(task);
             }
             end(task, ExitCause.STOPPED);
@@ -234,7 +237,7 @@
         }
     }
 
-    /** A task ends without a save. */
+    /** Records that a task ends without saving a checkpoint, and stops its model server. */
     private void recordKilled(Task task) {
         if (task.server != null) {
             task.server.stop();
@@ -248,22 +251,30 @@
     }
 
     private void end(Task task, ExitCause cause) {
-        boolean wasOnMachine = task.isOnMachine();
+        boolean wasRunningOrSaving = task.isRunningOrSaving();
         task.state = TaskState.EXITED;
         task.cause = cause;
-        if (wasOnMachine) {
+        if (wasRunningOrSaving) {
             environment.observer().ended(task.key.task(), machine, cause == ExitCause.DONE);
         }
         statusChanged.run();
     }
 
-    /** Starts the model server of a replica and returns its address. */
+    /**
+     * Starts the model server of a replica and returns its address, or the worker's address if no
+     * port can be opened.
+     */
     private String serveModel(Task task, Scenario.Serving serving) {
         task.server = new ModelServer(loop, serving);
         try {
             return ports.listen(task.server);
         } catch (IOException e) {
-            LOG.warn("no port for the model server of {}", task.key.task(), e);
+            LOG.warn(
+                    "cannot open a port for the model server of task {};"
+                            + " reporting the worker's address {} as its address",
+                    task.key.task(),
+                    address,
+                    e);
             return address;
         }
     }
--- a/src/main/java/org/springmill/emulator/EmulatedWorker.java
+++ b/src/main/java/org/springmill/emulator/EmulatedWorker.java
@@ -20,8 +20,9 @@
 import org.springmill.transport.HttpHandler;
 
 /**
- * A worker by the published protocol: sends heartbeats, obeys the highest fencing token, keeps its
- * lease and passes commands on to its tasks.
+ * Implements the published worker protocol: sends heartbeats, rejects commands below the highest
+ * fencing token it has received, kills its tasks when its lease expires and passes commands on to
+ * them.
  */
 final class EmulatedWorker implements HttpHandler {
     private static final double HEARTBEAT_TIMEOUT_SECONDS = 4;
@@ -49,10 +50,10 @@
     private boolean heartbeatInFlight;
     private boolean statusChanged;
     private boolean heartbeatScheduled;
-    private boolean silent;
+    private boolean failed;
     private boolean destroyed;
 
-    /** What all workers of an emulation share. */
+    /** Objects that all workers of an emulation share. */
     record Environment(
             Scenario scenario,
             List<String> controllerAddresses,
@@ -61,31 +62,31 @@
             Measurements measurements,
             Observer observer) {}
 
-    /** Called with what happens on workers, on the worker's loop. */
+    /** Receives the events of workers. Its methods are called on the event loop of the worker. */
     interface Observer {
         /** A start command for a task has arrived. */
         void startCommanded(TaskId task);
 
         /**
-         * A task is on its machine.
+         * A task has begun to run.
          *
-         * @param address at which a replica answers its requests
+         * @param address address at which a replica of a model answers requests
          */
         void started(TaskId task, String machine, String address);
 
-        /** A task has left its machine. */
+        /** A task that was running or saving a checkpoint has ended. */
         void ended(TaskId task, String machine, boolean done);
 
-        /** A stop command for a task that is on its machine has arrived. */
+        /** A stop command for a task that is running or saving a checkpoint has arrived. */
         void stopCommanded(TaskId task);
 
-        /** No task is on a machine any more. */
+        /** All tasks of a machine were killed. */
         void cleared(String machine);
     }
 
     /** Opens further ports of a machine. */
     interface Ports {
-        /** Serves HTTP on a port of its own and returns its address. */
+        /** Serves HTTP on a free port and returns its address. */
         String listen(HttpHandler handler) throws IOException;
     }
 
@@ -121,23 +122,23 @@
         return zone;
     }
 
-    /** The machine has booted: its first heartbeat follows within an interval. */
+    /** The machine has booted. Its first heartbeat follows within one heartbeat interval. */
     void start() {
         leaseRenewedAt = loop.now();
         loop.after(
                 random.nextDouble() * environment.scenario().workers().reportSeconds(), this::tick);
     }
 
-    /** The machine fails with all of its tasks, or restarts without any. */
-    void setSilent(boolean nowSilent) {
-        if (nowSilent) {
+    /** The machine fails with all of its tasks, or restarts without tasks. */
+    void setFailed(boolean nowFailed) {
+        if (nowFailed) {
             tasks.killAll();
-        } else if (silent) {
+        } else if (failed) {
             epoch++;
             leaseRenewedAt = loop.now();
             tasks.clearImageCache();
         }
-        silent = nowSilent;
+        failed = nowFailed;
     }
 
     /** The machine is deleted. */
@@ -150,7 +151,7 @@
         if (destroyed) {
             return;
         }
-        if (!silent) {
+        if (!failed) {
             checkLease();
             sendHeartbeat();
         }
@@ -180,7 +181,7 @@
                 tasks.statuses());
     }
 
-    /** Sends a heartbeat for a changed status, no sooner than the protocol allows. */
+    /** Sends a heartbeat for a changed status after the minimum interval of the protocol. */
     private void requestHeartbeat() {
         statusChanged = true;
         if (heartbeatInFlight || heartbeatScheduled) {
@@ -197,34 +198,34 @@
     }
 
     private void sendHeartbeat() {
-        if (heartbeatInFlight || silent || destroyed) {
+        if (heartbeatInFlight || failed || destroyed) {
             return;
         }
         heartbeatInFlight = true;
         statusChanged = false;
         heartbeatSentAt = loop.now();
         double sentAt = heartbeatSentAt;
-        long sentSession = epoch;
+        long sentEpoch = epoch;
         byte[] body = WorkerSideMessages.encodeHeartbeat(heartbeat());
         String to = environment.controllerAddresses().get(controller);
         Request request =
                 new Request(
                         to, "POST", WorkerMessages.HEARTBEAT_PATH, body, HEARTBEAT_TIMEOUT_SECONDS);
-        client.send(request, reply -> responseReceived(reply, sentAt, sentSession, body.length));
+        client.send(request, reply -> responseReceived(reply, sentAt, sentEpoch, body.length));
     }
 
-    private void responseReceived(Reply reply, double sentAt, long sentSession, int bytes) {
+    private void responseReceived(Reply reply, double sentAt, long sentEpoch, int bytes) {
         heartbeatInFlight = false;
         Measurements measurements = environment.measurements();
         measurements.message(Message.REPORT, bytes, reply.body().length);
         measurements.outcome(Message.REPORT, reply.status());
-        if (silent || destroyed) {
+        if (failed || destroyed) {
             return;
         }
         checkLease();
         if (reply.status() == 200) {
             measurements.latency(Latency.REPORT, loop.now() - sentAt);
-            accept(reply.body(), sentAt, sentSession);
+            accept(reply.body(), sentAt, sentEpoch);
         } else if (reply.status() == 421) {
             followRedirect(reply.body());
         } else {
@@ -235,15 +236,15 @@
         }
     }
 
-    private void accept(byte[] body, double sentAt, long sentSession) {
-        CommandBatch orders = parse(body);
-        if (orders != null
-                && orders.hasFencingToken()
-                && orders.fencingToken() >= fencingToken
-                && epoch == sentSession) {
-            raiseFencingToken(orders.fencingToken());
+    private void accept(byte[] body, double sentAt, long sentEpoch) {
+        CommandBatch batch = parse(body);
+        if (batch != null
+                && batch.hasFencingToken()
+                && batch.fencingToken() >= fencingToken
+                && epoch == sentEpoch) {
+            raiseFencingToken(batch.fencingToken());
             leaseRenewedAt = Math.max(leaseRenewedAt, sentAt);
-            orders.commands().forEach(tasks::execute);
+            batch.commands().forEach(tasks::execute);
         }
     }
 
@@ -255,10 +256,10 @@
         }
     }
 
-    private void raiseFencingToken(long shown) {
+    private void raiseFencingToken(long received) {
         double half = environment.scenario().workers().leaseSeconds() / 2;
-        if (shown > fencingToken) {
-            fencingToken = shown;
+        if (received > fencingToken) {
+            fencingToken = received;
             if (loop.now() - tokenHeartbeatAt > half) {
                 tokenHeartbeatAt = loop.now();
                 requestHeartbeat();
@@ -272,7 +273,7 @@
             String node = WorkerSideMessages.decodeRedirect(body);
             leader = node == null ? null : environment.controllerNumbers().get(node);
         } catch (MalformedMessageException e) {
-            // Taken as a response that names no leader.
+            // Treated as a response that names no leader.
         }
         if (leader == null || leader == controller) {
             tryNextController();
@@ -287,10 +288,10 @@
         loop.after(NEXT_CONTROLLER_SECONDS, this::sendHeartbeat);
     }
 
-    /** Answers commands that are sent to this worker directly, and requests for its status. */
+    /** Answers commands that a controller sends to this worker, and requests for its status. */
     @Override
     public void handle(Call call) {
-        if (silent || destroyed) {
+        if (failed || destroyed) {
             // No response: the request times out.
             return;
         }
@@ -299,15 +300,15 @@
             call.reply(200, WorkerSideMessages.encodeHeartbeat(heartbeat()), 0);
             return;
         }
-        CommandBatch orders = parse(call.body());
-        if (orders == null || !orders.hasFencingToken() || !orders.hasEpoch()) {
+        CommandBatch batch = parse(call.body());
+        if (batch == null || !batch.hasFencingToken() || !batch.hasEpoch()) {
             call.reply(400, new byte[0], 0);
             return;
         }
-        boolean refused = orders.fencingToken() < fencingToken || orders.epoch() != epoch;
+        boolean refused = batch.fencingToken() < fencingToken || batch.epoch() != epoch;
         if (!refused) {
-            raiseFencingToken(orders.fencingToken());
-            orders.commands().forEach(tasks::execute);
+            raiseFencingToken(batch.fencingToken());
+            batch.commands().forEach(tasks::execute);
         }
         byte[] answer = WorkerSideMessages.encodeHeartbeat(heartbeat());
         environment.measurements().message(Message.COMMANDS, call.body().length, answer.length);
