--- a/src/main/java/org/springmill/emulator/Emulation.java
+++ b/src/main/java/org/springmill/emulator/Emulation.java
@@ -26,21 +26,21 @@
 import org.springmill.transport.Transport;
 
 /**
- * One run of a scenario at wall-clock speed. Cloud, key-value store, users and the check of the
- * rules share one event loop; workers have others.
+ * One run of a scenario in real time. The cloud, the key-value store, the users and the rule
+ * checker share one event loop; the workers run on others.
  */
 public final class Emulation implements AutoCloseable {
     private static final int MAX_SOCKETS = 20_000;
     private static final int USER_SOCKETS = 64;
 
-    /** For requests to models, of which many wait for their answers at once. */
+    /** Requests to models need more sockets, since many of them are pending at the same time. */
     private static final int MODEL_SOCKETS = 1024;
 
     private static final double READY_WITHIN_SECONDS = 60;
     private static final double NANOS_PER_SECOND = 1e9;
     private static final int PROGRESS_EVERY = 5;
 
-    /** The workers' loops are closed by then. */
+    /** Delay before the transport is closed, so that the workers' loops are closed first. */
     private static final double CLOSE_SECONDS = 0.5;
 
     private static final String LOOPBACK = "127.";
@@ -78,12 +78,12 @@
     private long endsBefore;
 
     /**
-     * Puts an emulation together.
+     * Creates all parts of an emulation; {@link #run} starts them.
      *
-     * @param network second number of the loopback addresses of controllers and services; workers
-     *     have the next one
-     * @param folder for the controllers' settings and logs
-     * @param progress takes a line every few seconds
+     * @param network second octet of the loopback addresses of controllers and services; workers
+     *     use the next number
+     * @param folder where the controllers' settings and logs are written
+     * @param progress receives a progress line every few seconds
      */
     public Emulation(Scenario scenario, int network, Path folder, Consumer<String> progress)
             throws IOException {
@@ -176,7 +176,7 @@
                 scenario, addresses, numbers, jobs, measurements, new ObserverOnLoop());
     }
 
-    /** Passes events on workers on to the event loop that checks the rules. */
+    /** Forwards events of workers to the event loop of the rule checker. */
     private final class ObserverOnLoop implements EmulatedWorker.Observer {
         @Override
         public void startCommanded(TaskId task) {
@@ -231,7 +231,7 @@
         cloud.handle(call);
     }
 
-    /** Runs the scenario to its end and returns what was measured. */
+    /** Runs the scenario to its end and returns the measurements. */
     public EmulationResult run() throws Exception {
         loop.after(0, this::begin);
         return result.get();
@@ -389,7 +389,7 @@
                 .orElse(0.0);
     }
 
-    /** Ends everything that was started. */
+    /** Stops everything that was started. */
     @Override
     public void close() {
         users.stop();
--- a/src/main/java/org/springmill/emulator/EmulationResult.java
+++ b/src/main/java/org/springmill/emulator/EmulationResult.java
@@ -12,16 +12,16 @@
 import org.springmill.emulator.Measurements.Rates;
 
 /**
- * What an emulation measured. Latencies are in milliseconds, rates a second, each over the time
- * after the warm-up.
+ * Measurements of one emulation. Latencies are in milliseconds and rates are per second; both cover
+ * the time after the warm-up.
  *
- * @param scaledTo machines, zones and teams of the scenario
- * @param emulatorProcessorShare of one core, that the emulation itself took
- * @param workerBytesPerS bodies to and from one worker on average
- * @param refusals submissions that were refused for now, by the reason that users were told
- * @param timeline one point a second
- * @param serving what came of a model that is served beside other work; null if none is
- * @param violations rules of the protocol that were broken; the first hundred
+ * @param scaledTo size of the scenario
+ * @param emulatorProcessorShare processor time of the emulator itself, as a share of one core
+ * @param workerBytesPerS bytes per second of bodies to and from a worker, on average
+ * @param refusals temporarily refused submissions, by the reason in the response
+ * @param timeline one point per second
+ * @param serving measurements of the served model; null if the scenario serves none
+ * @param violations the first hundred violations of protocol rules
  */
 public record EmulationResult(
         String scenario,
@@ -44,10 +44,10 @@
         long violationCount,
         List<String> violations) {
 
-    /** Size of what was emulated. */
+    /** Size of the emulated system. */
     public record Size(int machines, int zones, int regions, int teams, int controllers) {}
 
-    /** What one controller used. */
+    /** Resources that one controller used, and its unexpected ends. */
     public record ControllerUse(
             String name,
             double processorShare,
@@ -56,7 +56,7 @@
             int unexpectedEnds,
             double secondsUntilReady) {}
 
-    /** What the key-value store was asked for. */
+    /** Load on the key-value store, and requests that it refused. */
     public record StoreUse(
             double requestsPerS,
             double writesPerS,
@@ -64,7 +64,7 @@
             long refusedForSize,
             int keys) {}
 
-    /** What was done. */
+    /** Counts of tasks and jobs. */
     public record Work(
             long starts,
             double peakStartsPerS,
@@ -76,11 +76,12 @@
             long submissionsGivenUp) {}
 
     /**
-     * A failure and what came of it.
+     * A fault and its effect on running tasks.
      *
-     * @param runningBefore tasks on machines when it began
-     * @param lowestRunning the fewest from then on
-     * @param recoveredS from its beginning until nearly as many tasks run again; negative if not
+     * @param runningBefore tasks on machines when the fault began
+     * @param lowestRunning lowest number of tasks on machines from then until the recovery
+     * @param recoveredS seconds from the beginning of the fault until nearly as many tasks as
+     *     before run again; negative if that did not happen; 0 if hardly any task was lost
      */
     public record FaultRecord(
             String name,
@@ -91,7 +92,7 @@
             double recoveredS) {}
 
     /**
-     * One second of the emulation, counted from the readiness of the controllers.
+     * One second of the emulation, counted from when the controllers were ready.
      *
      * @param accepted jobs accepted in that second
      */
@@ -105,14 +106,15 @@
             long accepted) {}
 
     /**
-     * A model that is served on capacity which other work borrows meanwhile.
+     * Measurements of a model whose team lends its unused capacity to other work.
      *
-     * @param secondsToCapacity from the beginning of the surge until loaded replicas can answer as
-     *     much as is asked for; negative if that never came
-     * @param samplesBelow samples of a team that was pushed below its guarantee
+     * @param secondsToCapacity from the beginning of the surge until the loaded replicas can answer
+     *     all requests; negative if that never happened
+     * @param samplesBelow samples of a team that was pushed below its entitlement
      * @param samplesAbove samples of a team above its limit
-     * @param lostTaskSeconds work of arrays that was done and lost
-     * @param counters what the controllers counted of recalls
+     * @param lostTaskSeconds run time of tasks, other than of services, that was lost since no
+     *     checkpoint holds it
+     * @param counters recall counters of the controllers
      */
     public record Serving(
             double secondsToCapacity,
@@ -131,7 +133,7 @@
             Map<String, Double> counters,
             List<ServingPoint> timeline) {}
 
-    /** One second of a served model; GPUs by team. */
+    /** One second of a served model, with the GPUs in use by team. */
     public record ServingPoint(
             int second,
             double demand,
@@ -141,7 +143,7 @@
             long answered,
             long refused) {}
 
-    /** Whether every rule held. */
+    /** Whether no rule was violated. */
     public boolean rulesHeld() {
         return violationCount == 0;
     }
--- a/src/main/java/org/springmill/emulator/FaultInjector.java
+++ b/src/main/java/org/springmill/emulator/FaultInjector.java
@@ -11,11 +11,11 @@
 import org.springmill.emulator.Scenario.Fault;
 import org.springmill.transport.EventLoop;
 
-/** Brings about the failures of a scenario, and follows what comes of each. */
+/** Injects the faults of a scenario, and records their effect on running tasks. */
 final class FaultInjector {
     private static final Logger LOG = LoggerFactory.getLogger(FaultInjector.class);
 
-    /** Of the tasks that ran before, so many have to run again for a failure to be over. */
+    /** A fault is over when this share of the tasks that ran before it runs again. */
     private static final double RECOVERED_SHARE = 0.98;
 
     private final EventLoop loop;
@@ -26,7 +26,7 @@
     private final RuleChecker rules;
     private final List<ActiveFault> activeFaults = new ArrayList<>();
 
-    /** A failure that has begun. */
+    /** A fault that has begun. */
     private static final class ActiveFault {
         private final Fault fault;
         private final double since;
@@ -57,7 +57,7 @@
         this.rules = rules;
     }
 
-    /** Failures happen at their times from now on. */
+    /** Schedules all faults; their times count from now. */
     void start() {
         scenario.faults().forEach(fault -> loop.after(fault.atSeconds(), () -> begin(fault)));
     }
@@ -102,7 +102,7 @@
         }
     }
 
-    /** Looks at how far failures are over. */
+    /** Updates the lowest number of running tasks and the recovery time of each fault. */
     void update() {
         int running = rules.running();
         for (ActiveFault one : activeFaults) {
@@ -116,7 +116,7 @@
         }
     }
 
-    /** What came of each failure; one in which hardly a task was lost took no time. */
+    /** The effect of each fault; the recovery time is 0 if hardly any task was lost. */
     List<FaultRecord> records() {
         List<FaultRecord> records = new ArrayList<>();
         for (ActiveFault one : activeFaults) {
--- a/src/main/java/org/springmill/emulator/JobRegistry.java
+++ b/src/main/java/org/springmill/emulator/JobRegistry.java
@@ -6,16 +6,16 @@
 import org.springmill.protocol.Submission;
 import org.springmill.protocol.TaskId;
 
-/** Descriptions of jobs as their users upload them, from where workers fetch them. */
+/** Job specifications that users upload and workers fetch. */
 final class JobRegistry {
     private final Map<String, EmulatedJob> jobs = new ConcurrentHashMap<>();
     private final Set<TaskId> started = ConcurrentHashMap.newKeySet();
     private final TaskProgress progress = new TaskProgress();
 
     /**
-     * A job with what only its user knows.
+     * A job with its run time, which the scheduler does not know.
      *
-     * @param runSeconds of each task; infinite for a service
+     * @param runSeconds run time of each task; infinite for a service
      */
     record EmulatedJob(Submission spec, double runSeconds) {}
 
@@ -23,18 +23,18 @@
         jobs.put(job.spec().id(), job);
     }
 
-    /** How far tasks have come. */
+    /** Checkpointed progress of the tasks. */
     TaskProgress progress() {
         return progress;
     }
 
-    /** A task starts to run: returns how long it still has to. */
+    /** Records the start of a task and returns its remaining run time. */
     double secondsLeft(TaskId task, EmulatedJob job) {
         boolean ranBefore = !started.add(task);
         return Math.max(0, job.runSeconds() - progress.resume(task, ranBefore));
     }
 
-    /** Null if no such job was uploaded. */
+    /** Returns a job, or null if none with this id was uploaded. */
     EmulatedJob find(String id) {
         return jobs.get(id);
     }
--- a/src/main/java/org/springmill/emulator/LoanCounters.java
+++ b/src/main/java/org/springmill/emulator/LoanCounters.java
@@ -9,7 +9,7 @@
 import org.springmill.transport.HttpClient;
 import org.springmill.transport.HttpClient.Request;
 
-/** Adds up what the controllers count of recalls, over processes that are killed and restarted. */
+/** Sums the recall counters of all controllers, across restarts of their processes. */
 final class LoanCounters {
     private static final double INTERVAL_SECONDS = 1.3;
     private static final String PATH = "/metrics";
@@ -58,14 +58,14 @@
             if (NAMES.contains(name)) {
                 double value = Double.parseDouble(line.substring(space + 1));
                 Double before = lastRead.put(controller + name, value);
-                // A process that was started anew counts from 0.
+                // The counters of a restarted process begin at 0.
                 double grown = before == null || value < before ? value : value - before;
                 sums.merge(name, grown, Double::sum);
             }
         }
     }
 
-    /** The sums by name. */
+    /** The sums by name of the counter. */
     Map<String, Double> sums() {
         return Map.copyOf(sums);
     }
--- a/src/main/java/org/springmill/emulator/LoanSampler.java
+++ b/src/main/java/org/springmill/emulator/LoanSampler.java
@@ -11,9 +11,10 @@
 import org.springmill.transport.EventLoop;
 
 /**
- * Looks every 50 ms at what the teams have on machines: whether one was pushed below its
- * entitlement or runs above its limit, and how many GPUs are idle. A team is pushed below if tasks
- * of it that nobody cancelled were stopped, until it has again what it had of its guarantee.
+ * Samples the GPU use of the teams every 50 ms: whether a team was pushed below its entitlement or
+ * runs above its limit, and how many GPUs are idle. A team is pushed below its entitlement if tasks
+ * of it are stopped that no user cancelled. It counts as below until it runs as much as before, up
+ * to its guarantee.
  */
 final class LoanSampler {
     private static final double INTERVAL_SECONDS = 0.05;
@@ -25,7 +26,7 @@
     private final Map<TaskId, Submission> onMachines = new HashMap<>();
     private final Set<TaskId> stopping = new HashSet<>();
 
-    /** What teams that were pushed below it were entitled to. */
+    /** Entitlements in GPUs of the teams that are below theirs. */
     private final Map<String, Double> entitlements = new HashMap<>();
 
     private final Set<String> cancelledJobs = new HashSet<>();
@@ -49,7 +50,7 @@
         loop.after(INTERVAL_SECONDS, this::start);
     }
 
-    /** From now on samples count. */
+    /** Starts to count samples; called at the end of the warm-up. */
     void startMeasuring() {
         counting = true;
     }
@@ -66,7 +67,7 @@
         stopping.remove(task);
     }
 
-    /** A user cancels a job: stopping its tasks takes nothing from its team. */
+    /** A user cancels a job: stops of its tasks do not push its team below its entitlement. */
     void cancelled(String job) {
         cancelledJobs.add(job);
     }
@@ -79,7 +80,7 @@
         }
         double before = stayingGpus(spec.team());
         stopping.add(task);
-        // What it had of its guarantee is what it was entitled to: it asks for all it ran.
+        // The team wants at least what it runs, so it is entitled to that, up to its guarantee.
         double entitlement = Math.min(scenario.teams().gpus(), before);
         if (before - spec.gpus() < entitlement - TOLERANCE) {
             entitlements.merge(spec.team(), entitlement, Math::max);
@@ -127,14 +128,14 @@
         }
     }
 
-    /** GPUs that each team has on machines, tasks that save included. */
+    /** GPUs in use by team, including those of tasks that are stopping. */
     Map<String, Double> gpusByTeam() {
         Map<String, Double> used = new TreeMap<>();
         onMachines.values().forEach(spec -> used.merge(spec.team(), spec.gpus(), Double::sum));
         return used;
     }
 
-    /** GPUs that tasks of arrays have. */
+    /** GPUs in use by tasks other than services. */
     double batchGpus() {
         return onMachines.values().stream()
                 .filter(spec -> !spec.isService())
@@ -146,7 +147,7 @@
         return onMachines.values().stream().filter(spec -> !spec.isService()).count();
     }
 
-    /** Seconds that tasks of arrays were on machines, from the beginning on. */
+    /** Total seconds that tasks other than services were on machines, including the warm-up. */
     double batchTaskSeconds() {
         return batchTaskSeconds;
     }
@@ -155,12 +156,12 @@
         return samples;
     }
 
-    /** Samples of a team that was pushed below its entitlement, one for each team. */
+    /** Number of samples in which a team was below its entitlement, counted per team. */
     long below() {
         return below;
     }
 
-    /** Samples of a team above its limit. */
+    /** Number of samples in which a team was above its limit, counted per team. */
     long above() {
         return above;
     }
--- a/src/main/java/org/springmill/emulator/Measurements.java
+++ b/src/main/java/org/springmill/emulator/Measurements.java
@@ -7,8 +7,8 @@
 import org.HdrHistogram.ConcurrentHistogram;
 
 /**
- * Latencies and traffic by kind, recorded from all event loops. Nothing counts before the warm-up
- * is over.
+ * Latencies and traffic by kind, recorded from all event loops. Nothing is recorded before the end
+ * of the warm-up.
  */
 final class Measurements {
     private static final int DIGITS = 3;
@@ -20,23 +20,25 @@
     private final Map<String, LongAdder> refusals = new ConcurrentHashMap<>();
     private volatile boolean counting;
 
-    /** What takes time. */
+    /** Kinds of latencies. */
     enum Latency {
         /** From a user's first attempt to submit a job to its acceptance. */
         ACCEPTANCE,
-        /** From a job's acceptance to the start command for a task of it, at its worker. */
+        /**
+         * From a job's acceptance until a worker receives the start command for one of its tasks.
+         */
         CLAIM,
-        /** From a start command to the task's running, image fetch included. */
+        /** From a start command until the task runs, including the fetch of the image. */
         START,
-        /** A user's question. */
+        /** A user's request for the phase of a job. */
         QUESTION,
-        /** A worker's report. */
+        /** A worker's report to a controller. */
         REPORT,
         /** From the first attempt to submit a replica until its model has loaded. */
         SERVING,
-        /** A request to a model that was answered. */
+        /** A request to a model; only answered requests count. */
         REQUEST,
-        /** A transaction at the key-value store, as its user sees it without the network. */
+        /** A transaction at the key-value store, without the network. */
         COMMIT
     }
 
@@ -60,7 +62,7 @@
         private final LongAdder answerBytes = new LongAdder();
     }
 
-    /** From now on everything counts. */
+    /** Starts to record; called at the end of the warm-up. */
     void start() {
         counting = true;
     }
@@ -90,7 +92,7 @@
         }
     }
 
-    /** Counts a submission that was refused for now, by the reason that its user was told. */
+    /** Counts a temporarily refused submission by the reason in the response. */
     void refusal(String reason) {
         if (counting) {
             refusals.computeIfAbsent(reason, r -> new LongAdder()).increment();
@@ -104,7 +106,7 @@
         return all;
     }
 
-    /** Percentiles of a latency in milliseconds. */
+    /** Number of values of a latency, and percentiles in milliseconds. */
     record Percentiles(
             long count, double p50, double p90, double p95, double p99, double p999, double max) {}
 
@@ -129,7 +131,7 @@
         return microseconds / 1000.0;
     }
 
-    /** Messages of one kind, with the bytes of their bodies, a second. */
+    /** Messages of one kind and the bytes of their bodies, per second. */
     record Rates(double messages, double requestBytes, double answerBytes) {}
 
     Map<String, Rates> rates(double seconds) {
--- a/src/main/java/org/springmill/emulator/ModelServer.java
+++ b/src/main/java/org/springmill/emulator/ModelServer.java
@@ -4,8 +4,8 @@
 import org.springmill.transport.HttpHandler;
 
 /**
- * A stand-in for the model server of one replica: loads for some time, then answers requests one
- * after the other at a set rate, and refuses when it is not loaded or its queue is full.
+ * Emulates the model server of one replica: it loads for some time, then answers requests one after
+ * the other at a fixed rate. It refuses requests while it is loading or its queue is full.
  */
 final class ModelServer implements HttpHandler {
     private static final int OK = 200;
@@ -26,7 +26,7 @@
         loadedAt = loop.now() + serving.loadSeconds();
     }
 
-    /** Nothing is answered any more. */
+    /** From now on all requests are refused, including those in the queue. */
     void stop() {
         stopped = true;
     }
--- a/src/main/java/org/springmill/emulator/RuleChecker.java
+++ b/src/main/java/org/springmill/emulator/RuleChecker.java
@@ -13,8 +13,9 @@
 import org.springmill.transport.EventLoop;
 
 /**
- * Checks from outside that the protocol's rules hold: by the tasks that are on machines and by the
- * phases that users receive. Runs on one event loop, to which all others pass on their events.
+ * Checks the protocol's rules without access to the controllers' state, from the tasks that run on
+ * machines and the phases that users receive. Runs on one event loop, to which all others forward
+ * their events.
  */
 final class RuleChecker {
     private static final int MAX_KEPT_VIOLATIONS = 100;
@@ -48,7 +49,7 @@
         loop.after(CHECK_SECONDS, this::start);
     }
 
-    /** A task has its image and is on a machine from now on. */
+    /** A task has its image and starts to run on a machine. */
     void started(TaskId task, String machine) {
         starts++;
         String other = machineByTask.put(task, machine);
@@ -84,8 +85,8 @@
     }
 
     /**
-     * A machine was deleted, or its worker's lease has expired: no task is on it any more. Returns
-     * the tasks that were.
+     * A machine was deleted, or its worker's lease has expired, so all its tasks have ended.
+     * Returns these tasks.
      */
     Set<TaskId> cleared(String machine) {
         Set<TaskId> lostTasks = Set.copyOf(tasksByMachine.getOrDefault(machine, Set.of()));
@@ -114,8 +115,8 @@
     }
 
     /**
-     * A user received a phase. Responses may overtake each other, but no request that was sent
-     * after a final phase was received may be answered with another phase.
+     * A user received the phase of a job. Responses may arrive out of order, but a request that was
+     * sent after a final phase was received must not be answered with another phase.
      *
      * @param askedAt when the request was sent, in seconds
      */
@@ -145,7 +146,7 @@
         }
     }
 
-    /** A user received that an accepted job is not known. */
+    /** A controller answered a user that an accepted job is unknown. */
     void forgotten(String job) {
         recordViolation("forgotten", job);
     }
@@ -160,7 +161,7 @@
                 });
     }
 
-    /** The emulation is over: without a single start nothing was tested. */
+    /** The emulation is over. It is a violation if no task was started: nothing was tested. */
     void finished() {
         if (starts == 0) {
             recordViolation("nothing_ran", "no task was started");
@@ -174,7 +175,7 @@
         }
     }
 
-    /** The first violations. */
+    /** The first violations, at most {@value #MAX_KEPT_VIOLATIONS}. */
     List<String> violations() {
         return List.copyOf(violations);
     }
@@ -183,7 +184,7 @@
         return violationCount;
     }
 
-    /** Tasks that are on machines. */
+    /** Number of tasks on machines. */
     int running() {
         return machineByTask.size();
     }
@@ -196,7 +197,7 @@
         return ends;
     }
 
-    /** Tasks that ended with their machine or at the expiry of its worker's lease. */
+    /** Number of tasks that were lost with their machine or when its worker's lease expired. */
     long lost() {
         return lost;
     }
--- a/src/main/java/org/springmill/emulator/Scenario.java
+++ b/src/main/java/org/springmill/emulator/Scenario.java
@@ -8,9 +8,9 @@
 /**
  * What is emulated, for how long, and what fails. Durations are in seconds.
  *
- * @param seed of everything that is random
+ * @param seed seed of all random numbers
  * @param durationSeconds how long the emulation runs once the controllers are ready
- * @param warmUpSeconds time at the start that no latency, rate or share is counted for
+ * @param warmUpSeconds time at the start for which no latency, rate or share is recorded
  */
 public record Scenario(
         String name,
@@ -33,8 +33,8 @@
     /**
      * The controllers.
      *
-     * @param run program and arguments, to which the path of the settings is added
-     * @param restartSeconds after which one that has ended is started again
+     * @param run program and arguments, to which the path of the settings is appended
+     * @param restartSeconds delay before a controller that has ended is started again
      */
     public record Controllers(
             int number,
@@ -44,7 +44,7 @@
             int maxSockets,
             double restartSeconds) {}
 
-    /** Machines of one type, spread evenly over all zones, up from the beginning. */
+    /** Machines of one type, spread evenly over all zones and rented at the start. */
     public record MachineGroup(
             String type,
             int number,
@@ -54,18 +54,18 @@
             double fetchGbPerSecond,
             double bootSeconds) {}
 
-    /** Equal teams, with the guarantee and the limit of each. */
+    /** Number of teams, with the guarantee and the limit that each of them has. */
     public record Teams(int number, double cpus, double cpusMax, double gpus, double gpusMax) {}
 
     /**
      * Jobs of one class, with the properties of their tasks.
      *
      * @param initial jobs that users submit at the beginning
-     * @param rampSeconds during which they do so
-     * @param perMinute jobs a minute from then on
+     * @param rampSeconds period over which the initial jobs are submitted
+     * @param perMinute jobs per minute from then on
      * @param runSeconds mean run time of a task, which varies by half; 0 for services
      * @param lifeSeconds mean time after which the user cancels a service
-     * @param checkpointSeconds progress after which tasks save a checkpoint; 0 if they never save
+     * @param checkpointSeconds run time between checkpoints; 0 if tasks save none
      * @param saveSeconds how long a save takes
      * @param team number of the team that submits them; negative for any
      */
@@ -90,14 +90,15 @@
             int team) {}
 
     /**
-     * A model that is served on replicas, whose number follows its requests.
+     * A model that is served on replicas, whose number follows the request rate.
      *
-     * @param team number of the team whose replicas they are
-     * @param loadSeconds how long a replica loads the model once it runs
-     * @param requestsPerSecond requests that a replica answers in a second
+     * @param team number of the team that runs the replicas
+     * @param loadSeconds time that a replica needs to load the model after it has started
+     * @param requestsPerSecond requests that a replica answers per second
      * @param queue requests that may wait at a replica
-     * @param demandPerSecond requests a second, but for the surge
-     * @param surgeAtSeconds when the rate rises at once, from the readiness of the controllers on
+     * @param demandPerSecond requests per second outside the surge
+     * @param surgeFactor factor of the request rate during the surge
+     * @param surgeAtSeconds beginning of the surge, counted from when the controllers are ready
      */
     public record Serving(
             int team,
@@ -116,7 +117,7 @@
     /**
      * The users.
      *
-     * @param pollSeconds interval in which each unfinished job is asked about
+     * @param pollSeconds interval at which users request the phase of each unfinished job
      * @param clients connection pools that they share
      */
     public record Users(double pollSeconds, int clients) {}
@@ -135,40 +136,42 @@
     /** Limits of the cloud. */
     public record CloudLimits(double requestsPerSecond, double listLagSeconds) {}
 
-    /** What fails. */
+    /** Kinds of faults. */
     public enum FaultKind {
-        /** So many machines of one zone fall silent for good. */
+        /**
+         * Some machines of the first zone fail: their tasks end and their workers do not report.
+         */
         RACK_LOST,
-        /** All machines of one zone fall silent. */
+        /** All machines of the first zone fail in the same way. */
         ZONE_LOST,
-        /** All machines of one region fall silent. */
+        /** All machines of the first region fail in the same way. */
         REGION_LOST,
         /** The leader's process is killed. */
         LEADER_KILLED,
         /** All controllers are killed. */
         CONTROLLERS_KILLED,
-        /** The key-value store answers nobody. */
+        /** The key-value store is down. */
         STATE_SERVICE_DOWN
     }
 
     /**
-     * A failure.
+     * A fault.
      *
-     * @param atSeconds when it begins
-     * @param forSeconds how long it lasts, where it ends by itself
-     * @param machines how many machines a rack has
+     * @param atSeconds when it begins, counted from when the controllers are ready
+     * @param forSeconds how long it lasts; 0 if it lasts to the end; unused for killed processes
+     * @param machines number of machines that a lost rack has
      */
     public record Fault(
             String name, FaultKind kind, double atSeconds, double forSeconds, int machines) {}
 
-    /** Names of all zones, each with its region in front. */
+    /** Names of all zones, which begin with their region. */
     public List<String> zoneNames() {
         return java.util.stream.IntStream.range(0, zones)
                 .mapToObj(zone -> "region-" + zone % regions + "-zone-" + zone / regions)
                 .toList();
     }
 
-    /** All machines. */
+    /** Number of machines of all types. */
     public int machineCount() {
         return machines.stream().mapToInt(MachineGroup::number).sum();
     }
--- a/src/main/java/org/springmill/emulator/ScenarioBase.java
+++ b/src/main/java/org/springmill/emulator/ScenarioBase.java
@@ -8,15 +8,15 @@
 import org.springmill.protocol.SettingsException;
 
 /**
- * Lets a scenario build on another one in the same folder: {@code base = "target.hcl"}. What it
- * sets replaces that field of the base, whatever it does not set stays.
+ * Lets a scenario extend another one in the same folder: {@code base = "target.hcl"}. Fields that
+ * it sets replace those of the base; all other fields are inherited.
  */
 final class ScenarioBase {
     private static final String BASE = "base";
 
     private ScenarioBase() {}
 
-    /** The fields and blocks of a scenario, with those of the one that it builds on. */
+    /** Reads the fields and blocks of a scenario, including those that it inherits. */
     static Map<String, Object> read(Path file) throws SettingsException {
         Map<String, Object> own = new HashMap<>(HclFile.read(file, "--scenario"));
         Object base = own.remove(BASE);
--- a/src/main/java/org/springmill/emulator/ScenarioBlock.java
+++ b/src/main/java/org/springmill/emulator/ScenarioBlock.java
@@ -11,8 +11,8 @@
 import org.springmill.protocol.SettingsException;
 
 /**
- * One block of a scenario file. It records the fields that were read, so that the unknown ones can
- * be refused; each error names file, field and remedy.
+ * One block of a scenario file. It records which fields were read, so that all others can be
+ * rejected as unknown. Each error names the file, the field and a remedy.
  */
 final class ScenarioBlock {
     private final Path file;
@@ -26,7 +26,7 @@
         this.fields = fields;
     }
 
-    /** The last name of the path of this block. */
+    /** The last part of the path of this block. */
     String label() {
         return path.substring(path.lastIndexOf('.') + 1);
     }
@@ -51,7 +51,7 @@
         return new ScenarioBlock(file, pathOf(field), (Map<String, Object>) map);
     }
 
-    /** The blocks in this one, which are named by its fields. */
+    /** The blocks within this one; all its fields must be blocks. */
     List<ScenarioBlock> children() throws SettingsException {
         List<ScenarioBlock> children = new ArrayList<>();
         for (String name : fields.keySet()) {
@@ -68,7 +68,7 @@
     /**
      * Reads a number.
      *
-     * @param absent the value where the field is absent; NaN if it must be present
+     * @param absent the value if the field is absent; NaN if the field must be present
      */
     double number(String field, double absent, double least, double most) throws SettingsException {
         if (!has(field) && !Double.isNaN(absent)) {
@@ -97,7 +97,7 @@
         return text;
     }
 
-    /** Reads the name of an enum constant, in any case of letters. */
+    /** Reads the name of an enum constant, ignoring case. */
     <T extends Enum<T>> T oneOf(String field, Class<T> type) throws SettingsException {
         String name = text(field).toUpperCase(Locale.ROOT);
         Set<String> names = new TreeSet<>();
@@ -112,7 +112,7 @@
     }
 
     /**
-     * Refuses fields that were not read.
+     * Rejects fields that were not read.
      *
      * @throws SettingsException if there is one
      */
--- a/src/main/java/org/springmill/emulator/ScenarioFile.java
+++ b/src/main/java/org/springmill/emulator/ScenarioFile.java
@@ -26,14 +26,14 @@
 import org.springmill.protocol.SettingsException;
 
 /**
- * Reads and checks a scenario, which is HCL. Since people write it by hand, what is not known is
- * refused rather than ignored, and each error names file, field and remedy.
+ * Reads and checks a scenario in HCL. Scenarios are written by hand, so unknown fields are rejected
+ * rather than ignored, and each error names the file, the field and a remedy.
  */
 public final class ScenarioFile {
     private static final Path DEPLOYMENT = Path.of("deploy/service.toml");
     private static final double MANY = 1e6;
 
-    /** With which every run line ends; the file follows. */
+    /** Every command to run a controller ends with this option; the path of the file follows. */
     private static final String CONFIG_OPTION = "--config$";
 
     private final Path file;
@@ -45,7 +45,7 @@
     /**
      * Reads a scenario.
      *
-     * @throws SettingsException if it is wrong, with file, field and remedy
+     * @throws SettingsException if it is invalid, with file, field and remedy
      */
     public static Scenario read(Path file) throws SettingsException {
         return read(file, OptionalLong.empty());
@@ -54,8 +54,8 @@
     /**
      * Reads a scenario.
      *
-     * @param seed used in place of the scenario's own
-     * @throws SettingsException if it is wrong, with file, field and remedy
+     * @param seed replaces the scenario's own seed if present
+     * @throws SettingsException if it is invalid, with file, field and remedy
      */
     public static Scenario read(Path file, OptionalLong seed) throws SettingsException {
         ScenarioFile scenario = new ScenarioFile(file);
@@ -111,7 +111,7 @@
         return controllers;
     }
 
-    /** The line with which the platform starts a controller. */
+    /** The command that starts a controller, from the deployment file. */
     private static String runLine() throws SettingsException {
         try {
             JsonNode deployment = new TomlMapper().readTree(Files.readString(DEPLOYMENT));
--- a/src/main/java/org/springmill/emulator/ServingEmulation.java
+++ b/src/main/java/org/springmill/emulator/ServingEmulation.java
@@ -9,7 +9,7 @@
 import org.springmill.transport.EventLoop;
 import org.springmill.transport.HttpClient;
 
-/** The part of an emulation that serves a model on capacity which other work borrows. */
+/** The part of an emulation that serves a model, while other work borrows unused capacity. */
 final class ServingEmulation {
     private static final double CHECK_SECONDS = 0.05;
 
@@ -44,7 +44,7 @@
         users.onCancellation(loans::cancelled);
     }
 
-    /** The controllers are ready. */
+    /** Starts to serve; called when the controllers are ready. */
     void start() {
         users.start();
         loans.start();
@@ -87,7 +87,7 @@
         loans.stopCommanded(task);
     }
 
-    /** Notes the state at a second. */
+    /** Adds a point to the timeline. */
     void sample(int second) {
         timeline.add(
                 new ServingPoint(
--- a/src/main/java/org/springmill/emulator/ServingUsers.java
+++ b/src/main/java/org/springmill/emulator/ServingUsers.java
@@ -17,17 +17,17 @@
 import org.springmill.transport.HttpClient.Request;
 
 /**
- * Stand-in users of a model: they send it requests at a rate that rises at once and falls again,
- * and submit and cancel replicas to follow that rate.
+ * Emulates the users of a model: they send requests at a constant rate, which is multiplied during
+ * the surge, and submit and cancel replicas to follow the rate.
  */
 final class ServingUsers {
-    /** Path of a model server that answers requests. */
+    /** Path of requests to a model server. */
     static final String PATH = "/infer";
 
     private static final double SCALE_INTERVAL_SECONDS = 1;
     private static final double REQUEST_TIMEOUT_SECONDS = 4;
 
-    /** Replicas are asked for so that they are busy for no more than this share of their time. */
+    /** There are enough replicas if each is busy for at most this share of the time. */
     private static final double TARGET_UTILISATION = 0.8;
 
     private static final byte[] EMPTY = new byte[0];
@@ -39,7 +39,7 @@
     private final Measurements measurements;
     private final SplittableRandom random;
 
-    /** Addresses of replicas that run, by task. */
+    /** Addresses of running replicas, by task. */
     private final Map<TaskId, String> running = new HashMap<>();
 
     private final Map<String, Double> askedAt = new HashMap<>();
@@ -66,19 +66,19 @@
         this.random = random;
     }
 
-    /** Begins to ask for replicas and to send requests. */
+    /** Starts to submit replicas and to send requests. */
     void start() {
         startedAt = loop.now();
         scale();
         sendNext();
     }
 
-    /** Sends nothing more. */
+    /** Stops sending requests and submitting or cancelling replicas. */
     void stop() {
         stopped = true;
     }
 
-    /** Requests a second at this moment. */
+    /** Current rate of requests per second. */
     double demand() {
         double second = loop.now() - startedAt;
         boolean surge =
@@ -87,7 +87,7 @@
         return serving.demandPerSecond() * (surge ? serving.surgeFactor() : 1);
     }
 
-    /** Requests a second that the replicas which have loaded can answer. */
+    /** Requests per second that the loaded replicas can answer. */
     double capacity() {
         double now = loop.now();
         long loaded =
@@ -101,17 +101,19 @@
         return answered;
     }
 
-    /** Requests that were refused, or for which there was no replica. */
+    /** Number of requests that were refused, or for which no replica was running. */
     long refused() {
         return refused;
     }
 
-    /** Requests that got no answer in time. */
+    /** Number of requests without an answer within the time-out. */
     long unanswered() {
         return unanswered;
     }
 
-    /** A task is on its machine; replicas of the model are addressed from now on. */
+    /**
+     * A task runs on its machine. If it is a replica of the model, it gets requests from now on.
+     */
     void started(TaskId task, String address) {
         Double asked = askedAt.get(task.job());
         if (asked == null) {
@@ -126,7 +128,7 @@
         }
     }
 
-    /** A task has left its machine. */
+    /** A task is no longer on its machine. */
     void ended(TaskId task) {
         running.remove(task);
     }
--- a/src/main/java/org/springmill/emulator/TaskProgress.java
+++ b/src/main/java/org/springmill/emulator/TaskProgress.java
@@ -8,8 +8,9 @@
 import org.springmill.protocol.TaskId;
 
 /**
- * How far tasks have come, by their checkpoints, which are kept outside the machines. A task goes
- * on from its last one wherever it starts again; what it did since is lost when it ends otherwise.
+ * Progress of tasks at their last checkpoints, which are stored outside the machines. A task that
+ * starts again, on any machine, resumes from its last checkpoint. If it is killed, the work since
+ * that checkpoint is lost.
  */
 final class TaskProgress {
     private final Map<TaskId, Double> savedSeconds = new ConcurrentHashMap<>();
@@ -18,7 +19,7 @@
     private final LongAdder resumed = new LongAdder();
     private final LongAdder startedAnew = new LongAdder();
 
-    /** A task starts: returns the seconds of work that its last checkpoint holds. */
+    /** Records the start of a task and returns the run time that its last checkpoint holds. */
     double resume(TaskId task, boolean ranBefore) {
         double saved = savedSeconds.getOrDefault(task, 0.0);
         if (saved > 0) {
@@ -29,13 +30,13 @@
         return saved;
     }
 
-    /** A task of an array was stopped after so many seconds, all of which it has saved. */
+    /** A task was stopped and has saved its run time since its start. Services are not recorded. */
     void saved(TaskId task, double ranSeconds) {
         stopped.increment();
         savedSeconds.merge(task, ranSeconds, Double::sum);
     }
 
-    /** A task of an array ended without a save: what it did since its last checkpoint is lost. */
+    /** A task was stopped without a save: its work since its last checkpoint is lost. */
     void killed(TaskId task, Submission spec, double ranSeconds) {
         stopped.increment();
         double before = savedSeconds.getOrDefault(task, 0.0);
@@ -49,22 +50,22 @@
         lostSeconds.add(ranSeconds - kept);
     }
 
-    /** Seconds of work that were done and lost. */
+    /** Run time that was lost, in seconds. */
     double lostSeconds() {
         return lostSeconds.sum();
     }
 
-    /** Tasks of arrays that were stopped before their end. */
+    /** Number of times that a task, other than of a service, was stopped before it was done. */
     long stopped() {
         return stopped.sum();
     }
 
-    /** Tasks that went on from a checkpoint. */
+    /** Number of starts of tasks from a checkpoint. */
     long resumed() {
         return resumed.sum();
     }
 
-    /** Tasks that began anew after they had run. */
+    /** Number of restarts of tasks without a checkpoint. */
     long startedAnew() {
         return startedAnew.sum();
     }
--- a/src/test/java/org/springmill/emulator/RuleCheckerTest.java
+++ b/src/test/java/org/springmill/emulator/RuleCheckerTest.java
@@ -15,7 +15,7 @@
 import org.springmill.protocol.UserMessages.JobPhase;
 import org.springmill.sim.VirtualClock;
 
-/** The emulator's check of the rules: it finds each violation, and none where there is none. */
+/** The rule checker reports each kind of violation, and nothing if the rules hold. */
 class RuleCheckerTest {
     private static final String JOB = "run-000001";
     private static final TaskId TASK = new TaskId(JOB, 0);
@@ -136,7 +136,7 @@
         assertViolated("went_back");
     }
 
-    /** A slow answer to an earlier question is nothing that anybody was told later. */
+    /** A late response to an earlier request may contain an older phase, but no other final one. */
     @Test
     void anAnswerToAQuestionAskedBeforeTheEndWasToldIsNoViolation() {
         double askedAt = clock.now();
--- a/src/test/java/org/springmill/emulator/ScenarioFileTest.java
+++ b/src/test/java/org/springmill/emulator/ScenarioFileTest.java
@@ -15,7 +15,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.springmill.protocol.SettingsException;
 
-/** Scenarios are written by hand: what is wrong is said with file, field and remedy. */
+/** Scenarios are written by hand, so errors name the file, the field and a remedy. */
 class ScenarioFileTest {
     private static final Path SCENARIOS = Path.of("scenarios");
 
--- a/src/test/java/org/springmill/emulator/ServingStandInsTest.java
+++ b/src/test/java/org/springmill/emulator/ServingStandInsTest.java
@@ -16,7 +16,7 @@
 import org.springmill.sim.VirtualClock;
 import org.springmill.transport.HttpHandler.Call;
 
-/** Model servers, progress of tasks and the look at loans. */
+/** Emulated model servers, progress of tasks and the sampler of loans. */
 class ServingStandInsTest {
     private static final String JOB = "run-000001";
     private static final double CHECKPOINT_SECONDS = 10;
@@ -55,7 +55,7 @@
                 List.of());
     }
 
-    /** Answers are noted with their time. */
+    /** Records the status and the time of each answer. */
     private final class Answers {
         private final List<Integer> statuses = new ArrayList<>();
         private final List<Double> times = new ArrayList<>();
@@ -137,7 +137,9 @@
         assertEquals(1, jobs.progress().startedAnew());
     }
 
-    /** A team is below only if it was pushed there, and until it has its entitlement again. */
+    /**
+     * A team counts as below only if its tasks were stopped, until it has its entitlement again.
+     */
     @Test
     void samplerFindsTeamsThatArePushedBelowTheirEntitlement() {
         LoanSampler sampler = new LoanSampler(clock, scenario, jobs);
