--- a/src/main/java/org/springmill/emulator/Emulation.java
+++ b/src/main/java/org/springmill/emulator/Emulation.java
@@ -258,7 +258,11 @@
             result.completeExceptionally(
                     new IOException(
                             users.healthyControllers()
-                                    + " controllers were ready in time; see their logs"));
+                                    + " of "
+                                    + scenario.controllers().number()
+                                    + " controllers were ready within "
+                                    + READY_WITHIN_SECONDS
+                                    + " s; see their logs"));
         } else {
             loop.after(0.2, () -> awaitReady(startedAt));
         }
--- a/src/main/java/org/springmill/emulator/FaultInjector.java
+++ b/src/main/java/org/springmill/emulator/FaultInjector.java
@@ -63,7 +63,7 @@
     }
 
     private void begin(Fault fault) {
-        LOG.info("failure {}: {}", fault.name(), fault.kind());
+        LOG.info("injecting fault {}: {}", fault.name(), fault.kind());
         activeFaults.add(new ActiveFault(fault, loop.now(), rules.running()));
         List<String> zones = scenario.zoneNames();
         switch (fault.kind()) {
--- a/src/main/java/org/springmill/emulator/ScenarioBlock.java
+++ b/src/main/java/org/springmill/emulator/ScenarioBlock.java
@@ -80,7 +80,12 @@
             throw new SettingsException(
                     file,
                     pathOf(field),
-                    "must be a number from " + plain(least) + " to " + plain(most));
+                    "must be a number from "
+                            + plain(least)
+                            + " to "
+                            + plain(most)
+                            + "; got "
+                            + (value == null ? "none" : value));
         }
         return number;
     }
@@ -108,7 +113,9 @@
             names.add(value.name().toLowerCase(Locale.ROOT));
         }
         throw new SettingsException(
-                file, pathOf(field), "must be one of " + String.join(", ", names));
+                file,
+                pathOf(field),
+                "must be one of " + String.join(", ", names) + "; got " + text(field));
     }
 
     /**
--- a/src/main/java/org/springmill/emulator/ScenarioFile.java
+++ b/src/main/java/org/springmill/emulator/ScenarioFile.java
@@ -89,7 +89,12 @@
                         serving(root));
         if (scenario.warmUpSeconds() >= scenario.durationSeconds()) {
             throw new SettingsException(
-                    file, "warm_up_s", "must be below duration_s, or nothing is measured");
+                    file,
+                    "warm_up_s",
+                    "must be below duration_s, "
+                            + scenario.durationSeconds()
+                            + ", or nothing is measured; got "
+                            + scenario.warmUpSeconds());
         }
         return scenario;
     }
