--- a/src/main/java/org/springmill/emulator/FaultInjector.java
+++ b/src/main/java/org/springmill/emulator/FaultInjector.java
@@ -70,10 +70,10 @@
             case RACK_LOST -> {
                 List<String> inZone = fleet.machinesIn(Set.of(zones.get(0)));
                 int count = Math.min(fault.machines(), inZone.size());
-                silence(fault, inZone.subList(0, count));
+                failMachines(fault, inZone.subList(0, count));
             }
-            case ZONE_LOST -> silence(fault, fleet.machinesIn(Set.of(zones.get(0))));
-            case REGION_LOST -> silence(fault, fleet.machinesIn(firstRegion(zones)));
+            case ZONE_LOST -> failMachines(fault, fleet.machinesIn(Set.of(zones.get(0))));
+            case REGION_LOST -> failMachines(fault, fleet.machinesIn(firstRegion(zones)));
             case LEADER_KILLED -> controllers.killLeader();
             case CONTROLLERS_KILLED -> controllers.killAll();
             case STATE_SERVICE_DOWN -> {
@@ -91,7 +91,7 @@
         return region;
     }
 
-    private void silence(Fault fault, List<String> machines) {
+    private void failMachines(Fault fault, List<String> machines) {
         fleet.setSilent(machines, true);
         endAfter(fault, () -> fleet.setSilent(machines, false));
     }
@@ -105,12 +105,12 @@
     /** Updates the lowest number of running tasks and the recovery time of each fault. */
     void update() {
         int running = rules.running();
-        for (ActiveFault one : activeFaults) {
-            if (one.recoveredSeconds < 0) {
-                one.lowestRunning = Math.min(one.lowestRunning, running);
-                boolean fell = one.lowestRunning < RECOVERED_SHARE * one.runningBefore;
-                if (fell && running >= RECOVERED_SHARE * one.runningBefore) {
-                    one.recoveredSeconds = loop.now() - one.since;
+        for (ActiveFault active : activeFaults) {
+            if (active.recoveredSeconds < 0) {
+                active.lowestRunning = Math.min(active.lowestRunning, running);
+                boolean fell = active.lowestRunning < RECOVERED_SHARE * active.runningBefore;
+                if (fell && running >= RECOVERED_SHARE * active.runningBefore) {
+                    active.recoveredSeconds = loop.now() - active.since;
                 }
             }
         }
@@ -119,16 +119,16 @@
     /** The effect of each fault; the recovery time is 0 if hardly any task was lost. */
     List<FaultRecord> records() {
         List<FaultRecord> records = new ArrayList<>();
-        for (ActiveFault one : activeFaults) {
-            boolean fell = one.lowestRunning < RECOVERED_SHARE * one.runningBefore;
+        for (ActiveFault active : activeFaults) {
+            boolean fell = active.lowestRunning < RECOVERED_SHARE * active.runningBefore;
             records.add(
                     new FaultRecord(
-                            one.fault.name(),
-                            one.fault.kind().name().toLowerCase(Locale.ROOT),
-                            one.fault.atSeconds(),
-                            one.runningBefore,
-                            one.lowestRunning,
-                            fell ? one.recoveredSeconds : 0));
+                            active.fault.name(),
+                            active.fault.kind().name().toLowerCase(Locale.ROOT),
+                            active.fault.atSeconds(),
+                            active.runningBefore,
+                            active.lowestRunning,
+                            fell ? active.recoveredSeconds : 0));
         }
         return records;
     }
--- a/src/main/java/org/springmill/emulator/LoanCounters.java
+++ b/src/main/java/org/springmill/emulator/LoanCounters.java
@@ -59,8 +59,8 @@
                 double value = Double.parseDouble(line.substring(space + 1));
                 Double before = lastRead.put(controller + name, value);
                 // The counters of a restarted process begin at 0.
-                double grown = before == null || value < before ? value : value - before;
-                sums.merge(name, grown, Double::sum);
+                double increase = before == null || value < before ? value : value - before;
+                sums.merge(name, increase, Double::sum);
             }
         }
     }
--- a/src/main/java/org/springmill/emulator/LoanSampler.java
+++ b/src/main/java/org/springmill/emulator/LoanSampler.java
@@ -116,9 +116,9 @@
     }
 
     private void sampleTeam(String team, Map<String, Double> staying, Map<String, Double> used) {
-        double left = staying.getOrDefault(team, 0.0);
+        double stayingGpus = staying.getOrDefault(team, 0.0);
         double limit = scenario.teams().gpusMax();
-        if (left >= entitlements.getOrDefault(team, 0.0) - TOLERANCE) {
+        if (stayingGpus >= entitlements.getOrDefault(team, 0.0) - TOLERANCE) {
             entitlements.remove(team);
         } else if (counting) {
             below++;
--- a/src/main/java/org/springmill/emulator/Measurements.java
+++ b/src/main/java/org/springmill/emulator/Measurements.java
@@ -112,7 +112,8 @@
 
     Map<String, Percentiles> percentiles() {
         Map<String, Percentiles> all = new TreeMap<>();
-        latencies.forEach((kind, histogram) -> all.put(lower(kind), percentiles(histogram)));
+        latencies.forEach(
+                (kind, histogram) -> all.put(lowerCaseName(kind), percentiles(histogram)));
         return all;
     }
 
@@ -139,7 +140,7 @@
         traffic.forEach(
                 (kind, sum) ->
                         all.put(
-                                lower(kind),
+                                lowerCaseName(kind),
                                 new Rates(
                                         sum.messages.sum() / seconds,
                                         sum.requestBytes.sum() / seconds,
@@ -154,7 +155,7 @@
         return all;
     }
 
-    private static String lower(Enum<?> kind) {
+    private static String lowerCaseName(Enum<?> kind) {
         return kind.name().toLowerCase(java.util.Locale.ROOT);
     }
 }
--- a/src/main/java/org/springmill/emulator/RuleChecker.java
+++ b/src/main/java/org/springmill/emulator/RuleChecker.java
@@ -118,13 +118,13 @@
      * A user received the phase of a job. Responses may arrive out of order, but a request that was
      * sent after a final phase was received must not be answered with another phase.
      *
-     * @param askedAt when the request was sent, in seconds
+     * @param sentAt when the request was sent, in seconds
      */
-    void phaseReceived(String job, JobPhase phase, double askedAt) {
+    void phaseReceived(String job, JobPhase phase, double sentAt) {
         JobPhase before = finalPhases.get(job);
-        boolean askedLater = before != null && askedAt >= finalPhaseAt.get(job);
+        boolean sentLater = before != null && sentAt >= finalPhaseAt.get(job);
         boolean differs = before != null && before != phase;
-        if (differs && (phase.isTerminal() || askedLater)) {
+        if (differs && (phase.isTerminal() || sentLater)) {
             recordViolation("went_back", job + " from " + before + " to " + phase);
         }
         if (before == null && phase.isTerminal()) {
--- a/src/main/java/org/springmill/emulator/ScenarioBlock.java
+++ b/src/main/java/org/springmill/emulator/ScenarioBlock.java
@@ -61,29 +61,30 @@
     }
 
     /** Reads a number that must be present. */
-    double number(String field, double least, double most) throws SettingsException {
-        return number(field, Double.NaN, least, most);
+    double number(String field, double min, double max) throws SettingsException {
+        return number(field, Double.NaN, min, max);
     }
 
     /**
      * Reads a number.
      *
-     * @param absent the value if the field is absent; NaN if the field must be present
+     * @param defaultValue the value if the field is absent; NaN if the field must be present
      */
-    double number(String field, double absent, double least, double most) throws SettingsException {
-        if (!has(field) && !Double.isNaN(absent)) {
-            return absent;
+    double number(String field, double defaultValue, double min, double max)
+            throws SettingsException {
+        if (!has(field) && !Double.isNaN(defaultValue)) {
+            return defaultValue;
         }
         Object value = fields.get(field);
         double number = value instanceof Number given ? given.doubleValue() : Double.NaN;
-        if (!(number >= least && number <= most)) {
+        if (!(number >= min && number <= max)) {
             throw new SettingsException(
                     file,
                     pathOf(field),
                     "must be a number from "
-                            + plain(least)
+                            + plain(min)
                             + " to "
-                            + plain(most)
+                            + plain(max)
                             + "; got "
                             + (value == null ? "none" : value));
         }
--- a/src/main/java/org/springmill/emulator/ScenarioFile.java
+++ b/src/main/java/org/springmill/emulator/ScenarioFile.java
@@ -31,7 +31,7 @@
  */
 public final class ScenarioFile {
     private static final Path DEPLOYMENT = Path.of("deploy/service.toml");
-    private static final double MANY = 1e6;
+    private static final double MAX_VALUE = 1e6;
 
     /** Every command to run a controller ends with this option; the path of the file follows. */
     private static final String CONFIG_OPTION = "--config$";
@@ -109,8 +109,8 @@
                         (int) block.number("number", 1, 9),
                         run,
                         block.number("cpu_share", 0.25, 0.01, 64),
-                        block.number("memory_mb", 176, 100, MANY),
-                        (int) block.number("max_sockets", 800, 64, MANY),
+                        block.number("memory_mb", 176, 100, MAX_VALUE),
+                        (int) block.number("max_sockets", 800, 64, MAX_VALUE),
                         block.number("restart_s", 6, 0, 3600));
         block.refuseUnknown();
         return controllers;
@@ -135,10 +135,10 @@
                     new MachineGroup(
                             group.label(),
                             (int) group.number("number", 0, 10_000),
-                            group.number("cpus", 0.1, MANY),
+                            group.number("cpus", 0.1, MAX_VALUE),
                             group.number("gpus", 0, 0, 64),
-                            group.number("memory_gb", 0.1, MANY),
-                            group.number("fetch_gb_per_s", 1, 0.001, MANY),
+                            group.number("memory_gb", 0.1, MAX_VALUE),
+                            group.number("fetch_gb_per_s", 1, 0.001, MAX_VALUE),
                             group.number("boot_s", 30, 0.1, 3600)));
             group.refuseUnknown();
         }
@@ -149,10 +149,10 @@
         Teams teams =
                 new Teams(
                         (int) block.number("number", 1, 1000),
-                        block.number("cpus", 0, 0, MANY),
-                        block.number("cpus_max", 0, 0, MANY),
-                        block.number("gpus", 0, 0, MANY),
-                        block.number("gpus_max", 0, 0, MANY));
+                        block.number("cpus", 0, 0, MAX_VALUE),
+                        block.number("cpus_max", 0, 0, MAX_VALUE),
+                        block.number("gpus", 0, 0, MAX_VALUE),
+                        block.number("gpus_max", 0, 0, MAX_VALUE));
         block.refuseUnknown();
         return teams;
     }
@@ -172,20 +172,20 @@
                 job.label(),
                 job.oneOf("kind", JobKind.class),
                 job.oneOf("priority", Priority.class),
-                (int) job.number("initial", 0, 0, MANY),
+                (int) job.number("initial", 0, 0, MAX_VALUE),
                 job.number("ramp_s", 0, 0, 86_400),
-                job.number("per_minute", 0, 0, MANY),
+                job.number("per_minute", 0, 0, MAX_VALUE),
                 minTasks,
                 (int) job.number("max_tasks", minTasks, minTasks, 100_000),
-                job.number("cpus", 1, 0, MANY),
+                job.number("cpus", 1, 0, MAX_VALUE),
                 job.number("gpus", 0, 0, 64),
-                job.number("memory_gb", 1, 0, MANY),
-                (int) job.number("images", 1, 1, MANY),
-                job.number("image_gb", 1, 0, MANY),
-                job.number("run_s", 0, 0, MANY),
+                job.number("memory_gb", 1, 0, MAX_VALUE),
+                (int) job.number("images", 1, 1, MAX_VALUE),
+                job.number("image_gb", 1, 0, MAX_VALUE),
+                job.number("run_s", 0, 0, MAX_VALUE),
                 job.number("life_s", 1e9, 1, 1e9),
-                job.number("checkpoint_s", 0, 0, MANY),
-                job.number("save_s", 0, 0, MANY),
+                job.number("checkpoint_s", 0, 0, MAX_VALUE),
+                job.number("save_s", 0, 0, MAX_VALUE),
                 (int) job.number("team", -1, 0, 1000));
     }
 
@@ -197,10 +197,10 @@
         Serving serving =
                 new Serving(
                         (int) block.number("team", 0, 0, 1000),
-                        block.number("cpus", 1, 0, MANY),
+                        block.number("cpus", 1, 0, MAX_VALUE),
                         block.number("gpus", 1, 0, 64),
-                        block.number("memory_gb", 1, 0, MANY),
-                        block.number("image_gb", 1, 0, MANY),
+                        block.number("memory_gb", 1, 0, MAX_VALUE),
+                        block.number("image_gb", 1, 0, MAX_VALUE),
                         block.number("load_s", 1, 0, 3600),
                         block.number("requests_per_s", 0.1, 10_000),
                         block.number("queue", 4, 0, 10_000),
@@ -234,8 +234,8 @@
     private static StoreLimits state(ScenarioBlock block) throws SettingsException {
         StoreLimits limits =
                 new StoreLimits(
-                        block.number("requests_per_s", 150, 5, MANY),
-                        block.number("writes_per_s", 60, 5, MANY),
+                        block.number("requests_per_s", 150, 5, MAX_VALUE),
+                        block.number("writes_per_s", 60, 5, MAX_VALUE),
                         block.number("value_kb", 8, 2, 64),
                         (int) block.number("writes_per_commit", 16, 4, 1000),
                         block.number("latency_s", 0.003, 0, 10));
@@ -246,7 +246,7 @@
     private static CloudLimits cloud(ScenarioBlock block) throws SettingsException {
         CloudLimits limits =
                 new CloudLimits(
-                        block.number("requests_per_s", 4, 0.1, MANY),
+                        block.number("requests_per_s", 4, 0.1, MAX_VALUE),
                         block.number("list_lag_s", 6, 0, 600));
         block.refuseUnknown();
         return limits;
--- a/src/main/java/org/springmill/emulator/ServingEmulation.java
+++ b/src/main/java/org/springmill/emulator/ServingEmulation.java
@@ -20,7 +20,7 @@
     private final LoanSampler loans;
     private final LoanCounters counters;
     private final List<ServingPoint> timeline = new ArrayList<>();
-    private double surgeBegan;
+    private double surgeStartedAt;
     private double secondsToCapacity = -1;
     private long answeredBefore;
     private long refusedBefore;
@@ -49,7 +49,7 @@
         users.start();
         loans.start();
         counters.start();
-        loop.after(serving.surgeAtSeconds(), this::surgeBegins);
+        loop.after(serving.surgeAtSeconds(), this::startSurge);
     }
 
     void stop() {
@@ -60,15 +60,15 @@
         loans.startMeasuring();
     }
 
-    private void surgeBegins() {
-        surgeBegan = loop.now();
+    private void startSurge() {
+        surgeStartedAt = loop.now();
         awaitCapacity();
     }
 
     private void awaitCapacity() {
         if (users.capacity() >= users.demand()) {
-            secondsToCapacity = loop.now() - surgeBegan;
-        } else if (loop.now() - surgeBegan < serving.surgeForSeconds()) {
+            secondsToCapacity = loop.now() - surgeStartedAt;
+        } else if (loop.now() - surgeStartedAt < serving.surgeForSeconds()) {
             loop.after(CHECK_SECONDS, this::awaitCapacity);
         }
     }
--- a/src/main/java/org/springmill/emulator/ServingUsers.java
+++ b/src/main/java/org/springmill/emulator/ServingUsers.java
@@ -42,7 +42,7 @@
     /** Addresses of running replicas, by task. */
     private final Map<TaskId, String> running = new HashMap<>();
 
-    private final Map<String, Double> askedAt = new HashMap<>();
+    private final Map<String, Double> submittedAt = new HashMap<>();
     private final Map<String, Double> loadedAt = new HashMap<>();
     private final ArrayDeque<String> replicas = new ArrayDeque<>();
     private double startedAt;
@@ -115,8 +115,8 @@
      * A task runs on its machine. If it is a replica of the model, it gets requests from now on.
      */
     void started(TaskId task, String address) {
-        Double asked = askedAt.get(task.job());
-        if (asked == null) {
+        Double submitted = submittedAt.get(task.job());
+        if (submitted == null) {
             return;
         }
         running.put(task, address);
@@ -124,7 +124,7 @@
         if (loadedAt.put(task.job(), loaded) == null) {
             loop.after(
                     serving.loadSeconds(),
-                    () -> measurements.latency(Latency.SERVING, loop.now() - asked));
+                    () -> measurements.latency(Latency.SERVING, loop.now() - submitted));
         }
     }
 
@@ -141,7 +141,7 @@
         while (replicas.size() < wanted) {
             Submission replica = replica();
             replicas.addLast(replica.id());
-            askedAt.put(replica.id(), loop.now());
+            submittedAt.put(replica.id(), loop.now());
             users.submitService(replica);
         }
         while (replicas.size() > wanted) {
--- a/src/test/java/org/springmill/emulator/RuleCheckerTest.java
+++ b/src/test/java/org/springmill/emulator/RuleCheckerTest.java
@@ -27,7 +27,7 @@
     private RuleChecker rules;
 
     @BeforeEach
-    void aJobOfTwoTasks() throws Exception {
+    void uploadJobOfTwoTasks() throws Exception {
         Scenario scenario = ScenarioFile.read(Path.of("scenarios/smoke.hcl"));
         rules = new RuleChecker(clock, scenario, jobs);
         rules.start();
@@ -92,7 +92,7 @@
     }
 
     @Test
-    void aTaskThatWentWithItsMachineMayStartElsewhere() {
+    void taskOfClearedMachineMayStartElsewhere() {
         rules.started(TASK, MACHINE);
         rules.cleared(MACHINE);
         rules.started(TASK, OTHER);
@@ -112,7 +112,7 @@
 
     /** The scenario's cancel_s is 44. */
     @Test
-    void aTaskThatOutlivesItsJobsCancellationIsFound() {
+    void taskRunningTooLongAfterCancellationIsFound() {
         rules.started(TASK, MACHINE);
         rules.phaseReceived(JOB, JobPhase.CANCELLED, clock.now());
         clock.run(43);
@@ -122,7 +122,7 @@
     }
 
     @Test
-    void aJobCalledDoneTooEarlyIsFound() {
+    void jobReportedDoneTooEarlyIsFound() {
         rules.started(TASK, MACHINE);
         rules.ended(TASK, MACHINE, true);
         rules.phaseReceived(JOB, JobPhase.DONE, clock.now());
@@ -130,7 +130,7 @@
     }
 
     @Test
-    void aFinalStateThatChangesIsFound() {
+    void changeOfFinalPhaseIsFound() {
         rules.phaseReceived(JOB, JobPhase.CANCELLED, clock.now());
         rules.phaseReceived(JOB, JobPhase.QUEUED, clock.now());
         assertViolated("went_back");
@@ -138,7 +138,7 @@
 
     /** A late response to an earlier request may contain an older phase, but no other final one. */
     @Test
-    void anAnswerToAQuestionAskedBeforeTheEndWasToldIsNoViolation() {
+    void lateResponseToEarlierRequestIsNoViolation() {
         double askedAt = clock.now();
         clock.run(1);
         rules.phaseReceived(JOB, JobPhase.CANCELLED, clock.now());
@@ -149,7 +149,7 @@
     }
 
     @Test
-    void aTaskThatStartsAfterItsJobWasCalledDoneIsFound() {
+    void taskStartedAfterJobReportedDoneIsFound() {
         runBothTasks();
         rules.phaseReceived(JOB, JobPhase.DONE, clock.now());
         rules.started(TASK, MACHINE);
--- a/src/test/java/org/springmill/emulator/ScenarioFileTest.java
+++ b/src/test/java/org/springmill/emulator/ScenarioFileTest.java
@@ -42,7 +42,7 @@
                 "cloud {              | clouds {              | cloud is missing; add a block cloud { ... }",
                 "users {              | users                 | users is missing; add a block users { ... }",
             })
-    void whatIsWrongIsSaidWithFieldAndRemedy(String from, String to, String says)
+    void invalidFieldIsReportedWithRemedy(String from, String to, String expected)
             throws IOException {
         String good = Files.readString(SCENARIOS.resolve("smoke.hcl"));
         assertTrue(good.contains(from), from);
@@ -50,7 +50,7 @@
         SettingsException wrong =
                 assertThrows(SettingsException.class, () -> ScenarioFile.read(file));
         assertTrue(wrong.getMessage().startsWith(file.toString()), wrong.getMessage());
-        assertTrue(wrong.getMessage().contains(says), wrong.getMessage());
+        assertTrue(wrong.getMessage().contains(expected), wrong.getMessage());
     }
 
     @Test
@@ -66,7 +66,7 @@
     }
 
     @Test
-    void aScenarioTakesFromItsBaseWhatItDoesNotSet() throws Exception {
+    void scenarioInheritsFieldsOfItsBase() throws Exception {
         Scenario base = ScenarioFile.read(SCENARIOS.resolve("target.hcl"));
         Scenario half = ScenarioFile.read(SCENARIOS.resolve("target-half.hcl"));
         assertEquals(base.storeLimits(), half.storeLimits());
@@ -92,12 +92,12 @@
                 "base = \"other.hcl\" | base names a scenario that builds on another",
                 "base = \"wrong.hcl\" | base names a scenario that builds on another",
             })
-    void aBaseThatCannotServeIsSaidWithRemedy(String content, String says) throws IOException {
+    void invalidBaseIsReportedWithRemedy(String content, String expected) throws IOException {
         Files.writeString(folder.resolve("other.hcl"), "base = \"third.hcl\"\n");
         Path file = Files.writeString(folder.resolve("wrong.hcl"), content + "\n");
         SettingsException wrong =
                 assertThrows(SettingsException.class, () -> ScenarioFile.read(file));
-        assertTrue(wrong.getMessage().contains(says), wrong.getMessage());
+        assertTrue(wrong.getMessage().contains(expected), wrong.getMessage());
     }
 
     @Test
