--- a/src/main/java/org/springmill/emulator/FaultInjector.java
+++ b/src/main/java/org/springmill/emulator/FaultInjector.java
@@ -11,11 +11,11 @@
 import org.springmill.emulator.Scenario.Fault;
 import org.springmill.transport.EventLoop;
 
-/** Brings about the failures of a scenario, and follows what comes of each. */
+/** Injects the faults of a scenario, and records their effect on running tasks. */
 final class FaultInjector {
     private static final Logger LOG = LoggerFactory.getLogger(FaultInjector.class);
 
-    /** Of the tasks that ran before, so many have to run again for a failure to be over. */
+    /** A fault is over when this share of the tasks that ran before it runs again. */
     private static final double RECOVERED_SHARE = 0.98;
 
     private final EventLoop loop;
@@ -26,7 +26,7 @@
     private final RuleChecker rules;
     private final List<ActiveFault> activeFaults = new ArrayList<>();
 
-    /** A failure that has begun. */
+    /** A fault that has begun. */
     private static final class ActiveFault {
         private final Fault fault;
         private final double since;
@@ -57,23 +57,23 @@
         this.rules = rules;
     }
 
-    /** Failures happen at their times from now on. */
+    /** Schedules all faults; their times count from now. */
     void start() {
         scenario.faults().forEach(fault -> loop.after(fault.atSeconds(), () -> begin(fault)));
     }
 
     private void begin(Fault fault) {
-        LOG.info("failure {}: {}", fault.name(), fault.kind());
+        LOG.info("injecting fault {}: {}", fault.name(), fault.kind());
         activeFaults.add(new ActiveFault(fault, loop.now(), rules.running()));
         List<String> zones = scenario.zoneNames();
         switch (fault.kind()) {
             case RACK_LOST -> {
                 List<String> inZone = fleet.machinesIn(Set.of(zones.get(0)));
                 int count = Math.min(fault.machines(), inZone.size());
-                silence(fault, inZone.subList(0, count));
+                failMachines(fault, inZone.subList(0, count));
             }
-            case ZONE_LOST -> silence(fault, fleet.machinesIn(Set.of(zones.get(0))));
-            case REGION_LOST -> silence(fault, fleet.machinesIn(firstRegion(zones)));
+            case ZONE_LOST -> failMachines(fault, fleet.machinesIn(Set.of(zones.get(0))));
+            case REGION_LOST -> failMachines(fault, fleet.machinesIn(firstRegion(zones)));
             case LEADER_KILLED -> controllers.killLeader();
             case CONTROLLERS_KILLED -> controllers.killAll();
             case STATE_SERVICE_DOWN -> {
@@ -91,7 +91,7 @@
         return region;
     }
 
-    private void silence(Fault fault, List<String> machines) {
+    private void failMachines(Fault fault, List<String> machines) {
         fleet.setFailed(machines, true);
         endAfter(fault, () -> fleet.setFailed(machines, false));
     }
@@ -102,33 +102,33 @@
         }
     }
 
-    /** Looks at how far failures are over. */
+    /** Updates the lowest number of running tasks and the recovery time of each fault. */
     void update() {
         int running = rules.running();
-        for (ActiveFault one : activeFaults) {
-            if (one.recoveredSeconds < 0) {
-                one.lowestRunning = Math.min(one.lowestRunning, running);
-                boolean fell = one.lowestRunning < RECOVERED_SHARE * one.runningBefore;
-                if (fell && running >= RECOVERED_SHARE * one.runningBefore) {
-                    one.recoveredSeconds = loop.now() - one.since;
+        for (ActiveFault active : activeFaults) {
+            if (active.recoveredSeconds < 0) {
+                active.lowestRunning = Math.min(active.lowestRunning, running);
+                boolean fell = active.lowestRunning < RECOVERED_SHARE * active.runningBefore;
+                if (fell && running >= RECOVERED_SHARE * active.runningBefore) {
+                    active.recoveredSeconds = loop.now() - active.since;
                 }
             }
         }
     }
 
-    /** What came of each failure; one in which hardly a task was lost took no time. */
+    /** The effect of each fault; the recovery time is 0 if hardly any task was lost. */
     List<FaultRecord> records() {
         List<FaultRecord> records = new ArrayList<>();
-        for (ActiveFault one : activeFaults) {
-            boolean fell = one.lowestRunning < RECOVERED_SHARE * one.runningBefore;
+        for (ActiveFault active : activeFaults) {
+            boolean fell = active.lowestRunning < RECOVERED_SHARE * active.runningBefore;
             records.add(
                     new FaultRecord(
-                            one.fault.name(),
-                            one.fault.kind().name().toLowerCase(Locale.ROOT),
-                            one.fault.atSeconds(),
-                            one.runningBefore,
-                            one.lowestRunning,
-                            fell ? one.recoveredSeconds : 0));
+                            active.fault.name(),
+                            active.fault.kind().name().toLowerCase(Locale.ROOT),
+                            active.fault.atSeconds(),
+                            active.runningBefore,
+                            active.lowestRunning,
+                            fell ? active.recoveredSeconds : 0));
         }
         return records;
     }
--- a/src/main/java/org/springmill/emulator/ServingEmulation.java
+++ b/src/main/java/org/springmill/emulator/ServingEmulation.java
@@ -9,7 +9,7 @@
 import org.springmill.transport.EventLoop;
 import org.springmill.transport.HttpClient;
 
-/** The part of an emulation that serves a model on capacity which other work borrows. */
+/** The part of an emulation that serves a model, while other work borrows unused capacity. */
 final class ServingEmulation {
     private static final double CHECK_SECONDS = 0.05;
 
@@ -20,7 +20,7 @@
     private final LoanSampler loans;
     private final LoanCounters counters;
     private final List<ServingPoint> timeline = new ArrayList<>();
-    private double surgeBegan;
+    private double surgeStartedAt;
     private double secondsToCapacity = -1;
     private long answeredBefore;
     private long refusedBefore;
@@ -44,12 +44,12 @@
         users.onCancellation(loans::cancelled);
     }
 
-    /** The controllers are ready. */
+    /** Starts to serve; called when the controllers are ready. */
     void start() {
         users.start();
         loans.start();
         counters.start();
-        loop.after(serving.surgeAtSeconds(), this::surgeBegins);
+        loop.after(serving.surgeAtSeconds(), this::startSurge);
     }
 
     void stop() {
@@ -60,15 +60,15 @@
         loans.startMeasuring();
     }
 
-    private void surgeBegins() {
-        surgeBegan = loop.now();
+    private void startSurge() {
+        surgeStartedAt = loop.now();
         awaitCapacity();
     }
 
     private void awaitCapacity() {
         if (users.capacity() >= users.demand()) {
-            secondsToCapacity = loop.now() - surgeBegan;
-        } else if (loop.now() - surgeBegan < serving.surgeForSeconds()) {
+            secondsToCapacity = loop.now() - surgeStartedAt;
+        } else if (loop.now() - surgeStartedAt < serving.surgeForSeconds()) {
             loop.after(CHECK_SECONDS, this::awaitCapacity);
         }
     }
@@ -87,7 +87,7 @@
         loans.stopCommanded(task);
     }
 
-    /** Notes the state at a second. */
+    /** Adds a point to the timeline. */
     void sample(int second) {
         timeline.add(
                 new ServingPoint(
--- a/src/test/java/org/springmill/emulator/ScenarioFileTest.java
+++ b/src/test/java/org/springmill/emulator/ScenarioFileTest.java
@@ -15,7 +15,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.springmill.protocol.SettingsException;
 
-/** Scenarios are written by hand: what is wrong is said with file, field and remedy. */
+/** Scenarios are written by hand, so errors name the file, the field and a remedy. */
 class ScenarioFileTest {
     private static final Path SCENARIOS = Path.of("scenarios");
 
@@ -26,23 +26,23 @@
             delimiter = '|',
             quoteCharacter = '`',
             value = {
-                "duration_s = 50      | duration_s = 2        | duration_s must be a number from 5 to 86400",
+                "duration_s = 50      | duration_s = 2        | duration_s must be a number from 5 to 86400; got 2",
                 "duration_s = 50      | duration_s = \"long\" | duration_s must be a number",
                 "duration_s = 50      | ``                    | duration_s must be a number",
-                "warm_up_s  = 15      | warm_up_s  = 60       | warm_up_s must be below duration_s",
+                "warm_up_s  = 15      | warm_up_s  = 60       | warm_up_s must be below duration_s, 50.0, or nothing is measured; got 60.0",
                 "zones      = 4       | zones      = 0        | zones must be a number from 1 to 200",
                 "zones      = 4       | zonez      = 4        | zones must be a number",
                 "seed       = 1       | sead       = 1        | sead is not known; use one of",
                 "number = 30          | number = -1           | machines.cpu.number must be a number from 0",
                 "cpus_max = 400       | cpu_max = 400         | teams.cpu_max is not known; use one of cpus, cpus_max",
-                "kind = \"service\"   | kind = \"daemon\"     | jobs.replicas.kind must be one of array, gang, service",
+                "kind = \"service\"   | kind = \"daemon\"     | jobs.replicas.kind must be one of array, gang, service; got daemon",
                 "priority = \"low\"   | priority = 3          | jobs.batch.priority must be a text in quotes",
                 "max_tasks = 3        | max_tasks = 0         | jobs.replicas.max_tasks must be a number from 1",
                 "leader_killed        | leader_gone           | faults.leader.kind must be one of controllers_killed",
                 "cloud {              | clouds {              | cloud is missing; add a block cloud { ... }",
                 "users {              | users                 | users is missing; add a block users { ... }",
             })
-    void whatIsWrongIsSaidWithFieldAndRemedy(String from, String to, String says)
+    void invalidFieldIsReportedWithRemedy(String from, String to, String expected)
             throws IOException {
         String good = Files.readString(SCENARIOS.resolve("smoke.hcl"));
         assertTrue(good.contains(from), from);
@@ -50,7 +50,7 @@
         SettingsException wrong =
                 assertThrows(SettingsException.class, () -> ScenarioFile.read(file));
         assertTrue(wrong.getMessage().startsWith(file.toString()), wrong.getMessage());
-        assertTrue(wrong.getMessage().contains(says), wrong.getMessage());
+        assertTrue(wrong.getMessage().contains(expected), wrong.getMessage());
     }
 
     @Test
@@ -66,7 +66,7 @@
     }
 
     @Test
-    void aScenarioTakesFromItsBaseWhatItDoesNotSet() throws Exception {
+    void scenarioInheritsFieldsOfItsBase() throws Exception {
         Scenario base = ScenarioFile.read(SCENARIOS.resolve("target.hcl"));
         Scenario half = ScenarioFile.read(SCENARIOS.resolve("target-half.hcl"));
         assertEquals(base.storeLimits(), half.storeLimits());
@@ -92,12 +92,12 @@
                 "base = \"other.hcl\" | base names a scenario that builds on another",
                 "base = \"wrong.hcl\" | base names a scenario that builds on another",
             })
-    void aBaseThatCannotServeIsSaidWithRemedy(String content, String says) throws IOException {
+    void invalidBaseIsReportedWithRemedy(String content, String expected) throws IOException {
         Files.writeString(folder.resolve("other.hcl"), "base = \"third.hcl\"\n");
         Path file = Files.writeString(folder.resolve("wrong.hcl"), content + "\n");
         SettingsException wrong =
                 assertThrows(SettingsException.class, () -> ScenarioFile.read(file));
-        assertTrue(wrong.getMessage().contains(says), wrong.getMessage());
+        assertTrue(wrong.getMessage().contains(expected), wrong.getMessage());
     }
 
     @Test
