--- a/src/main/java/org/springmill/control/admission/AdmissionControl.java
+++ b/src/main/java/org/springmill/control/admission/AdmissionControl.java
@@ -34,7 +34,8 @@
     private final LongSupplier endedRecords;
     private final double maxQueueSeconds;
     private final Map<AdmissionReason, Double> loggedAt = new EnumMap<>(AdmissionReason.class);
-    private final Map<AdmissionReason, Integer> refusedCount = new EnumMap<>(AdmissionReason.class);
+    private final Map<AdmissionReason, Integer> refusedByReason =
+            new EnumMap<>(AdmissionReason.class);
 
     /**
      * Creates the admission control of one controller.
@@ -116,7 +117,7 @@
     }
 
     private AdmissionRefusal recordRefusal(AdmissionReason reason, double drainSeconds) {
-        refusedCount.merge(reason, 1, Integer::sum);
+        refusedByReason.merge(reason, 1, Integer::sum);
         log(reason);
         return new AdmissionRefusal(reason, retryAfter.seconds(drainSeconds));
     }
@@ -140,7 +141,7 @@
 
     /** Number of submissions refused for a reason so far. */
     public int refusedCount(AdmissionReason reason) {
-        return refusedCount.getOrDefault(reason, 0);
+        return refusedByReason.getOrDefault(reason, 0);
     }
 
     /** Bytes of memory that active jobs and records of ended jobs need. */
--- a/src/main/java/org/springmill/control/borrowing/Entitlement.java
+++ b/src/main/java/org/springmill/control/borrowing/Entitlement.java
@@ -41,11 +41,11 @@
      * Whether a team uses all of its guarantee, or more, in any guaranteed resource. For a team
      * without a guarantee, whether it uses anything, since all of that is borrowed.
      */
-    public static boolean usesFullGuarantee(Team team, Resources runs) {
+    public static boolean usesFullGuarantee(Team team, Resources usage) {
         if (!team.hasGuarantee()) {
-            return runs.cpus() > Resources.ROUNDING || runs.gpus() > Resources.ROUNDING;
+            return usage.cpus() > Resources.ROUNDING || usage.gpus() > Resources.ROUNDING;
         }
-        return (team.cpus() > 0 && runs.cpus() > team.cpus() - Resources.ROUNDING)
-                || (team.gpus() > 0 && runs.gpus() > team.gpus() - Resources.ROUNDING);
+        return (team.cpus() > 0 && usage.cpus() > team.cpus() - Resources.ROUNDING)
+                || (team.gpus() > 0 && usage.gpus() > team.gpus() - Resources.ROUNDING);
     }
 }
--- a/src/main/java/org/springmill/control/leadership/KnownLeader.java
+++ b/src/main/java/org/springmill/control/leadership/KnownLeader.java
@@ -10,7 +10,7 @@
 
     private Optional<String> node = Optional.empty();
     private long term;
-    private boolean markRecordRead;
+    private boolean recordRead;
 
     /** Revision at which the record was last found missing: every term up to it is over. */
     private long vacantAtRevision = NOT_VACANT;
@@ -31,12 +31,12 @@
 
     /** Records that the key-value store has answered a read of the leader record. */
     void markRecordRead() {
-        markRecordRead = true;
+        recordRead = true;
     }
 
     /** Whether the record was read since this process started. */
     boolean hasReadRecord() {
-        return markRecordRead;
+        return recordRead;
     }
 
     /** Records who leads; the revision of the leader record is the term. */
--- a/src/main/java/org/springmill/control/scheduling/Placement.java
+++ b/src/main/java/org/springmill/control/scheduling/Placement.java
@@ -19,7 +19,7 @@
     private final CapacityFilter capacityFilter;
 
     /** Jobs that the last round did not consider, since it was full before their turn. */
-    private Set<Job> wasSkippedByFullRound = Set.of();
+    private Set<Job> skippedByFullRound = Set.of();
 
     private MachineScore score;
 
@@ -68,7 +68,7 @@
         double now = fleet.now();
         // The pass reserves parts of the teams' limits anew, for replicas that it cannot place.
         fleet.clusterState().releaseLimitReservations();
-        wasSkippedByFullRound = Set.of();
+        skippedByFullRound = Set.of();
         List<Job> waiting = waitingJobs();
         reservations.update(waiting, now);
         if (waiting.isEmpty()) {
@@ -80,7 +80,7 @@
                         MachineScore.largestReplica(fleet.clusterState().jobs().values()));
         PlacementPass pass = newPass(round, limit, now);
         waiting.forEach(pass::place);
-        wasSkippedByFullRound = pass.skipped();
+        skippedByFullRound = pass.skipped();
         return pass.placed();
     }
 
@@ -110,7 +110,7 @@
      * a long queue, of which a round places only the first few, blocked the leader for seconds.
      */
     public boolean wasSkippedByFullRound(Job job) {
-        return wasSkippedByFullRound.contains(job);
+        return skippedByFullRound.contains(job);
     }
 
     /** Machines that take new tasks, in the order of the fleet. */
--- a/src/main/java/org/springmill/emulator/ScenarioBlock.java
+++ b/src/main/java/org/springmill/emulator/ScenarioBlock.java
@@ -105,7 +105,8 @@
 
     /** Reads the name of an enum constant, ignoring case. */
     <T extends Enum<T>> T oneOf(String field, Class<T> type) throws SettingsException {
-        String name = text(field).toUpperCase(Locale.ROOT);
+        String found = text(field);
+        String name = found.toUpperCase(Locale.ROOT);
         Set<String> names = new TreeSet<>();
         for (T value : type.getEnumConstants()) {
             if (value.name().equals(name)) {
@@ -116,7 +117,7 @@
         throw new SettingsException(
                 file,
                 pathOf(field),
-                "must be one of " + String.join(", ", names) + "; got " + text(field));
+                "must be one of " + String.join(", ", names) + "; got " + found);
     }
 
     /**
